--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -107,9 +107,9 @@
             return
         crowd = self.crowd
         number = crowd.counts["wishes"] + 1
-        fn = f"fn-{min(int(crowd.random.expovariate(0.7)), 9)}"
+        function = f"fn-{min(int(crowd.random.expovariate(0.7)), 9)}"
         crowd.want(
-            Wish(f"op{number}", fn, "price", "", 300.0, 4, 2.0, 2.0, None, "idempotent", "all", 3.0,
+            Wish(f"op{number}", function, "price", "", 300.0, 4, 2.0, 2.0, None, "idempotent", "all", 3.0,
                  self.reactor.seconds())
         )  # fmt: skip
         self.reactor.callLater(crowd.random.expovariate(self.rate), self.want)
@@ -150,7 +150,7 @@
     heard = RunnerSpeaker.heard
 
     def noting(self: RunnerSpeaker, message: Any) -> None:
-        if isinstance(message, wire.Run) and message.fn == NAME:
+        if isinstance(message, wire.Run) and message.function == NAME:
             run.met.append(reactor.seconds())
         heard(self, message)
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -110,7 +110,7 @@
             match message:
                 case wire.Run():
                     runner = transport.protocol.runner
-                    key = (runner.linking.name, message.fn)
+                    key = (runner.linking.name, message.function)
                     wait = ANSWER_AFTER if key in self.loaded else LOAD_AFTER + ANSWER_AFTER
                     self.loaded.add(key)
                     self.reactor.at(wait, self.say, transport, wire.Ended(message.call, "ok"))
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -80,8 +80,8 @@
         loop = asyncio.get_running_loop()
         match message:
             case wire.Run():
-                wait = hollow.ANSWER_AFTER + (0 if message.fn in self.loaded else hollow.LOAD_AFTER)
-                self.loaded.add(message.fn)
+                wait = hollow.ANSWER_AFTER + (0 if message.function in self.loaded else hollow.LOAD_AFTER)
+                self.loaded.add(message.function)
                 loop.call_later(wait / 1e6, say, writer, wire.Ended(message.call, "ok"))
             case wire.Hold():
                 say(writer, wire.Held(message.order, "ok", message.count))
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -120,7 +120,7 @@
     return Costs(
         state=measuring.deep_size(made.edge, STRANGERS),
         known=len(made.edge.following.known),
-        functions=len(made.edge.host.registry.fns),
+        functions=len(made.edge.host.registry.functions),
         control=(spent.median - calls * calls_alone(given, seed)) / SECONDS,
         bytes_in=(roster.traffic.bytes_in - before[0]) / SECONDS,
         looked_up=[],
--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -21,7 +21,7 @@
 from lapistrestle.fleet.lending import Lending
 from lapistrestle.overload.admission import UPDATE_EVERY
 from lapistrestle.overload.probers import probers
-from lapistrestle.state import Srv
+from lapistrestle.policy.state import Worker
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import Claim, Datagram, Rank
 
@@ -142,8 +142,8 @@
         self.now = 1_000 * SECOND
         self.stopping = False
         self.reactor = self
-        workers = [Srv(f"runner-{i:06d}") for i in range(instances)]
-        module = SimpleNamespace(srvs=workers, serving=workers)
+        workers = [Worker(f"runner-{i:06d}") for i in range(instances)]
+        module = SimpleNamespace(workers=workers, serving=workers)
         self.host = SimpleNamespace(module=module, vouched=lambda worker, at: None)
 
     def clock(self) -> int:
--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -13,9 +13,9 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.control_hollow import SECOND, module_facts
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.choice import Dispatcher
-from lapistrestle.interface import SrvFacts
-from lapistrestle.state import Fn, Rpc, Srv
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import WorkerInfo
+from lapistrestle.policy.state import Function, Request, Worker
 
 WARM = 8  # instances that each knows as warm
 WINDOWS = 20
@@ -30,33 +30,33 @@
         return lambda *given: None
 
 
-def dispatcher_of(number: int, dispatchers: int, calls_an_instance: float) -> tuple[Dispatcher, Srv]:
+def dispatcher_of(number: int, dispatchers: int, calls_an_instance: float) -> tuple[Dispatcher, Worker]:
     """One of so many, with its even part of the calls that each instance answers in a second."""
     made = Dispatcher(Quiet(), module_facts(dispatchers, number), number, 0)
     made.now = NOW
-    cold = Srv("cold")
-    listed = [(Srv(f"warm-{i}"), SrvFacts(f"warm-{i}", booted=0)) for i in range(WARM)]
-    made.listed([*listed, (cold, SrvFacts("cold", booted=NOW))], whole=True)
+    cold = Worker("cold")
+    listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted=0)) for i in range(WARM)]
+    made.listed([*listed, (cold, WorkerInfo("cold", booted=NOW))], whole=True)
     pace = calls_an_instance / dispatchers / SECOND  # of one dispatcher's calls, at each unit of size
     made.ok_weight.add(NOW, pace * made.weight(0) * made.ok_weight.life)
     return made, cold
 
 
-def sent_in(made: Dispatcher, cold: Srv, now: int) -> int:
+def sent_in(made: Dispatcher, cold: Worker, now: int) -> int:
     """Call-outs that it may send to the cold instance at this moment, if all its calls went there."""
     made.now = now
     made.ok_weight.at = now  # steady: what is answered goes on
     cold.booted = now  # still as cold as on its first day
     cold.sends.clear()
     count = 0
-    rpc = Rpc("r", FUNCTION, 0, 0, now + 3 * SECOND)
-    while count < MOST and made.cold_room(cold, rpc):
-        cold.sends.append((now, made.heft(rpc)))
+    request = Request("r", FUNCTION, 0, 0, now + 3 * SECOND)
+    while count < MOST and made.cold_room(cold, request):
+        cold.sends.append((now, made.heft(request)))
         count += 1
     return count
 
 
-FUNCTION = Fn("f", 0, 100.0, 1)
+FUNCTION = Function("f", 0, 100.0, 1)
 
 
 def windows_of(dispatchers: int, calls_an_instance: float) -> tuple[list[int], list[int]]:
@@ -90,9 +90,9 @@
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         calls = assumptions.target.calls_per_second / assumptions.target.instances
         (made, cold), held = build_measured(lambda: dispatcher_of(0, size, calls))
-        rpc = Rpc("r", FUNCTION, 0, 0, NOW + 3 * SECOND)
-        asked = processor_seconds(lambda: [made.cold_room(cold, rpc) for _ in range(1_000)], 3)
-        steps = count_steps(lambda: made.cold_room(cold, rpc)).instructions
+        request = Request("r", FUNCTION, 0, 0, NOW + 3 * SECOND)
+        asked = processor_seconds(lambda: [made.cold_room(cold, request) for _ in range(1_000)], 3)
+        steps = count_steps(lambda: made.cold_room(cold, request)).instructions
         sums, turns = windows_of(size, calls)
         return Sample(
             state_bytes=held, steps=steps, figures={
--- a/benchmarks/scale/roles/control_hollow.py
+++ b/benchmarks/scale/roles/control_hollow.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.deployment.load import facts
 from lapistrestle.deployment.shape import Customer, Deployment, Method, Orders, Place, Span, Workers
-from lapistrestle.interface import Facts
+from lapistrestle.policy.interface import Facts
 
 SECOND = 10_000  # tenths of a millisecond, the program's unit of time
 METHODS = 3
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -42,7 +42,7 @@
 
 def start_of(number: int, at: int, version: str = "v2") -> Command:
     return Command(
-        at=at, id=f"order-{number}-{version}", what="start", fn=function(number), who="operator",
+        at=at, id=f"order-{number}-{version}", what="start", function=function(number), who="operator",
         why="release of the day", candidate=f"version-{version}", remembered=REMEMBERED,
     )  # fmt: skip
 
@@ -54,12 +54,12 @@
     for number in range(functions):
         command = start_of(number, 0)
         state.number += 1
-        rollout = Rollout(command.fn, "", command.candidate, command.steps, command.remembered)
+        rollout = Rollout(command.function, "", command.candidate, command.steps, command.remembered)
         rollout.tell(Input.START, 0, command.who, command.why)
         rollout.tell(Input.BACK, 0, command.who)
         rollout.tell(Input.FORGOTTEN, 0)
-        state.rollouts[command.fn] = rollout
-        state.changed[command.fn] = state.number
+        state.rollouts[command.function] = rollout
+        state.changed[command.function] = state.number
         state.replies[command.id] = Reply("done", "none to v2", "warming", 0.0, state.number)
     return state
 
@@ -143,7 +143,7 @@
 
     def order(self, number: int, candidate: str = "v3") -> None:
         order = plans.Order(
-            id=f"burst-{candidate}-{number}", what="start", fn=function(number), who="operator",
+            id=f"burst-{candidate}-{number}", what="start", function=function(number), who="operator",
             why="release of the day", candidate=f"version-{candidate}", remembered=0.0,
         )  # fmt: skip
         self.planner.state.replies.pop(order.id, None)
@@ -238,7 +238,7 @@
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         state, held = build_measured(lambda: keeper_of(size))
         report = Report(
-            at=SECOND, edge="dispatcher-00001", start="start-1", fn=function(0), candidate="version-v2",
+            at=SECOND, edge="dispatcher-00001", start="start-1", function=function(0), candidate="version-v2",
             step=-1, minute=1, counts=(10, 0, 1, 0),
         )  # fmt: skip
         entry = processor_seconds(lambda: state.apply(state.number + 1, report), 3)
@@ -299,7 +299,7 @@
         self.routing = Routing()
         self.now = 1_000 * SECOND
         self.seats: dict[Any, None] = {}
-        self.host = SimpleNamespace(registry=SimpleNamespace(fns={}), module=SimpleNamespace())
+        self.host = SimpleNamespace(registry=SimpleNamespace(functions={}), module=SimpleNamespace())
 
     def clock(self) -> int:
         return self.now
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -6,11 +6,18 @@
 
 import orjson
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
 from lapistrestle.hosting.registry import ObjectRegistry
-from lapistrestle.interface import Answer, CallOut, FnFacts, Listing, RpcFacts, SrvFacts
-from lapistrestle.state import Rpc
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import (
+    Answer,
+    Attempt,
+    EndpointState,
+    FunctionInfo,
+    RequestInfo,
+    WorkerInfo,
+)
+from lapistrestle.policy.state import Request
 
 Fields = Mapping[str, Any]
 
@@ -27,7 +34,7 @@
         settings = init.get("settings") or {}
         self.report_names = (settings.get("reporting") or {}).get("names") or []
         self.says_company = bool((settings.get("family-info") or {}).get("says-company"))
-        self.rpcs: dict[str, Rpc] = {}
+        self.requests: dict[str, Request] = {}
         self.registry = ObjectRegistry()
         self.module = Dispatcher(self, words.facts(settings), int(init.get("rng-seed") or 0), now)
 
@@ -36,28 +43,28 @@
     def act(self, word: str, **fields: Any) -> None:
         self.cmds.append({word: {"dispatcher-id": self.name, **fields}})
 
-    def call_out(self, call_out: CallOut, time_out: int) -> None:
+    def send_attempt(self, attempt: Attempt, time_out: int) -> None:
         within = words.micros(time_out)
-        self.act("Relay", **{"msg-id": call_out.rpc.tag, "runner": call_out.srv.name, "within": within})
+        self.act("Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within})
 
-    def deny(self, rpc: RpcFacts, come_back: int) -> None:
-        self.act("Reject", **{"msg-id": rpc.tag, "not-before-for": come_back * words.UNIT})
+    def deny(self, request: RequestInfo, retry_after: int) -> None:
+        self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * words.UNIT})
 
-    def abort(self, rpc: RpcFacts) -> None:
-        self.act("DropRequest", **{"msg-id": rpc.tag})
+    def abort(self, request: RequestInfo) -> None:
+        self.act("DropRequest", **{"msg-id": request.tag})
 
-    def cancel(self, call_out: CallOut) -> None:
-        rpc = call_out.rpc
-        self.act("Abandon", **{"msg-id": rpc.tag, "round-no": rpc.call_outs.index(call_out)})
+    def cancel(self, attempt: Attempt) -> None:
+        request = attempt.request
+        self.act("Abandon", **{"msg-id": request.tag, "round-no": request.attempts.index(attempt)})
 
-    def order(self, srv: SrvFacts, fn: FnFacts, count: int) -> None:
-        self.act("Preload", runner=srv.name, image=fn.name, number=count)
+    def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
+        self.act("Preload", runner=worker.name, image=function.name, number=count)
 
-    def unload(self, srv: SrvFacts, fn: FnFacts) -> None:
-        self.act("TakeDown", runner=srv.name, image=fn.name)
+    def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
+        self.act("TakeDown", runner=worker.name, image=function.name)
 
-    def probe(self, srv: SrvFacts) -> None:
-        self.act("Sample", runner=srv.name)
+    def probe(self, worker: WorkerInfo) -> None:
+        self.act("Sample", runner=worker.name)
 
     def tell_peer(self, peer: int | None, text: str) -> None:
         self.act("MemoTo", dst="*" if peer is None else peer, raw=text)
@@ -68,7 +75,7 @@
     def follow_list(self) -> None:
         self.act("Listen", enable=True)
 
-    def more(self, fn: FnFacts) -> None: ...  # the list names every runner
+    def more(self, function: FunctionInfo) -> None: ...  # the list names every runner
 
     def log(self, text: str) -> None:
         self.act("Log", what=text)
@@ -88,34 +95,34 @@
         kind = fields.get("kind")
         if kind == "failed":
             return self.module.list_failed()
-        rows = [(self.registry.srv(r["runner"]), entry(r)) for r in fields.get("records") or []]
+        rows = [(self.registry.worker(r["runner"]), entry(r)) for r in fields.get("records") or []]
         self.module.listed(rows, whole=kind != "delta")
 
     def demand(self, fields: Fields) -> None:
         name, method = fields.get("image") or "", fields.get("class") or 0
         memory, lanes = fields.get("ram-mb") or 0.0, int(fields.get("width") or 1)
         load = None if fields.get("bringup-ms") is None else words.span(int(1000 * fields["bringup-ms"]))
-        rpc = Rpc(
+        request = Request(
             tag=fields["msg-id"],
-            fn=self.registry.fn(name, method, memory, lanes, load),
+            function=self.registry.function(name, method, memory, lanes, load),
             method=method,
             customer=fields.get("user-group") or 0,
             deadline=words.span(fields["not-after"]),
             work=None if fields.get("work") is None else max(1, words.span(fields["work"])),
             repeat=bool(fields.get("resent")),
         )
-        self.rpcs[rpc.tag] = rpc
-        self.module.arrived(rpc)
-        self.forget(rpc)
+        self.requests[request.tag] = request
+        self.module.arrived(request)
+        self.forget(request)
 
     def under_way(self, fields: Fields) -> None:
-        rpc = self.rpcs.get(fields["msg-id"])
-        if rpc is not None:
-            self.module.begun(rpc.call_outs[fields["round-no"]])
+        request = self.requests.get(fields["msg-id"])
+        if request is not None:
+            self.module.begun(request.attempts[fields["round-no"]])
 
     def done(self, fields: Fields) -> None:
-        rpc = self.rpcs.get(fields["msg-id"])
-        if rpc is None:
+        request = self.requests.get(fields["msg-id"])
+        if request is None:
             return
         detail = fields.get("detail") or 0
         answer = Answer(
@@ -125,18 +132,18 @@
             company=detail // 8 if self.says_company else None,
             report=self.report(fields.get("telemetry")),
         )
-        self.module.ended(rpc.call_outs[fields["round-no"]], words.OUTCOMES[fields["reason"]], answer)
-        self.forget(rpc)
+        self.module.ended(request.attempts[fields["round-no"]], words.OUTCOMES[fields["reason"]], answer)
+        self.forget(request)
 
     def vanished(self, fields: Fields) -> None:
-        rpc = self.rpcs.get(fields["msg-id"])
-        if rpc is not None:
-            self.module.left(rpc)
-            self.forget(rpc)
+        request = self.requests.get(fields["msg-id"])
+        if request is not None:
+            self.module.left(request)
+            self.forget(request)
 
-    def forget(self, rpc: Rpc) -> None:
-        if rpc.over and all(c.outcome is not None for c in rpc.call_outs):
-            self.rpcs.pop(rpc.tag, None)
+    def forget(self, request: Request) -> None:
+        if request.over and all(c.outcome is not None for c in request.attempts):
+            self.requests.pop(request.tag, None)
 
     def fired(self, fields: Fields) -> None:
         token = self.registry.take_token(fields.get("key-back") or 0)
@@ -144,16 +151,19 @@
             self.module.woken(token)
 
     def loaded(self, fields: Fields) -> None:
-        srv, fn = self.registry.srvs.get(fields["runner"]), self.registry.fns.get(fields["image"])
-        if srv is not None and fn is not None:
+        worker, function = (
+            self.registry.workers.get(fields["runner"]),
+            self.registry.functions.get(fields["image"]),
+        )
+        if worker is not None and function is not None:
             outcome, took = words.OUTCOMES[fields["reason"]], words.span(fields.get("took") or 0)
-            self.module.ordered(srv, fn, outcome, fields.get("number") or 0, took)
+            self.module.ordered(worker, function, outcome, fields.get("number") or 0, took)
 
     def probe_result(self, fields: Fields) -> None:
-        srv = self.registry.srvs.get(fields["runner"])
-        if srv is not None:
+        worker = self.registry.workers.get(fields["runner"])
+        if worker is not None:
             outcome, took = words.OUTCOMES[fields["reason"]], words.span(fields.get("took") or 0)
-            self.module.probed(srv, outcome, took, self.report(fields.get("telemetry")))
+            self.module.probed(worker, outcome, took, self.report(fields.get("telemetry")))
 
     def datagram(self, fields: Fields) -> None:
         self.module.told(fields.get("src-peer") or 0, fields.get("raw") or "")
@@ -172,16 +182,16 @@
 }
 
 
-def entry(record: Fields) -> SrvFacts:
+def entry(record: Fields) -> WorkerInfo:
     """One line of the list."""
     booted, size = record.get("boot-time"), record.get("size")
-    return SrvFacts(
+    return WorkerInfo(
         name=record["runner"],
         zone=record.get("area") or 0,
         cell=record.get("cohort") or 0,
         kind=record.get("type") or 0,
         size=1.0 if size is None else size,
-        listing=words.LISTINGS.get(record.get("availability") or "SERVING", Listing.SERVING),
+        listing=words.LISTINGS.get(record.get("availability") or "SERVING", EndpointState.SERVING),
         booted=words.moment(booted) if booted else None,
     )
 
--- a/lapistrestle/checks/reading.py
+++ b/lapistrestle/checks/reading.py
@@ -283,7 +283,7 @@
     def runner(self, number: int, at: float, connection: Connection, message: Any) -> None:
         match message:
             case wire.Run():
-                call = self.open.get((connection.edge, message.rpc))
+                call = self.open.get((connection.edge, message.request))
                 run = Run(number, at, connection.edge, connection.start, connection.name, message, call)
                 self.runs.append(run)
                 self.out[connection.name, message.call] = run
--- a/lapistrestle/checks/rules.py
+++ b/lapistrestle/checks/rules.py
@@ -133,7 +133,7 @@
         if effect == "side-effecting":
             seen["key", key].append((at, number))
         elif effect == "tokened" and run is not None:
-            seen[run.edge, run.message.rpc].append((at, number))
+            seen[run.edge, run.message.request].append((at, number))
     for (_, name), times in seen.items():
         if len(times) > 1:
             judged.breach(times[1][0], f"{name} took effect {len(times)} times", *(n for _, n in times))
@@ -305,12 +305,12 @@
     longest = 0.0
     for back, line, name in story.backs:
         for run in story.runs:
-            if run.message.fn == name and run.at > back:
+            if run.message.function == name and run.at > back:
                 longest = max(longest, run.at - back)
                 if run.at > back + 1000 + EPS:
                     judged.breach(run.at, f"{name} gets work {run.at - back:.0f} ms later", line, run.line)
         for hold in story.holds:
-            if hold.message.fn == name and hold.at > back + 1000 + EPS:
+            if hold.message.function == name and hold.at > back + 1000 + EPS:
                 judged.breach(hold.at, f"{name} is ordered {hold.at - back:.0f} ms later", line, hold.line)
     judged.figures = {"withdrawals": len(story.backs), "last call-out after one, ms": longest}
     return judged
@@ -324,16 +324,16 @@
     judged = Judged("shares kept")
     worst = 1.0
     for version, told in story.shares.items():
-        fn = version.partition("@")[0]
+        function = version.partition("@")[0]
         ends = [at for _, at, _ in told[1:]] + [NEVER]
         met: dict[float, dict[str, Run]] = defaultdict(dict)  # by the share allowed: first runs by key
         for run in story.runs:
-            if run.message.fn.partition("@")[0] == fn:
+            if run.message.function.partition("@")[0] == function:
                 allowed = [share for (since, _, share), end in zip(told, ends, strict=True)
                            if since <= run.at + EPS and run.at <= end + 1000 + EPS]  # fmt: skip
-                met[max(allowed, default=0.0)].setdefault(run.message.key or run.message.rpc, run)
+                met[max(allowed, default=0.0)].setdefault(run.message.key or run.message.request, run)
         for share, runs in sorted(met.items()):
-            there = [run for run in runs.values() if run.message.fn == version]
+            there = [run for run in runs.values() if run.message.function == version]
             odds = float(binom.sf(len(there) - 1, len(runs), share))
             worst = min(worst, odds)
             if odds < 1e-9:
@@ -356,8 +356,13 @@
         first = seen[0][2]
         for at, number, run in seen[1:]:
             came_back += 1
-            if run.message.fn != first.message.fn and run.call is not None and run.call.message.repeat:
-                says = f"{key} took effect on {first.message.fn} and, coming back, on {run.message.fn}"
+            if (
+                run.message.function != first.message.function
+                and run.call is not None
+                and run.call.message.repeat
+            ):
+                back = run.message.function
+                says = f"{key} took effect on {first.message.function} and, coming back, on {back}"
                 judged.breach(at, says, first.line, run.line, number)
     judged.figures = {"tokened keys": len(effects), "of them with a further effect": came_back}
     return judged
--- a/lapistrestle/command/demo.py
+++ b/lapistrestle/command/demo.py
@@ -72,11 +72,11 @@
         self.verdicts = dict.fromkeys(("ok", "denied", "aborted", "fault"), 0)
         self.took: list[float] = []
 
-    def verdict(self, wish: Wish, verdict: str, come_back: float) -> None:
+    def verdict(self, wish: Wish, verdict: str, retry_after: float) -> None:
         self.verdicts[verdict] += 1
         if verdict == "ok":
             self.took = [*self.took[-999:], self.reactor.seconds() - wish.began]
-        super().verdict(wish, verdict, come_back)
+        super().verdict(wish, verdict, retry_after)
 
 
 @click.command()
@@ -139,11 +139,11 @@
             return
         number = crowd.counts["wishes"] + 1
         method = "book" if crowd.random.random() < 0.2 else "price"
-        fn = f"{method}-rules-{min(int(crowd.random.expovariate(0.4)), 9)}"
+        function = f"{method}-rules-{min(int(crowd.random.expovariate(0.4)), 9)}"
         work = crowd.random.gammavariate(4.0, 10.0)
         crowd.want(
             Wish(
-                f"op{number}", fn, method, "", 300.0, 2, work, round(work), None,
+                f"op{number}", function, method, "", 300.0, 2, work, round(work), None,
                 "idempotent" if method == "price" else "side-effecting", "all", 3.0, now,
             )
         )  # fmt: skip
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -266,7 +266,7 @@
 
 @click.command()
 @click.option("--port", required=True, type=int, help="Of the edge.")
-@click.option("--fn", required=True)
+@click.option("--fn", "function", required=True)
 @click.option("--method", required=True)
 @click.option("--customer", default="")
 @click.option("--left", default=3000.0, show_default=True, help="Milliseconds that the client waits.")
@@ -279,13 +279,15 @@
 @click.option("--rate", default=0.0, help="Calls a second; 0: all at once.")
 @as_json
 def call(
-    port: int, fn: str, method: str, customer: str, left: float, memory: float, lanes: int, work: float,
+    port: int, function: str, method: str, customer: str, left: float, memory: float, lanes: int, work: float,
     load: float, token: int | None, count: int, rate: float, json_: bool,
 ) -> None:  # fmt: skip
     """Send calls to an edge and show the answers. Ends with status 1 unless all are ok."""
     reactor = reactor_of_now()
     body = msgspec.Raw(msgspec.json.encode({"work": work, "load": load}))
-    made = wire.Call("", fn, method, left, customer, memory, lanes, work, token=token, load=load, body=body)
+    made = wire.Call(
+        "", function, method, left, customer, memory, lanes, work, token=token, load=load, body=body
+    )
     plan = Plan(reactor, made, count, rate)
     reactor.connectTCP("127.0.0.1", port, plan, timeout=5)
     reactor.callLater(left / 1000 + (count / rate if rate else 0) + 5, reactor.stop)
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -66,27 +66,36 @@
     """Makes `rollout WHAT`."""
 
     @port
-    @click.option("--fn", required=True, help="The function.")
+    @click.option("--fn", "function", required=True, help="The function.")
     @click.option("--candidate", default="", help="The new version.", required=what == "start")
     @click.option("--why", default="", help="Kept in the history.")
     @click.option("--who", default=getpass.getuser, show_default="you")
     @click.option("--id", "id_", help="The order's own; given twice, it is answered as the first time.")
     @as_json
     def command(
-        port: int, fn: str, candidate: str, why: str, who: str, id_: str | None, json_: bool, **more: Any
+        port: int,
+        function: str,
+        candidate: str,
+        why: str,
+        who: str,
+        id_: str | None,
+        json_: bool,
+        **more: Any,
     ) -> None:
         if (path := more.pop("policy", None)) is not None:
             value, text = read_json5(path)
             policy = shaped(value, Policy, text, str(path))
             more["steps"] = tuple(step / 100 for step in policy.steps)
             more["remembered"] = policy.remembered / 10
-        made = plans.Order(id_ or uuid.uuid4().hex, what, fn, who, why, candidate, **more)
+        made = plans.Order(id_ or uuid.uuid4().hex, what, function, who, why, candidate, **more)
         reply = asked(port, made)
         if json_:
             click.echo(msgspec.json.encode(reply))
         else:
             late = f"; not there yet: {', '.join(reply.behind)}" if reply.behind else ""
-            click.echo(f"{reply.outcome}: {reply.says}; {fn} is {reply.state} at {reply.share:.0%}{late}")
+            click.echo(
+                f"{reply.outcome}: {reply.says}; {function} is {reply.state} at {reply.share:.0%}{late}"
+            )
         raise SystemExit(1 if reply.outcome == "refused" else 0)
 
     made: Callable[..., None] = command
@@ -127,7 +136,7 @@
     for one in told.rollouts:
         old, old_bad, new, new_bad = one.counts
         table.add_row(
-            one.fn, one.settled or "-", one.candidate, one.state, f"{one.share:.0%}", f"{one.next:.0%}",
+            one.function, one.settled or "-", one.candidate, one.state, f"{one.share:.0%}", f"{one.next:.0%}",
             f"{old_bad}/{old}", f"{new_bad}/{new}", f"{one.harm:.1f}", f"{one.good:.1f}",
         )  # fmt: skip
     Console(width=140).print(table)
@@ -135,19 +144,19 @@
         click.echo(f"{edge}: plan {has}")
     for one in told.rollouts:
         for edge, why in sorted(one.waits.items()):
-            click.echo(f"{one.fn} at {edge}: {why}")
+            click.echo(f"{one.function} at {edge}: {why}")
 
 
 @rollout.command()
 @port
-@click.option("--fn", required=True)
+@click.option("--fn", "function", required=True)
 @as_json
-def history(port: int, fn: str, json_: bool) -> None:
+def history(port: int, function: str, json_: bool) -> None:
     """What happened to a function's newest rollout, by whom and why."""
     told: plans.Status = asked(port, plans.Ask())
-    found = [one for one in told.rollouts if one.fn == fn]
+    found = [one for one in told.rollouts if one.function == function]
     if not found:
-        raise click.ClickException(f"{fn} has no rollout")
+        raise click.ClickException(f"{function} has no rollout")
     if json_:
         return click.echo(msgspec.json.encode(found[0].history))
     for at, who, why, given, state in found[0].history:
--- a/lapistrestle/deployment/load.py
+++ b/lapistrestle/deployment/load.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapistrestle.deployment.shape import Deployment, Directory, HolderDeployment, Span
-from lapistrestle.interface import Facts
+from lapistrestle.policy.interface import Facts
 
 T = TypeVar("T")
 STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+|\.\.\.)\]")
@@ -66,7 +66,7 @@
     unknown = re.search(r"unknown field `(.+?)`", what)
     missing = re.search(r"missing required field `(.+?)`", what)
     if unknown:
-        known = list(getattr(at, "__struct_fields__", ()))
+        known = list(getattr(at, "__struct_encode_fields__", ()))
         near = difflib.get_close_matches(unknown[1], known, 1, 0.5)
         hint = f"did you mean {near[0]}?" if near else f"known here: {', '.join(known)}"
         path, says = (*path, unknown[1]), f"no such name; {hint}"
@@ -266,8 +266,8 @@
         "may_parallel": allowed.parallel,
         "may_tell_peers": allowed.peers,
         "may_order": orders.allowed,
-        "may_come_back": allowed.come_back > 0,
-        "longest_come_back": int(allowed.come_back),
+        "may_come_back": allowed.retry_after > 0,
+        "longest_come_back": int(allowed.retry_after),
         "try_limit": allowed.tries,
         "dial_time_out": int(allowed.dial),
         "answer_slack": int(allowed.answer_slack),
--- a/lapistrestle/deployment/shape.py
+++ b/lapistrestle/deployment/shape.py
@@ -104,7 +104,9 @@
     probe: bool = False
     parallel: bool = False
     peers: bool = False
-    come_back: Span = Span(0)  # longest time told to stay away; "0 s": none is told
+    retry_after: Span = field(
+        name="come_back", default=Span(0)
+    )  # longest time told to stay away; "0 s": none is told
     answer_slack: Span = Span(160)
 
 
--- a/lapistrestle/deployment/words.py
+++ b/lapistrestle/deployment/words.py
@@ -2,24 +2,34 @@
 
 from typing import Any
 
-from lapistrestle.interface import Facts, Listing, Outcome, Warmth
+from lapistrestle.policy.interface import EndpointState, Facts, LoadState, Outcome
 
 UNIT = 100  # microseconds in a tenth of a millisecond
 
 OUTCOMES = {
     "S": Outcome.OK,
     "E": Outcome.ERROR,
-    "F": Outcome.FULL,
+    "F": Outcome.REJECTED,
     "T": Outcome.TIMED_OUT,
     "C": Outcome.UNREACHABLE,
     "R": Outcome.RESET,
     "X": Outcome.CANCELLED,
-    "N": Outcome.MOOT,
-    "M": Outcome.MISS,
+    "N": Outcome.NOT_SENT,
+    "M": Outcome.NOT_LOADED,
+}
+LISTINGS = {
+    "SERVING": EndpointState.SERVING,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
 }
-LISTINGS = {"SERVING": Listing.SERVING, "DRAINING": Listing.DRAINING, "DELETED": Listing.GONE}
 KINDS = {"idempotent": "idempotent", "deduplicated": "tokened", "at_most_once": "side-effecting"}
-WARMTH = (Warmth.UNTOLD, Warmth.STOOD, Warmth.BEGAN_LOAD, Warmth.JOINED_LOAD, Warmth.LOAD_FAILED)
+WARMTH = (
+    LoadState.UNKNOWN,
+    LoadState.LOADED,
+    LoadState.BEGAN_LOAD,
+    LoadState.JOINED_LOAD,
+    LoadState.LOAD_FAILED,
+)
 SAID = {  # figures of a load report as sockets name them, and as settings do
     "inflight": "outstanding",
     "queue": "backlog",
--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -78,8 +78,8 @@
         full = len(self.open) >= self.bounds.open_calls
         if full or edge.stopping or left <= 0 or (edge.planner is not None and edge.planner.unplanned()):
             edge.counts["turned away"] += 1
-            come_back = edge.facts["longest_come_back"] / 10 if left > 0 else 0.0
-            return self.say(wire.Answer(call.id, DENIED, come_back))
+            retry_after = edge.facts["longest_come_back"] / 10 if left > 0 else 0.0
+            return self.say(wire.Answer(call.id, DENIED, retry_after))
         route = edge.route(call, self, method)
         if not route.name:
             edge.counts["turned away"] += 1
@@ -108,10 +108,10 @@
         if read() is not None:  # why the connection has ended; the reactor ends it in its turn
             self.lost()
 
-    def answer(self, pending: PendingRequest, verdict: Any, come_back: int, body: Any) -> None:
+    def answer(self, pending: PendingRequest, verdict: Any, retry_after: int, body: Any) -> None:
         call = pending.message
         self.open.pop(call.id, None)
-        self.say(wire.Answer(call.id, verdict, come_back / 10, body or wire.NO_BODY))
+        self.say(wire.Answer(call.id, verdict, retry_after / 10, body or wire.NO_BODY))
 
     def unreadable(self, line: bytes, why: str) -> None:
         try:
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.linking import PROMPT
 from lapistrestle.edge.work_gate import NOT_BEGUN, READ_AGAIN, WorkGate
 from lapistrestle.hosting.host import ModuleHost
-from lapistrestle.hosting.requests import Attempt, PendingRequest, WorkerTask
+from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.hosting.turns import Turns
-from lapistrestle.interface import Facts, FnFacts, Listing, Outcome, SrvFacts
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import EndpointState, Facts, FunctionInfo, Outcome, WorkerInfo
 
 Log = Callable[..., None]
 TENTHS = 10_000  # of a millisecond in a second
@@ -43,9 +43,9 @@
     def named(self) -> None: ...  # it is on the list now
     def dropped(self) -> None: ...  # it is gone: what is out may still end
     def hold_back(self) -> None: ...  # it drains: what waits to be written is not sent
-    def run(self, attempt: Attempt) -> None: ...
+    def run(self, worker_call: WorkerCall) -> None: ...
     def hold(self, task: WorkerTask) -> None: ...
-    def unload(self, fn: str) -> None: ...
+    def unload(self, function: str) -> None: ...
     def probe(self, task: WorkerTask) -> None: ...
     def end(self) -> None: ...  # leave it at once
 
@@ -155,13 +155,13 @@
 
     # the list and the runners
 
-    def listed(self, told: Sequence[SrvFacts], whole: bool) -> None:
+    def listed(self, told: Sequence[WorkerInfo], whole: bool) -> None:
         """A list or a change of it was read. Nothing new begins against it from now on, what waits to be
         written is taken back, and the module hears of it before whatever else waits to be told."""
         self.gate.listed(told, whole)
         self.host.listed(told, whole)
         for facts in told:
-            if facts.listing is not Listing.SERVING and facts.name in self.runners:
+            if facts.listing is not EndpointState.SERVING and facts.name in self.runners:
                 self.runners[facts.name].hold_back()
 
     def address(self, name: str, address: Any, start: str = "") -> None:
@@ -190,43 +190,43 @@
 
     # what the host asks (hosting.transport)
 
-    def answer(self, pending: PendingRequest, verdict: str, come_back: int, body: Any) -> None:
-        pending.client.answer(pending, verdict, come_back, body)
+    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+        pending.client.answer(pending, verdict, retry_after, body)
 
     def closed(self, pending: PendingRequest, how: str) -> None: ...
 
     def stream(self, pending: PendingRequest) -> None: ...
 
-    def run(self, attempt: Attempt) -> None:
-        if not self.gate.serves(attempt.srv.name):
-            self.gate.refused(attempt)
-            return self.host.ended(attempt.number, Outcome.MOOT)
-        runner = self.runner(attempt.srv.name)
+    def run(self, worker_call: WorkerCall) -> None:
+        if not self.gate.serves(worker_call.worker.name):
+            self.gate.refused(worker_call)
+            return self.host.ended(worker_call.number, Outcome.NOT_SENT)
+        runner = self.runner(worker_call.worker.name)
         if runner is None:
-            return self.host.ended(attempt.number, Outcome.UNREACHABLE)
-        runner.run(attempt)
+            return self.host.ended(worker_call.number, Outcome.UNREACHABLE)
+        runner.run(worker_call)
 
-    def withdraw(self, task: Attempt | WorkerTask, tell: bool) -> bool:
+    def withdraw(self, task: WorkerCall | WorkerTask, tell: bool) -> bool:
         return task.connection is not None and task.connection.withdraw(task.number, tell)
 
-    def cancel_unsent(self, attempt: Attempt) -> bool:
-        return attempt.connection is not None and attempt.connection.cancel_unsent(attempt.number)
+    def cancel_unsent(self, worker_call: WorkerCall) -> bool:
+        return worker_call.connection is not None and worker_call.connection.cancel_unsent(worker_call.number)
 
     def hold(self, task: WorkerTask) -> None:
-        if task.count and not self.gate.serves(task.srv.name):
+        if task.count and not self.gate.serves(task.worker.name):
             self.gate.refused(task)
-            return self.host.ordered(task.number, Outcome.MOOT, 0)
-        runner = self.runner(task.srv.name)
+            return self.host.ordered(task.number, Outcome.NOT_SENT, 0)
+        runner = self.runner(task.worker.name)
         if runner is None:
             return self.host.ordered(task.number, Outcome.UNREACHABLE, 0)
         runner.hold(task)
 
-    def unload(self, srv: SrvFacts, fn: FnFacts) -> None:
-        if runner := self.runner(srv.name):
-            runner.unload(fn.name)
+    def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
+        if runner := self.runner(worker.name):
+            runner.unload(function.name)
 
     def probe(self, task: WorkerTask) -> None:
-        runner = self.runner(task.srv.name)
+        runner = self.runner(task.worker.name)
         if runner is None:
             return self.host.probed(task.number, Outcome.UNREACHABLE, {})
         runner.probe(task)
@@ -237,7 +237,7 @@
         for source in self.sources:
             source.follow()
 
-    def more(self, fn: FnFacts) -> None: ...
+    def more(self, function: FunctionInfo) -> None: ...
 
     # the end
 
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -28,9 +28,9 @@
 from lapistrestle.edge.holders import HolderConnections
 from lapistrestle.edge.instances import InstanceHandOver
 from lapistrestle.edge.waiting import WaitingRequests
-from lapistrestle.hosting.requests import Attempt, PendingRequest
+from lapistrestle.hosting.requests import PendingRequest, WorkerCall
 from lapistrestle.hosting.timers import Timer
-from lapistrestle.state import Fn
+from lapistrestle.policy.state import Function
 from lapistrestle.wire.directory import Renewed
 
 RENEWALS = 3  # within the silence after which a holder is left
@@ -97,11 +97,11 @@
 
     # RPCs
 
-    def ready(self, fn: Fn, method: str) -> bool:
+    def ready(self, function: Function, method: str) -> bool:
         """Whether an RPC of this function can be placed now; else it has to wait."""
-        prefix = self.watcher.wanted(fn.name, method, self.edge.clock())
-        if prefix is not None and fn.prefix is None:
-            self.instances.rank(fn, prefix.names)
+        prefix = self.watcher.wanted(function.name, method, self.edge.clock())
+        if prefix is not None and function.prefix is None:
+            self.instances.rank(function, prefix.names)
         return prefix is not None
 
     def wait(self, pending: PendingRequest) -> None:
@@ -109,23 +109,23 @@
         self.waiting.add(pending)
         self.act()
 
-    def used(self, attempt: Attempt) -> None:
+    def used(self, worker_call: WorkerCall) -> None:
         """A call-out goes to a worker: its function is in use, up to that worker's place.
 
         An order is entered anywhere, so a place near the end is no sign that the prefix is too short: the
         module says where it is (`more`).
         """
-        prefix = attempt.pending.fn.prefix or ()
-        if attempt.srv in prefix:
+        prefix = worker_call.pending.function.prefix or ()
+        if worker_call.worker in prefix:
             last = max(0, int(NEAR_THE_END * len(prefix)) - 1)
-            place = min(prefix.index(attempt.srv), last)
-            self.watcher.used(attempt.pending.fn.name, place, self.edge.clock())
+            place = min(prefix.index(worker_call.worker), last)
+            self.watcher.used(worker_call.pending.function.name, place, self.edge.clock())
             if self.watcher.effects:  # else nothing is due earlier than it was
                 self.act()
 
-    def more(self, fn: str) -> None:
+    def more(self, function: str) -> None:
         """The prefix was not enough."""
-        self.watcher.more(fn, self.edge.clock())
+        self.watcher.more(function, self.edge.clock())
         if self.watcher.effects:
             self.act()
 
@@ -202,11 +202,11 @@
 
     def prefix_ready(self, effect: PrefixReady) -> None:
         """Tell the module of it, and then of the RPCs that waited for it."""
-        fns = dict.fromkeys(pending.fn for pending in self.waiting.of(effect.function))
-        if (fn := self.edge.host.registry.fns.get(effect.function)) is not None:
-            fns[fn] = None
-        for fn in fns:
-            self.instances.rank(fn, effect.names)
+        functions = dict.fromkeys(pending.function for pending in self.waiting.of(effect.function))
+        if (function := self.edge.host.registry.functions.get(effect.function)) is not None:
+            functions[function] = None
+        for function in functions:
+            self.instances.rank(function, effect.names)
         self.waiting.looked_up(effect.function)
 
     # operators
@@ -221,7 +221,9 @@
             "shards reached": self.watcher.shards_reached(),
             "connections": len(self.connections),
             "instances": len(self.edge.following.known),
-            "functions": sum(fn.prefix is not None for fn in self.edge.host.registry.fns.values()),
+            "functions": sum(
+                function.prefix is not None for function in self.edge.host.registry.functions.values()
+            ),
             "waiting": len(self.waiting),
             "look-ups": self.waiting.counts,
             "region": None
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -11,7 +11,7 @@
 from lapistrestle.fleet.table import ACTIVE
 from lapistrestle.overload.admission import UPDATE_EVERY, AdmissionController, AdmissionSettings
 from lapistrestle.overload.probers import Verdicts, probers
-from lapistrestle.state import Srv
+from lapistrestle.policy.state import Worker
 
 
 class FleetMember:
@@ -43,7 +43,7 @@
         self.verdicts = Verdicts(place.name)
         self.probers_of: dict[str, list[str]] = {}  # by worker: who probes it while it is suspect
         self.drawn_from: list[str] = []  # the members from whom they were drawn
-        self.announced: set[Srv] = set()  # those of whom others were told that they are suspect
+        self.announced: set[Worker] = set()  # those of whom others were told that they are suspect
         if fleet.shed:
             self.endpoint.digests, self.endpoint.verdicts = self.admission.digests, self.verdicts
 
@@ -66,7 +66,7 @@
 
     def loading(self) -> int:
         """Loads of this edge under way: functions on workers, however many wait for each."""
-        return sum(srv.loads for srv in self.edge.host.module.srvs)
+        return sum(worker.loads for worker in self.edge.host.module.workers)
 
     def start(self) -> None:
         """Join the fleet."""
@@ -95,24 +95,24 @@
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
             self.drawn_from, self.probers_of = members_by_name, {}
-        srvs = self.edge.host.module.serving
-        self.verdicts.keep(srv.name for srv in srvs)
-        for srv in srvs:
-            told = found.get(srv.name)
-            if srv.suspect and told is not None and told.fit and told.by != me:
-                self.edge.host.vouched(srv, told.at)
-            if srv.suspect and srv not in self.announced:
-                self.verdicts.record(srv.name, False, now)
-                self.announced.add(srv)
-            elif not srv.suspect and srv in self.announced:
-                self.announced.discard(srv)
+        workers = self.edge.host.module.serving
+        self.verdicts.keep(worker.name for worker in workers)
+        for worker in workers:
+            told = found.get(worker.name)
+            if worker.suspect and told is not None and told.fit and told.by != me:
+                self.edge.host.vouched(worker, told.at)
+            if worker.suspect and worker not in self.announced:
+                self.verdicts.record(worker.name, False, now)
+                self.announced.add(worker)
+            elif not worker.suspect and worker in self.announced:
+                self.announced.discard(worker)
                 if told is not None and told.by == me:  # else it was others that found it fit
-                    self.verdicts.record(srv.name, True, now)
-            if srv.suspect:
-                names = self.probers_of.get(srv.name) or probers(srv.name, members_by_name)
-                self.probers_of[srv.name] = names
-                srv.trial = me in names
-        self.announced &= set(srvs)
+                    self.verdicts.record(worker.name, True, now)
+            if worker.suspect:
+                names = self.probers_of.get(worker.name) or probers(worker.name, members_by_name)
+                self.probers_of[worker.name] = names
+                worker.trial = me in names
+        self.announced &= set(workers)
 
     def admit(self, method: int, customer: int, repeat: bool, key: str) -> int | None:
         """As `AdmissionController.admit`."""
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -10,9 +10,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lapistrestle.interface import Listing, SrvFacts
+from lapistrestle.policy.interface import EndpointState, WorkerInfo
 from lapistrestle.wire.messages import Change, Entry, Whole
 
+STATES = {  # as the wire names them
+    "serving": EndpointState.SERVING,
+    "draining": EndpointState.DRAINING,
+    "gone": EndpointState.REMOVED,
+}
+
 Mode = Enum("Mode", "BLANK ASKING STEADY")
 News = Enum("News", "WHOLE BACK AGAIN NEXT REPEAT GAP CUT FAILED")
 Do = Enum("Do", "TAKE ASK PASS TELL_FAILED")
@@ -65,7 +71,7 @@
 
     do: Do
     whole: bool = False
-    facts: tuple[SrvFacts, ...] = ()
+    facts: tuple[WorkerInfo, ...] = ()
     addresses: tuple[Address, ...] = ()
 
 
@@ -121,9 +127,9 @@
         self.kinds = {kind: i for i, kind in enumerate(kinds)}
         self.known: dict[str, Known] = {}
 
-    def note(self, entries: Iterable[Entry], now: int) -> tuple[list[SrvFacts], list[Address]]:
+    def note(self, entries: Iterable[Entry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
         """What entries say, for the module, and where the workers listen now."""
-        facts, addresses = list[SrvFacts](), list[Address]()
+        facts, addresses = list[WorkerInfo](), list[Address]()
         for entry in entries:
             known = self.known.get(entry.name)
             if known is None:
@@ -148,7 +154,7 @@
 
     def met(
         self, name: str, start: str, up_for: float | None, draining: bool, now: int
-    ) -> tuple[SrvFacts, ...]:
+    ) -> tuple[WorkerInfo, ...]:
         """A runner greeted us. What it says of itself is told to the module at once if it is new."""
         known = self.known.get(name)
         if known is None:
@@ -158,7 +164,7 @@
             known.drains, new = start, True
         return (self.facts(known),) if new else ()
 
-    def drains(self, name: str, start: str) -> tuple[SrvFacts, ...]:
+    def drains(self, name: str, start: str) -> tuple[WorkerInfo, ...]:
         """A runner itself said that it drains; a list that still says otherwise is the older word."""
         known = self.known.get(name)
         if known is None or known.start != start:
@@ -166,13 +172,13 @@
         known.drains = start
         return (self.facts(known),)
 
-    def facts(self, known: Known) -> SrvFacts:
+    def facts(self, known: Known) -> WorkerInfo:
         entry = known.entry
-        listing = Listing[entry.listing.upper()]
-        if listing is Listing.SERVING and known.drains and known.drains == known.start:
-            listing = Listing.DRAINING
+        listing = STATES[entry.listing]
+        if listing is EndpointState.SERVING and known.drains and known.drains == known.start:
+            listing = EndpointState.DRAINING
         zone, kind = self.zones.get(entry.zone, 0), self.kinds.get(entry.kind, 0)
-        return SrvFacts(entry.name, zone, entry.cell, kind, entry.size, listing, known.booted)
+        return WorkerInfo(entry.name, zone, entry.cell, kind, entry.size, listing, known.booted)
 
 
 class Following(NumberedList, KnownWorkers):
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -9,8 +9,8 @@
 
 from lapistrestle.directory.region import Region
 from lapistrestle.edge.following import Address, Known
-from lapistrestle.interface import Listing, SrvFacts
-from lapistrestle.state import Fn
+from lapistrestle.policy.interface import EndpointState, WorkerInfo
+from lapistrestle.policy.state import Function
 from lapistrestle.wire.messages import Entry
 
 
@@ -33,11 +33,11 @@
 
     def gone(self, names: Iterable[str]) -> None:
         """Rule 3: nothing new goes there. What is out may still end."""
-        facts = list[SrvFacts]()
+        facts = list[WorkerInfo]()
         for name in names:
             known = self.edge.following.known.pop(name, None) or self.parted.pop(name, None)
             if known is not None:
-                facts.append(replace(self.edge.following.facts(known), listing=Listing.GONE))
+                facts.append(replace(self.edge.following.facts(known), listing=EndpointState.REMOVED))
         self.tell_left(facts)
 
     def forgotten(self, names: Iterable[str]) -> None:
@@ -46,14 +46,14 @@
         One that warms up is kept in the module, where what it was sent counts against its budget also when
         it is met again (rule 4).
         """
-        facts = list[SrvFacts]()
+        facts = list[WorkerInfo]()
         for name in names:
             known = self.edge.following.known.pop(name, None)
             if known is None:
                 continue
             warm_at = (known.booted or -self.region.ramp_time) + self.region.ramp_time
             left = warm_at - self.edge.clock() if self.region.ramp_time and known.booted is not None else 0
-            listing = Listing.DRAINING if left > 0 else Listing.GONE
+            listing = EndpointState.DRAINING if left > 0 else EndpointState.REMOVED
             facts.append(replace(self.edge.following.facts(known), listing=listing))
             if left > 0:
                 self.parted[name] = known
@@ -65,12 +65,12 @@
         if self.parted.get(known.entry.name) is known:
             self.gone([known.entry.name])
 
-    def tell_left(self, facts: list[SrvFacts]) -> None:
+    def tell_left(self, facts: list[WorkerInfo]) -> None:
         """Tell the module, and end the connections."""
         if facts:
             left: list[Address] = [(told.name, 0, "") for told in facts]
             self.edge.workers_told(facts, left)
 
-    def rank(self, fn: Fn, names: tuple[str, ...]) -> None:
+    def rank(self, function: Function, names: tuple[str, ...]) -> None:
         """Tell the module the function's prefix, as far as its workers are known."""
-        self.edge.host.ranked(fn, [name for name in names if name in self.edge.following.known])
+        self.edge.host.ranked(function, [name for name in names if name in self.edge.following.known])
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from lapistrestle.edge.sources import Source
+from lapistrestle.policy.state import Function, Worker
 from lapistrestle.rollout import stock
 from lapistrestle.rollout.routing import Routing, named
 from lapistrestle.rollout.versions import Split
-from lapistrestle.state import Fn, Srv
 from lapistrestle.store.plans import Kept, PlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -115,27 +115,27 @@
 
     def withdraw(self, name: str) -> None:
         """Nothing new goes there from now on: RPCs that wait for its loads move, its copies may go."""
-        fn = self.edge.host.registry.fns.get(name)
+        function = self.edge.host.registry.functions.get(name)
         for seat in list(self.edge.seats):
             for pending in list(seat.open.values()):
-                if pending.fn is fn and not pending.in_flight and pending.ran_on is None:
+                if pending.function is function and not pending.in_flight and pending.ran_on is None:
                     self.edge.host.retract(pending)
                     self.edge.move(pending)
-        for spot in list(fn.spots.values()) if fn is not None else ():
-            self.edge.unload(spot.srv, fn)
+        for replica in list(function.replicas.values()) if function is not None else ():
+            self.edge.unload(replica.worker, function)
 
     def tell(self, _: object) -> None:
         """How versions do, and keep both of an unsettled function loaded."""
         now = self.edge.clock()
-        for fn, candidate, step, minute, tally in self.routing.tell(now):
-            self.say(plans.Counts(fn, candidate, step, minute, tally))
+        for function, candidate, step, minute, tally in self.routing.tell(now):
+            self.say(plans.Counts(function, candidate, step, minute, tally))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
-        names = {named(s.fn, version) for s in open_ for version in (s.candidate, s.settled)}
+        names = {named(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
         self.wants = {name: want for name, want in self.wants.items() if name in names}
         for split in open_:
             share, lacks = self.keep(split)
             if stock.phase(split) is stock.Phase.LOADING and self.routing.lease.usable(now):
-                self.say(plans.Warm(split.fn, split.candidate, share, lacks))
+                self.say(plans.Warm(split.function, split.candidate, share, lacks))
         if not self.stopped:
             self.edge.after(TELL, self.tell, None)
 
@@ -149,52 +149,57 @@
         module.now = self.edge.clock()
         versions = (split.candidate, split.settled)
         known = [
-            fn for name in (*versions, "") if (fn := registry.fns.get(named(split.fn, name))) is not None
+            function
+            for name in (*versions, "")
+            if (function := registry.functions.get(named(split.function, name))) is not None
         ]
         if not known or not self.edge.facts["may_order"]:
             return split.next, ""
         model = known[-1]
-        busy = sum(fn.asked.read(module.now) / fn.asked.life for fn in dict.fromkeys(known))
+        busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
         busy *= stock.heavier(module.iso(model), module.weight(model.method))
         shares = [split.next if part is None else part for part in stock.WANTED[stock.phase(split)]]
         stands = [
-            self.keep_version(named(split.fn, version), model, busy, share)
+            self.keep_version(named(split.function, version), model, busy, share)
             for version, share in zip(versions, shares, strict=True)
         ]
         lacking = next((stand for stand in stands if not stand.enough), None)
         if lacking is None:
-            alone = [fn.iso if (fn := registry.fns.get(named(split.fn, name))) else None for name in versions]
+            alone = [
+                function.iso if (function := registry.functions.get(named(split.function, name))) else None
+                for name in versions
+            ]
             slower = stock.slower(*alone)
             return (split.share, slower) if slower else (split.next, "")
-        name = versions[stands.index(lacking)] or split.fn
+        name = versions[stands.index(lacking)] or split.function
         has = f"{name} has {lacking.standing} of {lacking.wanted} copies"
         return split.share, f"{has}; {stock.SAYS[lacking.lacks]}"
 
-    def keep_version(self, name: str, model: Fn, busy: float, share: float) -> stock.Stand:
+    def keep_version(self, name: str, model: Function, busy: float, share: float) -> stock.Stand:
         edge, module = self.edge, self.edge.host.module
         if self.edge.barred(name) or not share:
             return stock.Stand(0, 0, stock.Lack.NOTHING)
-        fn = edge.host.registry.fn(name, model.method, model.memory, model.lanes)
-        if edge.directory is not None and not edge.directory.ready(fn, edge.method_names[model.method]):
+        function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
+        if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
             return stock.Stand(stock.APART, 0, stock.Lack.WORKERS)  # its prefix is being looked up
         memory, idle_life = edge.facts["memory_by_kind"], edge.facts["idle_life"]
-        shelves: dict[stock.Shelf, Srv] = {}
-        for srv in module.walk(fn):
-            if srv.listing.name != "SERVING" or not module.fit(srv):
+        shelves: dict[stock.Shelf, Worker] = {}
+        for worker in module.walk(function):
+            if worker.listing.name != "SERVING" or not module.fit(worker):
                 continue
-            size = memory[srv.kind] if srv.kind < len(memory) else 0.0
-            shelf = stock.Shelf(0, stock.room(size, fn.memory), cold=module.warmth_of(srv) < 1)
-            if (spot := fn.spots.get(srv)) is not None:
-                shelf.standing, shelf.waiting = module.believed(spot), bool(spot.ordered)
-                shelf.fresh = module.now - spot.seen <= idle_life // 3
-            shelves[shelf] = srv
+            size = memory[worker.kind] if worker.kind < len(memory) else 0.0
+            shelf = stock.Shelf(0, stock.room(size, function.memory), cold=module.warmth_of(worker) < 1)
+            if (replica := function.replicas.get(worker)) is not None:
+                shelf.standing, shelf.waiting = module.believed(replica), bool(replica.ordered)
+                shelf.fresh = module.now - replica.seen <= idle_life // 3
+            shelves[shelf] = worker
 
         def order(shelf: stock.Shelf, count: int) -> bool:
-            ordered: bool = module.order(fn.spot(shelves[shelf]), count, stock.ORDER_PART)
+            ordered: bool = module.order(function.replica(shelves[shelf]), count, stock.ORDER_PART)
             return ordered
 
-        now = stock.needed(busy, share, fn.lanes, edge.facts["dispatchers"])
+        now = stock.needed(busy, share, function.lanes, edge.facts["dispatchers"])
         wanted = self.wants.setdefault(name, stock.Want()).follow(now)
         stand = stock.keep(list(shelves), wanted, module.load_limit - module.loading, order)
         if edge.directory is not None and not stand.enough:
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment.load import facts
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
@@ -14,8 +13,9 @@
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.edge.rosters import RosterSource
 from lapistrestle.edge.runners import Runner, bounds_of
-from lapistrestle.hosting.requests import ABORTED, DENIED, Attempt, PendingRequest, WorkerTask
-from lapistrestle.interface import FnFacts, Outcome, SrvFacts
+from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.versions import Course, after_denial, key_of
 from lapistrestle.wire import messages as wire
@@ -23,12 +23,12 @@
 
 def cost_before(pending: PendingRequest) -> bool:
     """Whether a call-out of it that has ended cost a worker something: what missed did not."""
-    return any(c.outcome not in (None, Outcome.MISS, Outcome.MOOT) for c in pending.call_outs)
+    return any(c.outcome not in (None, Outcome.NOT_LOADED, Outcome.NOT_SENT) for c in pending.attempts)
 
 
 def faulty(pending: PendingRequest) -> bool:
     """Whether a worker failed it, and did not only have no room or time for it."""
-    return any(c.outcome in (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE) for c in pending.call_outs)
+    return any(c.outcome in (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE) for c in pending.attempts)
 
 
 class Edge(Core):
@@ -104,7 +104,7 @@
         return taken.do
 
     def workers_told(
-        self, told: Sequence[SrvFacts], addresses: Sequence[Address], whole: bool = False
+        self, told: Sequence[WorkerInfo], addresses: Sequence[Address], whole: bool = False
     ) -> None:
         """Workers that are new or have changed, and where they listen now."""
         self.listed(told, whole)
@@ -138,7 +138,9 @@
 
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
         key = key_of(call.key, call.token, f"{seat.name}/{call.id}")
-        return self.routing.route(call.fn, key, self.kind(method), call.repeat, self.clock(), self.span(call))
+        return self.routing.route(
+            call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
+        )
 
     def kind(self, method: int) -> str:
         kind: str = self.facts["methods"][method]["kind"]
@@ -157,10 +159,10 @@
         load = None if call.load is None else int(call.load * 10)
         waits = False
         if self.directory is not None:
-            fn = self.host.registry.fn(route.name, method, call.memory, call.lanes, load)
-            waits = not self.directory.ready(fn, call.method)
+            function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
+            waits = not self.directory.ready(function, call.method)
         pending = self.host.arrived(
-            client=seat, message=call, tag=f"{seat.name}/{call.id}", fn=route.name, method=method,
+            client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
             customer=customer, left=left, memory=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.repeat, route=route,
             load=load, moved=moved, prior_attempts=prior_attempts, waits=waits,
@@ -173,7 +175,7 @@
     def move(self, pending: PendingRequest) -> None:
         """An RPC that has not run on a version that is barred now goes to the settled one, in its time."""
         call, attempts = pending.message, pending.attempt_count()
-        route = self.routing.moved(pending.fn.name, key_of(call.key, call.token, pending.tag))
+        route = self.routing.moved(pending.function.name, key_of(call.key, call.token, pending.tag))
         left = pending.deadline - self.clock()
         if self.fleet_member is not None:
             self.fleet_member.admission.count_restart()
@@ -187,9 +189,9 @@
             late = self.late(pending)
             if how in (DENIED, ABORTED) and cost_before(pending) and not late:
                 self.fleet_member.admission.count_further_attempt()
-            self.fleet_member.admission.ended(how, late, bool(pending.call_outs), faulty(pending))
+            self.fleet_member.admission.ended(how, late, bool(pending.attempts), faulty(pending))
         if pending.route is not None and pending.route.candidate and how != "moved":
-            if how != "ok" and (waited or self.barred(pending.fn.name)):
+            if how != "ok" and (waited or self.barred(pending.function.name)):
                 return
             self.routing.note(pending.route, how != "ok" or self.late(pending), self.clock())
 
@@ -201,14 +203,14 @@
 
     # what the host asks (hosting.transport)
 
-    def answer(self, pending: PendingRequest, verdict: str, come_back: int, body: Any) -> None:
+    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
         late = pending.deadline - self.clock() <= 0
-        if verdict == DENIED and not late and not self.stopping and self.barred(pending.fn.name):
+        if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
             if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
                 return self.move(pending)
-            verdict, come_back = ABORTED, 0
-        pending.client.answer(pending, verdict, come_back, body)
+            verdict, retry_after = ABORTED, 0
+        pending.client.answer(pending, verdict, retry_after, body)
 
     def stream(self, pending: PendingRequest) -> None:
         pending.client.say(wire.Begun(pending.message.id))
@@ -216,23 +218,23 @@
     def barred(self, name: str) -> bool:
         return "@" in name and self.routing.barred(name, self.clock())
 
-    def run(self, attempt: Attempt) -> None:
-        if self.barred(attempt.pending.fn.name):
-            return self.host.ended(attempt.number, Outcome.MOOT)
-        if self.fleet_member is not None and cost_before(attempt.pending):
+    def run(self, worker_call: WorkerCall) -> None:
+        if self.barred(worker_call.pending.function.name):
+            return self.host.ended(worker_call.number, Outcome.NOT_SENT)
+        if self.fleet_member is not None and cost_before(worker_call.pending):
             self.fleet_member.admission.count_further_attempt()
         if self.directory is not None:
-            self.directory.used(attempt)
-        super().run(attempt)
+            self.directory.used(worker_call)
+        super().run(worker_call)
 
     def hold(self, task: WorkerTask) -> None:
-        if task.fn is not None and task.count and self.barred(task.fn.name):
-            return self.host.ordered(task.number, Outcome.FULL, 0)
+        if task.function is not None and task.count and self.barred(task.function.name):
+            return self.host.ordered(task.number, Outcome.REJECTED, 0)
         super().hold(task)
 
-    def more(self, fn: FnFacts) -> None:
+    def more(self, function: FunctionInfo) -> None:
         if self.directory is not None:
-            self.directory.more(fn.name)
+            self.directory.more(function.name)
 
     def tell_peer(self, peer: int | None, text: str) -> None:
         if self.peers is not None:
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -7,35 +7,35 @@
 
 from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
 from lapistrestle.hosting.host import ModuleHost
-from lapistrestle.hosting.requests import NO_REPORT, Attempt, WorkerTask
-from lapistrestle.interface import Outcome, Warmth
+from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
+from lapistrestle.policy.interface import LoadState, Outcome
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import LineBounds, Speaker, union
 
 OUTCOMES = {
-    "ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.FULL, "miss": Outcome.MISS,
+    "ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.REJECTED, "miss": Outcome.NOT_LOADED,
     "cancelled": Outcome.CANCELLED,
 }  # fmt: skip
 WARMTH = {
-    "": Warmth.UNTOLD, "stood": Warmth.STOOD, "began load": Warmth.BEGAN_LOAD,
-    "joined load": Warmth.JOINED_LOAD, "load failed": Warmth.LOAD_FAILED,
+    "": LoadState.UNKNOWN, "stood": LoadState.LOADED, "began load": LoadState.BEGAN_LOAD,
+    "joined load": LoadState.JOINED_LOAD, "load failed": LoadState.LOAD_FAILED,
 }  # fmt: skip
 
 
-def run_of(attempt: Attempt, now: int) -> wire.Run:
+def run_of(worker_call: WorkerCall, now: int) -> wire.Run:
     """An attempt as the runner is told of it, if that is written `now`."""
-    pending, asked = attempt.pending, attempt.pending.message
-    left = max(1, attempt.ends_by - now) / 10
+    pending, asked = worker_call.pending, worker_call.pending.message
+    left = max(1, worker_call.ends_by - now) / 10
     return wire.Run(
-        attempt.number, pending.tag, pending.fn.name, asked.method, left, asked.customer,
+        worker_call.number, pending.tag, pending.function.name, asked.method, left, asked.customer,
         asked.memory, asked.lanes, asked.token, asked.key, asked.body,
     )  # fmt: skip
 
 
 def hold_of(task: WorkerTask) -> wire.Hold:
-    assert task.fn is not None
-    fn = task.fn
-    return wire.Hold(task.number, fn.name, task.count, fn.memory, fn.lanes)
+    assert task.function is not None
+    function = task.function
+    return wire.Hold(task.number, function.name, task.count, function.memory, function.lanes)
 
 
 def encoded(message: wire.Message) -> bytes:
@@ -149,14 +149,14 @@
 
     # what the host asks
 
-    def run(self, attempt: Attempt) -> None:
-        attempt.connection = self
-        number, until = attempt.number, attempt.begin_by
-        if not self.linking.send(Line(number, lambda: self.run_line(attempt), until, work=attempt)):
-            self.host.ended(attempt.number, Outcome.FULL)
+    def run(self, worker_call: WorkerCall) -> None:
+        worker_call.connection = self
+        number, until = worker_call.number, worker_call.begin_by
+        if not self.linking.send(Line(number, lambda: self.run_line(worker_call), until, work=worker_call)):
+            self.host.ended(worker_call.number, Outcome.REJECTED)
 
-    def run_line(self, attempt: Attempt) -> bytes:
-        return encoded(run_of(attempt, self.edge.clock()))
+    def run_line(self, worker_call: WorkerCall) -> bytes:
+        return encoded(run_of(worker_call, self.edge.clock()))
 
     def cancel_unsent(self, number: int) -> bool:
         return self.linking.cancel_unsent(number)
@@ -174,15 +174,15 @@
         work = task if task.count else None
         line = Line(task.number, lambda: encoded(hold_of(task)), work=work)
         if not self.linking.send(line, prompt=task.count > 0):
-            self.host.ordered(task.number, Outcome.FULL, 0)
+            self.host.ordered(task.number, Outcome.REJECTED, 0)
 
-    def unload(self, fn: str) -> None:
-        self.linking.send(Line(0, lambda: encoded(wire.Unload(fn))))
+    def unload(self, function: str) -> None:
+        self.linking.send(Line(0, lambda: encoded(wire.Unload(function))))
 
     def probe(self, task: WorkerTask) -> None:
         task.connection = self
         if not self.linking.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
-            self.host.probed(task.number, Outcome.FULL, NO_REPORT)
+            self.host.probed(task.number, Outcome.REJECTED, NO_REPORT)
 
     # what the runner says
 
@@ -266,7 +266,7 @@
         elif dial is not None and self.connector is not None:
             self.connector.disconnect()
 
-    def may_begin(self, work: Attempt | WorkerTask) -> bool:
+    def may_begin(self, work: WorkerCall | WorkerTask) -> bool:
         may: bool = self.edge.gate.may_begin(work, self)
         return may
 
@@ -287,7 +287,7 @@
 
     def not_sent(self, numbers: list[int]) -> None:
         for number in numbers:
-            self.host.ended_without_reply(number, Outcome.MOOT)
+            self.host.ended_without_reply(number, Outcome.NOT_SENT)
 
     def broke(self, numbers: list[int]) -> None:
         for number in numbers:
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -32,18 +32,18 @@
         now, timer = self.edge.clock(), None
         if pending.deadline < now + self.lookup_time_out:
             timer = self.edge.after(max(0, pending.deadline - now), self.late, pending)
-        self.by_function.setdefault(pending.fn.name, {})[pending] = timer
+        self.by_function.setdefault(pending.function.name, {})[pending] = timer
 
     def leave(self, pending: PendingRequest) -> bool:
         """It waits no longer, whatever the reason; whether it did."""
-        waiting = self.by_function.get(pending.fn.name, {})
+        waiting = self.by_function.get(pending.function.name, {})
         if pending not in waiting:
             return False
         timer = waiting.pop(pending)
         if timer is not None:
             timer.stop()
         if not waiting:
-            del self.by_function[pending.fn.name]
+            del self.by_function[pending.function.name]
         return True
 
     def looked_up(self, function: str) -> None:
@@ -65,8 +65,8 @@
         self.counts["late"] += 1
         self.deny(pending, self.edge.facts["longest_come_back"])
 
-    def deny(self, pending: PendingRequest, come_back: int) -> None:
+    def deny(self, pending: PendingRequest, retry_after: int) -> None:
         """Answer that it did not run, and when its client may come back."""
         facts = self.edge.facts
-        told = min(come_back, facts["longest_come_back"]) if facts["may_come_back"] else 0
+        told = min(retry_after, facts["longest_come_back"]) if facts["may_come_back"] else 0
         self.edge.host.deny(pending, told)
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -9,8 +9,8 @@
 from collections.abc import Sequence
 from typing import Any
 
-from lapistrestle.hosting.requests import Attempt, WorkerTask
-from lapistrestle.interface import Listing, SrvFacts
+from lapistrestle.hosting.requests import WorkerCall, WorkerTask
+from lapistrestle.policy.interface import EndpointState, WorkerInfo
 
 READ_AGAIN = 200  # after so long the lists are read again; the protocol page allows 500 on top of any grace
 NOT_BEGUN = "not begun"  # the log line and counter of what was refused here
@@ -21,19 +21,19 @@
 
     def __init__(self, core: Any) -> None:
         self.core = core
-        self.listings: dict[str, Listing] = {}
+        self.listings: dict[str, EndpointState] = {}
         self.is_reading = False  # what the lists tell may ask for them to be read
         self.read_at = -READ_AGAIN - 1
 
-    def listed(self, told: Sequence[SrvFacts], whole: bool) -> None:
+    def listed(self, told: Sequence[WorkerInfo], whole: bool) -> None:
         """A list or a change of it was read."""
         if whole:
             self.listings.clear()
         self.listings.update((facts.name, facts.listing) for facts in told)
 
-    def may_begin(self, work: Attempt | WorkerTask, runner: Any) -> bool:
+    def may_begin(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
         """Whether work may begin at a runner, which may be another process under its worker's name by now."""
-        serves = self.serves(work.srv.name) and self.core.runners.get(work.srv.name) is runner
+        serves = self.serves(work.worker.name) and self.core.runners.get(work.worker.name) is runner
         if serves and (isinstance(work, WorkerTask) or self.is_wanted(work)):
             return True
         self.refused(work)
@@ -42,7 +42,7 @@
     def serves(self, name: str) -> bool:
         """Whether the list, read just now, has a worker take new work, and is recent enough to go by."""
         self.read_lists()
-        if self.listings.get(name) is not Listing.SERVING:
+        if self.listings.get(name) is not EndpointState.SERVING:
             return False
         return all(source.is_current() for source in self.core.sources)
 
@@ -57,14 +57,14 @@
             source.read_now()
         self.is_reading = False
 
-    def is_wanted(self, attempt: Attempt) -> bool:
+    def is_wanted(self, worker_call: WorkerCall) -> bool:
         """Whether a client still waits for an attempt that has not begun, with time left for it."""
-        pending = attempt.pending
+        pending = worker_call.pending
         if pending.final or not pending.client.is_waiting():
             return False
-        return not pending.final and attempt.ends_by > self.core.clock()
+        return not pending.final and worker_call.ends_by > self.core.clock()
 
-    def refused(self, work: Attempt | WorkerTask) -> None:
+    def refused(self, work: WorkerCall | WorkerTask) -> None:
         """Count what may not begin, and log the first ones with what the list says."""
-        listing = self.listings.get(work.srv.name, Listing.GONE).name.lower()
-        self.core.count_and_log(NOT_BEGUN, runner=work.srv.name, listing=listing, number=work.number)
+        listing = self.listings.get(work.worker.name, EndpointState.REMOVED).name.lower()
+        self.core.count_and_log(NOT_BEGUN, runner=work.worker.name, listing=listing, number=work.number)
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -23,12 +23,12 @@
         self.context.counts[TAKEN] += 1
         pending.guard = self.context.timers.at(pending.deadline + self.slack, self.overdue, pending)
 
-    def finish(self, pending: PendingRequest, verdict: str, come_back: int = 0, body: Any = None) -> None:
+    def finish(self, pending: PendingRequest, verdict: str, retry_after: int = 0, body: Any = None) -> None:
         """Answer, unless an answer is out already."""
         if pending.final:
             return
         self.close(pending, verdict)
-        self.context.transport.answer(pending, verdict, come_back, body)
+        self.context.transport.answer(pending, verdict, retry_after, body)
 
     def close(self, pending: PendingRequest, how: str) -> None:
         """The request is over; its attempts may still be under way."""
@@ -66,6 +66,6 @@
         """Guards rule 1 where the module let a deadline pass, by error or in an unforeseen state."""
         if not pending.final:
             self.context.counts[GUARDED] += 1
-            self.context.transport.log("deadline guarded", rpc=pending.tag, state=str(pending.state))
+            self.context.transport.log("deadline guarded", request=pending.tag, state=str(pending.state))
             self.finish(pending, ABORTED)
             self.events.post(pending, "left", pending)
--- a/lapistrestle/hosting/context.py
+++ b/lapistrestle/hosting/context.py
@@ -5,7 +5,7 @@
 
 from lapistrestle.hosting.timers import Timers
 from lapistrestle.hosting.transport import Transport
-from lapistrestle.interface import Facts
+from lapistrestle.policy.interface import Facts
 
 
 @dataclass(frozen=True)
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -74,7 +74,7 @@
             self.busy = False
         for pending in self.finished:
             if not pending.in_flight:
-                pending.call_outs.clear()  # they point to each other, and would wait for the collector
+                pending.attempts.clear()  # they point to each other, and would wait for the collector
         self.finished.clear()
         if self.stopwatch:
             self.module_seconds += self.stopwatch() - began
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -9,9 +9,7 @@
 from contextlib import AbstractContextManager
 from typing import Any
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.hosting.answers import FinalAnswers
-from lapistrestle.hosting.attempts import Attempts
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.registry import ObjectRegistry
@@ -21,15 +19,26 @@
     DENIED,
     NO_REPORT,
     UNMATCHED,
-    Attempt,
     PendingRequest,
+    WorkerCall,
     WorkerTask,
 )
 from lapistrestle.hosting.tasks import WorkerTasks
 from lapistrestle.hosting.timers import Timers
 from lapistrestle.hosting.transport import Transport
-from lapistrestle.interface import CallOut, Facts, FnFacts, Listing, Outcome, RpcFacts, SrvFacts, Warmth
-from lapistrestle.state import Fn, Srv
+from lapistrestle.hosting.worker_calls import WorkerCalls
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import (
+    Attempt,
+    EndpointState,
+    Facts,
+    FunctionInfo,
+    LoadState,
+    Outcome,
+    RequestInfo,
+    WorkerInfo,
+)
+from lapistrestle.policy.state import Function, Worker
 
 MOST_FUNCTIONS = 20_000  # kept by name
 PEER_TEXT = 256  # characters of one message to another dispatcher
@@ -50,15 +59,15 @@
         clock: Callable[[], int],
         slack: int = 0,
         make: Callable[..., Any] = Dispatcher,
-        most_fns: int = MOST_FUNCTIONS,
+        max_functions: int = MOST_FUNCTIONS,
     ) -> None:
         self.transport, self.facts, self.clock = transport, facts, clock
-        self.registry, self.timers = ObjectRegistry(most_fns), Timers()
+        self.registry, self.timers = ObjectRegistry(max_functions), Timers()
         self.counts = dict.fromkeys(COUNTERS, 0)
         context = HostContext(transport, facts, clock, self.timers, self.counts)
         self.events = EventQueue(context, self.aborted_by_fault)
         self.answers = FinalAnswers(context, self.events, slack)
-        self.calls = Attempts(context, self.events, self.answers)
+        self.calls = WorkerCalls(context, self.events, self.answers)
         self.answers.cancel_unsent = self.calls.cancel_unsent
         self.orders = WorkerTasks(context, self.events)
         self.last_number = 0
@@ -72,7 +81,7 @@
         return self.answers.open
 
     @property
-    def attempts(self) -> dict[int, Attempt]:
+    def worker_calls(self) -> dict[int, WorkerCall]:
         """Attempts under way, by number."""
         return self.calls.open
 
@@ -94,14 +103,29 @@
     # what the transport reports: requests
 
     def arrived(
-        self, *, client: Any, message: Any, tag: str, fn: str, method: int, customer: int, left: int,
-        memory: float = 0.0, lanes: int = 1, work: int | None = None, repeat: bool = False, route: Any = None,
-        moved: bool = False, prior_attempts: int = 0, load: int | None = None, came: int | None = None,
+        self,
+        *,
+        client: Any,
+        message: Any,
+        tag: str,
+        function_name: str,
+        method: int,
+        customer: int,
+        left: int,
+        memory: float = 0.0,
+        lanes: int = 1,
+        work: int | None = None,
+        repeat: bool = False,
+        route: Any = None,
+        moved: bool = False,
+        prior_attempts: int = 0,
+        load: int | None = None,
+        came: int | None = None,
         waits: bool = False,
-    ) -> PendingRequest:  # fmt: skip
+    ) -> PendingRequest:
         """A request has come; `left` is how long its client still waits, `came` the earliest that it came.
         One that `waits` for its function's prefix reaches the module by `looked_up`."""
-        now, function = self.clock(), self.registry.fn(fn, method, memory, lanes, load)
+        now, function = self.clock(), self.registry.function(function_name, method, memory, lanes, load)
         pending = PendingRequest(tag, function, method, customer, now + left, work, repeat, moved, came)
         pending.client, pending.message, pending.route = client, message, route
         pending.prior_attempts = prior_attempts
@@ -140,7 +164,7 @@
         self.calls.begun(number)
 
     def ended(
-        self, number: int, outcome: Outcome, body: Any = None, warmth: Warmth = Warmth.UNTOLD,
+        self, number: int, outcome: Outcome, body: Any = None, warmth: LoadState = LoadState.UNKNOWN,
         company: int | None = None, report: Mapping[str, float] = NO_REPORT,
     ) -> None:  # fmt: skip
         """An attempt has ended."""
@@ -171,15 +195,15 @@
 
     # what the transport reports: the list of workers and other dispatchers
 
-    def listed(self, entries: Sequence[SrvFacts], whole: bool) -> None:
+    def listed(self, entries: Sequence[WorkerInfo], whole: bool) -> None:
         """Entries of the list of workers; `whole` if it names them all."""
         if not self.events.lists:
             self.unheard.clear()
-        self.unheard.update(e.name for e in entries if e.listing is not Listing.GONE)
-        self.events.post_list([(self.registry.srv(e.name), e) for e in entries], whole)
+        self.unheard.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
+        self.events.post_list([(self.registry.worker(e.name), e) for e in entries], whole)
         if whole:
-            self.departing = dict.fromkeys(self.registry.srvs)
-        self.departing.update((e.name, None) for e in entries if e.listing is Listing.GONE)
+            self.departing = dict.fromkeys(self.registry.workers)
+        self.departing.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
         if self.departing:
             self.drop_departed()
 
@@ -187,24 +211,28 @@
         """Without this a long life keeps every worker that ever served. One that is back, of which the module
         has not heard yet, still counts as gone there and stays. So does one that was sent something within
         the window of its slow start: back in it, it would be sent as much once more (rule 4)."""
-        held = {task.srv for task in self.tasks.values()}
-        srvs = self.registry.srvs
-        left = [srvs[name] for name in self.departing if name in srvs and srvs[name].listing is Listing.GONE]
+        held = {task.worker for task in self.tasks.values()}
+        workers = self.registry.workers
+        left = [
+            workers[name]
+            for name in self.departing
+            if name in workers and workers[name].listing is EndpointState.REMOVED
+        ]
         since = self.clock() - self.facts["fall_time"]
         stay = {
-            srv.name: None
-            for srv in left
-            if srv.out or srv in held or srv.name in self.unheard or srv.sent_since(since)
+            worker.name: None
+            for worker in left
+            if worker.out or worker in held or worker.name in self.unheard or worker.sent_since(since)
         }
-        for srv in left:
-            if srv.name not in stay:
-                del srvs[srv.name]
+        for worker in left:
+            if worker.name not in stay:
+                del workers[worker.name]
         if not self.events.busy:  # else the module may not have heard yet that they are gone
             self.departing = stay
 
-    def ranked(self, fn: Fn, names: Sequence[str]) -> None:
+    def ranked(self, function: Function, names: Sequence[str]) -> None:
         """The first workers of a function's order; each was listed before."""
-        self.events.post(None, "ranked", fn, [self.registry.srv(name) for name in names])
+        self.events.post(None, "ranked", function, [self.registry.worker(name) for name in names])
 
     def list_failed(self) -> None:
         """The list of workers could not be read."""
@@ -214,9 +242,9 @@
         """Another dispatcher has sent text."""
         self.events.post(None, "told", peer, text)
 
-    def vouched(self, srv: Srv, at: int) -> None:
+    def vouched(self, worker: Worker, at: int) -> None:
         """Another dispatcher has had an answer from a worker, at that time."""
-        self.events.post(None, "vouched", srv, at)
+        self.events.post(None, "vouched", worker, at)
 
     # what the module asks for (interface.Host)
 
@@ -225,37 +253,37 @@
         self.last_number += 1
         return self.last_number
 
-    def call_out(self, call_out: CallOut, time_out: int) -> None:
+    def send_attempt(self, attempt: Attempt, time_out: int) -> None:
         """Send an attempt."""
-        self.calls.send(self.next_number(), call_out, time_out)
+        self.calls.send(self.next_number(), attempt, time_out)
 
-    def deny(self, rpc: RpcFacts, come_back: int) -> None:
+    def deny(self, request: RequestInfo, retry_after: int) -> None:
         """Answer that it did not run; `come_back` as in `Transport.answer`."""
-        assert isinstance(rpc, PendingRequest)
-        self.answers.finish(rpc, DENIED, come_back)
+        assert isinstance(request, PendingRequest)
+        self.answers.finish(request, DENIED, retry_after)
 
-    def abort(self, rpc: RpcFacts) -> None:
+    def abort(self, request: RequestInfo) -> None:
         """Answer that it may have run."""
-        assert isinstance(rpc, PendingRequest)
-        self.answers.finish(rpc, ABORTED)
+        assert isinstance(request, PendingRequest)
+        self.answers.finish(request, ABORTED)
 
-    def cancel(self, call_out: CallOut) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Want no more of an attempt."""
-        self.calls.cancel(call_out)
+        self.calls.cancel(attempt)
 
-    def order(self, srv: SrvFacts, fn: FnFacts, count: int) -> None:
+    def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
         """Have a worker hold copies."""
-        assert isinstance(srv, Srv) and isinstance(fn, Fn)
-        self.orders.order(self.next_number(), srv, fn, count)
+        assert isinstance(worker, Worker) and isinstance(function, Function)
+        self.orders.order(self.next_number(), worker, function, count)
 
-    def probe(self, srv: SrvFacts) -> None:
+    def probe(self, worker: WorkerInfo) -> None:
         """Ask a worker for its report."""
-        assert isinstance(srv, Srv)
-        self.orders.probe(self.next_number(), srv)
+        assert isinstance(worker, Worker)
+        self.orders.probe(self.next_number(), worker)
 
-    def unload(self, srv: SrvFacts, fn: FnFacts) -> None:
+    def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         """Have a worker drop a function."""
-        self.transport.unload(srv, fn)
+        self.transport.unload(worker, function)
 
     def tell_peer(self, peer: int | None, text: str) -> None:
         """Send text to another dispatcher, where settings allow it."""
@@ -274,9 +302,9 @@
         """Ask for updates of the list of workers."""
         self.transport.follow_list()
 
-    def more(self, fn: FnFacts) -> None:
+    def more(self, function: FunctionInfo) -> None:
         """Ask for a longer prefix of a function's order."""
-        self.transport.more(fn)
+        self.transport.more(function)
 
     def log(self, text: str) -> None:
         """One log line of a change of mode."""
--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from lapistrestle.state import Fn, Srv
+from lapistrestle.policy.state import Function, Worker
 
 
 class ObjectRegistry:
@@ -16,38 +16,40 @@
     idle = 1_000  # functions
 
     def __init__(self, most: int | None = None) -> None:
-        self.srvs: dict[str, Srv] = {}
-        self.fns: OrderedDict[str, Fn] = OrderedDict()
+        self.workers: dict[str, Worker] = {}
+        self.functions: OrderedDict[str, Function] = OrderedDict()
         self.most = most
         self.tokens: dict[int, object] = {}
         self.last_token = 0
 
-    def srv(self, name: str) -> Srv:
+    def worker(self, name: str) -> Worker:
         """The worker of this name, made when it is first named."""
-        if name not in self.srvs:
-            self.srvs[name] = Srv(name)
-        return self.srvs[name]
+        if name not in self.workers:
+            self.workers[name] = Worker(name)
+        return self.workers[name]
 
-    def fn(self, name: str, method: int, memory: float, lanes: int, load: int | None = None) -> Fn:
+    def function(
+        self, name: str, method: int, memory: float, lanes: int, load: int | None = None
+    ) -> Function:
         """The function of this name, made when it is first named. `memory` is in MB; `load`, the usual time
         of a load in tenths of a millisecond, is as this RPC tells it: the last that was told stands."""
-        fn = self.fns.get(name)
-        if fn is None:
-            fn = self.fns[name] = Fn(name, method, memory, max(1, lanes))
+        function = self.functions.get(name)
+        if function is None:
+            function = self.functions[name] = Function(name, method, memory, max(1, lanes))
             if self.most:
                 self.trim(self.most)
         elif self.most:
-            self.fns.move_to_end(name)
-        fn.load = fn.load if load is None else load
-        return fn
+            self.functions.move_to_end(name)
+        function.load = function.load if load is None else load
+        return function
 
     def trim(self, most: int) -> None:
         """Evict up to two for each new one, so that what had grown shrinks again."""
         for _ in range(2):
-            oldest = next(iter(self.fns.values()))
-            held = oldest.spots or oldest.marks
-            if len(self.fns) > (most if held else min(self.idle, most)):
-                del self.fns[oldest.name]
+            oldest = next(iter(self.functions.values()))
+            held = oldest.replicas or oldest.marks
+            if len(self.functions) > (most if held else min(self.idle, most)):
+                del self.functions[oldest.name]
 
     def keep_token(self, token: object) -> int:
         """A number for the token, to be given back when it is due."""
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -5,8 +5,8 @@
 from typing import Any, Final
 
 from lapistrestle.hosting.timers import Timer
-from lapistrestle.interface import CallOut
-from lapistrestle.state import Fn, Rpc, Srv
+from lapistrestle.policy.interface import Attempt
+from lapistrestle.policy.state import Function, Request, Worker
 
 OK: Final = "ok"
 DENIED: Final = "denied"
@@ -24,13 +24,13 @@
 
 
 @dataclass(eq=False)
-class PendingRequest(Rpc):
+class PendingRequest(Request):
     """A client's request, kept until its final answer is out and its last attempt has ended."""
 
     message: Any = None  # the transport's own: what the client sent
     client: Any = None  # the transport's own: the connection that the answer goes to
     final: bool = False  # answered, or the client has left
-    stream: "Attempt | None" = None  # the attempt whose answer has begun to stream
+    stream: "WorkerCall | None" = None  # the attempt whose answer has begun to stream
     guard: Timer | None = None  # due shortly after the deadline
     in_flight: int = 0  # attempts under way
     route: Any = None  # the transport's own: which version of the function it goes to
@@ -39,17 +39,17 @@
 
     def attempt_count(self) -> int:
         """Attempts that count towards the limit, under whichever version."""
-        return self.prior_attempts + len(self.call_outs) - self.unsent
+        return self.prior_attempts + len(self.attempts) - self.unsent
 
 
 @dataclass(eq=False)
-class Attempt:
+class WorkerCall:
     """One attempt of a request on a worker. Times are tenths of a millisecond on the host's clock."""
 
     number: int
-    call_out: CallOut
+    attempt: Attempt
     pending: PendingRequest
-    srv: Srv
+    worker: Worker
     sent: int
     time_out: int  # a span
     begin_by: int | None = None  # not to be written to the connection later than this
@@ -67,8 +67,8 @@
     """An order to hold copies of a function, or a probe (`fn` is None), under way at a worker."""
 
     number: int
-    srv: Srv
-    fn: Fn | None
+    worker: Worker
+    function: Function | None
     count: int  # copies to hold
     sent: int
     timer: Timer | None = None
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -5,8 +5,8 @@
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.requests import NO_REPORT, UNMATCHED, WorkerTask
-from lapistrestle.interface import Outcome
-from lapistrestle.state import Fn, Srv
+from lapistrestle.policy.interface import Outcome
+from lapistrestle.policy.state import Function, Worker
 
 
 class WorkerTasks:
@@ -16,15 +16,15 @@
         self.context, self.events = context, events
         self.open: dict[int, WorkerTask] = {}
 
-    def order(self, number: int, srv: Srv, fn: Fn, count: int) -> None:
+    def order(self, number: int, worker: Worker, function: Function, count: int) -> None:
         """Have a worker hold `count` copies of a function."""
-        task = WorkerTask(number, srv, fn, count, self.context.clock())
+        task = WorkerTask(number, worker, function, count, self.context.clock())
         self.track(task, self.context.facts["order_time_out"])
         self.context.transport.hold(task)
 
-    def probe(self, number: int, srv: Srv) -> None:
+    def probe(self, number: int, worker: Worker) -> None:
         """Ask a worker for its report."""
-        task = WorkerTask(number, srv, None, 0, self.context.clock())
+        task = WorkerTask(number, worker, None, 0, self.context.clock())
         self.track(task, self.context.facts["dial_time_out"])
         self.context.transport.probe(task)
 
@@ -36,23 +36,23 @@
     def ordered(self, number: int, outcome: Outcome, count: int) -> None:
         """An order has ended, with `count` copies held. One that is not under way is only counted."""
         task = self.open.pop(number, None)
-        if task is None or task.fn is None:
+        if task is None or task.function is None:
             self.context.counts[UNMATCHED] += 1
             return
         if task.timer is not None:
             task.timer.stop()
         took = self.context.clock() - task.sent
-        self.events.post(None, "ordered", task.srv, task.fn, outcome, count, took)
+        self.events.post(None, "ordered", task.worker, task.function, outcome, count, took)
 
     def probed(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
         """A probe has ended. One that is not under way is only counted."""
         task = self.open.pop(number, None)
-        if task is None or task.fn is not None:
+        if task is None or task.function is not None:
             self.context.counts[UNMATCHED] += 1
             return
         if task.timer is not None:
             task.timer.stop()
-        self.events.post(None, "probed", task.srv, outcome, self.context.clock() - task.sent, report)
+        self.events.post(None, "probed", task.worker, outcome, self.context.clock() - task.sent, report)
 
     def timed_out(self, task: WorkerTask) -> None:
         """No reply in time. What still waited for a connection never left."""
@@ -63,7 +63,7 @@
     def ended(self, number: int, outcome: Outcome) -> None:
         """An order or a probe has ended without a reply from the worker."""
         task = self.open.get(number)
-        if task is not None and task.fn is not None:
+        if task is not None and task.function is not None:
             self.ordered(number, outcome, 0)
         elif task is not None:
             self.probed(number, outcome, NO_REPORT)
--- a/lapistrestle/hosting/transport.py
+++ b/lapistrestle/hosting/transport.py
@@ -2,15 +2,15 @@
 
 from typing import Any, Protocol
 
-from lapistrestle.hosting.requests import Attempt, PendingRequest, WorkerTask
-from lapistrestle.interface import FnFacts, SrvFacts
+from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.policy.interface import FunctionInfo, WorkerInfo
 
 
 class Transport(Protocol):
     """Implemented by each protocol's front end. No method may raise, nor call the host back within the call
     other than to end the attempt or task that it was given."""
 
-    def answer(self, pending: PendingRequest, verdict: str, come_back: int, body: Any) -> None:
+    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
         """Write the final answer; `come_back` is how long the client is asked to wait before it retries."""
 
     def closed(self, pending: PendingRequest, how: str) -> None:
@@ -19,19 +19,19 @@
     def stream(self, pending: PendingRequest) -> None:
         """The answer has begun to stream."""
 
-    def run(self, attempt: Attempt) -> None:
+    def run(self, worker_call: WorkerCall) -> None:
         """Send an attempt to its worker."""
 
-    def cancel_unsent(self, attempt: Attempt) -> bool:
+    def cancel_unsent(self, worker_call: WorkerCall) -> bool:
         """Drop it if it was not written yet. True if it never left, and now never does."""
 
-    def withdraw(self, task: Attempt | WorkerTask, tell: bool) -> bool:
+    def withdraw(self, task: WorkerCall | WorkerTask, tell: bool) -> bool:
         """Wait for it no more, and with `tell` have the worker cancel it. True if it never left."""
 
     def hold(self, task: WorkerTask) -> None:
         """Send an order to hold `task.count` copies of `task.fn`."""
 
-    def unload(self, srv: SrvFacts, fn: FnFacts) -> None:
+    def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         """Have a worker drop a function; nothing is waited for."""
 
     def probe(self, task: WorkerTask) -> None:
@@ -43,7 +43,7 @@
     def follow_list(self) -> None:
         """Ask the sources of the worker list for updates."""
 
-    def more(self, fn: FnFacts) -> None:
+    def more(self, function: FunctionInfo) -> None:
         """Ask for a longer prefix of the function's order than is known."""
 
     def wake(self) -> None:
--- a/lapistrestle/hosting/attempts.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -6,36 +6,38 @@
 from lapistrestle.hosting.answers import FinalAnswers
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
-from lapistrestle.hosting.requests import ABORTED, NO_REPORT, OK, UNMATCHED, Attempt, PendingRequest
-from lapistrestle.interface import Answer, CallOut, Outcome, Warmth
+from lapistrestle.hosting.requests import ABORTED, NO_REPORT, OK, UNMATCHED, PendingRequest, WorkerCall
+from lapistrestle.policy.interface import Answer, Attempt, LoadState, Outcome
 
 
-class Attempts:
+class WorkerCalls:
     """Bookkeeping of attempts, by number and by the module's call-out. Numbers are shared with tasks."""
 
     def __init__(self, context: HostContext, events: EventQueue, answers: FinalAnswers) -> None:
         self.context, self.events, self.answers = context, events, answers
-        self.open: dict[int, Attempt] = {}
-        self.by_call_out: dict[CallOut, Attempt] = {}
+        self.open: dict[int, WorkerCall] = {}
+        self.by_attempt: dict[Attempt, WorkerCall] = {}
 
-    def send(self, number: int, call_out: CallOut, time_out: int) -> None:
+    def send(self, number: int, attempt: Attempt, time_out: int) -> None:
         """Send, unless the request is over, an attempt is under way already where only one may be, or the
         limit of attempts is reached. A `time_out` of 0 stands for the request's deadline."""
-        pending, now = call_out.rpc, self.context.clock()
+        pending, now = attempt.request, self.context.clock()
         left = pending.deadline - now
         within = min(time_out, left) if time_out else left
         allowed = self.allowed(pending)
-        attempt = Attempt(number, call_out, pending, call_out.srv, now, within, self.begin_by(pending))
-        self.open[number] = self.by_call_out[call_out] = attempt
+        worker_call = WorkerCall(
+            number, attempt, pending, attempt.worker, now, within, self.begin_by(pending)
+        )
+        self.open[number] = self.by_attempt[attempt] = worker_call
         pending.in_flight += 1
         if not allowed:
-            tries, out = len(pending.call_outs), pending.in_flight
-            self.context.transport.log("not sent", rpc=pending.tag, tries=tries, out=out)
-            return self.ended(number, Outcome.MOOT)
+            tries, out = len(pending.attempts), pending.in_flight
+            self.context.transport.log("not sent", request=pending.tag, tries=tries, out=out)
+            return self.ended(number, Outcome.NOT_SENT)
         if within <= 0:
-            return self.ended(number, Outcome.MOOT)
-        attempt.timer = self.context.timers.at(now + within, self.timed_out, attempt)
-        self.context.transport.run(attempt)
+            return self.ended(number, Outcome.NOT_SENT)
+        worker_call.timer = self.context.timers.at(now + within, self.timed_out, worker_call)
+        self.context.transport.run(worker_call)
 
     def allowed(self, pending: PendingRequest) -> bool:
         """Whether one more attempt may be sent; it is listed among the request's call-outs already."""
@@ -53,66 +55,66 @@
 
     def begun(self, number: int) -> None:
         """The worker's answer has begun to stream. From then on the request has no deadline."""
-        attempt = self.open.get(number)
-        if attempt is None:
+        worker_call = self.open.get(number)
+        if worker_call is None:
             self.context.counts[UNMATCHED] += 1
             return
-        pending = attempt.pending
+        pending = worker_call.pending
         if not self.context.facts["methods"][pending.method]["streamed"] or pending.final or pending.stream:
             return
-        pending.stream = attempt
-        for timer in (attempt.timer, pending.guard):
+        pending.stream = worker_call
+        for timer in (worker_call.timer, pending.guard):
             if timer is not None:
                 timer.stop()
         self.context.transport.stream(pending)
-        self.events.post(pending, "begun", attempt.call_out)
+        self.events.post(pending, "begun", worker_call.attempt)
 
     def ended(
         self,
         number: int,
         outcome: Outcome,
         body: Any = None,
-        warmth: Warmth = Warmth.UNTOLD,
+        warmth: LoadState = LoadState.UNKNOWN,
         company: int | None = None,
         report: Mapping[str, float] = NO_REPORT,
     ) -> None:
         """An attempt has ended. One that is not under way is only counted: it was reported before."""
-        attempt = self.open.pop(number, None)
-        if attempt is None:
+        worker_call = self.open.pop(number, None)
+        if worker_call is None:
             self.context.counts[UNMATCHED] += 1
             return
-        pending, now = attempt.pending, self.context.clock()
-        del self.by_call_out[attempt.call_out]
+        pending, now = worker_call.pending, self.context.clock()
+        del self.by_attempt[worker_call.attempt]
         pending.in_flight -= 1
-        pending.unsent += outcome is Outcome.MOOT
-        if attempt.timer is not None:
-            attempt.timer.stop()
-        if outcome is Outcome.OK and not pending.final and pending.stream in (None, attempt):
+        pending.unsent += outcome is Outcome.NOT_SENT
+        if worker_call.timer is not None:
+            worker_call.timer.stop()
+        if outcome is Outcome.OK and not pending.final and pending.stream in (None, worker_call):
             self.answers.finish(pending, OK, body=body)
-        elif pending.stream is attempt and not pending.final:
+        elif pending.stream is worker_call and not pending.final:
             self.answers.finish(pending, ABORTED)  # a break in a begun stream ends it
-        answer = Answer(max(0, now - attempt.sent), pending.final, warmth, company, report)
+        answer = Answer(max(0, now - worker_call.sent), pending.final, warmth, company, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
-        self.events.post(pending, "ended", attempt.call_out, outcome, answer)
+        self.events.post(pending, "ended", worker_call.attempt, outcome, answer)
 
-    def timed_out(self, attempt: Attempt) -> None:
+    def timed_out(self, worker_call: WorkerCall) -> None:
         """No answer in time. What still waited for a connection never left, so it has not run."""
-        if attempt.number in self.open:
-            unsent = self.context.transport.withdraw(attempt, self.context.facts["may_cancel"])
-            self.ended(attempt.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
+        if worker_call.number in self.open:
+            unsent = self.context.transport.withdraw(worker_call, self.context.facts["may_cancel"])
+            self.ended(worker_call.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
 
-    def cancel(self, call_out: CallOut) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """The module wants no more of this attempt."""
-        attempt = self.by_call_out.get(call_out)
-        if attempt is not None and self.context.facts["may_cancel"]:
-            unsent = self.context.transport.withdraw(attempt, True)
-            self.ended(attempt.number, Outcome.MOOT if unsent else Outcome.CANCELLED)
+        worker_call = self.by_attempt.get(attempt)
+        if worker_call is not None and self.context.facts["may_cancel"]:
+            unsent = self.context.transport.withdraw(worker_call, True)
+            self.ended(worker_call.number, Outcome.NOT_SENT if unsent else Outcome.CANCELLED)
 
     def cancel_unsent(self, pending: PendingRequest) -> None:
         """What waits for a connection when its request ends is never sent: guards a worker against work that
         nobody waits for, begun as long after as a dial lasts."""
-        for call_out in list(pending.call_outs):
-            attempt = self.by_call_out.get(call_out)
-            if attempt is not None and self.context.transport.cancel_unsent(attempt):
-                self.ended(attempt.number, Outcome.MOOT)
+        for attempt in list(pending.attempts):
+            worker_call = self.by_attempt.get(attempt)
+            if worker_call is not None and self.context.transport.cancel_unsent(worker_call):
+                self.ended(worker_call.number, Outcome.NOT_SENT)
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -12,10 +12,10 @@
 from typing import Any
 from zlib import crc32
 
-from lapistrestle.interface import Answer, CallOut, Facts, Host, Listing, Outcome, SrvFacts
-from lapistrestle.state import Fn, Rpc, Srv
+from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Facts, Host, Outcome, WorkerInfo
+from lapistrestle.policy.state import Function, Request, Worker
 
-NEVER_RAN = (Outcome.FULL, Outcome.UNREACHABLE, Outcome.MISS, Outcome.MOOT)
+NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
 BOUND = 1.25  # of the even share, for hashing with bounded loads
 NO_COPY = 4.0  # calls by core that a load is worth waiting behind, to greedy
 Sight = Callable[[str, str], tuple[float, float]]  # part of a copy there, and calls by core as it gets on
@@ -29,11 +29,11 @@
     ) -> None:
         self.host, self.facts, self.seed, self.now, self.sees = host, facts, seed, now, sees
         self.choose = POLICIES[policy]
-        self.serving: list[Srv] = []
-        self.known: dict[Srv, None] = {}
-        self.out: dict[Srv, int] = {}
+        self.serving: list[Worker] = []
+        self.known: dict[Worker, None] = {}
+        self.out: dict[Worker, int] = {}
         self.draws = self.turn = 0
-        self.waiting: dict[tuple[Srv, Fn], list[Rpc]] = {}
+        self.waiting: dict[tuple[Worker, Function], list[Request]] = {}
         self.orders: deque[int] = deque()
         self.taken: deque[int] = deque()
         if facts["list_asked"]:
@@ -45,70 +45,72 @@
 
     # what the host tells
 
-    def listed(self, srvs: Sequence[tuple[Srv, SrvFacts]], whole: bool) -> None:
-        for srv in self.known if whole else ():
-            srv.listing = Listing.GONE
-        for srv, told in srvs:
-            self.known[srv] = None
-            srv.listing, srv.size = told.listing, told.size
-        self.serving = sorted((s for s in self.known if s.listing is Listing.SERVING), key=lambda s: s.name)
-
-    def arrived(self, rpc: Rpc) -> None:
+    def listed(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
+        for worker in self.known if whole else ():
+            worker.listing = EndpointState.REMOVED
+        for worker, told in workers:
+            self.known[worker] = None
+            worker.listing, worker.size = told.listing, told.size
+        self.serving = sorted(
+            (s for s in self.known if s.listing is EndpointState.SERVING), key=lambda s: s.name
+        )
+
+    def arrived(self, request: Request) -> None:
         self.taken.append(self.now)
-        self.place(rpc)
-
-    def ended(self, call_out: CallOut, outcome: Outcome, answer: Answer) -> None:
-        rpc, srv = call_out.rpc, call_out.srv
-        call_out.outcome = outcome
-        self.out[srv] = self.out.get(srv, 1) - 1
-        if rpc.over or answer.over:
-            rpc.over = True
-        elif outcome is Outcome.MISS and self.order(srv, rpc):
+        self.place(request)
+
+    def ended(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+        request, worker = attempt.request, attempt.worker
+        attempt.outcome = outcome
+        self.out[worker] = self.out.get(worker, 1) - 1
+        if request.over or answer.over:
+            request.over = True
+        elif outcome is Outcome.NOT_LOADED and self.order(worker, request):
             pass
-        elif outcome in NEVER_RAN or self.facts["methods"][rpc.method]["kind"] == "idempotent":
-            self.place(rpc)
+        elif outcome in NEVER_RAN or self.facts["methods"][request.method]["kind"] == "idempotent":
+            self.place(request)
         else:
-            rpc.over = True
-            self.host.abort(rpc)
+            request.over = True
+            self.host.abort(request)
 
-    def ordered(self, srv: Srv, fn: Fn, outcome: Outcome, count: int, took: int) -> None:
-        for rpc in self.waiting.pop((srv, fn), []):
-            if not rpc.over and outcome is Outcome.OK:
-                self.send(rpc, srv)
-            elif not rpc.over:
-                self.place(rpc)
+    def ordered(self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int) -> None:
+        for request in self.waiting.pop((worker, function), []):
+            if not request.over and outcome is Outcome.OK:
+                self.send(request, worker)
+            elif not request.over:
+                self.place(request)
 
-    def left(self, rpc: Rpc) -> None:
-        rpc.over = True
+    def left(self, request: Request) -> None:
+        request.over = True
 
-    def begun(self, call_out: CallOut) -> None: ...
+    def begun(self, attempt: Attempt) -> None: ...
     def list_failed(self) -> None: ...
     def woken(self, token: object) -> None: ...
-    def probed(self, srv: Srv, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
+    def probed(self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
     def told(self, peer: int, text: str) -> None: ...
 
     # what it does
 
-    def place(self, rpc: Rpc) -> None:
-        tried = {call_out.srv for call_out in rpc.call_outs}
-        able = [srv for srv in self.serving if srv not in tried]
-        if not able or len(rpc.call_outs) >= self.facts["try_limit"] or rpc.deadline <= self.now:
-            rpc.over = True
-            may_have = [c for c in rpc.call_outs if c.outcome not in NEVER_RAN]
-            return self.host.abort(rpc) if may_have else self.host.deny(rpc, 0)
-        self.send(rpc, self.choose(self, rpc, able))
-
-    def send(self, rpc: Rpc, srv: Srv) -> None:
-        self.out[srv] = self.out.get(srv, 0) + 1
-        call_out = CallOut(rpc, srv, self.now)
-        rpc.call_outs.append(call_out)
-        self.host.call_out(call_out, 0)
-
-    def order(self, srv: Srv, rpc: Rpc) -> bool:
+    def place(self, request: Request) -> None:
+        tried = {attempt.worker for attempt in request.attempts}
+        able = [worker for worker in self.serving if worker not in tried]
+        if not able or len(request.attempts) >= self.facts["try_limit"] or request.deadline <= self.now:
+            request.over = True
+            may_have = [c for c in request.attempts if c.outcome not in NEVER_RAN]
+            return self.host.abort(request) if may_have else self.host.deny(request, 0)
+        self.send(request, self.choose(self, request, able))
+
+    def send(self, request: Request, worker: Worker) -> None:
+        self.out[worker] = self.out.get(worker, 0) + 1
+        attempt = Attempt(request, worker, self.now)
+        request.attempts.append(attempt)
+        self.host.send_attempt(attempt, 0)
+
+    def order(self, worker: Worker, request: Request) -> bool:
         """Where absent functions miss only an order loads; within the budget, as that is a rule."""
-        waiting = self.waiting.get((srv, rpc.fn))
+        waiting = self.waiting.get((worker, request.function))
         if waiting is not None:
-            waiting.append(rpc)
+            waiting.append(request)
             return True
         window = self.facts["order_window"]
         for times in (self.orders, self.taken):
@@ -116,52 +118,52 @@
                 times.popleft()
         most = self.facts["orders_free"] + self.facts["orders_share"] * len(self.taken)
         room = self.facts["may_order"] and (not window or len(self.orders) + 1 <= most)
-        if not room or srv.listing is not Listing.SERVING:
+        if not room or worker.listing is not EndpointState.SERVING:
             return False
         self.orders.append(self.now)
-        self.waiting[srv, rpc.fn] = [rpc]
-        self.host.order(srv, rpc.fn, 1)
+        self.waiting[worker, request.function] = [request]
+        self.host.order(worker, request.function, 1)
         return True
 
     # how it chooses
 
-    def by_random(self, rpc: Rpc, able: list[Srv]) -> Srv:
+    def by_random(self, request: Request, able: list[Worker]) -> Worker:
         return able[self.chance(len(able))]
 
-    def by_turns(self, rpc: Rpc, able: list[Srv]) -> Srv:
+    def by_turns(self, request: Request, able: list[Worker]) -> Worker:
         self.turn += 1
         return able[self.turn % len(able)]
 
-    def by_two(self, rpc: Rpc, able: list[Srv]) -> Srv:
+    def by_two(self, request: Request, able: list[Worker]) -> Worker:
         return min((able[self.chance(len(able))] for _ in range(2)), key=self.crowded)
 
-    def by_fewest(self, rpc: Rpc, able: list[Srv]) -> Srv:
+    def by_fewest(self, request: Request, able: list[Worker]) -> Worker:
         least = min(map(self.crowded, able))
-        return self.by_random(rpc, [srv for srv in able if self.crowded(srv) == least])
+        return self.by_random(request, [worker for worker in able if self.crowded(worker) == least])
 
-    def by_hash(self, rpc: Rpc, able: list[Srv]) -> Srv:
+    def by_hash(self, request: Request, able: list[Worker]) -> Worker:
         """The function's own order of workers; the first that is not over the bound."""
         bound = ceil(BOUND * (sum(self.out.values()) + 1) / len(self.serving))
-        order = sorted(able, key=lambda srv: crc32(f"{rpc.fn.name} {srv.name}".encode()))
-        return next((srv for srv in order if self.out.get(srv, 0) < bound), order[0])
+        order = sorted(able, key=lambda worker: crc32(f"{request.function.name} {worker.name}".encode()))
+        return next((worker for worker in order if self.out.get(worker, 0) < bound), order[0])
 
-    def by_sight(self, rpc: Rpc, able: list[Srv]) -> Srv:
+    def by_sight(self, request: Request, able: list[Worker]) -> Worker:
         """The least crowded worker as it gets on now, a load counted as so many calls before it; among
         alike ones the function's own order, so that copies are met again."""
         assert self.sees is not None
-        seen = {srv: self.sees(srv.name, rpc.fn.name) for srv in able}
+        seen = {worker: self.sees(worker.name, request.function.name) for worker in able}
 
-        def cost(srv: Srv) -> tuple[float, int]:
-            copy, crowd = seen[srv]
-            return crowd + (1 - copy) * NO_COPY, crc32(f"{rpc.fn.name} {srv.name}".encode())
+        def cost(worker: Worker) -> tuple[float, int]:
+            copy, crowd = seen[worker]
+            return crowd + (1 - copy) * NO_COPY, crc32(f"{request.function.name} {worker.name}".encode())
 
         return min(able, key=cost)
 
-    def crowded(self, srv: Srv) -> float:
-        return self.out.get(srv, 0) / max(srv.size, 1e-9)
+    def crowded(self, worker: Worker) -> float:
+        return self.out.get(worker, 0) / max(worker.size, 1e-9)
 
 
-POLICIES: dict[str, Callable[[Any, Rpc, list[Srv]], Srv]] = {
+POLICIES: dict[str, Callable[[Any, Request, list[Worker]], Worker]] = {
     "random": Baseline.by_random,
     "round robin": Baseline.by_turns,
     "fewest of two": Baseline.by_two,
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -12,8 +12,8 @@
 from lapistrestle.edge.following import Do
 from lapistrestle.edge.linking import Input
 from lapistrestle.edge.runners import hold_of, run_of, tell
-from lapistrestle.hosting.requests import Attempt, WorkerTask
-from lapistrestle.interface import Outcome
+from lapistrestle.hosting.requests import WorkerCall, WorkerTask
+from lapistrestle.policy.interface import Outcome
 from lapistrestle.standins.client import Crowd, Line, Wish
 from lapistrestle.standins.runner import RunnerStandIn
 from lapistrestle.standins.tape import Tape
@@ -62,7 +62,7 @@
     ) -> None:
         self.edge, self.name, self.runner, self.way = edge, name, runner, way
         self.linking = self
-        self.out: dict[int, Attempt | WorkerTask] = {}
+        self.out: dict[int, WorkerCall | WorkerTask] = {}
         self.later = edge.reactor.callLater
         self.later(2 * way, self.meet)
         start = runner.start if runner is not None else ""
@@ -89,7 +89,7 @@
     def reached(self) -> bool:
         return self.runner is not None and not self.runner.engine.dead
 
-    def send(self, task: Attempt | WorkerTask, message: Any) -> None:
+    def send(self, task: WorkerCall | WorkerTask, message: Any) -> None:
         task.connection = self
         self.out[task.number] = task
         self.later(self.way, self.arrive, task.number, message)
@@ -109,8 +109,8 @@
         self.put(">", said)
         self.later(self.way, self.back, said)
 
-    def run(self, attempt: Attempt) -> None:
-        self.send(attempt, run_of(attempt, self.edge.clock()))
+    def run(self, worker_call: WorkerCall) -> None:
+        self.send(worker_call, run_of(worker_call, self.edge.clock()))
 
     def hold(self, task: WorkerTask) -> None:
         self.send(task, hold_of(task))
@@ -118,10 +118,10 @@
     def probe(self, task: WorkerTask) -> None:
         self.send(task, wire.Probe(task.number))
 
-    def unload(self, fn: str) -> None:
+    def unload(self, function: str) -> None:
         if self.reached():
             assert self.runner is not None
-            self.later(self.way, self.runner.engine.unload, fn)
+            self.later(self.way, self.runner.engine.unload, function)
 
     def cancel_unsent(self, number: int) -> bool:
         return False  # a message is on its way as soon as it is sent
@@ -205,7 +205,7 @@
         self.put("<", message)
         match message:
             case wire.Answer():
-                self.answered(message.id, message.verdict, message.come_back / 1000)
+                self.answered(message.id, message.verdict, message.retry_after / 1000)
             case wire.Fault():
                 self.answered(message.id, "fault", 0.0)
 
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -7,7 +7,6 @@
 from typing import Any, BinaryIO
 
 from lapistrestle.checks.service import worth
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment.load import Wrong
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.linking import Input
@@ -15,6 +14,7 @@
 from lapistrestle.model.baselines import Baseline
 from lapistrestle.model.clock import Clock
 from lapistrestle.model.links import ModelLine, RunnerLink, Subscription, Ways
+from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.standins.client import Line, Wish
 from lapistrestle.standins.engine import RunnerFacts
 from lapistrestle.standins.runner import RunnerStandIn, Tokens
@@ -159,12 +159,12 @@
         self.runners[made.port] = made
         return made
 
-    def sees(self, name: str, fn: str) -> tuple[float, float]:
+    def sees(self, name: str, function: str) -> tuple[float, float]:
         """A runner as it is: whether a copy stands (1) or is being loaded (0.5), and calls by core, those on
         their way too, as slow as it is now."""
         slot = self.by_name[name]
-        engine, copies = slot.runner.engine, slot.runner.engine.copies.get(fn)
-        coming = sum(h.edge.host.module.out.get(h.edge.host.registry.srv(name), 0) for h in self.edges)  # type: ignore[attr-defined]
+        engine, copies = slot.runner.engine, slot.runner.engine.copies.get(function)
+        coming = sum(h.edge.host.module.out.get(h.edge.host.registry.worker(name), 0) for h in self.edges)  # type: ignore[attr-defined]
         crowd = coming * engine.slower / (max(1, engine.facts.cores - engine.taken) * engine.facts.speed)
         copy = 0.0 if copies is None else 1.0 if copies.standing else 0.5 if copies.loading else 0.0
         return copy, crowd + (1e9 if engine.dead or engine.failing else 0)
--- a/lapistrestle/node/client.py
+++ b/lapistrestle/node/client.py
@@ -233,17 +233,17 @@
             self.rested()
         self.part()
 
-    def reply(self, number: int, status: int, body: bytes = b"", come_back: int = 0) -> None:
+    def reply(self, number: int, status: int, body: bytes = b"", retry_after: int = 0) -> None:
         """Write an answer. `come_back`: of Retry-After, in tenths of a millisecond; 0: none."""
         head = HEADS[status]
-        if come_back:
-            head = b"Retry-After: %d\r\n" % max(1, -(-come_back // SECOND)) + head
+        if retry_after:
+            head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // SECOND)) + head
         self.send(records.answer(number, head, body))
         self.reader.ended(number)
         self.rested()
         self.part()
 
-    def answer(self, pending: PendingRequest, verdict: str, come_back: int, body: Any) -> None:
+    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
         """The final answer of an RPC."""
         message = pending.message
         message.body = b""
@@ -251,7 +251,7 @@
         if not pending.in_flight:
             self.front.lingering.pop(pending.tag, None)
         status = STATUS[verdict]
-        self.reply(message.number, status, body if verdict == OK else b"", come_back)
+        self.reply(message.number, status, body if verdict == OK else b"", retry_after)
         if not message.keep:
             self.leave(Phase.LAST)
 
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct, field
 
 from lapistrestle.deployment import words
-from lapistrestle.interface import Facts
+from lapistrestle.policy.interface import Facts
 
 ADDRESS = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}")
 TENTHS = 10_000  # of a millisecond in a second
--- a/lapistrestle/node/connection.py
+++ b/lapistrestle/node/connection.py
@@ -8,11 +8,11 @@
 
 from lapistrestle.edge.core import Core
 from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
-from lapistrestle.hosting.requests import NO_REPORT, Attempt, WorkerTask
-from lapistrestle.interface import Outcome
+from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
 from lapistrestle.node.configuration import split
 from lapistrestle.node.replies import ATTEMPTS, NO_ATTRS, ORDERS, PROBES, Attrs, Reply, reply_of, report_of
 from lapistrestle.node.streams import Stream, dial
+from lapistrestle.policy.interface import Outcome
 
 if TYPE_CHECKING:
     from lapistrestle.node.runners import Runner
@@ -111,7 +111,7 @@
         loads is nothing that the module should believe of what follows, and nobody waits for it."""
         for number in [number for number in self.rids if number in self.core.host.tasks]:
             self.withdraw(number, False)
-            self.core.host.task_ended(number, Outcome.MOOT)
+            self.core.host.task_ended(number, Outcome.NOT_SENT)
 
     # what comes
 
@@ -145,7 +145,7 @@
             return True
         attrs = reply.attrs or NO_ATTRS
         try:
-            if number in self.core.host.attempts:
+            if number in self.core.host.worker_calls:
                 return self.attempt_ended(number, reply, attrs)
             return self.task_ended(number, reply, attrs)
         except (ValueError, OverflowError, binascii.Error):
@@ -163,11 +163,11 @@
         if outcome is None:
             return False
         body = b64decode(reply.content or "", validate=True) if outcome is Outcome.OK else b""
-        told = self.pools.tells_company and outcome in (Outcome.OK, Outcome.FULL)
+        told = self.pools.tells_company and outcome in (Outcome.OK, Outcome.REJECTED)
         company = int(attrs.company) if told else None
         report = report_of(attrs.use, self.pools.report_names) if attrs.use else NO_REPORT
-        if outcome is Outcome.MOOT:  # the runner had it, so it counts as a try
-            self.core.host.attempts[number].pending.prior_attempts += 1
+        if outcome is Outcome.NOT_SENT:  # the runner had it, so it counts as a try
+            self.core.host.worker_calls[number].pending.prior_attempts += 1
         self.end(number)
         self.core.host.ended(number, outcome, body, company=company, report=report)
         return True
@@ -220,7 +220,7 @@
         self.linking.step(Input.FAILED)
         self.release()
 
-    def may_begin(self, work: Attempt | WorkerTask) -> bool:
+    def may_begin(self, work: WorkerCall | WorkerTask) -> bool:
         """Whether new work may begin to leave for the runner now."""
         return self.core.gate.may_begin(work, self.runner)
 
@@ -251,7 +251,7 @@
     def not_sent(self, numbers: list[int]) -> None:
         """Held back: the runner serves no more, or nobody waits for it. It says nothing of the runner."""
         for number in numbers:
-            self.lose(number, Outcome.MOOT)
+            self.lose(number, Outcome.NOT_SENT)
 
     def broke(self, numbers: list[int]) -> None:
         """What was not written whole never ran, what was may have."""
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -12,11 +12,11 @@
 
 from lapistrestle.deployment import words
 from lapistrestle.edge.core import TENTHS, Core
-from lapistrestle.interface import Listing, SrvFacts
 from lapistrestle.node.configuration import Configuration, Known, Row, split
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import STATES, Frame, FrameDecoder, FrameError, FrameKind, Record
 from lapistrestle.node.streams import MOST_READS, Stream, dial
+from lapistrestle.policy.interface import EndpointState, WorkerInfo
 
 HEARTBEAT_TIME_OUT = 22_000  # two heartbeats have not come
 FIRST_FRAME_TIME_OUT = 12_000  # the board was asked, and not one heartbeat has come
@@ -229,14 +229,14 @@
         at = {runner.address[0]: name for name, runner in self.core.runners.items()}
         for record in records:
             before = at.get(record.address, record.name)
-            if before != record.name and record.listing is not Listing.GONE:
+            if before != record.name and record.listing is not EndpointState.REMOVED:
                 self.core.address(before, None)  # one that had this address has gone, told or not
-            gone = record.listing is Listing.GONE
+            gone = record.listing is EndpointState.REMOVED
             self.core.address(record.name, None if gone else (record.address, record.started))
 
-    def facts(self, record: Record) -> SrvFacts:
+    def facts(self, record: Record) -> WorkerInfo:
         booted = record.started * UNIX_TENTHS - self.offset if record.started else None
-        return SrvFacts(
+        return WorkerInfo(
             record.name, record.zone, record.cell, record.kind, record.weight / 1000, record.listing, booted
         )
 
@@ -246,7 +246,7 @@
         number = 0
         for part in host.split("."):
             number = number << 8 | int(part)
-        state = STATES[words.LISTINGS.get(row.state, Listing.DRAINING)]
+        state = STATES[words.LISTINGS.get(row.state, EndpointState.DRAINING)]
         zone, kind = self.zones.get(row.zone, 0), self.kinds.get(row.kind, 0)
         weight, started = round(row.weight * 1000), int(row.started_ms)
         return Record(int(row.id[2:], 16), number, port, state, zone, kind, row.cell, weight, started)
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -41,7 +41,7 @@
     @classmethod
     def of(cls, call: Invocation, request: records.Request) -> "RunRequest":
         """From a checked call; `key` is a part of the line's attributes."""
-        head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.fn)
+        head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.function)
         key = b',"uniq":"%s"' % call.key if call.key else b""
         return cls(request.number, request.keep, call.id, head, key, request.body)
 
@@ -213,7 +213,7 @@
             next(iter(self.parting)).dismiss("it stays open")
         over = [tag for tag, pending in self.lingering.items() if pending.final and not pending.in_flight]
         for tag in over:
-            self.lingering.pop(tag).call_outs.clear()  # they point to each other
+            self.lingering.pop(tag).attempts.clear()  # they point to each other
         self.core.after(SWEEP, self.sweep, None)
 
     def patience(self, connection: ClientConnection) -> int:
@@ -258,13 +258,21 @@
             return connection.reply(request.number, 503)
         self.idle.pop(connection, None)
         pending = self.core.host.arrived(
-            client=connection, message=RunRequest.of(call, request), tag=tag, fn=call.fn.decode(),
-            method=call.method.number, customer=call.customer, left=left, memory=call.memory,
-            lanes=call.lanes, repeat=call.repeat,
+            client=connection,
+            message=RunRequest.of(call, request),
+            tag=tag,
+            function_name=call.function.decode(),
+            method=call.method.number,
+            customer=call.customer,
+            left=left,
+            memory=call.memory,
+            lanes=call.lanes,
+            repeat=call.repeat,
             work=None if call.work is None else max(1, int(call.work * 10)),
             load=None if call.load is None else int(call.load * 10),
-            moved=self.taken_before(tag), came=self.core.earliest_arrival(),
-        )  # fmt: skip
+            moved=self.taken_before(tag),
+            came=self.core.earliest_arrival(),
+        )
         if not pending.final:
             connection.requests[request.number] = pending
         if not pending.final or pending.in_flight:
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -5,9 +5,9 @@
 
 from msgspec import Struct
 
-from lapistrestle.interface import Facts
 from lapistrestle.node import records
 from lapistrestle.node.configuration import Configuration
+from lapistrestle.policy.interface import Facts
 
 MOST_WORK = 600_000.0  # milliseconds
 MOST_MEMORY = 1e6  # MB
@@ -42,7 +42,7 @@
 
     method: Method
     id: bytes
-    fn: bytes
+    function: bytes
     patience: float  # milliseconds that the client waits, at most the class's deadline
     work: float | None
     repeat: bool
@@ -100,10 +100,10 @@
         fields, method = request.fields, self.methods.get(path)
         if method is None:
             raise Unfit(404, "no such class")
-        id, fn = fields.get(b"HTTP_X_CALL_ID", b""), fields.get(b"HTTP_X_ENTITY", b"")
+        id, function = fields.get(b"HTTP_X_CALL_ID", b""), fields.get(b"HTTP_X_ENTITY", b"")
         if not ID.fullmatch(id):
             raise Unfit(400, "X-Call-Id is not 16 hex digits")
-        if not ID.fullmatch(fn):
+        if not ID.fullmatch(function):
             raise Unfit(400, "X-Entity is not 16 hex digits")
         patience = number_of(fields, b"HTTP_X_PATIENCE_MS", method.deadline + SLACK)
         if not patience:
@@ -126,7 +126,7 @@
         if lanes is not None and (lanes < 1 or lanes != int(lanes)):
             raise Unfit(400, "lanes is no count")
         return Invocation(
-            method, id, fn, min(patience, method.deadline), work, repeat == b"1", key, customer, memory,
+            method, id, function, min(patience, method.deadline), work, repeat == b"1", key, customer, memory,
             int(lanes or 1), load,
         )  # fmt: skip
 
--- a/lapistrestle/node/notices.py
+++ b/lapistrestle/node/notices.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lapistrestle.interface import Listing
+from lapistrestle.policy.interface import EndpointState
 
 HEAD = struct.Struct(">IQB")  # length of all that follows it, revision, kind
 RECORD = struct.Struct(">IIHBBBHIQ")
@@ -16,7 +16,7 @@
 LEAST_LENGTH = HEAD.size - LENGTH_BYTES
 MOST_RECORDS = 65_536
 MOST_LENGTH = LEAST_LENGTH + RECORD.size * MOST_RECORDS
-LISTINGS = (Listing.SERVING, Listing.DRAINING, Listing.GONE)  # by the state of a record
+LISTINGS = (EndpointState.SERVING, EndpointState.DRAINING, EndpointState.REMOVED)  # by the state of a record
 STATES = {listing: state for state, listing in enumerate(LISTINGS)}
 
 
@@ -46,11 +46,11 @@
     started: int
 
     @property
-    def listing(self) -> Listing:
+    def listing(self) -> EndpointState:
         """What it says of the worker. A state that the page does not know, or a port that nobody can listen
         at, never reads as ready: the rest of its event counts, and this one gets no new work."""
-        listing = LISTINGS[self.state] if self.state < len(LISTINGS) else Listing.DRAINING
-        return listing if self.port or listing is Listing.GONE else Listing.DRAINING
+        listing = LISTINGS[self.state] if self.state < len(LISTINGS) else EndpointState.DRAINING
+        return listing if self.port or listing is EndpointState.REMOVED else EndpointState.DRAINING
 
     @property
     def name(self) -> str:
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.core import Core, Log
 from lapistrestle.node.configuration import Configuration, ConfigurationError
 from lapistrestle.node.connection import PROMPT
 from lapistrestle.node.discovery import ServiceDiscovery
 from lapistrestle.node.front import Front
 from lapistrestle.node.runners import RunnerPools
+from lapistrestle.policy.dispatcher import Dispatcher
 
 GUARD = 40  # tenths of a millisecond past its deadline at which an RPC is answered whatever the module does
 LINGER = 7_500  # after SIGTERM new connections and requests still come for some tenths of a second
--- a/lapistrestle/node/replies.py
+++ b/lapistrestle/node/replies.py
@@ -2,12 +2,16 @@
 
 import msgspec
 
-from lapistrestle.interface import Outcome
+from lapistrestle.policy.interface import Outcome
 
 ATTEMPTS = {
-    "200": Outcome.OK, "404": Outcome.MISS, "503": Outcome.FULL, "500": Outcome.ERROR, "504": Outcome.MOOT,
-}  # fmt: skip
-ORDERS = {"200": Outcome.OK, "503": Outcome.FULL, "500": Outcome.ERROR}
+    "200": Outcome.OK,
+    "404": Outcome.NOT_LOADED,
+    "503": Outcome.REJECTED,
+    "500": Outcome.ERROR,
+    "504": Outcome.NOT_SENT,
+}
+ORDERS = {"200": Outcome.OK, "503": Outcome.REJECTED, "500": Outcome.ERROR}
 PROBES = {"alive": Outcome.OK, "dead": Outcome.ERROR}
 
 Figure = int | float | str
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -5,10 +5,10 @@
 
 from lapistrestle.edge.core import Core
 from lapistrestle.edge.linking import Input, Line, Link
-from lapistrestle.hosting.requests import Attempt, WorkerTask
-from lapistrestle.interface import Outcome
+from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.node.configuration import Configuration
 from lapistrestle.node.connection import RunnerConnection
+from lapistrestle.policy.interface import Outcome
 
 EACH_MOST = 16  # connections to one runner: one bad answer ends all that its connection carries
 SECOND = 10_000  # in tenths of a millisecond
@@ -96,26 +96,26 @@
 
     # what the host asks
 
-    def run(self, attempt: Attempt) -> None:
+    def run(self, worker_call: WorkerCall) -> None:
         """Send an attempt."""
-        pending, asked = attempt.pending, attempt.pending.message
-        connection = attempt.connection = self.pick(asked.used)
-        line = Line(attempt.number, lambda: self.run_line(attempt), attempt.begin_by, attempt)
+        pending, asked = worker_call.pending, worker_call.pending.message
+        connection = worker_call.connection = self.pick(asked.used)
+        line = Line(worker_call.number, lambda: self.run_line(worker_call), worker_call.begin_by, worker_call)
         if connection is None or not connection.send(pending.tag, line):
-            return self.core.host.ended(attempt.number, Outcome.FULL)
+            return self.core.host.ended(worker_call.number, Outcome.REJECTED)
         asked.used.append(connection)
 
-    def run_line(self, attempt: Attempt) -> bytes:
+    def run_line(self, worker_call: WorkerCall) -> bytes:
         """An attempt as the runner is told of it, with the time that is left as it is written."""
-        asked, left = attempt.pending.message, attempt.ends_by - self.core.clock()
+        asked, left = worker_call.pending.message, worker_call.ends_by - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
             asked.id, asked.head, max(1, left // TENTHS_IN_MS), asked.key, b64encode(asked.body),
         )  # fmt: skip
 
     def hold(self, task: WorkerTask) -> None:
         """Send an order to hold copies."""
-        assert task.fn is not None
-        attrs = b'{"path":"%s","slots_up":%d}' % (task.fn.name.encode(), task.count)
+        assert task.function is not None
+        attrs = b'{"path":"%s","slots_up":%d}' % (task.function.name.encode(), task.count)
         self.send_task(task, b"HOLD", b',"attrs":' + attrs, task.count > 0)
 
     def probe(self, task: WorkerTask) -> None:
@@ -129,12 +129,12 @@
         line = b'{"verb":"%s","rid":"%s"%s}\n' % (verb, tag.encode(), attrs)
         work = task if task.count else None  # asking, and probing, begins nothing
         if connection is None or not connection.send(tag, Line(task.number, lambda: line, work=work), prompt):
-            self.core.host.task_ended(task.number, Outcome.FULL)
+            self.core.host.task_ended(task.number, Outcome.REJECTED)
 
-    def unload(self, fn: str) -> None:
+    def unload(self, function: str) -> None:
         """Have it drop a function; no reply is awaited."""
         if connection := self.pick([]):
-            connection.linking.send(Line(0, lambda: b'{"verb":"FREE","rid":"%s"}\n' % fn.encode()))
+            connection.linking.send(Line(0, lambda: b'{"verb":"FREE","rid":"%s"}\n' % function.encode()))
 
 
 class RunnerPools:
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -12,13 +12,13 @@
 from zlib import crc32
 
 from lapistrestle.fleet.digests import Digests, DigestSettings, Figures
-from lapistrestle.interface import Facts
 from lapistrestle.overload.fallback import NAMES, Basis, Fallback
 from lapistrestle.overload.priorities import Level, PriorityLevels, hash_fraction
 from lapistrestle.overload.retry_after import RetryCalendar
 from lapistrestle.overload.retry_budget import further_attempt_rate
 from lapistrestle.overload.shedding import Shedding, Traffic
 from lapistrestle.overload.unused import UnusedRoom
+from lapistrestle.policy.interface import Facts
 
 SECOND = 10_000  # in tenths of a millisecond
 UPDATE_EVERY = SECOND // 2  # between two readings of the figures, which are sent no sooner
--- a/lapistrestle/planner/program.py
+++ b/lapistrestle/planner/program.py
@@ -67,10 +67,12 @@
         before = dict(self.state.changed)
         reply = self.state.apply(number, entry)
         if self.state.changed != before:
-            for fn, rollout in self.state.rollouts.items():
-                if self.state.changed.get(fn) == number:
+            for function, rollout in self.state.rollouts.items():
+                if self.state.changed.get(function) == number:
                     state, share = rollout.state.name.lower(), rollout.share
-                    self.log("rollout", fn=fn, candidate=rollout.candidate, state=state, share=share)
+                    self.log(
+                        "rollout", function=function, candidate=rollout.candidate, state=state, share=share
+                    )
             for speaker in list(self.edges):
                 speaker.catch_up()
         return reply
@@ -95,7 +97,11 @@
         """Those that every connected edge has copies for the next share of."""
         edges, now = {speaker.name for speaker in self.edges}, self.now()
         kept = self.state.rollouts.items()
-        return tuple(fn for fn, r in kept if self.readiness.ready(fn, r.candidate, r.next, edges, now))
+        return tuple(
+            function
+            for function, r in kept
+            if self.readiness.ready(function, r.candidate, r.next, edges, now)
+        )
 
     def current(self) -> bool:
         """Whether no newer planner writes the journal. One that did not ask would go on renewing leases on
@@ -115,29 +121,39 @@
         return plans.Status(
             self.state.number,
             self.journal.epoch,
-            [self.rollout_status(fn) for fn in sorted(self.state.rollouts)],
+            [self.rollout_status(function) for function in sorted(self.state.rollouts)],
             {speaker.name: speaker.has for speaker in self.edges},
         )
 
-    def rollout_status(self, fn: str) -> plans.RolloutStatus:
+    def rollout_status(self, function: str) -> plans.RolloutStatus:
         """One rollout, for operators."""
-        rollout = self.state.rollouts[fn]
+        rollout = self.state.rollouts[function]
         found, total = rollout.evidence.findings(), [0, 0, 0, 0]
         for tally in rollout.evidence.minutes().values():
             total = [a + b for a, b in zip(total, tally, strict=True)]
         history = [(at / 10, who, why, given, state) for at, who, why, given, state in rollout.history]
         counts = (total[0], total[1], total[2], total[3])
         return plans.RolloutStatus(
-            fn, rollout.settled, rollout.candidate, rollout.state.name.lower(), rollout.share, rollout.step,
-            counts, round(found.harm, 3), round(found.good, 3), history, rollout.next, self.waits(rollout),
-        )  # fmt: skip
+            function,
+            rollout.settled,
+            rollout.candidate,
+            rollout.state.name.lower(),
+            rollout.share,
+            rollout.step,
+            counts,
+            round(found.harm, 3),
+            round(found.good, 3),
+            history,
+            rollout.next,
+            self.waits(rollout),
+        )
 
     def waits(self, rollout: Rollout) -> dict[str, str]:
         """By edge, what it lacks for the next step."""
         if rollout.state in OVER or rollout.state is State.WITHDRAWING:
             return {}
         edges = [speaker.name for speaker in self.edges]
-        return self.readiness.missing(rollout.fn, rollout.candidate, rollout.next, edges, self.now())
+        return self.readiness.missing(rollout.function, rollout.candidate, rollout.next, edges, self.now())
 
 
 class PlannerSpeaker(Speaker):
@@ -181,14 +197,14 @@
             case plans.Counts():
                 planner.add(
                     Report(
-                        at=planner.now(), edge=self.name, start=self.start_name, fn=message.fn,
+                        at=planner.now(), edge=self.name, start=self.start_name, function=message.function,
                         candidate=message.candidate, step=message.step, minute=message.minute,
                         counts=message.counts,
                     )
                 )  # fmt: skip
             case plans.Warm():
                 word = Word(message.share, message.lacks, planner.now())
-                planner.readiness.told(message.fn, message.candidate, self.name, word)
+                planner.readiness.told(message.function, message.candidate, self.name, word)
             case plans.Order():
                 self.order(message)
             case plans.Ask():
@@ -198,7 +214,7 @@
         """An operator's command."""
         reply = self.planner.add(
             Command(
-                at=self.planner.now(), id=order.id, what=order.what, fn=order.fn, who=order.who,
+                at=self.planner.now(), id=order.id, what=order.what, function=order.function, who=order.who,
                 why=order.why, candidate=order.candidate, steps=order.steps,
                 remembered=int(order.remembered * 10),
             )
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -34,7 +34,7 @@
 
     id: Name
     what: Literal["start", "advance", "hold", "resume", "back"]
-    fn: Name
+    function: Name = msgspec.field(name="fn")
     who: Name
     why: str = ""
     candidate: str = ""
@@ -48,7 +48,7 @@
 
     edge: Name
     start: str
-    fn: Name
+    function: Name = msgspec.field(name="fn")
     candidate: str
     step: int
     minute: int
@@ -94,7 +94,7 @@
         if number != self.number + 1:
             raise ValueError(f"entry {number} does not follow {self.number}")
         self.number = number
-        before = {fn: rollout.split() for fn, rollout in self.rollouts.items()}
+        before = {function: rollout.split() for function, rollout in self.rollouts.items()}
         reply = None
         match entry:
             case Command():
@@ -103,13 +103,13 @@
                 self.report(entry)
             case Tick():
                 self.tick(entry)
-        for fn, rollout in self.rollouts.items():
+        for function, rollout in self.rollouts.items():
             if rollout.state is State.SETTLED:
-                self.settled[fn] = rollout.candidate
-            elif self.settled.get(fn) == rollout.candidate:
-                self.settled[fn] = rollout.settled  # it had settled, and was taken back
-            if before.get(fn) != rollout.split():
-                self.changed[fn] = number
+                self.settled[function] = rollout.candidate
+            elif self.settled.get(function) == rollout.candidate:
+                self.settled[function] = rollout.settled  # it had settled, and was taken back
+            if before.get(function) != rollout.split():
+                self.changed[function] = number
         return reply
 
     def command(self, command: Command) -> Reply:
@@ -118,41 +118,44 @@
         if known is not None:
             return known
         outcome, says = self.start(command) if command.what == "start" else self.steer(command)
-        rollout = self.rollouts.get(command.fn)
+        rollout = self.rollouts.get(command.function)
         state, share = (rollout.state.name.lower(), rollout.share) if rollout else ("none", 0.0)
         reply = self.replies[command.id] = Reply(outcome, says, state, share, self.number)
         return reply
 
     def start(self, command: Command) -> tuple[str, str]:
         """Begin a rollout. Returns the outcome and what it says."""
-        fn, candidate = command.fn, command.candidate
-        running = self.rollouts.get(fn)
+        function, candidate = command.function, command.candidate
+        running = self.rollouts.get(function)
         if running is not None and running.state not in OVER:
             if running.candidate == candidate and running.state is not State.WITHDRAWING:
                 return NOTHING, f"{candidate} is being rolled out already"
-            return REFUSED, f"{fn} has {running.candidate} {running.state.name.lower()}; take that back first"
+            return (
+                REFUSED,
+                f"{function} has {running.candidate} {running.state.name.lower()}; take that back first",
+            )
         steps = command.steps
         rising = all(a < b for a, b in pairwise(steps))
         if not steps or not rising or steps[0] <= 0 or steps[-1] != 1:
             return REFUSED, f"steps are {list(steps)}; shares must rise from above 0 to 1"
-        settled = self.settled.get(fn, "")
+        settled = self.settled.get(function, "")
         if not candidate or candidate == settled:
-            return NOTHING if candidate else REFUSED, f"{candidate or 'no version'} is what {fn} runs"
+            return NOTHING if candidate else REFUSED, f"{candidate or 'no version'} is what {function} runs"
         if running is not None and running.kept:
             return REFUSED, f"{settled} settled lately, and clients may still come back to it; wait"
         if running is not None:
             self.ended.append(running)
-        made = self.rollouts[fn] = Rollout(fn, settled, candidate, steps, command.remembered)
+        made = self.rollouts[function] = Rollout(function, settled, candidate, steps, command.remembered)
         outcome = made.tell(Input.START, command.at, command.who, command.why)
         return outcome, f"{settled or 'none'} to {candidate}"
 
     def steer(self, command: Command) -> tuple[str, str]:
         """Move the rollout under way. Returns the outcome and what it says."""
-        rollout = self.rollouts.get(command.fn)
+        rollout = self.rollouts.get(command.function)
         if rollout is None:
-            return REFUSED, f"{command.fn} has no rollout"
+            return REFUSED, f"{command.function} has no rollout"
         if command.candidate and command.candidate != rollout.candidate:
-            return REFUSED, f"{command.fn} has {rollout.candidate}, not {command.candidate}"
+            return REFUSED, f"{command.function} has {rollout.candidate}, not {command.candidate}"
         outcome = rollout.tell(Input[command.what.upper()], command.at, command.who, command.why)
         if rollout.urged:
             return outcome, f"{rollout.candidate} goes to {rollout.next:.0%} within two seconds"
@@ -160,20 +163,27 @@
 
     def report(self, report: Report) -> None:
         """Evidence of another step, or of a candidate that is gone, is none."""
-        rollout = self.rollouts.get(report.fn)
+        rollout = self.rollouts.get(report.function)
         if rollout is not None and (rollout.candidate, rollout.step) == (report.candidate, report.step):
             rollout.evidence.report(report.edge, report.start, report.minute, Tally(*report.counts))
 
     def running(self) -> dict[str, Rollout]:
         """Those that the clock or the evidence may still move."""
-        return {fn: r for fn, r in self.rollouts.items() if r.state not in OVER or r.kept}
+        return {function: r for function, r in self.rollouts.items() if r.state not in OVER or r.kept}
 
     def tick(self, tick: Tick) -> dict[str, Findings]:
         """Let the clock and the evidence move what runs."""
-        return {fn: rollout.look(tick.at, fn in tick.warm) for fn, rollout in self.running().items()}
+        return {
+            function: rollout.look(tick.at, function in tick.warm)
+            for function, rollout in self.running().items()
+        }
 
     # what edges are told
 
     def plan(self, after: int = -1) -> dict[str, Split]:
         """Splits that changed after that number; all of them where none is known."""
-        return {fn: r.split() for fn, r in self.rollouts.items() if self.changed.get(fn, 0) > after}
+        return {
+            function: r.split()
+            for function, r in self.rollouts.items()
+            if self.changed.get(function, 0) > after
+        }
--- a/lapistrestle/interface.py
+++ b/lapistrestle/policy/interface.py
@@ -18,35 +18,35 @@
 
     OK = auto()
     ERROR = auto()  # answered with an error; may have run
-    FULL = auto()  # turned away unseen
+    REJECTED = auto()  # turned away unseen
     TIMED_OUT = auto()  # no answer in time; may have run
     UNREACHABLE = auto()  # no connection; never ran
     RESET = auto()  # connection broke; may have run
     CANCELLED = auto()  # called off; may have run
-    MOOT = auto()  # not sent
-    MISS = auto()  # function not loaded there; never ran
+    NOT_SENT = auto()  # not sent
+    NOT_LOADED = auto()  # function not loaded there; never ran
 
 
-class Listing(Enum):
+class EndpointState(Enum):
     """What the list of workers says of one."""
 
     SERVING = auto()
     DRAINING = auto()
-    GONE = auto()
+    REMOVED = auto()
 
 
-class Warmth(Enum):
+class LoadState(Enum):
     """Whether an answer found its function loaded, where answers tell."""
 
-    UNTOLD = auto()
-    STOOD = auto()
+    UNKNOWN = auto()
+    LOADED = auto()
     BEGAN_LOAD = auto()
     JOINED_LOAD = auto()
     LOAD_FAILED = auto()
 
 
 @dataclass(eq=False)
-class SrvFacts:
+class WorkerInfo:
     """A worker as the list names it. `name` is the same at every dispatcher."""
 
     name: str
@@ -54,12 +54,12 @@
     cell: int = 0
     kind: int = 0
     size: float = 1.0
-    listing: Listing = Listing.SERVING
+    listing: EndpointState = EndpointState.SERVING
     booted: int | None = None  # last start on the host's clock; None: long ago
 
 
 @dataclass(eq=False)
-class FnFacts:
+class FunctionInfo:
     """A function, with the memory and the lanes of one loaded copy."""
 
     name: str
@@ -70,11 +70,11 @@
 
 
 @dataclass(eq=False)
-class RpcFacts:
+class RequestInfo:
     """One RPC as it came in. `tag` belongs to the host; decisions never read it."""
 
     tag: str
-    fn: Any  # the module's own function object, made by the host from FnFacts
+    function: Any  # the module's own function object, made by the host from FnFacts
     method: int
     customer: int
     deadline: int  # when the client gives up on this try
@@ -83,15 +83,15 @@
     moved: bool = False  # it was taken before: under another function and has not run, or under the same id
     came: int | None = None  # the earliest that it may have been taken, where it was read late
     over: bool = False  # the final answer is out, or the client has left
-    call_outs: list["CallOut"] = field(default_factory=list)
+    attempts: list["Attempt"] = field(default_factory=list)
 
 
 @dataclass(eq=False)
-class CallOut:
+class Attempt:
     """One attempt of an RPC on a worker."""
 
-    rpc: Any
-    srv: Any
+    request: Any
+    worker: Any
     sent: int
     cold: bool = False  # a load is expected behind it
     company: int = 0  # own RPCs of the function on the worker, this one included, when it was sent
@@ -105,7 +105,7 @@
 
     took: int
     over: bool = False  # the RPC is over, by this outcome or earlier
-    warmth: Warmth = Warmth.UNTOLD
+    warmth: LoadState = LoadState.UNKNOWN
     company: int | None = None  # RPCs of the function found there, where answers tell
     report: Mapping[str, float] = field(default_factory=dict)
 
@@ -113,17 +113,19 @@
 class Host(Protocol):
     """Everything the module can do to the world."""
 
-    def call_out(self, call_out: CallOut, time_out: int) -> None: ...
-    def deny(self, rpc: RpcFacts, come_back: int) -> None: ...
-    def abort(self, rpc: RpcFacts) -> None: ...
-    def cancel(self, call_out: CallOut) -> None: ...
-    def order(self, srv: SrvFacts, fn: FnFacts, count: int) -> None: ...
-    def unload(self, srv: SrvFacts, fn: FnFacts) -> None: ...
-    def probe(self, srv: SrvFacts) -> None: ...
+    def send_attempt(self, attempt: Attempt, time_out: int) -> None: ...
+    def deny(self, request: RequestInfo, retry_after: int) -> None: ...
+    def abort(self, request: RequestInfo) -> None: ...
+    def cancel(self, attempt: Attempt) -> None: ...
+    def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None: ...
+    def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None: ...
+    def probe(self, worker: WorkerInfo) -> None: ...
     def tell_peer(self, peer: int | None, text: str) -> None: ...
     def wake_me(self, delay: int, token: object) -> None: ...
     def follow_list(self) -> None: ...
-    def more(self, fn: FnFacts) -> None: ...  # the known prefix of its order does not reach far enough
+    def more(
+        self, function: FunctionInfo
+    ) -> None: ...  # the known prefix of its order does not reach far enough
     def log(self, text: str) -> None: ...
 
 
@@ -132,15 +134,15 @@
 
     now: int
 
-    def listed(self, srvs: Sequence[tuple[Any, SrvFacts]], whole: bool) -> None: ...
+    def listed(self, workers: Sequence[tuple[Any, WorkerInfo]], whole: bool) -> None: ...
     def list_failed(self) -> None: ...
-    def ranked(self, fn: Any, prefix: Any) -> None: ...  # the first workers of its order; listed before
-    def arrived(self, rpc: Any) -> None: ...
-    def begun(self, call_out: CallOut) -> None: ...
-    def ended(self, call_out: CallOut, outcome: Outcome, answer: Answer) -> None: ...
-    def left(self, rpc: Any) -> None: ...
+    def ranked(self, function: Any, prefix: Any) -> None: ...  # the first workers of its order; listed before
+    def arrived(self, request: Any) -> None: ...
+    def begun(self, attempt: Attempt) -> None: ...
+    def ended(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None: ...
+    def left(self, request: Any) -> None: ...
     def woken(self, token: object) -> None: ...
-    def ordered(self, srv: Any, fn: Any, outcome: Outcome, count: int, took: int) -> None: ...
-    def probed(self, srv: Any, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
+    def ordered(self, worker: Any, function: Any, outcome: Outcome, count: int, took: int) -> None: ...
+    def probed(self, worker: Any, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
     def told(self, peer: int, text: str) -> None: ...
-    def vouched(self, srv: Any, at: int) -> None: ...  # by others of the fleet, where there is one
+    def vouched(self, worker: Any, at: int) -> None: ...  # by others of the fleet, where there is one
--- a/lapistrestle/rollout/life.py
+++ b/lapistrestle/rollout/life.py
@@ -19,7 +19,7 @@
 class Rollout:
     """One candidate of one function. `steps` are its shares in turn; the last is 1."""
 
-    fn: str
+    function: str
     settled: str
     candidate: str
     steps: tuple[float, ...]
@@ -51,13 +51,15 @@
         """What edges are told. The peak comes before its step, so that no edge with a lease takes a key for
         one that can't have met the candidate yet."""
         if self.state is State.SETTLED and not self.kept:
-            return Split(self.fn, self.candidate)
+            return Split(self.function, self.candidate)
         if self.state in (State.PROPOSED, State.WITHDRAWN):
-            return Split(self.fn, self.settled)
+            return Split(self.function, self.settled)
         back, done = self.state is State.WITHDRAWING, self.state is State.SETTLED
         peak = self.peak if back or self.told is None else max(self.peak, self.next)
         ahead = 0.0 if back else self.next
-        return Split(self.fn, self.settled, self.candidate, self.share, peak, back, self.step, ahead, done)
+        return Split(
+            self.function, self.settled, self.candidate, self.share, peak, back, self.step, ahead, done
+        )
 
     def tell(self, given: Input, now: int, who: str = "planner", why: str = "") -> str:
         """An input; what came of it. What a state has no answer for is refused, what is so already is
--- a/lapistrestle/rollout/routing.py
+++ b/lapistrestle/rollout/routing.py
@@ -13,9 +13,9 @@
 REMEMBERED = 50_000  # tokened RPCs, twice; of one that is forgotten it is not known which version it met
 
 
-def named(fn: str, version: str) -> str:
+def named(function: str, version: str) -> str:
     """A version is a function of its own to the module and to runners."""
-    return f"{fn}@{version}" if version else fn
+    return f"{function}@{version}" if version else function
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
     """Where an RPC goes. `name` empty: it is aborted, as it may have run on what is withdrawn."""
 
     name: str
-    fn: str = ""
+    function: str = ""
     candidate: str = ""  # of the rollout that it counts for, if any
     step: int = -1
     new: bool = False  # it goes to the candidate
@@ -51,11 +51,11 @@
         if whole:
             self.splits.clear()
         self.epoch, self.number = epoch, number
-        self.splits |= {split.fn: split for split in splits}
+        self.splits |= {split.function: split for split in splits}
         before, held = self.barred_names, self.splits.values()
-        gone = {named(s.fn, s.candidate) for s in held if s.candidate and s.withdrawn}
-        used = {named(s.fn, s.settled) for s in held}
-        used |= {named(s.fn, s.candidate) for s in held if s.candidate and not s.withdrawn}
+        gone = {named(s.function, s.candidate) for s in held if s.candidate and s.withdrawn}
+        used = {named(s.function, s.settled) for s in held}
+        used |= {named(s.function, s.candidate) for s in held if s.candidate and not s.withdrawn}
         # what was withdrawn stays barred when the planner forgets it: the module may still hold copies of it
         self.barred_names = (before | gone) - used
         return sorted(self.barred_names - before)
@@ -71,12 +71,14 @@
         before all rollouts. After that it serves: better than nothing, if the planner stays away."""
         return self.number < 0 and age < PATIENCE
 
-    def route(self, fn: str, key: str, kind: str, repeat: bool, now: int, tokens_span: bool = False) -> Route:
-        split = self.splits.get(fn)
+    def route(
+        self, function: str, key: str, kind: str, repeat: bool, now: int, tokens_span: bool = False
+    ) -> Route:
+        split = self.splits.get(function)
         if split is None:
-            return Route(fn)
+            return Route(function)
         if not split.candidate:
-            return Route(named(fn, split.settled))
+            return Route(named(function, split.settled))
         usable = split.done or self.lease.usable(now)
         # without a lease a newer plan may have let any key meet the candidate at another edge
         held = split if usable else replace(split, share=0.0, peak=1.0)
@@ -90,18 +92,18 @@
             case Course.SETTLED:
                 version, new = split.settled, False
         if tokened:
-            self.remember(fn, key, version)
+            self.remember(function, key, version)
         counts = usable and not split.withdrawn and not split.done
-        return Route(named(fn, version), fn, split.candidate if counts else "", split.step, new)
+        return Route(named(function, version), function, split.candidate if counts else "", split.step, new)
 
-    def remember(self, fn: str, key: str, version: str) -> None:
+    def remember(self, function: str, key: str, version: str) -> None:
         """Where this tokened RPC is sent, for when its client comes back."""
         if len(self.met) >= REMEMBERED:
             self.met_before, self.met = self.met, {}
-        self.met[fn, key] = version
+        self.met[function, key] = version
 
     def met_by(self, split: Split, key: str) -> Met:
-        version = self.met.get((split.fn, key), self.met_before.get((split.fn, key)))
+        version = self.met.get((split.function, key), self.met_before.get((split.function, key)))
         known = {split.settled: Met.SETTLED, split.candidate: Met.CANDIDATE}
         return known.get(version, Met.UNKNOWN) if version is not None else Met.UNKNOWN
 
@@ -109,26 +111,26 @@
         """Whether nothing new may go to this version now: withdrawn, or unsettled and without a lease."""
         if name in self.barred_names:
             return True
-        fn, _, version = name.rpartition("@")
-        split = self.splits.get(fn)
+        function, _, version = name.rpartition("@")
+        split = self.splits.get(function)
         if split is None or not version or split.candidate != version or split.done:
             return False
         return not self.lease.usable(now)
 
     def moved(self, name: str, key: str) -> Route:
         """Where an RPC of a barred version goes instead, and is remembered to have gone."""
-        fn = name.rpartition("@")[0]
-        split = self.splits.get(fn)
+        function = name.rpartition("@")[0]
+        split = self.splits.get(function)
         if split is None:
-            return Route(fn)  # as where no plan names it
-        self.remember(fn, key, split.settled)
-        return Route(named(fn, split.settled))
+            return Route(function)  # as where no plan names it
+        self.remember(function, key, split.settled)
+        return Route(named(function, split.settled))
 
     def note(self, route: Route, bad: bool, now: int) -> None:
         """An RPC of this route has ended."""
         if not route.candidate:
             return
-        key = (route.fn, route.candidate, route.step, now // MINUTE)
+        key = (route.function, route.candidate, route.step, now // MINUTE)
         one = (0, 0, 1, int(bad)) if route.new else (1, int(bad), 0, 0)
         self.counts[key] = Tally(*(a + b for a, b in zip(self.counts.get(key, Tally()), one, strict=True)))
 
--- a/lapistrestle/rollout/stock.py
+++ b/lapistrestle/rollout/stock.py
@@ -173,27 +173,27 @@
     good_for: int = 30_000  # tenths of a millisecond; edges speak each second
     words: dict[tuple[str, str], dict[str, Word]] = field(default_factory=dict)
 
-    def told(self, fn: str, candidate: str, edge: str, word: Word) -> None:
-        self.words.setdefault((fn, candidate), {})[edge] = word
+    def told(self, function: str, candidate: str, edge: str, word: Word) -> None:
+        self.words.setdefault((function, candidate), {})[edge] = word
 
     def gone(self, edge: str) -> None:
         for said in self.words.values():
             said.pop(edge, None)
 
     def missing(
-        self, fn: str, candidate: str, share: float, edges: Iterable[str], now: int
+        self, function: str, candidate: str, share: float, edges: Iterable[str], now: int
     ) -> dict[str, str]:
         """The edges that are not ready for that share, and why."""
         made: dict[str, str] = {}
         for edge in edges:
-            word = self.words.get((fn, candidate), {}).get(edge)
+            word = self.words.get((function, candidate), {}).get(edge)
             if word is None or now - word.at > self.good_for:
                 made[edge] = "has not said how its copies stand"
             elif word.share < share - 1e-9:
                 made[edge] = word.lacks or f"its copies stand for {word.share:.0%}"
         return made
 
-    def ready(self, fn: str, candidate: str, share: float, edges: Iterable[str], now: int) -> bool:
+    def ready(self, function: str, candidate: str, share: float, edges: Iterable[str], now: int) -> bool:
         """Without any edge nothing is: a share that nobody serves shows nothing."""
         asked = list(edges)
-        return bool(asked) and not self.missing(fn, candidate, share, asked, now)
+        return bool(asked) and not self.missing(function, candidate, share, asked, now)
--- a/lapistrestle/rollout/versions.py
+++ b/lapistrestle/rollout/versions.py
@@ -23,7 +23,7 @@
     no lease, and the version before it is kept for clients that come back and for a change of mind.
     """
 
-    fn: str
+    function: str
     settled: str
     candidate: str = ""
     share: float = 0.0
@@ -34,9 +34,9 @@
     done: bool = False
 
 
-def point(fn: str, candidate: str, key: str) -> float:
+def point(function: str, candidate: str, key: str) -> float:
     """Where this key lies. The candidate's name is in it, so that not always the same keys go first."""
-    digest = blake2b(f"{fn}\0{candidate}\0{key}".encode(), digest_size=8).digest()
+    digest = blake2b(f"{function}\0{candidate}\0{key}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big") / 2**64
 
 
@@ -80,7 +80,7 @@
     """
     if not split.candidate:
         return Course.SETTLED
-    at = point(split.fn, split.candidate, key)
+    at = point(split.function, split.candidate, key)
     within = at < split.share and not split.withdrawn
     if repeat and kind == "tokened" and not tokens_span:
         return REPEATS[within, within or at < split.peak, met]
--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -31,7 +31,7 @@
     """What a client wants once, over all its tries."""
 
     key: str
-    fn: str
+    function: str
     method: str
     customer: str
     memory: float
@@ -68,7 +68,7 @@
     def heard(self, message: Any) -> None:
         match message:
             case wire.Answer():
-                self.line.answered(message.id, message.verdict, message.come_back / 1000)
+                self.line.answered(message.id, message.verdict, message.retry_after / 1000)
             case wire.Fault():
                 self.line.answered(message.id, "fault", 0.0)
 
@@ -125,11 +125,20 @@
         self.open[name] = (wish, crowd.reactor.callLater(left, self.give_up, name))
         self.up.say(
             wire.Call(
-                name, wish.fn, wish.method, round(left * 1000, 1), wish.customer, wish.memory, wish.lanes,
-                wish.hint, bool(crowd.habits.marks and wish.tries > 1), wish.token, wish.key,
+                name,
+                wish.function,
+                wish.method,
+                round(left * 1000, 1),
+                wish.customer,
+                wish.memory,
+                wish.lanes,
+                wish.hint,
+                bool(crowd.habits.marks and wish.tries > 1),
+                wish.token,
+                wish.key,
                 msgspec.Raw(msgspec.json.encode({"work": wish.work})),
             )
-        )  # fmt: skip
+        )
 
     def left(self, wish: Wish, now: float) -> float:
         return max(0.001, wish.began + wish.deadline - now)
@@ -144,13 +153,13 @@
         else:
             self.crowd.gave_up(wish)
 
-    def answered(self, name: str, verdict: str, come_back: float) -> None:
+    def answered(self, name: str, verdict: str, retry_after: float) -> None:
         found = self.open.pop(name, None)
         if found is None:
             return
         wish, timer = found
         timer.cancel()
-        self.crowd.verdict(wish, verdict, come_back)
+        self.crowd.verdict(wish, verdict, retry_after)
 
 
 class Crowd:
@@ -184,7 +193,7 @@
                 return line.send(wish)
         self.reactor.callLater(0.1, self.attempt, wish)
 
-    def verdict(self, wish: Wish, verdict: str, come_back: float) -> None:
+    def verdict(self, wish: Wish, verdict: str, retry_after: float) -> None:
         if verdict == "ok":
             self.counts["ok"] += 1
             self.open -= 1
@@ -192,16 +201,16 @@
         elif verdict == "denied" or (
             (verdict == "aborted" and (wish.effect, wish.scope) in RETRIED) or wish.effect == "idempotent"
         ):
-            self.again(wish, come_back if self.habits.heeds else 0.0)
+            self.again(wish, retry_after if self.habits.heeds else 0.0)
         else:
             self.gave_up(wish)
 
-    def again(self, wish: Wish, come_back: float) -> None:
+    def again(self, wish: Wish, retry_after: float) -> None:
         wait = self.habits.wait * self.random.uniform(1, 2)
         if wish.abuses and wish.tries < 30:
             self.reactor.callLater(0.005, self.attempt, wish)
         elif wish.tries <= self.habits.retries:
-            self.reactor.callLater(max(wait, come_back), self.attempt, wish)
+            self.reactor.callLater(max(wait, retry_after), self.attempt, wish)
         else:
             self.gave_up(wish)
 
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -36,7 +36,7 @@
 class Task:
     """One call-out at the runner."""
 
-    fn: str
+    function: str
     work: float  # seconds on a yardstick core
     memory: float
     lanes: int
@@ -87,7 +87,7 @@
         self.paused = False  # nothing moves
         self.kept: deque[Callable[[], None]] = deque()  # what a pause holds up
         self.pushed: deque[tuple[float, float]] = deque()  # work that came, while cold
-        self.load_fails: Callable[[str], bool] = lambda fn: False
+        self.load_fails: Callable[[str], bool] = lambda function: False
         self.report_late = 0.0
         self.reports: deque[tuple[float, dict[str, float]]] = deque()
         reactor.callLater(0.5, self.sweep)
@@ -133,7 +133,7 @@
     # calls
 
     def run(self, task: Task) -> None:
-        copies = self.of(task.fn, task.memory, task.lanes, task.load)
+        copies = self.of(task.function, task.memory, task.lanes, task.load)
         task.company = copies.tasks
         self.push(task.work)
         if self.dead:
@@ -182,12 +182,12 @@
         cores = max(1, self.facts.cores - self.taken)
         while self.queue:
             task = self.queue.popleft()
-            copies = self.copies[task.fn]
+            copies = self.copies[task.function]
             if copies.busy < copies.standing * copies.lanes and self.running < cores:
                 self.start(task, copies)
                 continue
             if not copies.loading and copies.busy >= copies.standing * copies.lanes:
-                self.load(task.fn)
+                self.load(task.function)
             waiting.append(task)
         self.queue = waiting
 
@@ -216,7 +216,7 @@
             return False
         if not task.running and self.facts.drops_waiting and task in self.queue:
             self.queue.remove(task)
-            self.copies[task.fn].tasks -= 1
+            self.copies[task.function].tasks -= 1
             self.answer(task, "cancelled")
             return True
         if task.running and self.facts.stops_running:
@@ -226,10 +226,10 @@
 
     # copies
 
-    def of(self, fn: str, memory: float, lanes: int, load: float) -> Copies:
-        if fn not in self.copies:
-            self.copies[fn] = Copies(memory, max(1, lanes), load)
-        return self.copies[fn]
+    def of(self, function: str, memory: float, lanes: int, load: float) -> Copies:
+        if function not in self.copies:
+            self.copies[function] = Copies(memory, max(1, lanes), load)
+        return self.copies[function]
 
     def used(self) -> float:
         return sum(c.memory * (c.standing + c.loading) for c in self.copies.values())
@@ -243,41 +243,41 @@
                 copies.standing -= 1
         return self.used() + memory <= self.facts.memory
 
-    def load(self, fn: str) -> bool:
-        copies = self.copies[fn]
+    def load(self, function: str) -> bool:
+        copies = self.copies[function]
         if not self.room(copies.memory):
             return False
         copies.loading += 1
-        self.load_queue.append(fn)
+        self.load_queue.append(function)
         self.next_load()
         return True
 
     def next_load(self) -> None:
         while self.load_queue and self.loads < self.facts.loads and not self.dead:
-            fn = self.load_queue.popleft()
+            function = self.load_queue.popleft()
             self.loads += 1
-            self.fetch(fn, self.copies[fn])
+            self.fetch(function, self.copies[function])
 
-    def fetch(self, fn: str, copies: Copies) -> None:
+    def fetch(self, function: str, copies: Copies) -> None:
         def done(ok: bool) -> None:
             copies.fetches.remove(fetch)
-            if not ok or self.load_fails(fn):
-                return self.when_awake(lambda: self.loaded(fn, False))
+            if not ok or self.load_fails(function):
+                return self.when_awake(lambda: self.loaded(function, False))
             rest = copies.load * (1 - self.facts.fetch_share) * self.slower
-            self.reactor.callLater(rest, self.when_awake, lambda: self.loaded(fn, True))
+            self.reactor.callLater(rest, self.when_awake, lambda: self.loaded(function, True))
 
         fetch = self.store.fetch(copies.load * self.facts.fetch_share, done)
         copies.fetches.append(fetch)
 
-    def loaded(self, fn: str, ok: bool) -> None:
-        copies = self.copies[fn]
+    def loaded(self, function: str, ok: bool) -> None:
+        copies = self.copies[function]
         self.loads -= 1
         copies.loading -= 1
         copies.used = self.reactor.seconds()
         copies.standing += ok
         if not ok and not copies.standing and not copies.loading:
             failed = "miss" if self.facts.absent == "miss" else "error"
-            for task in [t for t in self.queue if t.fn == fn]:
+            for task in [t for t in self.queue if t.function == function]:
                 self.queue.remove(task)
                 copies.tasks -= 1
                 self.answer(task, failed, "load failed")
@@ -294,26 +294,32 @@
                 done("ok" if copies.standing >= count else "full" if ok else "error", copies.standing)
 
     def hold(
-        self, fn: str, count: int, memory: float, lanes: int, load: float, done: Callable[[str, int], None]
+        self,
+        function: str,
+        count: int,
+        memory: float,
+        lanes: int,
+        load: float,
+        done: Callable[[str, int], None],
     ) -> None:
-        copies = self.of(fn, memory, lanes, load)
+        copies = self.of(function, memory, lanes, load)
         if count and self.draining:
             return done("full", copies.standing)
         if count:
             copies.used = self.reactor.seconds()
-        while copies.standing + copies.loading < count and self.load(fn):
+        while copies.standing + copies.loading < count and self.load(function):
             pass
         copies.orders.append((count, done))
         self.settle(copies)
 
-    def unload(self, fn: str) -> None:
+    def unload(self, function: str) -> None:
         """Drop idle copies, and loads that wait or are being fetched; a copy that starts already goes on."""
-        copies = self.copies.get(fn)
+        copies = self.copies.get(function)
         if copies is None or copies.tasks:
             return
         copies.standing -= copies.idle()
-        waiting = self.load_queue.count(fn)
-        self.load_queue = deque(name for name in self.load_queue if name != fn)
+        waiting = self.load_queue.count(function)
+        self.load_queue = deque(name for name in self.load_queue if name != function)
         for fetch in copies.fetches:
             self.store.call_off(fetch)
         self.loads -= len(copies.fetches)
@@ -327,9 +333,9 @@
         if self.dead:
             return
         now = self.reactor.seconds()
-        for fn, copies in list(self.copies.items()):
+        for function, copies in list(self.copies.items()):
             if now - copies.used > self.facts.idle_life and not copies.tasks:
                 copies.standing = 0
                 if not copies.loading and not copies.orders:
-                    del self.copies[fn]
+                    del self.copies[function]
         self.reactor.callLater(0.5, self.sweep)
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -76,7 +76,7 @@
     def told(self, status: plans.Status) -> None:
         """A share that changed did so since the status before this one."""
         for one in status.rollouts:
-            version = f"{one.fn}@{one.candidate}"
+            version = f"{one.function}@{one.candidate}"
             if self.shares.get(version, 0.0) != one.share:
                 self.shares[version] = one.share
                 since = self.tape.moment(self.seen)
@@ -94,7 +94,7 @@
         if order is None:
             return
         self.replies.append(reply)
-        version = f"{order.fn}@{order.candidate}"
+        version = f"{order.function}@{order.candidate}"
         if order.what == "back" and reply.outcome == "done":
             self.tape.put("planner", "back", version=version)
         self.tape.put("planner", "order", said=order.what, version=version, outcome=reply.outcome)
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -114,16 +114,23 @@
         self.begin()
 
     def ask(
-        self, fn: str = "7f3a9c21e0b4d655", method: str = "search", id: str = "", patience: str = "2000",
-        body: bytes = b"hello", whole: bool = True, script: str = "", **fields: str,
-    ) -> int:  # fmt: skip
+        self,
+        function: str = "7f3a9c21e0b4d655",
+        method: str = "search",
+        id: str = "",
+        patience: str = "2000",
+        body: bytes = b"hello",
+        whole: bool = True,
+        script: str = "",
+        **fields: str,
+    ) -> int:
         """Send a request; `fields` are further ones by their CGI names, empty ones are left out."""
         self.last += 1
         told = {
             "SCRIPT_NAME": script or f"/invoke/{method}",
             "HTTP_X_CALL_ID": id or f"{self.last:016x}",
             "HTTP_X_PATIENCE_MS": patience,
-            "HTTP_X_ENTITY": fn,
+            "HTTP_X_ENTITY": function,
             "HTTP_X_WEIGHT_MS": "8.2",
             "HTTP_X_ATTRS": "memory_mb:512;lanes:2",
         } | fields
@@ -365,7 +372,7 @@
         try:
             hand.follow(lambda: board.asked and all(runner.lines for runner in runners))
             client = WebServer(hand, port)
-            numbers = [client.ask(fn=f"{i % 3:016x}", body=b"call %d" % i) for i in range(6)]
+            numbers = [client.ask(function=f"{i % 3:016x}", body=b"call %d" % i) for i in range(6)]
             hand.follow(lambda: all(client.status(n) is not None for n in numbers))
             for number in numbers:
                 print(number, client.status(number), client.body(number) if client.status(number) else "")
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -54,12 +54,12 @@
     def __init__(self) -> None:
         self.took: dict[tuple[str, int], float] = {}
 
-    def repeats(self, fn: str, token: int | None, came: float, remembered: float) -> bool:
-        return token is not None and self.took.get((fn, token), -1e9) >= came - remembered
+    def repeats(self, function: str, token: int | None, came: float, remembered: float) -> bool:
+        return token is not None and self.took.get((function, token), -1e9) >= came - remembered
 
-    def note(self, fn: str, token: int | None, now: float) -> None:
+    def note(self, function: str, token: int | None, now: float) -> None:
         if token is not None:
-            self.took[fn, token] = now
+            self.took[function, token] = now
 
 
 class RunnerStandIn:
@@ -77,7 +77,9 @@
         self.engine = Engine(reactor, facts, store, self.fall, cold)
         self.faults: dict[str, Fault] = {}  # by the name of a version
         self.chance = Weather(seed=start + 1)
-        self.engine.load_fails = lambda fn: self.chance.chance(self.faults.get(fn, SOUND).load_errors)
+        self.engine.load_fails = lambda function: self.chance.chance(
+            self.faults.get(function, SOUND).load_errors
+        )
         self.speakers: dict[RunnerSpeaker, None] = {}
         self.tasks: dict[tuple[Any, int], Task] = {}  # by the edge's connection and number
         self.count = 0
@@ -137,14 +139,14 @@
                 if task := self.tasks.get((edge, message.call)):
                     engine.cancel(task)
             case wire.Hold():
-                load = self.loads.get(message.fn, 500.0) / 1000
+                load = self.loads.get(message.function, 500.0) / 1000
 
                 def held(outcome: Any, count: int) -> None:
                     engine.when_awake(lambda: say(wire.Held(message.order, outcome, count)))
 
-                engine.hold(message.fn, message.count, message.memory, message.lanes, load, held)
+                engine.hold(message.function, message.count, message.memory, message.lanes, load, held)
             case wire.Unload():
-                engine.unload(message.fn)
+                engine.unload(message.function)
             case wire.Probe():
                 engine.when_awake(lambda: say(wire.Probed(message.probe, self.report("on_probe"))))
 
@@ -157,15 +159,15 @@
         except msgspec.MsgspecError:
             body = Body()
         did = [False]
-        engine, fault = self.engine, self.faults.get(run.fn, SOUND)
+        engine, fault = self.engine, self.faults.get(run.function, SOUND)
         busy = engine.running / engine.facts.cores
         came = self.reactor.seconds()
         fault = fault if fault.shows(run.customer, busy, came) else SOUND
 
         def begin(task: Task) -> bool:
-            if self.tokens.repeats(run.fn, run.token, came, self.facts.remembers):
+            if self.tokens.repeats(run.function, run.token, came, self.facts.remembers):
                 return False
-            self.tokens.note(run.fn, run.token, self.reactor.seconds())
+            self.tokens.note(run.function, run.token, self.reactor.seconds())
             did[0] = True
             if self.tape is not None:
                 self.tape.put(
@@ -185,8 +187,8 @@
                 )
             )  # fmt: skip
 
-        load = self.loads.get(run.fn, body.load) / 1000
-        task = Task(run.fn, body.work * fault.slower / 1000, run.memory, run.lanes, load, end, begin)
+        load = self.loads.get(run.function, body.load) / 1000
+        task = Task(run.function, body.work * fault.slower / 1000, run.memory, run.lanes, load, end, begin)
         self.tasks[edge, run.call] = task
         engine.run(task)
 
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -90,7 +90,7 @@
 class Version(Shape):
     """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back` (0: not)."""
 
-    fn: str = "fn-0"
+    function: str = field(name="fn", default="fn-0")
     candidate: str = "v2"
     at: Span = Span(20_000)
     back: Span = Span(0)
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -136,7 +136,7 @@
         """The day's rollouts, by an operator who gives each order until it is answered."""
         operator = self.operator = Operator(self.reactor, lambda: self.deployment.planner.port, self.tape)
         for version in self.day.rollouts:
-            wrong, name = version.wrong, f"{version.fn}@{version.candidate}"
+            wrong, name = version.wrong, f"{version.function}@{version.candidate}"
             at, back = version.at / SECOND, version.back / SECOND
             self.faults[name] = Fault(
                 wrong.errors, wrong.slower, wrong.load_errors, wrong.when_busy, wrong.customer,
@@ -147,9 +147,15 @@
             steps = tuple(step / 100 for step in version.steps)
             for when, what in orders:
                 order = Order(
-                    f"{what} {name} at {when}", what, version.fn, "script", "", version.candidate, steps,
+                    f"{what} {name} at {when}",
+                    what,
+                    version.function,
+                    "script",
+                    "",
+                    version.candidate,
+                    steps,
                     version.remembered / 10,
-                )  # fmt: skip
+                )
                 self.reactor.callLater(when, operator.give, order)
 
     def edge_deployment(self, number: int) -> Deployment:
@@ -283,8 +289,8 @@
         return self.random.choices(self.functions, cum_weights=self.weights)[0]
 
     def wish(self) -> None:
-        fn, deployment = self.pick(), self.deployment
-        method, mix = deployment.methods[fn.method], self.day.traffic.methods[fn.method]
+        function, deployment = self.pick(), self.deployment
+        method, mix = deployment.methods[function.method], self.day.traffic.methods[function.method]
         self.count += 1
         work = self.random.gammavariate(4.0, mix.work / 10 / 4.0)
         stray = self.day.traffic.hints
@@ -293,11 +299,21 @@
         shares = [max(c.share, 1e-9) for c in customers.values()]
         customer = self.random.choices(list(customers), shares)[0] if customers else ""
         wish = Wish(
-            f"op{self.count}", fn.name, fn.method, customer, fn.memory, fn.lanes, round(work, 2), hint,
-            self.count if method.effect == "tokened" else None, method.effect, method.repeats_dropped_by,
-            method.deadline / SECOND, self.reactor.seconds(),
+            f"op{self.count}",
+            function.name,
+            function.method,
+            customer,
+            function.memory,
+            function.lanes,
+            round(work, 2),
+            hint,
+            self.count if method.effect == "tokened" else None,
+            method.effect,
+            method.repeats_dropped_by,
+            method.deadline / SECOND,
+            self.reactor.seconds(),
             abuses=bool(self.crowd.habits.abuse) and self.random.random() < self.crowd.habits.abuse,
-        )  # fmt: skip
+        )
         self.crowd.want(wish)
 
     # what troubles need
--- a/lapistrestle/wire/messages.py
+++ b/lapistrestle/wire/messages.py
@@ -57,7 +57,7 @@
     """An RPC. `left` is what the client still waits; `key` stays the same over its retries."""
 
     id: Name
-    fn: Name
+    function: Name = msgspec.field(name="fn")
     method: Name
     left: Millis
     customer: str = ""
@@ -88,7 +88,7 @@
 
     id: Name
     verdict: Literal["ok", "denied", "aborted"]
-    come_back: Millis = 0.0
+    retry_after: Millis = msgspec.field(name="come_back", default=0.0)
     body: Raw = NO_BODY
 
 
@@ -109,8 +109,8 @@
 
 class Run(Message, tag="run"):
     call: Number
-    rpc: str
-    fn: Name
+    request: str = msgspec.field(name="rpc")
+    function: Name = msgspec.field(name="fn")
     method: Name
     within: Millis
     customer: str = ""
@@ -129,14 +129,14 @@
     """Hold at least `count` copies; 0 only asks how many stand."""
 
     order: Number
-    fn: Name
+    function: Name = msgspec.field(name="fn")
     count: Annotated[int, Meta(ge=0, le=16)]
     memory: Memory = 0.0
     lanes: Lanes = 1
 
 
 class Unload(Message, tag="unload"):
-    fn: Name
+    function: Name = msgspec.field(name="fn")
 
 
 class Probe(Message, tag="probe"):
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -18,7 +18,7 @@
     candidate is what runs, and the version before it is still kept.
     """
 
-    fn: Name
+    function: Name = field(name="fn")
     settled: str = ""
     candidate: str = ""
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0
@@ -58,7 +58,7 @@
 class Counts(Message, tag="counts"):
     """An edge's running counts of a minute: settled, bad of them, candidate, bad of them."""
 
-    fn: Name
+    function: Name = field(name="fn")
     candidate: Name
     step: int
     minute: int
@@ -69,7 +69,7 @@
     """The share that the copies of both versions stand for as far as this edge can tell, and what is missing
     for more; each second."""
 
-    fn: Name
+    function: Name = field(name="fn")
     candidate: Name
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0
     lacks: str = ""
@@ -80,7 +80,7 @@
 
     id: Name
     what: Literal["start", "advance", "hold", "resume", "back"]
-    fn: Name
+    function: Name = field(name="fn")
     who: Name
     why: str = ""
     candidate: str = ""
@@ -105,7 +105,7 @@
 
 
 class RolloutStatus(Struct):
-    fn: str
+    function: str = field(name="fn")
     settled: str
     candidate: str
     state: str
