--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,10 +2,10 @@
 
 from typing import Any
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
-from lapistrestle.interface import SrvFacts
-from lapistrestle.state import Fn, Rpc, Srv
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import WorkerInfo
+from lapistrestle.policy.state import Function, Request, Worker
 
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
@@ -39,11 +39,11 @@
     """A dispatcher that knows some warm workers, five seconds into its life."""
     settings = {**SETTINGS, "family-info": {**SETTINGS["family-info"], **info}}
     made = Dispatcher(Recorder(), words.facts(settings), 7, 0)
-    facts = [SrvFacts(f"w{i}", cell=i // 2) for i in range(workers)]
-    made.listed([(Srv(f.name), f) for f in facts], whole=True)
+    facts = [WorkerInfo(f"w{i}", cell=i // 2) for i in range(workers)]
+    made.listed([(Worker(f.name), f) for f in facts], whole=True)
     made.now = 50_000
     return made
 
 
-def rpc(made: Dispatcher, method: int = 0, name: str = "f") -> Rpc:
-    return Rpc("r", Fn(name, method, 100.0, 1), method, 0, made.now + 30_000)
+def request(made: Dispatcher, method: int = 0, name: str = "f") -> Request:
+    return Request("r", Function(name, method, 100.0, 1), method, 0, made.now + 30_000)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -4,7 +4,7 @@
 
 from lapistrestle.edge.program import Edge
 from lapistrestle.hosting.requests import ABORTED, DENIED
-from lapistrestle.interface import Listing
+from lapistrestle.policy.interface import EndpointState
 from lapistrestle.wire import messages as wire
 
 
@@ -31,9 +31,9 @@
 
 def test_rule_1_two_answers():
     def change(edge):
-        def twice(answer, pending, verdict, come_back, body):
-            answer(pending, verdict, come_back, body)
-            answer(pending, verdict, come_back, body)
+        def twice(answer, pending, verdict, retry_after, body):
+            answer(pending, verdict, retry_after, body)
+            answer(pending, verdict, retry_after, body)
 
         wrap(edge, "answer", twice)
 
@@ -69,13 +69,13 @@
     def change(edge):
         def again(answer, pending, *rest):
             answer(pending, *rest)
-            call_out = pending.call_outs[-1] if pending.call_outs else None
-            if call_out is not None:
+            attempt = pending.attempts[-1] if pending.attempts else None
+            if attempt is not None:
                 run = wire.Run(
-                    10**9 + edge.inputs, pending.tag, pending.fn.name, pending.message.method, 1000.0
+                    10**9 + edge.inputs, pending.tag, pending.function.name, pending.message.method, 1000.0
                 )
                 line = wire.encode(run) + b"\n"
-                edge.after(500, lambda _: edge.runners[call_out.srv.name].write(line), None)
+                edge.after(500, lambda _: edge.runners[attempt.worker.name].write(line), None)
 
         wrap(edge, "answer", again)
 
@@ -96,7 +96,7 @@
 
 def test_rule_2_a_repeat_that_may_have_run():
     def change(edge):
-        edge.host.module.allowed = lambda rpc, srv: True
+        edge.host.module.allowed = lambda request, worker: True
 
     rules, says = caught(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
     assert rules == {"2"} and ("side-effecting RPC is sent again" in says or "outside its cell" in says)
@@ -104,10 +104,10 @@
 
 def test_rule_2_two_at_once():
     def change(edge):
-        def both(run, attempt):
-            run(attempt)
-            others = [r for name, r in edge.runners.items() if name != attempt.srv.name and r.speaker]
-            message = wire.Run(10**9 + edge.inputs, attempt.pending.tag, "fn-1", "check-slot", 900.0)
+        def both(run, worker_call):
+            run(worker_call)
+            others = [r for name, r in edge.runners.items() if name != worker_call.worker.name and r.speaker]
+            message = wire.Run(10**9 + edge.inputs, worker_call.pending.tag, "fn-1", "check-slot", 900.0)
             for other in others[:1]:
                 other.write(wire.encode(message) + b"\n")
 
@@ -120,7 +120,7 @@
 def serving_for_ever(edge):
     def told(facts, known):
         made = facts(known)
-        made.listing = Listing.SERVING
+        made.listing = EndpointState.SERVING
         return made
 
     wrap(edge.following, "facts", told)
@@ -137,7 +137,7 @@
 def test_rule_3_orders_to_a_drained_runner():
     def change(edge):
         serving_for_ever(edge)
-        edge.host.module.candidates = lambda rpc, order: iter(())  # only its holds go out
+        edge.host.module.candidates = lambda request, order: iter(())  # only its holds go out
 
     rules, says = caught(
         change, day("slots", [{"kind": "deploy", "share": 0.9, "lasts": "1 s"}], roster_lag="100 ms")
@@ -166,7 +166,7 @@
 
 def test_rule_4_no_care_for_cold_runners():
     def change(edge):
-        edge.host.module.cold_room = lambda srv, rpc: True
+        edge.host.module.cold_room = lambda worker, request: True
 
     rules, says = caught(change, REPLACED)
     assert rules == {"4"} and "fell over" in says
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -5,11 +5,11 @@
 from zlib import crc32
 
 import pytest
-from helpers import Recorder, dispatcher, rpc
+from helpers import Recorder, dispatcher, request
 
-from lapistrestle.choice import SECOND
-from lapistrestle.interface import Answer, CallOut, Listing, Outcome, SrvFacts, Warmth
-from lapistrestle.state import Fn, Input, Order, Srv, State, Sum, Zone
+from lapistrestle.policy.dispatcher import SECOND
+from lapistrestle.policy.interface import Answer, Attempt, EndpointState, LoadState, Outcome, WorkerInfo
+from lapistrestle.policy.state import DecayingSum, Function, Input, Order, State, Worker, Zone
 
 
 def acts(made, word):
@@ -20,10 +20,10 @@
 
 def test_the_order_is_the_same_everywhere_and_moves_little():
     a, b = dispatcher(8), dispatcher(8)
-    fns = [Fn(f"f{i}") for i in range(200)]
-    homes = [a.walk(fn)[0].name for fn in fns]
-    b.listed([(Srv("new"), SrvFacts("new"))], whole=False)
-    moved = [b.walk(Fn(fn.name))[0].name for fn in fns]
+    functions = [Function(f"f{i}") for i in range(200)]
+    homes = [a.walk(function)[0].name for function in functions]
+    b.listed([(Worker("new"), WorkerInfo("new"))], whole=False)
+    moved = [b.walk(Function(function.name))[0].name for function in functions]
     changed = [(old, new) for old, new in zip(homes, moved, strict=True) if old != new]
     assert 0 < len(changed) < 50 and {new for _, new in changed} == {"new"}
 
@@ -33,76 +33,76 @@
     made = dispatcher(8)
     made.facts = {**made.facts, "dispatchers": front_ends}
     pairs = set(pairwise(made.ring + made.ring[:1]))
-    orders = [made.walk(Fn(f"f{i}")) for i in range(100)]
+    orders = [made.walk(Function(f"f{i}")) for i in range(100)]
     assert all(set(order) == set(made.ring) for order in orders)
     along = sum((order[0], order[1]) in pairs for order in orders)
     assert along == 100 if runs else along < 40
-    assert [made.walk(Fn(f"f{i}"))[0] for i in range(100)] == [order[0] for order in orders]
+    assert [made.walk(Function(f"f{i}"))[0] for i in range(100)] == [order[0] for order in orders]
 
 
 @pytest.mark.parametrize(
     ("method", "outcome", "word"),
-    [(2, Outcome.ERROR, "abort"), (2, Outcome.FULL, "call_out"), (0, Outcome.ERROR, "call_out")],
+    [(2, Outcome.ERROR, "abort"), (2, Outcome.REJECTED, "send_attempt"), (0, Outcome.ERROR, "send_attempt")],
 )
 def test_what_may_have_run_goes_out_again_only_where_the_method_allows(method, outcome, word):
     made = dispatcher()
-    one = rpc(made, method)
+    one = request(made, method)
     made.arrived(one)
-    made.ended(one.call_outs[0], outcome, Answer(5))
+    made.ended(one.attempts[0], outcome, Answer(5))
     assert made.host.acts[-1][0] == word and one.over == (word == "abort")
 
 
 def test_a_tokened_repeat_stays_in_its_cell_and_window():
     made = dispatcher(6)
-    one = rpc(made, 1)
+    one = request(made, 1)
     made.arrived(one)
-    one.ran_on, one.ran_at = one.call_outs[0].srv, made.now
-    assert {s.cell for s in made.srvs if made.allowed(one, s)} == {one.ran_on.cell}
+    one.ran_on, one.ran_at = one.attempts[0].worker, made.now
+    assert {s.cell for s in made.workers if made.allowed(one, s)} == {one.ran_on.cell}
     made.now += 20_000
-    assert not any(made.allowed(one, s) for s in made.srvs)
+    assert not any(made.allowed(one, s) for s in made.workers)
 
 
 def test_nothing_goes_to_a_draining_worker_nor_is_ordered_there():
     made = dispatcher(1)
-    one, srv = rpc(made), made.srvs[0]
-    made.listed([(srv, SrvFacts(srv.name, listing=Listing.DRAINING))], whole=False)
+    one, worker = request(made), made.workers[0]
+    made.listed([(worker, WorkerInfo(worker.name, listing=EndpointState.DRAINING))], whole=False)
     made.arrived(one)
-    assert one.state is State.OVER and acts(made, "deny") and not acts(made, "call_out")
-    assert not made.order(one.fn.spot(srv), 1) and not acts(made, "order")
+    assert one.state is State.OVER and acts(made, "deny") and not acts(made, "send_attempt")
+    assert not made.order(one.function.replica(worker), 1) and not acts(made, "order")
 
 
 def test_names_that_differ_little_have_homes_spread_evenly_over_the_workers():
     """Drawn by a linear checksum, one worker in forty was home of 13 times as many functions as another."""
     made = dispatcher(0)
-    facts = [SrvFacts(f"s-{crc32(str(i).encode()):08x}") for i in range(40)]
-    made.listed([(Srv(f.name), f) for f in facts], whole=True)
-    fns = [Fn(f"000000{i:08x}01") for i in range(2_000)]
-    homes = Counter(made.walk(fn)[0] for fn in fns)
-    assert min(homes[srv] for srv in made.srvs) >= 25 and max(homes.values()) <= 80
+    facts = [WorkerInfo(f"s-{crc32(str(i).encode()):08x}") for i in range(40)]
+    made.listed([(Worker(f.name), f) for f in facts], whole=True)
+    functions = [Function(f"000000{i:08x}01") for i in range(2_000)]
+    homes = Counter(made.walk(function)[0] for function in functions)
+    assert min(homes[worker] for worker in made.workers) >= 25 and max(homes.values()) <= 80
 
 
 def test_orders_stay_within_their_budget():
     made = dispatcher(1)
     made.taken.extend([made.now] * 10)
-    spot = Fn("f").spot(made.srvs[0])
-    assert [made.order(spot, 1) for _ in range(5)] == [True] * 4 + [False]
+    replica = Function("f").replica(made.workers[0])
+    assert [made.order(replica, 1) for _ in range(5)] == [True] * 4 + [False]
     made.now += 50_001
-    assert not made.order(spot, 1)  # without answer they may be about to cross
+    assert not made.order(replica, 1)  # without answer they may be about to cross
     for _ in range(4):
-        made.ordered(made.srvs[0], spot.fn, Outcome.OK, 1, 10)
-    assert [made.order(spot, 1) for _ in range(3)] == [True, True, False]
+        made.ordered(made.workers[0], replica.function, Outcome.OK, 1, 10)
+    assert [made.order(replica, 1) for _ in range(3)] == [True, True, False]
 
 
 def test_an_order_that_was_long_on_the_way_counts_from_when_it_may_have_crossed():
     """A link that was cut for seconds let all that lay on it through at once (split days)."""
     made = dispatcher(1, **{"free-loads": 5})
-    fn, srv = Fn("f"), made.srvs[0]
+    function, worker = Function("f"), made.workers[0]
     for took in (6_000, 6_000, 40_000):
-        assert made.order(fn.spot(srv), 1)
+        assert made.order(function.replica(worker), 1)
         made.now += took
-        made.ordered(srv, fn, Outcome.OK, 1, took)
+        made.ordered(worker, function, Outcome.OK, 1, took)
     made.now += 20_000  # the first two have left the window, the last crossed 3.2 s ago at the earliest
-    made.order(fn.spot(srv), 1)
+    made.order(function.replica(worker), 1)
     assert made.orders == [made.now - 32_000]
 
 
@@ -110,15 +110,15 @@
     """A dispatcher that stood still for a second counted what lay in its sockets a second too long."""
     made = dispatcher(1)
     for late in (9_000, 0):
-        read = rpc(made)
+        read = request(made)
         read.came = made.now - late
         made.arrived(read)
     made.now += 45_000
-    made.order(Fn("g").spot(made.srvs[0]), 1)
+    made.order(Function("g").replica(made.workers[0]), 1)
     assert list(made.taken) == [50_000]
     made.facts = {**made.facts, "order_lag": 300}
     made.now += 4_800  # by the time that an order crosses the other has left too
-    made.order(Fn("g").spot(made.srvs[0]), 1)
+    made.order(Function("g").replica(made.workers[0]), 1)
     assert not made.taken
 
 
@@ -128,17 +128,17 @@
     made.facts = {**made.facts, "order_window": window, "may_order": False}
     for _ in range(50):
         made.now += 5_000
-        made.arrived(rpc(made))
+        made.arrived(request(made))
     assert len(made.taken) == window // 5_000
 
 
 def test_an_rpc_that_is_placed_anew_under_another_version_counts_once():
     made = dispatcher(2)
-    made.arrived(rpc(made))
-    again = rpc(made, name="f@v2")
+    made.arrived(request(made))
+    again = request(made, name="f@v2")
     again.moved = True
     made.arrived(again)
-    assert len(made.taken) == 1 and again.call_outs
+    assert len(made.taken) == 1 and again.attempts
 
 
 @pytest.mark.parametrize("front_ends", [1, 3, 200])
@@ -147,32 +147,32 @@
     for me in range(front_ends):
         made = dispatcher(2)
         made.facts = {**made.facts, "me": me, "dispatchers": front_ends}
-        cold, warm = made.srvs
+        cold, warm = made.workers
         cold.booted = made.now
         made.ok_weight.add(made.now, 400_000.0 / 1.2 / front_ends)
         budget += made.rate(made.ok_weight) * 0.7 * 2.0 * 0.2 * 20_000 / made.weight(0)
-        while made.cold_room(cold, rpc(made)):
+        while made.cold_room(cold, request(made)):
             cold.sends.append((made.now, made.weight(0)))
             sent += 1
-        assert made.cold_room(warm, rpc(made))
+        assert made.cold_room(warm, request(made))
     assert budget - 1 <= sent <= budget + 1.5
 
 
 def test_zones_follow_the_window_and_come_back_as_warning():
     made = dispatcher(1)
-    spot = Fn("f", iso=1_000.0).spot(made.srvs[0])
-    spot.window.extend([int(made.bound(spot.fn)) * 2] * 10)
-    made.judge_zone(spot)
-    assert made.zone(spot) is Zone.UNSAFE and made.capacity(spot) == 0
+    replica = Function("f", iso=1_000.0).replica(made.workers[0])
+    replica.window.extend([int(made.bound(replica.function)) * 2] * 10)
+    made.judge_zone(replica)
+    assert made.zone(replica) is Zone.UNSAFE and made.capacity(replica) == 0
     made.now += 2 * SECOND
-    assert made.zone(spot) is Zone.WARNING and not spot.window
+    assert made.zone(replica) is Zone.WARNING and not replica.window
 
 
 def test_a_failing_worker_is_suspect_and_tried_again_by_a_trickle():
     made = dispatcher(3)
-    bad = made.srvs[0]
-    for srv in made.srvs[1:] * 10:
-        made.judge_health(srv, False, made.now)
+    bad = made.workers[0]
+    for worker in made.workers[1:] * 10:
+        made.judge_health(worker, False, made.now)
     for _ in range(3):
         made.judge_health(bad, True, made.now)
     assert bad.suspect and not made.fit(bad)
@@ -185,187 +185,187 @@
 def test_a_fleet_that_ramps_together_does_not_inflate_the_cold_budget():
     made = dispatcher(4)
     made.ok_weight.add(made.now, 40_000.0 / 1.6)
-    for srv in made.srvs[:3]:
-        srv.booted = made.now
-        srv.sends.append((made.now, 10_000.0))
-    assert not made.cold_room(made.srvs[0], rpc(made))
+    for worker in made.workers[:3]:
+        worker.booted = made.now
+        worker.sends.append((made.now, 10_000.0))
+    assert not made.cold_room(made.workers[0], request(made))
 
 
 def test_a_function_heavier_than_its_method_fills_a_cold_worker_sooner():
     """A version five times slower than the others of its method pushed cold workers over."""
     made = dispatcher(2)
-    light, heavy = rpc(made), rpc(made, name="heavy")
+    light, heavy = request(made), request(made, name="heavy")
     assert made.heft(heavy) == made.heft(light) == made.weight(0)
-    heavy.fn.spot(made.srvs[0]).window.extend([20_000, 24_000])
+    heavy.function.replica(made.workers[0]).window.extend([20_000, 24_000])
     assert made.heft(heavy) == 22_000
-    heavy.fn.iso, heavy.scale = 15_000.0, 2.0
+    heavy.function.iso, heavy.scale = 15_000.0, 2.0
     assert made.heft(heavy) == 30_000 and made.heft(light) == made.weight(0)
     made.ok_weight.add(made.now, 100_000.0)
-    made.srvs[0].booted = made.now
+    made.workers[0].booted = made.now
     sent = {}
     for one in (light, heavy):
-        made.srvs[0].sends.clear()
-        while made.cold_room(made.srvs[0], one):
-            made.srvs[0].sends.append((made.now, made.heft(one)))
-        sent[one.fn.name] = len(made.srvs[0].sends)
+        made.workers[0].sends.clear()
+        while made.cold_room(made.workers[0], one):
+            made.workers[0].sends.append((made.now, made.heft(one)))
+        sent[one.function.name] = len(made.workers[0].sends)
     assert 0 <= sent["heavy"] < sent["f"]
 
 
-@pytest.mark.parametrize("left", [Listing.GONE, Listing.DRAINING])
+@pytest.mark.parametrize("left", [EndpointState.REMOVED, EndpointState.DRAINING])
 def test_a_fleet_that_shrinks_at_once_does_not_inflate_the_cold_budget(left):
     """Four fifths went and one came back cold: it was sent what the five had taken, and fell over."""
     made = dispatcher(10)
     made.light[0].add(made.now, 2_000)
 
     def room() -> int:
-        cold = made.srvs[0]
+        cold = made.workers[0]
         cold.booted, sent = made.now, 0
         cold.sends.clear()
-        while made.cold_room(cold, rpc(made)):
+        while made.cold_room(cold, request(made)):
             cold.sends.append((made.now, made.weight(0)))
             sent += 1
         return sent
 
     for _ in range(200):
-        one = rpc(made)
+        one = request(made)
         made.arrived(one)
-        made.ended(one.call_outs[0], Outcome.OK, Answer(2_000))
+        made.ended(one.attempts[0], Outcome.OK, Answer(2_000))
     before = room()
-    stays = [(made.srvs[0], SrvFacts("w0", booted=made.now))]
-    leaver = made.srvs[5]
-    made.listed(stays + [(s, SrvFacts(s.name, listing=left)) for s in made.srvs[1:]], whole=False)
-    late = rpc(made)
+    stays = [(made.workers[0], WorkerInfo("w0", booted=made.now))]
+    leaver = made.workers[5]
+    made.listed(stays + [(s, WorkerInfo(s.name, listing=left)) for s in made.workers[1:]], whole=False)
+    late = request(made)
     late.state = State.OUT
-    late.call_outs.append(CallOut(late, leaver, made.now))
-    late.fn.spot(leaver).begin(late.call_outs[0])
-    made.ended(late.call_outs[0], Outcome.OK, Answer(2_000))
+    late.attempts.append(Attempt(late, leaver, made.now))
+    late.function.replica(leaver).begin(late.attempts[0])
+    made.ended(late.attempts[0], Outcome.OK, Answer(2_000))
     assert 1 <= room() <= before
 
 
 def test_what_cannot_come_back_in_time_is_denied_at_once():
     made = dispatcher(2)
-    one = rpc(made)
-    one.deadline = made.now + int(made.iso(one.fn)) - 1
+    one = request(made)
+    one.deadline = made.now + int(made.iso(one.function)) - 1
     made.arrived(one)
-    assert one.over and acts(made, "deny") and not one.call_outs
+    assert one.over and acts(made, "deny") and not one.attempts
 
 
 def test_the_last_resort_denies_what_would_wait_past_its_soft_deadline():
     made = dispatcher(1)
-    srv, first = made.srvs[0], rpc(made)
-    spot = first.fn.spot(srv)
-    spot.copies, spot.seen = 1, made.now
+    worker, first = made.workers[0], request(made)
+    replica = first.function.replica(worker)
+    replica.copies, replica.seen = 1, made.now
     for _ in range(6):
-        last = rpc(made)
-        last.fn = first.fn
+        last = request(made)
+        last.function = first.function
         made.arrived(last)
-    assert last.over and not last.call_outs and acts(made, "deny")
+    assert last.over and not last.attempts and acts(made, "deny")
 
 
 def test_slow_or_failing_loads_mean_fewer_at_once():
     made = dispatcher(4)
-    before, fn = made.load_limit, Fn("f")
-    made.judge_load(fn, True, 30_000)
+    before, function = made.load_limit, Function("f")
+    made.judge_load(function, True, 30_000)
     slow = made.load_limit
-    made.judge_load(fn, True, 6_000)
+    made.judge_load(function, True, 6_000)
     assert 1 <= slow < before and made.load_limit > slow
 
 
 def test_a_load_does_not_make_a_worker_look_silent():
     made = dispatcher(1)
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
     made.now += 10 * SECOND
-    assert one.call_outs[0].cold and made.fit(made.srvs[0])
+    assert one.attempts[0].cold and made.fit(made.workers[0])
 
 
 def test_own_rpcs_beyond_the_pace_of_a_worker_make_it_unsafe_before_any_answer():
     made = dispatcher(1)
-    spot = Fn("f").spot(made.srvs[0])
-    spot.copies, spot.seen = 9, made.now
+    replica = Function("f").replica(made.workers[0])
+    replica.copies, replica.seen = 9, made.now
     for _ in range(6):
-        made.send(rpc(made), spot)
-    assert made.zone(spot) is Zone.UNSAFE
+        made.send(request(made), replica)
+    assert made.zone(replica) is Zone.UNSAFE
 
 
 def test_a_miss_is_answered_by_one_order_and_the_rpc_waits_for_it():
     made = dispatcher(1)
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(30))
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
     assert one.state is State.PARKED and acts(made, "order")[0][3] == 1
-    made.ordered(made.srvs[0], one.fn, Outcome.OK, 1, 6_000)
-    assert one.state is State.OUT and len(one.call_outs) == 2
+    made.ordered(made.workers[0], one.function, Outcome.OK, 1, 6_000)
+    assert one.state is State.OUT and len(one.attempts) == 2
 
 
 def test_a_full_answer_closes_the_whole_worker_until_its_next_ok_answer():
     made = dispatcher(1, **{"when-absent": "load"})
-    one, two = rpc(made), rpc(made, name="g")
-    two.fn.spot(made.srvs[0]).copies, two.fn.spots[made.srvs[0]].seen = 1, made.now
+    one, two = request(made), request(made, name="g")
+    two.function.replica(made.workers[0]).copies, two.function.replicas[made.workers[0]].seen = 1, made.now
     made.arrived(one)
-    made.ended(one.call_outs[0], Outcome.FULL, Answer(5))
+    made.ended(one.attempts[0], Outcome.REJECTED, Answer(5))
     made.arrived(two)
-    assert two.over and not two.call_outs
-    made.srvs[0].full_until = 0
-    three = rpc(made)
-    three.fn = two.fn
+    assert two.over and not two.attempts
+    made.workers[0].full_until = 0
+    three = request(made)
+    three.function = two.function
     made.arrived(three)
-    assert three.call_outs
+    assert three.attempts
 
 
 def test_rpcs_that_wait_for_a_load_go_on_when_the_copy_turns_out_to_stand():
     made = dispatcher(1)
-    one, two = rpc(made), rpc(made)
-    two.fn = one.fn
+    one, two = request(made), request(made)
+    two.function = one.function
     made.arrived(one)
     made.arrived(two)
     assert two.state is State.PARKED
-    made.ended(one.call_outs[0], Outcome.OK, Answer(900, over=True))
+    made.ended(one.attempts[0], Outcome.OK, Answer(900, over=True))
     assert two.state is State.OUT
 
 
 def test_a_queue_behind_a_cold_call_out_does_not_cut_the_load_limit():
     made = dispatcher(1, **{"when-absent": "load"})
-    srv, before = made.srvs[0], 5.0
+    worker, before = made.workers[0], 5.0
     made.load_limit = before
     for crowded in (True, False):
-        one = rpc(made)
-        made.send(one, one.fn.spot(srv))
-        srv.took.add(made.now, 900_000 if crowded else -900_000)
-        made.ended(one.call_outs[0], Outcome.OK, Answer(29_000, over=True))
+        one = request(made)
+        made.send(one, one.function.replica(worker))
+        worker.took.add(made.now, 900_000 if crowded else -900_000)
+        made.ended(one.attempts[0], Outcome.OK, Answer(29_000, over=True))
         assert (made.load_limit == before) == crowded
 
 
 def test_a_parked_rpc_is_answered_when_its_time_is_up():
     made = dispatcher(1)
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(30))
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
     made.woken(one)
     assert one.over and acts(made, "deny")
-    made.ordered(made.srvs[0], one.fn, Outcome.OK, 1, 6_000)
-    assert len(one.call_outs) == 1
+    made.ordered(made.workers[0], one.function, Outcome.OK, 1, 6_000)
+    assert len(one.attempts) == 1
 
 
 @pytest.mark.parametrize(("tries", "further", "went_on"), [(1, 0, True), (3, 0, False), (1, 9, False)])
 def test_further_call_outs_end_with_the_tries_and_with_failing_ones(tries, further, went_on):
     made = dispatcher(4, **{"when-absent": "load"})
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
-    one.call_outs[:0] = one.call_outs * (tries - 1)
+    one.attempts[:0] = one.attempts * (tries - 1)
     for _ in range(further):
         made.further.add(made.now, 0)
-    made.ended(one.call_outs[-1], Outcome.FULL, Answer(5))
+    made.ended(one.attempts[-1], Outcome.REJECTED, Answer(5))
     assert one.over != went_on
 
 
 def test_traffic_beyond_a_share_yields_first_under_pressure():
     made = dispatcher(2)
     made.facts = {**made.facts, "customers": [{"quota": 2.0}, {"quota": 900.0}]}
-    made.asked, made.out = [Sum(50_000), Sum(50_000)], 40
+    made.asked, made.out = [DecayingSum(50_000), DecayingSum(50_000)], 40
     made.asked[0].add(made.now, 1e6)
     made.ok_count.add(made.now, 110.0)
-    greedy, fair = rpc(made), rpc(made)
+    greedy, fair = request(made), request(made)
     fair.customer = 1
     assert made.soft(fair) / 2 < (40 - 1 - 2 * 40**0.5) / made.rate(made.ok_count) < made.soft(fair)
     assert made.admit(greedy, None) is Input.NOWHERE and made.admit(fair, None) is Input.ADMITTED
@@ -376,8 +376,8 @@
     made = dispatcher(3)
     made.out = 4
     made.ok_count.add(made.now, 9.0)
-    assert made.out / made.rate(made.ok_count) > made.soft(rpc(made))
-    assert made.admit(rpc(made), None) is Input.ADMITTED and not made.pressed
+    assert made.out / made.rate(made.ok_count) > made.soft(request(made))
+    assert made.admit(request(made), None) is Input.ADMITTED and not made.pressed
 
 
 def front_end_of_many(**info):
@@ -388,70 +388,70 @@
 
 def test_after_a_miss_away_from_home_the_home_is_tried_and_nothing_is_loaded_for_it():
     made = front_end_of_many(**{"says-company": True})
-    one = rpc(made)
+    one = request(made)
     one.deadline = made.now + 30_000
-    home, second = made.walk(one.fn)[:2]
+    home, second = made.walk(one.function)[:2]
     one.state = State.PLACING
-    made.send(one, one.fn.spot(second))
+    made.send(one, one.function.replica(second))
     one.state = State.OUT
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(10))
-    assert [c.srv for c in one.call_outs] == [second, home] and not acts(made, "order")
-    made.ended(one.call_outs[1], Outcome.MISS, Answer(10))
-    assert acts(made, "order") and one.fn.spot(home).waiters == [one]
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert [c.worker for c in one.attempts] == [second, home] and not acts(made, "order")
+    made.ended(one.attempts[1], Outcome.NOT_LOADED, Answer(10))
+    assert acts(made, "order") and one.function.replica(home).waiters == [one]
 
 
 def test_a_miss_at_the_first_that_may_be_used_does_not_go_on_along_the_order():
     made = front_end_of_many()
-    one = rpc(made)
-    first, second = made.walk(one.fn)[:2]
+    one = request(made)
+    first, second = made.walk(one.function)[:2]
     first.suspect, first.due, made.suspects = True, made.now + 9 * SECOND, 1  # the home is out of use
-    one.call_outs = [CallOut(one, second, made.now, outcome=Outcome.MISS)]
-    assert made.missed(one, one.fn.spot(second)) is Input.WAITS and not acts(made, "call_out")
+    one.attempts = [Attempt(one, second, made.now, outcome=Outcome.NOT_LOADED)]
+    assert made.missed(one, one.function.replica(second)) is Input.WAITS and not acts(made, "send_attempt")
     assert [o[1] for o in acts(made, "order")] == [second]
 
 
 @pytest.mark.parametrize(("stretch", "within"), [(1.0, 6_667), (3.0, 10_000)])
 def test_who_meets_workers_seldom_waits_to_the_soft_deadline(stretch, within):
     made = dispatcher()
-    one, made.stretch = rpc(made), stretch
-    one.began, spot = made.now, one.fn.spot(made.srvs[0])
-    one.fn.iso = 500.0
-    assert abs(made.time_out(one, spot, False) - within) <= 1
+    one, made.stretch = request(made), stretch
+    one.began, replica = made.now, one.function.replica(made.workers[0])
+    one.function.iso = 500.0
+    assert abs(made.time_out(one, replica, False) - within) <= 1
 
 
 @pytest.mark.parametrize(
-    ("told", "made_lately", "word"), [(None, 20, "call_out"), (2.0, 20, "deny"), (2.0, 5, "call_out")]
+    ("told", "made_lately", "word"), [(None, 20, "send_attempt"), (2.0, 20, "deny"), (2.0, 5, "send_attempt")]
 )
 def test_the_budget_of_the_fleet_bounds_further_call_outs_where_it_is_told(told, made_lately, word):
     made = dispatcher()
     made.facts = {**made.facts, **({} if told is None else {"further": told})}
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
     made.ok_count.add(made.now, 100)
     for _ in range(made_lately):
         made.further.add(made.now, 1)
-    made.ended(one.call_outs[0], Outcome.ERROR, Answer(5))
+    made.ended(one.attempts[0], Outcome.ERROR, Answer(5))
     assert made.host.acts[-1][0] == word
 
 
 def test_a_miss_that_comes_when_no_worker_is_left_is_denied_at_once():
     made = dispatcher(1)
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
     made.listed([], whole=True)
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(10))
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
     assert one.over and len(acts(made, "deny")) == 1 and not acts(made, "order")
 
 
 def test_a_miss_is_believed_no_longer_than_a_load_takes():
     made = front_end_of_many()
-    spot = Fn("f", load=10_000).spot(made.srvs[0])
-    spot.missing = made.now
-    assert not made.presumed(spot)
+    replica = Function("f", load=10_000).replica(made.workers[0])
+    replica.missing = made.now
+    assert not made.presumed(replica)
     made.now += 20_001
-    assert made.presumed(spot)
-    spot.fn.load = None
-    assert not made.presumed(spot)
+    assert made.presumed(replica)
+    replica.function.load = None
+    assert not made.presumed(replica)
 
 
 @pytest.mark.parametrize(("company", "took", "orders"), [(0, 9_000, 0), (1, 100, 0), (1, 9_000, 1)])
@@ -460,105 +460,107 @@
     made.load_limit = 5.0
     for _ in range(3):
         made.light[0].add(made.now, 1_000)
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
-    home = one.call_outs[0].srv
-    made.ended(one.call_outs[0], Outcome.OK, Answer(took, True, Warmth.STOOD, company))
+    home = one.attempts[0].worker
+    made.ended(one.attempts[0], Outcome.OK, Answer(took, True, LoadState.LOADED, company))
     loads = acts(made, "order")
-    assert len(loads) == orders and all(o[1] is made.walk(one.fn)[1] and home is not o[1] for o in loads)
+    assert len(loads) == orders and all(
+        o[1] is made.walk(one.function)[1] and home is not o[1] for o in loads
+    )
 
 
 def test_a_client_that_gives_up_before_the_wait_ends_is_denied_at_once():
     made = dispatcher(1)
-    first, patient, one = rpc(made), rpc(made), rpc(made)
-    spot = first.fn.spot(made.srvs[0])
-    spot.copies, spot.seen = 1, made.now
-    patient.fn = one.fn = first.fn
+    first, patient, one = request(made), request(made), request(made)
+    replica = first.function.replica(made.workers[0])
+    replica.copies, replica.seen = 1, made.now
+    patient.function = one.function = first.function
     one.deadline = made.now + 3_000
     for each in (first, one, patient):
         made.arrived(each)
-    assert one.over and len(acts(made, "deny")) == 1 and patient.call_outs
+    assert one.over and len(acts(made, "deny")) == 1 and patient.attempts
 
 
 def test_a_full_worker_is_open_again_after_half_a_second_however_seldom_it_is_met():
     made = front_end_of_many()
-    one = rpc(made)
+    one = request(made)
     made.arrived(one)
-    srv = one.call_outs[0].srv
-    made.ended(one.call_outs[0], Outcome.FULL, Answer(5))
-    assert made.now < srv.full_until <= made.now + SECOND // 2
+    worker = one.attempts[0].worker
+    made.ended(one.attempts[0], Outcome.REJECTED, Answer(5))
+    assert made.now < worker.full_until <= made.now + SECOND // 2
 
 
 def test_where_the_only_warm_worker_is_full_the_next_of_the_order_is_used():
     """Seen at surplus-main: denied with 30 of 50 workers open, as the one known warm was full."""
     made = front_end_of_many(**{"when-absent": "load"})
-    one = rpc(made)
-    home, second = made.walk(one.fn)[:2]
-    spot = one.fn.spot(home)
-    spot.copies, spot.seen, home.full_until = 1, made.now, made.now + 100
+    one = request(made)
+    home, second = made.walk(one.function)[:2]
+    replica = one.function.replica(home)
+    replica.copies, replica.seen, home.full_until = 1, made.now, made.now + 100
     one.deadline = made.now + 30_000
     made.arrived(one)
-    assert [c.srv for c in one.call_outs] == [second]
+    assert [c.worker for c in one.attempts] == [second]
 
 
 def test_many_own_loads_do_not_deny_where_a_miss_costs_little():
     made = front_end_of_many()
-    one = rpc(made)
+    one = request(made)
     one.deadline = made.now + 30_000
-    for srv in made.srvs:
-        one.fn.spot(srv).missing = made.now
+    for worker in made.workers:
+        one.function.replica(worker).missing = made.now
     made.loading, made.load_limit = 18, 1.0
     made.arrived(one)
-    assert not one.over and one.call_outs
+    assert not one.over and one.attempts
 
 
 def test_an_rpc_that_a_load_cannot_reach_neither_orders_nor_waits():
     made = front_end_of_many(**{"says-company": True})
-    one = rpc(made)
-    one.fn.load, one.deadline = 20_000, made.now + 5_000
+    one = request(made)
+    one.function.load, one.deadline = 20_000, made.now + 5_000
     one.state = State.PLACING
-    home = made.walk(one.fn)[0]
-    made.send(one, one.fn.spot(home))
+    home = made.walk(one.function)[0]
+    made.send(one, one.function.replica(home))
     one.state = State.OUT
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(10))
-    assert not acts(made, "order") and not one.fn.spot(home).waiters
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert not acts(made, "order") and not one.function.replica(home).waiters
 
 
 def test_a_hold_asks_for_what_was_used_and_a_share_of_the_spare():
     made = dispatcher(2)
     made.facts = {**made.facts, "dispatchers": 1}
     made.taken.extend([made.now] * 50)
-    fn = Fn("f")
-    made.fns[fn] = None
-    home = fn.spot(made.walk(fn)[0])
+    function = Function("f")
+    made.functions[function] = None
+    home = function.replica(made.walk(function)[0])
     home.peak, home.copies, home.seen = 4, 4, made.now
-    made.hold(fn)
-    assert acts(made, "order") == [("order", home.srv, fn, 4 + 2)]
-    made.hold(fn)
-    assert fn in made.fns  # a copy still stands
+    made.hold(function)
+    assert acts(made, "order") == [("order", home.worker, function, 4 + 2)]
+    made.hold(function)
+    assert function in made.functions  # a copy still stands
     made.now += 2 * made.facts["idle_life"]
     home.ordered.clear()
-    made.hold(fn)
-    assert fn not in made.fns and not fn.marks
+    made.hold(function)
+    assert function not in made.functions and not function.marks
 
 
 def test_workers_that_left_are_let_go_once_nothing_is_out_there():
     made = dispatcher(2)
-    stays, busy = made.srvs
-    one = rpc(made)
-    made.fns[one.fn] = None
-    one.call_outs.append(CallOut(one, busy, made.now))
-    one.fn.spot(busy).begin(one.call_outs[0])
-    made.listed([(busy, SrvFacts("w1", listing=Listing.GONE))], whole=False)
-    assert made.srvs == [stays, busy]
-    one.fn.spot(busy).end(one.call_outs[0])
+    stays, busy = made.workers
+    one = request(made)
+    made.functions[one.function] = None
+    one.attempts.append(Attempt(one, busy, made.now))
+    one.function.replica(busy).begin(one.attempts[0])
+    made.listed([(busy, WorkerInfo("w1", listing=EndpointState.REMOVED))], whole=False)
+    assert made.workers == [stays, busy]
+    one.function.replica(busy).end(one.attempts[0])
     for i in range(2_000):
-        new = Srv(f"n{i}")
-        made.listed([(new, SrvFacts(new.name))], whole=False)
-        made.walk(one.fn)
-        one.fn.spot(new)
-        made.listed([(new, SrvFacts(new.name, listing=Listing.GONE))], whole=False)
-    assert made.srvs == [stays] and len(one.fn.marks) < 3 and len(one.fn.spots) < 3
+        new = Worker(f"n{i}")
+        made.listed([(new, WorkerInfo(new.name))], whole=False)
+        made.walk(one.function)
+        one.function.replica(new)
+        made.listed([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], whole=False)
+    assert made.workers == [stays] and len(one.function.marks) < 3 and len(one.function.replicas) < 3
 
 
 @pytest.mark.parametrize("customers, closed", [([], False), ([{"quota": 2.0}, {"quota": 9.0}], True)])
@@ -566,32 +568,32 @@
     """Without customers it barred everything for two seconds, and three of six workers stood idle."""
     made = dispatcher(2)
     made.facts = {**made.facts, "customers": customers}
-    one = rpc(made)
-    home = made.walk(one.fn)[0]
+    one = request(made)
+    home = made.walk(one.function)[0]
     one.state = State.OUT
-    made.send(one, one.fn.spot(home))
+    made.send(one, one.function.replica(home))
     made.now += 1_600
-    made.ended(one.call_outs[0], Outcome.FULL, Answer(1_600))
+    made.ended(one.attempts[0], Outcome.REJECTED, Answer(1_600))
     assert (home.held_back.get(0, 0) > made.now) is closed
     made.now += SECOND // 2
-    assert (home in made.candidates(rpc(made), made.ring)) is not closed
+    assert (home in made.candidates(request(made), made.ring)) is not closed
 
 
 def test_a_worker_whose_last_call_out_timed_out_is_not_silent_for_good():
     made = dispatcher(1)
-    one = rpc(made)
-    home = made.srvs[0]
-    one.fn.spot(home).copies, one.fn.spot(home).seen = 1, made.now
+    one = request(made)
+    home = made.workers[0]
+    one.function.replica(home).copies, one.function.replica(home).seen = 1, made.now
     one.state = State.OUT
-    made.send(one, one.fn.spot(home))
+    made.send(one, one.function.replica(home))
     made.now += 30_000
     assert not made.fit(home)
-    made.ended(one.call_outs[0], Outcome.TIMED_OUT, Answer(30_000))
+    made.ended(one.attempts[0], Outcome.TIMED_OUT, Answer(30_000))
     home.suspect = False
     assert not made.fit(home)
     made.now += 100_000
     assert made.fit(home)
-    made.send(rpc(made), one.fn.spot(home))
+    made.send(request(made), one.function.replica(home))
     assert not made.fit(home)  # one at a time, until it is heard from
 
 
@@ -599,14 +601,14 @@
     """Seen on sockets: ten orders a second lost their connection, and what they loaded was ordered anew."""
     made = dispatcher(2)
     made.taken.extend([made.now] * 100)
-    one = rpc(made)
-    home = made.walk(one.fn)[0]
-    spot = one.fn.spot(home)
-    made.order(spot, 1)
+    one = request(made)
+    home = made.walk(one.function)[0]
+    replica = one.function.replica(home)
+    made.order(replica, 1)
     one.state = State.PARKED
-    spot.waiters.append(one)
-    made.ordered(home, one.fn, Outcome.RESET, 0, 6_000)
-    assert one.call_outs[0].srv is home and not one.call_outs[0].cold and home.emptied < 0
+    replica.waiters.append(one)
+    made.ordered(home, one.function, Outcome.RESET, 0, 6_000)
+    assert one.attempts[0].worker is home and not one.attempts[0].cold and home.emptied < 0
 
 
 @pytest.mark.parametrize(
@@ -615,44 +617,44 @@
 )
 def test_a_reset_alone_is_no_restart_where_a_miss_would_tell(absent, outcome, emptied):
     made = dispatcher(2, **{"when-absent": absent})
-    one, other = rpc(made), rpc(made, name="g")
-    home = made.walk(one.fn)[0]
-    stands = other.fn.spot(home)
+    one, other = request(made), request(made, name="g")
+    home = made.walk(one.function)[0]
+    stands = other.function.replica(home)
     stands.copies, stands.seen = 1, made.now - 1
     one.state = State.OUT
-    made.send(one, one.fn.spot(home))
-    made.ended(one.call_outs[0], outcome, Answer(10))
+    made.send(one, one.function.replica(home))
+    made.ended(one.attempts[0], outcome, Answer(10))
     assert (made.believed(stands) == 0) is emptied
 
 
 def test_a_worker_whose_line_of_loads_is_full_gets_no_load_until_one_ends_there():
     made = dispatcher(3)
     made.taken.extend([made.now] * 100)
-    one, other = rpc(made, name="f"), rpc(made, name="g")
-    home, next_, _ = made.walk(one.fn)
-    spot, second = one.fn.spot(home), other.fn.spot(home)
-    made.order(spot, 1)
-    made.ordered(home, one.fn, Outcome.FULL, 0, 5)
+    one, other = request(made, name="f"), request(made, name="g")
+    home, next_, _ = made.walk(one.function)
+    replica, second = one.function.replica(home), other.function.replica(home)
+    made.order(replica, 1)
+    made.ordered(home, one.function, Outcome.REJECTED, 0, 5)
     assert not made.order(second, 1) and len(made.orders) == 1  # the ration is kept for those that may
     one.state = State.OUT
-    made.send(one, spot)
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(10))
-    assert one in one.fn.spot(next_).waiters and acts(made, "order")[-1][1] is next_
+    made.send(one, replica)
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert one in one.function.replica(next_).waiters and acts(made, "order")[-1][1] is next_
     home.line_until = made.now + 1
     second.ordered.append(Order(made.now, True))
     second.loading, made.loading = 1, made.loading + 1
-    made.ordered(home, other.fn, Outcome.OK, 1, 8_000)
-    assert made.order(spot, 1)
+    made.ordered(home, other.function, Outcome.OK, 1, 8_000)
+    assert made.order(replica, 1)
 
 
 def test_front_ends_share_out_a_hot_function_and_leave_a_seldom_one_at_home():
-    hot, seldom, homes = Fn("hot"), Fn("seldom"), set()
+    hot, seldom, homes = Function("hot"), Function("seldom"), set()
     for me in range(40):
         made = dispatcher(20)
         made.facts = {**made.facts, "me": me, "dispatchers": 40}
-        for fn, share in ((hot, 0.2), (seldom, 0.01)):
-            fn.version, fn.asked = -1, Sum(100_000)
-            fn.asked.add(made.now, share * 500_000 + made.weight(0))
+        for function, share in ((hot, 0.2), (seldom, 0.01)):
+            function.version, function.asked = -1, DecayingSum(100_000)
+            function.asked.add(made.now, share * 500_000 + made.weight(0))
         made.demand.add(made.now, 500_000)
         homes.add(made.entered(hot)[0].name)
         assert made.entered(seldom)[0] is made.walk(seldom)[0]
@@ -663,13 +665,13 @@
     often, seldom = dispatcher(4), dispatcher(90)
     for made in (often, seldom):
         made.ok_count.add(made.now, 30.0)
-        made.arrived(rpc(made))
+        made.arrived(request(made))
     assert often.stretch == 1 and 2 < seldom.stretch < 4
-    spot = Fn("f", iso=1_000.0).spot(seldom.srvs[0])
-    spot.window.extend([90_000] * 9)
-    seldom.judge_zone(spot)
+    replica = Function("f", iso=1_000.0).replica(seldom.workers[0])
+    replica.window.extend([90_000] * 9)
+    seldom.judge_zone(replica)
     seldom.now += 3 * SECOND
-    assert seldom.zone(spot) is Zone.UNSAFE
+    assert seldom.zone(replica) is Zone.UNSAFE
 
 
 def test_a_reported_queue_counts_as_latency_to_come_where_workers_are_met_seldom():
@@ -677,82 +679,84 @@
         made = dispatcher(1)
         made.stretch = stretch
         made.ok_count.add(made.now, 15.0)
-        one = rpc(made)
+        one = request(made)
         made.arrived(one)
         made.stretch = stretch
-        made.ended(one.call_outs[0], Outcome.OK, Answer(900, over=True, report={"backlog": 20}))
-        assert (made.srv_zone(one.fn.spot(made.srvs[0])) is Zone.UNSAFE) == crowded
+        made.ended(one.attempts[0], Outcome.OK, Answer(900, over=True, report={"backlog": 20}))
+        assert (made.worker_zone(one.function.replica(made.workers[0])) is Zone.UNSAFE) == crowded
 
 
 def test_a_full_answer_that_took_long_holds_back_that_customer_alone():
     made = dispatcher(1, **{"when-absent": "load"})
     made.facts = {**made.facts, "customers": [{"quota": 0.0}, {"quota": 0.0}]}
-    made.asked = [Sum(50_000), Sum(50_000)]
-    one, same, other = rpc(made), rpc(made), rpc(made)
+    made.asked = [DecayingSum(50_000), DecayingSum(50_000)]
+    one, same, other = request(made), request(made), request(made)
     other.customer = 1
     made.arrived(one)
-    made.ended(one.call_outs[0], Outcome.FULL, Answer(2_000))
+    made.ended(one.attempts[0], Outcome.REJECTED, Answer(2_000))
     for late in (same, other):
         made.arrived(late)
-    assert same.over and not same.call_outs and other.call_outs
+    assert same.over and not same.attempts and other.attempts
 
 
 @pytest.mark.parametrize(("absent", "guessed"), [("miss", True), ("load", False)])
 def test_copies_of_others_are_guessed_only_where_a_miss_is_cheap(absent, guessed):
     made = dispatcher(1, **{"when-absent": absent})
-    spot, made.stretch, made.now = Fn("f").spot(made.srvs[0]), 3.0, 200_000
-    assert made.presumed(spot) == guessed
-    spot.missing = made.now
-    assert not made.presumed(spot)
+    replica, made.stretch, made.now = Function("f").replica(made.workers[0]), 3.0, 200_000
+    assert made.presumed(replica) == guessed
+    replica.missing = made.now
+    assert not made.presumed(replica)
 
 
 @pytest.mark.parametrize("stands", [False, True])
 def test_a_miss_without_order_budget_goes_on_only_where_a_copy_is_believed(stands):
     """Sent on blindly one in twenty met a copy, and six call-outs were paid for each denial (calm+mass)."""
     made = dispatcher(3, **{"free-loads": 0, "load-share": 0.0})
-    one = rpc(made)
-    last = one.fn.spot(made.walk(one.fn)[2])
+    one = request(made)
+    last = one.function.replica(made.walk(one.function)[2])
     made.arrived(one)
     last.copies, last.seen = int(stands), made.now
-    made.ended(one.call_outs[0], Outcome.MISS, Answer(30))
-    assert [c.srv for c in one.call_outs[1:]] == [last.srv] * stands
+    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    assert [c.worker for c in one.attempts[1:]] == [last.worker] * stands
     assert one.over is not stands and len(acts(made, "deny")) == int(not stands)
 
 
 def test_a_worker_only_looked_at_is_not_one_used_before():
     """Each was taken as warm, as others share the order, and half of all call-outs missed (calm+mass)."""
     made = front_end_of_many()
-    one = rpc(made)
-    home, second, third = made.walk(one.fn)[:3]
+    one = request(made)
+    home, second, third = made.walk(one.function)[:3]
     home.line_until = second.line_until = made.now + 1
-    assert made.first_cold(one, made.walk(one.fn)).srv is third and set(one.fn.spots) == {third}
+    assert made.first_cold(one, made.walk(one.function)).worker is third and set(one.function.replicas) == {
+        third
+    }
 
 
 def test_what_missed_at_home_is_loaded_there_and_not_where_it_missed_last():
     made = front_end_of_many()
-    one = rpc(made)
-    home, second = made.walk(one.fn)[:2]
-    one.call_outs = [CallOut(one, srv, made.now, outcome=Outcome.MISS) for srv in (home, second)]
-    assert made.missed(one, one.fn.spot(second)) is Input.WAITS
-    assert [o[1] for o in acts(made, "order")] == [home] and one.fn.spot(home).waiters == [one]
+    one = request(made)
+    home, second = made.walk(one.function)[:2]
+    one.attempts = [Attempt(one, worker, made.now, outcome=Outcome.NOT_LOADED) for worker in (home, second)]
+    assert made.missed(one, one.function.replica(second)) is Input.WAITS
+    assert [o[1] for o in acts(made, "order")] == [home] and one.function.replica(home).waiters == [one]
 
 
 def test_the_home_in_the_order_is_the_last_resort_where_all_look_unsafe():
     made = dispatcher(2, **{"when-absent": "load"})
-    one, made.load_limit = rpc(made), 1.0
-    for srv in made.srvs:
-        srv.timed(made.now, 900_000.0, 1_000.0)
+    one, made.load_limit = request(made), 1.0
+    for worker in made.workers:
+        worker.timed(made.now, 900_000.0, 1_000.0)
     made.arrived(one)
-    assert one.call_outs[0].srv is made.walk(one.fn)[0]
+    assert one.attempts[0].worker is made.walk(one.function)[0]
 
 
 @pytest.mark.parametrize("shedding", [False, True])
 def test_while_the_fleet_sheds_no_copy_is_added_beside_one(shedding):
     made = dispatcher(3, **{"when-absent": "load", "load-share": 1.0, "free-loads": 50})
     made.facts = {**made.facts, "shedding": shedding}
-    call = rpc(made)
+    call = request(made)
     call.began = made.now
-    warm = call.fn.spot(made.walk(call.fn)[0])
+    warm = call.function.replica(made.walk(call.function)[0])
     warm.copies, warm.seen, warm.zone, warm.until = 1, made.now, Zone.WARNING, made.now + 50_000
     warm.out = 1  # all that a worker in Warning takes
     assert made.place(call, None) is Input.SENT
@@ -761,12 +765,12 @@
 
 def test_a_suspect_that_others_try_waits_for_their_word_or_ten_seconds():
     made = dispatcher(3)
-    srv = made.srvs[0]
-    srv.suspect, srv.due, srv.trial, made.suspects = True, made.now, False, 1
-    assert not made.fit(srv)
-    made.vouched(srv, made.now - srv.pause)  # from before we judged it
-    assert srv.suspect
+    worker = made.workers[0]
+    worker.suspect, worker.due, worker.trial, made.suspects = True, made.now, False, 1
+    assert not made.fit(worker)
+    made.vouched(worker, made.now - worker.pause)  # from before we judged it
+    assert worker.suspect
     made.now += 10 * SECOND
-    assert made.fit(srv)  # nobody told: we try it ourselves
-    made.vouched(srv, made.now)
-    assert not srv.suspect and made.suspects == 0
+    assert made.fit(worker)  # nobody told: we try it ourselves
+    made.vouched(worker, made.now)
+    assert not worker.suspect and made.suspects == 0
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,7 +8,7 @@
 from test_node import Stage
 
 from lapistrestle.edge.linking import Link
-from lapistrestle.interface import Listing
+from lapistrestle.policy.interface import EndpointState
 from lapistrestle.standins.platform import BoardEnd, WebServer, begin, frame, row
 
 
@@ -93,11 +93,11 @@
     else:
         client.drop("gone")
     stage.hand.until(lambda: stage.host.counts["left"])
-    assert not held(stage) and not stage.host.attempts
+    assert not held(stage) and not stage.host.worker_calls
     closed.open()
     stage.hand.until(lambda: all(connection.linking.state is Link.OPEN for connection in connections(stage)))
     stage.hand.quiet()
-    assert stage.runs() == [] and not any(srv.out for srv in stage.module.srvs)
+    assert stage.runs() == [] and not any(worker.out for worker in stage.module.workers)
 
 
 @pytest.mark.parametrize("how", ["aborts", "times out", "drains"])
@@ -116,9 +116,9 @@
         assert client.status(number) == 503  # it never left, so to repeat it is harmless
     else:
         stage.board.tell(2, 2, stage.row(0, state=1))
-        stage.hand.until(lambda: stage.srvs()["s-00000001"].listing is Listing.DRAINING)
+        stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
         stage.hand.until(lambda: client.status(number))
-    assert not connection.linking.waiting and not stage.host.attempts
+    assert not connection.linking.waiting and not stage.host.worker_calls
     stage.hand.addReader(line)
     stage.hand.until(lambda: connection.linking.state is not Link.SLOW)
     stage.hand.quiet()
@@ -225,7 +225,7 @@
     profiles = [{"name": "publish", "aim": 2500000, "deadline": 5000000, "idempotency": "deduplicated",
                  "dedup-scope": "cell", "repeat-window": 150000}]  # fmt: skip
     stage = stages(runners=2, profiles=profiles)
-    stage.module.walk = lambda fn: sorted(stage.module.ring, key=lambda srv: srv.name)
+    stage.module.walk = lambda function: sorted(stage.module.ring, key=lambda worker: worker.name)
     closed, client = Closed(stage, at=1), stage.client()
     stage.runners[0].on_run = lambda line, said: line.reset()
     number = client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a")
@@ -427,7 +427,7 @@
             follower.send(b"\0")
         if len(stage.board.asked) > 1:
             break
-    stage.hand.until(lambda: stage.srvs()["s-00000001"].listing is Listing.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
     assert stage.board.asked == [0, 1]
 
 
@@ -435,7 +435,7 @@
     """A board that was asked anew and answers from before: what it says was known."""
     stage.board.raw(frame(1, 1))
     stage.hand.quiet()
-    assert list(stage.srvs()) == ["s-00000001"] and stage.node.core.runners
+    assert list(stage.workers()) == ["s-00000001"] and stage.node.core.runners
     client = stage.client()
     number = client.ask()
     stage.hand.until(lambda: client.status(number))
@@ -454,7 +454,7 @@
     stage.hand.run(1.0)
     assert second.asked == [1] and first.asked == []
     second.tell(2, 2, stage.row(0, state=1))
-    stage.hand.until(lambda: stage.srvs()["s-00000001"].listing is Listing.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
     for board in (first, second):
         board.listener.close()
         board.cut()
@@ -513,7 +513,9 @@
     assert client.status(number) == 503
     line.say("200", said["rid"], slots_up=1)
     stage.hand.quiet()
-    assert not any(spot.copies for fn in stage.module.fns for spot in fn.spots.values())
+    assert not any(
+        replica.copies for function in stage.module.functions for replica in function.replicas.values()
+    )
 
 
 def test_an_address_that_another_runner_has_taken_is_its_alone(stages):
@@ -523,7 +525,7 @@
     stage.hand.until(lambda: "s-00000009" in stage.node.core.runners)
     assert "s-00000001" not in stage.node.core.runners
     client = stage.client()
-    numbers = [client.ask(fn=f"{i:016x}", method="bill") for i in range(12)]
+    numbers = [client.ask(function=f"{i:016x}", method="bill") for i in range(12)]
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
     assert {client.status(n) for n in numbers} <= {200, 503}
 
@@ -535,11 +537,11 @@
     stage.hand.until(lambda: connection.linking.waiting)
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
-    (srv,) = stage.srvs().values()
-    assert srv.emptied == -1 and srv.bad.read(stage.module.now) == 0 and not srv.suspect
+    (worker,) = stage.workers().values()
+    assert worker.emptied == -1 and worker.bad.read(stage.module.now) == 0 and not worker.suspect
     stage.board.tell(3, 2, stage.row(0, state=0))
     stage.hand.addReader(line)
-    stage.hand.until(lambda: srv.listing is Listing.SERVING)
+    stage.hand.until(lambda: worker.listing is EndpointState.SERVING)
     again = client.ask(method="bill")
     stage.hand.until(lambda: client.status(again) is not None)
     assert client.status(again) == 200
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -11,7 +11,7 @@
 from lapistrestle.checks.rules import directory_prompt, drains_kept
 from lapistrestle.directory import server
 from lapistrestle.edge.program import Edge
-from lapistrestle.interface import Listing
+from lapistrestle.policy.interface import EndpointState
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import Change, Entry, Hello, Run, Whole
 
@@ -260,7 +260,7 @@
     def make(reactor, deployment, log):
         edge = Edge(reactor, deployment, log)
         facts = edge.following.facts
-        edge.following.facts = lambda known: replace(facts(known), listing=Listing.SERVING)
+        edge.following.facts = lambda known: replace(facts(known), listing=EndpointState.SERVING)
         return edge
 
     assert rules_broken(Played(directory_day([REPLACED]), make)) == {"3 drains kept"}
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -61,8 +61,8 @@
     played = play(like, troubles)
     judged(played)
     calls = played.story.calls
-    known = {(c.edge, c.message.fn) for c in calls if c.at < 4_000 and answered(c)}
-    during = [c for c in calls if 4_000 < c.at < 8_000 and (c.edge, c.message.fn) in known]
+    known = {(c.edge, c.message.function) for c in calls if c.at < 4_000 and answered(c)}
+    during = [c for c in calls if 4_000 < c.at < 8_000 and (c.edge, c.message.function) in known]
     assert sum(map(answered, during)) > 0.97 * len(during) > 100
 
 
@@ -74,7 +74,9 @@
     ]
     played = play("thumbs", troubles)
     judged(played)
-    scanned = [c for c in played.story.calls if c.message.fn.startswith("once") and 4_500 < c.at < 7_000]
+    scanned = [
+        c for c in played.story.calls if c.message.function.startswith("once") and 4_500 < c.at < 7_000
+    ]
     waits = [at - c.at for c in scanned for at, _, a in c.answers if a.verdict == "denied"]
     assert len(waits) > 20 and max(waits) < 20.0
 
@@ -107,8 +109,10 @@
     short = [Played(with_directory(script, first_count=1)) for script in days]
     for played in short:
         judged(played)
-        functions = [fn for e in played.world.edges for fn in e.edge.host.registry.fns.values()]
-        assert max(len(fn.prefix) for fn in functions) > 1
+        functions = [
+            function for e in played.world.edges for function in e.edge.host.registry.functions.values()
+        ]
+        assert max(len(function.prefix) for function in functions) > 1
     whole = [Played(script) for script in days]
     assert mean(serve(p.story).total for p in short) >= mean(serve(p.story).total for p in whole) - LOST
 
@@ -119,7 +123,7 @@
     played = play("thumbs", directory={"first_count": 4}, fleet=fleet, traffic=traffic)
     judged(played)
     for edge in played.world.edges:
-        functions = len(edge.edge.host.registry.fns)
+        functions = len(edge.edge.host.registry.functions)
         assert 0 < len(edge.edge.following.known) <= 8 * functions < 60
         assert edge.edge.host.module.region.count == 60
 
@@ -155,7 +159,7 @@
 def test_a_version_is_loaded_first_and_settles_where_its_prefix_was_looked_up(tmp_path):
     played = Rolled(with_directory(rollout_script(length="80 s")), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is State.SETTLED
-    orders = [hold.at for hold in played.story.holds if hold.message.fn == NAME]
+    orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
     assert orders and min(orders) < min(run.at for run in played.runs())
     ok = sum(c.answers[0][2].verdict == "ok" for c in played.story.calls if c.answers)
     assert ok > 0.97 * len(played.story.calls)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -113,7 +113,7 @@
         return [(peer, run) for peers in self.runners.values() for peer in peers for run in peer.heard("run")]
 
     def clean(self):
-        return (self.edge.host.open, self.edge.host.attempts) == (0, {})
+        return (self.edge.host.open, self.edge.host.worker_calls) == (0, {})
 
 
 CALL = {"is": "call", "fn": "f", "method": "preview", "left": 2000, "customer": "news", "memory": 100}
@@ -343,8 +343,8 @@
         assert old.closed
         stage.greet(name, "#1")
         stage.run()
-    assert {srv.booted is not None for srv in stage.edge.host.module.srvs} == {True}
-    assert all(stage.edge.clock() - srv.booted < 1_000 for srv in stage.edge.host.module.srvs)
+    assert {worker.booted is not None for worker in stage.edge.host.module.workers} == {True}
+    assert all(stage.edge.clock() - worker.booted < 1_000 for worker in stage.edge.host.module.workers)
 
 
 def test_a_port_at_which_another_runner_answers_is_not_used(stage):
@@ -533,15 +533,17 @@
 
 def test_probes_and_unloads_reach_the_runner_and_their_ends_the_module(stage):
     probed, host = [], stage.edge.host
-    host.module.probed = lambda srv, outcome, took, report: probed.append((srv.name, outcome.name, report))
+    host.module.probed = lambda worker, outcome, took, report: probed.append(
+        (worker.name, outcome.name, report)
+    )
     peer = stage.runners["r0"][-1]
-    host.probe(host.registry.srv("r0"))
-    host.unload(host.registry.srv("r0"), host.registry.fn("f", 0, 1.0, 1))
-    host.probe(host.registry.srv("nobody"))
+    host.probe(host.registry.worker("r0"))
+    host.unload(host.registry.worker("r0"), host.registry.function("f", 0, 1.0, 1))
+    host.probe(host.registry.worker("nobody"))
     stage.run()
     assert peer.heard("unload")[0]["fn"] == "f"
     peer.say(**{"is": "probed", "probe": peer.heard("probe")[0]["probe"], "report": {"backlog": 2}})
-    host.probe(host.registry.srv("r1"))
+    host.probe(host.registry.worker("r1"))
     stage.run(1.0)
     assert probed == [("nobody", "UNREACHABLE", {}), ("r0", "OK", {"backlog": 2.0}), ("r1", "TIMED_OUT", {})]
 
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -10,7 +10,7 @@
 from lapistrestle.deployment.load import load
 from lapistrestle.deployment.shape import Directory, DirectoryCopy
 from lapistrestle.edge.program import Edge
-from lapistrestle.interface import Listing
+from lapistrestle.policy.interface import EndpointState
 from lapistrestle.standins.virtual import Process, VirtualReactor
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import Entry, encode
@@ -156,7 +156,7 @@
 
 
 def test_a_look_up_without_answer_ends_in_a_denial_within_its_time_out():
-    stage = DirectoryStage(allowed={"come_back": 20_000})
+    stage = DirectoryStage(allowed={"retry_after": 20_000})
     client = stage.client()
     stage.call(client)
     stage.greet_holders()
@@ -208,7 +208,7 @@
     client = stage.client()
     stage.call(client)
     peer, _ = stage.answer_watch("r0", "r1")
-    assert stage.edge.host.attempts  # it waits for the runner's greeting
+    assert stage.edge.host.worker_calls  # it waits for the runner's greeting
     stage.update(peer, stage.entry("r0", listing="draining"))
     stage.run(0.002)
     for name in ("r0", "r1"):
@@ -240,17 +240,17 @@
     stage.look_up(client, "r0", "r1")
     stage.runners["r0"][-1].say(**{"is": "draining"})
     stage.run(0.002)
-    assert stage.edge.host.registry.srvs["r0"].listing is Listing.DRAINING
+    assert stage.edge.host.registry.workers["r0"].listing is EndpointState.DRAINING
 
 
 def test_an_instance_replaced_at_its_address_is_another_process(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
-    before = stage.edge.host.registry.srvs["r0"].booted
+    before = stage.edge.host.registry.workers["r0"].booted
     stage.update(peer, stage.entry("r0", start="r0#1", up_for=100))
     stage.run(0.002)
-    srv = stage.edge.host.registry.srvs["r0"]
-    assert srv.booted > before and stage.edge.following.known["r0"].start == "r0#1"
+    worker = stage.edge.host.registry.workers["r0"]
+    assert worker.booted > before and stage.edge.following.known["r0"].start == "r0#1"
 
 
 def test_one_that_is_gone_and_comes_back_stands_in_the_prefix_again(stage):
@@ -263,9 +263,9 @@
     stage.run(0.002)
     stage.update(peer, stage.entry("r0", start="r0#1", up_for=100))
     stage.run(0.002)
-    srvs = stage.edge.host.registry.srvs
-    assert stage.edge.host.registry.fns["f"].prefix == [srvs["r0"], srvs["r1"]]
-    assert srvs["r0"].listing is Listing.SERVING
+    workers = stage.edge.host.registry.workers
+    assert stage.edge.host.registry.functions["f"].prefix == [workers["r0"], workers["r1"]]
+    assert workers["r0"].listing is EndpointState.SERVING
 
 
 def test_a_function_not_called_is_watched_no_more_and_its_instances_are_dropped():
@@ -294,36 +294,40 @@
     peer, watch = stage.watches()[-1]
     stage.snapshot(peer, watch, stage.entry("r0"), stage.entry("r1", up_for=10))
     stage.run(0.002)
-    cold = stage.edge.host.registry.srvs["r1"]
+    cold = stage.edge.host.registry.workers["r1"]
     cold.sends.append((stage.edge.clock(), 5.0))
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     stage.run(0.002)
     assert "r1" not in stage.edge.following.known and "r1" not in stage.edge.runners
-    assert cold.listing is Listing.DRAINING
+    assert cold.listing is EndpointState.DRAINING
     changes = [wire.PrefixChange(1, 2, inserted=[wire.Placed(1, "r1")])]
     stage.update(peer, stage.entry("r1", up_for=20), changes=changes)
     stage.run(0.002)
-    assert stage.edge.host.registry.srvs["r1"] is cold and cold.sends and cold.listing is Listing.SERVING
+    assert (
+        stage.edge.host.registry.workers["r1"] is cold
+        and cold.sends
+        and cold.listing is EndpointState.SERVING
+    )
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     for _ in range(ramp // 1_000 + 2):
         stage.run(0.1)
         stage.renewed(peer)
-    assert "r1" not in stage.edge.host.registry.srvs or cold.listing is Listing.GONE
+    assert "r1" not in stage.edge.host.registry.workers or cold.listing is EndpointState.REMOVED
 
 
 def test_a_longer_prefix_is_asked_for_where_the_known_one_is_used_up(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch("r0", complete=False)
-    fn = stage.edge.host.registry.fns["f"]
-    stage.edge.more(fn)
+    function = stage.edge.host.registry.functions["f"]
+    stage.edge.more(function)
     stage.run(0.01)
     counts = [watch["count"] for _, watch in stage.watches()]
     assert len(counts) == 2 and counts[1] > counts[0]
     peer, watch = stage.watches()[-1]
     stage.snapshot(peer, watch, *[stage.entry(name) for name in stage.runners])
     stage.run(0.002)
-    assert [srv.name for srv in fn.prefix] == list(stage.runners)
+    assert [worker.name for worker in function.prefix] == list(stage.runners)
 
 
 def test_a_worker_is_dialled_once_something_is_sent_there_and_left_with_its_prefix(stage):
@@ -364,10 +368,10 @@
     client = stage.client()
     stage.call(client)
     stage.answer_watch("r0", complete=False)
-    fn = stage.edge.host.registry.fns["f"]
+    function = stage.edge.host.registry.functions["f"]
 
     def ask_for_more():
-        stage.edge.more(fn)
+        stage.edge.more(function)
         stage.run(0.01)
         peer, watch = stage.watches()[-1]
         return peer, watch
@@ -464,5 +468,5 @@
     stage.run(0.002)
     first, second = module.taken
     assert came <= first < came + 20 and second - first >= 1_900
-    (waited,) = [p for p in stage.edge.front.open() if p.fn.name == "f"]
-    assert waited.began == first and waited.call_outs
+    (waited,) = [p for p in stage.edge.front.open() if p.function.name == "f"]
+    assert waited.began == first and waited.attempts
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lapistrestle.edge.following import FOLLOWING, Do, Following, Mode, News
-from lapistrestle.interface import Listing
+from lapistrestle.policy.interface import EndpointState
 from lapistrestle.wire.messages import Change, Entry, Whole
 
 A = Entry("a", 1000, "north", start="a#0", up_for=60_000.0)
@@ -27,7 +27,7 @@
 
 def test_changes_follow_and_repeats_pass(list_):
     taken = list_.told(change(6, Entry("a", 1000, start="a#0", listing="draining")), 1_000_000)
-    assert taken.do is Do.TAKE and taken.facts[0].listing is Listing.DRAINING
+    assert taken.do is Do.TAKE and taken.facts[0].listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).do is Do.PASS
 
 
@@ -78,10 +78,10 @@
 
 def test_a_runner_that_says_it_drains_is_believed_until_it_starts_anew(list_):
     (facts,) = list_.drains("a", "a#0")
-    assert facts.listing is Listing.DRAINING
-    assert list_.told(change(6, A), 1_000_000).facts[0].listing is Listing.DRAINING
+    assert facts.listing is EndpointState.DRAINING
+    assert list_.told(change(6, A), 1_000_000).facts[0].listing is EndpointState.DRAINING
     anew = Entry("a", 1007, "north", start="a#1", up_for=0.0)
-    assert list_.told(change(7, anew), 1_000_000).facts[0].listing is Listing.SERVING
+    assert list_.told(change(7, anew), 1_000_000).facts[0].listing is EndpointState.SERVING
     assert list_.drains("a", "a#0") == () and list_.drains("nobody", "x") == ()
 
 
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -4,14 +4,14 @@
 from helpers import SETTINGS
 
 from benchmarks.scale.measuring import count_steps
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
 from lapistrestle.directory.region import Region
 from lapistrestle.hosting.events import described
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
-from lapistrestle.interface import Listing, Outcome, SrvFacts
-from lapistrestle.state import Srv
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
+from lapistrestle.policy.state import Worker
 
 
 class Recorder:
@@ -48,13 +48,20 @@
 def hosting(clock):
     settings = {**SETTINGS, "limits": {"try-limit": 3, "cancel": True}}
     made = ModuleHost(Recorder(), words.facts(settings), 7, clock, slack=50)
-    made.listed([SrvFacts(f"w{i}") for i in range(3)], whole=True)
+    made.listed([WorkerInfo(f"w{i}") for i in range(3)], whole=True)
     return made
 
 
-def ask(hosting, method=0, left=30_000, fn="f"):
+def ask(hosting, method=0, left=30_000, function="f"):
     return hosting.arrived(
-        client=None, message=None, tag="c1/r", fn=fn, method=method, customer=0, left=left, memory=100.0
+        client=None,
+        message=None,
+        tag="c1/r",
+        function_name=function,
+        method=method,
+        customer=0,
+        left=left,
+        memory=100.0,
     )
 
 
@@ -63,7 +70,7 @@
 
 
 def out(hosting):
-    return list(hosting.attempts)
+    return list(hosting.worker_calls)
 
 
 def test_an_answer_is_final_once(hosting):
@@ -73,7 +80,7 @@
     hosting.ended(number, Outcome.ERROR)
     hosting.client_left(pending)
     assert answers(hosting) == [("c1/r", "ok")]
-    assert (hosting.open, hosting.counts["stray"], hosting.attempts) == (0, 1, {})
+    assert (hosting.open, hosting.counts["stray"], hosting.worker_calls) == (0, 1, {})
 
 
 @pytest.mark.parametrize("method", [0, 1, 2])
@@ -115,10 +122,10 @@
 
     at = ""
 
-    def arrived(self, rpc):
+    def arrived(self, request):
         if self.at == "arrived":
             raise RuntimeError("in arrived")
-        super().arrived(rpc)
+        super().arrived(request)
 
     def learn(self, *args):
         if self.at == "learn":
@@ -136,7 +143,7 @@
 def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock):
     """As it was: the log line showed a worker whose sums were not set up yet, and that raised in turn."""
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=BrokenAtList)
-    hosting.listed([SrvFacts(f"w{i}") for i in range(9)], whole=True)
+    hosting.listed([WorkerInfo(f"w{i}") for i in range(9)], whole=True)
     assert hosting.counts["faults"] == 1
     assert [act[0] for act in hosting.transport.of("log")] == ["module raised"]
     ask(hosting)
@@ -150,14 +157,14 @@
 
 def test_an_argument_is_described_in_any_state():
     assert described(Unshowable()) == "Unshowable"
-    assert described([(Srv("w1"), SrvFacts("w1"))] * 4) == "((w1, w1), (w1, w1), (w1, w1) ...)"
+    assert described([(Worker("w1"), WorkerInfo("w1"))] * 4) == "((w1, w1), (w1, w1), (w1, w1) ...)"
     assert len(described("x" * 500)) == 80
 
 
 @pytest.mark.parametrize("at", ["arrived", "learn"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=Broken)
-    hosting.listed([SrvFacts("w")], whole=True)
+    hosting.listed([WorkerInfo("w")], whole=True)
     hosting.module.at = at
     ask(hosting)
     for number in out(hosting):
@@ -173,7 +180,7 @@
 
 def test_a_deadline_that_the_module_lets_pass_is_guarded(clock):
     class Asleep(Dispatcher):
-        def arrived(self, rpc):
+        def arrived(self, request):
             pass
 
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, slack=50, make=Asleep)
@@ -188,12 +195,12 @@
 
 def test_never_two_call_outs_at_once_whatever_the_module_asks(hosting):
     pending = ask(hosting)
-    second = type(pending.call_outs[0])(pending, hosting.registry.srv("w1"), hosting.clock())
-    pending.call_outs.append(second)
-    pending.fn.spot(second.srv).begin(second)
-    hosting.call_out(second, 100)
-    assert len(hosting.transport.of("run")) == 1 and len(hosting.attempts) == 1
-    assert second.outcome is Outcome.MOOT
+    second = type(pending.attempts[0])(pending, hosting.registry.worker("w1"), hosting.clock())
+    pending.attempts.append(second)
+    pending.function.replica(second.worker).begin(second)
+    hosting.send_attempt(second, 100)
+    assert len(hosting.transport.of("run")) == 1 and len(hosting.worker_calls) == 1
+    assert second.outcome is Outcome.NOT_SENT
 
 
 def test_tries_under_another_version_count_too(hosting):
@@ -203,14 +210,14 @@
             client=None,
             message=None,
             tag="c1/r",
-            fn="f",
+            function_name="f",
             method=0,
             customer=0,
             left=30_000,
             moved=True,
             prior_attempts=before,
         )
-        while hosting.attempts:
+        while hosting.worker_calls:
             hosting.ended(out(hosting)[0], Outcome.ERROR)
         assert len(hosting.transport.of("run")) == sent and answers(hosting)[-1][1] == "denied"
 
@@ -218,7 +225,7 @@
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it(clock):
     settings = {**SETTINGS, "profiles": [{**SETTINGS["profiles"][0], "streamed": True}]}
     hosting = ModuleHost(Recorder(), words.facts(settings), 7, clock)
-    hosting.listed([SrvFacts("w")], whole=True)
+    hosting.listed([WorkerInfo("w")], whole=True)
     ask(hosting)
     (number,) = out(hosting)
     hosting.begun(number)
@@ -232,10 +239,10 @@
 def test_an_order_without_word_ends_in_its_time(clock):
     info = {**SETTINGS["family-info"], "answer-within": 2_000_000}
     hosting = ModuleHost(Recorder(), words.facts({**SETTINGS, "family-info": info}), 7, clock)
-    hosting.listed([SrvFacts("w")], whole=True)
+    hosting.listed([WorkerInfo("w")], whole=True)
     ask(hosting)
     (number,) = out(hosting)
-    hosting.ended(number, Outcome.MISS)
+    hosting.ended(number, Outcome.NOT_LOADED)
     assert len(hosting.tasks) == 1
     clock.now += 20_000
     hosting.fire_timers()
@@ -244,16 +251,16 @@
 
 def test_the_registry_forgets_the_longest_unused_function():
     registry = ObjectRegistry(most=2)
-    first = registry.fn("a", 0, 1.0, 1)
-    registry.fn("b", 0, 1.0, 1)
-    assert registry.fn("a", 0, 1.0, 1) is first
-    registry.fn("c", 0, 1.0, 1)
-    assert list(registry.fns) == ["a", "c"]
+    first = registry.function("a", 0, 1.0, 1)
+    registry.function("b", 0, 1.0, 1)
+    assert registry.function("a", 0, 1.0, 1) is first
+    registry.function("c", 0, 1.0, 1)
+    assert list(registry.functions) == ["a", "c"]
 
 
 def test_timers_of_answered_rpcs_go_when_they_would_have_been_due(hosting):
     for _ in range(2_000):
-        ask(hosting, fn="g")
+        ask(hosting, function="g")
         for number in out(hosting):
             hosting.ended(number, Outcome.OK)
     hosting.timers.next()
@@ -264,50 +271,50 @@
 
 def test_the_registry_lets_go_of_functions_of_which_nothing_is_held():
     registry = ObjectRegistry(20_000)
-    kept = registry.fn("kept", 0, 1.0, 1)
-    kept.marks[registry.srv("w")] = 1.0
+    kept = registry.function("kept", 0, 1.0, 1)
+    kept.marks[registry.worker("w")] = 1.0
     for i in range(3_000):
-        registry.fn(f"f{i}", 0, 1.0, 1)
-    assert len(registry.fns) > 3_000  # the oldest is in use
+        registry.function(f"f{i}", 0, 1.0, 1)
+    assert len(registry.functions) > 3_000  # the oldest is in use
     kept.marks.clear()
     for i in range(6_000):
-        registry.fn(f"g{i}", 0, 1.0, 1)
-    assert "kept" not in registry.fns and len(registry.fns) < 1_100
+        registry.function(f"g{i}", 0, 1.0, 1)
+    assert "kept" not in registry.functions and len(registry.functions) < 1_100
 
 
 def test_a_worker_that_is_back_is_one_object_also_while_its_event_waits(hosting):
     """As it was: in a poll of the sockets `listed` waits, the one that is back still counted as gone, was
     dropped by name, and what named it next met another object that the module had never heard of."""
-    gone, back = SrvFacts("w1", listing=Listing.GONE), SrvFacts("w1", booted=7)
+    gone, back = WorkerInfo("w1", listing=EndpointState.REMOVED), WorkerInfo("w1", booted=7)
     with hosting.batched():
         hosting.listed([gone], whole=False)
     with hosting.batched():
         hosting.listed([back], whole=False)
-        hosting.ranked(hosting.registry.fn("f", 0, 100.0, 1), ["w1"])
-    (srv,) = (s for s in hosting.module.srvs if s.name == "w1")
-    assert srv is hosting.registry.srv("w1") and srv.listing is Listing.SERVING
-    assert hosting.registry.fns["f"].prefix == [srv]
+        hosting.ranked(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
+    (worker,) = (s for s in hosting.module.workers if s.name == "w1")
+    assert worker is hosting.registry.worker("w1") and worker.listing is EndpointState.SERVING
+    assert hosting.registry.functions["f"].prefix == [worker]
     ask(hosting)
     assert not [act for act in hosting.transport.of("log") if act[0] == "module raised"]
 
 
 def test_one_that_is_back_is_kept_also_where_a_second_list_follows_in_the_same_poll(hosting):
-    hosting.listed([SrvFacts("w1", listing=Listing.GONE)], whole=False)
+    hosting.listed([WorkerInfo("w1", listing=EndpointState.REMOVED)], whole=False)
     with hosting.batched():
-        hosting.listed([SrvFacts("w1", booted=7)], whole=False)
-        hosting.listed([SrvFacts("w9")], whole=False)
-        hosting.ranked(hosting.registry.fn("f", 0, 100.0, 1), ["w1"])
-    (srv,) = (s for s in hosting.module.srvs if s.name == "w1" and s.listing is Listing.SERVING)
-    assert hosting.registry.srv("w1") is srv
+        hosting.listed([WorkerInfo("w1", booted=7)], whole=False)
+        hosting.listed([WorkerInfo("w9")], whole=False)
+        hosting.ranked(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
+    (worker,) = (s for s in hosting.module.workers if s.name == "w1" and s.listing is EndpointState.SERVING)
+    assert hosting.registry.worker("w1") is worker
 
 
 def test_who_left_is_dropped_also_where_every_list_comes_in_a_poll(hosting):
     for number in range(200):
         with hosting.batched():
-            hosting.listed([SrvFacts(f"once-{number}")], whole=False)
+            hosting.listed([WorkerInfo(f"once-{number}")], whole=False)
         with hosting.batched():
-            hosting.listed([SrvFacts(f"once-{number}", listing=Listing.GONE)], whole=False)
-    assert len(hosting.registry.srvs) <= 5  # the three there, and who left last
+            hosting.listed([WorkerInfo(f"once-{number}", listing=EndpointState.REMOVED)], whole=False)
+    assert len(hosting.registry.workers) <= 5  # the three there, and who left last
 
 
 def with_region(clock, workers):
@@ -315,10 +322,10 @@
     facts = words.facts(SETTINGS)
     region = Region(clock, facts["cold_share"], facts["ramp_time"])
     made = ModuleHost(Recorder(), {**facts, "region": region}, 7, clock)
-    made.listed([SrvFacts(f"w{i}") for i in range(workers)], whole=False)
+    made.listed([WorkerInfo(f"w{i}") for i in range(workers)], whole=False)
     for i in range(workers):
-        made.ranked(made.registry.fn(f"f{i}", 0, 100.0, 1), [f"w{i}"])
-        ask(made, fn=f"f{i}")
+        made.ranked(made.registry.function(f"f{i}", 0, 100.0, 1), [f"w{i}"])
+        ask(made, function=f"f{i}")
     for number in out(made):
         made.ended(number, Outcome.OK)
     return made
@@ -329,8 +336,8 @@
     counted = []
     for workers in (100, 400):
         made = with_region(clock, workers)
-        left = [SrvFacts("w7", listing=Listing.GONE)]
+        left = [WorkerInfo("w7", listing=EndpointState.REMOVED)]
         counted.append(count_steps(lambda made=made, left=left: made.listed(left, whole=False)).instructions)
-        assert "w7" not in made.registry.srvs and len(made.module.srvs) == workers - 1
-        assert not made.registry.fns["f7"].spots and made.registry.fns["f8"].spots
+        assert "w7" not in made.registry.workers and len(made.module.workers) == workers - 1
+        assert not made.registry.functions["f7"].replicas and made.registry.functions["f8"].replicas
     assert counted[1] < 1.1 * counted[0]
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -7,19 +7,21 @@
 
 from lapistrestle.deployment import words
 from lapistrestle.hosting.host import ModuleHost
-from lapistrestle.interface import Listing, Outcome, SrvFacts
+from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
 
 NAMES = ("w0", "w1", "w2")
-listings = st.sampled_from(list(Listing))
+listings = st.sampled_from(list(EndpointState))
 starts = st.sampled_from([None, 1_000, 2_000])
-entry = st.builds(lambda name, listing, booted: SrvFacts(name, listing=listing, booted=booted),
+entry = st.builds(lambda name, listing, booted: WorkerInfo(name, listing=listing, booted=booted),
                   st.sampled_from(NAMES), listings, starts)  # fmt: skip
 step = st.one_of(
     st.tuples(st.just("change"), st.lists(entry, min_size=1, max_size=3, unique_by=lambda e: e.name)),
     st.tuples(st.just("whole"), st.lists(entry, max_size=3, unique_by=lambda e: e.name)),
     st.tuples(st.just("ask"), st.sampled_from(["f", "g"])),
-    st.tuples(st.just("answer"), st.sampled_from([Outcome.OK, Outcome.FULL, Outcome.RESET, Outcome.MISS])),
-    st.tuples(st.just("ordered"), st.sampled_from([Outcome.OK, Outcome.FULL, Outcome.MOOT])),
+    st.tuples(
+        st.just("answer"), st.sampled_from([Outcome.OK, Outcome.REJECTED, Outcome.RESET, Outcome.NOT_LOADED])
+    ),
+    st.tuples(st.just("ordered"), st.sampled_from([Outcome.OK, Outcome.REJECTED, Outcome.NOT_SENT])),
     st.tuples(st.just("wait"), st.integers(0, 20_000)),
 )
 looks = st.lists(st.lists(step, min_size=1, max_size=4), max_size=25)  # what each look at the sockets brings
@@ -33,11 +35,11 @@
         self.told, self.broken = {}, []
 
     def begin(self, work, count=1):
-        if count and self.told.get(work.srv.name) is not Listing.SERVING:
-            self.broken.append(work.srv.name)
+        if count and self.told.get(work.worker.name) is not EndpointState.SERVING:
+            self.broken.append(work.worker.name)
 
-    def run(self, attempt):
-        self.begin(attempt)
+    def run(self, worker_call):
+        self.begin(worker_call)
 
     def hold(self, task):
         self.begin(task, task.count)
@@ -62,11 +64,11 @@
         self.lists.told = {entry.name: entry.listing for entry in entries}
         self.made.listed(entries, whole=True)
 
-    def ask(self, fn):
-        ask(self.made, fn=fn)
+    def ask(self, function):
+        ask(self.made, function=function)
 
     def answer(self, outcome):
-        for number in list(self.made.attempts)[:1]:
+        for number in list(self.made.worker_calls)[:1]:
             self.made.ended(number, outcome, "body")
 
     def ordered(self, outcome):
@@ -78,7 +80,7 @@
         self.made.fire_timers()
 
     def serving(self):
-        return [srv for srv in self.made.module.srvs if srv.listing is Listing.SERVING]
+        return [worker for worker in self.made.module.workers if worker.listing is EndpointState.SERVING]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -94,9 +96,11 @@
         else:
             for what, arg in look:
                 host.play(what, arg)
-        names = [srv.name for srv in host.serving()]
-        assert sorted(names) == sorted(n for n, told in host.lists.told.items() if told is Listing.SERVING)
-        assert all(host.made.registry.srvs[srv.name] is srv for srv in host.serving())
+        names = [worker.name for worker in host.serving()]
+        assert sorted(names) == sorted(
+            n for n, told in host.lists.told.items() if told is EndpointState.SERVING
+        )
+        assert all(host.made.registry.workers[worker.name] is worker for worker in host.serving())
         assert host.lists.broken == []
 
 
@@ -104,21 +108,21 @@
     """Its object was dropped with what it had been sent: the window of its slow start began anew (rule 4)."""
     host = Host()
     booted = host.clock.now - 100
-    host.change([SrvFacts("w0", booted=booted)])
-    (srv,) = host.serving()
-    srv.sends.append((host.clock.now, 800.0))
-    host.change([SrvFacts("w0", listing=Listing.GONE, booted=booted)])
-    host.change([SrvFacts("w0", booted=booted)])
+    host.change([WorkerInfo("w0", booted=booted)])
+    (worker,) = host.serving()
+    worker.sends.append((host.clock.now, 800.0))
+    host.change([WorkerInfo("w0", listing=EndpointState.REMOVED, booted=booted)])
+    host.change([WorkerInfo("w0", booted=booted)])
     (again,) = host.serving()
     assert again.sent_since(host.clock.now - 1) == 800.0
 
 
 def test_what_a_worker_was_sent_is_forgotten_once_its_window_has_passed():
     host = Host()
-    host.change([SrvFacts("w0", booted=host.clock.now - 100)])
+    host.change([WorkerInfo("w0", booted=host.clock.now - 100)])
     host.serving()[0].sends.append((host.clock.now, 800.0))
-    host.change([SrvFacts("w0", listing=Listing.GONE)])
-    assert "w0" in host.made.registry.srvs
+    host.change([WorkerInfo("w0", listing=EndpointState.REMOVED)])
+    assert "w0" in host.made.registry.workers
     host.clock.now += host.made.facts["fall_time"] + 1
-    host.change([SrvFacts("w1")])
-    assert "w0" not in host.made.registry.srvs
+    host.change([WorkerInfo("w1")])
+    assert "w0" not in host.made.registry.workers
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,7 +1,7 @@
 """What an edge has learnt, over restarts and a move: which figures carry over, and files that are no use."""
 
 import pytest
-from helpers import dispatcher, rpc
+from helpers import dispatcher, request
 from test_edge import CALL, Stage
 
 from lapistrestle.deployment.load import Wrong, shaped
@@ -46,7 +46,7 @@
     made.recall([(900.0, 40.0)] + [(0.0, 0.0)] * 2)
     made.light[0].add(made.now, 1_100)
     assert made.weight(0) == 1_000.0 and made.learnt()[1] == (0.0, 0.0)
-    heavy = rpc(made)
+    heavy = request(made)
     heavy.work = 120
     made.arrived(heavy)
     assert heavy.scale == 1.5
@@ -102,10 +102,10 @@
     for id_, more, kept in (("1", {}, None), ("2", {"load": 1200.0}, 12_000), ("3", {}, 12_000)):
         client.say(**CALL, id=id_, **more)
         stage.run()
-        assert stage.edge.host.registry.fns["f"].load == kept
+        assert stage.edge.host.registry.functions["f"].load == kept
     client.say(**CALL, id="4", load=-1)
     stage.run()
-    assert client.heard("fault") and stage.edge.host.registry.fns["f"].load == 12_000
+    assert client.heard("fault") and stage.edge.host.registry.functions["f"].load == 12_000
 
 
 def test_an_edge_that_stops_writes_what_it_has_learnt_and_the_next_one_starts_from_it(stage, path):
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -8,10 +8,10 @@
 from hypothesis import strategies as st
 from test_fleet_process import fleet_day
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.program import Edge
 from lapistrestle.fleet.allowance import Allowance, AllowanceSettings
 from lapistrestle.fleet.lending import Lending
+from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.wire.fleet import Claim, Lend, Rank
 
 SECOND = 10_000
@@ -115,15 +115,15 @@
         Watched.living = (*others, self)
 
     def note_loads(self):
-        Watched.most = max(Watched.most, sum(srv.loads for d in Watched.living for srv in d.srvs))
+        Watched.most = max(Watched.most, sum(worker.loads for d in Watched.living for worker in d.workers))
 
-    def send(self, rpc, spot):
-        sent = super().send(rpc, spot)
+    def send(self, request, replica):
+        sent = super().send(request, replica)
         self.note_loads()
         return sent
 
-    def order(self, spot, count, part=1.0):
-        ordered = super().order(spot, count, part)
+    def order(self, replica, count, part=1.0):
+        ordered = super().order(replica, count, part)
         self.note_loads()
         return ordered
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -145,7 +145,7 @@
     assert world.crowd.open == 0 and outcome.wishes == world.crowd.counts["wishes"] > 1_000
     for handle in world.edges:
         counts = handle.edge.host.counts
-        assert counts["faults"] == counts["guarded"] == 0 and not handle.edge.host.attempts
+        assert counts["faults"] == counts["guarded"] == 0 and not handle.edge.host.worker_calls
 
 
 @pytest.mark.parametrize("kind", ["silent", "edge_kill"])
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,14 +8,14 @@
 import pytest
 
 from lapistrestle.edge.linking import Linking
-from lapistrestle.interface import CallOut, Listing
 from lapistrestle.node import records
 from lapistrestle.node.configuration import ConfigurationError, parse
 from lapistrestle.node.connection import RunnerConnection
 from lapistrestle.node.program import Node
 from lapistrestle.node.runners import Runner
+from lapistrestle.policy.interface import Attempt, EndpointState
+from lapistrestle.policy.state import Worker
 from lapistrestle.standins.platform import BoardEnd, Hand, RunnerEnd, WebServer, begin, frame, row
-from lapistrestle.state import Srv
 
 FN = "7f3a9c21e0b4d655"
 SETTINGS = {
@@ -60,14 +60,18 @@
         self.ends = []
         if runners:
             self.board.tell(1, 1, *(self.row(i) for i in range(runners)))
-            self.hand.until(lambda: len(self.srvs()) == runners)
+            self.hand.until(lambda: len(self.workers()) == runners)
         self.hand.run(0.01)
 
     def row(self, i, **more):
         return row(i + 1, self.runners[i].port, **more)
 
-    def srvs(self):
-        return {srv.name: srv for srv in self.module.srvs if srv.listing is not Listing.GONE}
+    def workers(self):
+        return {
+            worker.name: worker
+            for worker in self.module.workers
+            if worker.listing is not EndpointState.REMOVED
+        }
 
     def client(self):
         self.ends.append(WebServer(self.hand, self.port))
@@ -193,7 +197,7 @@
         ({"method": "nosuch"}, 404),
         ({"HTTP_X_CALL_ID": ""}, 400),
         ({"id": "9B1F03AA5C7E2D41"}, 400),
-        ({"fn": "nonsense"}, 400),
+        ({"function": "nonsense"}, 400),
         ({"patience": "-5"}, 400),
         ({"patience": "nan"}, 400),
         ({"patience": "1e3"}, 400),
@@ -214,7 +218,7 @@
     number = client.ask(**fields)
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == status
-    assert not stage.runs() and stage.host.counts["taken"] == 0 and not stage.module.fns
+    assert not stage.runs() and stage.host.counts["taken"] == 0 and not stage.module.functions
     good = client.ask()
     stage.hand.until(lambda: client.status(good))
     assert client.status(good) == 200
@@ -243,7 +247,7 @@
     stage = stages(tenants=tenants)
     client, met = stage.client(), []
     arrived = stage.module.arrived
-    stage.module.arrived = lambda rpc: (met.append(rpc.customer), arrived(rpc))
+    stage.module.arrived = lambda request: (met.append(request.customer), arrived(request))
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
@@ -478,7 +482,7 @@
     stage.runners[0].stop()
     stage.hand.quiet()
     client = stage.client()
-    numbers = [client.ask(fn=f"{i:016x}", method="bill") for i in range(12)]
+    numbers = [client.ask(function=f"{i:016x}", method="bill") for i in range(12)]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert {client.status(n) for n in numbers} <= {200, 503} and client.status(numbers[0]) == 200
 
@@ -496,12 +500,12 @@
     client = stage.client()
     client.ask(patience="4000")
     stage.hand.until(lambda: got)
-    (attempt,) = stage.host.attempts.values()
-    rpc, srv = attempt.pending, attempt.srv
-    second = CallOut(rpc, srv, stage.module.now, company=2)
-    rpc.call_outs.append(second)
-    rpc.fn.spot(srv).begin(second)
-    stage.host.call_out(second, 10_000)
+    (worker_call,) = stage.host.worker_calls.values()
+    request, worker = worker_call.pending, worker_call.worker
+    second = Attempt(request, worker, stage.module.now, company=2)
+    request.attempts.append(second)
+    request.function.replica(worker).begin(second)
+    stage.host.send_attempt(second, 10_000)
     stage.hand.until(lambda: len(got) == 2)
     assert got[0][0] is not got[1][0] and got[0][1]["rid"] == got[1][1]["rid"]
     got[0][0].say("200", got[0][1]["rid"], b"first")
@@ -511,8 +515,8 @@
 
 def test_a_probe_names_its_figures_as_the_settings_do(stage):
     told = []
-    stage.module.probed = lambda srv, outcome, took, report: told.append(report)
-    stage.host.probe(next(iter(stage.srvs().values())))
+    stage.module.probed = lambda worker, outcome, took, report: told.append(report)
+    stage.host.probe(next(iter(stage.workers().values())))
     stage.hand.until(lambda: told)
     assert told == [{"outstanding": 7.0, "utilization": 0.61}]
 
@@ -524,16 +528,16 @@
         connection.close()
     listener = stage.runners[0].listener
     client = stage.client()
-    stage.module.walk = lambda fn: sorted(stage.module.ring, key=lambda s: s.name)
-    number = client.ask(fn="1" * 16)
+    stage.module.walk = lambda function: sorted(stage.module.ring, key=lambda s: s.name)
+    number = client.ask(function="1" * 16)
     stage.hand.readers.pop(listener)  # it accepts nothing: the connection is made, though, by the machine
     made = runner.pick([])
     assert made is not None
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: client.status(number))
-    assert stage.srvs()["s-00000001"].listing is Listing.DRAINING and not made.linking.waiting
+    assert stage.workers()["s-00000001"].listing is EndpointState.DRAINING and not made.linking.waiting
     after = len(stage.runners[0].runs)
-    more = [client.ask(fn="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
+    more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
     stage.hand.until(lambda: all(client.status(n) for n in more))
     assert len(stage.runners[0].runs) == after
 
@@ -544,11 +548,11 @@
 def test_a_runner_named_again_at_its_address_keeps_its_connections(stage):
     """Each mention of a runner had replaced its pool, so that a drain dialled it anew."""
     runner, client = stage.node.core.runners["s-00000001"], stage.client()
-    numbers = [client.ask(fn=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
+    numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     connections, lines = list(runner.connections), list(stage.runners[0].lines)
     stage.board.tell(2, 2, stage.row(0, state=1))
-    stage.hand.until(lambda: stage.srvs()["s-00000001"].listing is Listing.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
     assert stage.node.core.runners["s-00000001"] is runner
     assert connections and runner.connections == connections and stage.runners[0].lines == lines
     stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine went and came back
@@ -559,13 +563,13 @@
 def test_events_count_once_and_a_gap_asks_anew_with_the_last_whole_number(stage):
     stage.board.raw(frame(1, 2, stage.row(0, state=2)))  # told before
     stage.hand.quiet()
-    assert len(stage.srvs()) == 2
+    assert len(stage.workers()) == 2
     stage.board.events[2] = frame(2, 2, stage.row(0, state=1))
     stage.board.raw(frame(3, 2, stage.row(1, state=1)))
     stage.hand.run(0.01)
     assert stage.board.asked == [0, 1]
-    stage.hand.until(lambda: stage.srvs()["s-00000001"].listing is Listing.DRAINING)
-    assert stage.srvs()["s-00000002"].listing is Listing.SERVING
+    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
+    assert stage.workers()["s-00000002"].listing is EndpointState.SERVING
 
 
 @pytest.mark.parametrize("bad", [b"\xff" * 20, frame(2, 9), frame(2, 2, b"x" * 26), frame(7, 0)])
@@ -582,7 +586,7 @@
     stage.hand.quiet()
     stage.board.cut()
     stage.hand.run(0.01)
-    stage.hand.until(lambda: stage.srvs()["s-00000001"].listing is Listing.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
     assert stage.board.asked[-1] == 1
 
 
@@ -600,7 +604,7 @@
     stage.hand.until(lambda: other.asked)
     assert other.asked == [1]
     other.tell(2, 2, stage.row(1, state=2))
-    stage.hand.until(lambda: len(stage.srvs()) == 1)
+    stage.hand.until(lambda: len(stage.workers()) == 1)
     other.listener.close()
     for follower in list(other.followers):
         follower.drop("over")
@@ -631,14 +635,14 @@
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
-    numbers = [client.ask(fn=f"{i % 5:016x}") for i in range(20)]
+    numbers = [client.ask(function=f"{i % 5:016x}") for i in range(20)]
     stage.hand.until(lambda: len(stage.runs()) + len(client.ends) == 20)
     assert len(stage.runs()) > 5
     client.give_up(numbers[0])
     stage.hand.quiet()
 
     def agree():
-        believed = {srv.name: srv.out for srv in stage.module.srvs}
+        believed = {worker.name: worker.out for worker in stage.module.workers}
         held = {f"s-{i + 1:08x}": runner.held() for i, runner in enumerate(stage.runners)}
         return believed == held
 
@@ -665,7 +669,7 @@
             orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
         )
     taken, arrived = [], stage.module.arrived
-    stage.module.arrived = lambda rpc: (taken.append(weakref.ref(rpc)), arrived(rpc))
+    stage.module.arrived = lambda request: (taken.append(weakref.ref(request)), arrived(request))
     gc.collect()
     gc.disable()
     try:
@@ -689,9 +693,9 @@
 
     def held():
         core, module = stage.node.core, stage.module
-        kinds = sum(isinstance(o, Srv | RunnerConnection | Runner | Linking) for o in gc.get_objects())
+        kinds = sum(isinstance(o, Worker | RunnerConnection | Runner | Linking) for o in gc.get_objects())
         connections = stage.node.pools.connections
-        return len(core.runners), len(module.srvs), len(stage.host.registry.srvs), connections, kinds
+        return len(core.runners), len(module.workers), len(stage.host.registry.workers), connections, kinds
 
     client, port, before = stage.client(), stage.runners[0].port, None
     gc.collect()
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -422,8 +422,8 @@
     stage.hand.run(2.9)
     assert all(client.closed for client in crowd)
     assert len(met) == len(kept) == stage.host.open and not any(client.closed for client in kept)
-    for rpc in met:
-        stage.host.deny(rpc, 0)
+    for request in met:
+        stage.host.deny(request, 0)
     stage.hand.until(lambda: all(client.status(1) == 503 for client in kept))
 
 
@@ -536,7 +536,7 @@
     client = stage.client()
     keys = {"publish": {"HTTP_X_DEDUPE_KEY": "5c0f6e1a"}}
     numbers = [
-        client.ask(method=method, patience="1000", fn=f"{i:016x}", **keys.get(method, {}))
+        client.ask(method=method, patience="1000", function=f"{i:016x}", **keys.get(method, {}))
         for i, method in enumerate(["search", "publish", "bill"] * 4)
     ]
     stage.hand.run(1.0)
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -11,11 +11,11 @@
 from test_node import SETTINGS
 
 from lapistrestle.edge.linking import Link
-from lapistrestle.interface import Listing
 from lapistrestle.node.configuration import ConfigurationError, read
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import Record, decode_frame
 from lapistrestle.node.program import Node
+from lapistrestle.policy.interface import EndpointState
 from lapistrestle.standins.platform import BoardEnd, frame, row
 
 SECOND = 10_000  # tenths of a millisecond
@@ -166,13 +166,17 @@
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
     stage.node.renewed(read(str(path)))
-    assert stage.srvs()["s-00000001"].listing is Listing.DRAINING and discovery_of(stage).revision == 2
+    assert (
+        stage.workers()["s-00000001"].listing is EndpointState.DRAINING and discovery_of(stage).revision == 2
+    )
 
 
 def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(stage, tmp_path):
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     stage.node.renewed(read(str(written(stage, tmp_path, known={"rev": 3, "notices": events}))))
-    assert discovery_of(stage).revision == 1 and stage.srvs()["s-00000001"].listing is Listing.SERVING
+    assert (
+        discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
+    )
 
 
 @pytest.mark.parametrize("behind, age", [(0.0, 0), (1.5, 15_000), (-1.0, None)])
@@ -214,8 +218,8 @@
     stage.board.tell(2, 2, stage.row(0, state=7), row(9, 0), stage.row(1, state=DRAINING))
     stage.board.tell(3, 2, row(8, 1234, zone=200, kind=200, state=2))
     stage.hand.until(lambda: discovery_of(stage).revision == 3)
-    listings = {name: srv.listing for name, srv in stage.srvs().items()}
-    assert set(listings.values()) == {Listing.DRAINING} and stage.board.asked == [0]
+    listings = {name: worker.listing for name, worker in stage.workers().items()}
+    assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
     assert asked(stage) == 503 and stage.runs() == []
 
 
@@ -223,7 +227,7 @@
 def test_only_the_state_zero_with_a_port_reads_as_ready(state, port):
     (record,) = decode_frame(frame(1, 1, row(1, port, state=state))).records
     assert isinstance(record, Record)
-    assert (record.listing is Listing.SERVING) == (state == 0 and port > 0)
+    assert (record.listing is EndpointState.SERVING) == (state == 0 and port > 0)
 
 
 # just before the first byte
@@ -233,11 +237,11 @@
     """The process stands still after the module has decided and before anything is written."""
     sent = stage.node.core.run
 
-    def run(attempt):
+    def run(worker_call):
         stage.node.core.run = sent
         meanwhile()
         still(stage, 0.3)
-        sent(attempt)
+        sent(worker_call)
 
     stage.node.core.run = run
 
@@ -266,7 +270,7 @@
     client.ask(id=os.urandom(8).hex())
     stage.hand.until(lambda: stage.host.counts["left"])
     stage.hand.quiet()
-    assert len(stage.runs()) == 1 and not stage.host.attempts
+    assert len(stage.runs()) == 1 and not stage.host.worker_calls
 
 
 def test_the_last_of_many_requests_is_not_begun_for_a_client_that_closed_behind_them(stage):
@@ -299,7 +303,7 @@
     stage.hand.until(lambda: connection.linking.state is not Link.SLOW)
     stage.hand.addReader(watch)
     stage.hand.quiet()
-    assert len(stage.runs()) == before and not stage.host.attempts
+    assert len(stage.runs()) == before and not stage.host.worker_calls
 
 
 def test_a_connection_that_comes_up_in_a_standstill_carries_nothing_to_one_that_drains(stage):
@@ -314,7 +318,7 @@
     stage.hand.until(lambda: not held(stage))
     stage.hand.addReader(watch)
     stage.hand.quiet()
-    assert stage.runs() == [] and not stage.host.attempts
+    assert stage.runs() == [] and not stage.host.worker_calls
 
 
 def test_an_order_is_not_sent_to_one_that_drains_behind_a_standstill(stage):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,8 +18,10 @@
 from lapistrestle.wire.plans import Share
 
 
-def command(id_, what="start", fn="f", candidate="v2", **more):
-    return Command(at=more.pop("at", 0), id=id_, what=what, fn=fn, who="duty", candidate=candidate, **more)
+def command(id_, what="start", function="f", candidate="v2", **more):
+    return Command(
+        at=more.pop("at", 0), id=id_, what=what, function=function, who="duty", candidate=candidate, **more
+    )
 
 
 class Numbered(PlannerState):
@@ -42,7 +44,14 @@
 
 def good(step, minute=0):
     return Report(
-        at=1, edge="e", start="s", fn="f", candidate="v2", step=step, minute=minute, counts=(5000, 9, 5000, 9)
+        at=1,
+        edge="e",
+        start="s",
+        function="f",
+        candidate="v2",
+        step=step,
+        minute=minute,
+        counts=(5000, 9, 5000, 9),
     )
 
 
@@ -58,7 +67,7 @@
     assert kept.add(command("2")).outcome == NOTHING
     refused = kept.add(command("3", candidate="v3"))
     assert refused.outcome == REFUSED and "v2" in refused.says
-    assert kept.add(command("4", fn="g", candidate="v3")).outcome == DONE
+    assert kept.add(command("4", function="g", candidate="v3")).outcome == DONE
 
 
 def test_a_chain_of_rollouts_and_a_function_that_appears_for_the_first_time(kept):
@@ -96,7 +105,7 @@
 def test_a_command_for_another_candidate_does_nothing(kept):
     kept.add(command("1"))
     assert kept.add(command("2", "back", candidate="v9")).outcome == REFUSED
-    assert kept.add(command("3", "back", fn="nobody")).outcome == REFUSED
+    assert kept.add(command("3", "back", function="nobody")).outcome == REFUSED
     assert kept.rollouts["f"].state is State.WARMING
 
 
@@ -118,7 +127,7 @@
 
 def test_edges_are_told_what_changed_since_the_number_they_know(kept):
     kept.add(command("1"))
-    kept.add(command("2", fn="g"))
+    kept.add(command("2", function="g"))
     known = kept.number
     stepped(kept, 10_000, ("g",))
     assert set(kept.plan(known)) == {"g"} and set(kept.plan()) == {"f", "g"} and not kept.plan(kept.number)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -14,10 +14,10 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
-from lapistrestle.interface import Answer, Outcome, SrvFacts
-from lapistrestle.state import Fn, Rpc, Srv, State
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import Answer, Outcome, WorkerInfo
+from lapistrestle.policy.state import Function, Request, State, Worker
 
 SECOND = 10_000
 BOOT = 30 * SECOND
@@ -81,7 +81,7 @@
         rules = {**SETTINGS["rules"], **self.rules.settings()}
         facts = words.facts({**SETTINGS, "balancers": self.of, "me": number, "rules": rules})
         dispatcher = Dispatcher(Silent(), facts, self.seed * 1000 + number, now)
-        dispatcher.listed([(Srv(f"w{k}"), SrvFacts(f"w{k}")) for k in range(WARM)], whole=True)
+        dispatcher.listed([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in range(WARM)], whole=True)
         return dispatcher
 
     def boots(self):
@@ -108,7 +108,10 @@
     boots = play.boots()
     hears = [[b + late[i] * int(play.late * SECOND * chance.random()) for b in boots] for i in range(play.of)]
     restarts = [play.restart is not None and chance.random() < play.restart_part for _ in range(play.of)]
-    cold, fns = [Srv("cold") for _ in range(play.of)], [Fn("f", 0, 100.0, 1) for _ in range(play.of)]
+    cold, functions = (
+        [Worker("cold") for _ in range(play.of)],
+        [Function("f", 0, 100.0, 1) for _ in range(play.of)],
+    )
     at, again = 0.0, any(restarts)
     while at < boots[-1] + WATCHED:
         pace = play.pace * (play.jump if at >= BOOT else 1.0)
@@ -117,27 +120,27 @@
         if again and now >= BOOT + play.restart * SECOND:
             again = False
             for i in [i for i in range(play.of) if restarts[i]]:
-                all_[i], cold[i], fns[i] = play.made(i, now), Srv("cold"), Fn("f", 0, 100.0, 1)
+                all_[i], cold[i], functions[i] = play.made(i, now), Worker("cold"), Function("f", 0, 100.0, 1)
         (i,) = chance.choices(range(play.of), weights)
-        dispatcher, fn = all_[i], fns[i]
+        dispatcher, function = all_[i], functions[i]
         dispatcher.now = now
         heard = max((b for b, hear in zip(boots, hears[i], strict=True) if now >= hear), default=None)
         if heard is not None and cold[i].booted != heard:
-            dispatcher.listed([(cold[i], SrvFacts("cold", booted=heard))], whole=False)
+            dispatcher.listed([(cold[i], WorkerInfo("cold", booted=heard))], whole=False)
         scale = chance.gammavariate(play.uneven**-2, play.uneven**2) if play.uneven else 1.0
         scale = max(0.2, scale)
         scales.append(scale)
-        rpc = Rpc("r", fn, 0, 0, now + 3 * SECOND, scale=scale, began=now, state=State.OUT)
+        request = Request("r", function, 0, 0, now + 3 * SECOND, scale=scale, began=now, state=State.OUT)
         boot = max((b for b in boots if now >= b), default=None)
-        srv = dispatcher.srvs[chance.randrange(WARM)]
-        if heard is not None and dispatcher.warmth_of(cold[i]) < 1 and dispatcher.cold_room(cold[i], rpc):
-            srv = cold[i]
+        worker = dispatcher.workers[chance.randrange(WARM)]
+        if heard is not None and dispatcher.warmth_of(cold[i]) < 1 and dispatcher.cold_room(cold[i], request):
+            worker = cold[i]
             sends.append(Sent(now, scale, boot, heard == boot))
-        elif srv is cold[i]:
-            srv = next(s for s in dispatcher.srvs if s is not cold[i])
-        dispatcher.send(rpc, fn.spot(srv))
+        elif worker is cold[i]:
+            worker = next(s for s in dispatcher.workers if s is not cold[i])
+        dispatcher.send(request, function.replica(worker))
         dispatcher.now = now + 1
-        dispatcher.ended(rpc.call_outs[-1], Outcome.OK, Answer(int(WORK * scale)))
+        dispatcher.ended(request.attempts[-1], Outcome.OK, Answer(int(WORK * scale)))
     mean = sum(scales) / len(scales)
     return [replace(s, work=s.work / mean) for s in sends]
 
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 from test_ramp import FLEETS
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
 from lapistrestle.directory.region import Region
-from lapistrestle.interface import SrvFacts
-from lapistrestle.state import Fn, Rpc, Srv
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.interface import WorkerInfo
+from lapistrestle.policy.state import Function, Request, Worker
 from lapistrestle.wire.directory import RegionSums
 
 SECOND = 10_000
@@ -64,8 +64,8 @@
     all_ = [made(i, of, seed, clock, told, rules) for i in range(of)]
     parts = [chance.sample(range(workers), seen) for _ in range(of)]
     for dispatcher, part in zip(all_, parts, strict=True):
-        dispatcher.listed([(Srv(f"w{k}"), SrvFacts(f"w{k}")) for k in part], whole=True)
-    fn, next_sums, restarted = Fn("f", 0, 100.0, 1), 0, False
+        dispatcher.listed([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in part], whole=True)
+    function, next_sums, restarted = Function("f", 0, 100.0, 1), 0, False
     watched = min(6 * SECOND, int(rules.ramp * SECOND))  # then it is warm, and nothing binds
     while at < BOOT + watched:
         at += chance.expovariate(workers * pace) * SECOND
@@ -78,15 +78,15 @@
             restarted = True
             for dispatcher in all_:
                 dispatcher.now = now
-                again = [s for s in dispatcher.srvs if fleet.booted(int(s.name[1:])) is not None]
-                dispatcher.listed([(s, SrvFacts(s.name, booted=BOOT)) for s in again], whole=False)
-                dispatcher.listed([(Srv("cold"), SrvFacts("cold", booted=BOOT))], whole=False)
+                again = [s for s in dispatcher.workers if fleet.booted(int(s.name[1:])) is not None]
+                dispatcher.listed([(s, WorkerInfo(s.name, booted=BOOT)) for s in again], whole=False)
+                dispatcher.listed([(Worker("cold"), WorkerInfo("cold", booted=BOOT))], whole=False)
         dispatcher = chance.choice(all_)
         dispatcher.now = now
-        cold = next((srv for srv in dispatcher.srvs if srv.name == "cold"), None)
-        rpc = Rpc("r", fn, 0, 0, now + 3 * SECOND)
-        if cold is not None and dispatcher.cold_room(cold, rpc):
-            cold.sends.append((now, dispatcher.heft(rpc)))
+        cold = next((worker for worker in dispatcher.workers if worker.name == "cold"), None)
+        request = Request("r", function, 0, 0, now + 3 * SECOND)
+        if cold is not None and dispatcher.cold_room(cold, request):
+            cold.sends.append((now, dispatcher.heft(request)))
             sends.append(now)
             continue
         if chance.random() > fleet.sums(now, dispatcher.facts).warm / workers:
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -61,7 +61,7 @@
         planner = self.planner
         now = planner.now()
         name = f"{what}-{now}"
-        command = Command(at=now, id=name, what=what, fn="fn-0", who="duty", candidate="v2", **more)
+        command = Command(at=now, id=name, what=what, function="fn-0", who="duty", candidate="v2", **more)
         reply = planner.add(command)
         if what == "back":
             self.world.tape.put("planner", "back", version=NAME)
@@ -72,7 +72,7 @@
         return self.planner.state.rollouts["fn-0"]
 
     def runs(self):
-        return [run for run in self.story.runs if run.message.fn == NAME]
+        return [run for run in self.story.runs if run.message.function == NAME]
 
 
 def script(troubles=(), length="14 s", seed=1, like="slots"):
@@ -83,11 +83,11 @@
 def test_a_good_version_is_loaded_first_and_grows_until_it_settles(tmp_path):
     played = Rolled(script(length="80 s"), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is State.SETTLED
-    orders = [hold.at for hold in played.story.holds if hold.message.fn == NAME]
+    orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
     first = min(run.at for run in played.runs())
     assert min(orders) < first
-    late = [run for run in played.story.runs if run.at > 78_000 and run.message.fn.startswith("fn-0")]
-    assert {run.message.fn for run in late} == {NAME}
+    late = [run for run in played.story.runs if run.at > 78_000 and run.message.function.startswith("fn-0")]
+    assert {run.message.function for run in late} == {NAME}
     ok = sum(c.answers[0][2].verdict == "ok" for c in played.story.calls if c.answers)
     assert ok > 0.97 * len(played.story.calls)
 
@@ -106,9 +106,9 @@
 def test_retries_meet_the_version_of_their_first_try(tmp_path):
     played = Rolled(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
     versions = {}
-    for run in played.runs() + [r for r in played.story.runs if r.message.fn == "fn-0"]:
+    for run in played.runs() + [r for r in played.story.runs if r.message.function == "fn-0"]:
         if run.at > 8_000:
-            versions.setdefault(run.message.key, set()).add(run.message.fn)
+            versions.setdefault(run.message.key, set()).add(run.message.function)
     assert len(versions) > 50 and all(len(met) == 1 for met in versions.values())
 
 
@@ -201,7 +201,7 @@
 
     def use_older(played):
         played.said = played.older.add(
-            Command(at=0, id="late", what="advance", fn="fn-0", who="nobody", candidate="v2")
+            Command(at=0, id="late", what="advance", function="fn-0", who="nobody", candidate="v2")
         )
 
     played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
@@ -284,8 +284,15 @@
 
 def test_an_unload_calls_off_loads_that_wait_or_are_fetched(engine):
     said = []
-    for fn, count in (("a@v2", 3), ("b", 1)):
-        engine.hold(fn, count, 500.0, 1, 1.0, lambda outcome, n, fn=fn: said.append((fn, outcome, n)))
+    for function, count in (("a@v2", 3), ("b", 1)):
+        engine.hold(
+            function,
+            count,
+            500.0,
+            1,
+            1.0,
+            lambda outcome, n, function=function: said.append((function, outcome, n)),
+        )
     engine.run_for(0.3)
     assert engine.store.active == 1 and list(engine.load_queue) == ["a@v2", "a@v2", "b"]
     engine.unload("a@v2")
@@ -332,7 +339,9 @@
     start = {"remembered": remembered}
     played = Rolled(script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start)
     fetched["after"] = played.world.store.fetched - fetched["before"]
-    calls = [c for c in played.story.calls if c.message.fn == "fn-0" and c.at > back * 1000 and c.answers]
+    calls = [
+        c for c in played.story.calls if c.message.function == "fn-0" and c.at > back * 1000 and c.answers
+    ]
     ok = sum(c.answers[0][2].verdict == "ok" for c in calls) / len(calls)
     assert played.breaches() == [] and played.rollout.state in (State.WITHDRAWING, State.WITHDRAWN)
     late = [run for run in played.runs() if run.at > back * 1000 + 1000]
@@ -394,7 +403,7 @@
         script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"remembered": 20_000}
     )
     assert played.rollout.state is State.SETTLED and played.breaches() == []
-    after = {run.message.fn for run in played.story.runs if run.at > 31_000}
+    after = {run.message.function for run in played.story.runs if run.at > 31_000}
     assert NAME in after and "fn-0" not in after
     assert len(played.logged("kept plan")) == 2
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -15,9 +15,9 @@
 )
 from benchmarks.scale.samples import Dimension
 from lapistrestle.agreement.raft import RaftNode
-from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.following import KnownWorkers
 from lapistrestle.fleet.table import MemberTable
+from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.wire.lines import LineBounds
 
 GIVEN = assumptions.load()
@@ -217,8 +217,8 @@
 
 def room_steps(dispatchers):
     made, cold = control_cold.dispatcher_of(0, dispatchers, 1.0)
-    rpc = control_cold.Rpc("r", control_cold.FUNCTION, 0, 0, control_cold.NOW + 30_000)
-    return count_steps(lambda: made.cold_room(cold, rpc)).instructions
+    request = control_cold.Request("r", control_cold.FUNCTION, 0, 0, control_cold.NOW + 30_000)
+    return count_steps(lambda: made.cold_room(cold, request)).instructions
 
 
 def test_a_question_of_room_costs_the_same_however_many_dispatchers(monkeypatch):
@@ -226,9 +226,9 @@
     assert kind(sizes, room_steps) is Kind.FLAT
     room = Dispatcher.cold_room
 
-    def scanned(made, srv, rpc):
+    def scanned(made, worker, request):
         assert sum(1 for _ in range(made.facts["dispatchers"]))
-        return room(made, srv, rpc)
+        return room(made, worker, request)
 
     monkeypatch.setattr(Dispatcher, "cold_room", scanned)
     assert kind(sizes, room_steps) is not Kind.FLAT
