--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.assumptions import Assumptions
 from benchmarks.scale.measuring import build_measured, count_steps, processor_seconds
 from benchmarks.scale.roles import register
-from benchmarks.scale.roles.control_hollow import SECOND, Clock, Meter, Traffic, deployment, module_facts
+from benchmarks.scale.roles.control_hollow import SECOND, Clock, Meter, Traffic, deployment, module_settings
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
 from lapistrestle.deployment.shape import Fleet
 from lapistrestle.edge.fleet_member import FleetMember
@@ -21,6 +21,7 @@
 from lapistrestle.fleet.lending import Lending
 from lapistrestle.overload.admission import UPDATE_EVERY
 from lapistrestle.overload.probers import probers
+from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.state import Worker
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import Claim, Datagram, Rank
@@ -138,7 +139,8 @@
 
     def __init__(self, instances: int, dispatchers: int) -> None:
         self.deployment = deployment(dispatchers)
-        self.facts = module_facts(dispatchers)
+        self.settings = module_settings(dispatchers)
+        self.fleet = FleetGuidance()
         self.now = 1_000 * SECOND
         self.stopping = False
         self.reactor = self
--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.assumptions import Assumptions
 from benchmarks.scale.measuring import build_measured, count_steps, processor_seconds
 from benchmarks.scale.roles import register
-from benchmarks.scale.roles.control_hollow import SECOND, module_facts
+from benchmarks.scale.roles.control_hollow import SECOND, module_settings
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.interface import WorkerInfo
@@ -32,7 +32,7 @@
 
 def dispatcher_of(number: int, dispatchers: int, calls_an_instance: float) -> tuple[Dispatcher, Worker]:
     """One of so many, with its even part of the calls that each instance answers in a second."""
-    made = Dispatcher(Quiet(), module_facts(dispatchers, number), number, 0)
+    made = Dispatcher(Quiet(), module_settings(dispatchers, number), number, 0)
     made.now = NOW
     cold = Worker("cold")
     listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted=0)) for i in range(WARM)]
@@ -62,7 +62,7 @@
 def windows_of(dispatchers: int, calls_an_instance: float) -> tuple[list[int], list[int]]:
     """Call-outs of all in each window, and in how many of the windows each had a turn."""
     all_ = [dispatcher_of(number, dispatchers, calls_an_instance) for number in range(dispatchers)]
-    window = all_[0][0].facts["fall_time"]
+    window = all_[0][0].settings.overload_window
     sums, turns = [0] * WINDOWS, [0] * dispatchers
     for index in range(WINDOWS):
         for number, (made, cold) in enumerate(all_):
--- a/benchmarks/scale/roles/control_gossip.py
+++ b/benchmarks/scale/roles/control_gossip.py
@@ -22,7 +22,7 @@
     Ground,
     Meter,
     Traffic,
-    module_facts,
+    module_settings,
 )
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.fleet.digests import DigestSettings
@@ -191,7 +191,7 @@
     size: int, life: tuple[str, int, int], told: DigestSettings, seed: int, now: int
 ) -> AdmissionController:
     """The admission controller of one dispatcher of so many."""
-    settings = AdmissionSettings.of(module_facts(size))
+    settings = AdmissionSettings.of(module_settings(size))
     return AdmissionController(settings, life, told, seed, lambda text: None, now)
 
 
--- a/benchmarks/scale/roles/control_hollow.py
+++ b/benchmarks/scale/roles/control_hollow.py
@@ -12,9 +12,9 @@
 from msgspec import Struct
 
 from benchmarks.scale.measuring import count_steps
-from lapistrestle.deployment.load import facts
+from lapistrestle.deployment.load import to_settings
 from lapistrestle.deployment.shape import Customer, Deployment, Method, Orders, Place, Span, Workers
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import Settings
 
 SECOND = 10_000  # tenths of a millisecond, the program's unit of time
 METHODS = 3
@@ -40,10 +40,9 @@
     )
 
 
-def module_facts(dispatchers: int = 2, number: int = 0) -> dict[str, Any]:
-    """The module's plain map of these settings."""
-    made: Facts = facts(deployment(dispatchers, number))
-    return {**made, "order_lag": 0}
+def module_settings(dispatchers: int = 2, number: int = 0) -> Settings:
+    """The same, as the module reads them."""
+    return to_settings(deployment(dispatchers, number))
 
 
 class Traffic(Struct):
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -21,6 +21,7 @@
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.planner.program import Planner, PlannerSpeaker
 from lapistrestle.planner.state import Command, PlannerState, Reply, Report
+from lapistrestle.policy.settings import Settings
 from lapistrestle.rollout.life import Input, Rollout
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout.versions import Split
@@ -294,7 +295,8 @@
         self.name = "dispatcher-00001"
         self.deployment = deployment(3_900)
         self.deployment.planner.keep = keep
-        self.facts = {"dial_time_out": SECOND, "may_order": True, "memory_by_kind": [], "idle_life": SECOND}
+        self.connect_timeout = SECOND
+        self.settings = Settings(connect_timeout=SECOND, may_preload=True, idle_timeout=SECOND)
         self.bounds = LineBounds()
         self.routing = Routing()
         self.now = 1_000 * SECOND
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -154,7 +154,7 @@
     def __init__(self) -> None:
         self.bounds = LineBounds()
         self.name, self.wanted = "dispatcher-00001", False
-        self.facts = {"list_asked": False}
+        self.endpoints_polled = False
         self.edge = self
         self.instances = 0
 
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -6,7 +6,7 @@
 
 import orjson
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.interface import (
@@ -36,7 +36,7 @@
         self.says_company = bool((settings.get("family-info") or {}).get("says-company"))
         self.requests: dict[str, Request] = {}
         self.registry = ObjectRegistry()
-        self.module = Dispatcher(self, words.facts(settings), int(init.get("rng-seed") or 0), now)
+        self.module = Dispatcher(self, translation.to_settings(settings), int(init.get("rng-seed") or 0), now)
 
     # what the module asks for (interface.Host)
 
@@ -44,11 +44,11 @@
         self.cmds.append({word: {"dispatcher-id": self.name, **fields}})
 
     def send_attempt(self, attempt: Attempt, time_out: int) -> None:
-        within = words.micros(time_out)
+        within = translation.micros(time_out)
         self.act("Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within})
 
     def deny(self, request: RequestInfo, retry_after: int) -> None:
-        self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * words.UNIT})
+        self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * translation.UNIT})
 
     def abort(self, request: RequestInfo) -> None:
         self.act("DropRequest", **{"msg-id": request.tag})
@@ -70,7 +70,9 @@
         self.act("MemoTo", dst="*" if peer is None else peer, raw=text)
 
     def wake_me(self, delay: int, token: object) -> None:
-        self.act("NotifyMe", **{"span": words.micros(delay), "key-back": self.registry.keep_token(token)})
+        self.act(
+            "NotifyMe", **{"span": translation.micros(delay), "key-back": self.registry.keep_token(token)}
+        )
 
     def follow_list(self) -> None:
         self.act("Listen", enable=True)
@@ -101,14 +103,16 @@
     def demand(self, fields: Fields) -> None:
         name, method = fields.get("image") or "", fields.get("class") or 0
         memory, lanes = fields.get("ram-mb") or 0.0, int(fields.get("width") or 1)
-        load = None if fields.get("bringup-ms") is None else words.span(int(1000 * fields["bringup-ms"]))
+        load = (
+            None if fields.get("bringup-ms") is None else translation.span(int(1000 * fields["bringup-ms"]))
+        )
         request = Request(
             tag=fields["msg-id"],
             function=self.registry.function(name, method, memory, lanes, load),
             method=method,
             customer=fields.get("user-group") or 0,
-            deadline=words.span(fields["not-after"]),
-            work=None if fields.get("work") is None else max(1, words.span(fields["work"])),
+            deadline=translation.span(fields["not-after"]),
+            work=None if fields.get("work") is None else max(1, translation.span(fields["work"])),
             repeat=bool(fields.get("resent")),
         )
         self.requests[request.tag] = request
@@ -126,13 +130,17 @@
             return
         detail = fields.get("detail") or 0
         answer = Answer(
-            took=words.span(fields.get("took") or 0),
+            took=translation.span(fields.get("took") or 0),
             over=bool(fields.get("no-more")),
-            warmth=words.WARMTH[detail % 8] if detail % 8 < len(words.WARMTH) else words.WARMTH[0],
+            warmth=translation.WARMTH[detail % 8]
+            if detail % 8 < len(translation.WARMTH)
+            else translation.WARMTH[0],
             company=detail // 8 if self.says_company else None,
             report=self.report(fields.get("telemetry")),
         )
-        self.module.ended(request.attempts[fields["round-no"]], words.OUTCOMES[fields["reason"]], answer)
+        self.module.ended(
+            request.attempts[fields["round-no"]], translation.OUTCOMES[fields["reason"]], answer
+        )
         self.forget(request)
 
     def vanished(self, fields: Fields) -> None:
@@ -156,13 +164,13 @@
             self.registry.functions.get(fields["image"]),
         )
         if worker is not None and function is not None:
-            outcome, took = words.OUTCOMES[fields["reason"]], words.span(fields.get("took") or 0)
+            outcome, took = translation.OUTCOMES[fields["reason"]], translation.span(fields.get("took") or 0)
             self.module.ordered(worker, function, outcome, fields.get("number") or 0, took)
 
     def probe_result(self, fields: Fields) -> None:
         worker = self.registry.workers.get(fields["runner"])
         if worker is not None:
-            outcome, took = words.OUTCOMES[fields["reason"]], words.span(fields.get("took") or 0)
+            outcome, took = translation.OUTCOMES[fields["reason"]], translation.span(fields.get("took") or 0)
             self.module.probed(worker, outcome, took, self.report(fields.get("telemetry")))
 
     def datagram(self, fields: Fields) -> None:
@@ -191,8 +199,8 @@
         cell=record.get("cohort") or 0,
         kind=record.get("type") or 0,
         size=1.0 if size is None else size,
-        listing=words.LISTINGS.get(record.get("availability") or "SERVING", EndpointState.SERVING),
-        booted=words.moment(booted) if booted else None,
+        listing=translation.LISTINGS.get(record.get("availability") or "SERVING", EndpointState.SERVING),
+        booted=translation.moment(booted) if booted else None,
     )
 
 
@@ -205,7 +213,7 @@
     def answer(self, line: bytes) -> bytes:
         try:
             batch = orjson.loads(line)
-            now, number = words.moment(batch["clock"]), batch["batch"]
+            now, number = translation.moment(batch["clock"]), batch["batch"]
             happened = list(batch["happened"] or [])
         except (ValueError, TypeError, KeyError) as trouble:
             raise Malformed(f"not a batch: {trouble!r}") from None
--- a/lapistrestle/command/main.py
+++ b/lapistrestle/command/main.py
@@ -1,11 +1,12 @@
 """`lapistrestle`: every command."""
 
+from dataclasses import fields
 from pathlib import Path
 
 import click
 
 from lapistrestle.command import days, demo, directories, experiments, fleets, programs, rollouts
-from lapistrestle.deployment.load import Wrong, facts, load
+from lapistrestle.deployment.load import Wrong, load, to_settings
 
 
 class Commands(click.Group):
@@ -36,8 +37,8 @@
     for file in files:
         try:
             made = load(file)
-            count = len(facts(made))
-            figures = f"{len(made.methods)} methods, {len(made.customers)} customers, {count} facts"
+            count = len(fields(to_settings(made)))
+            figures = f"{len(made.methods)} methods, {len(made.customers)} customers, {count} settings"
             click.echo(f"{file}: fits; {figures}")
         except Wrong as trouble:
             wrong += 1
--- a/lapistrestle/deployment/load.py
+++ b/lapistrestle/deployment/load.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapistrestle.deployment.shape import Deployment, Directory, HolderDeployment, Span
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import CustomerSettings, MethodKind, MethodSettings, Settings
 
 T = TypeVar("T")
 STEP = re.compile(r"\.([^.\[\]]+)|\[(\d+|\.\.\.)\]")
@@ -232,61 +232,61 @@
         raise wrong("allows no order at all; expected free or share above 0", "orders", "window")
 
 
-def facts(made: Deployment) -> Facts:
-    """The plain map that the module reads; `deployment.words` makes the same from the bench's settings."""
+def to_settings(made: Deployment) -> Settings:
+    """The module's settings; `deployment.translation` makes the same from the platform's."""
     workers, orders, allowed, roster = made.workers, made.orders, made.allowed, made.roster
-    return {
-        "me": made.dispatcher.number,
-        "zone": made.zones.index(made.dispatcher.zone) if made.dispatcher.zone else 0,
-        "dispatchers": made.dispatcher.of,
-        "methods": [
-            {
-                "kind": m.effect,
-                "scope": m.repeats_dropped_by,
-                "repeat_window": int(m.repeats_remembered),
-                "soft_deadline": int(m.soft_deadline or m.deadline),
-                "soft_stretch": m.soft_stretch,
-                "deadline": int(m.deadline),
-                "gain": m.gain,
-                "late_gain": m.late_gain,
-                "streamed": m.streamed,
-            }
+    return Settings(
+        instance_index=made.dispatcher.number,
+        zone=made.zones.index(made.dispatcher.zone) if made.dispatcher.zone else 0,
+        dispatcher_count=made.dispatcher.of,
+        methods=tuple(
+            MethodSettings(
+                kind=MethodKind(m.effect),
+                dedup_scope=m.repeats_dropped_by,
+                dedup_window=int(m.repeats_remembered),
+                soft_deadline=int(m.soft_deadline or m.deadline),
+                soft_stretch=m.soft_stretch,
+                deadline=int(m.deadline),
+                gain=m.gain,
+                late_gain=m.late_gain,
+                streamed=m.streamed,
+            )
             for m in made.methods.values()
-        ],
-        "customers": [{"quota": c.quota, "share": c.share} for c in made.customers.values()],
-        "over_share_gain": made.counting.over_share_gain,
-        "gain_by_work": made.counting.by == "work",
-        "size_is_live": workers.size_means == "live",
-        "list_asked": roster.mode == "asked",
-        "ask_within": int(roster.ask_within),
-        "report_inline": workers.reports == "inline",
-        "report_probed": workers.reports in ("inline", "on_probe"),
-        "may_cancel": allowed.cancel,
-        "may_probe": allowed.probe,
-        "may_parallel": allowed.parallel,
-        "may_tell_peers": allowed.peers,
-        "may_order": orders.allowed,
-        "may_come_back": allowed.retry_after > 0,
-        "longest_come_back": int(allowed.retry_after),
-        "try_limit": allowed.tries,
-        "dial_time_out": int(allowed.dial),
-        "answer_slack": int(allowed.answer_slack),
-        "drain_grace": int(workers.drain_grace),
-        "cold_share": workers.cold_share,
-        "ramp_time": int(workers.ramp),
-        "fall_time": int(workers.fall_time),
-        "fall_multiple": workers.fall_multiple,
-        "absent_misses": workers.absent == "miss",
-        "order_window": int(orders.window),
-        "order_lag": 0,  # the transport says how long it may let an order wait
-        "orders_free": orders.free,
-        "orders_share": orders.share,
-        "order_time_out": int(orders.time_out),
-        "idle_life": int(workers.idle_life),
-        "idle_memory_price": workers.idle_memory_price,
-        "memory_by_kind": list(workers.memory_by_kind.values()),
-        "tells_warm": workers.tells_warm,
-        "tells_company": workers.tells_company,
-        "goal": dict(made.counting.goal),
-        "prices": dict(made.counting.prices),
-    }
+        ),
+        customers=tuple(CustomerSettings(c.quota, c.share) for c in made.customers.values()),
+        over_share_gain=made.counting.over_share_gain,
+        gain_by_work=made.counting.by == "work",
+        size_is_live=workers.size_means == "live",
+        endpoints_polled=roster.mode == "asked",
+        poll_within=int(roster.ask_within),
+        report_inline=workers.reports == "inline",
+        report_probed=workers.reports in ("inline", "on_probe"),
+        may_cancel=allowed.cancel,
+        may_health_check=allowed.probe,
+        may_parallel=allowed.parallel,
+        may_gossip=allowed.peers,
+        may_preload=orders.allowed,
+        may_retry_after=allowed.retry_after > 0,
+        max_retry_after=int(allowed.retry_after),
+        attempt_limit=allowed.tries,
+        connect_timeout=int(allowed.dial),
+        answer_slack=int(allowed.answer_slack),
+        drain_grace=int(workers.drain_grace),
+        slow_start_share=workers.cold_share,
+        slow_start_duration=int(workers.ramp),
+        overload_window=int(workers.fall_time),
+        overload_factor=workers.fall_multiple,
+        reports_not_loaded=workers.absent == "miss",
+        preload_window=int(orders.window),
+        preload_delay=0,  # the transport says how long it may let an order wait
+        preload_free=orders.free,
+        preload_share=orders.share,
+        preload_timeout=int(orders.time_out),
+        idle_timeout=int(workers.idle_life),
+        idle_memory_price=workers.idle_memory_price,
+        memory_by_kind=tuple(workers.memory_by_kind.values()),
+        reports_warmth=workers.tells_warm,
+        reports_concurrency=workers.tells_company,
+        goal=dict(made.counting.goal),
+        prices=dict(made.counting.prices),
+    )
--- /dev/null
+++ b/lapistrestle/deployment/translation.py
@@ -0,0 +1,141 @@
+"""The platform's settings, words and units in ours, and back: for the simulator and for sockets."""
+
+from collections.abc import Mapping
+from typing import Any
+
+from lapistrestle.policy.interface import EndpointState, LoadState, Outcome
+from lapistrestle.policy.settings import CustomerSettings, MethodKind, MethodSettings, Settings
+
+Group = Mapping[str, Any]  # one group of the platform's settings, as JSON has it
+
+UNIT = 100  # microseconds in a tenth of a millisecond
+
+OUTCOMES = {
+    "S": Outcome.OK,
+    "E": Outcome.ERROR,
+    "F": Outcome.REJECTED,
+    "T": Outcome.TIMED_OUT,
+    "C": Outcome.UNREACHABLE,
+    "R": Outcome.RESET,
+    "X": Outcome.CANCELLED,
+    "N": Outcome.NOT_SENT,
+    "M": Outcome.NOT_LOADED,
+}
+LISTINGS = {
+    "SERVING": EndpointState.SERVING,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.REMOVED,
+}
+KINDS = {
+    "idempotent": MethodKind.IDEMPOTENT,
+    "deduplicated": MethodKind.DEDUPLICATED,
+    "at_most_once": MethodKind.AT_MOST_ONCE,
+}
+WARMTH = (
+    LoadState.UNKNOWN,
+    LoadState.LOADED,
+    LoadState.BEGAN_LOAD,
+    LoadState.JOINED_LOAD,
+    LoadState.LOAD_FAILED,
+)
+SAID = {  # figures of a load report as sockets name them, and as settings do
+    "inflight": "outstanding",
+    "queue": "backlog",
+    "util": "utilization",
+    "latency_ms": "recent_ms",
+    "qps": "throughput",
+    "eps": "errors_per_s",
+}
+
+
+def moment(micros: int) -> int:
+    """A clock reading, rounded up, so that what is left before a deadline is never overstated."""
+    return -(-micros // UNIT)
+
+
+def span(micros: int) -> int:
+    """A deadline or length, rounded down."""
+    return micros // UNIT
+
+
+def micros(tenths: int) -> int:
+    """A length for the wire; 0 would mean none, so the least is one microsecond."""
+    return max(1, tenths * UNIT)
+
+
+def part(whole: Group, key: str) -> Group:
+    """A group of settings; one that is missing or null reads as empty."""
+    return whole.get(key) or {}
+
+
+def number(group: Group, key: str, missing: float = 0) -> Any:
+    """A setting; one that is missing or null has the stated meaning."""
+    value = group.get(key)
+    return missing if value is None else value
+
+
+def method(profile: Group) -> MethodSettings:
+    """One method of the platform's settings."""
+    deadline = span(number(profile, "deadline"))
+    return MethodSettings(
+        kind=KINDS.get(profile.get("idempotency") or "", MethodKind.AT_MOST_ONCE),
+        dedup_scope=profile.get("dedup-scope") or "cell",
+        dedup_window=span(number(profile, "repeat-window")),
+        soft_deadline=span(number(profile, "aim")) or deadline,
+        soft_stretch=number(profile, "aim-stretch", 0.0),
+        deadline=deadline,
+        gain=number(profile, "points", 1.0),
+        late_gain=number(profile, "late-worth", 0.0),
+        streamed=bool(profile.get("streamed")),
+    )
+
+
+def to_settings(settings: Group) -> Settings:
+    """The settings as the platform hands them over, in the module's terms; unknown ones pass over."""
+    limits, rules, info = part(settings, "limits"), part(settings, "rules"), part(settings, "family-info")
+    reporting, blend, prices = (part(settings, k) for k in ("reporting", "blend", "prices"))
+    return Settings(
+        instance_index=number(settings, "me"),
+        zone=number(settings, "az"),
+        dispatcher_count=max(1, number(settings, "balancers", 1)),
+        methods=tuple(method(p) for p in settings.get("profiles") or []),
+        customers=tuple(
+            CustomerSettings(quota=number(t, "quota-rps", 0.0), share=number(t, "share", 0.0))
+            for t in settings.get("tenants") or []
+        ),
+        over_share_gain=number(settings, "over-share-worth", 1.0),
+        gain_by_work=settings.get("value-by") == "work",
+        size_is_live=settings.get("weights") == "live",
+        endpoints_polled=settings.get("registry-mode") == "on_request",
+        poll_within=span(number(rules, "ask-within")),
+        report_inline=reporting.get("how") == "inline",
+        report_probed=reporting.get("how") in ("inline", "on_probe"),
+        may_cancel=bool(limits.get("cancel")),
+        may_health_check=bool(limits.get("may-probe")),
+        may_parallel=bool(limits.get("parallel-tries")),
+        may_gossip=bool(limits.get("peers")),
+        may_preload=bool(info.get("placement-calls")),
+        may_retry_after=bool(limits.get("retry-after")),
+        max_retry_after=span(number(limits, "max-retry-after")),
+        attempt_limit=number(limits, "try-limit", 1),
+        connect_timeout=span(number(limits, "dial-timeout")),
+        answer_slack=span(number(rules, "answer-slack")),
+        drain_grace=span(number(rules, "drain-grace")),
+        slow_start_share=number(rules, "cold-from", 1.0),
+        slow_start_duration=span(number(rules, "ramp-time")),
+        overload_window=span(number(rules, "fall")),
+        overload_factor=number(rules, "fall-multiple", 1.0),
+        reports_not_loaded=info.get("when-absent") == "miss",
+        preload_window=span(number(info, "load-period")),
+        preload_delay=0,  # the transport says how long it may let an order wait
+        preload_free=number(info, "free-loads", 0.0),
+        preload_share=number(info, "load-share", 0.0),
+        preload_timeout=span(number(info, "answer-within")),
+        idle_timeout=span(number(info, "idle-life")),
+        idle_memory_price=number(info, "idle-memory-cost", 0.0),
+        memory_by_kind=tuple(info.get("ram-mb-by-kind") or []),
+        reports_warmth=bool(info.get("tells-warm")),
+        reports_concurrency=bool(info.get("says-company")),
+        goal={k.replace("-", "_"): v for k, v in blend.items()},
+        prices={k.replace("-", "_"): v for k, v in prices.items()},
+    )
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -114,7 +114,7 @@
         )
         self.list = Instances(lambda text: log("roster", figures=text))
         self.bounds = LineBounds(line=ROSTER_LINE)  # of the connection to the roster
-        self.facts = {"dial_time_out": ROSTER_DIAL, "list_asked": False}
+        self.connect_timeout, self.endpoints_polled = ROSTER_DIAL, False
         self.source = HolderRosterSource(self, settings.roster.port)
         self.sessions: dict[int, WatcherSpeaker] = {}
         self.count = 0  # of sessions so far: no number is used twice
--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -78,7 +78,7 @@
         full = len(self.open) >= self.bounds.open_calls
         if full or edge.stopping or left <= 0 or (edge.planner is not None and edge.planner.unplanned()):
             edge.counts["turned away"] += 1
-            retry_after = edge.facts["longest_come_back"] / 10 if left > 0 else 0.0
+            retry_after = edge.settings.max_retry_after / 10 if left > 0 else 0.0
             return self.say(wire.Answer(call.id, DENIED, retry_after))
         route = edge.route(call, self, method)
         if not route.name:
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -5,6 +5,7 @@
 
 import socket
 from collections.abc import Callable, Sequence
+from dataclasses import replace
 from typing import Any, Protocol
 
 from lapistrestle.edge.linking import PROMPT
@@ -14,7 +15,9 @@
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.hosting.turns import Turns
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.policy.interface import EndpointState, Facts, FunctionInfo, Outcome, WorkerInfo
+from lapistrestle.policy.fleet_guidance import FleetGuidance
+from lapistrestle.policy.interface import EndpointState, FunctionInfo, Outcome, WorkerInfo
+from lapistrestle.policy.settings import Settings
 
 Log = Callable[..., None]
 TENTHS = 10_000  # of a millisecond in a second
@@ -64,12 +67,15 @@
     """One front end on one reactor, whose clock must be monotonic: one set back would hold the timers."""
 
     def __init__(
-        self, reactor: Any, name: str, facts: Facts, log: Log, seed: int, slack: int = 0,
-        make: Callable[..., Any] = Dispatcher, prompt: int = PROMPT,
+        self, reactor: Any, name: str, settings: Settings, log: Log, seed: int, slack: int = 0,
+        make: Callable[..., Any] = Dispatcher, prompt: int = PROMPT, fleet: FleetGuidance | None = None,
     ) -> None:  # fmt: skip
         """`prompt`: tenths of a millisecond that an order may wait for its connection."""
         self.reactor, self.name, self.log = reactor, name, log
-        self.facts: dict[str, Any] = {**facts, "order_lag": prompt}
+        self.settings = replace(settings, preload_delay=prompt)
+        self.fleet = fleet or FleetGuidance()
+        self.connect_timeout = settings.connect_timeout
+        self.endpoints_polled = settings.endpoints_polled
         self.runners: dict[str, Any] = {}
         self.counts = dict.fromkeys(("turned away", "unreadable", "passed over", NOT_BEGUN), 0)
         self.stopping = False
@@ -82,7 +88,7 @@
         self.make_runner: Callable[[str, Any, str], RunnerHandle]
         self.sources: list[ListSource] = []
         self.gate = WorkGate(self)
-        self.host = ModuleHost(self, self.facts, seed, self.clock, slack, make)
+        self.host = ModuleHost(self, self.settings, seed, self.clock, slack, make, fleet=self.fleet)
         if hasattr(reactor, "around"):
             reactor.around = self.host.batched
 
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -59,13 +59,14 @@
 
     def __init__(self, edge: Any, settings: Directory) -> None:
         self.edge, self.settings = edge, settings
-        self.region: Region = edge.facts["region"]
+        assert isinstance(edge.fleet.region, Region)
+        self.region = edge.fleet.region
         place = edge.deployment.dispatcher
         self.watcher = DirectoryWatcher(
             place.name,
             place.zone,
             assignment_of(settings),
-            watcher_settings(settings, edge.facts["dial_time_out"]),
+            watcher_settings(settings, edge.settings.connect_timeout),
             place.seed,
             edge.clock(),
             lambda text: edge.log("directory", figures=text),
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -33,7 +33,7 @@
         digest_settings = DigestSettings(send_every=int(fleet.tell), refresh=2 * int(fleet.tell))
         life = self.endpoint.members.me.life
         self.admission = AdmissionController(
-            AdmissionSettings.of(edge.facts),
+            AdmissionSettings.of(edge.settings),
             life,
             digest_settings,
             place.seed,
@@ -48,12 +48,12 @@
             self.endpoint.digests, self.endpoint.verdicts = self.admission.digests, self.verdicts
 
         if fleet.loads:
-            longest = max(m["deadline"] for m in edge.facts["methods"])  # that one counts as under way
-            settle = max(longest, edge.facts["order_time_out"])
+            longest = max(m.deadline for m in edge.settings.methods)  # that one counts as under way
+            settle = max(longest, edge.settings.preload_timeout)
             lends = AllowanceSettings(lasts=3 * settle, settle=settle)  # what began on a loan ends within it
             loads = Allowance("loads", fleet.loads, place.of, place.number, lends, edge.clock())
             self.endpoint.lending = Lending(loads, self.loading, self.endpoint.lend, place.seed)
-            edge.facts["loads"] = self.loads
+            edge.fleet.loads_allowed = self.loads
 
     def loads(self, now: int) -> bool:
         """Whether one more load of this edge may begin at this moment."""
@@ -83,8 +83,8 @@
             self.endpoint.lending.update(live, member, self.edge.clock())
         if self.fleet.shed:
             self.admission.update(self.endpoint.present, self.endpoint.members.size, self.edge.clock())
-            self.edge.facts["shedding"] = self.admission.sheds  # the module's map is the edge's
-            self.edge.facts["further"] = self.admission.further
+            self.edge.fleet.shedding = self.admission.sheds
+            self.edge.fleet.retries_per_second = self.admission.further
             self.share_trials()
         self.edge.after(UPDATE_EVERY, self.update, None)
 
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -93,7 +93,7 @@
     def dial(self, effect: Dial) -> None:
         """Open a connection."""
         dial = self.dials[effect.connection] = HolderDial(self, effect.connection)
-        time_out = self.edge.facts["dial_time_out"] / TENTHS
+        time_out = self.edge.connect_timeout / TENTHS
         copy = effect.copy
         dial.connector = self.edge.reactor.connectTCP(copy.host, copy.port, dial, timeout=time_out)
 
--- a/lapistrestle/edge/keeping.py
+++ b/lapistrestle/edge/keeping.py
@@ -27,9 +27,9 @@
             self.edge.log("kept figures can't be read, starting afresh", why=str(trouble))
             return self.set_aside()
         none, same, figures = Learnt(0, 0, 0.0, 0.0), list[str](), list[tuple[float, float]]()
-        for name, facts in zip(self.edge.methods, self.edge.facts["methods"], strict=True):
+        for name, facts in zip(self.edge.methods, self.edge.settings.methods, strict=True):
             had = kept.get(name, none)
-            if (had.soft_deadline, had.deadline) != (facts["soft_deadline"], facts["deadline"]):
+            if (had.soft_deadline, had.deadline) != (facts.soft_deadline, facts.deadline):
                 had = none
             same += [name] if had.alone or had.hint else []
             figures.append((had.alone, had.hint))
@@ -49,8 +49,8 @@
             self.edge.after(EACH, self.step, None)
 
     def write(self) -> None:
-        rows = zip(self.edge.methods, self.edge.facts["methods"], self.edge.host.module.learnt(), strict=True)
-        methods = {name: Learnt(m["soft_deadline"], m["deadline"], *figures) for name, m, figures in rows}
+        rows = zip(self.edge.methods, self.edge.settings.methods, self.edge.host.module.learnt(), strict=True)
+        methods = {name: Learnt(m.soft_deadline, m.deadline, *figures) for name, m, figures in rows}
         try:
             learnt.write(self.path, methods)
         except OSError as trouble:
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -16,7 +16,7 @@
     def __init__(self, edge: Any) -> None:
         self.edge = edge
         self.ports: list[int] = edge.deployment.peers
-        self.me: int = edge.facts["me"]
+        self.me: int = edge.settings.instance_index
         if self.me < len(self.ports):
             edge.reactor.listenUDP(self.ports[self.me], self, interface="127.0.0.1")
 
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -153,7 +153,7 @@
             for name in (*versions, "")
             if (function := registry.functions.get(named(split.function, name))) is not None
         ]
-        if not known or not self.edge.facts["may_order"]:
+        if not known or not self.edge.settings.may_preload:
             return split.next, ""
         model = known[-1]
         busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
@@ -183,7 +183,7 @@
         if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
             return stock.Stand(stock.APART, 0, stock.Lack.WORKERS)  # its prefix is being looked up
-        memory, idle_life = edge.facts["memory_by_kind"], edge.facts["idle_life"]
+        memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         shelves: dict[stock.Shelf, Worker] = {}
         for worker in module.walk(function):
             if worker.listing.name != "SERVING" or not module.fit(worker):
@@ -199,7 +199,7 @@
             ordered: bool = module.order(function.replica(shelves[shelf]), count, stock.ORDER_PART)
             return ordered
 
-        now = stock.needed(busy, share, function.lanes, edge.facts["dispatchers"])
+        now = stock.needed(busy, share, function.lanes, edge.settings.dispatcher_count)
         wanted = self.wants.setdefault(name, stock.Want()).follow(now)
         stand = stock.keep(list(shelves), wanted, module.load_limit - module.loading, order)
         if edge.directory is not None and not stand.enough:
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from lapistrestle.deployment.load import facts
+from lapistrestle.deployment.load import to_settings
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
 from lapistrestle.edge.core import Core, Log
@@ -15,6 +15,7 @@
 from lapistrestle.edge.runners import Runner, bounds_of
 from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.versions import Course, after_denial, key_of
@@ -51,13 +52,13 @@
         self.planner: PlannerSource | None = None
         self.routing = Routing()
         seed = place.seed if seed is None else seed
-        told = dict(facts(deployment))
+        settings, guidance = to_settings(deployment), FleetGuidance()
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
             from lapistrestle.directory.region import Region
 
-            told["region"] = Region(self.clock, told["cold_share"], told["ramp_time"])
-        super().__init__(reactor, place.name, told, log, seed, self.margin // 2, make)
+            guidance.region = Region(self.clock, settings.slow_start_share, settings.slow_start_duration)
+        super().__init__(reactor, place.name, settings, log, seed, self.margin // 2, make, fleet=guidance)
         clients = Clients(self)
         self.front, self.seats = clients, clients.seats
         self.make_runner = lambda name, port, start: Runner(self, name, port, start)
@@ -69,12 +70,12 @@
             self.sources.append(self.directory)
         elif deployment.roster.port:
             self.source = RosterSource(self, deployment.roster.port)
-            self.source.wanted = self.facts["list_asked"]
+            self.source.wanted = self.settings.endpoints_polled
             self.sources.append(self.source)
         if deployment.planner.port:
             self.planner = PlannerSource(self, deployment.planner.port)
             self.sources.append(self.planner)
-        self.peers = Peers(self) if self.facts["may_tell_peers"] else None
+        self.peers = Peers(self) if self.settings.may_gossip else None
         self.keeping = Keeping(self, place.keep) if place.keep else None
         fleet = deployment.fleet
         boot = round(reactor.seconds() * 1000) if boot is None else boot
@@ -143,7 +144,7 @@
         )
 
     def kind(self, method: int) -> str:
-        kind: str = self.facts["methods"][method]["kind"]
+        kind: str = self.settings.methods[method].kind
         return kind
 
     def span(self, call: wire.Call) -> bool:
@@ -197,9 +198,9 @@
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
-        method = self.facts["methods"][pending.method]
-        stretched = method["soft_deadline"] + method["soft_stretch"] * (pending.work or 0)
-        return bool(self.clock() - pending.began > min(method["deadline"], stretched))
+        method = self.settings.methods[pending.method]
+        stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
+        return bool(self.clock() - pending.began > min(method.deadline, stretched))
 
     # what the host asks (hosting.transport)
 
--- a/lapistrestle/edge/rosters.py
+++ b/lapistrestle/edge/rosters.py
@@ -20,7 +20,7 @@
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name)
 
     def met(self, hello: wire.Hello) -> None:
-        if not self.source.edge.facts["list_asked"] or self.source.wanted:
+        if not self.source.edge.endpoints_polled or self.source.wanted:
             self.say(wire.Follow())
 
     def heard(self, message: Any) -> None:
@@ -40,7 +40,8 @@
 
     name: str
     bounds: LineBounds  # of the connection
-    facts: dict[str, Any]  # `dial_time_out`, in tenths of a millisecond, and `list_asked`
+    connect_timeout: int  # ticks
+    endpoints_polled: bool  # the list is followed for a time, and then asked for again
 
     def input(self) -> None: ...  # something is heard
     def list_told(self, message: wire.Whole | wire.Change) -> Do: ...
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -234,7 +234,7 @@
 
     def dial(self) -> None:
         dial = self.dialling = Dial(self)
-        time_out = self.edge.facts["dial_time_out"] / 10_000
+        time_out = self.edge.settings.connect_timeout / 10_000
         self.stop_patience()
         self.patience = self.edge.reactor.callLater(time_out, self.unmet, dial)
         self.connector = self.edge.reactor.connectTCP("127.0.0.1", self.address, dial, timeout=time_out)
--- a/lapistrestle/edge/sources.py
+++ b/lapistrestle/edge/sources.py
@@ -35,7 +35,7 @@
 
     def start(self, _: object = None) -> None:
         if not self.stopped:
-            time_out = self.edge.facts["dial_time_out"] / 10_000
+            time_out = self.edge.connect_timeout / 10_000
             self.edge.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
 
     def stop(self) -> None:
@@ -45,7 +45,7 @@
 
     def buildProtocol(self, addr: Any) -> Speaker:
         self.speaker = self.speak()
-        self.edge.after(self.edge.facts["dial_time_out"], self.unmet, self.speaker)
+        self.edge.after(self.edge.connect_timeout, self.unmet, self.speaker)
         return self.speaker
 
     def unmet(self, speaker: Speaker) -> None:
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -63,10 +63,10 @@
     def late(self, pending: PendingRequest) -> None:
         """Its deadline has come."""
         self.counts["late"] += 1
-        self.deny(pending, self.edge.facts["longest_come_back"])
+        self.deny(pending, self.edge.settings.max_retry_after)
 
     def deny(self, pending: PendingRequest, retry_after: int) -> None:
         """Answer that it did not run, and when its client may come back."""
-        facts = self.edge.facts
-        told = min(retry_after, facts["longest_come_back"]) if facts["may_come_back"] else 0
+        settings = self.edge.settings
+        told = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
         self.edge.host.deny(pending, told)
--- a/lapistrestle/hosting/context.py
+++ b/lapistrestle/hosting/context.py
@@ -5,16 +5,16 @@
 
 from lapistrestle.hosting.timers import Timers
 from lapistrestle.hosting.transport import Transport
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import Settings
 
 
 @dataclass(frozen=True)
 class HostContext:
-    """One host's surroundings. `facts` are the module's settings, which the host may change at run time;
+    """One host's surroundings. `settings` are the module's;
     `clock` gives tenths of a millisecond; `counts` are the counters of the log line at the end."""
 
     transport: Transport
-    facts: Facts
+    settings: Settings
     clock: Callable[[], int]
     timers: Timers
     counts: dict[str, int]
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -28,16 +28,17 @@
 from lapistrestle.hosting.transport import Transport
 from lapistrestle.hosting.worker_calls import WorkerCalls
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import (
     Attempt,
     EndpointState,
-    Facts,
     FunctionInfo,
     LoadState,
     Outcome,
     RequestInfo,
     WorkerInfo,
 )
+from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.state import Function, Worker
 
 MOST_FUNCTIONS = 20_000  # kept by name
@@ -54,17 +55,18 @@
     def __init__(
         self,
         transport: Transport,
-        facts: Facts,
+        settings: Settings,
         seed: int,
         clock: Callable[[], int],
         slack: int = 0,
         make: Callable[..., Any] = Dispatcher,
         max_functions: int = MOST_FUNCTIONS,
+        fleet: FleetGuidance | None = None,
     ) -> None:
-        self.transport, self.facts, self.clock = transport, facts, clock
+        self.transport, self.settings, self.clock = transport, settings, clock
         self.registry, self.timers = ObjectRegistry(max_functions), Timers()
         self.counts = dict.fromkeys(COUNTERS, 0)
-        context = HostContext(transport, facts, clock, self.timers, self.counts)
+        context = HostContext(transport, settings, clock, self.timers, self.counts)
         self.events = EventQueue(context, self.aborted_by_fault)
         self.answers = FinalAnswers(context, self.events, slack)
         self.calls = WorkerCalls(context, self.events, self.answers)
@@ -73,7 +75,7 @@
         self.last_number = 0
         self.departing: dict[str, None] = {}  # that the list names no more, and that the registry may have
         self.unheard: set[str] = set()  # named as there by lists that the module may not have heard yet
-        self.module = self.events.module = make(self, facts, seed, clock())
+        self.module = self.events.module = make(self, settings, seed, clock(), fleet)
 
     @property
     def open(self) -> int:
@@ -218,7 +220,7 @@
             for name in self.departing
             if name in workers and workers[name].listing is EndpointState.REMOVED
         ]
-        since = self.clock() - self.facts["fall_time"]
+        since = self.clock() - self.settings.overload_window
         stay = {
             worker.name: None
             for worker in left
@@ -287,7 +289,7 @@
 
     def tell_peer(self, peer: int | None, text: str) -> None:
         """Send text to another dispatcher, where settings allow it."""
-        if self.facts["may_tell_peers"]:
+        if self.settings.may_gossip:
             self.transport.tell_peer(peer, text[:PEER_TEXT])
 
     def wake_me(self, delay: int, token: object) -> None:
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -19,13 +19,13 @@
     def order(self, number: int, worker: Worker, function: Function, count: int) -> None:
         """Have a worker hold `count` copies of a function."""
         task = WorkerTask(number, worker, function, count, self.context.clock())
-        self.track(task, self.context.facts["order_time_out"])
+        self.track(task, self.context.settings.preload_timeout)
         self.context.transport.hold(task)
 
     def probe(self, number: int, worker: Worker) -> None:
         """Ask a worker for its report."""
         task = WorkerTask(number, worker, None, 0, self.context.clock())
-        self.track(task, self.context.facts["dial_time_out"])
+        self.track(task, self.context.settings.connect_timeout)
         self.context.transport.probe(task)
 
     def track(self, task: WorkerTask, time_out: int) -> None:
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -43,15 +43,15 @@
         """Whether one more attempt may be sent; it is listed among the request's call-outs already."""
         if pending.final or pending.stream:
             return False
-        parallel = self.context.facts["may_parallel"] or not pending.in_flight
-        return bool(parallel and pending.attempt_count() <= self.context.facts["try_limit"])
+        parallel = self.context.settings.may_parallel or not pending.in_flight
+        return bool(parallel and pending.attempt_count() <= self.context.settings.attempt_limit)
 
     def begin_by(self, pending: PendingRequest) -> int | None:
         """Rule 2 binds at the socket: a repeat is dropped by its token only within its window, which may end
         while it waits for a connection."""
-        method = self.context.facts["methods"][pending.method]
-        repeat = pending.ran_on is not None and method["kind"] == "tokened"
-        return pending.ran_at + method["repeat_window"] if repeat else None
+        method = self.context.settings.methods[pending.method]
+        repeat = pending.ran_on is not None and method.kind == "tokened"
+        return pending.ran_at + method.dedup_window if repeat else None
 
     def begun(self, number: int) -> None:
         """The worker's answer has begun to stream. From then on the request has no deadline."""
@@ -60,7 +60,7 @@
             self.context.counts[UNMATCHED] += 1
             return
         pending = worker_call.pending
-        if not self.context.facts["methods"][pending.method]["streamed"] or pending.final or pending.stream:
+        if not self.context.settings.methods[pending.method].streamed or pending.final or pending.stream:
             return
         pending.stream = worker_call
         for timer in (worker_call.timer, pending.guard):
@@ -101,13 +101,13 @@
     def timed_out(self, worker_call: WorkerCall) -> None:
         """No answer in time. What still waited for a connection never left, so it has not run."""
         if worker_call.number in self.open:
-            unsent = self.context.transport.withdraw(worker_call, self.context.facts["may_cancel"])
+            unsent = self.context.transport.withdraw(worker_call, self.context.settings.may_cancel)
             self.ended(worker_call.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
 
     def cancel(self, attempt: Attempt) -> None:
         """The module wants no more of this attempt."""
         worker_call = self.by_attempt.get(attempt)
-        if worker_call is not None and self.context.facts["may_cancel"]:
+        if worker_call is not None and self.context.settings.may_cancel:
             unsent = self.context.transport.withdraw(worker_call, True)
             self.ended(worker_call.number, Outcome.NOT_SENT if unsent else Outcome.CANCELLED)
 
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -12,7 +12,9 @@
 from typing import Any
 from zlib import crc32
 
-from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Facts, Host, Outcome, WorkerInfo
+from lapistrestle.policy.fleet_guidance import FleetGuidance
+from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Host, Outcome, WorkerInfo
+from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.state import Function, Request, Worker
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
@@ -25,9 +27,16 @@
     """The module's place taken by one of `POLICIES`."""
 
     def __init__(
-        self, host: Host, facts: Facts, seed: int, now: int, policy: str, sees: Sight | None = None
+        self,
+        host: Host,
+        settings: Settings,
+        seed: int,
+        now: int,
+        fleet: FleetGuidance | None,
+        policy: str,
+        sees: Sight | None = None,
     ) -> None:
-        self.host, self.facts, self.seed, self.now, self.sees = host, facts, seed, now, sees
+        self.host, self.settings, self.seed, self.now, self.sees = host, settings, seed, now, sees
         self.choose = POLICIES[policy]
         self.serving: list[Worker] = []
         self.known: dict[Worker, None] = {}
@@ -36,7 +45,7 @@
         self.waiting: dict[tuple[Worker, Function], list[Request]] = {}
         self.orders: deque[int] = deque()
         self.taken: deque[int] = deque()
-        if facts["list_asked"]:
+        if settings.endpoints_polled:
             host.follow_list()
 
     def chance(self, below: int) -> int:
@@ -67,7 +76,7 @@
             request.over = True
         elif outcome is Outcome.NOT_LOADED and self.order(worker, request):
             pass
-        elif outcome in NEVER_RAN or self.facts["methods"][request.method]["kind"] == "idempotent":
+        elif outcome in NEVER_RAN or self.settings.methods[request.method].kind == "idempotent":
             self.place(request)
         else:
             request.over = True
@@ -94,7 +103,7 @@
     def place(self, request: Request) -> None:
         tried = {attempt.worker for attempt in request.attempts}
         able = [worker for worker in self.serving if worker not in tried]
-        if not able or len(request.attempts) >= self.facts["try_limit"] or request.deadline <= self.now:
+        if not able or len(request.attempts) >= self.settings.attempt_limit or request.deadline <= self.now:
             request.over = True
             may_have = [c for c in request.attempts if c.outcome not in NEVER_RAN]
             return self.host.abort(request) if may_have else self.host.deny(request, 0)
@@ -112,12 +121,12 @@
         if waiting is not None:
             waiting.append(request)
             return True
-        window = self.facts["order_window"]
+        window = self.settings.preload_window
         for times in (self.orders, self.taken):
             while times and times[0] <= self.now - window:
                 times.popleft()
-        most = self.facts["orders_free"] + self.facts["orders_share"] * len(self.taken)
-        room = self.facts["may_order"] and (not window or len(self.orders) + 1 <= most)
+        most = self.settings.preload_free + self.settings.preload_share * len(self.taken)
+        room = self.settings.may_preload and (not window or len(self.orders) + 1 <= most)
         if not room or worker.listing is not EndpointState.SERVING:
             return False
         self.orders.append(self.now)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -43,7 +43,7 @@
 
     def start(self) -> int:
         self.subscription = Subscription(self, self.world.roster, self.world.ways.within, self.world.taped)
-        if not self.facts["list_asked"] or self.wanted:
+        if not self.settings.endpoints_polled or self.wanted:
             self.subscription.start()
         return 1
 
@@ -56,7 +56,7 @@
             self.subscription.start()
 
     def tell_peer(self, peer: int | None, text: str) -> None:
-        me = self.facts["me"]
+        me = self.settings.instance_index
         for number, handle in enumerate(self.world.edges):
             if number != me and peer in (None, number):
                 told: Any = handle.edge.host.told  # type: ignore[attr-defined]
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -2,14 +2,15 @@
 
 import re
 from collections.abc import Mapping
+from dataclasses import replace
 from pathlib import Path
 from typing import Annotated, Any
 
 import msgspec
 from msgspec import Meta, Struct, field
 
-from lapistrestle.deployment import words
-from lapistrestle.policy.interface import Facts
+from lapistrestle.deployment import translation
+from lapistrestle.policy.settings import Settings
 
 ADDRESS = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}")
 TENTHS = 10_000  # of a millisecond in a second
@@ -117,7 +118,7 @@
     names: list[str] = field(default_factory=list)
 
 
-class Settings(Struct, rename="kebab"):
+class PlatformSettings(Struct, rename="kebab"):
     """As much of the settings as is checked; the module gets all of them."""
 
     profiles: Annotated[list[Profile], Meta(min_length=1)]
@@ -146,8 +147,8 @@
     """One checked file."""
 
     file: ConfigurationFile
-    settings: Settings
-    facts: Facts
+    platform: PlatformSettings  # as checked
+    settings: Settings  # for the module
     written: float | None = None  # when the file was, in seconds of the Unix clock; None: not known
 
     def age(self, now: float) -> int | None:
@@ -160,8 +161,8 @@
     @property
     def report_names(self) -> dict[str, str]:
         """Names of the figures on the sockets to those that the module knows them by."""
-        names = words.part(self.file.settings, "reporting").get("names") or []
-        socket = {wire: said for said, wire in words.SAID.items()}
+        names = translation.part(self.file.settings, "reporting").get("names") or []
+        socket = {wire: said for said, wire in translation.SAID.items()}
         return {socket.get(name, name): name for name in names} | {name: name for name in names}
 
 
@@ -191,22 +192,22 @@
     return [without_nulls(value) for value in settings] if isinstance(settings, list) else settings
 
 
-def facts(file: ConfigurationFile, settings: Settings) -> Facts:
+def module_settings(file: ConfigurationFile, settings: PlatformSettings) -> Settings:
     """The settings in the module's words. Without a time to connect, or to wait for an order's answer, none
     would ever come: there the time is the platform's usual one, or the longest that a client waits."""
     longest = max(profile.deadline for profile in settings.profiles)
-    waits = {
-        "dial_time_out": words.span(settings.limits.dial_timeout),
-        "order_time_out": words.span(int(settings.family_info.answer_within or longest)),
-    }
-    return {**words.facts(file.settings), **waits}
+    return replace(
+        translation.to_settings(file.settings),
+        connect_timeout=translation.span(settings.limits.dial_timeout),
+        preload_timeout=translation.span(int(settings.family_info.answer_within or longest)),
+    )
 
 
 def parse(raw: bytes, path: str) -> Configuration:
     try:
         file = msgspec.json.decode(raw, type=ConfigurationFile)
-        settings = msgspec.convert(without_nulls(file.settings), Settings)
-        return Configuration(file, settings, facts(file, settings))
+        settings = msgspec.convert(without_nulls(file.settings), PlatformSettings)
+        return Configuration(file, settings, module_settings(file, settings))
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
         raise ConfigurationError(f"{path}: {trouble}") from None
     except (TypeError, ValueError, AttributeError, KeyError) as trouble:
--- a/lapistrestle/node/connection.py
+++ b/lapistrestle/node/connection.py
@@ -212,7 +212,7 @@
             self.core.after(1, self.undialled, None)
             return
         self.stream.begin()
-        self.core.after(self.core.facts["dial_time_out"], self.stream.unmade, None)
+        self.core.after(self.core.settings.connect_timeout, self.stream.unmade, None)
 
     def undialled(self, _: object) -> None:
         """No socket could be had."""
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.edge.core import TENTHS, Core
 from lapistrestle.node.configuration import Configuration, Known, Row, split
 from lapistrestle.node.freshness import ListFreshness
@@ -104,15 +104,15 @@
         self.address = configuration.file.board
         self.revision = 0  # of the last event applied
         now, age = core.clock(), configuration.age(time.time())
-        grace = core.facts["drain_grace"]
+        grace = core.settings.drain_grace
         self.freshness = ListFreshness(grace, now - 1 if age is None else now - age + grace)
         self.was_usable = False  # whether new work might begin by the list, as last asked
         self.watch: Watch | None = None
         self.stopped = False
         self.reconnects_at_once = True
         self.offset = int(time.time() * TENTHS) - core.clock()  # of the Unix clock to ours
-        self.zones = {name: i for i, name in enumerate(configuration.settings.zones)}
-        self.kinds = {name: i for i, name in enumerate(configuration.settings.models)}
+        self.zones = {name: i for i, name in enumerate(configuration.platform.zones)}
+        self.kinds = {name: i for i, name in enumerate(configuration.platform.models)}
 
     def ready(self) -> bool:
         """Whether there is a list, and new work may begin by it."""
@@ -246,7 +246,7 @@
         number = 0
         for part in host.split("."):
             number = number << 8 | int(part)
-        state = STATES[words.LISTINGS.get(row.state, EndpointState.DRAINING)]
+        state = STATES[translation.LISTINGS.get(row.state, EndpointState.DRAINING)]
         zone, kind = self.zones.get(row.zone, 0), self.kinds.get(row.kind, 0)
         weight, started = round(row.weight * 1000), int(row.started_ms)
         return Record(int(row.id[2:], 16), number, port, state, zone, kind, row.cell, weight, started)
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -63,13 +63,13 @@
         self.held, self.most_held = 0, memory / HELD_PART  # bytes of what has not come whole
         # if each brings the longest body
         most = max(LEAST_OPEN, int(memory / BODIES_PART / records.MOST_BODY))
-        self.most_open = min(configuration.settings.limits.max_open, most)
+        self.most_open = min(configuration.platform.limits.max_open, most)
         self.listener: Listener | None = None
         self.ready: Callable[[], bool] = lambda: False  # whether the list stands; the source knows
         self.leaving = False
         self.ids: OrderedDict[str, int] = OrderedDict()  # those taken in the last window of orders, and when
         self.lingering: dict[str, PendingRequest] = {}  # by id, until the last call-out has ended
-        self.parser = Parser(configuration, core.facts)
+        self.parser = Parser(configuration, core.settings)
 
     # core.Front
 
@@ -224,7 +224,7 @@
         """Whether an RPC of this id came within the window of orders, where an id counts once: guards the
         ration against clients that send the same again as soon as it is turned away."""
         now = self.core.clock()
-        while self.ids and next(iter(self.ids.values())) <= now - self.core.facts["order_window"]:
+        while self.ids and next(iter(self.ids.values())) <= now - self.core.settings.preload_window:
             self.ids.popitem(last=False)
         known = tag in self.ids
         self.ids.setdefault(tag, now)
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.node import records
 from lapistrestle.node.configuration import Configuration
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import Settings
 
 MOST_WORK = 600_000.0  # milliseconds
 MOST_MEMORY = 1e6  # MB
@@ -77,23 +77,23 @@
     return found
 
 
-def methods_of(configuration: Configuration, facts: Facts) -> dict[bytes, Method]:
+def methods_of(configuration: Configuration, settings: Settings) -> dict[bytes, Method]:
     """By path."""
     made = {}
-    for number, profile in enumerate(configuration.settings.profiles):
-        name, method = profile.name.encode(), facts["methods"][number]
+    for number, profile in enumerate(configuration.platform.profiles):
+        name, method = profile.name.encode(), settings.methods[number]
         quoted = name.replace(b"\\", b"\\\\").replace(b'"', b'\\"')
-        tokened = method["kind"] == "tokened"
-        made[b"/invoke/" + name] = Method(number, quoted, method["deadline"] / 10, tokened)
+        tokened = method.kind == "tokened"
+        made[b"/invoke/" + name] = Method(number, quoted, method.deadline / 10, tokened)
     return made
 
 
 class Parser:
     """Requests to invocations, by the settings of one dispatcher."""
 
-    def __init__(self, configuration: Configuration, facts: Facts) -> None:
-        self.methods = methods_of(configuration, facts)
-        self.customers = {t.name.encode(): number for number, t in enumerate(configuration.settings.tenants)}
+    def __init__(self, configuration: Configuration, settings: Settings) -> None:
+        self.methods = methods_of(configuration, settings)
+        self.customers = {t.name.encode(): number for number, t in enumerate(configuration.platform.tenants)}
 
     def parse(self, request: records.Request, path: bytes) -> Invocation:
         """Raises Unfit where the request can't be used."""
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -28,7 +28,7 @@
     ) -> None:
         seed = int(configuration.file.seed, 16)
         self.core = Core(
-            reactor, configuration.file.name, configuration.facts, log, seed, GUARD, make, PROMPT
+            reactor, configuration.file.name, configuration.settings, log, seed, GUARD, make, PROMPT
         )
         self.pools = RunnerPools(self.core, configuration)
         self.discovery = ServiceDiscovery(self.core, configuration)
@@ -73,7 +73,7 @@
             return
         self.leaving = self.front.leaving = True
         self.core.log("leaving", open=self.core.host.open)
-        longest = max(method["deadline"] for method in self.core.facts["methods"])
+        longest = max(method.deadline for method in self.core.settings.methods)
         last = min(longest, COUNTED) + KILLED - SPARE
         self.core.after(min(LINGER, last), self.core.stop, stopped)
         self.core.after(last, self.cut_short, stopped)
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -141,10 +141,10 @@
     """All connections to runners. Calling it makes the `Runner` of a name and address."""
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
-        limits = configuration.settings.limits
+        limits = configuration.platform.limits
         self.core, self.streams = core, limits.streams_per_conn
         self.report_names = configuration.report_names
-        self.tells_company = bool(core.facts["tells_company"])
+        self.tells_company = bool(core.settings.reports_concurrency)
         idle = limits.conn_idle // MICROSECONDS
         self.idle = max(idle * 6 // 10, idle - 2 * SECOND)  # before the runner would
         self.most = configuration.file.limits.sockets * SOCKETS_PART[0] // SOCKETS_PART[1]
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -18,7 +18,7 @@
 from lapistrestle.overload.retry_budget import further_attempt_rate
 from lapistrestle.overload.shedding import Shedding, Traffic
 from lapistrestle.overload.unused import UnusedRoom
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import Settings
 
 SECOND = 10_000  # in tenths of a millisecond
 UPDATE_EVERY = SECOND // 2  # between two readings of the figures, which are sent no sooner
@@ -37,15 +37,15 @@
     longest_retry_after: int  # 0: clients are told no time
 
     @classmethod
-    def of(cls, facts: Facts) -> "AdmissionSettings":
+    def of(cls, settings: Settings) -> "AdmissionSettings":
         """From the module's settings."""
-        methods = facts["methods"]
+        methods = settings.methods
         return cls(
-            gains=tuple(method["gain"] for method in methods),
-            over_share_gain=facts["over_share_gain"],
-            soft_deadline=sum(method["soft_deadline"] for method in methods) // max(1, len(methods)),
-            quotas=tuple(customer["quota"] for customer in facts["customers"]),
-            longest_retry_after=facts["longest_come_back"] if facts["may_come_back"] else 0,
+            gains=tuple(method.gain for method in methods),
+            over_share_gain=settings.over_share_gain,
+            soft_deadline=sum(method.soft_deadline for method in methods) // max(1, len(methods)),
+            quotas=tuple(customer.quota for customer in settings.customers),
+            longest_retry_after=settings.max_retry_after if settings.may_retry_after else 0,
         )
 
 
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -12,7 +12,9 @@
 from zlib import crc32
 
 from lapistrestle.policy import interface as face
-from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Facts, Host, LoadState, Outcome
+from lapistrestle.policy.fleet_guidance import FleetGuidance
+from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Host, LoadState, Outcome
+from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.state import (
     DecayingMean,
     DecayingSum,
@@ -52,13 +54,16 @@
 
 
 class Dispatcher(Workers):
-    def __init__(self, host: Host, facts: Facts, seed: int, now: int) -> None:
-        super().__init__(partial="region" in facts)
-        self.host, self.facts, self.seed, self.now, self.start = host, facts, seed, now, now
+    def __init__(
+        self, host: Host, settings: Settings, seed: int, now: int, fleet: FleetGuidance | None = None
+    ) -> None:
+        self.fleet = fleet or FleetGuidance()
+        super().__init__(partial=self.fleet.region is not None)
+        self.host, self.settings, self.seed, self.now, self.start = host, settings, seed, now, now
         self.draws, self.weighed, self.pressed = 0, -1, False
         self.functions: dict[Function, None] = {}
-        self.light = [DecayingMean(LONG) for _ in facts["methods"]]  # latency of ok ones at light own load
-        self.hints = [DecayingMean(LONG) for _ in facts["methods"]]  # hinted work
+        self.light = [DecayingMean(LONG) for _ in settings.methods]  # latency of ok ones at light own load
+        self.hints = [DecayingMean(LONG) for _ in settings.methods]  # hinted work
         self.ok_weight, self.demand, self.good, self.bad = (
             DecayingSum(x, now) for x in (LONG, LONG, MEMORY, MEMORY)
         )
@@ -68,17 +73,17 @@
             DecayingMean(MEMORY),
         )
         self.warm_size = 0.0  # of all that serve, by their warmth
-        self.region = facts.get("region", self)  # whose size, warm size and count stand for the fleet's
+        self.region = self.fleet.region or self  # whose size, warm size and count stand for the fleet's
         self.stretch = 1.0  # of what is remembered of a worker, for a front end that meets it seldom
         self.out = 0  # own call-outs under way but for those behind a load
         self.under_way: dict[Attempt, None] = {}  # those, the oldest first
-        self.asked = [DecayingSum(LONG, now) for _ in facts["customers"]]
+        self.asked = [DecayingSum(LONG, now) for _ in settings.customers]
         self.loading, self.load_limit = 0, 0.0  # own loads under way, and how many there should be at most
         self.orders, self.taken = list[int](), list[int]()  # answered orders: when each may have crossed
         self.pending, self.load_took = 0, DecayingMean(LONG)  # orders without answer, and how long loads take
         # what shows that nothing stands there any more; where a miss would tell, one reset is no death
-        self.died = {Outcome.UNREACHABLE, *(() if facts["absent_misses"] else (Outcome.RESET,))}
-        if facts["list_asked"]:
+        self.died = {Outcome.UNREACHABLE, *(() if settings.reports_not_loaded else (Outcome.RESET,))}
+        if settings.endpoints_polled:
             self.follow()
 
     def chance(self, below: int) -> int:
@@ -88,7 +93,7 @@
     def listed(self, workers: Sequence[tuple[Worker, face.WorkerInfo]], whole: bool) -> None:
         self.note(workers, whole, MEMORY, SECOND)
         self.weighed = -1
-        self.load_limit = self.load_limit or max(1.0, self.region.count / self.facts["dispatchers"])
+        self.load_limit = self.load_limit or max(1.0, self.region.count / self.settings.dispatcher_count)
         self.forget()
 
     def forget(self) -> None:
@@ -108,7 +113,7 @@
 
     def follow(self) -> None:
         self.host.follow_list()
-        self.host.wake_me(max(SECOND, self.facts["ask_within"] // 2), None)
+        self.host.wake_me(max(SECOND, self.settings.poll_within // 2), None)
 
     def walk(self, function: Function) -> list[Worker]:
         """The shared order, from the worker that the function's hash marks; a new one rehomes its own. Where
@@ -122,11 +127,11 @@
                     mark = blake2b(f"{function.name} {worker.name}".encode(), digest_size=4).digest()
                     draw = -log((int.from_bytes(mark) + 1) / (2**32 + 1))
                     function.marks[worker] = (
-                        draw if self.facts["size_is_live"] else draw / max(worker.size, 1e-9)
+                        draw if self.settings.size_is_live else draw / max(worker.size, 1e-9)
                     )
             marked = sorted(self.ring, key=function.marks.__getitem__)
             first = self.ring.index(marked[0]) if marked else 0
-            many = self.facts["dispatchers"] > len(marked)
+            many = self.settings.dispatcher_count > len(marked)
             function.order, function.version = (
                 marked if many else self.ring[first:] + self.ring[:first],
                 self.version,
@@ -136,8 +141,8 @@
     def entered(self, function: Function) -> list[Worker]:
         """The shared order from where this front end's part of the demand begins, FILL of an even share a
         worker: guards against homes crowded by unseen others; harms where front ends are asked unlike."""
-        order, all_ = self.walk(function), self.facts["dispatchers"]
-        part = (self.facts["me"] + crc32(function.name.encode())) % all_ / all_
+        order, all_ = self.walk(function), self.settings.dispatcher_count
+        part = (self.settings.instance_index + crc32(function.name.encode())) % all_ / all_
         sure = max(0.0, function.asked.read(self.now) - self.weight(function.method))
         skip = part * sure / max(self.demand.read(self.now), 1) * self.region.size / FILL
         if (
@@ -171,7 +176,7 @@
             asked.add(self.now, self.weight(request.method) * request.scale)
         if not request.moved:
             insort(self.taken, self.now if request.came is None else request.came)
-        del self.taken[: bisect_right(self.taken, self.now - self.facts["order_window"])]
+        del self.taken[: bisect_right(self.taken, self.now - self.settings.preload_window)]
         self.drive(request, Input.ARRIVED)
 
     def left(self, request: Request) -> None:
@@ -204,7 +209,7 @@
         if request.customer >= len(self.asked):
             return False
         self.asked[request.customer].add(self.now, 1)
-        share = self.facts["customers"][request.customer]["quota"] / SECOND / self.facts["dispatchers"]
+        share = self.settings.customers[request.customer].quota / SECOND / self.settings.dispatcher_count
         return bool(share > 0 and self.chance(1000) > 1000 * share / self.rate(self.asked[request.customer]))
 
     def rate(self, total: DecayingSum) -> float:
@@ -235,7 +240,7 @@
                     request, cold
                 )  # of those sent on blindly after a miss one in twenty met a copy
         blind = (
-            not request.attempts if self.facts["absent_misses"] else room
+            not request.attempts if self.settings.reports_not_loaded else room
         )  # after a miss only what may load
         last = open_ or warm or loads or in_use * blind
         near = [(self.crowd(s.worker), s) for s in last if self.now >= s.worker.full_until]
@@ -248,7 +253,7 @@
         ties = [s for wait, s in near if wait == fewest]
         replica = ties[self.chance(len(ties))]
         if (
-            self.facts["absent_misses"] and replica.loading and not self.believed(replica)
+            self.settings.reports_not_loaded and replica.loading and not self.believed(replica)
         ):  # no use before that
             replica.waiters.append(request)
             return Input.WAITS
@@ -257,8 +262,8 @@
     def may_load(self, beside: bool = False) -> bool:
         """Within what all front ends share, if told; while the fleet sheds, none `beside` a copy: guards
         against loads that push out what is used, as the door took the pressure; harms where one serves."""
-        within = "loads" not in self.facts or self.facts["loads"](self.now)
-        return within and not (beside and self.facts.get("shedding"))
+        within = self.fleet.loads_allowed(self.now)
+        return within and not (beside and self.fleet.shedding)
 
     def first_cold(
         self, request: Request, order: Iterable[Worker], to_load: bool = True, missed: bool = False
@@ -302,17 +307,17 @@
 
     def allowed(self, request: Request, worker: Worker) -> bool:
         """Rule 2: where a repeat of an RPC that may have run is dropped."""
-        method = self.facts["methods"][request.method]
-        if request.ran_on is None or method["kind"] == "idempotent":
+        method = self.settings.methods[request.method]
+        if request.ran_on is None or method.kind == "idempotent":
             return True
-        if method["kind"] != "tokened" or self.now >= request.ran_at + method["repeat_window"]:
+        if method.kind != "tokened" or self.now >= request.ran_at + method.dedup_window:
             return False
         group = {
             "all": True,
             "zone": worker.zone == request.ran_on.zone,
             "cell": worker.cell == request.ran_on.cell,
         }
-        return group.get(method["scope"], False)
+        return group.get(method.dedup_scope, False)
 
     def send(self, request: Request, replica: FunctionReplica) -> Input:
         worker, cold = replica.worker, not (self.believed(replica) or self.presumed(replica))
@@ -337,24 +342,24 @@
     def time_out(self, request: Request, replica: FunctionReplica, cold: bool) -> int:
         """Most of what is left to the soft deadline; longer in a jam, where a time-out only adds work. Who
         meets workers seldom sees no jam and waits for all of it; harms where many are silent."""
-        left, method = max(1, request.deadline - self.now), self.facts["methods"][request.method]
-        if method["kind"] == "side-effecting" or cold or len(request.attempts) >= self.facts["try_limit"]:
+        left, method = max(1, request.deadline - self.now), self.settings.methods[request.method]
+        if method.kind == "side-effecting" or cold or len(request.attempts) >= self.settings.attempt_limit:
             return left
         usual = max(self.ok_took.read(0), self.iso(replica.function) * request.scale)
         part, usuals = (2 / 3, 4) if self.stretch <= 1 else (1, 8)
         return int(min(left, max((request.began + self.soft(request) - self.now) * part, usuals * usual)))
 
     def soft(self, request: Request) -> int:
-        method = self.facts["methods"][request.method]
-        stretched = method["soft_deadline"] + method["soft_stretch"] * (request.work or 0)
-        return int(min(method["deadline"], stretched))
+        method = self.settings.methods[request.method]
+        stretched = method.soft_deadline + method.soft_stretch * (request.work or 0)
+        return int(min(method.deadline, stretched))
 
     def again(self, request: Request, replica: FunctionReplica | None) -> Input:
         """A further call-out, if tries and time are left and enough of the recent further ones succeeded."""
-        out_of = len(request.attempts) >= self.facts["try_limit"] or self.hopeless(request)
+        out_of = len(request.attempts) >= self.settings.attempt_limit or self.hopeless(request)
         made = self.further.count.read(self.now)
         most = 2 + FURTHER * self.ok_count.read(self.now) * self.further.read(1.0)
-        most = min(most, 1 + self.facts.get("further", inf) * MEMORY / SECOND)  # the fleet's budget, if told
+        most = min(most, 1 + self.fleet.retries_per_second * MEMORY / SECOND)  # the fleet's budget, if told
         missed = all(c.outcome is Outcome.NOT_LOADED for c in request.attempts)
         return Input.NOWHERE if out_of or (made >= most and not missed) else self.place(request, replica)
 
@@ -363,8 +368,8 @@
         loads, and the RPC waits for it, so it can't overtake the order, unless a load would come too late."""
         if (
             replica is None
-            or not self.facts["absent_misses"]
-            or len(request.attempts) >= self.facts["try_limit"]
+            or not self.settings.reports_not_loaded
+            or len(request.attempts) >= self.settings.attempt_limit
         ):
             return self.again(request, replica)
         order = self.walk(request.function)
@@ -374,7 +379,7 @@
             and self.presumed(request.function.replica(home))
             and not any(c.worker is home for c in request.attempts)
         ):
-            if not self.facts["tells_company"]:  # else copies are added where it is told that RPCs wait
+            if not self.settings.reports_concurrency:  # else copies are added where it is told that RPCs wait
                 self.order(replica, 1)
             return self.send(request, request.function.replica(home))
         late = (
@@ -393,10 +398,10 @@
 
     def give_up(self, request: Request, _: FunctionReplica | None) -> None:
         """Answered at once: denied where that is provably harmless, else aborted."""
-        method = self.facts["methods"][request.method]
-        repeats = method["kind"] == "idempotent" or (method["kind"], method["scope"]) == ("tokened", "all")
+        method = self.settings.methods[request.method]
+        repeats = method.kind == "idempotent" or (method.kind, method.dedup_scope) == ("tokened", "all")
         if request.ran_on is None or repeats:
-            self.host.deny(request, self.facts["longest_come_back"] if self.facts["may_come_back"] else 0)
+            self.host.deny(request, self.settings.max_retry_after if self.settings.may_retry_after else 0)
         else:
             self.host.abort(request)
 
@@ -428,7 +433,7 @@
     def learn(self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
         worker, function, request = replica.worker, replica.function, attempt.request
         worker.remember(int(MEMORY * self.stretch))
-        load = attempt.cold if not self.facts["tells_warm"] else answer.warmth is not LoadState.LOADED
+        load = attempt.cold if not self.settings.reports_warmth else answer.warmth is not LoadState.LOADED
         if outcome is Outcome.OK:
             replica.copies, replica.seen = max(self.believed(replica), 1), self.now
             if not load and attempt.company <= 1:
@@ -450,20 +455,23 @@
         if attempt is not request.attempts[0] and outcome is not Outcome.NOT_LOADED:
             self.further.add(self.now, outcome is Outcome.OK)
         if attempt.cold and outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMED_OUT):
-            sure = self.facts["tells_warm"] or self.facts["absent_misses"]
+            sure = self.settings.reports_warmth or self.settings.reports_not_loaded
             if sure or self.worker_zone(replica) < Zone.WARNING:  # else its queue may be what was slow
                 self.judge_load(function, outcome is Outcome.OK, answer.took)
         worker.emptied = self.now if outcome in self.died else worker.emptied
         if outcome is Outcome.NOT_LOADED:
             replica.copies, replica.missing = 0, self.now
-        alone = len(self.facts["customers"]) < 2  # then no customer is held back for the others' sake
+        alone = len(self.settings.customers) < 2  # then no customer is held back for the others' sake
         if outcome is Outcome.REJECTED and (alone or answer.took < self.weight(request.method) / 4):
             worker.full_until = self.now + FULL  # its queue is, for all, until the next ok answer
         elif outcome is Outcome.REJECTED:  # with room, but it holds this customer back
             worker.held_back[request.customer] = self.now + int(BACKOFF * self.stretch)
         if self.stretch > 1 and "backlog" in answer.report:  # others' RPCs there, over the pace of its size
             pace = (
-                self.rate(self.ok_count) * self.facts["dispatchers"] * worker.size / (self.region.size or 1)
+                self.rate(self.ok_count)
+                * self.settings.dispatcher_count
+                * worker.size
+                / (self.region.size or 1)
             )
             worker.timed(
                 self.now, self.iso(function) + answer.report["backlog"] / max(pace, 1e-9), self.iso(function)
@@ -489,14 +497,14 @@
             self.order(cold, 1)
 
     def weight(self, method: int) -> float:
-        return max(1.0, self.light[method].read(self.facts["methods"][method]["soft_deadline"] / 4))
+        return max(1.0, self.light[method].read(self.settings.methods[method].soft_deadline / 4))
 
     def iso(self, function: Function) -> float:
         """One tick of the clock at the least: guards against answers that come within one."""
         return max(1.0, function.iso) if function.iso is not None else self.weight(function.method)
 
     def bound(self, function: Function) -> float:
-        iso, soft = self.iso(function), self.facts["methods"][function.method]["soft_deadline"]
+        iso, soft = self.iso(function), self.settings.methods[function.method].soft_deadline
         return max(EASE * iso, iso + REACH * (soft - iso))
 
     def judge_zone(self, replica: FunctionReplica) -> None:
@@ -535,15 +543,15 @@
 
     def believed(self, replica: FunctionReplica) -> int:
         """Copies believed to stand: an idle one goes after the idle life, a restart leaves none."""
-        idle = not replica.out and self.now - replica.seen > self.facts["idle_life"] * self.stretch
+        idle = not replica.out and self.now - replica.seen > self.settings.idle_timeout * self.stretch
         replica.copies = 0 if idle or replica.seen <= replica.worker.emptied else replica.copies
         return replica.copies
 
     def presumed(self, replica: FunctionReplica) -> bool:
         """Others, who share the order, may keep one warm: a guess, made where a miss answer is cheap."""
-        told = 2 * (replica.function.load or self.load_took.read(self.facts["idle_life"] / 2))
+        told = 2 * (replica.function.load or self.load_took.read(self.settings.idle_timeout / 2))
         lately = self.now - max(replica.missing, replica.worker.emptied) <= told
-        return self.stretch > 1 and self.facts["absent_misses"] and not lately
+        return self.stretch > 1 and self.settings.reports_not_loaded and not lately
 
     def capacity(self, replica: FunctionReplica) -> int:
         copies = self.believed(replica) or int(self.presumed(replica))
@@ -595,10 +603,10 @@
 
     def warmth_of(self, worker: Worker, before: int = 0) -> float:
         """The part of its capacity that a worker has at the least, or had that long `before`."""
-        if worker.booted is None or not self.facts["ramp_time"]:
+        if worker.booted is None or not self.settings.slow_start_duration:
             return 1.0
-        least, age = self.facts["cold_share"], max(0, self.now - before - worker.booted)
-        return min(1.0, least + (1 - least) * age / self.facts["ramp_time"])
+        least, age = self.settings.slow_start_share, max(0, self.now - before - worker.booted)
+        return min(1.0, least + (1 - least) * age / self.settings.slow_start_duration)
 
     def warm(self) -> float:
         """The size of all that serve by their warmth; a tenth of a second old at most."""
@@ -620,7 +628,7 @@
         """Rule 4: what all get answered for each unit of size and warmth is within capacity, and each keeps
         to its part of that as the window began; parts under one go by turns, one mean call in all at the
         least. Who restarted forgot what it sent: none for a window."""
-        window = self.facts["fall_time"]
+        window = self.settings.overload_window
         if self.warmth_of(worker) >= 1:
             return True
         taken = (
@@ -628,19 +636,21 @@
             * worker.size
             * (max(worker.booted or 0, self.now - window) >= self.start)
         )
-        most = self.facts["fall_multiple"] * self.warmth_of(worker, window) * window * taken
-        weight, usual, all_ = self.heft(request), self.weight(request.method), self.facts["dispatchers"]
-        turn = ((self.facts["me"] + 0.5) / all_ + GOLDEN * (self.now // max(1, window) + worker.place)) % 1
+        most = self.settings.overload_factor * self.warmth_of(worker, window) * window * taken
+        weight, usual, all_ = self.heft(request), self.weight(request.method), self.settings.dispatcher_count
+        turn = (
+            (self.settings.instance_index + 0.5) / all_ + GOLDEN * (self.now // max(1, window) + worker.place)
+        ) % 1
         return worker.sent_since(self.now - window) + weight * turn <= max(CAUTION * most, usual / all_)
 
     def order(self, replica: FunctionReplica, count: int, part: float = 1.0) -> bool:
         """Rules 3 and 5: an order goes to a serving worker only, and only within the budget of orders. What
         counts is where they cross: one without answer may be about to, and RPCs are older there by then."""
-        window, lag = self.facts["order_window"], self.facts["order_lag"]
+        window, lag = self.settings.preload_window, self.settings.preload_delay
         del self.orders[: bisect_right(self.orders, self.now - window - lag)]
         del self.taken[: bisect_right(self.taken, self.now - window + lag)]
-        most = part * (self.facts["orders_free"] + self.facts["orders_share"] * len(self.taken))
-        room = self.facts["may_order"] and (not window or len(self.orders) + self.pending + 1 <= most)
+        most = part * (self.settings.preload_free + self.settings.preload_share * len(self.taken))
+        room = self.settings.may_preload and (not window or len(self.orders) + self.pending + 1 <= most)
         load = count > self.believed(replica)
         shut = load and (self.now < replica.worker.line_until or not self.may_load())
         if not room or replica.worker.listing is not EndpointState.SERVING or shut:
@@ -682,7 +692,7 @@
 
     def judge_load(self, function: Function, ok: bool, took: int) -> None:
         """Slow or failing loads mean fewer at once, as all share one store; harms if it is not the cause."""
-        if not ok or took > self.facts["methods"][function.method]["deadline"] / 2:
+        if not ok or took > self.settings.methods[function.method].deadline / 2:
             self.load_limit = max(1.0, 0.9 * self.load_limit)
         elif took > self.iso(function):
             self.load_limit = min(len(self.known), self.load_limit + 1 / self.load_limit)
@@ -702,7 +712,7 @@
                 replica.out,
                 replica.out or replica.ordered or replica.waiters or self.believed(replica),
             )
-            if not in_use and self.now > max(replica.until, replica.missing + self.facts["idle_life"]):
+            if not in_use and self.now > max(replica.until, replica.missing + self.settings.idle_timeout):
                 function.drop(replica.worker)
         if not function.replicas:  # what it takes alone is kept, what stands where is learnt anew
             del self.functions[function]
@@ -712,8 +722,8 @@
         if not used:
             return
         self.renew_iso(function)
-        spare, left = divmod(ceil(sqrt(sum(used.values()))), self.facts["dispatchers"])
-        spare += self.chance(self.facts["dispatchers"]) < left
+        spare, left = divmod(ceil(sqrt(sum(used.values()))), self.settings.dispatcher_count)
+        spare += self.chance(self.settings.dispatcher_count) < left
         for worker in self.walk(function):
             wanted = (
                 worker.listing is EndpointState.SERVING
--- a/lapistrestle/policy/interface.py
+++ b/lapistrestle/policy/interface.py
@@ -10,8 +10,6 @@
 from enum import Enum, auto
 from typing import Any, Protocol
 
-Facts = Mapping[str, Any]  # settings as handed over at start: names to values
-
 
 class Outcome(Enum):
     """How a call-out, an order or a probe ended."""
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.interface import WorkerInfo
 from lapistrestle.policy.state import Function, Request, Worker
@@ -38,7 +38,7 @@
 def dispatcher(workers: int = 3, **info: Any) -> Dispatcher:
     """A dispatcher that knows some warm workers, five seconds into its life."""
     settings = {**SETTINGS, "family-info": {**SETTINGS["family-info"], **info}}
-    made = Dispatcher(Recorder(), words.facts(settings), 7, 0)
+    made = Dispatcher(Recorder(), translation.to_settings(settings), 7, 0)
     facts = [WorkerInfo(f"w{i}", cell=i // 2) for i in range(workers)]
     made.listed([(Worker(f.name), f) for f in facts], whole=True)
     made.now = 50_000
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -7,7 +7,7 @@
 from helpers import SETTINGS
 
 from lapistrestle.benchlink.wire import Links, Malformed, serve
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 
 D = {"dispatcher-id": "dispatcher/0"}
 INIT = {"Init": {**D, "rng-seed": 5, "settings": SETTINGS}}
@@ -51,4 +51,4 @@
 
 
 def test_units_round_towards_safety():
-    assert (words.moment(101), words.span(199), words.micros(0)) == (2, 1, 1)
+    assert (translation.moment(101), translation.span(199), translation.micros(0)) == (2, 1, 1)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,5 +1,7 @@
 """The checker is no friend of the program: each rule, broken on purpose in more than one way, is caught."""
 
+from dataclasses import replace
+
 from days import Played, day
 
 from lapistrestle.edge.program import Edge
@@ -188,7 +190,7 @@
 
 def test_rule_5_no_count_of_orders():
     def change(edge):
-        edge.host.module.facts = {**edge.facts, "order_window": 0}
+        edge.host.module.settings = replace(edge.settings, preload_window=0)
 
     rules, says = caught(change, day("archive"))
     assert rules == {"5"} and "allowed" in says
@@ -196,7 +198,7 @@
 
 def test_rule_5_a_budget_misread():
     def change(edge):
-        edge.host.module.facts = {**edge.facts, "orders_share": 4 * edge.facts["orders_share"]}
+        edge.host.module.settings = replace(edge.settings, preload_share=4 * edge.settings.preload_share)
 
     assert caught(change, day("archive"))[0] == {"5"}
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,7 +1,9 @@
 """The decision module, without any bench."""
 
 from collections import Counter
+from dataclasses import replace
 from itertools import pairwise
+from math import inf
 from zlib import crc32
 
 import pytest
@@ -9,6 +11,7 @@
 
 from lapistrestle.policy.dispatcher import SECOND
 from lapistrestle.policy.interface import Answer, Attempt, EndpointState, LoadState, Outcome, WorkerInfo
+from lapistrestle.policy.settings import CustomerSettings
 from lapistrestle.policy.state import DecayingSum, Function, Input, Order, State, Worker, Zone
 
 
@@ -31,7 +34,7 @@
 @pytest.mark.parametrize(("front_ends", "runs"), [(2, True), (9, False)])
 def test_where_front_ends_outnumber_workers_neighbours_do_not_follow_each_other(front_ends, runs):
     made = dispatcher(8)
-    made.facts = {**made.facts, "dispatchers": front_ends}
+    made.settings = replace(made.settings, dispatcher_count=front_ends)
     pairs = set(pairwise(made.ring + made.ring[:1]))
     orders = [made.walk(Function(f"f{i}")) for i in range(100)]
     assert all(set(order) == set(made.ring) for order in orders)
@@ -116,7 +119,7 @@
     made.now += 45_000
     made.order(Function("g").replica(made.workers[0]), 1)
     assert list(made.taken) == [50_000]
-    made.facts = {**made.facts, "order_lag": 300}
+    made.settings = replace(made.settings, preload_delay=300)
     made.now += 4_800  # by the time that an order crosses the other has left too
     made.order(Function("g").replica(made.workers[0]), 1)
     assert not made.taken
@@ -125,7 +128,7 @@
 @pytest.mark.parametrize("window", [0, 50_000])
 def test_what_is_remembered_for_the_budget_of_orders_does_not_grow_without_end(window):
     made = dispatcher(1)
-    made.facts = {**made.facts, "order_window": window, "may_order": False}
+    made.settings = replace(made.settings, preload_window=window, may_preload=False)
     for _ in range(50):
         made.now += 5_000
         made.arrived(request(made))
@@ -146,7 +149,7 @@
     sent = budget = 0
     for me in range(front_ends):
         made = dispatcher(2)
-        made.facts = {**made.facts, "me": me, "dispatchers": front_ends}
+        made.settings = replace(made.settings, instance_index=me, dispatcher_count=front_ends)
         cold, warm = made.workers
         cold.booted = made.now
         made.ok_weight.add(made.now, 400_000.0 / 1.2 / front_ends)
@@ -361,7 +364,7 @@
 
 def test_traffic_beyond_a_share_yields_first_under_pressure():
     made = dispatcher(2)
-    made.facts = {**made.facts, "customers": [{"quota": 2.0}, {"quota": 900.0}]}
+    made.settings = replace(made.settings, customers=(CustomerSettings(2.0), CustomerSettings(900.0)))
     made.asked, made.out = [DecayingSum(50_000), DecayingSum(50_000)], 40
     made.asked[0].add(made.now, 1e6)
     made.ok_count.add(made.now, 110.0)
@@ -424,7 +427,7 @@
 )
 def test_the_budget_of_the_fleet_bounds_further_call_outs_where_it_is_told(told, made_lately, word):
     made = dispatcher()
-    made.facts = {**made.facts, **({} if told is None else {"further": told})}
+    made.fleet.retries_per_second = inf if told is None else told
     one = request(made)
     made.arrived(one)
     made.ok_count.add(made.now, 100)
@@ -528,7 +531,7 @@
 
 def test_a_hold_asks_for_what_was_used_and_a_share_of_the_spare():
     made = dispatcher(2)
-    made.facts = {**made.facts, "dispatchers": 1}
+    made.settings = replace(made.settings, dispatcher_count=1)
     made.taken.extend([made.now] * 50)
     function = Function("f")
     made.functions[function] = None
@@ -538,7 +541,7 @@
     assert acts(made, "order") == [("order", home.worker, function, 4 + 2)]
     made.hold(function)
     assert function in made.functions  # a copy still stands
-    made.now += 2 * made.facts["idle_life"]
+    made.now += 2 * made.settings.idle_timeout
     home.ordered.clear()
     made.hold(function)
     assert function not in made.functions and not function.marks
@@ -563,11 +566,13 @@
     assert made.workers == [stays] and len(one.function.marks) < 3 and len(one.function.replicas) < 3
 
 
-@pytest.mark.parametrize("customers, closed", [([], False), ([{"quota": 2.0}, {"quota": 9.0}], True)])
+@pytest.mark.parametrize(
+    "customers, closed", [((), False), ((CustomerSettings(2.0), CustomerSettings(9.0)), True)]
+)
 def test_a_late_full_answer_bars_a_customer_only_where_there_is_another(customers, closed):
     """Without customers it barred everything for two seconds, and three of six workers stood idle."""
     made = dispatcher(2)
-    made.facts = {**made.facts, "customers": customers}
+    made.settings = replace(made.settings, customers=customers)
     one = request(made)
     home = made.walk(one.function)[0]
     one.state = State.OUT
@@ -651,7 +656,7 @@
     hot, seldom, homes = Function("hot"), Function("seldom"), set()
     for me in range(40):
         made = dispatcher(20)
-        made.facts = {**made.facts, "me": me, "dispatchers": 40}
+        made.settings = replace(made.settings, instance_index=me, dispatcher_count=40)
         for function, share in ((hot, 0.2), (seldom, 0.01)):
             function.version, function.asked = -1, DecayingSum(100_000)
             function.asked.add(made.now, share * 500_000 + made.weight(0))
@@ -688,7 +693,7 @@
 
 def test_a_full_answer_that_took_long_holds_back_that_customer_alone():
     made = dispatcher(1, **{"when-absent": "load"})
-    made.facts = {**made.facts, "customers": [{"quota": 0.0}, {"quota": 0.0}]}
+    made.settings = replace(made.settings, customers=(CustomerSettings(), CustomerSettings()))
     made.asked = [DecayingSum(50_000), DecayingSum(50_000)]
     one, same, other = request(made), request(made), request(made)
     other.customer = 1
@@ -753,7 +758,7 @@
 @pytest.mark.parametrize("shedding", [False, True])
 def test_while_the_fleet_sheds_no_copy_is_added_beside_one(shedding):
     made = dispatcher(3, **{"when-absent": "load", "load-share": 1.0, "free-loads": 50})
-    made.facts = {**made.facts, "shedding": shedding}
+    made.fleet.shedding = shedding
     call = request(made)
     call.began = made.now
     warm = call.function.replica(made.walk(call.function)[0])
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -27,7 +27,7 @@
     for edge in edges:
         host = edge.edge.host
         assert (host.open, host.worker_calls) == (0, {}), edge.name
-        late = [e for e in host.tasks.values() if host.clock() - e.sent > host.facts["order_time_out"]]
+        late = [e for e in host.tasks.values() if host.clock() - e.sent > host.settings.preload_timeout]
         assert not late, edge.name  # holds go on in a quiet fleet, but each ends in its time
 
 
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,24 +1,48 @@
 """Deployment files: what is wrong is named with line, path, what stands there and what would be right."""
 
 import json
+from dataclasses import fields
 from pathlib import Path
 
 import pytest
 
-from lapistrestle.deployment import words
-from lapistrestle.deployment.load import Wrong, facts, load, load_holder
+from lapistrestle.deployment import load as load_module
+from lapistrestle.deployment import translation
+from lapistrestle.deployment.load import Wrong, load, load_holder, to_settings
+from lapistrestle.policy.settings import MethodSettings, Settings
 from lapistrestle.standins.script import plain, read_day
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
+
+
+def recording(kind, named):
+    """In place of a type of settings: made as ever, with the names of the fields that are given."""
+
+    def make(**given):
+        named[kind.__name__] = set(given)
+        return kind(**given)
+
+    return make
+
+
+def recorded(monkeypatch, module, make):
+    """What `make` gives, and the fields that it names of each type of settings; none is left to a default."""
+    named = {}
+    for kind in (Settings, MethodSettings):
+        monkeypatch.setattr(module, kind.__name__, recording(kind, named))
+    return make(), named
+
+
 METHODS = 'methods: {m: {effect: "idempotent", deadline: "3 s"}}'
 
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
-def test_the_examples_give_every_fact_that_the_module_is_handed(name):
-    made = facts(load(EXAMPLES / f"{name}.json5"))
-    assert set(made) == set(words.facts({}))
-    assert set(made["methods"][0]) == set(words.method({}))
-    assert made["methods"][0]["deadline"] in (30_000, 40_000, 25_000)
+def test_the_examples_give_every_fact_that_the_module_is_handed(name, monkeypatch):
+    made, named = recorded(monkeypatch, load_module, lambda: to_settings(load(EXAMPLES / f"{name}.json5")))
+    _, platform = recorded(monkeypatch, translation, lambda: translation.to_settings({"profiles": [{}]}))
+    assert named["Settings"] == platform["Settings"] == {f.name for f in fields(Settings)}
+    assert named["MethodSettings"] == platform["MethodSettings"] == {f.name for f in fields(MethodSettings)}
+    assert made.methods[0].deadline in (30_000, 40_000, 25_000)
 
 
 @pytest.mark.parametrize(
@@ -145,7 +169,7 @@
     made = load(EXAMPLES / f"{name}.json5")
     path = tmp_path / "again.json5"
     path.write_text(json.dumps(plain(made)))
-    assert facts(load(path)) == facts(made)
+    assert to_settings(load(path)) == to_settings(made)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -287,7 +287,7 @@
 
 def test_one_that_warms_up_is_kept_in_the_module_when_no_prefix_names_it(stage):
     """Else it would be met anew with its budget unspent (rule 4)."""
-    client, ramp = stage.client(), stage.edge.facts["ramp_time"]
+    client, ramp = stage.client(), stage.edge.settings.slow_start_duration
     assert ramp
     stage.call(client)
     stage.greet_holders()
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -4,12 +4,13 @@
 from helpers import SETTINGS
 
 from benchmarks.scale.measuring import count_steps
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.directory.region import Region
 from lapistrestle.hosting.events import described
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
 from lapistrestle.policy.state import Worker
 
@@ -47,7 +48,7 @@
 @pytest.fixture
 def hosting(clock):
     settings = {**SETTINGS, "limits": {"try-limit": 3, "cancel": True}}
-    made = ModuleHost(Recorder(), words.facts(settings), 7, clock, slack=50)
+    made = ModuleHost(Recorder(), translation.to_settings(settings), 7, clock, slack=50)
     made.listed([WorkerInfo(f"w{i}") for i in range(3)], whole=True)
     return made
 
@@ -142,7 +143,7 @@
 
 def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock):
     """As it was: the log line showed a worker whose sums were not set up yet, and that raised in turn."""
-    hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=BrokenAtList)
+    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=BrokenAtList)
     hosting.listed([WorkerInfo(f"w{i}") for i in range(9)], whole=True)
     assert hosting.counts["faults"] == 1
     assert [act[0] for act in hosting.transport.of("log")] == ["module raised"]
@@ -163,7 +164,7 @@
 
 @pytest.mark.parametrize("at", ["arrived", "learn"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
-    hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=Broken)
+    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=Broken)
     hosting.listed([WorkerInfo("w")], whole=True)
     hosting.module.at = at
     ask(hosting)
@@ -183,7 +184,7 @@
         def arrived(self, request):
             pass
 
-    hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, slack=50, make=Asleep)
+    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, slack=50, make=Asleep)
     ask(hosting)
     clock.now += 30_049
     hosting.fire_timers()
@@ -224,7 +225,7 @@
 
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it(clock):
     settings = {**SETTINGS, "profiles": [{**SETTINGS["profiles"][0], "streamed": True}]}
-    hosting = ModuleHost(Recorder(), words.facts(settings), 7, clock)
+    hosting = ModuleHost(Recorder(), translation.to_settings(settings), 7, clock)
     hosting.listed([WorkerInfo("w")], whole=True)
     ask(hosting)
     (number,) = out(hosting)
@@ -238,7 +239,7 @@
 
 def test_an_order_without_word_ends_in_its_time(clock):
     info = {**SETTINGS["family-info"], "answer-within": 2_000_000}
-    hosting = ModuleHost(Recorder(), words.facts({**SETTINGS, "family-info": info}), 7, clock)
+    hosting = ModuleHost(Recorder(), translation.to_settings({**SETTINGS, "family-info": info}), 7, clock)
     hosting.listed([WorkerInfo("w")], whole=True)
     ask(hosting)
     (number,) = out(hosting)
@@ -319,9 +320,9 @@
 
 def with_region(clock, workers):
     """A host that is told a part of the region, with as many functions in use as workers."""
-    facts = words.facts(SETTINGS)
-    region = Region(clock, facts["cold_share"], facts["ramp_time"])
-    made = ModuleHost(Recorder(), {**facts, "region": region}, 7, clock)
+    settings = translation.to_settings(SETTINGS)
+    region = Region(clock, settings.slow_start_share, settings.slow_start_duration)
+    made = ModuleHost(Recorder(), settings, 7, clock, fleet=FleetGuidance(region=region))
     made.listed([WorkerInfo(f"w{i}") for i in range(workers)], whole=False)
     for i in range(workers):
         made.ranked(made.registry.function(f"f{i}", 0, 100.0, 1), [f"w{i}"])
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from test_hosting import Clock, Recorder, ask
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
 
@@ -50,7 +50,9 @@
 
     def __init__(self):
         self.clock, self.lists = Clock(), Lists()
-        facts = words.facts({**SETTINGS, "limits": {"try-limit": 3, "cancel": True, "parallel-tries": True}})
+        facts = translation.to_settings(
+            {**SETTINGS, "limits": {"try-limit": 3, "cancel": True, "parallel-tries": True}}
+        )
         self.made = ModuleHost(self.lists, facts, 7, self.clock, slack=50)
 
     def play(self, what, arg):
@@ -123,6 +125,6 @@
     host.serving()[0].sends.append((host.clock.now, 800.0))
     host.change([WorkerInfo("w0", listing=EndpointState.REMOVED)])
     assert "w0" in host.made.registry.workers
-    host.clock.now += host.made.facts["fall_time"] + 1
+    host.clock.now += host.made.settings.overload_window + 1
     host.change([WorkerInfo("w1")])
     assert "w0" not in host.made.registry.workers
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -22,8 +22,8 @@
 
 def book(stage, **changed):
     return {
-        name: learnt.Learnt(changed.get("soft", m["soft_deadline"]), m["deadline"], 900.0, 40.0)
-        for name, m in zip(stage.edge.methods, stage.edge.facts["methods"], strict=True)
+        name: learnt.Learnt(changed.get("soft", m.soft_deadline), m.deadline, 900.0, 40.0)
+        for name, m in zip(stage.edge.methods, stage.edge.settings.methods, strict=True)
     }
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -111,7 +111,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        others = [d for d in Watched.living if d.facts["me"] != self.facts["me"]]
+        others = [d for d in Watched.living if d.settings.instance_index != self.settings.instance_index]
         Watched.living = (*others, self)
 
     def note_loads(self):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -123,7 +123,7 @@
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
-    told = parse(raw, "config.json").settings
+    told = parse(raw, "config.json").platform
     assert (told.limits.conn_idle, told.limits.streams_per_conn) == (15_000_000, 32)
     assert told.limits.dial_timeout == 100_000
 
@@ -171,9 +171,9 @@
         del settings[group]
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
     configuration = parse(msgspec.json.encode(file), "config.json")
-    assert configuration.settings.limits.try_limit >= 1 and configuration.facts["fall_multiple"] >= 1
+    assert configuration.platform.limits.try_limit >= 1 and configuration.settings.overload_factor >= 1
     assert (
-        configuration.facts["dial_time_out"] > 0 and configuration.facts["order_time_out"] > 0
+        configuration.settings.connect_timeout > 0 and configuration.settings.preload_timeout > 0
     )  # else none would be met
     Node(Hand(), configuration, lambda what, **figures: None)
 
@@ -229,7 +229,7 @@
     """Usual clients were seen with up to 7 ms more; the page gives every time limit 50 ms."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
-    deadline = stage.node.core.facts["methods"][0]["deadline"] / 10
+    deadline = stage.node.core.settings.methods[0].deadline / 10
     client, began = stage.client(), stage.hand.rightNow
     number = client.ask(patience=str(int(deadline) + over))
     stage.hand.quiet()
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -14,7 +14,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.interface import Answer, Outcome, WorkerInfo
 from lapistrestle.policy.state import Function, Request, State, Worker
@@ -79,8 +79,8 @@
 
     def made(self, number, now):
         rules = {**SETTINGS["rules"], **self.rules.settings()}
-        facts = words.facts({**SETTINGS, "balancers": self.of, "me": number, "rules": rules})
-        dispatcher = Dispatcher(Silent(), facts, self.seed * 1000 + number, now)
+        settings = translation.to_settings({**SETTINGS, "balancers": self.of, "me": number, "rules": rules})
+        dispatcher = Dispatcher(Silent(), settings, self.seed * 1000 + number, now)
         dispatcher.listed([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in range(WARM)], whole=True)
         return dispatcher
 
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -10,9 +10,10 @@
 from hypothesis import strategies as st
 from test_ramp import FLEETS
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.directory.region import Region
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import WorkerInfo
 from lapistrestle.policy.state import Function, Request, Worker
 from lapistrestle.wire.directory import RegionSums
@@ -30,28 +31,29 @@
     warm: int
     cold: int  # restarted together with the one that is looked at
 
-    def sums(self, now, facts):
+    def sums(self, now, settings):
         size = self.warm + (self.cold + 1 if now >= BOOT else self.cold)
-        warm = self.warm + sum(warmth(now, facts) for _ in range(self.cold + (now >= BOOT)))
+        warm = self.warm + sum(warmth(now, settings) for _ in range(self.cold + (now >= BOOT)))
         return RegionSums(size=size, warm=warm, serving=int(size), instances=int(size))
 
     def booted(self, number):
         return BOOT if number >= self.warm else None
 
 
-def warmth(now, facts):
+def warmth(now, settings):
     if now < BOOT:
         return 1.0
-    least = facts["cold_share"]
-    return min(1.0, least + (1 - least) * (now - BOOT) / facts["ramp_time"])
+    least = settings.slow_start_share
+    return min(1.0, least + (1 - least) * (now - BOOT) / settings.slow_start_duration)
 
 
 def made(number, of, seed, clock, told, rules):
     slow_start = {**SETTINGS["rules"], **rules.settings()}
-    facts = words.facts({**SETTINGS, "balancers": of, "me": number, "rules": slow_start})
+    settings = translation.to_settings({**SETTINGS, "balancers": of, "me": number, "rules": slow_start})
+    guidance = FleetGuidance()
     if told:
-        facts = {**facts, "region": Region(clock, facts["cold_share"], facts["ramp_time"])}
-    return Dispatcher(Recorder(), facts, seed * 1000 + number, 0)
+        guidance.region = Region(clock, settings.slow_start_share, settings.slow_start_duration)
+    return Dispatcher(Recorder(), settings, seed * 1000 + number, 0, guidance)
 
 
 def sent_to_the_cold_one(of, seen, fleet, pace, seed, told=True, rules=FLEETS[0]):
@@ -73,7 +75,7 @@
         if told and now >= next_sums:
             next_sums = now + TOLD_EVERY
             for dispatcher in all_:
-                dispatcher.facts["region"].told(fleet.sums(now, dispatcher.facts), now)
+                dispatcher.fleet.region.told(fleet.sums(now, dispatcher.settings), now)
         if not restarted and now >= BOOT:
             restarted = True
             for dispatcher in all_:
@@ -89,20 +91,20 @@
             cold.sends.append((now, dispatcher.heft(request)))
             sends.append(now)
             continue
-        if chance.random() > fleet.sums(now, dispatcher.facts).warm / workers:
+        if chance.random() > fleet.sums(now, dispatcher.settings).warm / workers:
             continue  # what restarted takes less
         dispatcher.light[0].add(now, WORK)
         dispatcher.ok_count.add(now, 1)
         dispatcher.ok_weight.add(now, dispatcher.weight(0) / max(dispatcher.warm(), 1e-9))
-    return all_[0].facts, sends
+    return all_[0].settings, sends
 
 
-def beyond(facts, sends, pace):
+def beyond(settings, sends, pace):
     """By how much the fullest window is above the budget and what chance may add; at most 0 is right."""
-    window, worst = facts["fall_time"], -inf
+    window, worst = settings.overload_window, -inf
     for number, first in enumerate(sends):
         count = sum(1 for when in sends[number:] if when < first + window)
-        budget = facts["fall_multiple"] * warmth(first, facts) * window / SECOND * pace
+        budget = settings.overload_factor * warmth(first, settings) * window / SECOND * pace
         worst = max(worst, count - (budget + 2 * sqrt(budget) + 2))
     return worst
 
@@ -117,25 +119,25 @@
     rules=st.sampled_from(FLEETS),
 )
 def test_dispatchers_that_each_see_a_part_keep_to_one_budget(of, seen, fleet, pace, seed, rules):
-    facts, sends = sent_to_the_cold_one(of, seen, fleet, pace, seed, rules=rules)
-    assert beyond(facts, sends, pace) <= 0, len(sends)
+    settings, sends = sent_to_the_cold_one(of, seen, fleet, pace, seed, rules=rules)
+    assert beyond(settings, sends, pace) <= 0, len(sends)
 
 
 @pytest.mark.parametrize("of", [1, 3, 30, 200])
 @pytest.mark.parametrize("rules", FLEETS)
 def test_parts_seen_by_one_dispatcher_few_and_many_keep_to_one_budget(of, rules):
-    facts, sends = sent_to_the_cold_one(of, 2, Fleet(30, 0), 20.0, 1, rules=rules)
-    assert sends and beyond(facts, sends, 20.0) <= 0
+    settings, sends = sent_to_the_cold_one(of, 2, Fleet(30, 0), 20.0, 1, rules=rules)
+    assert sends and beyond(settings, sends, 20.0) <= 0
 
 
 @pytest.mark.parametrize("seen", [1, 2])
 def test_counted_over_the_part_seen_the_budget_is_broken(seen):
     """The counter-example: each gets the same from its own worker as if that were all there is, so that the
     cold one, which all see, is sent as much as there are dispatchers times its part."""
-    facts, sends = sent_to_the_cold_one(40, seen, Fleet(40, 0), 3.0, 1, told=False)
-    assert beyond(facts, sends, 3.0) > 0
-    facts, sends = sent_to_the_cold_one(40, seen, Fleet(40, 0), 3.0, 1)
-    assert sends and beyond(facts, sends, 3.0) <= 0
+    settings, sends = sent_to_the_cold_one(40, seen, Fleet(40, 0), 3.0, 1, told=False)
+    assert beyond(settings, sends, 3.0) > 0
+    settings, sends = sent_to_the_cold_one(40, seen, Fleet(40, 0), 3.0, 1)
+    assert sends and beyond(settings, sends, 3.0) <= 0
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -227,7 +227,7 @@
     room = Dispatcher.cold_room
 
     def scanned(made, worker, request):
-        assert sum(1 for _ in range(made.facts["dispatchers"]))
+        assert sum(1 for _ in range(made.settings.dispatcher_count))
         return room(made, worker, request)
 
     monkeypatch.setattr(Dispatcher, "cold_room", scanned)
