--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -36,7 +36,7 @@
     made.now = NOW
     cold = Worker("cold")
     listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted=0)) for i in range(WARM)]
-    made.listed([*listed, (cold, WorkerInfo("cold", booted=NOW))], whole=True)
+    made.on_endpoints([*listed, (cold, WorkerInfo("cold", booted=NOW))], whole=True)
     pace = calls_an_instance / dispatchers / SECOND  # of one dispatcher's calls, at each unit of size
     made.ok_weight.add(NOW, pace * made.weight(0) * made.ok_weight.life)
     return made, cold
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -47,7 +47,7 @@
         within = words.micros(time_out)
         self.act("Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within})
 
-    def deny(self, request: RequestInfo, retry_after: int) -> None:
+    def reject(self, request: RequestInfo, retry_after: int) -> None:
         self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * words.UNIT})
 
     def abort(self, request: RequestInfo) -> None:
@@ -57,25 +57,25 @@
         request = attempt.request
         self.act("Abandon", **{"msg-id": request.tag, "round-no": request.attempts.index(attempt)})
 
-    def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
+    def preload(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
         self.act("Preload", runner=worker.name, image=function.name, number=count)
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         self.act("TakeDown", runner=worker.name, image=function.name)
 
-    def probe(self, worker: WorkerInfo) -> None:
+    def health_check(self, worker: WorkerInfo) -> None:
         self.act("Sample", runner=worker.name)
 
-    def tell_peer(self, peer: int | None, text: str) -> None:
+    def send_gossip(self, peer: int | None, text: str) -> None:
         self.act("MemoTo", dst="*" if peer is None else peer, raw=text)
 
-    def wake_me(self, delay: int, token: object) -> None:
+    def set_timer(self, delay: int, token: object) -> None:
         self.act("NotifyMe", **{"span": words.micros(delay), "key-back": self.registry.keep_token(token)})
 
-    def follow_list(self) -> None:
+    def watch_endpoints(self) -> None:
         self.act("Listen", enable=True)
 
-    def more(self, function: FunctionInfo) -> None: ...  # the list names every runner
+    def extend_prefix(self, function: FunctionInfo) -> None: ...  # the list names every runner
 
     def log(self, text: str) -> None:
         self.act("Log", what=text)
@@ -94,9 +94,9 @@
     def update(self, fields: Fields) -> None:
         kind = fields.get("kind")
         if kind == "failed":
-            return self.module.list_failed()
+            return self.module.on_endpoints_failed()
         rows = [(self.registry.worker(r["runner"]), entry(r)) for r in fields.get("records") or []]
-        self.module.listed(rows, whole=kind != "delta")
+        self.module.on_endpoints(rows, whole=kind != "delta")
 
     def demand(self, fields: Fields) -> None:
         name, method = fields.get("image") or "", fields.get("class") or 0
@@ -112,13 +112,13 @@
             repeat=bool(fields.get("resent")),
         )
         self.requests[request.tag] = request
-        self.module.arrived(request)
+        self.module.on_request(request)
         self.forget(request)
 
     def under_way(self, fields: Fields) -> None:
         request = self.requests.get(fields["msg-id"])
         if request is not None:
-            self.module.begun(request.attempts[fields["round-no"]])
+            self.module.on_attempt_started(request.attempts[fields["round-no"]])
 
     def done(self, fields: Fields) -> None:
         request = self.requests.get(fields["msg-id"])
@@ -132,13 +132,15 @@
             company=detail // 8 if self.says_company else None,
             report=self.report(fields.get("telemetry")),
         )
-        self.module.ended(request.attempts[fields["round-no"]], words.OUTCOMES[fields["reason"]], answer)
+        self.module.on_attempt_finished(
+            request.attempts[fields["round-no"]], words.OUTCOMES[fields["reason"]], answer
+        )
         self.forget(request)
 
     def vanished(self, fields: Fields) -> None:
         request = self.requests.get(fields["msg-id"])
         if request is not None:
-            self.module.left(request)
+            self.module.on_client_gone(request)
             self.forget(request)
 
     def forget(self, request: Request) -> None:
@@ -148,7 +150,7 @@
     def fired(self, fields: Fields) -> None:
         token = self.registry.take_token(fields.get("key-back") or 0)
         if token is not None:
-            self.module.woken(token)
+            self.module.on_timer(token)
 
     def loaded(self, fields: Fields) -> None:
         worker, function = (
@@ -157,16 +159,16 @@
         )
         if worker is not None and function is not None:
             outcome, took = words.OUTCOMES[fields["reason"]], words.span(fields.get("took") or 0)
-            self.module.ordered(worker, function, outcome, fields.get("number") or 0, took)
+            self.module.on_preload_finished(worker, function, outcome, fields.get("number") or 0, took)
 
     def probe_result(self, fields: Fields) -> None:
         worker = self.registry.workers.get(fields["runner"])
         if worker is not None:
             outcome, took = words.OUTCOMES[fields["reason"]], words.span(fields.get("took") or 0)
-            self.module.probed(worker, outcome, took, self.report(fields.get("telemetry")))
+            self.module.on_health_check(worker, outcome, took, self.report(fields.get("telemetry")))
 
     def datagram(self, fields: Fields) -> None:
-        self.module.told(fields.get("src-peer") or 0, fields.get("raw") or "")
+        self.module.on_gossip(fields.get("src-peer") or 0, fields.get("raw") or "")
 
 
 READERS: dict[str, Callable[[Link, Fields], None]] = {
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -69,4 +69,4 @@
         """Answer that it did not run, and when its client may come back."""
         facts = self.edge.facts
         told = min(retry_after, facts["longest_come_back"]) if facts["may_come_back"] else 0
-        self.edge.host.deny(pending, told)
+        self.edge.host.reject(pending, told)
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -47,20 +47,20 @@
         """The client has gone; what a worker has of the request goes on to its own end."""
         if not pending.final:
             self.close(pending, LEFT)
-            self.events.post(pending, "left", pending)
+            self.events.post(pending, "on_client_gone", pending)
 
     def retract(self, pending: PendingRequest) -> None:
         """The host takes a request back that has not run, to have it placed anew under another function."""
         if not pending.final:
             self.close(pending, MOVED)
-            self.events.post(pending, "left", pending)
+            self.events.post(pending, "on_client_gone", pending)
 
     def abort_all(self, requests: Sequence[PendingRequest]) -> None:
         """Answer these at once: the program ends."""
         for pending in requests:
             if not pending.final:
                 self.finish(pending, ABORTED)
-                self.events.post(pending, "left", pending)
+                self.events.post(pending, "on_client_gone", pending)
 
     def overdue(self, pending: PendingRequest) -> None:
         """Guards rule 1 where the module let a deadline pass, by error or in an unforeseen state."""
@@ -68,4 +68,4 @@
             self.context.counts[GUARDED] += 1
             self.context.transport.log("deadline guarded", request=pending.tag, state=str(pending.state))
             self.finish(pending, ABORTED)
-            self.events.post(pending, "left", pending)
+            self.events.post(pending, "on_client_gone", pending)
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -67,7 +67,7 @@
         try:
             while self.lists or self.queue:
                 if self.lists:
-                    self.deliver_one(None, "listed", self.lists.popleft())
+                    self.deliver_one(None, "on_endpoints", self.lists.popleft())
                 else:
                     self.deliver_one(*self.queue.popleft())
         finally:
@@ -82,7 +82,7 @@
 
     def deliver_one(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
         """Call one method of the module."""
-        if event == "arrived" and pending is not None and pending.final:
+        if event == "on_request" and pending is not None and pending.final:
             return  # its client left before anything was begun for it
         self.module.now = self.context.clock()
         try:
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -133,13 +133,13 @@
         if waits:
             pending.began, pending.came = now, now if came is None else came
         else:
-            self.events.post(pending, "arrived", pending)
+            self.events.post(pending, "on_request", pending)
         return pending
 
     def looked_up(self, pending: PendingRequest) -> None:
         """The prefix of the request's function is known, and the module was told it."""
         if not pending.final:
-            self.events.post(pending, "arrived", pending)
+            self.events.post(pending, "on_request", pending)
 
     def client_left(self, pending: PendingRequest) -> None:
         """The client has gone; what a worker has of the request goes on to its own end."""
@@ -232,19 +232,19 @@
 
     def ranked(self, function: Function, names: Sequence[str]) -> None:
         """The first workers of a function's order; each was listed before."""
-        self.events.post(None, "ranked", function, [self.registry.worker(name) for name in names])
+        self.events.post(None, "on_prefix", function, [self.registry.worker(name) for name in names])
 
     def list_failed(self) -> None:
         """The list of workers could not be read."""
-        self.events.post(None, "list_failed")
+        self.events.post(None, "on_endpoints_failed")
 
     def told(self, peer: int, text: str) -> None:
         """Another dispatcher has sent text."""
-        self.events.post(None, "told", peer, text)
+        self.events.post(None, "on_gossip", peer, text)
 
     def vouched(self, worker: Worker, at: int) -> None:
         """Another dispatcher has had an answer from a worker, at that time."""
-        self.events.post(None, "vouched", worker, at)
+        self.events.post(None, "on_peer_verdict", worker, at)
 
     # what the module asks for (interface.Host)
 
@@ -257,7 +257,7 @@
         """Send an attempt."""
         self.calls.send(self.next_number(), attempt, time_out)
 
-    def deny(self, request: RequestInfo, retry_after: int) -> None:
+    def reject(self, request: RequestInfo, retry_after: int) -> None:
         """Answer that it did not run; `come_back` as in `Transport.answer`."""
         assert isinstance(request, PendingRequest)
         self.answers.finish(request, DENIED, retry_after)
@@ -271,12 +271,12 @@
         """Want no more of an attempt."""
         self.calls.cancel(attempt)
 
-    def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
+    def preload(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
         """Have a worker hold copies."""
         assert isinstance(worker, Worker) and isinstance(function, Function)
         self.orders.order(self.next_number(), worker, function, count)
 
-    def probe(self, worker: WorkerInfo) -> None:
+    def health_check(self, worker: WorkerInfo) -> None:
         """Ask a worker for its report."""
         assert isinstance(worker, Worker)
         self.orders.probe(self.next_number(), worker)
@@ -285,24 +285,24 @@
         """Have a worker drop a function."""
         self.transport.unload(worker, function)
 
-    def tell_peer(self, peer: int | None, text: str) -> None:
+    def send_gossip(self, peer: int | None, text: str) -> None:
         """Send text to another dispatcher, where settings allow it."""
         if self.facts["may_tell_peers"]:
             self.transport.tell_peer(peer, text[:PEER_TEXT])
 
-    def wake_me(self, delay: int, token: object) -> None:
+    def set_timer(self, delay: int, token: object) -> None:
         """Give the token back after so long, as `woken`."""
         self.timers.at(self.clock() + max(1, delay), self.woken, token)
 
     def woken(self, token: object) -> None:
         """A wake-up that the module asked for is due."""
-        self.events.post(token if isinstance(token, PendingRequest) else None, "woken", token)
+        self.events.post(token if isinstance(token, PendingRequest) else None, "on_timer", token)
 
-    def follow_list(self) -> None:
+    def watch_endpoints(self) -> None:
         """Ask for updates of the list of workers."""
         self.transport.follow_list()
 
-    def more(self, function: FunctionInfo) -> None:
+    def extend_prefix(self, function: FunctionInfo) -> None:
         """Ask for a longer prefix of a function's order."""
         self.transport.more(function)
 
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -42,7 +42,7 @@
         if task.timer is not None:
             task.timer.stop()
         took = self.context.clock() - task.sent
-        self.events.post(None, "ordered", task.worker, task.function, outcome, count, took)
+        self.events.post(None, "on_preload_finished", task.worker, task.function, outcome, count, took)
 
     def probed(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
         """A probe has ended. One that is not under way is only counted."""
@@ -52,7 +52,9 @@
             return
         if task.timer is not None:
             task.timer.stop()
-        self.events.post(None, "probed", task.worker, outcome, self.context.clock() - task.sent, report)
+        self.events.post(
+            None, "on_health_check", task.worker, outcome, self.context.clock() - task.sent, report
+        )
 
     def timed_out(self, task: WorkerTask) -> None:
         """No reply in time. What still waited for a connection never left."""
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -67,7 +67,7 @@
             if timer is not None:
                 timer.stop()
         self.context.transport.stream(pending)
-        self.events.post(pending, "begun", worker_call.attempt)
+        self.events.post(pending, "on_attempt_started", worker_call.attempt)
 
     def ended(
         self,
@@ -96,7 +96,7 @@
         answer = Answer(max(0, now - worker_call.sent), pending.final, warmth, company, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
-        self.events.post(pending, "ended", worker_call.attempt, outcome, answer)
+        self.events.post(pending, "on_attempt_finished", worker_call.attempt, outcome, answer)
 
     def timed_out(self, worker_call: WorkerCall) -> None:
         """No answer in time. What still waited for a connection never left, so it has not run."""
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -37,7 +37,7 @@
         self.orders: deque[int] = deque()
         self.taken: deque[int] = deque()
         if facts["list_asked"]:
-            host.follow_list()
+            host.watch_endpoints()
 
     def chance(self, below: int) -> int:
         self.draws += 1
@@ -45,7 +45,7 @@
 
     # what the host tells
 
-    def listed(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
+    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
         for worker in self.known if whole else ():
             worker.listing = EndpointState.REMOVED
         for worker, told in workers:
@@ -55,11 +55,11 @@
             (s for s in self.known if s.listing is EndpointState.SERVING), key=lambda s: s.name
         )
 
-    def arrived(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         self.taken.append(self.now)
         self.place(request)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
         request, worker = attempt.request, attempt.worker
         attempt.outcome = outcome
         self.out[worker] = self.out.get(worker, 1) - 1
@@ -73,21 +73,25 @@
             request.over = True
             self.host.abort(request)
 
-    def ordered(self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int) -> None:
+    def on_preload_finished(
+        self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int
+    ) -> None:
         for request in self.waiting.pop((worker, function), []):
             if not request.over and outcome is Outcome.OK:
                 self.send(request, worker)
             elif not request.over:
                 self.place(request)
 
-    def left(self, request: Request) -> None:
+    def on_client_gone(self, request: Request) -> None:
         request.over = True
 
-    def begun(self, attempt: Attempt) -> None: ...
-    def list_failed(self) -> None: ...
-    def woken(self, token: object) -> None: ...
-    def probed(self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
-    def told(self, peer: int, text: str) -> None: ...
+    def on_attempt_started(self, attempt: Attempt) -> None: ...
+    def on_endpoints_failed(self) -> None: ...
+    def on_timer(self, token: object) -> None: ...
+    def on_health_check(
+        self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]
+    ) -> None: ...
+    def on_gossip(self, peer: int, text: str) -> None: ...
 
     # what it does
 
@@ -97,7 +101,7 @@
         if not able or len(request.attempts) >= self.facts["try_limit"] or request.deadline <= self.now:
             request.over = True
             may_have = [c for c in request.attempts if c.outcome not in NEVER_RAN]
-            return self.host.abort(request) if may_have else self.host.deny(request, 0)
+            return self.host.abort(request) if may_have else self.host.reject(request, 0)
         self.send(request, self.choose(self, request, able))
 
     def send(self, request: Request, worker: Worker) -> None:
@@ -122,7 +126,7 @@
             return False
         self.orders.append(self.now)
         self.waiting[worker, request.function] = [request]
-        self.host.order(worker, request.function, 1)
+        self.host.preload(worker, request.function, 1)
         return True
 
     # how it chooses
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -85,7 +85,7 @@
         self.draws += 1
         return crc32(f"{self.seed}:{self.draws}".encode()) % max(1, below)
 
-    def listed(self, workers: Sequence[tuple[Worker, face.WorkerInfo]], whole: bool) -> None:
+    def on_endpoints(self, workers: Sequence[tuple[Worker, face.WorkerInfo]], whole: bool) -> None:
         self.note(workers, whole, MEMORY, SECOND)
         self.weighed = -1
         self.load_limit = self.load_limit or max(1.0, self.region.count / self.facts["dispatchers"])
@@ -102,13 +102,13 @@
             for worker in gone:
                 function.marks.pop(worker, None)
 
-    def ranked(self, function: Function, prefix: list[Worker]) -> None:
+    def on_prefix(self, function: Function, prefix: list[Worker]) -> None:
         """The host knows the first workers of the function's order, and none of the others."""
         function.prefix = prefix
 
     def follow(self) -> None:
-        self.host.follow_list()
-        self.host.wake_me(max(SECOND, self.facts["ask_within"] // 2), None)
+        self.host.watch_endpoints()
+        self.host.set_timer(max(SECOND, self.facts["ask_within"] // 2), None)
 
     def walk(self, function: Function) -> list[Worker]:
         """The shared order, from the worker that the function's hash marks; a new one rehomes its own. Where
@@ -156,14 +156,14 @@
             request.over = request.state is State.OVER
             signal = effect(self, request, replica) if effect else None
 
-    def arrived(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         request.began = request.began or self.now  # earlier where it waited for the function's prefix
         if request.work:
             self.hints[request.method].add(self.now, request.work)
             request.scale = max(0.2, request.work / self.hints[request.method].read(request.work))
         if request.function not in self.functions:
             self.functions[request.function] = None
-            self.host.wake_me(PERIOD, request.function)
+            self.host.set_timer(PERIOD, request.function)
         met = MEMORY * max(self.rate(self.ok_count), 1 / LONG) / max(1, len(self.serves))  # each, in MEMORY
         self.stretch = min(LONG / MEMORY, max(1.0, 1 / met))
         request.function.asked.life = self.demand.life = int(LONG * self.stretch)
@@ -174,10 +174,10 @@
         del self.taken[: bisect_right(self.taken, self.now - self.facts["order_window"])]
         self.drive(request, Input.ARRIVED)
 
-    def left(self, request: Request) -> None:
+    def on_client_gone(self, request: Request) -> None:
         request.state, request.over = State.OVER, True
 
-    def begun(self, attempt: Attempt) -> None:
+    def on_attempt_started(self, attempt: Attempt) -> None:
         attempt.worker.unheard = None
 
     def admit(self, request: Request, _: FunctionReplica | None) -> Input:
@@ -274,7 +274,7 @@
             if fit and (not to_load or self.now >= worker.line_until):
                 return function.replica(worker)
         if function.prefix is not None:
-            self.host.more(function)
+            self.host.extend_prefix(function)
         return None
 
     def candidates(self, request: Request, order: Iterable[Worker], missed: bool = False) -> Iterator[Worker]:
@@ -389,18 +389,18 @@
         return Input.WAITS
 
     def park(self, request: Request, _: FunctionReplica | None) -> None:
-        self.host.wake_me(max(1, int(request.deadline - self.now - self.iso(request.function))), request)
+        self.host.set_timer(max(1, int(request.deadline - self.now - self.iso(request.function))), request)
 
     def give_up(self, request: Request, _: FunctionReplica | None) -> None:
         """Answered at once: denied where that is provably harmless, else aborted."""
         method = self.facts["methods"][request.method]
         repeats = method["kind"] == "idempotent" or (method["kind"], method["scope"]) == ("tokened", "all")
         if request.ran_on is None or repeats:
-            self.host.deny(request, self.facts["longest_come_back"] if self.facts["may_come_back"] else 0)
+            self.host.reject(request, self.facts["longest_come_back"] if self.facts["may_come_back"] else 0)
         else:
             self.host.abort(request)
 
-    def woken(self, token: object) -> None:
+    def on_timer(self, token: object) -> None:
         if isinstance(token, Request):
             self.drive(token, Input.LATE if token.state is State.PARKED else None)
         elif isinstance(token, Function):
@@ -408,7 +408,7 @@
         else:
             self.follow()
 
-    def ended(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
         request, worker = attempt.request, attempt.worker
         replica, attempt.outcome = request.function.replica(worker), outcome
         replica.end(attempt)
@@ -420,7 +420,7 @@
         if MEANING[outcome] is Input.MAY_HAVE_RUN and request.ran_on is None:
             request.ran_on, request.ran_at = worker, attempt.sent
         if answer.over:
-            self.left(request)
+            self.on_client_gone(request)
         self.drive(request, MEANING[outcome], replica)
         if replica.waiters and not replica.ordered and not replica.loading:
             self.release(replica)
@@ -579,7 +579,7 @@
             self.now >= worker.due + (0 if worker.trial else LONG) and not worker.out
         )
 
-    def vouched(self, worker: Worker, at: int) -> None:
+    def on_peer_verdict(self, worker: Worker, at: int) -> None:
         """Others found it fit. Guards against crowds of trials; harms where it fails us alone."""
         if worker.suspect and at > worker.due - worker.pause:  # since we judged it
             self.clear(worker)
@@ -648,10 +648,12 @@
         self.pending += 1
         replica.ordered.append(Order(self.now, load))
         replica.loading, self.loading = replica.loading + load, self.loading + load
-        self.host.order(replica.worker, replica.function, min(16, count))
+        self.host.preload(replica.worker, replica.function, min(16, count))
         return True
 
-    def ordered(self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int) -> None:
+    def on_preload_finished(
+        self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int
+    ) -> None:
         replica = function.replica(worker)
         order, self.pending = replica.ordered.popleft(), self.pending - 1
         load, late = order.load, took - 2 * self.load_took.read(took)  # it may have lain on the way
@@ -708,7 +710,7 @@
             del self.functions[function]
             function.marks, function.order, function.version = {}, [], -1
             return
-        self.host.wake_me(PERIOD, function)
+        self.host.set_timer(PERIOD, function)
         if not used:
             return
         self.renew_iso(function)
@@ -738,9 +740,11 @@
                 if figure > 0:
                     mean.add(self.now, figure)
 
-    def list_failed(self) -> None: ...  # asked anew when the next renewal is due
-    def probed(self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
-    def told(self, peer: int, text: str) -> None: ...
+    def on_endpoints_failed(self) -> None: ...  # asked anew when the next renewal is due
+    def on_health_check(
+        self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]
+    ) -> None: ...
+    def on_gossip(self, peer: int, text: str) -> None: ...
 
 
 Effect = Callable[[Dispatcher, Request, FunctionReplica | None], Input | None]
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -22,7 +22,7 @@
     a, b = dispatcher(8), dispatcher(8)
     functions = [Function(f"f{i}") for i in range(200)]
     homes = [a.walk(function)[0].name for function in functions]
-    b.listed([(Worker("new"), WorkerInfo("new"))], whole=False)
+    b.on_endpoints([(Worker("new"), WorkerInfo("new"))], whole=False)
     moved = [b.walk(Function(function.name))[0].name for function in functions]
     changed = [(old, new) for old, new in zip(homes, moved, strict=True) if old != new]
     assert 0 < len(changed) < 50 and {new for _, new in changed} == {"new"}
@@ -47,15 +47,15 @@
 def test_what_may_have_run_goes_out_again_only_where_the_method_allows(method, outcome, word):
     made = dispatcher()
     one = request(made, method)
-    made.arrived(one)
-    made.ended(one.attempts[0], outcome, Answer(5))
+    made.on_request(one)
+    made.on_attempt_finished(one.attempts[0], outcome, Answer(5))
     assert made.host.acts[-1][0] == word and one.over == (word == "abort")
 
 
 def test_a_tokened_repeat_stays_in_its_cell_and_window():
     made = dispatcher(6)
     one = request(made, 1)
-    made.arrived(one)
+    made.on_request(one)
     one.ran_on, one.ran_at = one.attempts[0].worker, made.now
     assert {s.cell for s in made.workers if made.allowed(one, s)} == {one.ran_on.cell}
     made.now += 20_000
@@ -65,17 +65,17 @@
 def test_nothing_goes_to_a_draining_worker_nor_is_ordered_there():
     made = dispatcher(1)
     one, worker = request(made), made.workers[0]
-    made.listed([(worker, WorkerInfo(worker.name, listing=EndpointState.DRAINING))], whole=False)
-    made.arrived(one)
-    assert one.state is State.OVER and acts(made, "deny") and not acts(made, "send_attempt")
-    assert not made.order(one.function.replica(worker), 1) and not acts(made, "order")
+    made.on_endpoints([(worker, WorkerInfo(worker.name, listing=EndpointState.DRAINING))], whole=False)
+    made.on_request(one)
+    assert one.state is State.OVER and acts(made, "reject") and not acts(made, "send_attempt")
+    assert not made.order(one.function.replica(worker), 1) and not acts(made, "preload")
 
 
 def test_names_that_differ_little_have_homes_spread_evenly_over_the_workers():
     """Drawn by a linear checksum, one worker in forty was home of 13 times as many functions as another."""
     made = dispatcher(0)
     facts = [WorkerInfo(f"s-{crc32(str(i).encode()):08x}") for i in range(40)]
-    made.listed([(Worker(f.name), f) for f in facts], whole=True)
+    made.on_endpoints([(Worker(f.name), f) for f in facts], whole=True)
     functions = [Function(f"000000{i:08x}01") for i in range(2_000)]
     homes = Counter(made.walk(function)[0] for function in functions)
     assert min(homes[worker] for worker in made.workers) >= 25 and max(homes.values()) <= 80
@@ -89,7 +89,7 @@
     made.now += 50_001
     assert not made.order(replica, 1)  # without answer they may be about to cross
     for _ in range(4):
-        made.ordered(made.workers[0], replica.function, Outcome.OK, 1, 10)
+        made.on_preload_finished(made.workers[0], replica.function, Outcome.OK, 1, 10)
     assert [made.order(replica, 1) for _ in range(3)] == [True, True, False]
 
 
@@ -100,7 +100,7 @@
     for took in (6_000, 6_000, 40_000):
         assert made.order(function.replica(worker), 1)
         made.now += took
-        made.ordered(worker, function, Outcome.OK, 1, took)
+        made.on_preload_finished(worker, function, Outcome.OK, 1, took)
     made.now += 20_000  # the first two have left the window, the last crossed 3.2 s ago at the earliest
     made.order(function.replica(worker), 1)
     assert made.orders == [made.now - 32_000]
@@ -112,7 +112,7 @@
     for late in (9_000, 0):
         read = request(made)
         read.came = made.now - late
-        made.arrived(read)
+        made.on_request(read)
     made.now += 45_000
     made.order(Function("g").replica(made.workers[0]), 1)
     assert list(made.taken) == [50_000]
@@ -128,16 +128,16 @@
     made.facts = {**made.facts, "order_window": window, "may_order": False}
     for _ in range(50):
         made.now += 5_000
-        made.arrived(request(made))
+        made.on_request(request(made))
     assert len(made.taken) == window // 5_000
 
 
 def test_an_rpc_that_is_placed_anew_under_another_version_counts_once():
     made = dispatcher(2)
-    made.arrived(request(made))
+    made.on_request(request(made))
     again = request(made, name="f@v2")
     again.moved = True
-    made.arrived(again)
+    made.on_request(again)
     assert len(made.taken) == 1 and again.attempts
 
 
@@ -228,17 +228,17 @@
 
     for _ in range(200):
         one = request(made)
-        made.arrived(one)
-        made.ended(one.attempts[0], Outcome.OK, Answer(2_000))
+        made.on_request(one)
+        made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(2_000))
     before = room()
     stays = [(made.workers[0], WorkerInfo("w0", booted=made.now))]
     leaver = made.workers[5]
-    made.listed(stays + [(s, WorkerInfo(s.name, listing=left)) for s in made.workers[1:]], whole=False)
+    made.on_endpoints(stays + [(s, WorkerInfo(s.name, listing=left)) for s in made.workers[1:]], whole=False)
     late = request(made)
     late.state = State.OUT
     late.attempts.append(Attempt(late, leaver, made.now))
     late.function.replica(leaver).begin(late.attempts[0])
-    made.ended(late.attempts[0], Outcome.OK, Answer(2_000))
+    made.on_attempt_finished(late.attempts[0], Outcome.OK, Answer(2_000))
     assert 1 <= room() <= before
 
 
@@ -246,8 +246,8 @@
     made = dispatcher(2)
     one = request(made)
     one.deadline = made.now + int(made.iso(one.function)) - 1
-    made.arrived(one)
-    assert one.over and acts(made, "deny") and not one.attempts
+    made.on_request(one)
+    assert one.over and acts(made, "reject") and not one.attempts
 
 
 def test_the_last_resort_denies_what_would_wait_past_its_soft_deadline():
@@ -258,8 +258,8 @@
     for _ in range(6):
         last = request(made)
         last.function = first.function
-        made.arrived(last)
-    assert last.over and not last.attempts and acts(made, "deny")
+        made.on_request(last)
+    assert last.over and not last.attempts and acts(made, "reject")
 
 
 def test_slow_or_failing_loads_mean_fewer_at_once():
@@ -274,7 +274,7 @@
 def test_a_load_does_not_make_a_worker_look_silent():
     made = dispatcher(1)
     one = request(made)
-    made.arrived(one)
+    made.on_request(one)
     made.now += 10 * SECOND
     assert one.attempts[0].cold and made.fit(made.workers[0])
 
@@ -291,10 +291,10 @@
 def test_a_miss_is_answered_by_one_order_and_the_rpc_waits_for_it():
     made = dispatcher(1)
     one = request(made)
-    made.arrived(one)
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
-    assert one.state is State.PARKED and acts(made, "order")[0][3] == 1
-    made.ordered(made.workers[0], one.function, Outcome.OK, 1, 6_000)
+    made.on_request(one)
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    assert one.state is State.PARKED and acts(made, "preload")[0][3] == 1
+    made.on_preload_finished(made.workers[0], one.function, Outcome.OK, 1, 6_000)
     assert one.state is State.OUT and len(one.attempts) == 2
 
 
@@ -302,14 +302,14 @@
     made = dispatcher(1, **{"when-absent": "load"})
     one, two = request(made), request(made, name="g")
     two.function.replica(made.workers[0]).copies, two.function.replicas[made.workers[0]].seen = 1, made.now
-    made.arrived(one)
-    made.ended(one.attempts[0], Outcome.REJECTED, Answer(5))
-    made.arrived(two)
+    made.on_request(one)
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(5))
+    made.on_request(two)
     assert two.over and not two.attempts
     made.workers[0].full_until = 0
     three = request(made)
     three.function = two.function
-    made.arrived(three)
+    made.on_request(three)
     assert three.attempts
 
 
@@ -317,10 +317,10 @@
     made = dispatcher(1)
     one, two = request(made), request(made)
     two.function = one.function
-    made.arrived(one)
-    made.arrived(two)
+    made.on_request(one)
+    made.on_request(two)
     assert two.state is State.PARKED
-    made.ended(one.attempts[0], Outcome.OK, Answer(900, over=True))
+    made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(900, over=True))
     assert two.state is State.OUT
 
 
@@ -332,18 +332,18 @@
         one = request(made)
         made.send(one, one.function.replica(worker))
         worker.took.add(made.now, 900_000 if crowded else -900_000)
-        made.ended(one.attempts[0], Outcome.OK, Answer(29_000, over=True))
+        made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(29_000, over=True))
         assert (made.load_limit == before) == crowded
 
 
 def test_a_parked_rpc_is_answered_when_its_time_is_up():
     made = dispatcher(1)
     one = request(made)
-    made.arrived(one)
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
-    made.woken(one)
-    assert one.over and acts(made, "deny")
-    made.ordered(made.workers[0], one.function, Outcome.OK, 1, 6_000)
+    made.on_request(one)
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    made.on_timer(one)
+    assert one.over and acts(made, "reject")
+    made.on_preload_finished(made.workers[0], one.function, Outcome.OK, 1, 6_000)
     assert len(one.attempts) == 1
 
 
@@ -351,11 +351,11 @@
 def test_further_call_outs_end_with_the_tries_and_with_failing_ones(tries, further, went_on):
     made = dispatcher(4, **{"when-absent": "load"})
     one = request(made)
-    made.arrived(one)
+    made.on_request(one)
     one.attempts[:0] = one.attempts * (tries - 1)
     for _ in range(further):
         made.further.add(made.now, 0)
-    made.ended(one.attempts[-1], Outcome.REJECTED, Answer(5))
+    made.on_attempt_finished(one.attempts[-1], Outcome.REJECTED, Answer(5))
     assert one.over != went_on
 
 
@@ -394,10 +394,10 @@
     one.state = State.PLACING
     made.send(one, one.function.replica(second))
     one.state = State.OUT
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
-    assert [c.worker for c in one.attempts] == [second, home] and not acts(made, "order")
-    made.ended(one.attempts[1], Outcome.NOT_LOADED, Answer(10))
-    assert acts(made, "order") and one.function.replica(home).waiters == [one]
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert [c.worker for c in one.attempts] == [second, home] and not acts(made, "preload")
+    made.on_attempt_finished(one.attempts[1], Outcome.NOT_LOADED, Answer(10))
+    assert acts(made, "preload") and one.function.replica(home).waiters == [one]
 
 
 def test_a_miss_at_the_first_that_may_be_used_does_not_go_on_along_the_order():
@@ -407,7 +407,7 @@
     first.suspect, first.due, made.suspects = True, made.now + 9 * SECOND, 1  # the home is out of use
     one.attempts = [Attempt(one, second, made.now, outcome=Outcome.NOT_LOADED)]
     assert made.missed(one, one.function.replica(second)) is Input.WAITS and not acts(made, "send_attempt")
-    assert [o[1] for o in acts(made, "order")] == [second]
+    assert [o[1] for o in acts(made, "preload")] == [second]
 
 
 @pytest.mark.parametrize(("stretch", "within"), [(1.0, 6_667), (3.0, 10_000)])
@@ -420,27 +420,28 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "made_lately", "word"), [(None, 20, "send_attempt"), (2.0, 20, "deny"), (2.0, 5, "send_attempt")]
+    ("told", "made_lately", "word"),
+    [(None, 20, "send_attempt"), (2.0, 20, "reject"), (2.0, 5, "send_attempt")],
 )
 def test_the_budget_of_the_fleet_bounds_further_call_outs_where_it_is_told(told, made_lately, word):
     made = dispatcher()
     made.facts = {**made.facts, **({} if told is None else {"further": told})}
     one = request(made)
-    made.arrived(one)
+    made.on_request(one)
     made.ok_count.add(made.now, 100)
     for _ in range(made_lately):
         made.further.add(made.now, 1)
-    made.ended(one.attempts[0], Outcome.ERROR, Answer(5))
+    made.on_attempt_finished(one.attempts[0], Outcome.ERROR, Answer(5))
     assert made.host.acts[-1][0] == word
 
 
 def test_a_miss_that_comes_when_no_worker_is_left_is_denied_at_once():
     made = dispatcher(1)
     one = request(made)
-    made.arrived(one)
-    made.listed([], whole=True)
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
-    assert one.over and len(acts(made, "deny")) == 1 and not acts(made, "order")
+    made.on_request(one)
+    made.on_endpoints([], whole=True)
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert one.over and len(acts(made, "reject")) == 1 and not acts(made, "preload")
 
 
 def test_a_miss_is_believed_no_longer_than_a_load_takes():
@@ -461,10 +462,10 @@
     for _ in range(3):
         made.light[0].add(made.now, 1_000)
     one = request(made)
-    made.arrived(one)
+    made.on_request(one)
     home = one.attempts[0].worker
-    made.ended(one.attempts[0], Outcome.OK, Answer(took, True, LoadState.LOADED, company))
-    loads = acts(made, "order")
+    made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(took, True, LoadState.LOADED, company))
+    loads = acts(made, "preload")
     assert len(loads) == orders and all(
         o[1] is made.walk(one.function)[1] and home is not o[1] for o in loads
     )
@@ -478,16 +479,16 @@
     patient.function = one.function = first.function
     one.deadline = made.now + 3_000
     for each in (first, one, patient):
-        made.arrived(each)
-    assert one.over and len(acts(made, "deny")) == 1 and patient.attempts
+        made.on_request(each)
+    assert one.over and len(acts(made, "reject")) == 1 and patient.attempts
 
 
 def test_a_full_worker_is_open_again_after_half_a_second_however_seldom_it_is_met():
     made = front_end_of_many()
     one = request(made)
-    made.arrived(one)
+    made.on_request(one)
     worker = one.attempts[0].worker
-    made.ended(one.attempts[0], Outcome.REJECTED, Answer(5))
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(5))
     assert made.now < worker.full_until <= made.now + SECOND // 2
 
 
@@ -499,7 +500,7 @@
     replica = one.function.replica(home)
     replica.copies, replica.seen, home.full_until = 1, made.now, made.now + 100
     one.deadline = made.now + 30_000
-    made.arrived(one)
+    made.on_request(one)
     assert [c.worker for c in one.attempts] == [second]
 
 
@@ -510,7 +511,7 @@
     for worker in made.workers:
         one.function.replica(worker).missing = made.now
     made.loading, made.load_limit = 18, 1.0
-    made.arrived(one)
+    made.on_request(one)
     assert not one.over and one.attempts
 
 
@@ -522,8 +523,8 @@
     home = made.walk(one.function)[0]
     made.send(one, one.function.replica(home))
     one.state = State.OUT
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
-    assert not acts(made, "order") and not one.function.replica(home).waiters
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert not acts(made, "preload") and not one.function.replica(home).waiters
 
 
 def test_a_hold_asks_for_what_was_used_and_a_share_of_the_spare():
@@ -535,7 +536,7 @@
     home = function.replica(made.walk(function)[0])
     home.peak, home.copies, home.seen = 4, 4, made.now
     made.hold(function)
-    assert acts(made, "order") == [("order", home.worker, function, 4 + 2)]
+    assert acts(made, "preload") == [("preload", home.worker, function, 4 + 2)]
     made.hold(function)
     assert function in made.functions  # a copy still stands
     made.now += 2 * made.facts["idle_life"]
@@ -551,15 +552,15 @@
     made.functions[one.function] = None
     one.attempts.append(Attempt(one, busy, made.now))
     one.function.replica(busy).begin(one.attempts[0])
-    made.listed([(busy, WorkerInfo("w1", listing=EndpointState.REMOVED))], whole=False)
+    made.on_endpoints([(busy, WorkerInfo("w1", listing=EndpointState.REMOVED))], whole=False)
     assert made.workers == [stays, busy]
     one.function.replica(busy).end(one.attempts[0])
     for i in range(2_000):
         new = Worker(f"n{i}")
-        made.listed([(new, WorkerInfo(new.name))], whole=False)
+        made.on_endpoints([(new, WorkerInfo(new.name))], whole=False)
         made.walk(one.function)
         one.function.replica(new)
-        made.listed([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], whole=False)
+        made.on_endpoints([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], whole=False)
     assert made.workers == [stays] and len(one.function.marks) < 3 and len(one.function.replicas) < 3
 
 
@@ -573,7 +574,7 @@
     one.state = State.OUT
     made.send(one, one.function.replica(home))
     made.now += 1_600
-    made.ended(one.attempts[0], Outcome.REJECTED, Answer(1_600))
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(1_600))
     assert (home.held_back.get(0, 0) > made.now) is closed
     made.now += SECOND // 2
     assert (home in made.candidates(request(made), made.ring)) is not closed
@@ -588,7 +589,7 @@
     made.send(one, one.function.replica(home))
     made.now += 30_000
     assert not made.fit(home)
-    made.ended(one.attempts[0], Outcome.TIMED_OUT, Answer(30_000))
+    made.on_attempt_finished(one.attempts[0], Outcome.TIMED_OUT, Answer(30_000))
     home.suspect = False
     assert not made.fit(home)
     made.now += 100_000
@@ -607,7 +608,7 @@
     made.order(replica, 1)
     one.state = State.PARKED
     replica.waiters.append(one)
-    made.ordered(home, one.function, Outcome.RESET, 0, 6_000)
+    made.on_preload_finished(home, one.function, Outcome.RESET, 0, 6_000)
     assert one.attempts[0].worker is home and not one.attempts[0].cold and home.emptied < 0
 
 
@@ -623,7 +624,7 @@
     stands.copies, stands.seen = 1, made.now - 1
     one.state = State.OUT
     made.send(one, one.function.replica(home))
-    made.ended(one.attempts[0], outcome, Answer(10))
+    made.on_attempt_finished(one.attempts[0], outcome, Answer(10))
     assert (made.believed(stands) == 0) is emptied
 
 
@@ -634,16 +635,16 @@
     home, next_, _ = made.walk(one.function)
     replica, second = one.function.replica(home), other.function.replica(home)
     made.order(replica, 1)
-    made.ordered(home, one.function, Outcome.REJECTED, 0, 5)
+    made.on_preload_finished(home, one.function, Outcome.REJECTED, 0, 5)
     assert not made.order(second, 1) and len(made.orders) == 1  # the ration is kept for those that may
     one.state = State.OUT
     made.send(one, replica)
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
-    assert one in one.function.replica(next_).waiters and acts(made, "order")[-1][1] is next_
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    assert one in one.function.replica(next_).waiters and acts(made, "preload")[-1][1] is next_
     home.line_until = made.now + 1
     second.ordered.append(Order(made.now, True))
     second.loading, made.loading = 1, made.loading + 1
-    made.ordered(home, other.function, Outcome.OK, 1, 8_000)
+    made.on_preload_finished(home, other.function, Outcome.OK, 1, 8_000)
     assert made.order(replica, 1)
 
 
@@ -665,7 +666,7 @@
     often, seldom = dispatcher(4), dispatcher(90)
     for made in (often, seldom):
         made.ok_count.add(made.now, 30.0)
-        made.arrived(request(made))
+        made.on_request(request(made))
     assert often.stretch == 1 and 2 < seldom.stretch < 4
     replica = Function("f", iso=1_000.0).replica(seldom.workers[0])
     replica.window.extend([90_000] * 9)
@@ -680,9 +681,9 @@
         made.stretch = stretch
         made.ok_count.add(made.now, 15.0)
         one = request(made)
-        made.arrived(one)
+        made.on_request(one)
         made.stretch = stretch
-        made.ended(one.attempts[0], Outcome.OK, Answer(900, over=True, report={"backlog": 20}))
+        made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(900, over=True, report={"backlog": 20}))
         assert (made.worker_zone(one.function.replica(made.workers[0])) is Zone.UNSAFE) == crowded
 
 
@@ -692,10 +693,10 @@
     made.asked = [DecayingSum(50_000), DecayingSum(50_000)]
     one, same, other = request(made), request(made), request(made)
     other.customer = 1
-    made.arrived(one)
-    made.ended(one.attempts[0], Outcome.REJECTED, Answer(2_000))
+    made.on_request(one)
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(2_000))
     for late in (same, other):
-        made.arrived(late)
+        made.on_request(late)
     assert same.over and not same.attempts and other.attempts
 
 
@@ -714,11 +715,11 @@
     made = dispatcher(3, **{"free-loads": 0, "load-share": 0.0})
     one = request(made)
     last = one.function.replica(made.walk(one.function)[2])
-    made.arrived(one)
+    made.on_request(one)
     last.copies, last.seen = int(stands), made.now
-    made.ended(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
     assert [c.worker for c in one.attempts[1:]] == [last.worker] * stands
-    assert one.over is not stands and len(acts(made, "deny")) == int(not stands)
+    assert one.over is not stands and len(acts(made, "reject")) == int(not stands)
 
 
 def test_a_worker_only_looked_at_is_not_one_used_before():
@@ -738,7 +739,7 @@
     home, second = made.walk(one.function)[:2]
     one.attempts = [Attempt(one, worker, made.now, outcome=Outcome.NOT_LOADED) for worker in (home, second)]
     assert made.missed(one, one.function.replica(second)) is Input.WAITS
-    assert [o[1] for o in acts(made, "order")] == [home] and one.function.replica(home).waiters == [one]
+    assert [o[1] for o in acts(made, "preload")] == [home] and one.function.replica(home).waiters == [one]
 
 
 def test_the_home_in_the_order_is_the_last_resort_where_all_look_unsafe():
@@ -746,7 +747,7 @@
     one, made.load_limit = request(made), 1.0
     for worker in made.workers:
         worker.timed(made.now, 900_000.0, 1_000.0)
-    made.arrived(one)
+    made.on_request(one)
     assert one.attempts[0].worker is made.walk(one.function)[0]
 
 
@@ -760,7 +761,7 @@
     warm.copies, warm.seen, warm.zone, warm.until = 1, made.now, Zone.WARNING, made.now + 50_000
     warm.out = 1  # all that a worker in Warning takes
     assert made.place(call, None) is Input.SENT
-    assert len(made.host.of("order")) == (not shedding)
+    assert len(made.host.of("preload")) == (not shedding)
 
 
 def test_a_suspect_that_others_try_waits_for_their_word_or_ten_seconds():
@@ -768,9 +769,9 @@
     worker = made.workers[0]
     worker.suspect, worker.due, worker.trial, made.suspects = True, made.now, False, 1
     assert not made.fit(worker)
-    made.vouched(worker, made.now - worker.pause)  # from before we judged it
+    made.on_peer_verdict(worker, made.now - worker.pause)  # from before we judged it
     assert worker.suspect
     made.now += 10 * SECOND
     assert made.fit(worker)  # nobody told: we try it ourselves
-    made.vouched(worker, made.now)
+    made.on_peer_verdict(worker, made.now)
     assert not worker.suspect and made.suspects == 0
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -506,7 +506,7 @@
 def test_edges_hear_each_other_and_pass_over_what_is_no_message():
     stage = Stage()
     told = []
-    stage.edge.host.module.told = lambda peer, text: told.append((peer, text))
+    stage.edge.host.module.on_gossip = lambda peer, text: told.append((peer, text))
     other = Process(stage.reactor, "other")
     sender = Peer([])
     other.listenUDP(7202, sender)
@@ -517,8 +517,8 @@
     assert told == [(1, "hi")] and stage.edge.counts["passed over"] == 3
     heard = []
     sender.datagramReceived = lambda data, address: heard.append(msgspec.json.decode(data))
-    stage.edge.host.tell_peer(1, "x" * 300)
-    stage.edge.host.tell_peer(None, "to all")
+    stage.edge.host.send_gossip(1, "x" * 300)
+    stage.edge.host.send_gossip(None, "to all")
     stage.run()
     assert [h["text"] for h in heard] == ["x" * 256, "to all"] and heard[0]["sender"] == 0
 
@@ -533,17 +533,17 @@
 
 def test_probes_and_unloads_reach_the_runner_and_their_ends_the_module(stage):
     probed, host = [], stage.edge.host
-    host.module.probed = lambda worker, outcome, took, report: probed.append(
+    host.module.on_health_check = lambda worker, outcome, took, report: probed.append(
         (worker.name, outcome.name, report)
     )
     peer = stage.runners["r0"][-1]
-    host.probe(host.registry.worker("r0"))
+    host.health_check(host.registry.worker("r0"))
     host.unload(host.registry.worker("r0"), host.registry.function("f", 0, 1.0, 1))
-    host.probe(host.registry.worker("nobody"))
+    host.health_check(host.registry.worker("nobody"))
     stage.run()
     assert peer.heard("unload")[0]["fn"] == "f"
     peer.say(**{"is": "probed", "probe": peer.heard("probe")[0]["probe"], "report": {"backlog": 2}})
-    host.probe(host.registry.worker("r1"))
+    host.health_check(host.registry.worker("r1"))
     stage.run(1.0)
     assert probed == [("nobody", "UNREACHABLE", {}), ("r0", "OK", {"backlog": 2.0}), ("r1", "TIMED_OUT", {})]
 
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -122,10 +122,10 @@
 
     at = ""
 
-    def arrived(self, request):
-        if self.at == "arrived":
-            raise RuntimeError("in arrived")
-        super().arrived(request)
+    def on_request(self, request):
+        if self.at == "on_request":
+            raise RuntimeError("in on_request")
+        super().on_request(request)
 
     def learn(self, *args):
         if self.at == "learn":
@@ -161,7 +161,7 @@
     assert len(described("x" * 500)) == 80
 
 
-@pytest.mark.parametrize("at", ["arrived", "learn"])
+@pytest.mark.parametrize("at", ["on_request", "learn"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=Broken)
     hosting.listed([WorkerInfo("w")], whole=True)
@@ -180,7 +180,7 @@
 
 def test_a_deadline_that_the_module_lets_pass_is_guarded(clock):
     class Asleep(Dispatcher):
-        def arrived(self, request):
+        def on_request(self, request):
             pass
 
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, slack=50, make=Asleep)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -48,7 +48,7 @@
     assert made.weight(0) == 1_000.0 and made.learnt()[1] == (0.0, 0.0)
     heavy = request(made)
     heavy.work = 120
-    made.arrived(heavy)
+    made.on_request(heavy)
     assert heavy.scale == 1.5
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -246,8 +246,8 @@
     tenants = [{"name": "orchard", "quota-rps": 5.0}, {"name": "mill & sons", "quota-rps": 50.0}]
     stage = stages(tenants=tenants)
     client, met = stage.client(), []
-    arrived = stage.module.arrived
-    stage.module.arrived = lambda request: (met.append(request.customer), arrived(request))
+    arrived = stage.module.on_request
+    stage.module.on_request = lambda request: (met.append(request.customer), arrived(request))
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
@@ -515,8 +515,8 @@
 
 def test_a_probe_names_its_figures_as_the_settings_do(stage):
     told = []
-    stage.module.probed = lambda worker, outcome, took, report: told.append(report)
-    stage.host.probe(next(iter(stage.workers().values())))
+    stage.module.on_health_check = lambda worker, outcome, took, report: told.append(report)
+    stage.host.health_check(next(iter(stage.workers().values())))
     stage.hand.until(lambda: told)
     assert told == [{"outstanding": 7.0, "utilization": 0.61}]
 
@@ -668,8 +668,8 @@
         runner.heard = lambda line, said: (
             orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
         )
-    taken, arrived = [], stage.module.arrived
-    stage.module.arrived = lambda request: (taken.append(weakref.ref(request)), arrived(request))
+    taken, arrived = [], stage.module.on_request
+    stage.module.on_request = lambda request: (taken.append(weakref.ref(request)), arrived(request))
     gc.collect()
     gc.disable()
     try:
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -61,7 +61,7 @@
 def hold_requests(stage: Any) -> list[Any]:
     """The module decides nothing; returns its requests as they come."""
     met: list[Any] = []
-    stage.module.arrived = met.append
+    stage.module.on_request = met.append
     return met
 
 
@@ -423,7 +423,7 @@
     assert all(client.closed for client in crowd)
     assert len(met) == len(kept) == stage.host.open and not any(client.closed for client in kept)
     for request in met:
-        stage.host.deny(request, 0)
+        stage.host.reject(request, 0)
     stage.hand.until(lambda: all(client.status(1) == 503 for client in kept))
 
 
