--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -69,4 +69,4 @@
         """Answer that it did not run, and when its client may come back."""
         settings = self.edge.settings
         told = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
-        self.edge.host.deny(pending, told)
+        self.edge.host.reject(pending, told)
