--- /dev/null
+++ b/tests/test_stored_data.py
@@ -0,0 +1,287 @@
+"""Files that commit d027b98 wrote read with the same values; a newer file is read, or refused as a whole."""
+
+import json
+import shutil
+import sqlite3
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+from click.testing import CliRunner
+from twisted.internet.task import Clock
+from twisted.internet.testing import StringTransport
+
+from lapistrestle.command.experiments import read as read_experiment
+from lapistrestle.command.main import main
+from lapistrestle.planner.program import Planner, Speakers
+from lapistrestle.planner.state import ENTRY
+from lapistrestle.planner.state import encode as encode_entry
+from lapistrestle.standins.tape import read as read_tape
+from lapistrestle.store.journal import Journal
+from lapistrestle.store.learnt import read as read_learnt
+from lapistrestle.store.learnt import write as write_learnt
+from lapistrestle.store.plans import PlanFile
+
+# The names above are all that a rename in the package touches here; what is compared goes by stored names.
+
+STORED = Path(__file__).parent / "data" / "stored"
+EXPECTED = STORED / "expected.json"
+PLAN, LEARNT, JOURNAL = STORED / "plan.json", STORED / "learnt.json", STORED / "journal.sqlite"
+TAPE, RESULTS = STORED / "short-day.tape.jsonl", STORED / "experiment-results.jsonl"
+
+
+def decode_entry(line: bytes) -> Any:
+    return ENTRY.decode(line)
+
+
+def read_plan(path: Path) -> Any:
+    return PlanFile(path).read()
+
+
+def write_plan(path: Path, plan: Any) -> None:
+    PlanFile(path).write(plan)
+
+
+def command_line(*words: object) -> Any:
+    """What a command says with `--json`."""
+    result = CliRunner().invoke(main, [str(word) for word in words])
+    assert result.exit_code == 0, result.output
+    return json.loads(result.output)
+
+
+class Operator:
+    """Talks to a planner that has started from a copy of a journal, in the lines of the protocol."""
+
+    def __init__(self, path: Path) -> None:
+        self.journal = Journal(path)
+        self.planner = Planner(Clock(), self.journal, lambda *_, **__: None)
+        self.protocol, self.transport = self.connected({})
+
+    def connected(self, greeting: dict[str, str]) -> tuple[Any, Any]:
+        """One more connection, greeted."""
+        protocol: Any = Speakers(self.planner).buildProtocol(None)
+        transport: Any = StringTransport()  # type: ignore[no-untyped-call]
+        protocol.makeConnection(transport)
+        hello = {"is": "hello", "protocol": "lapistrestle.planner", "version": 1} | greeting
+        protocol.dataReceived(json.dumps(hello).encode() + b"\n")
+        return protocol, transport
+
+    def ask(self, message: dict[str, Any]) -> Any:
+        """The last line that answers this one."""
+        self.transport.clear()
+        self.protocol.dataReceived(json.dumps(message).encode() + b"\n")
+        return json.loads(self.transport.value().splitlines()[-1])
+
+    def edge_plan(self) -> Any:
+        """What an edge that connects now is told first."""
+        _, transport = self.connected({"name": "e", "start": "s"})
+        return json.loads(transport.value().splitlines()[-1])
+
+    def close(self) -> None:
+        self.journal.close()
+
+
+def commands(entries: list[Any]) -> list[Any]:
+    return [entry for entry in entries if entry["is"] == "command"]
+
+
+def copied(path: Path, folder: Path) -> Path:
+    """A journal is opened for writing, so never in its place."""
+    return Path(shutil.copy(path, folder / path.name))
+
+
+def observed_journal(folder: Path) -> Any:
+    """A journal's entries as they are written again, and what a planner that starts from it says."""
+    path = copied(JOURNAL, folder)
+    journal = Journal(path)
+    lines = [bytes(line) for _, line in journal.entries()]
+    journal.close()
+    entries = [json.loads(encode_entry(decode_entry(line))) for line in lines]
+    operator = Operator(path)
+    orders = [{k: v for k, v in one.items() if k != "at"} for one in commands(entries)]
+    for order in orders:
+        order.pop("remembered", None)
+    found = {
+        "entries": entries,
+        "status": operator.ask({"is": "ask"}),
+        "plan": operator.edge_plan(),
+        "replies": [operator.ask(order | {"is": "order"}) for order in orders],
+    }
+    operator.close()
+    return found
+
+
+def observed(folder: Path) -> Any:
+    """All that is read from the files, by stored names."""
+    day = command_line("day", "check", TAPE, "--json")
+    _, plan = read_experiment(STORED / "experiment.json5")
+    return {
+        "plan": msgspec.to_builtins(read_plan(PLAN)),
+        "learnt": msgspec.to_builtins(read_learnt(LEARNT)),
+        "journal": observed_journal(folder),
+        "tape checked": day,
+        "experiment": {
+            figure: command_line("experiment", "compare", RESULTS, "--figure", figure, "--json")
+            for figure in ("service", "p99", "fetches")
+        },
+        "keys of runs": [run.key for run in plan],
+    }
+
+
+@pytest.fixture(scope="module")
+def found(tmp_path_factory: pytest.TempPathFactory) -> Any:
+    return observed(tmp_path_factory.mktemp("stored"))
+
+
+@pytest.mark.parametrize("part", ["plan", "learnt", "journal", "tape checked", "experiment", "keys of runs"])
+def test_what_was_stored_reads_as_it_did(found: Any, part: str) -> None:
+    assert found[part] == json.loads(EXPECTED.read_text())[part]
+
+
+def test_every_kind_of_entry_and_command_is_in_the_journal(found: Any) -> None:
+    entries = found["journal"]["entries"]
+    assert {entry["is"] for entry in entries} == {"command", "report", "look"}
+    assert {entry["what"] for entry in commands(entries)} == {"start", "advance", "hold", "resume", "back"}
+
+
+def test_entries_are_written_with_the_same_bytes(tmp_path: Path) -> None:
+    journal = Journal(copied(JOURNAL, tmp_path))
+    for _, line in journal.entries():
+        assert encode_entry(decode_entry(line)) == line
+    journal.close()
+
+
+@pytest.mark.parametrize(
+    ("path", "read", "write"), [(PLAN, read_plan, write_plan), (LEARNT, read_learnt, write_learnt)]
+)
+def test_small_files_are_written_with_the_same_bytes(
+    path: Path, read: Callable[[Path], Any], write: Callable[[Path, Any], None], tmp_path: Path
+) -> None:
+    write(tmp_path / "again", read(path))
+    assert (tmp_path / "again").read_bytes() == path.read_bytes()
+
+
+def test_the_results_are_of_the_same_runs(found: Any) -> None:
+    assert [json.loads(line)["key"] for line in RESULTS.read_text().splitlines()] == found["keys of runs"]
+
+
+def test_a_tape_reads_line_by_line() -> None:
+    assert list(read_tape(TAPE)) == [json.loads(line) for line in TAPE.read_text().splitlines()]
+
+
+def test_the_same_day_gives_the_same_tape(tmp_path: Path) -> None:
+    words = ("day", "run", STORED / "day.json5", "--virtual", "--no-check", "--tape", tmp_path / "tape")
+    result = CliRunner().invoke(main, [str(word) for word in words])
+    assert result.exit_code == 0, result.output
+    assert (tmp_path / "tape").read_bytes() == TAPE.read_bytes()
+
+
+# newer files
+
+
+def changed(path: Path, folder: Path, **fields: Any) -> Path:
+    newer = folder / path.name
+    newer.write_text(json.dumps(json.loads(path.read_text()) | fields))
+    return newer
+
+
+@pytest.mark.parametrize(("path", "read"), [(PLAN, read_plan), (LEARNT, read_learnt)])
+def test_a_newer_file_with_more_in_it_reads_the_same(
+    path: Path, read: Callable[[Path], Any], tmp_path: Path
+) -> None:
+    newer = read(changed(path, tmp_path, more={"of": ["anything"]}))
+    assert msgspec.to_builtins(newer) == msgspec.to_builtins(read(path))
+
+
+@pytest.mark.parametrize(
+    ("path", "read", "fields", "says"),
+    [
+        (LEARNT, read_learnt, {"shape": 2}, "shape 2; expected 1"),
+        (LEARNT, read_learnt, {"methods": {"m": {"soft_deadline": 1, "deadline": 2}}}, "`alone`"),
+        (
+            LEARNT,
+            read_learnt,
+            {"methods": {"m": {"soft_deadline": 1, "deadline": 2, "alone": 1, "hint": 0, "new": 1}}},
+            "`new`",
+        ),
+        (PLAN, read_plan, {"epoch": "seven"}, "$.epoch"),
+        (PLAN, read_plan, {"shares": [{"fn": "resize", "share": 1.5}]}, "$.shares[0].share"),
+    ],
+)
+def test_a_file_of_another_shape_is_refused_by_name(
+    path: Path, read: Callable[[Path], Any], fields: dict[str, Any], says: str, tmp_path: Path
+) -> None:
+    newer = changed(path, tmp_path, **fields)
+    with pytest.raises(ValueError) as refused:
+        read(newer)
+    assert says in str(refused.value) and str(newer) in str(refused.value)
+
+
+def add_entry(path: Path, entry: dict[str, Any]) -> None:
+    database = sqlite3.connect(path)
+    with database:
+        database.execute("insert into entries values (18, 1, ?)", (json.dumps(entry).encode(),))
+    database.close()
+
+
+def test_a_journal_with_more_in_an_entry_is_read(tmp_path: Path) -> None:
+    path = copied(JOURNAL, tmp_path)
+    add_entry(path, {"is": "look", "at": 210_000, "newer": True})
+    operator = Operator(path)
+    assert operator.ask({"is": "ask"})["number"] == 18
+    operator.close()
+
+
+@pytest.mark.parametrize(
+    ("entry", "says"),
+    [
+        ({"is": "pause", "at": 210_000}, "'pause' - at `$.is`"),
+        ({"is": "report", "at": 210_000, "edge": "e"}, "`start`"),
+        ({"is": "command", "at": 210_000, "id": "n", "what": "pause", "fn": "f", "who": "w"}, "$.what"),
+    ],
+)
+def test_a_journal_with_an_entry_of_another_kind_starts_no_planner(
+    entry: dict[str, Any], says: str, tmp_path: Path
+) -> None:
+    path = copied(JOURNAL, tmp_path)
+    add_entry(path, entry)
+    with pytest.raises(msgspec.ValidationError) as refused:
+        Operator(path)
+    assert says in str(refused.value)
+
+
+def refused_by_command(*words: object) -> str:
+    result = CliRunner().invoke(main, [str(word) for word in words])
+    assert result.exit_code and not isinstance(result.exception, msgspec.MsgspecError), result.output
+    return result.output
+
+
+def test_a_tape_of_another_version_is_refused(tmp_path: Path) -> None:
+    header, *events = TAPE.read_text().splitlines(keepends=True)
+    newer = tmp_path / "tape"
+    newer.write_text("".join([json.dumps(json.loads(header) | {"tape": 2}) + "\n", *events]))
+    says = refused_by_command("day", "check", newer, "--json")
+    assert str(newer) in says and "can't be judged" in says and "no tape" in says
+
+
+def test_a_tape_with_a_line_of_something_else_is_refused(tmp_path: Path) -> None:
+    newer = tmp_path / "tape"
+    newer.write_bytes(TAPE.read_bytes() + b"[]\n")
+    says = refused_by_command("day", "check", newer)
+    assert f"{newer}:{len(TAPE.read_bytes().splitlines()) + 1}: no line of a tape" in says
+
+
+def test_results_with_more_in_a_line_read_the_same(found: Any, tmp_path: Path) -> None:
+    newer = tmp_path / "results"
+    lines = [json.loads(line) | {"more": [1]} for line in RESULTS.read_text().splitlines()]
+    newer.write_text("".join(json.dumps(line) + "\n" for line in lines))
+    assert command_line("experiment", "compare", newer, "--json") == found["experiment"]["service"]
+
+
+def test_results_of_another_shape_are_refused(tmp_path: Path) -> None:
+    newer = tmp_path / "results"
+    newer.write_bytes(RESULTS.read_bytes() + b'{"key":"k","seed":1}\n')
+    says = refused_by_command("experiment", "compare", newer)
+    assert f"{newer}:{len(RESULTS.read_bytes().splitlines()) + 1}: no line of results" in says
