--- /dev/null
+++ b/tests/wire_names.py
@@ -0,0 +1,78 @@
+"""Python names of what the pinned data describes, in one place: renames are followed here alone."""
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lapistrestle.command.experiments import read as read_experiment
+from lapistrestle.command.rollouts import Policy
+from lapistrestle.deployment.load import load, load_holder, read_json5, shaped
+from lapistrestle.deployment.shape import Deployment, HolderDeployment
+from lapistrestle.model.experiment import Experiment
+from lapistrestle.node.configuration import ConfigurationFile
+from lapistrestle.node.configuration import Settings as PlatformSettings
+from lapistrestle.node.replies import Reply as RunnerReply
+from lapistrestle.standins.script import Day, read_day
+from lapistrestle.wire import directory, fleet, messages, plans
+
+JSON_UNIONS: dict[str, dict[str, Any]] = {
+    "client": {"to edge": messages.FromClient, "from edge": messages.ToClient},
+    "runner": {"to edge": messages.FromRunner, "from edge": messages.ToRunner},
+    "roster": {"to edge": messages.FromRoster, "from edge": messages.ToRoster},
+    "peer": {"between edges": messages.Peer},
+    "planner": {"from planner": plans.FromPlanner, "to planner": plans.ToPlanner},
+    "directory": {"from watcher": directory.FromWatcher, "from holder": directory.FromHolder},
+}
+FLEET_UNION = fleet.AnyWord
+FLEET_DATAGRAM = fleet.Datagram
+CONSTANTS: dict[str, Any] = {
+    "client protocol": messages.CLIENT,
+    "runner protocol": messages.RUNNER,
+    "roster protocol": messages.ROSTER,
+    "planner protocol": plans.PLANNER,
+    "directory protocol": directory.DIRECTORY,
+    "version of lines": messages.VERSION,
+    "version of datagrams": fleet.VERSION,
+    "bytes of a datagram": fleet.MOST,
+}
+SETTINGS: dict[str, Any] = {
+    "deployment": Deployment,
+    "holder": HolderDeployment,
+    "experiment": Experiment,
+    "day": Day,
+    "policy": Policy,
+    "platform file": ConfigurationFile,
+    "platform settings": PlatformSettings,
+    "platform runner's reply": RunnerReply,
+}
+encode_line: Callable[[Any], bytes] = messages.encode
+decode_datagram: Callable[[bytes, str], Any] = fleet.unpack
+encode_datagram: Callable[[Any], bytes] = fleet.pack
+
+
+def line_decoder(union: Any) -> Callable[[bytes], Any]:
+    """Reads one line of a protocol's direction."""
+    return msgspec.json.Decoder(union).decode
+
+
+def load_deployment(path: Path) -> Any:
+    """A checked deployment file."""
+    return load(path)
+
+
+def load_policy(path: Path) -> Any:
+    """A checked file of a rollout's policy."""
+    value, text = read_json5(path)
+    return shaped(value, Policy, text, str(path))
+
+
+LOADERS: dict[str, Callable[[Path], Any]] = {
+    "*.json5": load_deployment,
+    "days/*.json5": read_day,
+    "directory/edge*.json5": load_deployment,
+    "directory/holder*.json5": load_holder,
+    "experiments/*.json5": read_experiment,
+    "policies/*.json5": load_policy,
+}
