--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,6 +1,7 @@
 """The adapter: the codec in both directions."""
 
 import io
+from typing import Any
 
 import orjson
 import pytest
@@ -16,21 +17,21 @@
 DEMAND = {"Demand": {**D, "msg-id": "r-1", "class": 0, "image": "h:f", "not-after": 3_000_050, "odd": 1}}
 
 
-def say(links, clock, *events):
+def say(links: Links, clock: int, *events: dict[str, Any]) -> list[dict[str, Any]]:
     line = orjson.dumps({"clock": clock, "batch": 3, "happened": list(events)})
     reply = orjson.loads(links.answer(line))
     assert reply["batch"] == 3
     return [cmd for cmd in reply["cmds"] if "NotifyMe" not in cmd]
 
 
-def test_a_demand_becomes_a_relay_that_never_outlasts_its_deadline():
+def test_a_demand_becomes_a_relay_that_never_outlasts_its_deadline() -> None:
     (relay,) = say(Links(), 10, INIT, LIST, DEMAND)
     fields = relay["Relay"]
     assert fields["msg-id"] == "r-1" and fields["runner"] == "runner.a"
     assert 0 < fields["within"] <= 3_000_050 - 10
 
 
-def test_stop_forgets_and_late_news_passes_over():
+def test_stop_forgets_and_late_news_passes_over() -> None:
     links = Links()
     say(links, 10, INIT, LIST, DEMAND)
     late = {"Done": {**D, "msg-id": "r-1", "round-no": 0, "runner": "runner.a", "reason": "S", "took": 5}}
@@ -38,17 +39,17 @@
     assert say(links, 20, {"CrashNow": D}, INIT, late, timer, {"Odd": D}) == []
 
 
-def test_an_exception_in_the_module_is_reported_for_its_instance():
+def test_an_exception_in_the_module_is_reported_for_its_instance() -> None:
     (fault,) = say(Links(), 10, INIT, {"Demand": {**D, "class": 0}})
     told = fault["InternalError"]
     assert told["dispatcher-id"] == "dispatcher/0" and "msg-id" in told["what"]
 
 
 @pytest.mark.parametrize("line", [b"no\n", b"[]\n", b'{"clock":1}', b'{"clock":1,"batch":2,"happened":[3]}'])
-def test_what_is_no_batch_ends_with_a_plain_message(line):
+def test_what_is_no_batch_ends_with_a_plain_message(line: bytes) -> None:
     with pytest.raises(Malformed, match="not a batch"):
         serve(io.BytesIO(line), io.BytesIO())
 
 
-def test_units_round_towards_safety():
+def test_units_round_towards_safety() -> None:
     assert (words.moment(101), words.span(199), words.micros(0)) == (2, 1, 1)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -3,23 +3,26 @@
 import json
 import socket
 import time
+from collections.abc import Callable
 from pathlib import Path
 
 import pytest
-from click.testing import CliRunner
+from click.testing import CliRunner, Result
 
 from lapistrestle.command.main import main
 from lapistrestle.edge.running import reactor_of_now
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
+Run = Callable[..., Result]
+
 
 @pytest.fixture
-def run():
+def run() -> Run:
     return lambda *args: CliRunner().invoke(main, [str(a) for a in args])
 
 
-def test_a_bad_day_is_played_and_judged_in_one_command(run, tmp_path):
+def test_a_bad_day_is_played_and_judged_in_one_command(run: Run, tmp_path: Path) -> None:
     tape = tmp_path / "bad.tape"
     result = run("day", "run", EXAMPLES / "days" / "bad-day.json5", "--virtual", "--tape", tape)
     assert result.exit_code == 0, result.output
@@ -30,7 +33,7 @@
     assert 0.5 < told["service"]["total"] <= 1
 
 
-def test_a_broken_rule_is_shown_with_its_lines(run, tmp_path):
+def test_a_broken_rule_is_shown_with_its_lines(run: Run, tmp_path: Path) -> None:
     tape = tmp_path / "bad.tape"
     run("day", "run", EXAMPLES / "days" / "bad-day.json5", "--virtual", "--no-check", "--tape", tape)
     lines = tape.read_text().splitlines(keepends=True)
@@ -42,7 +45,7 @@
     assert "2 final answers" in result.output and f"{at + 1}: " in result.output
 
 
-def test_deployments_are_checked(run, tmp_path):
+def test_deployments_are_checked(run: Run, tmp_path: Path) -> None:
     good = run("deployment", "check", *sorted(EXAMPLES.glob("*.json5")))
     assert good.exit_code == 0 and good.output.count("fits") == 3
     wrong = tmp_path / "wrong.json5"
@@ -54,12 +57,12 @@
 @pytest.mark.parametrize(
     "args", [("day", "run", "none.json5"), ("edge", "none.json5"), ("roster", "none.json5")]
 )
-def test_a_missing_file_ends_in_one_plain_message(run, args):
+def test_a_missing_file_ends_in_one_plain_message(run: Run, args: tuple[str, ...]) -> None:
     result = run(*args)
     assert result.exit_code == 1 and "can't be read" in result.output and "Traceback" not in result.output
 
 
-def test_the_programs_run_on_the_monotonic_clock(monkeypatch):
+def test_the_programs_run_on_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine's clock that is set back must not hold timers."""
     reactor = reactor_of_now()
     before = reactor.seconds()
@@ -67,7 +70,7 @@
     assert reactor.seconds is time.monotonic and reactor.seconds() >= before
 
 
-def test_a_port_that_is_taken_ends_in_one_plain_message(run, tmp_path):
+def test_a_port_that_is_taken_ends_in_one_plain_message(run: Run, tmp_path: Path) -> None:
     path, taken = tmp_path / "d.json5", socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     taken.bind(("127.0.0.1", 0))
     text = (EXAMPLES / "thumbs.json5").read_text()
@@ -77,7 +80,7 @@
     assert result.exit_code == 1 and "can't listen for peers" in result.output
 
 
-def test_an_edge_without_a_roster_says_so(run, tmp_path):
+def test_an_edge_without_a_roster_says_so(run: Run, tmp_path: Path) -> None:
     path = tmp_path / "d.json5"
     path.write_text('{methods: {m: {effect: "idempotent", deadline: "3 s"}}}')
     result = run("edge", path)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,6 +5,7 @@
 import pytest
 from days import Played, day
 
+from lapistrestle.standins.play import VirtualEdge
 from lapistrestle.standins.script import Kind
 from lapistrestle.standins.troubles.kinds import TROUBLES
 
@@ -18,11 +19,12 @@
 ]  # fmt: skip
 
 
-def judged(played):
+def judged(played: Played) -> None:
     assert played.breaches() == []
     assert not played.logged("module raised") and not played.logged("deadline guarded")
     assert played.world.crowd.open == 0
-    edges = [edge for edge in played.world.edges if not edge.process.dead]
+    started = typing.cast(list[VirtualEdge], played.world.edges)
+    edges = [edge for edge in started if not edge.process.dead]
     assert edges
     for edge in edges:
         host = edge.edge.host
@@ -31,12 +33,12 @@
         assert not late, edge.name  # holds go on in a quiet fleet, but each ends in its time
 
 
-def test_every_kind_of_trouble_can_be_scripted():
+def test_every_kind_of_trouble_can_be_scripted() -> None:
     assert set(KINDS) == set(TROUBLES)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_one_trouble_alone(kind):
+def test_one_trouble_alone(kind: str) -> None:
     played = Played(day("thumbs", [{"kind": kind}]))
     judged(played)
     assert [kind] == [kind for _, kind, _ in played.story.troubles]
@@ -45,7 +47,7 @@
 
 @pytest.mark.parametrize("pair", PAIRS, ids="+".join)
 @pytest.mark.parametrize("like", ["slots", "archive"])
-def test_two_troubles_that_overlap(like, pair):
+def test_two_troubles_that_overlap(like: str, pair: tuple[str, str]) -> None:
     first, second = pair
     judged(Played(day(like, [{"kind": first, "share": 0.4}, {"kind": second, "at": "4 s", "share": 0.4}])))
 
@@ -53,7 +55,7 @@
 @pytest.mark.parametrize(
     ("like", "seed", "rate"), [("thumbs", 1, 90), ("thumbs", 11, 60), ("archive", 1, 60), ("archive", 5, 90)]
 )
-def test_a_fleet_replaced_at_once_does_not_push_its_successors_over(like, seed, rate):
+def test_a_fleet_replaced_at_once_does_not_push_its_successors_over(like: str, seed: int, rate: int) -> None:
     """These days broke rule 4: the few cold successors were sent all that the whole fleet had taken."""
     troubles = [
         {"kind": "deploy", "at": "6 s", "lasts": "1 s", "share": 0.4},
@@ -62,13 +64,13 @@
     judged(Played(day(like, troubles[::-1], seed, length="12 s", traffic={"rate": rate, "functions": 20})))
 
 
-def test_the_same_seed_gives_the_same_tape_and_another_a_different_one():
+def test_the_same_seed_gives_the_same_tape_and_another_a_different_one() -> None:
     troubles = [{"kind": "zone_loss"}, {"kind": "garbled"}, {"kind": "edge_kill"}]
     tapes = [Played(day("thumbs", troubles, seed, length="6 s")).tape for seed in (3, 3, 4)]
     assert tapes[0] == tapes[1] != tapes[2]
 
 
-def test_clients_of_a_killed_edge_go_on_elsewhere():
+def test_clients_of_a_killed_edge_go_on_elsewhere() -> None:
     played = Played(day("thumbs", [{"kind": "edge_kill", "share": 0.4, "lasts": "3 s"}]))
     judged(played)
     (killed,) = played.story.kills
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -2,6 +2,7 @@
 
 import json
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -14,7 +15,7 @@
 
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
-def test_the_examples_give_every_fact_that_the_module_is_handed(name):
+def test_the_examples_give_every_fact_that_the_module_is_handed(name: str) -> None:
     made = facts(load(EXAMPLES / f"{name}.json5"))
     assert set(made) == set(words.facts({}))
     assert set(made["methods"][0]) == set(words.method({}))
@@ -54,7 +55,7 @@
         ("{methods: {}, methods: {}}", "is no JSON5"),
     ],
 )
-def test_what_is_wrong_is_said(tmp_path, text, says):
+def test_what_is_wrong_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(Wrong) as trouble:
@@ -88,7 +89,7 @@
         (directory()[:-1] + ', roster: {mode: "asked"}}', 'roster.mode: is "asked"; a dispatcher with a'),
     ],
 )
-def test_what_is_wrong_in_a_directory_is_said(tmp_path, text, says):
+def test_what_is_wrong_in_a_directory_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(Wrong) as trouble:
@@ -96,7 +97,7 @@
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
-def test_a_directory_is_off_unless_shards_are_named(tmp_path):
+def test_a_directory_is_off_unless_shards_are_named(tmp_path: Path) -> None:
     path = tmp_path / "a.json5"
     path.write_text("{" + METHODS + ', directory: {epoch: 4, lease: "1 ms"}}')
     assert load(path).directory.shards == []
@@ -127,7 +128,7 @@
         ("{directory: {shards: [[{port: 1}]]}, server: {}}", "server: no such name; did you mean serve?"),
     ],
 )
-def test_what_is_wrong_in_a_holders_settings_is_said(tmp_path, text, says):
+def test_what_is_wrong_in_a_holders_settings_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(Wrong) as trouble:
@@ -135,13 +136,13 @@
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
-def test_a_missing_file_is_said(tmp_path):
+def test_a_missing_file_is_said(tmp_path: Path) -> None:
     with pytest.raises(Wrong, match="can't be read"):
         load(tmp_path / "none.json5")
 
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
-def test_a_deployment_written_out_reads_the_same(tmp_path, name):
+def test_a_deployment_written_out_reads_the_same(tmp_path: Path, name: str) -> None:
     made = load(EXAMPLES / f"{name}.json5")
     path = tmp_path / "again.json5"
     path.write_text(json.dumps(plain(made)))
@@ -159,7 +160,7 @@
         ({"edges": 0}, "edges: is 0; expected a whole number >= 1"),
     ],
 )
-def test_what_is_wrong_in_a_day_is_said(tmp_path, change, says):
+def test_what_is_wrong_in_a_day_is_said(tmp_path: Path, change: dict[str, Any], says: str) -> None:
     path = tmp_path / "day.json5"
     deployment = json.loads(json.dumps(plain(load(EXAMPLES / "thumbs.json5"))))
     path.write_text(json.dumps({"name": "x", "deployment": deployment, **change}))
@@ -168,12 +169,12 @@
     assert says in str(trouble.value)
 
 
-def test_the_example_of_a_directory_is_one_assignment_told_alike():
+def test_the_example_of_a_directory_is_one_assignment_told_alike() -> None:
     folder = EXAMPLES / "directory"
     edge = load(folder / "edge.json5")
     holders = [load_holder(folder / f"holder-{number}.json5") for number in range(2)]
     assert all(holder.directory == edge.directory for holder in holders)
     ports = {copy.port for copies in edge.directory.shards for copy in copies}
     assert ports == {holder.serve.port for holder in holders}
-    ramps = {(made.workers.cold_share, made.workers.ramp) for made in (edge, *holders)}
+    ramps = {(made.cold_share, made.ramp) for made in (edge.workers, *(one.workers for one in holders))}
     assert len(ramps) == 1  # warm sums are the holders', and the budget of cold workers rests on them
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -1,24 +1,30 @@
 """Days of the operators' standing test in the small: many edges that each see little, in virtual time."""
 
+from typing import Any
+
 import json5
 import pytest
 from days import EXAMPLES, Played, day
 
+from lapistrestle.checks.reading import Call
+
 EDGES = 24
 
+Trouble = dict[str, Any]  # as a day's script has it
+
 
-def crowd(troubles, seed, **more):
+def crowd(troubles: list[Trouble], seed: int, **more: Any) -> Played:
     made = json5.loads((EXAMPLES / "archive.json5").read_text())
     made["dispatcher"] |= {"of": EDGES}
     settings = {"length": "14 s", "edges": EDGES, "traffic": {"rate": 70, "functions": 60}} | more
     return Played(day("archive", troubles, seed=seed, deployment=made, **settings))
 
 
-def ok(calls):
+def ok(calls: list[Call]) -> list[Call]:
     return [c for c in calls if c.answers and c.answers[0][2].verdict == "ok"]
 
 
-DAYS = {
+DAYS: dict[str, list[Trouble]] = {
     "calm": [{"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": 1.5}],
     "roll": [
         {"kind": "deploy", "at": "3 s", "lasts": "6 s", "share": 0.5},
@@ -50,14 +56,14 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_the_rules_hold_and_half_is_served_through_it(name):
+def test_the_rules_hold_and_half_is_served_through_it(name: str) -> None:
     played = crowd(DAYS[name], seed=2)
     calls = [c for c in played.story.calls if 3_000 < c.at < 13_000]
     first = sum(not c.message.repeat for c in calls)
     assert played.breaches() == [] and len(ok(calls)) > 0.5 * first
 
 
-def test_a_slow_worker_of_many_edges_is_not_left_for_another_that_is_slow_too():
+def test_a_slow_worker_of_many_edges_is_not_left_for_another_that_is_slow_too() -> None:
     """As it was: two thirds of the soft deadline, and 24 call-outs of these days given up, which ran on."""
     days = [crowd([{"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": 1.6}], seed) for seed in (1, 3)]
     given_up = sum(run.called_off < 10**9 for played in days for run in played.story.runs)
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -5,6 +5,9 @@
 import os
 import subprocess
 import sys
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
 
 import msgspec
 import pytest
@@ -15,13 +18,14 @@
 from lapistrestle.standins.children import Child
 from lapistrestle.standins.tape import read
 
+Start = Callable[..., Child]
 DEPLOYMENT = """{
   methods: { m: { effect: "idempotent", deadline: "3 s" } },
   orders: { allowed: true }, zones: ["a"],
 }"""
 
 
-def command(*args, **more):
+def command(*args: object, **more: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "lapistrestle", *map(str, args)],
         capture_output=True,
@@ -41,7 +45,7 @@
                      {"kind": "deploy", "at": "500 ms", "lasts": "1 s"}]),
     ],
 )  # fmt: skip
-def test_a_short_day_keeps_the_rules(tmp_path, like, troubles):
+def test_a_short_day_keeps_the_rules(tmp_path: Path, like: str, troubles: list[dict[str, Any]]) -> None:
     script = day(like, troubles, length="4 s", edges=2, traffic={"rate": 30, "functions": 8})
     text = (EXAMPLES / f"{like}.json5").read_text().replace("peers: true", "peers: false")  # fixed ports
     # answers are out well before their clients give up, as this machine may be busy with other things
@@ -58,10 +62,10 @@
 
 
 @pytest.fixture
-def started(tmp_path):
-    children = []
+def started(tmp_path: Path) -> Iterator[Start]:
+    children = list[Child]()
 
-    def start(name, *args):
+    def start(name: str, *args: object) -> Child:
         children.append(Child(tmp_path, name, *map(str, args)))
         children[-1].start()
         return children[-1]
@@ -71,7 +75,7 @@
         child.kill()
 
 
-def test_programs_by_hand_as_the_readme_says(tmp_path, started):
+def test_programs_by_hand_as_the_readme_says(tmp_path: Path, started: Start) -> None:
     runner = started("r", "runner", "r")
     (tmp_path / "w.json5").write_text(json.dumps([{"name": "r", "port": runner.wait_port(), "zone": "a"}]))
     (tmp_path / "d.json5").write_text(DEPLOYMENT)
@@ -95,7 +99,7 @@
     assert logged[0] == "listening" and logged[-1] == "stopped"
 
 
-def test_a_rollout_by_hand(tmp_path, started):
+def test_a_rollout_by_hand(tmp_path: Path, started: Start) -> None:
     planner = started("planner", "planner", tmp_path / "journal")
     to = ("--port", planner.wait_port(), "--fn", "f")
     start = ("rollout", "start", *to, "--candidate", "v2", "--id", "one")
@@ -117,13 +121,13 @@
     assert "no answer from a planner" in command("rollout", "status", *to[:2]).stderr
 
 
-def test_the_demo_plays_and_stops_clean():
+def test_the_demo_plays_and_stops_clean() -> None:
     result = command("demo", "--seconds", 2, "--runners", 2, env={**os.environ, "COLUMNS": "100"})
     assert result.returncode == 0, result.stdout + result.stderr
     assert "4 processes stopped clean" in result.stdout
 
 
-def test_a_torn_tape_is_read_up_to_its_last_whole_line(tmp_path):
+def test_a_torn_tape_is_read_up_to_its_last_whole_line(tmp_path: Path) -> None:
     from days import Played
 
     tape = Played(day(length="2 s")).tape
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,5 +1,7 @@
 """The platform's codecs: any split of the bytes gives the same events, bounds hold, no input raises."""
 
+from typing import Any
+
 import msgspec
 import pytest
 from hypothesis import given
@@ -7,7 +9,7 @@
 
 from lapistrestle.node import records
 from lapistrestle.node.configuration import ConfigurationError, parse, read
-from lapistrestle.node.notices import FrameDecoder, FrameError, Record
+from lapistrestle.node.notices import Frame, FrameDecoder, FrameError, Record
 from lapistrestle.standins.platform import begin, frame, row
 
 FIELDS = st.dictionaries(st.binary(max_size=300), st.binary(max_size=300), max_size=5)
@@ -36,19 +38,21 @@
 
 
 @given(ASKED, st.lists(st.integers(0, 10**6), max_size=20))
-def test_any_split_gives_the_same_requests(asked, cuts):
+def test_any_split_gives_the_same_requests(
+    asked: list[tuple[dict[bytes, bytes], bytes]], cuts: list[int]
+) -> None:
     data = b"".join(request(i + 1, *one) for i, one in enumerate(asked))
     wanted = [records.Request(i + 1, True, fields, body) for i, (fields, body) in enumerate(asked)]
     assert events(data, cuts) == events(data, []) == wanted
 
 
 @given(st.binary(max_size=400), st.lists(st.integers(0, 10**6), max_size=8))
-def test_no_bytes_raise_and_their_split_does_not_matter(data, cuts):
+def test_no_bytes_raise_and_their_split_does_not_matter(data: bytes, cuts: list[int]) -> None:
     assert events(data, cuts) == events(data, [])
 
 
 @given(st.lists(st.tuples(st.integers(1, 11), st.integers(0, 3), st.binary(max_size=40)), max_size=30))
-def test_records_in_any_order_never_raise_nor_open_a_number_twice(said):
+def test_records_in_any_order_never_raise_nor_open_a_number_twice(said: list[tuple[int, int, bytes]]) -> None:
     reader = records.Reader()
     for kind, number, content in said:
         for event in reader.feed(records.record(kind, number, content)):
@@ -56,7 +60,7 @@
                 assert event.number in reader.open and event.number not in reader.begun
 
 
-def test_bounds_hold_before_anything_is_kept():
+def test_bounds_hold_before_anything_is_kept() -> None:
     reader = records.Reader()
     reader.feed(begin(1))
     for _ in range(40):
@@ -71,12 +75,12 @@
 
 
 @pytest.mark.parametrize("params", UNFIT)
-def test_fields_whose_lengths_do_not_fit_are_refused(params):
+def test_fields_whose_lengths_do_not_fit_are_refused(params: bytes) -> None:
     data = begin(1) + records.record(records.PARAMS, 1, params) + records.record(records.PARAMS, 1)
     assert [e.status for e in events(data, []) if isinstance(e, records.Bad)] == [400]
 
 
-def test_management_records_are_answered():
+def test_management_records_are_answered() -> None:
     asked = records.pair(b"FCGI_MPXS_CONNS", b"") + records.pair(b"OTHER", b"")
     (told,) = events(records.record(records.GET_VALUES, 0, asked), [])
     assert isinstance(told, records.Reply) and told.data.endswith(records.pair(b"FCGI_MPXS_CONNS", b"1"))
@@ -84,7 +88,7 @@
     assert isinstance(odd, records.Reply) and odd.data[1] == records.UNKNOWN
 
 
-def test_an_answer_of_any_size_is_records_that_fit():
+def test_an_answer_of_any_size_is_records_that_fit() -> None:
     said = records.answer(7, b"Status: 200 OK\r\n\r\n", b"x" * 200_000)
     at, body = 0, b""
     while at < len(said):
@@ -96,10 +100,10 @@
 
 
 @given(st.lists(st.integers(0, 10**6), max_size=10))
-def test_any_split_gives_the_same_frames(cuts):
+def test_any_split_gives_the_same_frames(cuts: list[int]) -> None:
     first = frame(1, 1, row(0xC41F7A, 10080, zone=1, cell=2, weight=4000))
     data = first + frame(1, 0) + frame(2, 2, row(3, 9))
-    decoder, found, at = FrameDecoder(), [], 0
+    decoder, found, at = FrameDecoder(), list[Frame](), 0
     for cut in [*sorted(c % (len(data) + 1) for c in cuts), len(data)]:
         found += decoder.feed(data[at:cut])
         at = cut
@@ -109,7 +113,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_on_the_board_raise_anything_but_unreadable(data):
+def test_no_bytes_on_the_board_raise_anything_but_unreadable(data: bytes) -> None:
     decoder = FrameDecoder()
     try:
         decoder.feed(data)
@@ -128,7 +132,7 @@
         ({"known": {"notices": [{"rev": 1, "pool": {"full": True, "servers": [{"id": "x"}]}}]}}, "servers"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_says_what_is_wrong(change, says):
+def test_a_configuration_that_cannot_be_used_says_what_is_wrong(change: dict[str, Any], says: str) -> None:
     settings = {"profiles": [{"name": "a", "deadline": 1}]}
     good = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
     assert parse(msgspec.json.encode(good), "f.json").file.name == "n"
@@ -137,7 +141,7 @@
     assert says in str(trouble.value)
 
 
-def test_a_file_that_is_not_there_is_named():
+def test_a_file_that_is_not_there_is_named() -> None:
     with pytest.raises(ConfigurationError, match=r"/nowhere/config\.json"):
         read("/nowhere/config.json")
     with pytest.raises(ConfigurationError, match="EDGE_CONFIG"):
