--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -39,7 +39,8 @@
     script["edges"] = chance.choice((2, 3, 5, 8, 12))
     script["traffic"]["rate"] = chance.choice((20, 60, 120, 200))
     for trouble in script["troubles"]:
-        trouble |= {"factor": chance.choice((2.0, 6.0, 20.0))} if trouble["kind"] == "burst" else {}
+        if trouble["kind"] == "burst":
+            trouble["factor"] = chance.choice((2.0, 6.0, 20.0))
     kind = chance.choice(("edges_apart", "edges_deaf", "edges_lossy", "edge_kill", "balancer_stall"))
     at, lasts = (f"{chance.uniform(0.5, most):.2f} s" for most in (9, 6))
     share = chance.choice((0.2, 0.5, 0.7))
--- a/benchmarks/looks.py
+++ b/benchmarks/looks.py
@@ -107,7 +107,7 @@
         out = Path(folder) / "report.json"
         words = [bench, site, "--rough", kind, "--seed", str(seed), "--json", str(out), "--no-build", *more]
         words += ["--nodes", str(nodes)] if "mass" in kind else []
-        done = subprocess.run(words, capture_output=True, text=True)
+        done = subprocess.run(words, capture_output=True, text=True, check=False)
         if not out.exists():
             why = (done.stderr.strip() or done.stdout.strip()).splitlines()[-1:]
             return f"| {kind} | {seed} | {nodes} | NO REPORT, exit {done.returncode}: {' '.join(why)[:160]} |"
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -300,7 +300,7 @@
     """One run in a process of its own, since a reactor starts once."""
     figures = map(str, (runners, out, rate, seconds, most))
     command = [sys.executable, __file__, "one", what, str(folder), *figures]
-    result = subprocess.run(command, capture_output=True, text=True)
+    result = subprocess.run(command, capture_output=True, text=True, check=False)
     if result.returncode:
         raise SystemExit(f"{what} failed:\n{result.stdout}\n{result.stderr}")
     made: dict[str, Any] = json.loads(result.stdout.splitlines()[-1])
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -129,7 +129,7 @@
         table.add_column(head, justify="right")
     for number in range(1, runs + 1):
         command = [sys.executable, __file__, "--one", "--rate", str(rate)]
-        result = subprocess.run(command, capture_output=True, text=True, timeout=120)
+        result = subprocess.run(command, capture_output=True, text=True, timeout=120, check=False)
         if result.returncode:
             raise SystemExit(result.stdout + result.stderr)
         made = json.loads(result.stdout.splitlines()[-1])
--- a/benchmarks/scale/assumptions.py
+++ b/benchmarks/scale/assumptions.py
@@ -169,7 +169,8 @@
     def calls_at_one(self, spread: Spread | None, reach: int | None) -> Iterator[tuple[float, float]]:
         """For each function the part of a region's dispatchers that its calls reach, and its calls a second
         at one of those. They reach `reach` dispatchers, more where it is called more than once a second for
-        each of them; all dispatchers where `reach` is not given."""
+        each of them; all dispatchers where `reach` is not given.
+        """
         in_region = self.target.calls_per_second / self.target.regions
         all_ = self.target.dispatchers_per_region
         for rate in (spread or self.spread).rates(self.target.functions, in_region):
@@ -183,7 +184,8 @@
 
     def instance_changes_per_second(self, instances: int) -> float:
         """How often a list of so many instances changes: each begins, drains and goes once in its life, and
-        all of a machine that is restarted do so once more."""
+        all of a machine that is restarted do so once more.
+        """
         ordinary = instances / self.instance.life_seconds
         machines = self.target.restarts_per_day / DAY
         restarted = machines * self.machine.instances * instances / self.target.instances
--- a/benchmarks/scale/measuring.py
+++ b/benchmarks/scale/measuring.py
@@ -50,7 +50,8 @@
 
 def deep_size(root: object, skip: tuple[type, ...] = ()) -> int:
     """Bytes of an object and of all that it refers to, by `sys.getsizeof` with the collector's headers; what
-    is of a type in `skip`, and types, modules and functions, are left out with what they lead to."""
+    is of a type in `skip`, and types, modules and functions, are left out with what they lead to.
+    """
     left_out = (*skip, type, ModuleType, FunctionType, BuiltinFunctionType, CodeType)
     seen, total, waiting = {id(root)}, 0, [root]
     while waiting:
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -10,14 +10,14 @@
 OPENING = re.compile(r"<!-- table: ")
 
 
-class Malformed(Exception):
+class MalformedPageError(Exception):
     """A marker has no end."""
 
 
 def written(text: str, found: tables.Results) -> str:
-    """The page with every table made anew; all other text as it stands. Raises `tables.Unknown`."""
+    """The page with every table made anew; all other text as it stands. Raises `tables.UnknownTableError`."""
     if len(OPENING.findall(text)) != len(MARKED.findall(text)):
-        raise Malformed("a table has no <!-- end --> of its own")
+        raise MalformedPageError("a table has no <!-- end --> of its own")
 
     def filled(match: re.Match[str]) -> str:
         return f"{match[1]}\n{tables.made(match['name'].strip(), found)}\n\n{match[4]}"
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -176,7 +176,8 @@
 
 def lived(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
     """The directory at a region's size, once functions are let go of as fast as others are looked up; where
-    calls of a function reach all dispatchers of the region alike, and where they reach few."""
+    calls of a function reach all dispatchers of the region alike, and where they reach few.
+    """
     instances, seconds = (1_000, 4.0) if quick else (given.target.instances_per_region, LIFE)
     few = given.dispatchers_per_function
     made = []
--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -106,7 +106,8 @@
 
 def reach(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
     """How often one dispatcher may send anything to a cold instance, by how many share it: at the target's
-    calls for each instance, and at those of a function that is called once a minute."""
+    calls for each instance, and at those of a function that is called once a minute.
+    """
     target = assumptions.target
     made = []
     for label, calls in (
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -119,8 +119,8 @@
     """Measured at the target's instances."""
     target = assumptions.target
     made = []
-    for instances in (target.instances_per_region, target.instances):
-        instances //= 10 if quick else 1
+    for named in (target.instances_per_region, target.instances):
+        instances = named // 10 if quick else named
         line, held, whole = held_and_heard(instances)
         rate = assumptions.instance_changes_per_second(instances) * len(change_line(2, 1))
         label = f"{instances} instances"
--- a/benchmarks/scale/roles/control_tail.py
+++ b/benchmarks/scale/roles/control_tail.py
@@ -35,7 +35,8 @@
 
 def reached(rates: list[float], reach: int, dispatchers: int) -> list[float]:
     """The rates of the functions at one dispatcher that they reach. A seldom called one reaches so many, and
-    one that is called more reaches more, up to all."""
+    one that is called more reaches more, up to all.
+    """
     return [rate / min(dispatchers, max(reach, reach * rate / SELDOM)) for rate in rates]
 
 
--- a/benchmarks/scale/roles/real_dispatchers.py
+++ b/benchmarks/scale/roles/real_dispatchers.py
@@ -1,5 +1,6 @@
 """Hollow beside real: what dispatchers cost as processes on loopback, and what the hollow one costs doing the
-same. Resident memory holds Twisted's transports and the allocator's slack, which the hollow one has not."""
+same. Resident memory holds Twisted's transports and the allocator's slack, which the hollow one has not.
+"""
 
 import asyncio
 import statistics
--- a/benchmarks/scale/roles/shard_holder.py
+++ b/benchmarks/scale/roles/shard_holder.py
@@ -145,7 +145,8 @@
 
 def served(watched: list[list[str]], lookups: float, changes: float, seed: int, given: Assumptions) -> Sample:
     """What watchers cost: renewals, look-ups a second, and changes that reach them. `watched`: the functions
-    of each watcher."""
+    of each watcher.
+    """
     region = region_of(FLEET, 1, seed, given)
     (holder,) = region.holders.values()
     light = [LightWatcher(region, holder, number) for number in range(len(watched))]
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -16,7 +16,7 @@
 SMALL = -4  # powers of ten below this are written with an exponent
 
 
-class Unknown(Exception):
+class UnknownTableError(Exception):
     """The page asks for a table that is not made, or for a role that has no result file."""
 
 
@@ -240,12 +240,15 @@
 
 def made(name: str, results: Results) -> str:
     """The table called `name`: `ranking`, `runs`, `target`, `assumptions`, or `growth ROLE`,
-    `prediction ROLE`, `scenes ROLE`. Raises `Unknown`."""
+    `prediction ROLE`, `scenes ROLE`. Raises `UnknownTableError`.
+    """
     if name in WHOLE:
         return WHOLE[name](results)
     if name in GIVEN:
         return GIVEN[name](assumptions.load())
     kind, _, role = name.partition(" ")
     if kind not in OF_ROLE or role not in results:
-        raise Unknown(f"no table called {name!r}: roles with results are {', '.join(results) or 'none'}")
+        raise UnknownTableError(
+            f"no table called {name!r}: roles with results are {', '.join(results) or 'none'}"
+        )
     return OF_ROLE[kind](results[role])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -561,7 +561,7 @@
     assert made.srvs == [stays] and len(one.fn.marks) < 3 and len(one.fn.spots) < 3
 
 
-@pytest.mark.parametrize("customers, closed", [([], False), ([{"quota": 2.0}, {"quota": 9.0}], True)])
+@pytest.mark.parametrize(("customers", "closed"), [([], False), ([{"quota": 2.0}, {"quota": 9.0}], True)])
 def test_a_late_full_answer_bars_a_customer_only_where_there_is_another(customers, closed):
     """Without customers it barred everything for two seconds, and three of six workers stood idle."""
     made = dispatcher(2)
@@ -610,7 +610,7 @@
 
 
 @pytest.mark.parametrize(
-    "absent, outcome, emptied",
+    ("absent", "outcome", "emptied"),
     [("miss", Outcome.RESET, False), ("load", Outcome.RESET, True), ("miss", Outcome.UNREACHABLE, True)],
 )
 def test_a_reset_alone_is_no_restart_where_a_miss_would_tell(absent, outcome, emptied):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -338,7 +338,9 @@
     assert b"Status: " in said
 
 
-@pytest.mark.parametrize("deadline, ends", [(60.0, 3.7), (5.0, 3.7), (2.0, 2.7), (0.2, 0.9), (0.05, 0.75)])
+@pytest.mark.parametrize(
+    ("deadline", "ends"), [(60.0, 3.7), (5.0, 3.7), (2.0, 2.7), (0.2, 0.9), (0.05, 0.75)]
+)
 def test_the_program_has_ended_before_it_may_be_killed_whatever_the_deadlines(stages, deadline, ends):
     """The page counts longer deadlines as 3 s; all that is open gets its answer before."""
     micros = int(deadline * 1e6)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -194,7 +194,8 @@
 
 def test_the_work_of_a_change_is_in_proportion_to_the_prefixes_that_it_touches():
     """200 functions of 4 instances: with ten times the instances a change touches a tenth of the prefixes,
-    and the steps that remain, 16 points to be placed twice, don't grow."""
+    and the steps that remain, 16 points to be placed twice, don't grow.
+    """
     small, large = work_of_one_change(400), work_of_one_change(4_000)
     assert large[0] < small[0] / 4
     assert large[1] < 1.5 * small[1]
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -133,7 +133,8 @@
 @pytest.mark.parametrize("like", ["thumbs", "slots", "archive"])
 def test_a_calm_day_loses_nothing(like):
     """At a size where the whole list fits too. Over 20 days of 40 s each the mean difference was measured as
-    -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these are few and short."""
+    -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these are few and short.
+    """
     days = [day(like, seed=seed) for seed in (1, 2, 3)]
     whole, told = [Played(script) for script in days], [Played(with_directory(script)) for script in days]
     for played in told:
--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -332,7 +332,8 @@
 
 def script_of_processes(troubles):
     """The same where the machine may be busy: answers are out earlier, and clients do not come back, as a
-    last try has a few milliseconds left, which another process may take away. In virtual time they do."""
+    last try has a few milliseconds left, which another process may take away. In virtual time they do.
+    """
     return script(troubles, margin="600 ms", retries=0)
 
 
@@ -418,7 +419,8 @@
 @pytest.mark.parametrize("trouble", [KILLED, STILL, CUT])
 def test_the_same_in_virtual_time_serves_at_least_half(trouble, seed):
     """What is served depends on the machine where edges are processes, and on nothing else here. Nearly all
-    runners are replaced in these six seconds; of the first tries 0.54 to 0.88 went well when measured."""
+    runners are replaced in these six seconds; of the first tries 0.54 to 0.88 went well when measured.
+    """
     played = Played(script([trouble, REPLACED, DEPLOYED], seed))
     assert played.breaches() == [] and unanswered(played.story) == []
     assert share_ok(played.story, since(played.story, trouble["kind"])[0]) > 0.5
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -446,6 +446,7 @@
         capture_output=True,
         text=True,
         timeout=60,
+        check=False,
     )
     assert done.returncode == 0, done.stderr
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -232,7 +232,8 @@
 @pytest.mark.parametrize(("factor", "also"), [(12, []), (6, [ERRORS])])
 def test_the_door_opens_again_at_once_when_a_burst_is_over(factor, also):
     """As it was: a level from figures of the burst let in 7 a second of the 160 that came after it, what was
-    done fell, and errors of half the runners passed for a capacity that shrank with each step."""
+    done fell, and errors of half the runners passed for a capacity that shrank with each step.
+    """
     burst = {"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": factor}
     script = fleet_day([burst, *also], length="14 s", edges=8, seed=5, traffic={"rate": 160, "functions": 12})
     played = Played(script)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -277,7 +277,8 @@
 
 def test_a_worker_that_is_back_is_one_object_also_while_its_event_waits(hosting):
     """As it was: in a poll of the sockets `listed` waits, the one that is back still counted as gone, was
-    dropped by name, and what named it next met another object that the module had never heard of."""
+    dropped by name, and what named it next met another object that the module had never heard of.
+    """
     gone, back = SrvFacts("w1", listing=Listing.GONE), SrvFacts("w1", booted=7)
     with hosting.batched():
         hosting.listed([gone], whole=False)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,5 +1,6 @@
 """The model: its clock, its runners against known results of queueing theory, and its days beside those on
-in-memory sockets."""
+in-memory sockets.
+"""
 
 import io
 from math import factorial
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    "group, key, value",
+    ("group", "key", "value"),
     [
         ("limits", "try-limit", 0),
         ("limits", "conn-idle", -1),
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, status",
+    ("fields", "status"),
     [
         ({"method": "nosuch"}, 404),
         ({"HTTP_X_CALL_ID": ""}, 400),
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -209,7 +209,8 @@
 
 def own_host():
     """An address of this process alone on loopback: a port found free on one that all use may be taken by the
-    time that the dispatcher listens."""
+    time that the dispatcher listens.
+    """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16 & 63)}.{pid >> 8 & 255}.{pid & 255}"
 
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -175,7 +175,7 @@
     assert discovery_of(stage).revision == 1 and stage.srvs()["s-00000001"].listing is Listing.SERVING
 
 
-@pytest.mark.parametrize("behind, age", [(0.0, 0), (1.5, 15_000), (-1.0, None)])
+@pytest.mark.parametrize(("behind", "age"), [(0.0, 0), (1.5, 15_000), (-1.0, None)])
 def test_the_age_of_the_list_is_that_of_its_file(stage, tmp_path, behind, age):
     configuration = read(str(written(stage, tmp_path)))
     assert configuration.age(configuration.written + behind) == age
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -206,7 +206,7 @@
 
 
 @pytest.mark.parametrize(
-    "told, more, code, says",
+    ("told", "more", "code", "says"),
     [
         ("{", {}, 2, "config.json"),
         (None, {"EDGE_CONFIG": ""}, 2, "EDGE_CONFIG"),
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -144,7 +144,8 @@
 
 def allowed(budget):
     """The stricter of the operators' bounds for every N. Their terms give N + 3 root N + 3 under 30 calls;
-    the module keeps to the bound for more there too, and so is held to it."""
+    the module keeps to the bound for more there too, and so is held to it.
+    """
     return budget + 2 * sqrt(budget) + 2
 
 
@@ -239,7 +240,8 @@
 @pytest.mark.parametrize("case", CASES)
 def test_each_trouble_with_one_dispatcher_few_and_many(case, of):
     """Without the mends: up to 1.46 of what is allowed on a steep ramp, 1.18 of it where 200 restart with the
-    worker or after it, 2.57 of it by work where one dispatcher has uneven work and little of it."""
+    worker or after it, 2.57 of it by work where one dispatcher has uneven work and little of it.
+    """
     for seed in (1, 2):
         play = Play(of=of, seed=seed, **CASES[case])
         sends = sent_to_the_cold_one(play)
@@ -250,7 +252,8 @@
 @pytest.mark.parametrize("of", [1, 3, 30, 200])
 def test_who_has_not_heard_of_a_second_start_goes_by_the_first(of):
     """The limit of what a dispatcher can do: under the old name it goes on by the share that the first start
-    gives, until its list tells. Those that have heard keep to the budget by themselves."""
+    gives, until its list tells. Those that have heard keep to the budget by themselves.
+    """
     play = Play(of=of, second_boot=4.0, late=2.0)
     sends = sent_to_the_cold_one(play)
     assert any(not s.told for s in sends)
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -57,7 +57,8 @@
 def sent_to_the_cold_one(of, seen, fleet, pace, seed, told=True, rules=FLEETS[0]):
     """When call-outs went to a worker that starts at BOOT and stands in every dispatcher's prefix beside
     `seen` workers of its own draw, if every RPC would go there. `pace`: RPCs that a warm worker takes in a
-    second; the whole fleet is as busy as that. `told`: whether the region's sums are."""
+    second; the whole fleet is as busy as that. `told`: whether the region's sums are.
+    """
     chance, sends, at = random.Random(seed), [], 0.0
     now, workers = 0, fleet.warm + fleet.cold
     clock = lambda: now  # noqa: E731
@@ -131,7 +132,8 @@
 @pytest.mark.parametrize("seen", [1, 2])
 def test_counted_over_the_part_seen_the_budget_is_broken(seen):
     """The counter-example: each gets the same from its own worker as if that were all there is, so that the
-    cold one, which all see, is sent as much as there are dispatchers times its part."""
+    cold one, which all see, is sent as much as there are dispatchers times its part.
+    """
     facts, sends = sent_to_the_cold_one(40, seen, Fleet(40, 0), 3.0, 1, told=False)
     assert beyond(facts, sends, 3.0) > 0
     facts, sends = sent_to_the_cold_one(40, seen, Fleet(40, 0), 3.0, 1)
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -31,6 +31,7 @@
         capture_output=True,
         text=True,
         timeout=90,
+        check=False,
         **more,
     )
 
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, says",
+    ("change", "says"),
     [
         ({"listen": "nowhere"}, "$.listen"),
         ({"settings": {}}, "profiles"),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -162,9 +162,9 @@
     assert page.differing(filled, found) == []
     assert page.written(filled, found) == filled
     assert page.differing(filled.replace("| linear |", "| flat |"), found) == ["growth toy"]
-    with pytest.raises(tables.Unknown):
+    with pytest.raises(tables.UnknownTableError):
         page.written("<!-- table: growth none -->\n<!-- end -->", found)
-    with pytest.raises(page.Malformed):
+    with pytest.raises(page.MalformedPageError):
         page.written("<!-- table: target -->\nno end", found)
 
 
