--- a/benchmarks/scale/roles/control_gossip.py
+++ b/benchmarks/scale/roles/control_gossip.py
@@ -149,8 +149,7 @@
 
     def next_row(self) -> int:
         """Whose row comes next: all in turn, in an order drawn anew each round, since what is passed on is
-        what was told least.
-        """
+        what was told least."""
         if not self.turns:
             self.turns = list(range(len(self.claims)))
             self.random.shuffle(self.turns)
@@ -184,8 +183,7 @@
     def start(self) -> "LoneMember":
         self.endpoint.wake()
         self.run(3)
-        assert self.endpoint.members.state is SelfState.MEMBER
-        assert not self.ground.passed
+        assert self.endpoint.members.state is SelfState.MEMBER and not self.ground.passed
         return self
 
 
@@ -321,8 +319,7 @@
 
     def coverage(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
         """A fleet of 100 (quick: 50) that tells less, so that each member hears as many rows for each other
-        as in a larger fleet under the program's bounds.
-        """
+        as in a larger fleet under the program's bounds."""
         size, made = (50 if quick else 100), []
         for most, tell in THINNED:
             fleet = WholeFleet(size, seed, DigestSettings(send_every=tell, max_datagrams=most))
@@ -394,8 +391,7 @@
 
     def coverage(self) -> tuple[float, float]:
         """Of the fleet, the part that one member's figures count; and the age of the oldest, in seconds. The
-        median over some members.
-        """
+        median over some members."""
         shares, ages = [], []
         for endpoint, admission in list(zip(self.endpoints, self.controllers, strict=True))[:20]:
             figures = admission.digests.figures(
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -49,8 +49,7 @@
 
 def keeper_of(functions: int) -> PlannerState:
     """A planner's state where each of these functions has had one rollout that is over. Put together
-    piece by piece, as taking every entry is quadratic (`planner-restart`).
-    """
+    piece by piece, as taking every entry is quadratic (`planner-restart`)."""
     state = PlannerState()
     for number in range(functions):
         command = start_of(number, 0)
@@ -243,7 +242,7 @@
             step=-1, minute=1, counts=(10, 0, 1, 0),
         )  # fmt: skip
         entry = processor_seconds(lambda: state.apply(state.number + 1, report), 3)
-        whole = processor_seconds(state.plan, 3)
+        whole = processor_seconds(lambda: state.plan(), 3)
         steps = count_steps(lambda: state.apply(state.number + 1, report)).instructions
         return Sample(
             state_bytes=held, processor=entry.median * BURST_CHANGES, processor_low=entry.low * BURST_CHANGES,
@@ -258,7 +257,7 @@
         state, held = build_measured(lambda: keeper_of(functions))
         entry = processor_seconds(lambda: state.apply(state.number + 1, start_of(0, 1, "v2")), 3).median
         plan = processor_seconds(lambda: state.plan(state.number), 3).median
-        whole = processor_seconds(state.plan, 3).median
+        whole = processor_seconds(lambda: state.plan(), 3).median
         return [
             Figure(f"state of {functions} rollouts", held, "bytes"),
             Figure(f"one entry, {functions} rollouts", entry, "s", 1 / BURST_CHANGES),
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -115,8 +115,7 @@
 @pytest.mark.parametrize("count", [50, 1_000])
 def test_first_places_are_shared_out_by_size_within_bounds(count):
     """Over 16 points to each unit of size the share of one instance has a relative deviation of about a
-    quarter: none is home to 2.2 times its part, and half of the size has half of the functions by a tenth.
-    """
+    quarter: none is home to 2.2 times its part, and half of the size has half of the functions by a tenth."""
     fleet = {f"w{i}": (0.5, 1.0, 2.0, 4.0)[i % 4] for i in range(count)}
     ring = ring_of(fleet)
     functions = 40 * count
@@ -228,8 +227,7 @@
 @given(NAMES, NAMES, NAMES)
 def test_a_change_for_another_prefix_is_noticed_or_fits(before, after, other):
     """A change is taken for a prefix of which it tells too much or too little only if the result has the
-    length that the sender told.
-    """
+    length that the sender told."""
     message = message_of(3, difference(before, after), Prefix(tuple(after), True))
     try:
         assert len(changed(tuple(other), message)) == len(after)
