--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,7 +1,10 @@
 """Experiments: which runs a file asks for, what counts as a result, and how sure a figure is."""
 
 import json
+from pathlib import Path
+from typing import Any
 
+import click.testing
 import pytest
 from click.testing import CliRunner
 from days import EXAMPLES
@@ -22,10 +25,10 @@
     sure,
 )
 
-DAY = {"name": "d", "traffic": {"rate": 10}, "troubles": [{"kind": "crash"}]}
+DAY: dict[str, Any] = {"name": "d", "traffic": {"rate": 10}, "troubles": [{"kind": "crash"}]}
 
 
-def test_every_combination_is_run_under_every_seed():
+def test_every_combination_is_run_under_every_seed() -> None:
     plan = planned(Experiment("x", DAY, {"edges": [1, 3], "traffic.rate": [5, 7, 9]}, seeds=2), DAY)
     assert len(plan) == 12 and len({run.key for run in plan}) == 12
     assert [run.seed for run in plan] == [1] * 6 + [2] * 6
@@ -33,8 +36,8 @@
     assert DAY["traffic"] == {"rate": 10}  # the day itself stays as it is
 
 
-def test_a_path_may_name_what_stands_at_its_default_or_one_of_a_list():
-    day = {"troubles": [{"kind": "crash"}]}
+def test_a_path_may_name_what_stands_at_its_default_or_one_of_a_list() -> None:
+    day: dict[str, Any] = {"troubles": [{"kind": "crash"}]}
     put(day, "store.fetches", 4)
     put(day, "troubles.0.share", 0.5)
     assert day == {"troubles": [{"kind": "crash", "share": 0.5}], "store": {"fetches": 4}}
@@ -42,16 +45,16 @@
         put(day, "troubles.7.share", 1)
 
 
-def test_what_is_the_same_run_hangs_on_its_settings_alone():
+def test_what_is_the_same_run_hangs_on_its_settings_alone() -> None:
     one = Planned((("edges", 1),), 1, {"a": 1, "b": 2})
     assert one.key == Planned((), 1, {"b": 2, "a": 1}).key != Planned((), 1, {"a": 1, "b": 3}).key
 
 
-def result(edges, seed, service, **more):
+def result(edges: int, seed: int, service: float, **more: Any) -> Result:
     return Result(f"{edges}-{seed}", [("edges", edges)], seed, {"service": service}, **more)
 
 
-def test_differences_are_taken_seed_by_seed():
+def test_differences_are_taken_seed_by_seed() -> None:
     """Seeds differ far more than variants do; pairs show it all the same."""
     results = [result(1, seed, 0.5 + 0.05 * seed) for seed in range(6)]
     results += [result(3, seed, 0.52 + 0.05 * seed + 0.001 * (seed % 2)) for seed in range(6)]
@@ -61,7 +64,7 @@
         differences(results, (("edges", 9),), "service")
 
 
-def test_a_failed_run_is_no_result_and_is_run_again():
+def test_a_failed_run_is_no_result_and_is_run_again() -> None:
     plan = [Planned((), seed, {"seed": seed}) for seed in range(3)]
     results = [Result(plan[0].key, [], 0, build="b")]
     results += [Result(plan[1].key, [], 1, build="b", failed="it broke")]
@@ -69,12 +72,12 @@
     assert [run.seed for run in missing(plan, results, "b")] == [1, 2]
 
 
-def test_one_seed_says_nothing_for_sure():
+def test_one_seed_says_nothing_for_sure() -> None:
     assert sure([0.7]).half == float("inf") and sure([0.7]).noise
 
 
 @given(st.lists(st.floats(-1, 1), min_size=2, max_size=30), st.floats(-5, 5))
-def test_an_interval_moves_with_its_values(values, by):
+def test_an_interval_moves_with_its_values(values: list[float], by: float) -> None:
     here, there = sure(values), sure([value + by for value in values])
     assert there.mean == pytest.approx(here.mean + by, abs=1e-9)
     assert there.half == pytest.approx(here.half, abs=1e-9) and here.half >= 0
@@ -84,7 +87,7 @@
 
 
 @pytest.fixture
-def file(tmp_path):
+def file(tmp_path: Path) -> Path:
     path = tmp_path / "try.json5"
     day = {
         "name": "small", "deployment": str(EXAMPLES / "slots.json5"), "length": "5 s",
@@ -94,11 +97,11 @@
     return path
 
 
-def run(*args):
+def run(*args: object) -> click.testing.Result:
     return CliRunner().invoke(main, ["experiment", *map(str, args)])
 
 
-def test_runs_are_kept_gone_on_with_compared_and_drawn(file, tmp_path):
+def test_runs_are_kept_gone_on_with_compared_and_drawn(file: Path, tmp_path: Path) -> None:
     kept = tmp_path / "try.results.jsonl"
     first = run("run", file, "--processes", 2)
     assert first.exit_code == 0 and "4 runs, 0 done before" in first.output, first.output
@@ -116,7 +119,7 @@
     assert drawn.exit_code == 0 and (tmp_path / "p.svg").read_text().count("<path") > 10
 
 
-def test_a_run_that_was_killed_in_its_first_line_is_gone_on_with(file, tmp_path):
+def test_a_run_that_was_killed_in_its_first_line_is_gone_on_with(file: Path, tmp_path: Path) -> None:
     kept = tmp_path / "try.results.jsonl"
     kept.write_bytes(b'{"key":"abc')
     assert run("run", file, "--processes", 1).exit_code == 0
@@ -130,7 +133,9 @@
         ("troubles", [{"kind": "silent", "at": "1 s"}], "needs sockets"),
     ],
 )  # fmt: skip
-def test_what_is_wrong_is_named_before_anything_runs(file, tmp_path, path, value, says):
+def test_what_is_wrong_is_named_before_anything_runs(
+    file: Path, tmp_path: Path, path: str, value: Any, says: str
+) -> None:
     content = json.loads(file.read_text())
     content["vary"] = {path: [value]}
     file.write_text(json.dumps(content))
@@ -139,6 +144,6 @@
     assert not (tmp_path / "try.results.jsonl").exists()
 
 
-def test_a_file_that_is_no_results_is_named(tmp_path):
+def test_a_file_that_is_no_results_is_named(tmp_path: Path) -> None:
     (tmp_path / "r").write_text("{}\n")
     assert "r:1: no line of results" in run("compare", tmp_path / "r").output
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -10,28 +10,28 @@
 B = Entry("b", 1001, "south", start="b#0", up_for=60_000.0)
 
 
-def whole(number, *entries, epoch="e"):
+def whole(number: int, *entries: Entry, epoch: str = "e") -> Whole:
     return Whole(number, list(entries), epoch)
 
 
-def change(number, *entries, epoch="e"):
+def change(number: int, *entries: Entry, epoch: str = "e") -> Change:
     return Change(number, list(entries), epoch)
 
 
 @pytest.fixture
-def list_():
+def list_() -> Following:
     made = Following(["north", "south"], [], lambda text: None)
     made.told(whole(5, A, B), 1_000_000)
     return made
 
 
-def test_changes_follow_and_repeats_pass(list_):
+def test_changes_follow_and_repeats_pass(list_: Following) -> None:
     taken = list_.told(change(6, Entry("a", 1000, start="a#0", listing="draining")), 1_000_000)
     assert taken.do is Do.TAKE and taken.facts[0].listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).do is Do.PASS
 
 
-def test_a_gap_asks_once_and_a_whole_list_mends_it(list_):
+def test_a_gap_asks_once_and_a_whole_list_mends_it(list_: Following) -> None:
     assert list_.told(change(8, A), 1_000_000).do is Do.ASK
     assert list_.told(change(9, A), 1_000_000).do is Do.PASS
     taken = list_.told(whole(9, B), 1_000_000)
@@ -39,36 +39,36 @@
     assert list_.mode is Mode.STEADY
 
 
-def test_a_list_that_jumps_back_counts_only_when_said_twice(list_):
+def test_a_list_that_jumps_back_counts_only_when_said_twice(list_: Following) -> None:
     assert list_.told(whole(3, A), 1_000_000).do is Do.ASK
     assert list_.told(whole(3, A), 1_000_000).do is Do.TAKE
     assert list_.number == 3
 
 
-def test_one_stale_list_does_not_bring_back_what_is_gone(list_):
+def test_one_stale_list_does_not_bring_back_what_is_gone(list_: Following) -> None:
     list_.told(change(6, Entry("a", listing="gone", start="a#0")), 1_000_000)
     assert list_.told(whole(5, A, B), 1_000_000).do is Do.ASK
     assert list_.told(whole(6, B), 1_000_000).do is Do.TAKE
     assert set(list_.known) == {"b"}
 
 
-def test_numbers_that_begin_anew_are_taken_with_their_list(list_):
+def test_numbers_that_begin_anew_are_taken_with_their_list(list_: Following) -> None:
     assert list_.told(change(1, A, epoch="f"), 1_000_000).do is Do.ASK
     assert list_.told(whole(1, A, epoch="f"), 1_000_000).do is Do.TAKE
 
 
-def test_an_empty_list_binds(list_):
+def test_an_empty_list_binds(list_: Following) -> None:
     taken = list_.told(whole(6), 1_000_000)
     assert taken.do is Do.TAKE and taken.whole and not list_.known
 
 
-def test_a_start_is_reckoned_once(list_):
+def test_a_start_is_reckoned_once(list_: Following) -> None:
     before = list_.known["a"].booted
     taken = list_.told(change(6, Entry("a", 1000, start="a#0", up_for=61_007.0)), 1_010_000)
     assert taken.facts[0].booted == before == 1_000_000 - 600_000
 
 
-def test_a_runners_own_word_is_newer_than_the_list(list_):
+def test_a_runners_own_word_is_newer_than_the_list(list_: Following) -> None:
     (facts,) = list_.met("a", "a#1", 500.0, False, 1_000_000)
     assert facts.booted == 995_000
     taken = list_.told(change(6, A), 1_000_000)
@@ -76,7 +76,7 @@
     assert list_.met("a", "a#1", 900.0, False, 1_004_000) == ()
 
 
-def test_a_runner_that_says_it_drains_is_believed_until_it_starts_anew(list_):
+def test_a_runner_that_says_it_drains_is_believed_until_it_starts_anew(list_: Following) -> None:
     (facts,) = list_.drains("a", "a#0")
     assert facts.listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).facts[0].listing is EndpointState.DRAINING
@@ -85,5 +85,5 @@
     assert list_.drains("a", "a#0") == () and list_.drains("nobody", "x") == ()
 
 
-def test_the_table_says_what_to_do_with_every_news():
+def test_the_table_says_what_to_do_with_every_news() -> None:
     assert set(FOLLOWING) == {(mode, news) for mode in Mode for news in News}
