--- a/tests/schema.py
+++ b/tests/schema.py
@@ -43,6 +43,12 @@
     return {"list of": _type(info.item_type)} | _bounds(info)
 
 
+def _named_tuple(info: inspect.NamedTupleType) -> Any:
+    """On the wire it is the tuple; the names are Python's alone."""
+    assert all(field.required for field in info.fields), f"{info.cls}: a tuple of one length has no defaults"
+    return {"tuple of": [_type(field.type) for field in info.fields]}
+
+
 def _bounds(info: Any) -> dict[str, Any]:
     found = {name: getattr(info, name, None) for name in BOUNDS}
     return {name: bound for name, bound in found.items() if bound is not None}
@@ -136,6 +142,7 @@
     inspect.EnumType: lambda info: {"choices": sorted(member.value for member in info.cls)},
     inspect.DictType: lambda info: {"map of": _type(info.value_type)},
     inspect.TupleType: lambda info: {"tuple of": [_type(one) for one in info.item_types]},
+    inspect.NamedTupleType: _named_tuple,
     inspect.ListType: _list,
     inspect.VarTupleType: _list,
 }
@@ -147,6 +154,7 @@
     inspect.EnumType: lambda info, _: list(info.cls)[-1].value,
     inspect.DictType: lambda info, name: {"a name": _sample(info.value_type, name)},
     inspect.TupleType: lambda info, name: [_sample(one, name) for one in info.item_types],
+    inspect.NamedTupleType: lambda info, name: [_sample(field.type, name) for field in info.fields],
     inspect.ListType: lambda info, name: [_sample(info.item_type, name)],
     inspect.VarTupleType: lambda info, name: [_sample(info.item_type, name)],
 }
