--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,6 +1,7 @@
 """The scale tests' deterministic part: yardsticks, fits, the input table, the page, and kinds of growth."""
 
 import math
+from collections.abc import Callable, Sequence
 
 import msgspec
 import pytest
@@ -11,8 +12,10 @@
 
 SIZES = (100, 200, 400, 800)
 
+Shape = Callable[[int], float]
 
-def values(shape):
+
+def values(shape: Shape) -> list[float]:
     return [shape(size) for size in SIZES]
 
 
@@ -30,11 +33,11 @@
         (Kind.WORSE, lambda n: 10 + 0.5 * n * n),
     ],
 )
-def test_the_kind_of_growth_is_told(kind, shape):
+def test_the_kind_of_growth_is_told(kind: Kind, shape: Shape) -> None:
     assert fitting.kind_of(SIZES, values(shape)) is kind
 
 
-def test_a_fit_predicts_beyond_its_sizes_and_finds_where_a_budget_is_passed():
+def test_a_fit_predicts_beyond_its_sizes_and_finds_where_a_budget_is_passed() -> None:
     made = fitting.fit(SIZES, [values(lambda n: 50 + 3 * n), values(lambda n: 50 + 3 * n)])
     assert made.at(8_000) == pytest.approx(24_050)
     assert made.error < 1e-9
@@ -44,18 +47,18 @@
     assert log.crossing(3 + 2 * 20) == pytest.approx(2**20)
 
 
-def test_spread_of_a_slope_is_over_the_repeats():
+def test_spread_of_a_slope_is_over_the_repeats() -> None:
     made = fitting.fit(
         SIZES, [values(lambda n: 2.0 * n), values(lambda n: 3.0 * n), values(lambda n: 4.0 * n)]
     )
     assert (made.slope_low, made.slope, made.slope_high) == pytest.approx((2, 3, 4))
 
 
-def test_counted_steps_are_the_same_every_time_and_grow_with_a_planted_scan():
-    def scan(size):
+def test_counted_steps_are_the_same_every_time_and_grow_with_a_planted_scan() -> None:
+    def scan(size: int) -> int:
         names = [f"w{i}" for i in range(size)]
 
-        def action():
+        def action() -> int:
             found = 0
             for name in names:
                 found += name == "w3"
@@ -72,15 +75,15 @@
 
     ended = 0
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.itself = self
 
-    def __del__(self):
+    def __del__(self) -> None:
         Cycle.ended += 1
 
 
-def test_counted_steps_leave_out_what_the_collector_runs():
-    def act():
+def test_counted_steps_leave_out_what_the_collector_runs() -> None:
+    def act() -> list[list[int]]:
         return [[] for _ in range(5_000)]
 
     alone = measuring.count_steps(act).instructions
@@ -89,23 +92,23 @@
     assert measuring.count_steps(act).instructions == alone
 
 
-def test_a_copy_inside_one_built_in_shows_in_the_peak():
+def test_a_copy_inside_one_built_in_shows_in_the_peak() -> None:
     names = list(range(10_000))
     assert measuring.count_steps(lambda: names[5:] + names[:5]).peak_bytes > 8 * len(names)
 
 
-def test_state_is_what_is_still_held():
+def test_state_is_what_is_still_held() -> None:
     _, held = measuring.build_measured(lambda: [bytes(1_000) for _ in range(1_000)])
     assert 1_000_000 < held < 1_200_000
 
 
-def test_sweeps_need_four_sizes_two_apart_and_one_beyond():
+def test_sweeps_need_four_sizes_two_apart_and_one_beyond() -> None:
     for sizes, beyond in [((1, 2, 4), 8), ((1, 2, 3, 8), 16), ((1, 2, 4, 8), 9)]:
         with pytest.raises(ValueError, match="instances"):
             Sweep(Dimension.INSTANCES, sizes, beyond, 100.0)
 
 
-def test_the_input_table_is_checked():
+def test_the_input_table_is_checked() -> None:
     given = assumptions.load()
     assert given.target.dispatchers == 3_900
     assert len(given.sensitivity) >= 2
@@ -115,14 +118,14 @@
             msgspec.convert({**raw, group: {**raw[group], field: wrong}}, assumptions.Assumptions)
 
 
-def test_most_functions_are_called_less_than_once_a_minute_as_the_target_says():
+def test_most_functions_are_called_less_than_once_a_minute_as_the_target_says() -> None:
     given = assumptions.load()
     rates = given.spread.rates(given.target.functions, given.target.calls_per_second)
     assert sum(rates) == pytest.approx(given.target.calls_per_second)
     assert given.seldom_called() > 0.5
 
 
-def test_fewer_dispatchers_for_a_seldom_called_function_mean_fewer_first_calls():
+def test_fewer_dispatchers_for_a_seldom_called_function_mean_fewer_first_calls() -> None:
     given = assumptions.load()
     apart, together = given.first_calls_per_second(120.0), given.first_calls_per_second(120.0, reach=8)
     assert together < apart < given.target.calls_per_dispatcher
@@ -137,11 +140,13 @@
     name, text, budgets, scenes = "toy", "a toy", (), ()
     sweeps = (Sweep(Dimension.INSTANCES, SIZES, 1_600, 1_000.0),)
 
-    def measure(self, dimension, size, seed, given):
+    def measure(
+        self, dimension: Dimension, size: int, seed: int, assumptions: assumptions.Assumptions
+    ) -> Sample:
         return Sample(state_bytes=10.0 * size, steps=50, figures={"first call, s": 0.001 * size})
 
 
-def test_a_role_is_measured_fitted_and_predicted_beyond():
+def test_a_role_is_measured_fitted_and_predicted_beyond() -> None:
     result = running.measure_role(Toy(), running.Plan(("toy",), True, "test"))
     (series,) = result.series
     kinds = {growth.metric: growth.fit.kind for growth in series.growths}
@@ -151,7 +156,7 @@
     assert beyond["first call, s"] == pytest.approx((1.6, 1.6))
 
 
-def test_a_page_is_filled_checked_and_refused():
+def test_a_page_is_filled_checked_and_refused() -> None:
     found = {"toy": running.measure_role(Toy(), running.Plan(("toy",), True, "test"))}
     growth, target = "<!-- table: growth toy -->\n<!-- end -->", "<!-- table: target -->\nold\n<!-- end -->"
     text = f"# A\n\n{growth}\n\nwords\n\n{target}\n"
@@ -168,13 +173,13 @@
         page.written("<!-- table: target -->\nno end", found)
 
 
-def test_every_role_is_registered_with_sweeps_that_stand():
+def test_every_role_is_registered_with_sweeps_that_stand() -> None:
     for name, role in roles.all_roles().items():
         assert role.name == name
         assert role.sweeps or role.scenes
 
 
-def test_the_page_has_the_tables_of_the_result_files():
+def test_the_page_has_the_tables_of_the_result_files() -> None:
     assert page.check() == []
 
 
@@ -185,13 +190,13 @@
 }
 
 
-def scan(names):
+def scan(names: Sequence[str]) -> int:
     """The work that is planted: a look at every instance."""
     return sum(name.endswith("7") for name in names)
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
-def test_how_control_grows_with_instances_that_a_dispatcher_never_calls(variant):
+def test_how_control_grows_with_instances_that_a_dispatcher_never_calls(variant: str) -> None:
     """With the whole list it is known to grow; with the directory it does not, within a tenth."""
     work, kind = VARIANTS[variant]
     counted = [work(instances) for instances in FLEETS]
@@ -200,17 +205,17 @@
     assert fitting.kind_of(FLEETS, [one.bytes for one in counted]) is Kind.FLAT
 
 
-def test_a_look_up_costs_a_dispatcher_the_same_whatever_else_it_knows():
+def test_a_look_up_costs_a_dispatcher_the_same_whatever_else_it_knows() -> None:
     views = (10, 20, 40, 80)
     counted = [control_work.with_directory(4_000, called=view).instructions for view in views]
     assert fitting.kind_of(views, counted) is Kind.FLAT, counted
 
 
-def test_a_linear_scan_planted_in_the_dispatcher_with_the_directory_is_caught():
+def test_a_linear_scan_planted_in_the_dispatcher_with_the_directory_is_caught() -> None:
     counted = [control_work.with_directory(instances, scan).instructions for instances in FLEETS]
     assert fitting.kind_of(FLEETS, counted) is Kind.LINEAR
 
 
-def test_what_is_counted_is_the_same_every_time():
+def test_what_is_counted_is_the_same_every_time() -> None:
     assert control_work.with_directory(500) == control_work.with_directory(500)
     assert control_work.with_list(250) == control_work.with_list(250)
