--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -5,10 +5,8 @@
 
 import socket
 from collections.abc import Callable, Sequence
-from dataclasses import replace
 from typing import Any, Protocol
 
-from lapistrestle.edge.linking import PROMPT
 from lapistrestle.edge.work_gate import NOT_BEGUN, READ_AGAIN, WorkGate
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
@@ -68,11 +66,10 @@
 
     def __init__(
         self, reactor: Any, name: str, settings: Settings, log: Log, seed: int, slack: int = 0,
-        make: Callable[..., Any] = Dispatcher, prompt: int = PROMPT, fleet: FleetGuidance | None = None,
+        make: Callable[..., Any] = Dispatcher, fleet: FleetGuidance | None = None,
     ) -> None:  # fmt: skip
-        """`prompt`: tenths of a millisecond that an order may wait for its connection."""
         self.reactor, self.name, self.log = reactor, name, log
-        self.settings = replace(settings, preload_delay=prompt)
+        self.settings = settings
         self.fleet = fleet or FleetGuidance()
         self.connect_timeout = settings.connect_timeout
         self.endpoints_polled = settings.endpoints_polled
