--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -52,7 +52,7 @@
         self.run.begin()
 
     def heard(self, message: Any) -> None:
-        if isinstance(message, plans.Reply):
+        if isinstance(message, plans.CommandReply):
             self.run.replied(message)
 
 
@@ -83,7 +83,9 @@
         self.look()
 
     def order(self, what: Any) -> None:
-        self.operator.say(plans.Order(what, what, "fn-0", "benchmark", candidate="v2", steps=(0.5, 1.0)))
+        self.operator.say(
+            plans.RolloutCommand(what, what, "fn-0", "benchmark", candidate="v2", steps=(0.5, 1.0))
+        )
 
     def look(self) -> None:
         """Once the candidate has had a second of traffic it is taken back."""
@@ -94,7 +96,7 @@
         else:
             self.reactor.callLater(0.05, self.look)
 
-    def replied(self, reply: plans.Reply) -> None:
+    def replied(self, reply: plans.CommandReply) -> None:
         if reply.id == "back":
             self.accepted = self.reactor.seconds()
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -17,8 +17,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from lapistrestle.rollout.evidence import Tally
-from lapistrestle.rollout.life import AHEAD, Input, Rollout, State
+from lapistrestle.rollout.evidence import OutcomeCounts
+from lapistrestle.rollout.state_machine import ANNOUNCEMENT_LEAD, Rollout, RolloutInput, RolloutState
 
 STEPS = (0.01, 0.05, 0.25, 1.0)
 MINUTE = 600_000  # tenths of a millisecond
@@ -32,28 +32,33 @@
     bad: int  # answers of the candidate that went badly, beyond what the settled version would have had
 
 
-def drawn(random: np.random.Generator, share: float, rate: float, worse: float, calls: int) -> Tally:
+def drawn(random: np.random.Generator, share: float, rate: float, worse: float, calls: int) -> OutcomeCounts:
     """One minute."""
     shaken = 0.25 if random.random() < 1 / 9 else 0.0
     new = int(random.binomial(calls, share))
     old_bad = int(random.binomial(calls - new, min(1.0, rate + shaken)))
-    return Tally(calls - new, old_bad, new, int(random.binomial(new, min(1.0, rate + worse + shaken))))
+    return OutcomeCounts(
+        calls - new, old_bad, new, int(random.binomial(new, min(1.0, rate + worse + shaken)))
+    )
 
 
 def evidence(random: np.random.Generator, worse: float, calls: int, rate: float = 0.01) -> End:
     made = Rollout("f", "v1", "v2", STEPS, remembered=0)
-    made.tell(Input.START, 0)
-    made.tell(Input.WARM, 0)
+    made.handle(RolloutInput.START, 0)
+    made.handle(RolloutInput.REPLICAS_READY, 0)
     harm = 0.0
     for minute in range(LONGEST):
         share = min(made.share, 0.5)  # at the last step half stays behind, as what it is judged by
         tally = drawn(random, share, rate, worse, calls)
         harm += tally.candidate * worse
-        made.evidence.report("e", "s", minute, tally)
-        for at in (minute * MINUTE, minute * MINUTE + AHEAD):  # a step is told a second before it comes
-            made.look(at, warm=True)
-        if made.state not in (State.GROWING, State.HELD):
-            return End(made.state is State.SETTLED, minute + 1, round(harm))
+        made.evidence.add_report("e", "s", minute, tally)
+        for at in (
+            minute * MINUTE,
+            minute * MINUTE + ANNOUNCEMENT_LEAD,
+        ):  # a step is told a second before it comes
+            made.evaluate(at, replicas_ready=True)
+        if made.state not in (RolloutState.GROWING, RolloutState.HELD):
+            return End(made.state is RolloutState.SETTLED, minute + 1, round(harm))
     return End(False, LONGEST, round(harm))
 
 
--- a/benchmarks/scale/roles/control_agreement.py
+++ b/benchmarks/scale/roles/control_agreement.py
@@ -26,7 +26,7 @@
     Send,
 )
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
-from lapistrestle.planner.state import Command, encode
+from lapistrestle.planner.state import CommandEntry, encode_entry
 
 DELAY = 10  # tenths of a millisecond between two members of one region
 FAR = 500  # between two members of different regions
@@ -39,11 +39,11 @@
 
 def change(number: int) -> str:
     """An operator's order to begin a rollout, as the planner's journal holds it."""
-    command = Command(
+    command = CommandEntry(
         at=SECOND * number, id=f"order-{number:08d}", what="start", fn=f"function-{number:06d}",
         who="operator", why="release of the day", candidate=f"version-{number:06d}",
     )  # fmt: skip
-    return encode(command).decode()
+    return encode_entry(command).decode()
 
 
 def node(name: str, names: Sequence[str], entries: Sequence[LogEntry], seed: int, now: int) -> RaftNode:
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -1,6 +1,6 @@
 """The planner, its journal, its plans at a dispatcher, and what one change costs each of them.
 
-`planner`: the program's own `Planner` on a real journal, its edges real `PlannerSpeaker` ends whose
+`planner`: the program's own `Planner` on a real journal, its edges real `PlannerConnection` ends whose
 transports only count. `keeper`: the planner's state alone, by functions that have had a rollout. `plans`:
 the edge's `PlannerSource` and `Routing`, by functions that the plan names.
 """
@@ -19,11 +19,11 @@
 from benchmarks.scale.roles.control_hollow import SECOND, Traffic, deployment
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.edge.planning import PlannerSource
-from lapistrestle.planner.program import Planner, PlannerSpeaker
-from lapistrestle.planner.state import Command, PlannerState, Reply, Report
-from lapistrestle.rollout.life import Input, Rollout
+from lapistrestle.planner.server import Planner, PlannerConnection
+from lapistrestle.planner.state import CommandEntry, CommandResult, OutcomeEntry, PlannerState
 from lapistrestle.rollout.routing import Routing
-from lapistrestle.rollout.versions import Split
+from lapistrestle.rollout.state_machine import CommandOutcome, Rollout, RolloutInput
+from lapistrestle.rollout.version_choice import TrafficSplit
 from lapistrestle.standins.virtual import BUFFER
 from lapistrestle.store.journal import Journal
 from lapistrestle.wire import messages as wire
@@ -40,8 +40,8 @@
     return f"function-{number:06d}"
 
 
-def start_of(number: int, at: int, version: str = "v2") -> Command:
-    return Command(
+def start_of(number: int, at: int, version: str = "v2") -> CommandEntry:
+    return CommandEntry(
         at=at, id=f"order-{number}-{version}", what="start", fn=function(number), who="operator",
         why="release of the day", candidate=f"version-{version}", remembered=REMEMBERED,
     )  # fmt: skip
@@ -55,12 +55,14 @@
         command = start_of(number, 0)
         state.number += 1
         rollout = Rollout(command.fn, "", command.candidate, command.steps, command.remembered)
-        rollout.tell(Input.START, 0, command.who, command.why)
-        rollout.tell(Input.BACK, 0, command.who)
-        rollout.tell(Input.FORGOTTEN, 0)
+        rollout.handle(RolloutInput.START, 0, command.who, command.why)
+        rollout.handle(RolloutInput.ROLL_BACK, 0, command.who)
+        rollout.handle(RolloutInput.RETENTION_ENDED, 0)
         state.rollouts[command.fn] = rollout
         state.changed[command.fn] = state.number
-        state.replies[command.id] = Reply("done", "none to v2", "warming", 0.0, state.number)
+        state.replies[command.id] = CommandResult(
+            CommandOutcome.DONE, "none to v2", "warming", 0.0, state.number
+        )
     return state
 
 
@@ -130,19 +132,19 @@
         self.planner.journal.append([b"{}"] * self.planner.state.number)
         self.speakers = [self.connect(number) for number in range(edges)]
 
-    def connect(self, number: int) -> PlannerSpeaker:
-        speaker = PlannerSpeaker(self.planner)
+    def connect(self, number: int) -> PlannerConnection:
+        speaker = PlannerConnection(self.planner)
         speaker.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
         speaker.paused = False
         hello = wire.Hello(plans.PLANNER, wire.VERSION, f"dispatcher-{number:05d}", start=f"start-{number}")
         self.hear(speaker, hello)
         return speaker
 
-    def hear(self, speaker: PlannerSpeaker, message: wire.Message) -> None:
+    def hear(self, speaker: PlannerConnection, message: wire.Message) -> None:
         speaker.dataReceived(wire.encode(message) + b"\n")
 
     def order(self, number: int, candidate: str = "v3") -> None:
-        order = plans.Order(
+        order = plans.RolloutCommand(
             id=f"burst-{candidate}-{number}", what="start", fn=function(number), who="operator",
             why="release of the day", candidate=f"version-{candidate}", remembered=0.0,
         )  # fmt: skip
@@ -151,11 +153,11 @@
 
     def counts(self, number: int) -> None:
         """One edge's running counts of one function's rollout."""
-        count = plans.Counts(function(number), "version-v3", -1, 1, (10, 0, 1, 0))
+        count = plans.OutcomeReport(function(number), "version-v3", -1, 1, (10, 0, 1, 0))
         self.hear(self.speakers[0], count)
 
     def beat(self, number: int) -> None:
-        self.hear(self.speakers[number % len(self.speakers)], plans.Beat(1, 1))
+        self.hear(self.speakers[number % len(self.speakers)], plans.Heartbeat(1, 1))
 
     def close(self) -> None:
         self.planner.journal.close()
@@ -237,7 +239,7 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         state, held = build_measured(lambda: keeper_of(size))
-        report = Report(
+        report = OutcomeEntry(
             at=SECOND, edge="dispatcher-00001", start="start-1", fn=function(0), candidate="version-v2",
             step=-1, minute=1, counts=(10, 0, 1, 0),
         )  # fmt: skip
@@ -311,17 +313,17 @@
     def log(self, what: str, **figures: Any) -> None: ...
 
 
-def split_at(number: int, share: float = 0.25) -> Split:
+def split_at(number: int, share: float = 0.25) -> TrafficSplit:
     """What the planner tells of a function under way."""
-    return Split(function(number), "version-v1", "version-v2", share, share, False, 1, 1.0)
+    return TrafficSplit(function(number), "version-v1", "version-v2", share, share, False, 1, 1.0)
 
 
-def settled_split(number: int) -> Split:
-    return Split(function(number), "version-v2")
+def settled_split(number: int) -> TrafficSplit:
+    return TrafficSplit(function(number), "version-v2")
 
 
 def whole_plan(functions: int) -> plans.Plan:
-    shares = [plans.shown(settled_split(number)) for number in range(functions)]
+    shares = [plans.to_message(settled_split(number)) for number in range(functions)]
     return plans.Plan(functions, 1, shares, True)
 
 
@@ -388,7 +390,7 @@
 def change_told(source: PlannerSource, number: int) -> None:
     """One change, as its line arrives."""
     routing = source.routing
-    plan = plans.Plan(routing.number + 1, routing.epoch, [plans.shown(split_at(number))])
+    plan = plans.Plan(routing.number + 1, routing.epoch, [plans.to_message(split_at(number))])
     source.told(plans.Plan(plan.number, plan.epoch, plan.shares))
 
 
@@ -447,7 +449,7 @@
 
 def is_sent(functions: int, each: float) -> bool:
     """Whether a planner's end goes on after a line of that many functions of `each` bytes."""
-    speaker = PlannerSpeaker(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
+    speaker = PlannerConnection(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
     speaker.makeConnection(PausingTransport(Traffic()))  # type: ignore[no-untyped-call]
     speaker.paused = False
     speaker.say_line(bytes(int(functions * each)))
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -17,9 +17,9 @@
 from lapistrestle.deployment.load import Wrong, read_json5, shaped
 from lapistrestle.deployment.shape import Shape, Span
 from lapistrestle.edge.running import reactor_of_now
-from lapistrestle.planner.program import Planner
+from lapistrestle.planner.server import Planner
 from lapistrestle.records.logs import make_log
-from lapistrestle.store.journal import Journal, Unreadable
+from lapistrestle.store.journal import Journal, JournalError
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
 
@@ -34,7 +34,7 @@
     reactor = reactor_of_now()
     try:
         kept = Journal(journal)
-    except Unreadable as trouble:
+    except JournalError as trouble:
         raise Wrong(str(trouble)) from None
     program = Planner(reactor, kept, make_log(json_))
     program.stopped = reactor.stop
@@ -80,7 +80,7 @@
             policy = shaped(value, Policy, text, str(path))
             more["steps"] = tuple(step / 100 for step in policy.steps)
             more["remembered"] = policy.remembered / 10
-        made = plans.Order(id_ or uuid.uuid4().hex, what, fn, who, why, candidate, **more)
+        made = plans.RolloutCommand(id_ or uuid.uuid4().hex, what, fn, who, why, candidate, **more)
         reply = asked(port, made)
         if json_:
             click.echo(msgspec.json.encode(reply))
@@ -117,7 +117,7 @@
 @as_json
 def status(port: int, json_: bool) -> None:
     """How rollouts stand, and which plan each edge has."""
-    told: plans.Status = asked(port, plans.Ask())
+    told: plans.PlannerStatus = asked(port, plans.StatusRequest())
     if json_:
         return click.echo(msgspec.json.encode(told))
     table = Table(title=f"plan {told.number}, epoch {told.epoch}")
@@ -144,7 +144,7 @@
 @as_json
 def history(port: int, fn: str, json_: bool) -> None:
     """What happened to a function's newest rollout, by whom and why."""
-    told: plans.Status = asked(port, plans.Ask())
+    told: plans.PlannerStatus = asked(port, plans.StatusRequest())
     found = [one for one in told.rollouts if one.fn == fn]
     if not found:
         raise click.ClickException(f"{fn} has no rollout")
--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.edge.work_gate import READ_AGAIN
 from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest
-from lapistrestle.rollout.versions import key_of
+from lapistrestle.rollout.version_choice import attempt_key
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import Speaker, union
 
@@ -86,7 +86,7 @@
             return self.say(wire.Answer(call.id, ABORTED))
         stay = None
         if edge.fleet_member is not None:
-            key = key_of(call.key, call.token, f"{self.name}/{call.id}")
+            key = attempt_key(call.key, call.token, f"{self.name}/{call.id}")
             stay = edge.fleet_member.admit(method, customer, call.repeat, key)
         if stay is not None:  # nothing of it has left this edge
             edge.counts["turned away"] += 1
--- a/lapistrestle/edge/keeping.py
+++ b/lapistrestle/edge/keeping.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 from typing import Any
 
-from lapistrestle.store import learnt
-from lapistrestle.store.learnt import Learnt
+from lapistrestle.store import learned_state
+from lapistrestle.store.learned_state import LearnedMethod
 
 EACH = 100_000  # tenths of a millisecond between two writings
 
@@ -20,19 +20,19 @@
     def recall(self) -> None:
         """A method whose deadlines have changed, or that is new, starts afresh."""
         try:
-            kept = learnt.read(self.path)
+            kept = learned_state.read_learned_state(self.path)
         except FileNotFoundError:
             return self.edge.log("nothing learnt is kept yet", file=str(self.path))
         except (OSError, ValueError) as trouble:
             self.edge.log("kept figures can't be read, starting afresh", why=str(trouble))
             return self.set_aside()
-        none, same, figures = Learnt(0, 0, 0.0, 0.0), list[str](), list[tuple[float, float]]()
+        none, same, figures = LearnedMethod(0, 0, 0.0, 0.0), list[str](), list[tuple[float, float]]()
         for name, facts in zip(self.edge.methods, self.edge.facts["methods"], strict=True):
             had = kept.get(name, none)
             if (had.soft_deadline, had.deadline) != (facts["soft_deadline"], facts["deadline"]):
                 had = none
-            same += [name] if had.alone or had.hint else []
-            figures.append((had.alone, had.hint))
+            same += [name] if had.isolated_latency or had.latency_hint else []
+            figures.append((had.isolated_latency, had.latency_hint))
         self.edge.host.module.recall(figures)
         self.edge.log("kept figures", carried=same, afresh=[m for m in self.edge.methods if m not in same])
 
@@ -50,8 +50,10 @@
 
     def write(self) -> None:
         rows = zip(self.edge.methods, self.edge.facts["methods"], self.edge.host.module.learnt(), strict=True)
-        methods = {name: Learnt(m["soft_deadline"], m["deadline"], *figures) for name, m, figures in rows}
+        methods = {
+            name: LearnedMethod(m["soft_deadline"], m["deadline"], *figures) for name, m, figures in rows
+        }
         try:
-            learnt.write(self.path, methods)
+            learned_state.write_learned_state(self.path, methods)
         except OSError as trouble:
             self.edge.log("learnt figures not kept", why=str(trouble))
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -4,11 +4,11 @@
 from typing import Any
 
 from lapistrestle.edge.sources import Source
-from lapistrestle.rollout import stock
-from lapistrestle.rollout.routing import Routing, named
-from lapistrestle.rollout.versions import Split
+from lapistrestle.rollout import replicas
+from lapistrestle.rollout.routing import Routing, versioned_name
+from lapistrestle.rollout.version_choice import TrafficSplit
 from lapistrestle.state import Fn, Srv
-from lapistrestle.store.plans import Kept, PlanFile
+from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
 from lapistrestle.wire.lines import Speaker, union
@@ -38,9 +38,9 @@
         match message:
             case plans.Plan():
                 self.source.told(message)
-            case plans.Beat():
+            case plans.Heartbeat():
                 self.source.heard = self.source.edge.clock()
-                self.source.routing.lease.beat(message.asked, self.source.heard)
+                self.source.routing.lease.on_heartbeat(message.asked, self.source.heard)
 
     def unreadable(self, line: bytes, why: str) -> None:
         """It may have been a plan: dial anew and be told all."""
@@ -57,12 +57,12 @@
     def __init__(self, edge: Any, port: int) -> None:
         super().__init__(edge, port)
         self.routing: Routing = edge.routing
-        self.wants: dict[str, stock.Want] = {}  # by name of a version
+        self.wants: dict[str, replicas.ReplicaTarget] = {}  # by name of a version
         self.heard = 0  # when a beat was answered last
         self.start_name = f"{edge.name}-{edge.clock()}"
         self.began = edge.clock()
         keep = edge.deployment.planner.keep
-        self.file = PlanFile(Path(keep)) if keep else None
+        self.file = PersistedPlanFile(Path(keep)) if keep else None
         self.recall()
         edge.after(BEAT, self.beat, None)
         edge.after(TELL, self.tell, None)
@@ -73,8 +73,8 @@
         except (OSError, ValueError) as trouble:
             return self.edge.log("kept plan can't be read", why=str(trouble))
         if kept is not None:
-            splits = [plans.split_of(share) for share in kept.shares]
-            self.routing.recall(kept.epoch, kept.number, splits, kept.barred)
+            splits = [plans.to_split(share) for share in kept.shares]
+            self.routing.restore_plan(kept.epoch, kept.number, splits, kept.barred)
             self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.shares))
 
     def keep_plan(self) -> None:
@@ -82,14 +82,16 @@
         if self.file is None:
             return
         routing = self.routing
-        shares = [plans.shown(split) for split in routing.splits.values()]
+        shares = [plans.to_message(split) for split in routing.splits.values()]
         try:
-            self.file.write(Kept(routing.epoch, routing.number, shares, sorted(routing.barred_names)))
+            self.file.write(
+                PersistedPlan(routing.epoch, routing.number, shares, sorted(routing.barred_names))
+            )
         except OSError as trouble:
             self.edge.log("plan not kept", why=str(trouble))
 
     def unplanned(self) -> bool:
-        return self.routing.unplanned(self.edge.clock() - self.began)
+        return self.routing.awaits_first_plan(self.edge.clock() - self.began)
 
     def speak(self) -> PlannerSpeaker:
         return PlannerSpeaker(self)
@@ -97,20 +99,20 @@
     def beat(self, _: object, once: bool = False) -> None:
         if self.speaker is not None and self.speaker.greeted and self.edge.clock() - self.heard > UNHEARD:
             self.speaker.cut("no beat was answered")
-        self.say(plans.Beat(self.edge.clock(), self.routing.number))
+        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         if not once and not self.stopped:
             self.edge.after(BEAT, self.beat, None)
 
     def told(self, plan: plans.Plan) -> None:
-        splits = [plans.split_of(share) for share in plan.shares]
-        barred = self.routing.told(plan.epoch, plan.number, plan.whole, splits)
+        splits = [plans.to_split(share) for share in plan.shares]
+        barred = self.routing.apply_plan(plan.epoch, plan.number, plan.whole, splits)
         if barred is None:
             self.edge.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
             return
         self.edge.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
         for name in barred:
             self.withdraw(name)
-        self.say(plans.Beat(self.edge.clock(), self.routing.number))
+        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         self.keep_plan()
 
     def withdraw(self, name: str) -> None:
@@ -127,20 +129,22 @@
     def tell(self, _: object) -> None:
         """How versions do, and keep both of an unsettled function loaded."""
         now = self.edge.clock()
-        for fn, candidate, step, minute, tally in self.routing.tell(now):
-            self.say(plans.Counts(fn, candidate, step, minute, tally))
+        for fn, candidate, step, minute, tally in self.routing.recent_counts(now):
+            self.say(plans.OutcomeReport(fn, candidate, step, minute, tally))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
-        names = {named(s.fn, version) for s in open_ for version in (s.candidate, s.settled)}
+        names = {versioned_name(s.fn, version) for s in open_ for version in (s.candidate, s.settled)}
         self.wants = {name: want for name, want in self.wants.items() if name in names}
         for split in open_:
             share, lacks = self.keep(split)
-            if stock.phase(split) is stock.Phase.LOADING and self.routing.lease.usable(now):
-                self.say(plans.Warm(split.fn, split.candidate, share, lacks))
+            if replicas.rollout_phase(
+                split
+            ) is replicas.RolloutPhase.LOADING and self.routing.lease.is_usable(now):
+                self.say(plans.ReplicaReport(split.fn, split.candidate, share, lacks))
         if not self.stopped:
             self.edge.after(TELL, self.tell, None)
 
-    def keep(self, split: Split) -> tuple[float, str]:
-        """Have the copies that `rollout.stock` wants; the share that they stand for, and what is missing.
+    def keep(self, split: TrafficSplit) -> tuple[float, str]:
+        """Have the copies that `rollout.replicas` wants; the share that they stand for, and what is missing.
 
         Orders go through the module, so that rules 3 and 5 are kept by the one that counts. Where they are
         not allowed only calls load; an edge that has met no RPC of the function needs nothing.
@@ -149,54 +153,66 @@
         module.now = self.edge.clock()
         versions = (split.candidate, split.settled)
         known = [
-            fn for name in (*versions, "") if (fn := registry.fns.get(named(split.fn, name))) is not None
+            fn
+            for name in (*versions, "")
+            if (fn := registry.fns.get(versioned_name(split.fn, name))) is not None
         ]
         if not known or not self.edge.facts["may_order"]:
             return split.next, ""
         model = known[-1]
         busy = sum(fn.asked.read(module.now) / fn.asked.life for fn in dict.fromkeys(known))
-        busy *= stock.heavier(module.iso(model), module.weight(model.method))
-        shares = [split.next if part is None else part for part in stock.WANTED[stock.phase(split)]]
+        busy *= replicas.demand_factor(module.iso(model), module.weight(model.method))
+        shares = [
+            split.next if part is None else part
+            for part in replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
+        ]
         stands = [
-            self.keep_version(named(split.fn, version), model, busy, share)
+            self.keep_version(versioned_name(split.fn, version), model, busy, share)
             for version, share in zip(versions, shares, strict=True)
         ]
-        lacking = next((stand for stand in stands if not stand.enough), None)
+        lacking = next((stand for stand in stands if not stand.is_sufficient), None)
         if lacking is None:
-            alone = [fn.iso if (fn := registry.fns.get(named(split.fn, name))) else None for name in versions]
-            slower = stock.slower(*alone)
+            alone = [
+                fn.iso if (fn := registry.fns.get(versioned_name(split.fn, name))) else None
+                for name in versions
+            ]
+            slower = replicas.slowdown_reason(*alone)
             return (split.share, slower) if slower else (split.next, "")
         name = versions[stands.index(lacking)] or split.fn
-        has = f"{name} has {lacking.standing} of {lacking.wanted} copies"
-        return split.share, f"{has}; {stock.SAYS[lacking.lacks]}"
+        has = f"{name} has {lacking.loaded} of {lacking.wanted} copies"
+        return split.share, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
-    def keep_version(self, name: str, model: Fn, busy: float, share: float) -> stock.Stand:
+    def keep_version(self, name: str, model: Fn, busy: float, share: float) -> replicas.ReplicaStatus:
         edge, module = self.edge, self.edge.host.module
         if self.edge.barred(name) or not share:
-            return stock.Stand(0, 0, stock.Lack.NOTHING)
+            return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
         fn = edge.host.registry.fn(name, model.method, model.memory, model.lanes)
         if edge.directory is not None and not edge.directory.ready(fn, edge.method_names[model.method]):
             edge.directory.act()
-            return stock.Stand(stock.APART, 0, stock.Lack.WORKERS)  # its prefix is being looked up
+            return replicas.ReplicaStatus(
+                replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS
+            )  # its prefix is being looked up
         memory, idle_life = edge.facts["memory_by_kind"], edge.facts["idle_life"]
-        shelves: dict[stock.Shelf, Srv] = {}
+        shelves: dict[replicas.WorkerCapacity, Srv] = {}
         for srv in module.walk(fn):
             if srv.listing.name != "SERVING" or not module.fit(srv):
                 continue
             size = memory[srv.kind] if srv.kind < len(memory) else 0.0
-            shelf = stock.Shelf(0, stock.room(size, fn.memory), cold=module.warmth_of(srv) < 1)
+            shelf = replicas.WorkerCapacity(
+                0, replicas.replica_limit(size, fn.memory), warming_up=module.warmth_of(srv) < 1
+            )
             if (spot := fn.spots.get(srv)) is not None:
-                shelf.standing, shelf.waiting = module.believed(spot), bool(spot.ordered)
-                shelf.fresh = module.now - spot.seen <= idle_life // 3
+                shelf.loaded, shelf.preload_pending = module.believed(spot), bool(spot.ordered)
+                shelf.recently_confirmed = module.now - spot.seen <= idle_life // 3
             shelves[shelf] = srv
 
-        def order(shelf: stock.Shelf, count: int) -> bool:
-            ordered: bool = module.order(fn.spot(shelves[shelf]), count, stock.ORDER_PART)
+        def order(shelf: replicas.WorkerCapacity, count: int) -> bool:
+            ordered: bool = module.order(fn.spot(shelves[shelf]), count, replicas.PRELOAD_BUDGET_FRACTION)
             return ordered
 
-        now = stock.needed(busy, share, fn.lanes, edge.facts["dispatchers"])
-        wanted = self.wants.setdefault(name, stock.Want()).follow(now)
-        stand = stock.keep(list(shelves), wanted, module.load_limit - module.loading, order)
-        if edge.directory is not None and not stand.enough:
+        now = replicas.required_replicas(busy, share, fn.lanes, edge.facts["dispatchers"])
+        wanted = self.wants.setdefault(name, replicas.ReplicaTarget()).update(now)
+        stand = replicas.maintain_replicas(list(shelves), wanted, module.load_limit - module.loading, order)
+        if edge.directory is not None and not stand.is_sufficient:
             edge.directory.more(name)
         return stand
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -17,7 +17,7 @@
 from lapistrestle.hosting.requests import ABORTED, DENIED, Attempt, PendingRequest, WorkerTask
 from lapistrestle.interface import FnFacts, Outcome, SrvFacts
 from lapistrestle.rollout.routing import Route, Routing
-from lapistrestle.rollout.versions import Course, after_denial, key_of
+from lapistrestle.rollout.version_choice import VersionChoice, attempt_key, choose_after_denial
 from lapistrestle.wire import messages as wire
 
 
@@ -137,7 +137,7 @@
     # versions
 
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
-        key = key_of(call.key, call.token, f"{seat.name}/{call.id}")
+        key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(call.fn, key, self.kind(method), call.repeat, self.clock(), self.span(call))
 
     def kind(self, method: int) -> str:
@@ -173,7 +173,7 @@
     def move(self, pending: PendingRequest) -> None:
         """An RPC that has not run on a version that is barred now goes to the settled one, in its time."""
         call, attempts = pending.message, pending.attempt_count()
-        route = self.routing.moved(pending.fn.name, key_of(call.key, call.token, pending.tag))
+        route = self.routing.reroute(pending.fn.name, attempt_key(call.key, call.token, pending.tag))
         left = pending.deadline - self.clock()
         if self.fleet_member is not None:
             self.fleet_member.admission.count_restart()
@@ -191,7 +191,7 @@
         if pending.route is not None and pending.route.candidate and how != "moved":
             if how != "ok" and (waited or self.barred(pending.fn.name)):
                 return
-            self.routing.note(pending.route, how != "ok" or self.late(pending), self.clock())
+            self.routing.count_outcome(pending.route, how != "ok" or self.late(pending), self.clock())
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
@@ -205,7 +205,7 @@
         late = pending.deadline - self.clock() <= 0
         if verdict == DENIED and not late and not self.stopping and self.barred(pending.fn.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
-            if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
+            if choose_after_denial(kind, pending.ran_on is not None, span) is VersionChoice.SETTLED:
                 return self.move(pending)
             verdict, come_back = ABORTED, 0
         pending.client.answer(pending, verdict, come_back, body)
@@ -214,7 +214,7 @@
         pending.client.say(wire.Begun(pending.message.id))
 
     def barred(self, name: str) -> bool:
-        return "@" in name and self.routing.barred(name, self.clock())
+        return "@" in name and self.routing.is_barred(name, self.clock())
 
     def run(self, attempt: Attempt) -> None:
         if self.barred(attempt.pending.fn.name):
--- a/lapistrestle/planner/program.py
+++ b/lapistrestle/planner/server.py
@@ -5,19 +5,19 @@
 from twisted.internet.protocol import ServerFactory
 
 from lapistrestle.planner.state import (
-    ENTRY,
+    ENTRY_DECODER,
     OVER,
     AnyEntry,
-    Command,
+    CommandEntry,
+    CommandResult,
+    OutcomeEntry,
     PlannerState,
-    Reply,
-    Report,
-    Tick,
-    encode,
+    TickEntry,
+    encode_entry,
 )
-from lapistrestle.rollout.life import Rollout, State
-from lapistrestle.rollout.stock import Readiness, Word
-from lapistrestle.store.journal import Journal, Outdated, Unreadable
+from lapistrestle.rollout.replicas import EdgeReport, Readiness
+from lapistrestle.rollout.state_machine import Rollout, RolloutState
+from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
 from lapistrestle.wire.lines import LineBounds, Speaker, union
@@ -33,11 +33,11 @@
         self.reactor, self.journal, self.log = reactor, journal, log
         self.state, self.base = PlannerState(), 0
         for number, line in journal.entries():
-            entry = ENTRY.decode(line)
+            entry = ENTRY_DECODER.decode(line)
             self.state.apply(number, entry)
             self.base = max(self.base, entry.at)
         self.began = reactor.seconds()
-        self.edges: dict[PlannerSpeaker, None] = {}
+        self.edges: dict[PlannerConnection, None] = {}
         self.readiness = Readiness()
         self.stopped: Any = None
         self.over = False
@@ -49,19 +49,19 @@
 
     def start(self, port: int = 0) -> int:
         """Listen. Returns the port."""
-        listening = self.reactor.listenTCP(port, Speakers(self), interface="127.0.0.1")
+        listening = self.reactor.listenTCP(port, PlannerConnectionFactory(self), interface="127.0.0.1")
         self.reactor.callLater(TICK_EVERY, self.tick)
         made: int = listening.getHost().port
         self.log("listening", port=made)
         return made
 
-    def add(self, entry: AnyEntry) -> Reply | None:
+    def add(self, entry: AnyEntry) -> CommandResult | None:
         """Write an entry to disk, apply it, then tell edges. None: another planner writes the journal."""
         if self.over:
             return None
         try:
-            number = self.journal.append([encode(entry)])
-        except (Outdated, Unreadable) as trouble:
+            number = self.journal.append([encode_entry(entry)])
+        except (StaleEpochError, JournalError) as trouble:
             self.end(str(trouble))
             return None
         before = dict(self.state.changed)
@@ -89,13 +89,13 @@
         if not self.over:
             self.reactor.callLater(TICK_EVERY, self.tick)
             if self.state.running():
-                self.add(Tick(at=self.now(), warm=self.warm_functions()))
+                self.add(TickEntry(at=self.now(), warm=self.warm_functions()))
 
     def warm_functions(self) -> tuple[str, ...]:
         """Those that every connected edge has copies for the next share of."""
         edges, now = {speaker.name for speaker in self.edges}, self.now()
         kept = self.state.rollouts.items()
-        return tuple(fn for fn, r in kept if self.readiness.ready(fn, r.candidate, r.next, edges, now))
+        return tuple(fn for fn, r in kept if self.readiness.is_ready(fn, r.candidate, r.next, edges, now))
 
     def current(self) -> bool:
         """Whether no newer planner writes the journal. One that did not ask would go on renewing leases on
@@ -107,12 +107,12 @@
     def plan(self, after: int) -> plans.Plan:
         """What changed after that entry; all of it where `after` is negative."""
         whole = after < 0
-        shares = [plans.shown(split) for split in self.state.plan(after).values()]
+        shares = [plans.to_message(split) for split in self.state.plan(after).values()]
         return plans.Plan(self.state.number, self.journal.epoch, shares, whole)
 
-    def status(self) -> plans.Status:
+    def status(self) -> plans.PlannerStatus:
         """For operators."""
-        return plans.Status(
+        return plans.PlannerStatus(
             self.state.number,
             self.journal.epoch,
             [self.rollout_status(fn) for fn in sorted(self.state.rollouts)],
@@ -122,8 +122,8 @@
     def rollout_status(self, fn: str) -> plans.RolloutStatus:
         """One rollout, for operators."""
         rollout = self.state.rollouts[fn]
-        found, total = rollout.evidence.findings(), [0, 0, 0, 0]
-        for tally in rollout.evidence.minutes().values():
+        found, total = rollout.evidence.verdict(), [0, 0, 0, 0]
+        for tally in rollout.evidence.totals_by_minute().values():
             total = [a + b for a, b in zip(total, tally, strict=True)]
         history = [(at / 10, who, why, given, state) for at, who, why, given, state in rollout.history]
         counts = (total[0], total[1], total[2], total[3])
@@ -134,13 +134,13 @@
 
     def waits(self, rollout: Rollout) -> dict[str, str]:
         """By edge, what it lacks for the next step."""
-        if rollout.state in OVER or rollout.state is State.WITHDRAWING:
+        if rollout.state in OVER or rollout.state is RolloutState.WITHDRAWING:
             return {}
         edges = [speaker.name for speaker in self.edges]
-        return self.readiness.missing(rollout.fn, rollout.candidate, rollout.next, edges, self.now())
+        return self.readiness.shortages(rollout.fn, rollout.candidate, rollout.next, edges, self.now())
 
 
-class PlannerSpeaker(Speaker):
+class PlannerConnection(Speaker):
     """The planner's end of a connection, of an edge or an operator."""
 
     protocol = plans.PLANNER
@@ -174,30 +174,30 @@
         """A message came."""
         planner = self.planner
         match message:
-            case plans.Beat():
+            case plans.Heartbeat():
                 self.has = max(self.has, message.has)
                 if planner.current():
-                    self.say(plans.Beat(message.asked))
-            case plans.Counts():
+                    self.say(plans.Heartbeat(message.asked))
+            case plans.OutcomeReport():
                 planner.add(
-                    Report(
+                    OutcomeEntry(
                         at=planner.now(), edge=self.name, start=self.start_name, fn=message.fn,
                         candidate=message.candidate, step=message.step, minute=message.minute,
                         counts=message.counts,
                     )
                 )  # fmt: skip
-            case plans.Warm():
-                word = Word(message.share, message.lacks, planner.now())
-                planner.readiness.told(message.fn, message.candidate, self.name, word)
-            case plans.Order():
+            case plans.ReplicaReport():
+                word = EdgeReport(message.share, message.lacks, planner.now())
+                planner.readiness.on_report(message.fn, message.candidate, self.name, word)
+            case plans.RolloutCommand():
                 self.order(message)
-            case plans.Ask():
+            case plans.StatusRequest():
                 self.say(planner.status())
 
-    def order(self, order: plans.Order) -> None:
+    def order(self, order: plans.RolloutCommand) -> None:
         """An operator's command."""
         reply = self.planner.add(
-            Command(
+            CommandEntry(
                 at=self.planner.now(), id=order.id, what=order.what, fn=order.fn, who=order.who,
                 why=order.why, candidate=order.candidate, steps=order.steps,
                 remembered=int(order.remembered * 10),
@@ -207,8 +207,14 @@
             return self.say(wire.Fault("not taken: another planner writes the journal", order.id))
         behind = [s.name for s in self.planner.edges if s.has < reply.number]
         self.say(
-            plans.Reply(
-                order.id, reply.outcome, reply.says, reply.state, reply.share, reply.number, sorted(behind)
+            plans.CommandReply(
+                order.id,
+                reply.outcome.value,
+                reply.says,
+                reply.state,
+                reply.share,
+                reply.number,
+                sorted(behind),
             )
         )
 
@@ -220,10 +226,10 @@
         """The connection is gone."""
         self.planner.edges.pop(self, None)
         if not any(speaker.name == self.name for speaker in self.planner.edges):
-            self.planner.readiness.gone(self.name)
+            self.planner.readiness.on_edge_gone(self.name)
 
 
-class Speakers(ServerFactory):
+class PlannerConnectionFactory(ServerFactory):
     """Makes the planner's end of each connection."""
 
     noisy = False
@@ -231,5 +237,5 @@
     def __init__(self, planner: Planner) -> None:
         self.planner = planner
 
-    def buildProtocol(self, addr: Any) -> PlannerSpeaker:
-        return PlannerSpeaker(self.planner)
+    def buildProtocol(self, addr: Any) -> PlannerConnection:
+        return PlannerConnection(self.planner)
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -13,12 +13,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lapistrestle.rollout.evidence import Findings, Tally
-from lapistrestle.rollout.life import NOTHING, REFUSED, Input, Rollout, State
-from lapistrestle.rollout.versions import Split
+from lapistrestle.rollout.evidence import OutcomeCounts, Verdict
+from lapistrestle.rollout.state_machine import CommandOutcome, Rollout, RolloutInput, RolloutState
+from lapistrestle.rollout.version_choice import TrafficSplit
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
-OVER = (State.SETTLED, State.WITHDRAWN)
+OVER = (RolloutState.SETTLED, RolloutState.WITHDRAWN)
 STEPS = (0.01, 0.05, 0.25, 1.0)  # shares of a candidate, unless a command names others
 REMEMBERED = 600_000  # tenths of a millisecond for which clients may still bring tokens of a version
 
@@ -29,7 +29,7 @@
     at: int
 
 
-class Command(Entry, tag="command"):
+class CommandEntry(Entry, tag="command"):
     """An operator's. `id` is the command's own: one that comes twice is answered as the first time."""
 
     id: Name
@@ -42,7 +42,7 @@
     remembered: int = REMEMBERED
 
 
-class Report(Entry, tag="report"):
+class OutcomeEntry(Entry, tag="report"):
     """An edge's running counts of one minute of one candidate's step; `start` differs at each of its
     starts."""
 
@@ -55,22 +55,22 @@
     counts: tuple[int, int, int, int]
 
 
-class Tick(Entry, tag="look"):
+class TickEntry(Entry, tag="look"):
     """Time has passed; `warm` names the functions whose next step's copies stand."""
 
     warm: tuple[str, ...] = ()
 
 
-AnyEntry = Command | Report | Tick
-ENTRY = msgspec.json.Decoder(AnyEntry)
-encode = msgspec.json.Encoder().encode
+AnyEntry = CommandEntry | OutcomeEntry | TickEntry
+ENTRY_DECODER = msgspec.json.Decoder(AnyEntry)
+encode_entry = msgspec.json.Encoder().encode
 
 
 @dataclass(frozen=True)
-class Reply:
+class CommandResult:
     """What a command came to."""
 
-    outcome: str
+    outcome: CommandOutcome
     says: str
     state: str
     share: float
@@ -85,10 +85,10 @@
     rollouts: dict[str, Rollout] = field(default_factory=dict)  # by function: the newest
     ended: list[Rollout] = field(default_factory=list)  # those before it
     settled: dict[str, str] = field(default_factory=dict)
-    replies: dict[str, Reply] = field(default_factory=dict)
+    replies: dict[str, CommandResult] = field(default_factory=dict)
     changed: dict[str, int] = field(default_factory=dict)  # by function: the entry that changed its split
 
-    def apply(self, number: int, entry: AnyEntry) -> Reply | None:
+    def apply(self, number: int, entry: AnyEntry) -> CommandResult | None:
         """Apply the entry of that number; returns a command's reply. Raises ValueError where it does not
         follow the last."""
         if number != self.number + 1:
@@ -97,14 +97,14 @@
         before = {fn: rollout.split() for fn, rollout in self.rollouts.items()}
         reply = None
         match entry:
-            case Command():
+            case CommandEntry():
                 reply = self.command(entry)
-            case Report():
+            case OutcomeEntry():
                 self.report(entry)
-            case Tick():
+            case TickEntry():
                 self.tick(entry)
         for fn, rollout in self.rollouts.items():
-            if rollout.state is State.SETTLED:
+            if rollout.state is RolloutState.SETTLED:
                 self.settled[fn] = rollout.candidate
             elif self.settled.get(fn) == rollout.candidate:
                 self.settled[fn] = rollout.settled  # it had settled, and was taken back
@@ -112,7 +112,7 @@
                 self.changed[fn] = number
         return reply
 
-    def command(self, command: Command) -> Reply:
+    def command(self, command: CommandEntry) -> CommandResult:
         """A command that comes twice is answered as the first time."""
         known = self.replies.get(command.id)
         if known is not None:
@@ -120,60 +120,71 @@
         outcome, says = self.start(command) if command.what == "start" else self.steer(command)
         rollout = self.rollouts.get(command.fn)
         state, share = (rollout.state.name.lower(), rollout.share) if rollout else ("none", 0.0)
-        reply = self.replies[command.id] = Reply(outcome, says, state, share, self.number)
+        reply = self.replies[command.id] = CommandResult(outcome, says, state, share, self.number)
         return reply
 
-    def start(self, command: Command) -> tuple[str, str]:
+    def start(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
         """Begin a rollout. Returns the outcome and what it says."""
         fn, candidate = command.fn, command.candidate
         running = self.rollouts.get(fn)
         if running is not None and running.state not in OVER:
-            if running.candidate == candidate and running.state is not State.WITHDRAWING:
-                return NOTHING, f"{candidate} is being rolled out already"
-            return REFUSED, f"{fn} has {running.candidate} {running.state.name.lower()}; take that back first"
+            if running.candidate == candidate and running.state is not RolloutState.WITHDRAWING:
+                return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
+            return (
+                CommandOutcome.REFUSED,
+                f"{fn} has {running.candidate} {running.state.name.lower()}; take that back first",
+            )
         steps = command.steps
         rising = all(a < b for a, b in pairwise(steps))
         if not steps or not rising or steps[0] <= 0 or steps[-1] != 1:
-            return REFUSED, f"steps are {list(steps)}; shares must rise from above 0 to 1"
+            return CommandOutcome.REFUSED, f"steps are {list(steps)}; shares must rise from above 0 to 1"
         settled = self.settled.get(fn, "")
         if not candidate or candidate == settled:
-            return NOTHING if candidate else REFUSED, f"{candidate or 'no version'} is what {fn} runs"
+            return (
+                CommandOutcome.NOTHING_TO_DO if candidate else CommandOutcome.REFUSED,
+                f"{candidate or 'no version'} is what {fn} runs",
+            )
         if running is not None and running.kept:
-            return REFUSED, f"{settled} settled lately, and clients may still come back to it; wait"
+            return (
+                CommandOutcome.REFUSED,
+                f"{settled} settled lately, and clients may still come back to it; wait",
+            )
         if running is not None:
             self.ended.append(running)
         made = self.rollouts[fn] = Rollout(fn, settled, candidate, steps, command.remembered)
-        outcome = made.tell(Input.START, command.at, command.who, command.why)
+        outcome = made.handle(RolloutInput.START, command.at, command.who, command.why)
         return outcome, f"{settled or 'none'} to {candidate}"
 
-    def steer(self, command: Command) -> tuple[str, str]:
+    def steer(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
         """Move the rollout under way. Returns the outcome and what it says."""
         rollout = self.rollouts.get(command.fn)
         if rollout is None:
-            return REFUSED, f"{command.fn} has no rollout"
+            return CommandOutcome.REFUSED, f"{command.fn} has no rollout"
         if command.candidate and command.candidate != rollout.candidate:
-            return REFUSED, f"{command.fn} has {rollout.candidate}, not {command.candidate}"
-        outcome = rollout.tell(Input[command.what.upper()], command.at, command.who, command.why)
+            return CommandOutcome.REFUSED, f"{command.fn} has {rollout.candidate}, not {command.candidate}"
+        outcome = rollout.handle(RolloutInput(command.what), command.at, command.who, command.why)
         if rollout.urged:
             return outcome, f"{rollout.candidate} goes to {rollout.next:.0%} within two seconds"
         return outcome, f"{rollout.candidate} is {rollout.state.name.lower()} at {rollout.share:.0%}"
 
-    def report(self, report: Report) -> None:
+    def report(self, report: OutcomeEntry) -> None:
         """Evidence of another step, or of a candidate that is gone, is none."""
         rollout = self.rollouts.get(report.fn)
         if rollout is not None and (rollout.candidate, rollout.step) == (report.candidate, report.step):
-            rollout.evidence.report(report.edge, report.start, report.minute, Tally(*report.counts))
+            rollout.evidence.add_report(
+                report.edge, report.start, report.minute, OutcomeCounts(*report.counts)
+            )
 
     def running(self) -> dict[str, Rollout]:
         """Those that the clock or the evidence may still move."""
         return {fn: r for fn, r in self.rollouts.items() if r.state not in OVER or r.kept}
 
-    def tick(self, tick: Tick) -> dict[str, Findings]:
+    def tick(self, tick: TickEntry) -> dict[str, Verdict]:
         """Let the clock and the evidence move what runs."""
-        return {fn: rollout.look(tick.at, fn in tick.warm) for fn, rollout in self.running().items()}
+        return {fn: rollout.evaluate(tick.at, fn in tick.warm) for fn, rollout in self.running().items()}
 
     # what edges are told
 
-    def plan(self, after: int = -1) -> dict[str, Split]:
+    def plan(self, after: int = -1) -> dict[str, TrafficSplit]:
         """Splits that changed after that number; all of them where none is known."""
         return {fn: r.split() for fn, r in self.rollouts.items() if self.changed.get(fn, 0) > after}
--- a/lapistrestle/rollout/evidence.py
+++ b/lapistrestle/rollout/evidence.py
@@ -9,11 +9,11 @@
 its hypothesis is true are at most p, however often it is looked at:
 
 - *harm*, against 'the candidate is no worse': given how many RPCs of a minute went badly, how many of them
-  were the candidate's, under odds of ODDS to 1 instead of 1 (Fisher's noncentral hypergeometric
+  were the candidate's, under odds of HARM_ODDS_RATIO to 1 instead of 1 (Fisher's noncentral hypergeometric
   distribution);
-- *good*, against 'the candidate goes badly MARGIN more often': the candidate's bad ones under the settled
-  version's rate of the same minutes instead of that rate and MARGIN. The rate is itself measured;
-  simulation holds the stated odds to account.
+- *good*, against 'the candidate goes badly MAX_ACCEPTED_EXCESS more often': the candidate's bad ones under
+  the settled version's rate of the same minutes instead of that rate and MAX_ACCEPTED_EXCESS. The rate is
+  itself measured; simulation holds the stated odds to account.
 """
 
 from dataclasses import dataclass, field
@@ -23,14 +23,14 @@
 
 from scipy.stats import nchypergeom_fisher
 
-ODDS = 2.5  # of going badly, at which harm is looked for
-MARGIN = 0.02  # share of RPCs going badly more often, that must be ruled out before a step grows
-WRONGLY_BACK = 0.01  # odds of turning back a candidate that is no worse
-WRONGLY_ON = 0.05  # odds of growing one that is worse by MARGIN, at each step
-LEAST = 50  # RPCs of each version in what a step is judged by
+HARM_ODDS_RATIO = 2.5  # of going badly, at which harm is looked for
+MAX_ACCEPTED_EXCESS = 0.02  # share of RPCs going badly more often, that must be ruled out before a step grows
+FALSE_ROLLBACK_PROBABILITY = 0.01  # odds of turning back a candidate that is no worse
+FALSE_ADVANCE_PROBABILITY = 0.05  # odds of growing one that is worse by MAX_ACCEPTED_EXCESS, at each step
+MIN_REQUESTS_PER_VERSION = 50  # RPCs of each version in what a step is judged by
 
 
-class Tally(NamedTuple):
+class OutcomeCounts(NamedTuple):
     """Running counts: RPCs of each version that ended, and those of them that went badly."""
 
     settled: int = 0
@@ -40,69 +40,71 @@
 
 
 @dataclass(frozen=True)
-class Findings:
+class Verdict:
     harm: float  # log of the martingale
     good: float
     settled: int
     candidate: int
 
     @property
-    def turn_back(self) -> bool:
-        return self.harm >= log(1 / WRONGLY_BACK)
+    def must_roll_back(self) -> bool:
+        return self.harm >= log(1 / FALSE_ROLLBACK_PROBABILITY)
 
     @property
-    def may_grow(self) -> bool:
-        enough = min(self.settled, self.candidate) >= LEAST
-        return enough and not self.turn_back and self.good >= log(1 / WRONGLY_ON)
+    def may_advance(self) -> bool:
+        enough = min(self.settled, self.candidate) >= MIN_REQUESTS_PER_VERSION
+        return enough and not self.must_roll_back and self.good >= log(1 / FALSE_ADVANCE_PROBABILITY)
 
 
 @dataclass
 class Evidence:
     """Of one step. `at` keys a report: edge, its start, and minute."""
 
-    reports: dict[tuple[str, str, int], Tally] = field(default_factory=dict)
+    reports: dict[tuple[str, str, int], OutcomeCounts] = field(default_factory=dict)
 
-    def report(self, edge: str, start: str, minute: int, tally: Tally) -> bool:
+    def add_report(self, edge: str, start: str, minute: int, tally: OutcomeCounts) -> bool:
         """Take a running count; False if it added nothing."""
         key = (edge, start, minute)
-        before = self.reports.get(key, Tally())
-        after = Tally(*map(max, before, tally))
+        before = self.reports.get(key, OutcomeCounts())
+        after = OutcomeCounts(*map(max, before, tally))
         self.reports[key] = after
         return after != before
 
-    def minutes(self) -> dict[int, Tally]:
-        made: dict[int, Tally] = {}
+    def totals_by_minute(self) -> dict[int, OutcomeCounts]:
+        made: dict[int, OutcomeCounts] = {}
         for (_, _, minute), tally in self.reports.items():
-            made[minute] = Tally(*(a + b for a, b in zip(made.get(minute, Tally()), tally, strict=True)))
+            made[minute] = OutcomeCounts(
+                *(a + b for a, b in zip(made.get(minute, OutcomeCounts()), tally, strict=True))
+            )
         return dict(sorted(made.items()))
 
-    def findings(self) -> Findings:
+    def verdict(self) -> Verdict:
         harm = good = 0.0
         settled = candidate = 0
-        for tally in self.minutes().values():
+        for tally in self.totals_by_minute().values():
             settled, candidate = settled + tally.settled, candidate + tally.candidate
-            harm += harm_of(tally)
-            good += good_of(tally)
-        return Findings(harm, good, settled, candidate)
+            harm += log_harm_ratio(tally)
+            good += log_safety_ratio(tally)
+        return Verdict(harm, good, settled, candidate)
 
 
 @lru_cache(maxsize=10_000)  # a minute that is over is asked for again at each look
-def harm_of(tally: Tally) -> float:
-    """Log of the likelihood ratio of a minute for odds of ODDS against 1."""
+def log_harm_ratio(tally: OutcomeCounts) -> float:
+    """Log of the likelihood ratio of a minute for odds of HARM_ODDS_RATIO against 1."""
     bad = tally.settled_bad + tally.candidate_bad
     every = tally.settled + tally.candidate
     if not bad or bad == every or not tally.settled or not tally.candidate:
         return 0.0
-    worse = nchypergeom_fisher.logpmf(tally.candidate_bad, every, tally.candidate, bad, ODDS)
+    worse = nchypergeom_fisher.logpmf(tally.candidate_bad, every, tally.candidate, bad, HARM_ODDS_RATIO)
     alike = nchypergeom_fisher.logpmf(tally.candidate_bad, every, tally.candidate, bad, 1.0)
     return float(worse - alike)
 
 
-def good_of(tally: Tally) -> float:
-    """Log of the likelihood ratio of a minute for the settled rate against that rate and MARGIN."""
+def log_safety_ratio(tally: OutcomeCounts) -> float:
+    """Log of the likelihood ratio of a minute for the settled rate against it and MAX_ACCEPTED_EXCESS."""
     if not tally.settled or not tally.candidate:
         return 0.0
     rate = (tally.settled_bad + 0.5) / (tally.settled + 1)
-    worse = min(0.999, rate + MARGIN)
+    worse = min(0.999, rate + MAX_ACCEPTED_EXCESS)
     fine = tally.candidate - tally.candidate_bad
     return tally.candidate_bad * log(rate / worse) + fine * log((1 - rate) / (1 - worse))
--- a/lapistrestle/rollout/lease.py
+++ b/lapistrestle/rollout/lease.py
@@ -13,24 +13,24 @@
 from dataclasses import dataclass
 from enum import Enum
 
-Mode = Enum("Mode", "USING OUT RETURNING")
-News = Enum("News", "FRESH STALE EXPIRED STEADY")
-LEASE = 8_000  # tenths of a millisecond: with a request on its way it stays under the second
-STEADY_FOR = 30_000  # beats must have come for so long before the share is used again
+LeaseState = Enum("LeaseState", "ACTIVE EXPIRED RECOVERING")
+LeaseEvent = Enum("LeaseEvent", "FRESH_HEARTBEAT STALE_HEARTBEAT LEASE_EXPIRED RECOVERY_COMPLETE")
+LEASE_DURATION = 8_000  # tenths of a millisecond: with a request on its way it stays under the second
+RECOVERY_PERIOD = 30_000  # beats must have come for so long before the share is used again
 
-MODES: dict[tuple[Mode, News], Mode] = {
-    (Mode.USING, News.FRESH): Mode.USING,
-    (Mode.USING, News.STALE): Mode.USING,
-    (Mode.USING, News.EXPIRED): Mode.OUT,
-    (Mode.USING, News.STEADY): Mode.USING,
-    (Mode.OUT, News.FRESH): Mode.RETURNING,
-    (Mode.OUT, News.STALE): Mode.OUT,
-    (Mode.OUT, News.EXPIRED): Mode.OUT,
-    (Mode.OUT, News.STEADY): Mode.OUT,
-    (Mode.RETURNING, News.FRESH): Mode.RETURNING,
-    (Mode.RETURNING, News.STALE): Mode.RETURNING,
-    (Mode.RETURNING, News.EXPIRED): Mode.OUT,
-    (Mode.RETURNING, News.STEADY): Mode.USING,
+LEASE_TRANSITIONS: dict[tuple[LeaseState, LeaseEvent], LeaseState] = {
+    (LeaseState.ACTIVE, LeaseEvent.FRESH_HEARTBEAT): LeaseState.ACTIVE,
+    (LeaseState.ACTIVE, LeaseEvent.STALE_HEARTBEAT): LeaseState.ACTIVE,
+    (LeaseState.ACTIVE, LeaseEvent.LEASE_EXPIRED): LeaseState.EXPIRED,
+    (LeaseState.ACTIVE, LeaseEvent.RECOVERY_COMPLETE): LeaseState.ACTIVE,
+    (LeaseState.EXPIRED, LeaseEvent.FRESH_HEARTBEAT): LeaseState.RECOVERING,
+    (LeaseState.EXPIRED, LeaseEvent.STALE_HEARTBEAT): LeaseState.EXPIRED,
+    (LeaseState.EXPIRED, LeaseEvent.LEASE_EXPIRED): LeaseState.EXPIRED,
+    (LeaseState.EXPIRED, LeaseEvent.RECOVERY_COMPLETE): LeaseState.EXPIRED,
+    (LeaseState.RECOVERING, LeaseEvent.FRESH_HEARTBEAT): LeaseState.RECOVERING,
+    (LeaseState.RECOVERING, LeaseEvent.STALE_HEARTBEAT): LeaseState.RECOVERING,
+    (LeaseState.RECOVERING, LeaseEvent.LEASE_EXPIRED): LeaseState.EXPIRED,
+    (LeaseState.RECOVERING, LeaseEvent.RECOVERY_COMPLETE): LeaseState.ACTIVE,
 }
 
 
@@ -38,28 +38,30 @@
 class Lease:
     """One edge's; times are of its own clock."""
 
-    mode: Mode = Mode.OUT
-    until: int = -1
-    since: int = 0  # when it began to return
+    state: LeaseState = LeaseState.EXPIRED
+    expires_at: int = -1
+    recovering_since: int = 0  # when it began to return
 
-    def beat(self, asked: int, now: int) -> None:
+    def on_heartbeat(self, asked: int, now: int) -> None:
         """The answer to a request of the time `asked`."""
-        self.check(now)
-        fresh = asked + LEASE > now
-        self.until = max(self.until, asked + LEASE)
-        before = self.mode
-        self.mode = MODES[self.mode, News.FRESH if fresh else News.STALE]
-        if before is Mode.OUT and self.mode is Mode.RETURNING:
-            self.since = now
+        self.update(now)
+        fresh = asked + LEASE_DURATION > now
+        self.expires_at = max(self.expires_at, asked + LEASE_DURATION)
+        before = self.state
+        self.state = LEASE_TRANSITIONS[
+            self.state, LeaseEvent.FRESH_HEARTBEAT if fresh else LeaseEvent.STALE_HEARTBEAT
+        ]
+        if before is LeaseState.EXPIRED and self.state is LeaseState.RECOVERING:
+            self.recovering_since = now
 
-    def check(self, now: int) -> None:
-        if now >= self.until:
-            self.mode = MODES[self.mode, News.EXPIRED]
-        elif self.mode is Mode.RETURNING and now - self.since >= STEADY_FOR:
-            self.mode = MODES[self.mode, News.STEADY]
+    def update(self, now: int) -> None:
+        if now >= self.expires_at:
+            self.state = LEASE_TRANSITIONS[self.state, LeaseEvent.LEASE_EXPIRED]
+        elif self.state is LeaseState.RECOVERING and now - self.recovering_since >= RECOVERY_PERIOD:
+            self.state = LEASE_TRANSITIONS[self.state, LeaseEvent.RECOVERY_COMPLETE]
 
-    def usable(self, now: int) -> bool:
+    def is_usable(self, now: int) -> bool:
         """Whether an unsettled share may be used at this moment; asked for each RPC, with the clock of now,
         so that an edge that stood still and wakes with an old plan sends nothing by it."""
-        self.check(now)
-        return self.mode is Mode.USING
+        self.update(now)
+        return self.state is LeaseState.ACTIVE
--- a/lapistrestle/rollout/routing.py
+++ b/lapistrestle/rollout/routing.py
@@ -3,17 +3,17 @@
 
 from dataclasses import dataclass, field, replace
 
-from lapistrestle.rollout.evidence import Tally
+from lapistrestle.rollout.evidence import OutcomeCounts
 from lapistrestle.rollout.lease import Lease
-from lapistrestle.rollout.versions import Course, Met, Split, course
+from lapistrestle.rollout.version_choice import EarlierVersion, TrafficSplit, VersionChoice, choose_version
 
 MINUTE = 600_000  # tenths of a millisecond
 KEPT = 3  # minutes whose counts are told again, in case they were lost
-PATIENCE = 20_000  # tenths of a millisecond in which an edge that knows no plan waits for its first
-REMEMBERED = 50_000  # tokened RPCs, twice; of one that is forgotten it is not known which version it met
+FIRST_PLAN_TIMEOUT = 20_000  # tenths of a millisecond in which an edge that knows no plan waits for its first
+MAX_REMEMBERED = 50_000  # tokened RPCs, twice; of one that is forgotten it is not known which version it met
 
 
-def named(fn: str, version: str) -> str:
+def versioned_name(fn: str, version: str) -> str:
     """A version is a function of its own to the module and to runners."""
     return f"{fn}@{version}" if version else fn
 
@@ -35,14 +35,16 @@
 
     epoch: int = -1
     number: int = -1
-    splits: dict[str, Split] = field(default_factory=dict)
+    splits: dict[str, TrafficSplit] = field(default_factory=dict)
     lease: Lease = field(default_factory=Lease)
     barred_names: set[str] = field(default_factory=set)
-    counts: dict[tuple[str, str, int, int], Tally] = field(default_factory=dict)
-    met: dict[tuple[str, str], str] = field(default_factory=dict)  # function and key: the version
-    met_before: dict[tuple[str, str], str] = field(default_factory=dict)
+    counts: dict[tuple[str, str, int, int], OutcomeCounts] = field(default_factory=dict)
+    sent_versions: dict[tuple[str, str], str] = field(default_factory=dict)  # function and key: the version
+    earlier_sent_versions: dict[tuple[str, str], str] = field(default_factory=dict)
 
-    def told(self, epoch: int, number: int, whole: bool, splits: list[Split]) -> list[str] | None:
+    def apply_plan(
+        self, epoch: int, number: int, whole: bool, splits: list[TrafficSplit]
+    ) -> list[str] | None:
         """A plan came; names that it bars anew, or None if an older planner sent it or it is out of order."""
         if epoch < self.epoch or (epoch == self.epoch and number < self.number):
             return None
@@ -53,59 +55,59 @@
         self.epoch, self.number = epoch, number
         self.splits |= {split.fn: split for split in splits}
         before, held = self.barred_names, self.splits.values()
-        gone = {named(s.fn, s.candidate) for s in held if s.candidate and s.withdrawn}
-        used = {named(s.fn, s.settled) for s in held}
-        used |= {named(s.fn, s.candidate) for s in held if s.candidate and not s.withdrawn}
+        gone = {versioned_name(s.fn, s.candidate) for s in held if s.candidate and s.withdrawn}
+        used = {versioned_name(s.fn, s.settled) for s in held}
+        used |= {versioned_name(s.fn, s.candidate) for s in held if s.candidate and not s.withdrawn}
         # what was withdrawn stays barred when the planner forgets it: the module may still hold copies of it
         self.barred_names = (before | gone) - used
         return sorted(self.barred_names - before)
 
-    def recall(self, epoch: int, number: int, splits: list[Split], barred: list[str]) -> None:
+    def restore_plan(self, epoch: int, number: int, splits: list[TrafficSplit], barred: list[str]) -> None:
         """Go on from a plan that was kept over a restart. There is no lease on it, so its unsettled shares
         are not used; what it bars stays barred, and no older planner is heeded."""
-        self.told(epoch, number, True, splits)
+        self.apply_plan(epoch, number, True, splits)
         self.barred_names |= set(barred)
 
-    def unplanned(self, age: int) -> bool:
+    def awaits_first_plan(self, age: int) -> bool:
         """Whether it is too early to say what version runs: an edge that just started would send to the one
         before all rollouts. After that it serves: better than nothing, if the planner stays away."""
-        return self.number < 0 and age < PATIENCE
+        return self.number < 0 and age < FIRST_PLAN_TIMEOUT
 
     def route(self, fn: str, key: str, kind: str, repeat: bool, now: int, tokens_span: bool = False) -> Route:
         split = self.splits.get(fn)
         if split is None:
             return Route(fn)
         if not split.candidate:
-            return Route(named(fn, split.settled))
-        usable = split.done or self.lease.usable(now)
+            return Route(versioned_name(fn, split.settled))
+        usable = split.done or self.lease.is_usable(now)
         # without a lease a newer plan may have let any key meet the candidate at another edge
         held = split if usable else replace(split, share=0.0, peak=1.0)
         tokened = kind == "tokened"
-        met = self.met_by(split, key) if tokened and repeat else Met.UNKNOWN
-        match course(held, key, kind, repeat, tokens_span, met):
-            case Course.ABORT:
+        met = self.earlier_version(split, key) if tokened and repeat else EarlierVersion.UNKNOWN
+        match choose_version(held, key, kind, repeat, tokens_span, met):
+            case VersionChoice.ABORT:
                 return Route("")
-            case Course.CANDIDATE:
+            case VersionChoice.CANDIDATE:
                 version, new = split.candidate, True
-            case Course.SETTLED:
+            case VersionChoice.SETTLED:
                 version, new = split.settled, False
         if tokened:
-            self.remember(fn, key, version)
+            self.remember_version(fn, key, version)
         counts = usable and not split.withdrawn and not split.done
-        return Route(named(fn, version), fn, split.candidate if counts else "", split.step, new)
+        return Route(versioned_name(fn, version), fn, split.candidate if counts else "", split.step, new)
 
-    def remember(self, fn: str, key: str, version: str) -> None:
+    def remember_version(self, fn: str, key: str, version: str) -> None:
         """Where this tokened RPC is sent, for when its client comes back."""
-        if len(self.met) >= REMEMBERED:
-            self.met_before, self.met = self.met, {}
-        self.met[fn, key] = version
+        if len(self.sent_versions) >= MAX_REMEMBERED:
+            self.earlier_sent_versions, self.sent_versions = self.sent_versions, {}
+        self.sent_versions[fn, key] = version
 
-    def met_by(self, split: Split, key: str) -> Met:
-        version = self.met.get((split.fn, key), self.met_before.get((split.fn, key)))
-        known = {split.settled: Met.SETTLED, split.candidate: Met.CANDIDATE}
-        return known.get(version, Met.UNKNOWN) if version is not None else Met.UNKNOWN
+    def earlier_version(self, split: TrafficSplit, key: str) -> EarlierVersion:
+        version = self.sent_versions.get((split.fn, key), self.earlier_sent_versions.get((split.fn, key)))
+        known = {split.settled: EarlierVersion.SETTLED, split.candidate: EarlierVersion.CANDIDATE}
+        return known.get(version, EarlierVersion.UNKNOWN) if version is not None else EarlierVersion.UNKNOWN
 
-    def barred(self, name: str, now: int) -> bool:
+    def is_barred(self, name: str, now: int) -> bool:
         """Whether nothing new may go to this version now: withdrawn, or unsettled and without a lease."""
         if name in self.barred_names:
             return True
@@ -113,26 +115,28 @@
         split = self.splits.get(fn)
         if split is None or not version or split.candidate != version or split.done:
             return False
-        return not self.lease.usable(now)
+        return not self.lease.is_usable(now)
 
-    def moved(self, name: str, key: str) -> Route:
+    def reroute(self, name: str, key: str) -> Route:
         """Where an RPC of a barred version goes instead, and is remembered to have gone."""
         fn = name.rpartition("@")[0]
         split = self.splits.get(fn)
         if split is None:
             return Route(fn)  # as where no plan names it
-        self.remember(fn, key, split.settled)
-        return Route(named(fn, split.settled))
+        self.remember_version(fn, key, split.settled)
+        return Route(versioned_name(fn, split.settled))
 
-    def note(self, route: Route, bad: bool, now: int) -> None:
+    def count_outcome(self, route: Route, bad: bool, now: int) -> None:
         """An RPC of this route has ended."""
         if not route.candidate:
             return
         key = (route.fn, route.candidate, route.step, now // MINUTE)
         one = (0, 0, 1, int(bad)) if route.new else (1, int(bad), 0, 0)
-        self.counts[key] = Tally(*(a + b for a, b in zip(self.counts.get(key, Tally()), one, strict=True)))
+        self.counts[key] = OutcomeCounts(
+            *(a + b for a, b in zip(self.counts.get(key, OutcomeCounts()), one, strict=True))
+        )
 
-    def tell(self, now: int) -> list[tuple[str, str, int, int, Tally]]:
+    def recent_counts(self, now: int) -> list[tuple[str, str, int, int, OutcomeCounts]]:
         """Running counts of the last minutes; older ones are dropped."""
         self.counts = {key: t for key, t in self.counts.items() if key[3] > now // MINUTE - KEPT}
         return [(*key, tally) for key, tally in self.counts.items()]
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -28,9 +28,9 @@
 
     def heard(self, message: Any) -> None:
         match message:
-            case plans.Reply():
+            case plans.CommandReply():
                 self.operator.replied(message)
-            case plans.Status():
+            case plans.PlannerStatus():
                 self.operator.told(message)
 
     def lost(self) -> None:
@@ -44,9 +44,9 @@
 
     def __init__(self, reactor: Any, port: Any, tape: Tape) -> None:
         self.reactor, self.port, self.tape = reactor, port, tape
-        self.open: dict[str, plans.Order] = {}
+        self.open: dict[str, plans.RolloutCommand] = {}
         self.up: OperatorSpeaker | None = None
-        self.replies: list[plans.Reply] = []
+        self.replies: list[plans.CommandReply] = []
         self.shares: dict[str, float] = {}  # by version
         self.seen = 0.0  # when the planner told last how things stand, in seconds
         self.dial()
@@ -70,10 +70,10 @@
 
     def ask(self) -> None:
         if self.up is not None:
-            self.up.say(plans.Ask())
+            self.up.say(plans.StatusRequest())
         self.reactor.callLater(ASK, self.ask)
 
-    def told(self, status: plans.Status) -> None:
+    def told(self, status: plans.PlannerStatus) -> None:
         """A share that changed did so since the status before this one."""
         for one in status.rollouts:
             version = f"{one.fn}@{one.candidate}"
@@ -83,12 +83,12 @@
                 self.tape.put("planner", "share", version=version, share=one.share, since=since)
         self.seen = self.reactor.seconds()
 
-    def give(self, order: plans.Order) -> None:
+    def give(self, order: plans.RolloutCommand) -> None:
         self.open[order.id] = order
         if self.up is not None:
             self.up.say(order)
 
-    def replied(self, reply: plans.Reply) -> None:
+    def replied(self, reply: plans.CommandReply) -> None:
         """It is accepted from now on; the tape says so, for the checker."""
         order = self.open.pop(reply.id, None)
         if order is None:
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -10,7 +10,7 @@
 from lapistrestle.deployment.load import Wrong
 from lapistrestle.deployment.shape import Deployment, HolderDeployment
 from lapistrestle.edge.program import Edge
-from lapistrestle.planner.program import Planner
+from lapistrestle.planner.server import Planner
 from lapistrestle.standins.children import Child, free_tcp_ports
 from lapistrestle.standins.script import Day, plain
 from lapistrestle.standins.troubles.kinds import schedule
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -22,7 +22,7 @@
 from lapistrestle.standins.store import Store, StoreFacts
 from lapistrestle.standins.tape import Tape
 from lapistrestle.wire.messages import Entry
-from lapistrestle.wire.plans import Order
+from lapistrestle.wire.plans import RolloutCommand
 
 SECOND = 10_000
 FLEET = 46_000  # ports of edges among themselves, in virtual time
@@ -146,7 +146,7 @@
             orders += [(when / SECOND, "advance") for when in version.advance]
             steps = tuple(step / 100 for step in version.steps)
             for when, what in orders:
-                order = Order(
+                order = RolloutCommand(
                     f"{what} {name} at {when}", what, version.fn, "script", "", version.candidate, steps,
                     version.remembered / 10,
                 )  # fmt: skip
--- a/lapistrestle/store/files.py
+++ b/lapistrestle/store/atomic_files.py
@@ -9,7 +9,7 @@
 T = TypeVar("T")
 
 
-def take(path: Path, decoder: msgspec.json.Decoder[T]) -> T:
+def read_atomic(path: Path, decoder: msgspec.json.Decoder[T]) -> T:
     """The file's value. Raises OSError, or ValueError with the file's name where it does not fit."""
     try:
         return decoder.decode(path.read_bytes())
@@ -17,7 +17,7 @@
         raise ValueError(f"{path}: {trouble}") from None
 
 
-def put(path: Path, data: bytes) -> None:
+def write_atomic(path: Path, data: bytes) -> None:
     """The file's new content, whole or not at all. Raises OSError."""
     beside = path.with_name(path.name + ".new")
     with beside.open("wb") as file:
--- a/lapistrestle/store/journal.py
+++ b/lapistrestle/store/journal.py
@@ -14,11 +14,11 @@
 """
 
 
-class Outdated(Exception):
+class StaleEpochError(Exception):
     """A newer writer has opened the journal; this one must stop."""
 
 
-class Unreadable(Exception):
+class JournalError(Exception):
     """The file is no journal, or its disk fails; the text names it."""
 
 
@@ -34,17 +34,17 @@
             self.database.executescript(SCHEMA)
             self.epoch = int(self.database.execute("insert into epochs default values").lastrowid or 0)
         except sqlite3.Error as trouble:
-            raise Unreadable(f"{path}: {trouble}") from None
+            raise JournalError(f"{path}: {trouble}") from None
 
     def append(self, entries: Sequence[bytes]) -> int:
-        """All of these or none; the number of the last. Raises Outdated or Unreadable."""
+        """All of these or none; the number of the last. Raises StaleEpochError or JournalError."""
         database = self.database
         try:
             database.execute("begin immediate")
             try:
                 newest = self.newest_epoch()
                 if newest != self.epoch:
-                    raise Outdated(f"{self.path}: epoch {newest} writes here now, not {self.epoch}")
+                    raise StaleEpochError(f"{self.path}: epoch {newest} writes here now, not {self.epoch}")
                 (last,) = database.execute("select coalesce(max(number), 0) from entries").fetchone()
                 rows = [(last + i, self.epoch, entry) for i, entry in enumerate(entries, 1)]
                 database.executemany("insert into entries values (?, ?, ?)", rows)
@@ -53,7 +53,7 @@
                 database.execute("rollback")
                 raise
         except sqlite3.Error as trouble:
-            raise Unreadable(f"{self.path}: {trouble}") from None
+            raise JournalError(f"{self.path}: {trouble}") from None
         return int(last) + len(entries)
 
     def newest(self) -> bool:
--- a/lapistrestle/store/plans.py
+++ b/lapistrestle/store/persisted_plan.py
@@ -4,36 +4,36 @@
 
 import msgspec
 
-from lapistrestle.store import files
-from lapistrestle.wire.plans import Share
+from lapistrestle.store.atomic_files import read_atomic, write_atomic
+from lapistrestle.wire.plans import SplitMessage
 
 
-class Kept(msgspec.Struct):
+class PersistedPlan(msgspec.Struct):
     """What an edge goes on from when it starts and no planner answers."""
 
     epoch: int
     number: int
-    shares: list[Share]
+    shares: list[SplitMessage]
     barred: list[str] = []  # versions that were withdrawn, also those whose rollout is over
 
 
-READ = msgspec.json.Decoder(Kept)
+READ = msgspec.json.Decoder(PersistedPlan)
 
 
-class PlanFile:
+class PersistedPlanFile:
     """One edge's. A write goes to a file beside it, is flushed, and takes its place."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
-    def read(self) -> Kept | None:
+    def read(self) -> PersistedPlan | None:
         """None where there is none. Raises OSError or ValueError, with the file's name, where it can't be
         read."""
         try:
-            return files.take(self.path, READ)
+            return read_atomic(self.path, READ)
         except FileNotFoundError:
             return None
 
-    def write(self, kept: Kept) -> None:
+    def write(self, kept: PersistedPlan) -> None:
         """Raises OSError; what was there before then still is."""
-        files.put(self.path, msgspec.json.encode(kept))
+        write_atomic(self.path, msgspec.json.encode(kept))
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -5,13 +5,13 @@
 
 from msgspec import Meta, Struct, convert, field
 
-from lapistrestle.rollout.versions import Split
+from lapistrestle.rollout.version_choice import TrafficSplit
 from lapistrestle.wire.messages import Bye, Fault, Hello, Message, Name, Number
 
 PLANNER = "lapistrestle.planner"
 
 
-class Share(Struct, omit_defaults=True, gc=False):
+class SplitMessage(Struct, omit_defaults=True, gc=False):
     """One function's versions: this share of the keys goes to the candidate, the rest to the settled one.
 
     `peak`: keys below it may have met the candidate; `next`: the share to load copies for; `done`: the
@@ -29,13 +29,13 @@
     done: bool = False
 
 
-def shown(split: Split) -> Share:
+def to_message(split: TrafficSplit) -> SplitMessage:
     """A split as it crosses the wire: the same names."""
-    return convert(split, Share, from_attributes=True)
+    return convert(split, SplitMessage, from_attributes=True)
 
 
-def split_of(share: Share) -> Split:
-    return convert(share, Split, from_attributes=True)
+def to_split(share: SplitMessage) -> TrafficSplit:
+    return convert(share, TrafficSplit, from_attributes=True)
 
 
 class Plan(Message, tag="plan"):
@@ -43,11 +43,11 @@
 
     number: Number
     epoch: Number
-    shares: list[Share]
+    shares: list[SplitMessage]
     whole: bool = False
 
 
-class Beat(Message, tag="beat"):
+class Heartbeat(Message, tag="beat"):
     """An edge asks, with a moment of its own clock and the plan it has; the planner answers with that
     moment."""
 
@@ -55,7 +55,7 @@
     has: int = -1
 
 
-class Counts(Message, tag="counts"):
+class OutcomeReport(Message, tag="counts"):
     """An edge's running counts of a minute: settled, bad of them, candidate, bad of them."""
 
     fn: Name
@@ -65,7 +65,7 @@
     counts: tuple[Number, Number, Number, Number]
 
 
-class Warm(Message, tag="warm"):
+class ReplicaReport(Message, tag="warm"):
     """The share that the copies of both versions stand for as far as this edge can tell, and what is missing
     for more; each second."""
 
@@ -75,7 +75,7 @@
     lacks: str = ""
 
 
-class Order(Message, tag="order"):
+class RolloutCommand(Message, tag="order"):
     """An operator's command; one `id` is answered once and for all."""
 
     id: Name
@@ -88,7 +88,7 @@
     remembered: Annotated[float, Meta(ge=0, le=86_400_000)] = 60_000.0
 
 
-class Reply(Message, tag="reply"):
+class CommandReply(Message, tag="reply"):
     """What an order came to; it is on disk when this is said. `behind`: edges that do not go by it yet."""
 
     id: Name
@@ -100,7 +100,7 @@
     behind: list[str] = field(default_factory=list)
 
 
-class Ask(Message, tag="ask"):
+class StatusRequest(Message, tag="ask"):
     """An operator asks how things stand."""
 
 
@@ -119,12 +119,12 @@
     waits: dict[str, str] = field(default_factory=dict)  # edges without copies for the next share, and why
 
 
-class Status(Message, tag="status"):
+class PlannerStatus(Message, tag="status"):
     number: Number
     epoch: Number
     rollouts: list[RolloutStatus]
     edges: dict[str, int]  # the plan that each edge has
 
 
-FromPlanner = Hello | Plan | Beat | Reply | Status | Fault | Bye
-ToPlanner = Hello | Beat | Counts | Warm | Order | Ask | Bye
+FromPlanner = Hello | Plan | Heartbeat | CommandReply | PlannerStatus | Fault | Bye
+ToPlanner = Hello | Heartbeat | OutcomeReport | ReplicaReport | RolloutCommand | StatusRequest | Bye
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -9,7 +9,7 @@
 from test_rollout_days import script as rollout_script
 
 from lapistrestle.checks.service import serve
-from lapistrestle.rollout.life import State
+from lapistrestle.rollout.state_machine import RolloutState
 from lapistrestle.wire import messages as wire
 
 HOLDERS = ("holder_stall", "holder_kill", "directory_cut")
@@ -154,7 +154,7 @@
 
 def test_a_version_is_loaded_first_and_settles_where_its_prefix_was_looked_up(tmp_path):
     played = Rolled(with_directory(rollout_script(length="80 s")), tmp_path / "j")
-    assert played.breaches() == [] and played.rollout.state is State.SETTLED
+    assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.fn == NAME]
     assert orders and min(orders) < min(run.at for run in played.runs())
     ok = sum(c.answers[0][2].verdict == "ok" for c in played.story.calls if c.answers)
@@ -167,4 +167,4 @@
     played = Rolled(with_directory(rollout_script(troubles, length="16 s")), tmp_path / "j")
     assert played.breaches() == []
     assert not [given for _, _, _, given, _ in played.rollout.history if given == "bad"]
-    assert played.rollout.state not in (State.WITHDRAWING, State.WITHDRAWN)
+    assert played.rollout.state not in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -7,7 +7,7 @@
 from lapistrestle.deployment.load import Wrong, shaped
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.keeping import Keeping
-from lapistrestle.store import learnt
+from lapistrestle.store import learned_state
 
 
 @pytest.fixture
@@ -22,7 +22,7 @@
 
 def book(stage, **changed):
     return {
-        name: learnt.Learnt(changed.get("soft", m["soft_deadline"]), m["deadline"], 900.0, 40.0)
+        name: learned_state.LearnedMethod(changed.get("soft", m["soft_deadline"]), m["deadline"], 900.0, 40.0)
         for name, m in zip(stage.edge.methods, stage.edge.facts["methods"], strict=True)
     }
 
@@ -32,7 +32,7 @@
 
 
 def test_the_first_seconds_after_a_switch_know_what_a_usual_rpc_takes(stage, path):
-    learnt.write(path, book(stage))
+    learned_state.write_learned_state(path, book(stage))
     module = stage.edge.host.module
     before = module.weight(0)
     Keeping(stage.edge, str(path))
@@ -53,7 +53,7 @@
 
 
 def test_a_method_with_other_deadlines_starts_afresh(stage, path):
-    learnt.write(path, book(stage, soft=1))
+    learned_state.write_learned_state(path, book(stage, soft=1))
     before = stage.edge.host.module.weight(0)
     Keeping(stage.edge, str(path))
     assert stage.edge.host.module.weight(0) == before and said(stage)[1]["carried"] == []
@@ -82,7 +82,7 @@
     aside = path.with_name("edge.learnt.unread")
     assert aside.read_bytes() == data if data is not None else not aside.exists()
     keeping.write()
-    assert set(learnt.read(path)) == set(stage.edge.methods)
+    assert set(learned_state.read_learned_state(path)) == set(stage.edge.methods)
 
 
 def test_a_disk_that_fails_never_stops_the_edge(stage, tmp_path):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,29 +9,42 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from lapistrestle.rollout.evidence import Evidence, Findings, Tally, good_of, harm_of
-from lapistrestle.rollout.lease import LEASE, MODES, STEADY_FOR, Lease, Mode, News
-from lapistrestle.rollout.life import DONE, LIFE, NOTHING, REFUSED, Input, Rollout, State
-from lapistrestle.rollout.routing import PATIENCE, REMEMBERED, Routing
-from lapistrestle.rollout.versions import (
-    REPEATS,
-    Course,
-    Met,
-    Split,
-    after_denial,
-    course,
-    key_of,
-    point,
+from lapistrestle.rollout.evidence import Evidence, OutcomeCounts, Verdict, log_harm_ratio, log_safety_ratio
+from lapistrestle.rollout.lease import (
+    LEASE_DURATION,
+    LEASE_TRANSITIONS,
+    RECOVERY_PERIOD,
+    Lease,
+    LeaseEvent,
+    LeaseState,
+)
+from lapistrestle.rollout.routing import FIRST_PLAN_TIMEOUT, MAX_REMEMBERED, Routing
+from lapistrestle.rollout.state_machine import (
+    TRANSITIONS,
+    CommandOutcome,
+    Rollout,
+    RolloutInput,
+    RolloutState,
+)
+from lapistrestle.rollout.version_choice import (
+    REPEATED_ATTEMPT_CHOICES,
+    EarlierVersion,
+    TrafficSplit,
+    VersionChoice,
+    attempt_key,
+    choose_after_denial,
+    choose_version,
+    hash_position,
 )
 
-SPLIT = Split("f", "v1", "v2", share=0.3, peak=0.3)
+SPLIT = TrafficSplit("f", "v1", "v2", share=0.3, peak=0.3)
 S = 10_000
 KEYS = [f"k{n}" for n in range(4_000)]
 
 
 def taken(split, **more):
     asked = {"kind": "idempotent", "repeat": False, "tokens_span": False} | more
-    return {key for key in KEYS if course(split, key, **asked) is Course.CANDIDATE}
+    return {key for key in KEYS if choose_version(split, key, **asked) is VersionChoice.CANDIDATE}
 
 
 def test_a_growing_share_only_adds_keys_and_is_what_it_says():
@@ -46,57 +59,67 @@
 
 
 def test_a_further_try_has_the_key_of_the_first():
-    assert key_of("a", 7, "c1/1") == key_of("a", 7, "c9/5")
-    assert key_of("", 7, "c1/1") == key_of("", 7, "c9/5") != key_of("7", None, "")
-    assert key_of("", None, "c1/1") != key_of("", None, "c1/2")
+    assert attempt_key("a", 7, "c1/1") == attempt_key("a", 7, "c9/5")
+    assert attempt_key("", 7, "c1/1") == attempt_key("", 7, "c9/5") != attempt_key("7", None, "")
+    assert attempt_key("", None, "c1/1") != attempt_key("", None, "c1/2")
 
 
 @pytest.mark.parametrize(
     ("kind", "repeat", "tokens_span", "expected"),
     [
-        ("idempotent", True, False, Course.SETTLED), ("tokened", False, False, Course.SETTLED),
-        ("tokened", True, False, Course.ABORT), ("tokened", True, True, Course.SETTLED),
-        ("side-effecting", True, False, Course.SETTLED),
+        ("idempotent", True, False, VersionChoice.SETTLED), ("tokened", False, False, VersionChoice.SETTLED),
+        ("tokened", True, False, VersionChoice.ABORT), ("tokened", True, True, VersionChoice.SETTLED),
+        ("side-effecting", True, False, VersionChoice.SETTLED),
     ],
 )  # fmt: skip
 def test_what_may_have_run_on_a_withdrawn_version_is_not_new(kind, repeat, tokens_span, expected):
     back = replace(SPLIT, share=0.0, withdrawn=True)
-    met = [key for key in KEYS if point("f", "v2", key) < 0.3]
-    others = [key for key in KEYS if point("f", "v2", key) >= 0.3]
-    assert {course(back, key, kind, repeat, tokens_span) for key in met} == {expected}
-    assert {course(back, key, kind, repeat, tokens_span) for key in others} == {Course.SETTLED}
+    met = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
+    others = [key for key in KEYS if hash_position("f", "v2", key) >= 0.3]
+    assert {choose_version(back, key, kind, repeat, tokens_span) for key in met} == {expected}
+    assert {choose_version(back, key, kind, repeat, tokens_span) for key in others} == {VersionChoice.SETTLED}
 
 
-def test_a_tokened_one_that_comes_back_meets_only_what_it_met_before():
+def test_a_tokened_one_that_comes_back_meets_only_what_it_earlier_sent_versions():
     """Also where the share has grown since, or the first try went to another edge."""
     grown = replace(SPLIT, share=0.3, peak=0.6)
 
-    def courses(met):
+    def choices(met):
         made = {}
         for low, high in ((0.0, 0.3), (0.3, 0.6), (0.6, 1.0)):
-            keys = [key for key in KEYS if low <= point("f", "v2", key) < high]
-            (made[low],) = {course(grown, key, "tokened", True, False, met) for key in keys}
+            keys = [key for key in KEYS if low <= hash_position("f", "v2", key) < high]
+            (made[low],) = {choose_version(grown, key, "tokened", True, False, met) for key in keys}
         return list(made.values())
 
-    assert courses(Met.SETTLED) == [Course.SETTLED] * 3
-    assert courses(Met.CANDIDATE) == [Course.CANDIDATE, Course.ABORT, Course.ABORT]
-    assert courses(Met.UNKNOWN) == [Course.ABORT, Course.ABORT, Course.SETTLED]
-    assert set(REPEATS) == {(w, b, m) for w, b in ((True, True), (False, True), (False, False)) for m in Met}
+    assert choices(EarlierVersion.SETTLED) == [VersionChoice.SETTLED] * 3
+    assert choices(EarlierVersion.CANDIDATE) == [
+        VersionChoice.CANDIDATE,
+        VersionChoice.ABORT,
+        VersionChoice.ABORT,
+    ]
+    assert choices(EarlierVersion.UNKNOWN) == [
+        VersionChoice.ABORT,
+        VersionChoice.ABORT,
+        VersionChoice.SETTLED,
+    ]
+    assert set(REPEATED_ATTEMPT_CHOICES) == {
+        (w, b, m) for w, b in ((True, True), (False, True), (False, False)) for m in EarlierVersion
+    }
 
 
 @pytest.mark.parametrize("may_have_run", [False, True])
 @pytest.mark.parametrize("span", [False, True])
 def test_a_denial_moves_only_what_harms_nobody_elsewhere(may_have_run, span):
-    expected = Course.ABORT if may_have_run and not span else Course.SETTLED
-    assert after_denial("tokened", may_have_run, span) is expected
-    assert after_denial("idempotent", may_have_run, span) is Course.SETTLED
-    assert after_denial("side-effecting", False, span) is Course.SETTLED
+    expected = VersionChoice.ABORT if may_have_run and not span else VersionChoice.SETTLED
+    assert choose_after_denial("tokened", may_have_run, span) is expected
+    assert choose_after_denial("idempotent", may_have_run, span) is VersionChoice.SETTLED
+    assert choose_after_denial("side-effecting", False, span) is VersionChoice.SETTLED
 
 
 def test_an_edge_without_a_lease_knows_no_peak():
     routing = Routing()
-    routing.told(1, 1, True, [replace(SPLIT, share=0.0, peak=0.01)])
-    keys = [key for key in KEYS if point("f", "v2", key) > 0.5][:50]
+    routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.0, peak=0.01)])
+    keys = [key for key in KEYS if hash_position("f", "v2", key) > 0.5][:50]
     assert {routing.route("f", key, "tokened", True, 0).name for key in keys} == {""}
     first = {routing.route("f", key, "tokened", False, 0).name for key in keys}
     again = {routing.route("f", key, "tokened", True, 0).name for key in keys}
@@ -106,10 +129,10 @@
 def test_an_edge_knows_where_it_sent_what_comes_back():
     routing = Routing()
     beats(routing.lease, 0, 40_001)
-    routing.told(1, 1, True, [replace(SPLIT, share=0.1, peak=0.3)])
-    keys = [key for key in KEYS if point("f", "v2", key) < 0.3]
+    routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.1, peak=0.3)])
+    keys = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
     first = {key: routing.route("f", key, "tokened", False, 40_100).name for key in keys}
-    routing.told(1, 2, False, [replace(SPLIT, share=0.3, peak=1.0)])
+    routing.apply_plan(1, 2, False, [replace(SPLIT, share=0.3, peak=1.0)])
     again = {key: routing.route("f", key, "tokened", True, 40_100).name for key in keys}
     assert first == again and set(first.values()) == {"f@v1", "f@v2"}
     assert {routing.route("f", key, "idempotent", True, 40_100).name for key in keys} == {"f@v2"}
@@ -117,60 +140,62 @@
 
 def test_what_an_edge_remembers_has_a_bound():
     routing = Routing()
-    for number in range(3 * REMEMBERED):
-        routing.remember("f", str(number), "v1")
-    assert len(routing.met) + len(routing.met_before) <= 2 * REMEMBERED
-    assert routing.met_by(SPLIT, str(3 * REMEMBERED - 1)) is Met.SETTLED
-    assert routing.met_by(SPLIT, "0") is Met.UNKNOWN
+    for number in range(3 * MAX_REMEMBERED):
+        routing.remember_version("f", str(number), "v1")
+    assert len(routing.sent_versions) + len(routing.earlier_sent_versions) <= 2 * MAX_REMEMBERED
+    assert routing.earlier_version(SPLIT, str(3 * MAX_REMEMBERED - 1)) is EarlierVersion.SETTLED
+    assert routing.earlier_version(SPLIT, "0") is EarlierVersion.UNKNOWN
 
 
 def test_what_was_withdrawn_stays_barred_until_a_plan_names_it_again():
     """The planner forgets it, and the module's own holds would load it anew."""
     routing = Routing()
-    assert routing.told(1, 1, True, [replace(SPLIT, share=0.0, withdrawn=True)]) == ["f@v2"]
-    assert routing.told(1, 2, False, [Split("f", "v1")]) == [] and routing.barred("f@v2", 0)
-    routing.told(1, 3, False, [Split("f", "v1", "v3", 0.1, 0.1)])
-    assert routing.barred("f@v2", 0)
+    assert routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.0, withdrawn=True)]) == ["f@v2"]
+    assert routing.apply_plan(1, 2, False, [TrafficSplit("f", "v1")]) == [] and routing.is_barred("f@v2", 0)
+    routing.apply_plan(1, 3, False, [TrafficSplit("f", "v1", "v3", 0.1, 0.1)])
+    assert routing.is_barred("f@v2", 0)
     beats(routing.lease, 0, 40_001)
-    routing.told(1, 4, False, [replace(SPLIT, share=0.1)])
-    assert not routing.barred("f@v2", 40_001)
+    routing.apply_plan(1, 4, False, [replace(SPLIT, share=0.1)])
+    assert not routing.is_barred("f@v2", 40_001)
 
 
 def test_a_moved_one_goes_to_the_settled_version_and_comes_back_there():
     routing = Routing()
-    routing.told(1, 1, True, [replace(SPLIT, share=0.0, peak=1.0, withdrawn=True)])
-    assert routing.moved("f@v2", "k1").name == "f@v1"
+    routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.0, peak=1.0, withdrawn=True)])
+    assert routing.reroute("f@v2", "k1").name == "f@v1"
     assert routing.route("f", "k1", "tokened", True, 0).name == "f@v1"
     assert routing.route("f", "k2", "tokened", True, 0).name == ""
-    assert routing.moved("h@v9", "k1").name == "h"  # never to the barred version itself
+    assert routing.reroute("h@v9", "k1").name == "h"  # never to the barred version itself
 
 
 def test_a_plan_kept_over_a_restart_gives_no_share_and_no_way_back():
     routing = Routing()
-    routing.recall(3, 7, [replace(SPLIT, share=0.9, peak=0.9), Split("g", "v5")], ["h@v1"])
+    routing.restore_plan(3, 7, [replace(SPLIT, share=0.9, peak=0.9), TrafficSplit("g", "v5")], ["h@v1"])
     assert {routing.route("f", key, "idempotent", False, 0).name for key in KEYS[:50]} == {"f@v1"}
     assert routing.route("g", "k", "idempotent", False, 0).name == "g@v5"
-    assert routing.barred("h@v1", 0) and routing.barred("f@v2", 0)
-    assert routing.told(2, 900, True, []) is None  # an older planner
-    assert routing.told(3, 7, True, [Split("g", "v5")]) == []
+    assert routing.is_barred("h@v1", 0) and routing.is_barred("f@v2", 0)
+    assert routing.apply_plan(2, 900, True, []) is None  # an older planner
+    assert routing.apply_plan(3, 7, True, [TrafficSplit("g", "v5")]) == []
 
 
 def test_an_edge_that_knows_no_plan_waits_for_its_first_and_not_for_ever():
     routing = Routing()
-    assert routing.unplanned(PATIENCE - 1) and not routing.unplanned(PATIENCE)
-    routing.told(1, 0, True, [])
-    assert not routing.unplanned(0)
+    assert routing.awaits_first_plan(FIRST_PLAN_TIMEOUT - 1) and not routing.awaits_first_plan(
+        FIRST_PLAN_TIMEOUT
+    )
+    routing.apply_plan(1, 0, True, [])
+    assert not routing.awaits_first_plan(0)
 
 
 def test_what_is_settled_needs_no_lease():
     routing = Routing()
-    routing.told(1, 1, True, [Split("f", "v1", "v2", 1.0, 1.0, done=True)])
+    routing.apply_plan(1, 1, True, [TrafficSplit("f", "v1", "v2", 1.0, 1.0, done=True)])
     assert routing.route("f", "k1", "idempotent", False, 10**6).name == "f@v2"
-    assert not routing.barred("f@v2", 10**6) and routing.tell(10**6) == []
+    assert not routing.is_barred("f@v2", 10**6) and routing.recent_counts(10**6) == []
 
 
 def test_without_a_candidate_all_go_to_the_settled_version():
-    assert course(Split("f", "v1"), "k", "tokened", True, False) is Course.SETTLED
+    assert choose_version(TrafficSplit("f", "v1"), "k", "tokened", True, False) is VersionChoice.SETTLED
 
 
 # evidence
@@ -178,25 +203,30 @@
 
 def test_a_report_that_comes_twice_late_or_out_of_order_adds_nothing():
     evidence = Evidence()
-    assert evidence.report("e0", "s1", 5, Tally(100, 1, 10, 0))
-    assert not evidence.report("e0", "s1", 5, Tally(100, 1, 10, 0))
-    assert not evidence.report("e0", "s1", 5, Tally(60, 1, 6, 0))
-    assert evidence.report("e0", "s2", 5, Tally(5, 0, 1, 0))  # the edge started anew
-    assert evidence.report("e1", "s1", 5, Tally(7, 0, 2, 1))
-    assert evidence.minutes() == {5: Tally(112, 1, 13, 1)}
+    assert evidence.add_report("e0", "s1", 5, OutcomeCounts(100, 1, 10, 0))
+    assert not evidence.add_report("e0", "s1", 5, OutcomeCounts(100, 1, 10, 0))
+    assert not evidence.add_report("e0", "s1", 5, OutcomeCounts(60, 1, 6, 0))
+    assert evidence.add_report("e0", "s2", 5, OutcomeCounts(5, 0, 1, 0))  # the edge started anew
+    assert evidence.add_report("e1", "s1", 5, OutcomeCounts(7, 0, 2, 1))
+    assert evidence.totals_by_minute() == {5: OutcomeCounts(112, 1, 13, 1)}
 
 
 def test_trouble_that_meets_both_alike_tells_nothing_of_harm():
-    assert harm_of(Tally(900, 900, 100, 100)) == 0.0
-    assert harm_of(Tally(900, 450, 100, 50)) < 0
-    assert harm_of(Tally(900, 9, 100, 30)) > 10
+    assert log_harm_ratio(OutcomeCounts(900, 900, 100, 100)) == 0.0
+    assert log_harm_ratio(OutcomeCounts(900, 450, 100, 50)) < 0
+    assert log_harm_ratio(OutcomeCounts(900, 9, 100, 30)) > 10
 
 
 def test_a_version_without_traffic_tells_nothing():
-    assert harm_of(Tally(900, 9, 0, 0)) == good_of(Tally(900, 9, 0, 0)) == good_of(Tally(0, 0, 90, 0)) == 0.0
+    assert (
+        log_harm_ratio(OutcomeCounts(900, 9, 0, 0))
+        == log_safety_ratio(OutcomeCounts(900, 9, 0, 0))
+        == log_safety_ratio(OutcomeCounts(0, 0, 90, 0))
+        == 0.0
+    )
     evidence = Evidence()
-    evidence.report("e", "s", 0, Tally(10_000, 10, 20, 0))
-    assert not evidence.findings().may_grow
+    evidence.add_report("e", "s", 0, OutcomeCounts(10_000, 10, 20, 0))
+    assert not evidence.verdict().may_advance
 
 
 def findings(rate, worse, seed, minutes=60, each=600, share=0.1, trouble=0.0):
@@ -207,10 +237,10 @@
         new = int(random.binomial(each, share))
         bad = [min(1.0, r + shaken) for r in (rate, rate + worse)]
         counts = int(random.binomial(each - new, bad[0])), int(random.binomial(new, bad[1]))
-        evidence.report("e", "s", minute, Tally(each - new, counts[0], new, counts[1]))
-        found = evidence.findings()
-        if found.turn_back or found.may_grow:
-            return "back" if found.turn_back else "grow", minute + 1
+        evidence.add_report("e", "s", minute, OutcomeCounts(each - new, counts[0], new, counts[1]))
+        found = evidence.verdict()
+        if found.must_roll_back or found.may_advance:
+            return "back" if found.must_roll_back else "grow", minute + 1
     return "held", minutes
 
 
@@ -237,124 +267,142 @@
 @pytest.fixture
 def growing():
     made = rollout()
-    made.tell(Input.START, 0)
-    made.tell(Input.WARM, S)
+    made.handle(RolloutInput.START, 0)
+    made.handle(RolloutInput.REPLICAS_READY, S)
     return made
 
 
-def step(made, at, warm=True):
+def step(made, at, replicas_ready=True):
     """A look that tells edges of the step, and one that makes it."""
-    made.look(at, warm)
-    made.look(at + S, warm)
+    made.evaluate(at, replicas_ready)
+    made.evaluate(at + S, replicas_ready)
 
 
 def good(made):
-    made.evidence.report("e", "s", len(made.history), Tally(5_000, 10, 5_000, 10))
+    made.evidence.add_report("e", "s", len(made.history), OutcomeCounts(5_000, 10, 5_000, 10))
 
 
 def test_it_loads_first_and_grows_by_evidence_up_to_settled():
     made = rollout()
-    assert made.tell(Input.START, 0) == DONE
-    assert made.split() == Split("f", "v1", "v2", 0.0, 0.0, next=0.01)
-    made.look(S, warm=False)
-    assert made.state is State.WARMING
+    assert made.handle(RolloutInput.START, 0) == CommandOutcome.DONE
+    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next=0.01)
+    made.evaluate(S, replicas_ready=False)
+    assert made.state is RolloutState.WARMING
     step(made, 2 * S)
-    assert made.split() == Split("f", "v1", "v2", 0.01, 0.01, next=0.1)
+    assert made.split() == TrafficSplit("f", "v1", "v2", 0.01, 0.01, next=0.1)
     step(made, 4 * S)
     assert made.share == 0.01  # no evidence, no step
     for turn, expected in enumerate((0.1, 0.5, 0.9)):
         good(made)
-        step(made, (10 + 5 * turn) * S, warm=False)
+        step(made, (10 + 5 * turn) * S, replicas_ready=False)
         assert made.share < expected  # evidence, but its copies do not stand
         step(made, (12 + 5 * turn) * S)
         assert made.share == expected
     good(made)
     step(made, 40 * S)
-    assert made.state is State.SETTLED
-    assert made.split() == Split("f", "v1", "v2", 1.0, 1.0, next=1.0, done=True)
-    made.look(41 * S + made.remembered, warm=True)
-    assert made.state is State.SETTLED and made.split() == Split("f", "v2")
+    assert made.state is RolloutState.SETTLED
+    assert made.split() == TrafficSplit("f", "v1", "v2", 1.0, 1.0, next=1.0, done=True)
+    made.evaluate(41 * S + made.remembered, replicas_ready=True)
+    assert made.state is RolloutState.SETTLED and made.split() == TrafficSplit("f", "v2")
 
 
 def test_harm_turns_it_back_even_while_held(growing):
-    assert growing.tell(Input.HOLD, 2 * S, "duty", "looking") == DONE
-    growing.evidence.report("e", "s", 0, Tally(1_000, 5, 100, 40))
-    growing.look(3 * S, warm=True)
-    assert growing.state is State.WITHDRAWING and growing.share == 0.0
-    assert growing.split() == Split("f", "v1", "v2", 0.0, 0.01, withdrawn=True)
-    growing.look(3 * S + 49_999, warm=True)
-    assert growing.state is State.WITHDRAWING
-    growing.look(3 * S + 50_000, warm=True)
-    assert growing.state is State.WITHDRAWN and growing.split() == Split("f", "v1")
+    assert growing.handle(RolloutInput.HOLD, 2 * S, "duty", "looking") == CommandOutcome.DONE
+    growing.evidence.add_report("e", "s", 0, OutcomeCounts(1_000, 5, 100, 40))
+    growing.evaluate(3 * S, replicas_ready=True)
+    assert growing.state is RolloutState.WITHDRAWING and growing.share == 0.0
+    assert growing.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.01, withdrawn=True)
+    growing.evaluate(3 * S + 49_999, replicas_ready=True)
+    assert growing.state is RolloutState.WITHDRAWING
+    growing.evaluate(3 * S + 50_000, replicas_ready=True)
+    assert growing.state is RolloutState.WITHDRAWN and growing.split() == TrafficSplit("f", "v1")
 
 
 def test_each_step_is_judged_by_itself(growing):
     good(growing)
     step(growing, 2 * S)
-    assert growing.share == 0.1 and growing.evidence.findings() == Findings(0.0, 0.0, 0, 0)
+    assert growing.share == 0.1 and growing.evidence.verdict() == Verdict(0.0, 0.0, 0, 0)
 
 
 def test_commands_may_be_given_twice(growing):
-    assert growing.tell(Input.HOLD, S + 1) == DONE and growing.tell(Input.HOLD, S + 2) == NOTHING
-    assert growing.tell(Input.BACK, S + 3) == DONE and growing.tell(Input.BACK, S + 4) == NOTHING
-    growing.tell(Input.FORGOTTEN, S + 5)
-    assert growing.tell(Input.BACK, S + 6) == NOTHING and growing.tell(Input.ADVANCE, 3 * S) == REFUSED
+    assert (
+        growing.handle(RolloutInput.HOLD, S + 1) == CommandOutcome.DONE
+        and growing.handle(RolloutInput.HOLD, S + 2) == CommandOutcome.NOTHING_TO_DO
+    )
+    assert (
+        growing.handle(RolloutInput.ROLL_BACK, S + 3) == CommandOutcome.DONE
+        and growing.handle(RolloutInput.ROLL_BACK, S + 4) == CommandOutcome.NOTHING_TO_DO
+    )
+    growing.handle(RolloutInput.RETENTION_ENDED, S + 5)
+    assert (
+        growing.handle(RolloutInput.ROLL_BACK, S + 6) == CommandOutcome.NOTHING_TO_DO
+        and growing.handle(RolloutInput.ADVANCE, 3 * S) == CommandOutcome.REFUSED
+    )
     assert [entry[3] for entry in growing.history] == ["start", "warm", "hold", "back", "forgotten"]
 
 
 def test_one_held_before_its_copies_stood_loads_first():
     made = rollout()
-    made.tell(Input.START, 0)
-    made.tell(Input.HOLD, 1)
-    made.tell(Input.ADVANCE, S)
-    assert made.state is State.WARMING and made.share == 0.0
+    made.handle(RolloutInput.START, 0)
+    made.handle(RolloutInput.HOLD, 1)
+    made.handle(RolloutInput.ADVANCE, S)
+    assert made.state is RolloutState.WARMING and made.share == 0.0
 
 
 def test_edges_know_of_a_step_for_a_second_before_it_comes(growing):
-    assert growing.tell(Input.ADVANCE, 2 * S) == DONE and growing.share == growing.split().peak == 0.01
-    growing.look(2 * S + 1, warm=False)
+    assert (
+        growing.handle(RolloutInput.ADVANCE, 2 * S) == CommandOutcome.DONE
+        and growing.share == growing.split().peak == 0.01
+    )
+    growing.evaluate(2 * S + 1, replicas_ready=False)
     assert growing.share == 0.01 and growing.split().peak == 0.1
-    growing.look(3 * S, warm=False)
+    growing.evaluate(3 * S, replicas_ready=False)
     assert growing.share == 0.01
-    growing.look(3 * S + 1, warm=False)
+    growing.evaluate(3 * S + 1, replicas_ready=False)
     assert growing.share == growing.split().peak == 0.1
 
 
-@pytest.mark.parametrize("given", [Input.HOLD, Input.BACK])
+@pytest.mark.parametrize("given", [RolloutInput.HOLD, RolloutInput.ROLL_BACK])
 def test_an_advance_that_is_called_off_in_that_second_does_not_come(growing, given):
-    growing.tell(Input.ADVANCE, 2 * S)
-    growing.look(2 * S, warm=True)
-    growing.tell(given, 2 * S + 5)
-    growing.look(4 * S, warm=True)
+    growing.handle(RolloutInput.ADVANCE, 2 * S)
+    growing.evaluate(2 * S, replicas_ready=True)
+    growing.handle(given, 2 * S + 5)
+    growing.evaluate(4 * S, replicas_ready=True)
     assert growing.step < 1 and growing.share < 0.1
-    if given is Input.BACK:
+    if given is RolloutInput.ROLL_BACK:
         assert growing.split().peak == 0.01
 
 
 def settle(made):
     for turn in range(4):
-        made.tell(Input.ADVANCE, turn * S)
+        made.handle(RolloutInput.ADVANCE, turn * S)
         step(made, turn * S)
-    assert made.state is State.SETTLED and made.since == 4 * S
+    assert made.state is RolloutState.SETTLED and made.since == 4 * S
     return made
 
 
 def test_what_has_settled_can_be_taken_back_with_all_its_keys(growing):
     made = settle(growing)
-    assert made.tell(Input.BACK, 6 * S) == DONE
-    assert made.split() == Split("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
-    made.look(6 * S + made.remembered, warm=False)
-    assert made.state is State.WITHDRAWN and made.split() == Split("f", "v1")
+    assert made.handle(RolloutInput.ROLL_BACK, 6 * S) == CommandOutcome.DONE
+    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
+    made.evaluate(6 * S + made.remembered, replicas_ready=False)
+    assert made.state is RolloutState.WITHDRAWN and made.split() == TrafficSplit("f", "v1")
 
 
 def test_also_when_the_version_before_it_is_no_longer_kept(growing):
     made = settle(growing)
-    made.look(4 * S + made.remembered, warm=False)
-    assert not made.kept and made.tell(Input.BACK, 100 * S) == DONE
-    assert made.split() == Split("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
+    made.evaluate(4 * S + made.remembered, replicas_ready=False)
+    assert not made.kept and made.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
+    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
 
 
-COMMANDS = [Input.START, Input.ADVANCE, Input.HOLD, Input.RESUME, Input.BACK]
+COMMANDS = [
+    RolloutInput.START,
+    RolloutInput.ADVANCE,
+    RolloutInput.HOLD,
+    RolloutInput.RESUME,
+    RolloutInput.ROLL_BACK,
+]
 
 
 class Life(RuleBasedStateMachine):
@@ -369,25 +417,25 @@
     def tell(self, given, wait):
         self.now += wait
         before = (self.made.state, self.made.step)
-        said = self.made.tell(given, self.now)
-        if said != DONE:
+        said = self.made.handle(given, self.now)
+        if said != CommandOutcome.DONE:
             assert (self.made.state, self.made.step) == before
 
     @rule(tally=st.tuples(*[st.integers(0, 300)] * 4), warm=st.booleans())
     def look(self, tally, warm):
         settled, settled_bad, candidate, candidate_bad = tally
-        counts = Tally(settled + settled_bad, settled_bad, candidate + candidate_bad, candidate_bad)
-        self.made.evidence.report("e", "s", self.now, counts)
-        self.made.look(self.now, warm)
+        counts = OutcomeCounts(settled + settled_bad, settled_bad, candidate + candidate_bad, candidate_bad)
+        self.made.evidence.add_report("e", "s", self.now, counts)
+        self.made.evaluate(self.now, warm)
 
     @invariant()
     def holds(self):
         made, split = self.made, self.made.split()
-        gone = made.state in (State.WITHDRAWING, State.WITHDRAWN)
+        gone = made.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
         assert not (self.over and not gone)  # what is withdrawn never comes back
         self.over = gone
         assert split.share == 0.0 or not gone
-        assert 0.0 <= made.share <= made.peak <= 1.0 or made.state is State.SETTLED
+        assert 0.0 <= made.share <= made.peak <= 1.0 or made.state is RolloutState.SETTLED
         if not gone:
             assert made.share >= self.last  # a share grows or is taken back, nothing between
             self.last = made.share
@@ -403,8 +451,10 @@
 
 
 def test_every_state_but_the_last_ones_can_be_taken_back():
-    ends = {State.WITHDRAWING, State.WITHDRAWN}
-    assert {state for state, given in LIFE if given is Input.BACK} == set(State) - ends
+    ends = {RolloutState.WITHDRAWING, RolloutState.WITHDRAWN}
+    assert {state for state, given in TRANSITIONS if given is RolloutInput.ROLL_BACK} == set(
+        RolloutState
+    ) - ends
 
 
 # leases
@@ -412,32 +462,32 @@
 
 def beats(lease, begin, end, every=2_000, way=100):
     for now in range(begin, end, every):
-        lease.beat(now - way, now)
+        lease.on_heartbeat(now - way, now)
 
 
 def test_a_share_is_used_only_after_steady_beats():
     lease = Lease()
-    beats(lease, 0, STEADY_FOR)
-    assert not lease.usable(STEADY_FOR - 1)
-    beats(lease, STEADY_FOR, STEADY_FOR + 4_001)
-    assert lease.usable(STEADY_FOR + 4_100)
+    beats(lease, 0, RECOVERY_PERIOD)
+    assert not lease.is_usable(RECOVERY_PERIOD - 1)
+    beats(lease, RECOVERY_PERIOD, RECOVERY_PERIOD + 4_001)
+    assert lease.is_usable(RECOVERY_PERIOD + 4_100)
 
 
 def test_an_edge_without_word_stops_within_the_second_whatever_lies_in_its_socket():
     lease = Lease()
     beats(lease, 0, 40_001)
-    assert lease.usable(40_001)
-    assert not lease.usable(39_900 + LEASE) and LEASE + 100 < 10_000
-    lease.beat(39_950, 70_000)  # a beat that was held up on its way
-    assert not lease.usable(70_000)
+    assert lease.is_usable(40_001)
+    assert not lease.is_usable(39_900 + LEASE_DURATION) and LEASE_DURATION + 100 < 10_000
+    lease.on_heartbeat(39_950, 70_000)  # a beat that was held up on its way
+    assert not lease.is_usable(70_000)
 
 
 def test_one_that_stood_still_and_wakes_with_an_old_plan_sends_nothing_by_it():
     lease = Lease()
     beats(lease, 0, 40_001)
-    assert not lease.usable(60_000)
-    lease.beat(60_000, 60_050)
-    assert not lease.usable(60_050)
+    assert not lease.is_usable(60_000)
+    lease.on_heartbeat(60_000, 60_050)
+    assert not lease.is_usable(60_050)
 
 
 def test_a_flapping_link_moves_the_traffic_once_and_not_with_every_gap():
@@ -446,9 +496,9 @@
     for gap in range(5):
         begin = 60_000 + gap * 20_000
         beats(lease, begin, begin + 10_000)
-        modes.append(lease.usable(begin + 9_000))
+        modes.append(lease.is_usable(begin + 9_000))
     assert modes == [False] * 5
 
 
 def test_the_table_of_leases_is_whole():
-    assert set(MODES) == {(mode, news) for mode in Mode for news in News}
+    assert set(LEASE_TRANSITIONS) == {(mode, news) for mode in LeaseState for news in LeaseEvent}
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -3,10 +3,10 @@
 import pytest
 from days import Played, day
 
-from lapistrestle.planner.program import Planner
-from lapistrestle.planner.state import Command
-from lapistrestle.rollout.life import State
-from lapistrestle.rollout.versions import REPEATS, Course, Met
+from lapistrestle.planner.server import Planner
+from lapistrestle.planner.state import CommandEntry
+from lapistrestle.rollout.state_machine import RolloutState
+from lapistrestle.rollout.version_choice import REPEATED_ATTEMPT_CHOICES, EarlierVersion, VersionChoice
 from lapistrestle.standins.engine import Engine, RunnerFacts, Task
 from lapistrestle.standins.runner import Fault
 from lapistrestle.standins.store import Store, StoreFacts
@@ -61,7 +61,7 @@
         planner = self.planner
         now = planner.now()
         name = f"{what}-{now}"
-        command = Command(at=now, id=name, what=what, fn="fn-0", who="duty", candidate="v2", **more)
+        command = CommandEntry(at=now, id=name, what=what, fn="fn-0", who="duty", candidate="v2", **more)
         reply = planner.add(command)
         if what == "back":
             self.world.tape.put("planner", "back", version=NAME)
@@ -82,7 +82,7 @@
 
 def test_a_good_version_is_loaded_first_and_grows_until_it_settles(tmp_path):
     played = Rolled(script(length="80 s"), tmp_path / "j")
-    assert played.breaches() == [] and played.rollout.state is State.SETTLED
+    assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.fn == NAME]
     first = min(run.at for run in played.runs())
     assert min(orders) < first
@@ -96,7 +96,7 @@
 def test_a_bad_version_is_turned_back_by_evidence(tmp_path, fault):
     played = Rolled(script(length="30 s"), tmp_path / "j", fault)
     assert played.breaches() == []
-    assert played.rollout.state in (State.WITHDRAWING, State.WITHDRAWN)
+    assert played.rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
     back = next(at for at, _, _, given, _ in played.rollout.history if given == "bad")
     began = next(at for at, _, _, given, _ in played.rollout.history if given == "start")
     since = 2_000 + (back - began) / 10
@@ -164,7 +164,7 @@
 def test_an_edge_that_heeds_no_lease_is_caught(tmp_path):
     def careless(played):
         for edge in played.world.edges:
-            edge.edge.routing.lease.usable = lambda now: True
+            edge.edge.routing.lease.is_usable = lambda now: True
 
     does = [(5.0, careless), (6.999, mute), (7.0, lambda p: p.process.stall())]
     played = Rolled(script(), tmp_path / "j", orders=[(7.0, "back")], steps=(0.5, 1.0), does=does)
@@ -178,7 +178,7 @@
         orders=[(7.0, "back")],
         does=[(7.0, lambda p: p.kill_planner()), (9.0, lambda p: p.begin_planner())],
     )
-    assert played.rollout.state is State.WITHDRAWING and played.breaches() == []
+    assert played.rollout.state is RolloutState.WITHDRAWING and played.breaches() == []
     edges = [edge.edge for edge in played.world.edges]
     assert {edge.routing.epoch for edge in edges} == {2}
     assert all(edge.routing.splits["fn-0"].withdrawn for edge in edges)
@@ -201,7 +201,7 @@
 
     def use_older(played):
         played.said = played.older.add(
-            Command(at=0, id="late", what="advance", fn="fn-0", who="nobody", candidate="v2")
+            CommandEntry(at=0, id="late", what="advance", fn="fn-0", who="nobody", candidate="v2")
         )
 
     played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
@@ -226,7 +226,9 @@
     played = Played(script(troubles, length="60 s") | {"rollouts": [version]})
     assert played.breaches() == [] and played.world.crowd.open == 0
     rollout = played.world.planner.planner.state.rollouts["fn-0"]
-    assert rollout.state in (State.WITHDRAWING, State.WITHDRAWN, State.WARMING), rollout.evidence.findings()
+    assert rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN, RolloutState.WARMING), (
+        rollout.evidence.verdict()
+    )
     assert played.world.operator.replies[0].outcome == "done"
 
 
@@ -242,7 +244,7 @@
     version = {"candidate": "v2", "at": "2 s", "steps": [10, 100]}
     day_ = script(length="20 s") | {"rollouts": [version]}
     assert Played(day_).breaches() == []
-    monkeypatch.setattr("lapistrestle.rollout.versions.point", lambda *asked: 0.05)
+    monkeypatch.setattr("lapistrestle.rollout.version_choice.hash_position", lambda *asked: 0.05)
     assert {breach.rule for breach in Played(day_).breaches()} == {"shares kept"}
 
 
@@ -263,8 +265,10 @@
 
 def test_that_repeats_follow_the_share_alone_is_caught(tmp_path, monkeypatch):
     """As it was: what comes back meets the candidate wherever its key lies within the share by now."""
-    before = dict.fromkeys(((True, True, met) for met in Met), Course.CANDIDATE)
-    monkeypatch.setattr("lapistrestle.rollout.versions.REPEATS", REPEATS | before)
+    before = dict.fromkeys(((True, True, met) for met in EarlierVersion), VersionChoice.CANDIDATE)
+    monkeypatch.setattr(
+        "lapistrestle.rollout.version_choice.REPEATED_ATTEMPT_CHOICES", REPEATED_ATTEMPT_CHOICES | before
+    )
     found = [breach for seed in (1, 2, 3) for breach in tokened_day(tmp_path / f"{seed}", seed).breaches()]
     assert {breach.rule for breach in found} == {"repeats on their version"}
 
@@ -325,7 +329,7 @@
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
         fetched["standing"] = sum(c.standing for c in copies if c)
         fetched["before"] = played.world.store.fetched
-        assert played.rollout.state is State.SETTLED
+        assert played.rollout.state is RolloutState.SETTLED
         played.order("back")
 
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)] + [(back, note)]
@@ -334,7 +338,10 @@
     fetched["after"] = played.world.store.fetched - fetched["before"]
     calls = [c for c in played.story.calls if c.message.fn == "fn-0" and c.at > back * 1000 and c.answers]
     ok = sum(c.answers[0][2].verdict == "ok" for c in calls) / len(calls)
-    assert played.breaches() == [] and played.rollout.state in (State.WITHDRAWING, State.WITHDRAWN)
+    assert played.breaches() == [] and played.rollout.state in (
+        RolloutState.WITHDRAWING,
+        RolloutState.WITHDRAWN,
+    )
     late = [run for run in played.runs() if run.at > back * 1000 + 1000]
     assert not late and not played.world.store.turned_away
     return fetched, ok
@@ -366,7 +373,7 @@
 
 def test_that_every_denied_one_moves_is_caught(monkeypatch):
     """As it was: a denial of a tokened RPC was taken for proof that it had not run."""
-    monkeypatch.setattr("lapistrestle.edge.program.after_denial", lambda *asked: Course.SETTLED)
+    monkeypatch.setattr("lapistrestle.edge.program.choose_after_denial", lambda *asked: VersionChoice.SETTLED)
     broken = {breach.rule for breach in Played(slow_tokened_day(3)).breaches()}
     assert "2 no effect twice" in broken
     assert broken <= {"2 no effect twice", "repeats on their version"}  # the second: where a client came back
@@ -393,7 +400,7 @@
     played = Rolled(
         script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"remembered": 20_000}
     )
-    assert played.rollout.state is State.SETTLED and played.breaches() == []
+    assert played.rollout.state is RolloutState.SETTLED and played.breaches() == []
     after = {run.message.fn for run in played.story.runs if run.at > 31_000}
     assert NAME in after and "fn-0" not in after
     assert len(played.logged("kept plan")) == 2
@@ -409,7 +416,7 @@
 
 def test_a_version_that_is_three_times_slower_but_in_time_is_held(tmp_path):
     played = Rolled(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
-    assert played.rollout.state is State.GROWING and played.rollout.step == 0
+    assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
     said = played.planner.status().rollouts[0].waits
     assert any("times as long as the settled version's" in why for why in said.values())
-    assert played.rollout.evidence.findings().may_grow  # errors and soft deadlines alone would let it on
+    assert played.rollout.evidence.verdict().may_advance  # errors and soft deadlines alone would let it on
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -6,28 +6,28 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapistrestle.rollout.stock import (
-    APART,
-    HEAVIEST,
-    MEMORY_PART,
-    MOST,
-    SLOWER,
-    WANTED,
-    Lack,
-    Phase,
+from lapistrestle.rollout.replicas import (
+    MAX_DEMAND_FACTOR,
+    MAX_REPLICAS_PER_WORKER,
+    MEMORY_FRACTION,
+    MIN_WORKERS,
+    SLOWDOWN_LIMIT,
+    TARGET_WEIGHTS,
+    EdgeReport,
     Readiness,
-    Shelf,
-    Want,
-    Word,
-    heavier,
-    keep,
-    needed,
-    phase,
-    room,
-    slower,
-    spread,
+    ReplicaTarget,
+    RolloutPhase,
+    Shortage,
+    WorkerCapacity,
+    demand_factor,
+    maintain_replicas,
+    place_replicas,
+    replica_limit,
+    required_replicas,
+    rollout_phase,
+    slowdown_reason,
 )
-from lapistrestle.rollout.versions import Split
+from lapistrestle.rollout.version_choice import TrafficSplit
 
 
 class Orders:
@@ -44,32 +44,39 @@
 
 
 def test_what_the_share_keeps_busy_and_its_square_root():
-    assert needed(busy=4.0, share=0.25, lanes=1, edges=1) == 2
-    assert needed(busy=4.0, share=1.0, lanes=1, edges=4) == 16 + 4
-    assert needed(busy=4.0, share=1.0, lanes=4, edges=4) == 5
-    assert needed(busy=0.0, share=1.0, lanes=1, edges=4) == needed(1.0, 0.0, 1, 4) == 0
+    assert required_replicas(busy=4.0, share=0.25, lanes=1, edges=1) == 2
+    assert required_replicas(busy=4.0, share=1.0, lanes=1, edges=4) == 16 + 4
+    assert required_replicas(busy=4.0, share=1.0, lanes=4, edges=4) == 5
+    assert required_replicas(busy=0.0, share=1.0, lanes=1, edges=4) == required_replicas(1.0, 0.0, 1, 4) == 0
 
 
 def test_a_heavy_function_counts_for_more_but_a_jam_does_not_count_for_all():
-    assert heavier(alone=150, usual=100) == 1.5 and heavier(50, 100) == 1.0
-    assert heavier(alone=25_000, usual=980) == HEAVIEST
+    assert demand_factor(alone=150, usual=100) == 1.5 and demand_factor(50, 100) == 1.0
+    assert demand_factor(alone=25_000, usual=980) == MAX_DEMAND_FACTOR
 
 
 def test_a_far_slower_candidate_holds_the_step_and_says_so():
-    assert slower(900, 400) == "an answer takes 2.2 times as long as the settled version's"
-    assert slower(SLOWER * 400 - 1, 400) == slower(None, 400) == slower(900, None) == ""
+    assert slowdown_reason(900, 400) == "an answer takes 2.2 times as long as the settled version's"
+    assert (
+        slowdown_reason(SLOWDOWN_LIMIT * 400 - 1, 400)
+        == slowdown_reason(None, 400)
+        == slowdown_reason(900, None)
+        == ""
+    )
 
 
 def test_room_is_a_part_of_memory_and_few():
-    assert room(memory=8_000, copy=1_000) == int(MEMORY_PART * 8_000 / 1_000)
-    assert room(memory=80_000, copy=500) == room(memory=0, copy=500) == MOST  # not told
-    assert room(memory=8_000, copy=6_000) == 1  # above the part, but it fits
-    assert room(memory=8_000, copy=9_000) == 0
+    assert replica_limit(memory=8_000, copy=1_000) == int(MEMORY_FRACTION * 8_000 / 1_000)
+    assert (
+        replica_limit(memory=80_000, copy=500) == replica_limit(memory=0, copy=500) == MAX_REPLICAS_PER_WORKER
+    )  # not told
+    assert replica_limit(memory=8_000, copy=6_000) == 1  # above the part, but it fits
+    assert replica_limit(memory=8_000, copy=9_000) == 0
 
 
 def test_a_want_follows_up_at_once_and_down_only_when_it_is_clearly_less():
-    want = Want()
-    assert [want.follow(n) for n in (3, 5, 4, 3, 5, 2, 3, 0)] == [3, 5, 5, 5, 5, 2, 3, 0]
+    want = ReplicaTarget()
+    assert [want.update(n) for n in (3, 5, 4, 3, 5, 2, 3, 0)] == [3, 5, 5, 5, 5, 2, 3, 0]
 
 
 @given(
@@ -77,70 +84,79 @@
     wanted=st.integers(0, 20),
 )
 def test_a_spread_keeps_to_rooms_and_says_what_is_short(rooms, wanted):
-    shelves = [Shelf(0, size, cold=cold) for size, cold in rooms]
-    parts, short = spread(shelves, wanted)
-    assert all(0 < part <= shelf.room for shelf, part in parts.items())
-    assert sum(parts.values()) + short == (max(wanted, APART) if wanted else 0)
-    warm = [s for s in shelves if not s.cold and s.room]
-    if any(s.cold for s in parts):
+    shelves = [WorkerCapacity(0, size, warming_up=cold) for size, cold in rooms]
+    parts, short = place_replicas(shelves, wanted)
+    assert all(0 < part <= shelf.limit for shelf, part in parts.items())
+    assert sum(parts.values()) + short == (max(wanted, MIN_WORKERS) if wanted else 0)
+    warm = [s for s in shelves if not s.warming_up and s.limit]
+    if any(s.warming_up for s in parts):
         assert all(s in parts for s in warm)  # cold workers only once no warm one is left
 
 
 def test_even_one_copy_is_kept_on_two_workers():
-    shelves = [Shelf(0, 4), Shelf(0, 4), Shelf(0, 4)]
-    assert spread(shelves, 1)[0] == {shelves[0]: 1, shelves[1]: 1}
-    assert spread(shelves, 6)[0] == {shelves[0]: 3, shelves[1]: 3}
+    shelves = [WorkerCapacity(0, 4), WorkerCapacity(0, 4), WorkerCapacity(0, 4)]
+    assert place_replicas(shelves, 1)[0] == {shelves[0]: 1, shelves[1]: 1}
+    assert place_replicas(shelves, 6)[0] == {shelves[0]: 3, shelves[1]: 3}
 
 
 def test_it_is_whole_once_all_stand_and_orders_nothing_then():
     orders = Orders()
-    stand = keep([Shelf(2, 4), Shelf(3, 4)], 4, loads=9, order=orders)
-    assert stand.enough and (stand.wanted, stand.standing) == (4, 4) and not orders.given
+    stand = maintain_replicas([WorkerCapacity(2, 4), WorkerCapacity(3, 4)], 4, loads=9, order=orders)
+    assert stand.is_sufficient and (stand.wanted, stand.loaded) == (4, 4) and not orders.given
 
 
 def test_what_is_missing_is_ordered_no_faster_than_loads_may_be_under_way():
-    shelves, orders = [Shelf(0, 2) for _ in range(6)], Orders()
-    stand = keep(shelves, 12, loads=3.5, order=orders)
-    assert orders.given == [(shelves[0], 2), (shelves[1], 2)] and stand.lacks is Lack.LOADS
+    shelves, orders = [WorkerCapacity(0, 2) for _ in range(6)], Orders()
+    stand = maintain_replicas(shelves, 12, loads=3.5, order=orders)
+    assert orders.given == [(shelves[0], 2), (shelves[1], 2)] and stand.shortage is Shortage.LOADS_IN_PROGRESS
     for shelf, _ in orders.given:
-        shelf.waiting = True
-    keep(shelves, 12, loads=3.5, order=orders)  # those four are still under way
+        shelf.preload_pending = True
+    maintain_replicas(shelves, 12, loads=3.5, order=orders)  # those four are still under way
     assert len(orders.given) == 2
 
 
 def test_copies_not_confirmed_lately_are_asked_for_again_before_any_load():
-    shelves = [Shelf(0, 2), Shelf(2, 2, fresh=False), Shelf(2, 2, fresh=False, waiting=True)]
+    shelves = [
+        WorkerCapacity(0, 2),
+        WorkerCapacity(2, 2, recently_confirmed=False),
+        WorkerCapacity(2, 2, recently_confirmed=False, preload_pending=True),
+    ]
     orders = Orders()
-    keep(shelves, 6, loads=9, order=orders)
+    maintain_replicas(shelves, 6, loads=9, order=orders)
     assert orders.given == [(shelves[1], 2), (shelves[0], 2)]
 
 
 def test_a_part_of_the_spare_may_lack_but_never_the_second_worker():
-    assert keep([Shelf(2, 4), Shelf(1, 4)], 4, 0, Orders()).enough
-    assert not keep([Shelf(1, 4), Shelf(1, 4)], 4, 0, Orders()).enough
-    assert not keep([Shelf(1, 4), Shelf(0, 4)], 1, 0, Orders()).enough
+    assert maintain_replicas([WorkerCapacity(2, 4), WorkerCapacity(1, 4)], 4, 0, Orders()).is_sufficient
+    assert not maintain_replicas([WorkerCapacity(1, 4), WorkerCapacity(1, 4)], 4, 0, Orders()).is_sufficient
+    assert not maintain_replicas([WorkerCapacity(1, 4), WorkerCapacity(0, 4)], 1, 0, Orders()).is_sufficient
 
 
 @pytest.mark.parametrize(
     ("shelves", "loads", "most", "lacks"),
     [
-        ([], 9, 9, Lack.WORKERS),
-        ([Shelf(1, 1)], 9, 9, Lack.ROOM),
-        ([Shelf(0, 4), Shelf(0, 4)], 9, 0, Lack.ORDERS),
-        ([Shelf(0, 4), Shelf(0, 4)], 0, 9, Lack.LOADS),
+        ([], 9, 9, Shortage.WORKERS),
+        ([WorkerCapacity(1, 1)], 9, 9, Shortage.MEMORY),
+        ([WorkerCapacity(0, 4), WorkerCapacity(0, 4)], 9, 0, Shortage.PRELOAD_BUDGET),
+        ([WorkerCapacity(0, 4), WorkerCapacity(0, 4)], 0, 9, Shortage.LOADS_IN_PROGRESS),
     ],
 )
 def test_it_says_what_is_lacking(shelves, loads, most, lacks):
-    stand = keep(shelves, 4, loads, Orders(most))
-    assert stand.lacks is lacks and not stand.enough
+    stand = maintain_replicas(shelves, 4, loads, Orders(most))
+    assert stand.shortage is lacks and not stand.is_sufficient
 
 
 def test_the_phase_says_what_each_version_is_loaded_for():
-    loading = Split("f", "v1", "v2", 0.1, 0.1, next=0.5)
-    assert phase(loading) is Phase.LOADING and WANTED[Phase.LOADING] == (None, 1.0)
-    assert phase(Split("f", "v1", "v2", 1.0, 1.0, done=True)) is Phase.KEPT
-    assert phase(Split("f", "v1", "v2", 0.0, 1.0, withdrawn=True)) is Phase.BACK
-    assert set(WANTED) == set(Phase) and {settled for _, settled in WANTED.values()} == {1.0}
+    loading = TrafficSplit("f", "v1", "v2", 0.1, 0.1, next=0.5)
+    assert rollout_phase(loading) is RolloutPhase.LOADING and TARGET_WEIGHTS[RolloutPhase.LOADING] == (
+        None,
+        1.0,
+    )
+    assert rollout_phase(TrafficSplit("f", "v1", "v2", 1.0, 1.0, done=True)) is RolloutPhase.RETAINED
+    assert rollout_phase(TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)) is RolloutPhase.ROLLING_BACK
+    assert set(TARGET_WEIGHTS) == set(RolloutPhase) and {
+        settled for _, settled in TARGET_WEIGHTS.values()
+    } == {1.0}
 
 
 def test_edges_that_share_an_order_ask_for_the_same_copies():
@@ -148,10 +164,12 @@
     asked = Counter()
     for busy in (2.0, 2.5, 1.5):  # three edges with about a third of the traffic each
         orders = Orders()
-        keep([Shelf(0, 3) for _ in range(8)], needed(busy, 1.0, 1, 3), 99, orders)
+        maintain_replicas(
+            [WorkerCapacity(0, 3) for _ in range(8)], required_replicas(busy, 1.0, 1, 3), 99, orders
+        )
         for place, (_, count) in enumerate(orders.given):
             asked[place] = max(asked[place], count)
-    assert needed(2.0, 1.0, 1, 3) <= sum(asked.values()) <= needed(2.5, 1.0, 1, 3) + 2
+    assert required_replicas(2.0, 1.0, 1, 3) <= sum(asked.values()) <= required_replicas(2.5, 1.0, 1, 3) + 2
 
 
 # readiness, at the planner
@@ -159,12 +177,12 @@
 
 def test_all_connected_edges_must_have_said_so_lately():
     ready = Readiness()
-    assert not ready.ready("f", "v2", 0.1, [], 0)  # nobody serves
-    ready.told("f", "v2", "a", Word(0.5, "", 0))
-    assert ready.ready("f", "v2", 0.5, ["a"], 100) and not ready.ready("f", "v2", 0.6, ["a"], 100)
-    assert set(ready.missing("f", "v2", 0.5, ["a", "b"], 100)) == {"b"}
-    assert not ready.ready("f", "v2", 0.5, ["a"], ready.good_for + 1)
-    ready.told("f", "v2", "b", Word(0.1, "no order is free", 100))
-    assert ready.missing("f", "v2", 0.5, ["a", "b"], 200) == {"b": "no order is free"}
-    ready.gone("b")
-    assert "b" in ready.missing("f", "v2", 0.5, ["b"], 200)
+    assert not ready.is_ready("f", "v2", 0.1, [], 0)  # nobody serves
+    ready.on_report("f", "v2", "a", EdgeReport(0.5, "", 0))
+    assert ready.is_ready("f", "v2", 0.5, ["a"], 100) and not ready.is_ready("f", "v2", 0.6, ["a"], 100)
+    assert set(ready.shortages("f", "v2", 0.5, ["a", "b"], 100)) == {"b"}
+    assert not ready.is_ready("f", "v2", 0.5, ["a"], ready.report_lifetime + 1)
+    ready.on_report("f", "v2", "b", EdgeReport(0.1, "no order is free", 100))
+    assert ready.shortages("f", "v2", 0.5, ["a", "b"], 200) == {"b": "no order is free"}
+    ready.on_edge_gone("b")
+    assert "b" in ready.shortages("f", "v2", 0.5, ["b"], 200)
