--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -43,12 +43,12 @@
 
 
 def evidence(random: np.random.Generator, worse: float, calls: int, rate: float = 0.01) -> End:
-    made = Rollout("f", "v1", "v2", STEPS, remembered=0)
+    made = Rollout("f", "v1", "v2", STEPS, retention=0)
     made.handle(RolloutInput.START, 0)
     made.handle(RolloutInput.REPLICAS_READY, 0)
     harm = 0.0
     for minute in range(LONGEST):
-        share = min(made.share, 0.5)  # at the last step half stays behind, as what it is judged by
+        share = min(made.weight, 0.5)  # at the last step half stays behind, as what it is judged by
         tally = drawn(random, share, rate, worse, calls)
         harm += tally.candidate * worse
         made.evidence.add_report("e", "s", minute, tally)
--- a/benchmarks/scale/roles/control_agreement.py
+++ b/benchmarks/scale/roles/control_agreement.py
@@ -40,8 +40,8 @@
 def change(number: int) -> str:
     """An operator's order to begin a rollout, as the planner's journal holds it."""
     command = CommandEntry(
-        at=SECOND * number, id=f"order-{number:08d}", what="start", fn=f"function-{number:06d}",
-        who="operator", why="release of the day", candidate=f"version-{number:06d}",
+        at=SECOND * number, id=f"order-{number:08d}", action="start", fn=f"function-{number:06d}",
+        operator="operator", reason="release of the day", candidate=f"version-{number:06d}",
     )  # fmt: skip
     return encode_entry(command).decode()
 
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -42,8 +42,8 @@
 
 def start_of(number: int, at: int, version: str = "v2") -> CommandEntry:
     return CommandEntry(
-        at=at, id=f"order-{number}-{version}", what="start", fn=function(number), who="operator",
-        why="release of the day", candidate=f"version-{version}", remembered=REMEMBERED,
+        at=at, id=f"order-{number}-{version}", action="start", fn=function(number), operator="operator",
+        reason="release of the day", candidate=f"version-{version}", retention=REMEMBERED,
     )  # fmt: skip
 
 
@@ -54,9 +54,9 @@
     for number in range(functions):
         command = start_of(number, 0)
         state.number += 1
-        rollout = Rollout(command.fn, "", command.candidate, command.steps, command.remembered)
-        rollout.handle(RolloutInput.START, 0, command.who, command.why)
-        rollout.handle(RolloutInput.ROLL_BACK, 0, command.who)
+        rollout = Rollout(command.fn, "", command.candidate, command.steps, command.retention)
+        rollout.handle(RolloutInput.START, 0, command.operator, command.reason)
+        rollout.handle(RolloutInput.ROLL_BACK, 0, command.operator)
         rollout.handle(RolloutInput.RETENTION_ENDED, 0)
         state.rollouts[command.fn] = rollout
         state.changed[command.fn] = state.number
@@ -145,8 +145,8 @@
 
     def order(self, number: int, candidate: str = "v3") -> None:
         order = plans.RolloutCommand(
-            id=f"burst-{candidate}-{number}", what="start", fn=function(number), who="operator",
-            why="release of the day", candidate=f"version-{candidate}", remembered=0.0,
+            id=f"burst-{candidate}-{number}", action="start", fn=function(number), operator="operator",
+            reason="release of the day", candidate=f"version-{candidate}", retention=0.0,
         )  # fmt: skip
         self.planner.state.replies.pop(order.id, None)
         self.hear(self.speakers[-1], order)
@@ -323,8 +323,8 @@
 
 
 def whole_plan(functions: int) -> plans.Plan:
-    shares = [plans.to_message(settled_split(number)) for number in range(functions)]
-    return plans.Plan(functions, 1, shares, True)
+    splits = [plans.to_message(settled_split(number)) for number in range(functions)]
+    return plans.Plan(functions, 1, splits, True)
 
 
 def whole_line(functions: int) -> bytes:
@@ -391,7 +391,7 @@
     """One change, as its line arrives."""
     routing = source.routing
     plan = plans.Plan(routing.number + 1, routing.epoch, [plans.to_message(split_at(number))])
-    source.told(plans.Plan(plan.number, plan.epoch, plan.shares))
+    source.told(plans.Plan(plan.number, plan.epoch, plan.splits))
 
 
 def source_heard(line: bytes) -> None:
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -79,21 +79,21 @@
             value, text = read_json5(path)
             policy = shaped(value, Policy, text, str(path))
             more["steps"] = tuple(step / 100 for step in policy.steps)
-            more["remembered"] = policy.remembered / 10
+            more["retention"] = policy.remembered / 10
         made = plans.RolloutCommand(id_ or uuid.uuid4().hex, what, fn, who, why, candidate, **more)
         reply = asked(port, made)
         if json_:
             click.echo(msgspec.json.encode(reply))
         else:
-            late = f"; not there yet: {', '.join(reply.behind)}" if reply.behind else ""
-            click.echo(f"{reply.outcome}: {reply.says}; {fn} is {reply.state} at {reply.share:.0%}{late}")
+            late = f"; not there yet: {', '.join(reply.edges_behind)}" if reply.edges_behind else ""
+            click.echo(f"{reply.outcome}: {reply.message}; {fn} is {reply.state} at {reply.weight:.0%}{late}")
         raise SystemExit(1 if reply.outcome == "refused" else 0)
 
     made: Callable[..., None] = command
     if what == "start":
         made = click.option("--steps", default="1,5,25,100", callback=shares, show_default=True)(made)
         made = click.option("--policy", type=click.Path(path_type=Path), help="JSON5 file.")(made)
-        made = click.option("--remembered", default=60_000.0, show_default=True,
+        made = click.option("--remembered", "retention", default=60_000.0, show_default=True,
                             help="Milliseconds in which clients may come back.")(made)  # fmt: skip
     rollout.command(what, help=help_)(made)
 
@@ -127,14 +127,15 @@
     for one in told.rollouts:
         old, old_bad, new, new_bad = one.counts
         table.add_row(
-            one.fn, one.settled or "-", one.candidate, one.state, f"{one.share:.0%}", f"{one.next:.0%}",
-            f"{old_bad}/{old}", f"{new_bad}/{new}", f"{one.harm:.1f}", f"{one.good:.1f}",
+            one.fn, one.settled or "-", one.candidate, one.state,
+            f"{one.weight:.0%}", f"{one.next_weight:.0%}",
+            f"{old_bad}/{old}", f"{new_bad}/{new}", f"{one.log_harm:.1f}", f"{one.log_safety:.1f}",
         )  # fmt: skip
     Console(width=140).print(table)
-    for edge, has in sorted(told.edges.items()):
+    for edge, has in sorted(told.plan_by_edge.items()):
         click.echo(f"{edge}: plan {has}")
     for one in told.rollouts:
-        for edge, why in sorted(one.waits.items()):
+        for edge, why in sorted(one.shortages.items()):
             click.echo(f"{one.fn} at {edge}: {why}")
 
 
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -40,7 +40,7 @@
                 self.source.told(message)
             case plans.Heartbeat():
                 self.source.heard = self.source.edge.clock()
-                self.source.routing.lease.on_heartbeat(message.asked, self.source.heard)
+                self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
     def unreadable(self, line: bytes, why: str) -> None:
         """It may have been a plan: dial anew and be told all."""
@@ -73,9 +73,9 @@
         except (OSError, ValueError) as trouble:
             return self.edge.log("kept plan can't be read", why=str(trouble))
         if kept is not None:
-            splits = [plans.to_split(share) for share in kept.shares]
+            splits = [plans.to_split(share) for share in kept.splits]
             self.routing.restore_plan(kept.epoch, kept.number, splits, kept.barred)
-            self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.shares))
+            self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
 
     def keep_plan(self) -> None:
         """An edge whose disk fails goes on from what it has in memory."""
@@ -104,8 +104,8 @@
             self.edge.after(BEAT, self.beat, None)
 
     def told(self, plan: plans.Plan) -> None:
-        splits = [plans.to_split(share) for share in plan.shares]
-        barred = self.routing.apply_plan(plan.epoch, plan.number, plan.whole, splits)
+        splits = [plans.to_split(share) for share in plan.splits]
+        barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
         if barred is None:
             self.edge.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
             return
@@ -158,12 +158,12 @@
             if (fn := registry.fns.get(versioned_name(split.fn, name))) is not None
         ]
         if not known or not self.edge.facts["may_order"]:
-            return split.next, ""
+            return split.next_weight, ""
         model = known[-1]
         busy = sum(fn.asked.read(module.now) / fn.asked.life for fn in dict.fromkeys(known))
         busy *= replicas.demand_factor(module.iso(model), module.weight(model.method))
         shares = [
-            split.next if part is None else part
+            split.next_weight if part is None else part
             for part in replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
         ]
         stands = [
@@ -177,10 +177,10 @@
                 for name in versions
             ]
             slower = replicas.slowdown_reason(*alone)
-            return (split.share, slower) if slower else (split.next, "")
+            return (split.weight, slower) if slower else (split.next_weight, "")
         name = versions[stands.index(lacking)] or split.fn
         has = f"{name} has {lacking.loaded} of {lacking.wanted} copies"
-        return split.share, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
+        return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
     def keep_version(self, name: str, model: Fn, busy: float, share: float) -> replicas.ReplicaStatus:
         edge, module = self.edge, self.edge.host.module
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -69,7 +69,7 @@
         if self.state.changed != before:
             for fn, rollout in self.state.rollouts.items():
                 if self.state.changed.get(fn) == number:
-                    state, share = rollout.state.name.lower(), rollout.share
+                    state, share = rollout.state.name.lower(), rollout.weight
                     self.log("rollout", fn=fn, candidate=rollout.candidate, state=state, share=share)
             for speaker in list(self.edges):
                 speaker.catch_up()
@@ -89,13 +89,15 @@
         if not self.over:
             self.reactor.callLater(TICK_EVERY, self.tick)
             if self.state.running():
-                self.add(TickEntry(at=self.now(), warm=self.warm_functions()))
+                self.add(TickEntry(at=self.now(), functions_ready=self.functions_ready()))
 
-    def warm_functions(self) -> tuple[str, ...]:
+    def functions_ready(self) -> tuple[str, ...]:
         """Those that every connected edge has copies for the next share of."""
         edges, now = {speaker.name for speaker in self.edges}, self.now()
         kept = self.state.rollouts.items()
-        return tuple(fn for fn, r in kept if self.readiness.is_ready(fn, r.candidate, r.next, edges, now))
+        return tuple(
+            fn for fn, r in kept if self.readiness.is_ready(fn, r.candidate, r.next_weight, edges, now)
+        )
 
     def current(self) -> bool:
         """Whether no newer planner writes the journal. One that did not ask would go on renewing leases on
@@ -128,8 +130,9 @@
         history = [(at / 10, who, why, given, state) for at, who, why, given, state in rollout.history]
         counts = (total[0], total[1], total[2], total[3])
         return plans.RolloutStatus(
-            fn, rollout.settled, rollout.candidate, rollout.state.name.lower(), rollout.share, rollout.step,
-            counts, round(found.harm, 3), round(found.good, 3), history, rollout.next, self.waits(rollout),
+            fn, rollout.settled, rollout.candidate, rollout.state.name.lower(), rollout.weight, rollout.step,
+            counts, round(found.log_harm, 3), round(found.log_safety, 3), history, rollout.next_weight,
+            self.waits(rollout),
         )  # fmt: skip
 
     def waits(self, rollout: Rollout) -> dict[str, str]:
@@ -137,7 +140,7 @@
         if rollout.state in OVER or rollout.state is RolloutState.WITHDRAWING:
             return {}
         edges = [speaker.name for speaker in self.edges]
-        return self.readiness.shortages(rollout.fn, rollout.candidate, rollout.next, edges, self.now())
+        return self.readiness.shortages(rollout.fn, rollout.candidate, rollout.next_weight, edges, self.now())
 
 
 class PlannerConnection(Speaker):
@@ -175,9 +178,9 @@
         planner = self.planner
         match message:
             case plans.Heartbeat():
-                self.has = max(self.has, message.has)
+                self.has = max(self.has, message.plan_number)
                 if planner.current():
-                    self.say(plans.Heartbeat(message.asked))
+                    self.say(plans.Heartbeat(message.sent_at))
             case plans.OutcomeReport():
                 planner.add(
                     OutcomeEntry(
@@ -187,8 +190,8 @@
                     )
                 )  # fmt: skip
             case plans.ReplicaReport():
-                word = EdgeReport(message.share, message.lacks, planner.now())
-                planner.readiness.on_report(message.fn, message.candidate, self.name, word)
+                report = EdgeReport(message.weight, message.shortage, planner.now())
+                planner.readiness.on_report(message.fn, message.candidate, self.name, report)
             case plans.RolloutCommand():
                 self.order(message)
             case plans.StatusRequest():
@@ -198,9 +201,9 @@
         """An operator's command."""
         reply = self.planner.add(
             CommandEntry(
-                at=self.planner.now(), id=order.id, what=order.what, fn=order.fn, who=order.who,
-                why=order.why, candidate=order.candidate, steps=order.steps,
-                remembered=int(order.remembered * 10),
+                at=self.planner.now(), id=order.id, action=order.action, fn=order.fn, operator=order.operator,
+                reason=order.reason, candidate=order.candidate, steps=order.steps,
+                retention=int(order.retention * 10),
             )
         )  # fmt: skip
         if reply is None:
@@ -210,9 +213,9 @@
             plans.CommandReply(
                 order.id,
                 reply.outcome.value,
-                reply.says,
+                reply.message,
                 reply.state,
-                reply.share,
+                reply.weight,
                 reply.number,
                 sorted(behind),
             )
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -19,8 +19,8 @@
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 OVER = (RolloutState.SETTLED, RolloutState.WITHDRAWN)
-STEPS = (0.01, 0.05, 0.25, 1.0)  # shares of a candidate, unless a command names others
-REMEMBERED = 600_000  # tenths of a millisecond for which clients may still bring tokens of a version
+DEFAULT_STEPS = (0.01, 0.05, 0.25, 1.0)  # shares of a candidate, unless a command names others
+DEFAULT_RETENTION = 600_000  # tenths of a millisecond for which clients may still bring tokens of a version
 
 
 class Entry(Struct, tag_field="is", omit_defaults=True, kw_only=True):
@@ -33,13 +33,13 @@
     """An operator's. `id` is the command's own: one that comes twice is answered as the first time."""
 
     id: Name
-    what: Literal["start", "advance", "hold", "resume", "back"]
+    action: Literal["start", "advance", "hold", "resume", "back"] = msgspec.field(name="what")
     fn: Name
-    who: Name
-    why: str = ""
+    operator: Name = msgspec.field(name="who")
+    reason: str = msgspec.field(default="", name="why")
     candidate: str = ""
-    steps: tuple[float, ...] = STEPS
-    remembered: int = REMEMBERED
+    steps: tuple[float, ...] = DEFAULT_STEPS
+    retention: int = msgspec.field(default=DEFAULT_RETENTION, name="remembered")
 
 
 class OutcomeEntry(Entry, tag="report"):
@@ -58,7 +58,7 @@
 class TickEntry(Entry, tag="look"):
     """Time has passed; `warm` names the functions whose next step's copies stand."""
 
-    warm: tuple[str, ...] = ()
+    functions_ready: tuple[str, ...] = msgspec.field(default=(), name="warm")
 
 
 AnyEntry = CommandEntry | OutcomeEntry | TickEntry
@@ -71,9 +71,9 @@
     """What a command came to."""
 
     outcome: CommandOutcome
-    says: str
+    message: str
     state: str
-    share: float
+    weight: float
     number: int
 
 
@@ -117,10 +117,10 @@
         known = self.replies.get(command.id)
         if known is not None:
             return known
-        outcome, says = self.start(command) if command.what == "start" else self.steer(command)
+        outcome, message = self.start(command) if command.action == "start" else self.steer(command)
         rollout = self.rollouts.get(command.fn)
-        state, share = (rollout.state.name.lower(), rollout.share) if rollout else ("none", 0.0)
-        reply = self.replies[command.id] = CommandResult(outcome, says, state, share, self.number)
+        state, weight = (rollout.state.name.lower(), rollout.weight) if rollout else ("none", 0.0)
+        reply = self.replies[command.id] = CommandResult(outcome, message, state, weight, self.number)
         return reply
 
     def start(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
@@ -144,15 +144,15 @@
                 CommandOutcome.NOTHING_TO_DO if candidate else CommandOutcome.REFUSED,
                 f"{candidate or 'no version'} is what {fn} runs",
             )
-        if running is not None and running.kept:
+        if running is not None and running.previous_retained:
             return (
                 CommandOutcome.REFUSED,
                 f"{settled} settled lately, and clients may still come back to it; wait",
             )
         if running is not None:
             self.ended.append(running)
-        made = self.rollouts[fn] = Rollout(fn, settled, candidate, steps, command.remembered)
-        outcome = made.handle(RolloutInput.START, command.at, command.who, command.why)
+        made = self.rollouts[fn] = Rollout(fn, settled, candidate, steps, command.retention)
+        outcome = made.handle(RolloutInput.START, command.at, command.operator, command.reason)
         return outcome, f"{settled or 'none'} to {candidate}"
 
     def steer(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
@@ -162,10 +162,10 @@
             return CommandOutcome.REFUSED, f"{command.fn} has no rollout"
         if command.candidate and command.candidate != rollout.candidate:
             return CommandOutcome.REFUSED, f"{command.fn} has {rollout.candidate}, not {command.candidate}"
-        outcome = rollout.handle(RolloutInput(command.what), command.at, command.who, command.why)
-        if rollout.urged:
-            return outcome, f"{rollout.candidate} goes to {rollout.next:.0%} within two seconds"
-        return outcome, f"{rollout.candidate} is {rollout.state.name.lower()} at {rollout.share:.0%}"
+        outcome = rollout.handle(RolloutInput(command.action), command.at, command.operator, command.reason)
+        if rollout.advance_requested:
+            return outcome, f"{rollout.candidate} goes to {rollout.next_weight:.0%} within two seconds"
+        return outcome, f"{rollout.candidate} is {rollout.state.name.lower()} at {rollout.weight:.0%}"
 
     def report(self, report: OutcomeEntry) -> None:
         """Evidence of another step, or of a candidate that is gone, is none."""
@@ -177,11 +177,14 @@
 
     def running(self) -> dict[str, Rollout]:
         """Those that the clock or the evidence may still move."""
-        return {fn: r for fn, r in self.rollouts.items() if r.state not in OVER or r.kept}
+        return {fn: r for fn, r in self.rollouts.items() if r.state not in OVER or r.previous_retained}
 
     def tick(self, tick: TickEntry) -> dict[str, Verdict]:
         """Let the clock and the evidence move what runs."""
-        return {fn: rollout.evaluate(tick.at, fn in tick.warm) for fn, rollout in self.running().items()}
+        return {
+            fn: rollout.evaluate(tick.at, fn in tick.functions_ready)
+            for fn, rollout in self.running().items()
+        }
 
     # what edges are told
 
--- a/lapistrestle/rollout/evidence.py
+++ b/lapistrestle/rollout/evidence.py
@@ -41,19 +41,19 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    harm: float  # log of the martingale
-    good: float
+    log_harm: float  # log of the martingale
+    log_safety: float
     settled: int
     candidate: int
 
     @property
     def must_roll_back(self) -> bool:
-        return self.harm >= log(1 / FALSE_ROLLBACK_PROBABILITY)
+        return self.log_harm >= log(1 / FALSE_ROLLBACK_PROBABILITY)
 
     @property
     def may_advance(self) -> bool:
         enough = min(self.settled, self.candidate) >= MIN_REQUESTS_PER_VERSION
-        return enough and not self.must_roll_back and self.good >= log(1 / FALSE_ADVANCE_PROBABILITY)
+        return enough and not self.must_roll_back and self.log_safety >= log(1 / FALSE_ADVANCE_PROBABILITY)
 
 
 @dataclass
--- a/lapistrestle/rollout/replicas.py
+++ b/lapistrestle/rollout/replicas.py
@@ -54,7 +54,7 @@
         RolloutPhase.ROLLING_BACK
         if split.withdrawn
         else RolloutPhase.RETAINED
-        if split.done
+        if split.promoted
         else RolloutPhase.LOADING
     )
 
@@ -65,9 +65,9 @@
     return min(MAX_DEMAND_FACTOR, max(1.0, alone / max(usual, 1.0)))
 
 
-def required_replicas(busy: float, share: float, lanes: int, edges: int) -> int:
+def required_replicas(busy: float, weight: float, lanes: int, edges: int) -> int:
     """Copies for that share of the whole fleet's traffic; `busy`: RPCs under way on average at one edge."""
-    lanes_used = busy * share * edges
+    lanes_used = busy * weight * edges
     return ceil((lanes_used + sqrt(lanes_used)) / max(1, lanes)) if lanes_used > 0 else 0
 
 
@@ -186,9 +186,9 @@
     """What an edge said last of a candidate: the share that its copies stand for, and what it lacks for
     more."""
 
-    share: float
-    lacks: str
-    at: int
+    weight: float
+    shortage: str
+    received_at: int
 
 
 @dataclass
@@ -198,8 +198,8 @@
     report_lifetime: int = 30_000  # tenths of a millisecond; edges speak each second
     reports: dict[tuple[str, str], dict[str, EdgeReport]] = field(default_factory=dict)
 
-    def on_report(self, fn: str, candidate: str, edge: str, word: EdgeReport) -> None:
-        self.reports.setdefault((fn, candidate), {})[edge] = word
+    def on_report(self, fn: str, candidate: str, edge: str, report: EdgeReport) -> None:
+        self.reports.setdefault((fn, candidate), {})[edge] = report
 
     def on_edge_gone(self, edge: str) -> None:
         for said in self.reports.values():
@@ -211,11 +211,11 @@
         """The edges that are not ready for that share, and why."""
         made: dict[str, str] = {}
         for edge in edges:
-            word = self.reports.get((fn, candidate), {}).get(edge)
-            if word is None or now - word.at > self.report_lifetime:
+            report = self.reports.get((fn, candidate), {}).get(edge)
+            if report is None or now - report.received_at > self.report_lifetime:
                 made[edge] = "has not said how its copies stand"
-            elif word.share < share - 1e-9:
-                made[edge] = word.lacks or f"its copies stand for {word.share:.0%}"
+            elif report.weight < share - 1e-9:
+                made[edge] = report.shortage or f"its copies stand for {report.weight:.0%}"
         return made
 
     def is_ready(self, fn: str, candidate: str, share: float, edges: Iterable[str], now: int) -> bool:
--- a/lapistrestle/rollout/routing.py
+++ b/lapistrestle/rollout/routing.py
@@ -79,9 +79,9 @@
             return Route(fn)
         if not split.candidate:
             return Route(versioned_name(fn, split.settled))
-        usable = split.done or self.lease.is_usable(now)
+        usable = split.promoted or self.lease.is_usable(now)
         # without a lease a newer plan may have let any key meet the candidate at another edge
-        held = split if usable else replace(split, share=0.0, peak=1.0)
+        held = split if usable else replace(split, weight=0.0, peak_weight=1.0)
         tokened = kind == "tokened"
         met = self.earlier_version(split, key) if tokened and repeat else EarlierVersion.UNKNOWN
         match choose_version(held, key, kind, repeat, tokens_span, met):
@@ -93,7 +93,7 @@
                 version, new = split.settled, False
         if tokened:
             self.remember_version(fn, key, version)
-        counts = usable and not split.withdrawn and not split.done
+        counts = usable and not split.withdrawn and not split.promoted
         return Route(versioned_name(fn, version), fn, split.candidate if counts else "", split.step, new)
 
     def remember_version(self, fn: str, key: str, version: str) -> None:
@@ -113,7 +113,7 @@
             return True
         fn, _, version = name.rpartition("@")
         split = self.splits.get(fn)
-        if split is None or not version or split.candidate != version or split.done:
+        if split is None or not version or split.candidate != version or split.promoted:
             return False
         return not self.lease.is_usable(now)
 
--- a/lapistrestle/rollout/state_machine.py
+++ b/lapistrestle/rollout/state_machine.py
@@ -47,26 +47,26 @@
     settled: str
     candidate: str
     steps: tuple[float, ...]
-    remembered: int  # for how long clients may come back from it
+    retention: int  # for how long clients may come back from it
     state: RolloutState = RolloutState.PROPOSED
     step: int = -1  # in `steps`; -1: no share yet
-    peak: float = 0.0
-    since: int = 0  # when this state began
-    told: int | None = None  # when edges were told that the next step comes
-    urged: bool = False  # it comes without evidence
-    kept: bool = False  # settled, and the version before it is still kept
+    peak_weight: float = 0.0
+    state_since: int = 0  # when this state began
+    announced_at: int | None = None  # when edges were told that the next step comes
+    advance_requested: bool = False  # it comes without evidence
+    previous_retained: bool = False  # settled, and the version before it is still kept
     evidence: Evidence = field(default_factory=Evidence)
     # when, who, why, input and state
     history: list[tuple[int, str, str, str, str]] = field(default_factory=list)
 
     @property
-    def share(self) -> float:
+    def weight(self) -> float:
         growing = self.state in (RolloutState.GROWING, RolloutState.HELD) and self.step >= 0
         part = min(self.steps[self.step], MAX_WEIGHT_BEFORE_SETTLED) if growing else 0.0
         return 1.0 if self.state is RolloutState.SETTLED else part
 
     @property
-    def next(self) -> float:
+    def next_weight(self) -> float:
         """The share after this one; its copies come first."""
         last = self.step + 1 >= len(self.steps) or self.state is RolloutState.SETTLED
         return 1.0 if last else min(self.steps[self.step + 1], MAX_WEIGHT_BEFORE_SETTLED)
@@ -74,15 +74,17 @@
     def split(self) -> TrafficSplit:
         """What edges are told. The peak comes before its step, so that no edge with a lease takes a key for
         one that can't have met the candidate yet."""
-        if self.state is RolloutState.SETTLED and not self.kept:
+        if self.state is RolloutState.SETTLED and not self.previous_retained:
             return TrafficSplit(self.fn, self.candidate)
         if self.state in (RolloutState.PROPOSED, RolloutState.WITHDRAWN):
             return TrafficSplit(self.fn, self.settled)
         back, done = self.state is RolloutState.WITHDRAWING, self.state is RolloutState.SETTLED
-        peak = self.peak if back or self.told is None else max(self.peak, self.next)
-        ahead = 0.0 if back else self.next
+        peak = (
+            self.peak_weight if back or self.announced_at is None else max(self.peak_weight, self.next_weight)
+        )
+        ahead = 0.0 if back else self.next_weight
         return TrafficSplit(
-            self.fn, self.settled, self.candidate, self.share, peak, back, self.step, ahead, done
+            self.fn, self.settled, self.candidate, self.weight, peak, back, self.step, ahead, done
         )
 
     def handle(self, given: RolloutInput, now: int, who: str = "planner", why: str = "") -> CommandOutcome:
@@ -95,38 +97,40 @@
             return CommandOutcome.REFUSED
         before, (self.state, effect) = self.state, after
         effect(self)
-        self.peak = max(self.peak, self.share)
+        self.peak_weight = max(self.peak_weight, self.weight)
         if given is RolloutInput.ANNOUNCE_STEP:
-            self.told = now
+            self.announced_at = now
             return CommandOutcome.DONE
         if self.state is not before:
-            self.since = now
+            self.state_since = now
         self.history.append((now, who, why, given.value, self.state.name.lower()))
         return CommandOutcome.DONE
 
     def evaluate(self, now: int, replicas_ready: bool) -> Verdict:
         """Once in a while: what the evidence, the loads and the clock say. `replicas_ready`: the next
         step's copies stand."""
-        findings = self.evidence.verdict()
+        verdict = self.evidence.verdict()
         given: RolloutInput | None = None
         why = ""
-        if findings.must_roll_back and (self.state, RolloutInput.HARM_FOUND) in TRANSITIONS:
-            given, why = RolloutInput.HARM_FOUND, f"harm {findings.harm:.1f}"
+        if verdict.must_roll_back and (self.state, RolloutInput.HARM_FOUND) in TRANSITIONS:
+            given, why = RolloutInput.HARM_FOUND, f"harm {verdict.log_harm:.1f}"
         elif self.state is RolloutState.WARMING and replicas_ready:
             given = RolloutInput.REPLICAS_READY
-        elif self.state is RolloutState.GROWING and self.urged:
+        elif self.state is RolloutState.GROWING and self.advance_requested:
             given, why = RolloutInput.EVIDENCE_SUFFICIENT, "advance"
-        elif self.state is RolloutState.GROWING and findings.may_advance and replicas_ready:
-            given, why = RolloutInput.EVIDENCE_SUFFICIENT, f"good {findings.good:.1f}"
-        elif (self.state is RolloutState.WITHDRAWING or self.kept) and now - self.since >= self.remembered:
+        elif self.state is RolloutState.GROWING and verdict.may_advance and replicas_ready:
+            given, why = RolloutInput.EVIDENCE_SUFFICIENT, f"good {verdict.log_safety:.1f}"
+        elif (
+            self.state is RolloutState.WITHDRAWING or self.previous_retained
+        ) and now - self.state_since >= self.retention:
             given = RolloutInput.RETENTION_ENDED
-        if given in STEPS and self.told is None:
+        if given in STEPS and self.announced_at is None:
             given = RolloutInput.ANNOUNCE_STEP
-        elif given in STEPS and self.told is not None and now - self.told < ANNOUNCEMENT_LEAD:
+        elif given in STEPS and self.announced_at is not None and now - self.announced_at < ANNOUNCEMENT_LEAD:
             given = None
         if given is not None:
             self.handle(given, now, why=why)
-        return findings
+        return verdict
 
     # effects
 
@@ -135,17 +139,17 @@
     def grow(self) -> None:
         """The next step is judged by itself, so that a fault that shows only at load can't hide behind the
         last."""
-        self.evidence, self.told, self.urged = Evidence(), None, False
+        self.evidence, self.announced_at, self.advance_requested = Evidence(), None, False
         if self.step + 1 < len(self.steps):
             self.step += 1
         else:
-            self.state, self.kept = RolloutState.SETTLED, True
+            self.state, self.previous_retained = RolloutState.SETTLED, True
 
     def hold(self) -> None:
-        self.urged = False
+        self.advance_requested = False
 
     def let_go(self) -> None:
-        self.kept = False
+        self.previous_retained = False
 
     def resume(self) -> None:
         """Held before its copies stood: they come first."""
@@ -154,10 +158,10 @@
 
     def advance(self) -> None:
         self.resume()
-        self.urged = self.state is RolloutState.GROWING
+        self.advance_requested = self.state is RolloutState.GROWING
 
     def take_back(self) -> None:
-        self.step, self.kept, self.told, self.urged = -1, False, None, False
+        self.step, self.previous_retained, self.announced_at, self.advance_requested = -1, False, None, False
 
 
 ALREADY: Mapping[RolloutInput, tuple[RolloutState, ...]] = {
--- a/lapistrestle/rollout/version_choice.py
+++ b/lapistrestle/rollout/version_choice.py
@@ -17,23 +17,25 @@
 
 @dataclass(frozen=True)
 class TrafficSplit:
-    """What an edge holds of one function: `share` of the keys go to `candidate`, the rest to `settled`.
-
-    `peak` is the largest share that the candidate has had or gets next: keys below it may have met it at
-    an edge whose plan is newer. A withdrawn candidate has no share but keeps its peak until clients can no
-    longer come back from it. `next` is the share to load for. Once `done` the candidate is what runs, with
-    no lease, and the version before it is kept for clients that come back and for a change of mind.
+    """What an edge holds of one function: the part `weight` of the keys goes to `candidate`, the rest to
+    `settled`.
+
+    `peak_weight` is the largest weight that the candidate has had or gets next: keys below it may have met it
+    at an edge whose plan is newer. A withdrawn candidate has no weight but keeps its peak until clients can
+    no longer come back from it. `next_weight` is the weight to load for. Once `promoted` the candidate is
+    what runs, with no lease, and the version before it is kept for clients that come back and for a change
+    of mind.
     """
 
     fn: str
     settled: str
     candidate: str = ""
-    share: float = 0.0
-    peak: float = 0.0
+    weight: float = 0.0
+    peak_weight: float = 0.0
     withdrawn: bool = False
     step: int = field(default=-1, compare=False)
-    next: float = 0.0
-    done: bool = False
+    next_weight: float = 0.0
+    promoted: bool = False
 
 
 def hash_position(fn: str, candidate: str, key: str) -> float:
@@ -92,10 +94,10 @@
     if not split.candidate:
         return VersionChoice.SETTLED
     at = hash_position(split.fn, split.candidate, key)
-    within = at < split.share and not split.withdrawn
+    within = at < split.weight and not split.withdrawn
     if repeat and kind == "tokened" and not tokens_span:
-        return REPEATED_ATTEMPT_CHOICES[within, within or at < split.peak, met]
-    return FIRST_ATTEMPT_CHOICES[within, within or at < split.peak]
+        return REPEATED_ATTEMPT_CHOICES[within, within or at < split.peak_weight, met]
+    return FIRST_ATTEMPT_CHOICES[within, within or at < split.peak_weight]
 
 
 def choose_after_denial(kind: str, may_have_run: bool, tokens_span: bool) -> VersionChoice:
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -77,10 +77,10 @@
         """A share that changed did so since the status before this one."""
         for one in status.rollouts:
             version = f"{one.fn}@{one.candidate}"
-            if self.shares.get(version, 0.0) != one.share:
-                self.shares[version] = one.share
+            if self.shares.get(version, 0.0) != one.weight:
+                self.shares[version] = one.weight
                 since = self.tape.moment(self.seen)
-                self.tape.put("planner", "share", version=version, share=one.share, since=since)
+                self.tape.put("planner", "share", version=version, share=one.weight, since=since)
         self.seen = self.reactor.seconds()
 
     def give(self, order: plans.RolloutCommand) -> None:
@@ -95,6 +95,6 @@
             return
         self.replies.append(reply)
         version = f"{order.fn}@{order.candidate}"
-        if order.what == "back" and reply.outcome == "done":
+        if order.action == "back" and reply.outcome == "done":
             self.tape.put("planner", "back", version=version)
-        self.tape.put("planner", "order", said=order.what, version=version, outcome=reply.outcome)
+        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome)
--- a/lapistrestle/store/persisted_plan.py
+++ b/lapistrestle/store/persisted_plan.py
@@ -13,7 +13,7 @@
 
     epoch: int
     number: int
-    shares: list[SplitMessage]
+    splits: list[SplitMessage] = msgspec.field(name="shares")
     barred: list[str] = []  # versions that were withdrawn, also those whose rollout is over
 
 
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -3,7 +3,7 @@
 
 from typing import Annotated, Literal
 
-from msgspec import Meta, Struct, convert, field
+from msgspec import Meta, Struct, field
 
 from lapistrestle.rollout.version_choice import TrafficSplit
 from lapistrestle.wire.messages import Bye, Fault, Hello, Message, Name, Number
@@ -21,21 +21,41 @@
     fn: Name
     settled: str = ""
     candidate: str = ""
-    share: Annotated[float, Meta(ge=0, le=1)] = 0.0
-    peak: Annotated[float, Meta(ge=0, le=1)] = 0.0
+    weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="share")
+    peak_weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="peak")
     withdrawn: bool = False
     step: int = -1
-    next: Annotated[float, Meta(ge=0, le=1)] = 0.0
-    done: bool = False
+    next_weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="next")
+    promoted: bool = field(default=False, name="done")
 
 
 def to_message(split: TrafficSplit) -> SplitMessage:
     """A split as it crosses the wire: the same names."""
-    return convert(split, SplitMessage, from_attributes=True)
-
-
-def to_split(share: SplitMessage) -> TrafficSplit:
-    return convert(share, TrafficSplit, from_attributes=True)
+    return SplitMessage(
+        fn=split.fn,
+        settled=split.settled,
+        candidate=split.candidate,
+        weight=split.weight,
+        peak_weight=split.peak_weight,
+        withdrawn=split.withdrawn,
+        step=split.step,
+        next_weight=split.next_weight,
+        promoted=split.promoted,
+    )
+
+
+def to_split(message: SplitMessage) -> TrafficSplit:
+    return TrafficSplit(
+        fn=message.fn,
+        settled=message.settled,
+        candidate=message.candidate,
+        weight=message.weight,
+        peak_weight=message.peak_weight,
+        withdrawn=message.withdrawn,
+        step=message.step,
+        next_weight=message.next_weight,
+        promoted=message.promoted,
+    )
 
 
 class Plan(Message, tag="plan"):
@@ -43,16 +63,16 @@
 
     number: Number
     epoch: Number
-    shares: list[SplitMessage]
-    whole: bool = False
+    splits: list[SplitMessage] = field(name="shares")
+    complete: bool = field(default=False, name="whole")
 
 
 class Heartbeat(Message, tag="beat"):
     """An edge asks, with a moment of its own clock and the plan it has; the planner answers with that
     moment."""
 
-    asked: Annotated[int, Meta(ge=0)]
-    has: int = -1
+    sent_at: Annotated[int, Meta(ge=0)] = field(name="asked")
+    plan_number: int = field(default=-1, name="has")
 
 
 class OutcomeReport(Message, tag="counts"):
@@ -71,21 +91,21 @@
 
     fn: Name
     candidate: Name
-    share: Annotated[float, Meta(ge=0, le=1)] = 0.0
-    lacks: str = ""
+    weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="share")
+    shortage: str = field(default="", name="lacks")
 
 
 class RolloutCommand(Message, tag="order"):
     """An operator's command; one `id` is answered once and for all."""
 
     id: Name
-    what: Literal["start", "advance", "hold", "resume", "back"]
+    action: Literal["start", "advance", "hold", "resume", "back"] = field(name="what")
     fn: Name
-    who: Name
-    why: str = ""
+    operator: Name = field(name="who")
+    reason: str = field(default="", name="why")
     candidate: str = ""
     steps: tuple[float, ...] = (0.01, 0.05, 0.25, 1.0)
-    remembered: Annotated[float, Meta(ge=0, le=86_400_000)] = 60_000.0
+    retention: Annotated[float, Meta(ge=0, le=86_400_000)] = field(default=60_000.0, name="remembered")
 
 
 class CommandReply(Message, tag="reply"):
@@ -93,11 +113,11 @@
 
     id: Name
     outcome: str
-    says: str
+    message: str = field(name="says")
     state: str
-    share: float
+    weight: float = field(name="share")
     number: Number
-    behind: list[str] = field(default_factory=list)
+    edges_behind: list[str] = field(default_factory=list, name="behind")
 
 
 class StatusRequest(Message, tag="ask"):
@@ -109,21 +129,23 @@
     settled: str
     candidate: str
     state: str
-    share: float
+    weight: float = field(name="share")
     step: int
     counts: tuple[int, int, int, int]
-    harm: float
-    good: float
+    log_harm: float = field(name="harm")
+    log_safety: float = field(name="good")
     history: list[tuple[float, str, str, str, str]]  # ms, who, why, input, state
-    next: float = 0.0
-    waits: dict[str, str] = field(default_factory=dict)  # edges without copies for the next share, and why
+    next_weight: float = field(default=0.0, name="next")
+    shortages: dict[str, str] = field(
+        default_factory=dict, name="waits"
+    )  # edges without copies for the next share, and why
 
 
 class PlannerStatus(Message, tag="status"):
     number: Number
     epoch: Number
     rollouts: list[RolloutStatus]
-    edges: dict[str, int]  # the plan that each edge has
+    plan_by_edge: dict[str, int] = field(name="edges")  # the plan that each edge has
 
 
 FromPlanner = Hello | Plan | Heartbeat | CommandReply | PlannerStatus | Fault | Bye
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -27,7 +27,7 @@
 
 def command(id_, what="start", fn="f", candidate="v2", **more):
     return CommandEntry(
-        at=more.pop("at", 0), id=id_, what=what, fn=fn, who="duty", candidate=candidate, **more
+        at=more.pop("at", 0), id=id_, action=what, fn=fn, operator="duty", candidate=candidate, **more
     )
 
 
@@ -43,10 +43,10 @@
     return Numbered()
 
 
-def stepped(kept, at, warm=("f",)):
+def stepped(kept, at, functions_ready=("f",)):
     """Two ticks: edges are told of a step a second before it comes."""
-    kept.add(TickEntry(at=at, warm=warm))
-    kept.add(TickEntry(at=at + 10_000, warm=warm))
+    kept.add(TickEntry(at=at, functions_ready=functions_ready))
+    kept.add(TickEntry(at=at + 10_000, functions_ready=functions_ready))
 
 
 def good(step, minute=0):
@@ -58,7 +58,7 @@
 def test_a_command_that_comes_twice_is_answered_as_the_first_time(kept):
     first = kept.add(command("1"))
     assert first.outcome == CommandOutcome.DONE and first.state == "warming"
-    kept.add(TickEntry(at=5, warm=("f",)))
+    kept.add(TickEntry(at=5, functions_ready=("f",)))
     assert kept.add(command("1")) == first
 
 
@@ -66,7 +66,7 @@
     kept.add(command("1"))
     assert kept.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO
     refused = kept.add(command("3", candidate="v3"))
-    assert refused.outcome == CommandOutcome.REFUSED and "v2" in refused.says
+    assert refused.outcome == CommandOutcome.REFUSED and "v2" in refused.message
     assert kept.add(command("4", fn="g", candidate="v3")).outcome == CommandOutcome.DONE
 
 
@@ -81,7 +81,7 @@
         kept.add(command("3a", candidate="v3", at=40_001)).outcome == CommandOutcome.REFUSED
     )  # clients may come back
     kept.add(TickEntry(at=10**6))
-    assert kept.add(command("3", candidate="v3", at=10**6)).says == "v2 to v3"
+    assert kept.add(command("3", candidate="v3", at=10**6)).message == "v2 to v3"
     assert kept.plan()["f"].settled == "v2" and len(kept.ended) == 1
     kept.add(command("4", "back", candidate="v3", at=10**6))
     assert kept.plan()["f"].withdrawn
@@ -97,11 +97,11 @@
     stepped(kept, 30_000)
     kept.add(TickEntry(at=10**7))
     assert kept.plan() == {"f": TrafficSplit("f", "v2")} and not kept.running()
-    assert kept.add(command("3", "back", at=10**7)).says == "v2 is withdrawing at 0%"
+    assert kept.add(command("3", "back", at=10**7)).message == "v2 is withdrawing at 0%"
     assert kept.plan()["f"] == TrafficSplit("f", "", "v2", 0.0, 1.0, withdrawn=True)
     kept.add(TickEntry(at=2 * 10**7))
     assert kept.settled["f"] == "" and kept.plan()["f"] == TrafficSplit("f", "")
-    assert kept.add(command("4", candidate="v2", at=2 * 10**7)).says == "none to v2"  # and may come again
+    assert kept.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"  # and may come again
 
 
 def test_a_command_for_another_candidate_does_nothing(kept):
@@ -137,8 +137,13 @@
 
 def test_the_same_entries_give_the_same_state(kept, tmp_path):
     journal = Journal(tmp_path / "j")
-    entries = [command("1"), TickEntry(at=10_000, warm=("f",)), good(0), TickEntry(at=20_000, warm=("f",)),
-               command("2", "back", why="wrong prices", at=30_000)]  # fmt: skip
+    entries = [
+        command("1"),
+        TickEntry(at=10_000, functions_ready=("f",)),
+        good(0),
+        TickEntry(at=20_000, functions_ready=("f",)),
+        command("2", "back", reason="wrong prices", at=30_000),
+    ]
     for entry in entries:
         kept.apply(journal.append([encode_entry(entry)]), entry)
     journal.close()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -37,7 +37,7 @@
     hash_position,
 )
 
-SPLIT = TrafficSplit("f", "v1", "v2", share=0.3, peak=0.3)
+SPLIT = TrafficSplit("f", "v1", "v2", weight=0.3, peak_weight=0.3)
 S = 10_000
 KEYS = [f"k{n}" for n in range(4_000)]
 
@@ -48,7 +48,7 @@
 
 
 def test_a_growing_share_only_adds_keys_and_is_what_it_says():
-    shares = [taken(replace(SPLIT, share=s, peak=s)) for s in (0.0, 0.1, 0.3, 0.7, 1.0)]
+    shares = [taken(replace(SPLIT, weight=s, peak_weight=s)) for s in (0.0, 0.1, 0.3, 0.7, 1.0)]
     assert all(a <= b for a, b in pairwise(shares))
     assert [round(len(s) / len(KEYS), 1) for s in shares] == [0.0, 0.1, 0.3, 0.7, 1.0]
 
@@ -73,7 +73,7 @@
     ],
 )  # fmt: skip
 def test_what_may_have_run_on_a_withdrawn_version_is_not_new(kind, repeat, tokens_span, expected):
-    back = replace(SPLIT, share=0.0, withdrawn=True)
+    back = replace(SPLIT, weight=0.0, withdrawn=True)
     met = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
     others = [key for key in KEYS if hash_position("f", "v2", key) >= 0.3]
     assert {choose_version(back, key, kind, repeat, tokens_span) for key in met} == {expected}
@@ -82,7 +82,7 @@
 
 def test_a_tokened_one_that_comes_back_meets_only_what_it_earlier_sent_versions():
     """Also where the share has grown since, or the first try went to another edge."""
-    grown = replace(SPLIT, share=0.3, peak=0.6)
+    grown = replace(SPLIT, weight=0.3, peak_weight=0.6)
 
     def choices(met):
         made = {}
@@ -118,7 +118,7 @@
 
 def test_an_edge_without_a_lease_knows_no_peak():
     routing = Routing()
-    routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.0, peak=0.01)])
+    routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, peak_weight=0.01)])
     keys = [key for key in KEYS if hash_position("f", "v2", key) > 0.5][:50]
     assert {routing.route("f", key, "tokened", True, 0).name for key in keys} == {""}
     first = {routing.route("f", key, "tokened", False, 0).name for key in keys}
@@ -129,10 +129,10 @@
 def test_an_edge_knows_where_it_sent_what_comes_back():
     routing = Routing()
     beats(routing.lease, 0, 40_001)
-    routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.1, peak=0.3)])
+    routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.1, peak_weight=0.3)])
     keys = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
     first = {key: routing.route("f", key, "tokened", False, 40_100).name for key in keys}
-    routing.apply_plan(1, 2, False, [replace(SPLIT, share=0.3, peak=1.0)])
+    routing.apply_plan(1, 2, False, [replace(SPLIT, weight=0.3, peak_weight=1.0)])
     again = {key: routing.route("f", key, "tokened", True, 40_100).name for key in keys}
     assert first == again and set(first.values()) == {"f@v1", "f@v2"}
     assert {routing.route("f", key, "idempotent", True, 40_100).name for key in keys} == {"f@v2"}
@@ -150,18 +150,18 @@
 def test_what_was_withdrawn_stays_barred_until_a_plan_names_it_again():
     """The planner forgets it, and the module's own holds would load it anew."""
     routing = Routing()
-    assert routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.0, withdrawn=True)]) == ["f@v2"]
+    assert routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, withdrawn=True)]) == ["f@v2"]
     assert routing.apply_plan(1, 2, False, [TrafficSplit("f", "v1")]) == [] and routing.is_barred("f@v2", 0)
     routing.apply_plan(1, 3, False, [TrafficSplit("f", "v1", "v3", 0.1, 0.1)])
     assert routing.is_barred("f@v2", 0)
     beats(routing.lease, 0, 40_001)
-    routing.apply_plan(1, 4, False, [replace(SPLIT, share=0.1)])
+    routing.apply_plan(1, 4, False, [replace(SPLIT, weight=0.1)])
     assert not routing.is_barred("f@v2", 40_001)
 
 
 def test_a_moved_one_goes_to_the_settled_version_and_comes_back_there():
     routing = Routing()
-    routing.apply_plan(1, 1, True, [replace(SPLIT, share=0.0, peak=1.0, withdrawn=True)])
+    routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, peak_weight=1.0, withdrawn=True)])
     assert routing.reroute("f@v2", "k1").name == "f@v1"
     assert routing.route("f", "k1", "tokened", True, 0).name == "f@v1"
     assert routing.route("f", "k2", "tokened", True, 0).name == ""
@@ -170,7 +170,9 @@
 
 def test_a_plan_kept_over_a_restart_gives_no_share_and_no_way_back():
     routing = Routing()
-    routing.restore_plan(3, 7, [replace(SPLIT, share=0.9, peak=0.9), TrafficSplit("g", "v5")], ["h@v1"])
+    routing.restore_plan(
+        3, 7, [replace(SPLIT, weight=0.9, peak_weight=0.9), TrafficSplit("g", "v5")], ["h@v1"]
+    )
     assert {routing.route("f", key, "idempotent", False, 0).name for key in KEYS[:50]} == {"f@v1"}
     assert routing.route("g", "k", "idempotent", False, 0).name == "g@v5"
     assert routing.is_barred("h@v1", 0) and routing.is_barred("f@v2", 0)
@@ -189,7 +191,7 @@
 
 def test_what_is_settled_needs_no_lease():
     routing = Routing()
-    routing.apply_plan(1, 1, True, [TrafficSplit("f", "v1", "v2", 1.0, 1.0, done=True)])
+    routing.apply_plan(1, 1, True, [TrafficSplit("f", "v1", "v2", 1.0, 1.0, promoted=True)])
     assert routing.route("f", "k1", "idempotent", False, 10**6).name == "f@v2"
     assert not routing.is_barred("f@v2", 10**6) and routing.recent_counts(10**6) == []
 
@@ -261,7 +263,7 @@
 
 
 def rollout():
-    return Rollout("f", "v1", "v2", (0.01, 0.1, 0.5, 1.0), remembered=50_000)
+    return Rollout("f", "v1", "v2", (0.01, 0.1, 0.5, 1.0), retention=50_000)
 
 
 @pytest.fixture
@@ -285,24 +287,24 @@
 def test_it_loads_first_and_grows_by_evidence_up_to_settled():
     made = rollout()
     assert made.handle(RolloutInput.START, 0) == CommandOutcome.DONE
-    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next=0.01)
+    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next_weight=0.01)
     made.evaluate(S, replicas_ready=False)
     assert made.state is RolloutState.WARMING
     step(made, 2 * S)
-    assert made.split() == TrafficSplit("f", "v1", "v2", 0.01, 0.01, next=0.1)
+    assert made.split() == TrafficSplit("f", "v1", "v2", 0.01, 0.01, next_weight=0.1)
     step(made, 4 * S)
-    assert made.share == 0.01  # no evidence, no step
+    assert made.weight == 0.01  # no evidence, no step
     for turn, expected in enumerate((0.1, 0.5, 0.9)):
         good(made)
         step(made, (10 + 5 * turn) * S, replicas_ready=False)
-        assert made.share < expected  # evidence, but its copies do not stand
+        assert made.weight < expected  # evidence, but its copies do not stand
         step(made, (12 + 5 * turn) * S)
-        assert made.share == expected
+        assert made.weight == expected
     good(made)
     step(made, 40 * S)
     assert made.state is RolloutState.SETTLED
-    assert made.split() == TrafficSplit("f", "v1", "v2", 1.0, 1.0, next=1.0, done=True)
-    made.evaluate(41 * S + made.remembered, replicas_ready=True)
+    assert made.split() == TrafficSplit("f", "v1", "v2", 1.0, 1.0, next_weight=1.0, promoted=True)
+    made.evaluate(41 * S + made.retention, replicas_ready=True)
     assert made.state is RolloutState.SETTLED and made.split() == TrafficSplit("f", "v2")
 
 
@@ -310,7 +312,7 @@
     assert growing.handle(RolloutInput.HOLD, 2 * S, "duty", "looking") == CommandOutcome.DONE
     growing.evidence.add_report("e", "s", 0, OutcomeCounts(1_000, 5, 100, 40))
     growing.evaluate(3 * S, replicas_ready=True)
-    assert growing.state is RolloutState.WITHDRAWING and growing.share == 0.0
+    assert growing.state is RolloutState.WITHDRAWING and growing.weight == 0.0
     assert growing.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.01, withdrawn=True)
     growing.evaluate(3 * S + 49_999, replicas_ready=True)
     assert growing.state is RolloutState.WITHDRAWING
@@ -321,7 +323,7 @@
 def test_each_step_is_judged_by_itself(growing):
     good(growing)
     step(growing, 2 * S)
-    assert growing.share == 0.1 and growing.evidence.verdict() == Verdict(0.0, 0.0, 0, 0)
+    assert growing.weight == 0.1 and growing.evidence.verdict() == Verdict(0.0, 0.0, 0, 0)
 
 
 def test_commands_may_be_given_twice(growing):
@@ -346,20 +348,20 @@
     made.handle(RolloutInput.START, 0)
     made.handle(RolloutInput.HOLD, 1)
     made.handle(RolloutInput.ADVANCE, S)
-    assert made.state is RolloutState.WARMING and made.share == 0.0
+    assert made.state is RolloutState.WARMING and made.weight == 0.0
 
 
 def test_edges_know_of_a_step_for_a_second_before_it_comes(growing):
     assert (
         growing.handle(RolloutInput.ADVANCE, 2 * S) == CommandOutcome.DONE
-        and growing.share == growing.split().peak == 0.01
+        and growing.weight == growing.split().peak_weight == 0.01
     )
     growing.evaluate(2 * S + 1, replicas_ready=False)
-    assert growing.share == 0.01 and growing.split().peak == 0.1
+    assert growing.weight == 0.01 and growing.split().peak_weight == 0.1
     growing.evaluate(3 * S, replicas_ready=False)
-    assert growing.share == 0.01
+    assert growing.weight == 0.01
     growing.evaluate(3 * S + 1, replicas_ready=False)
-    assert growing.share == growing.split().peak == 0.1
+    assert growing.weight == growing.split().peak_weight == 0.1
 
 
 @pytest.mark.parametrize("given", [RolloutInput.HOLD, RolloutInput.ROLL_BACK])
@@ -368,16 +370,16 @@
     growing.evaluate(2 * S, replicas_ready=True)
     growing.handle(given, 2 * S + 5)
     growing.evaluate(4 * S, replicas_ready=True)
-    assert growing.step < 1 and growing.share < 0.1
+    assert growing.step < 1 and growing.weight < 0.1
     if given is RolloutInput.ROLL_BACK:
-        assert growing.split().peak == 0.01
+        assert growing.split().peak_weight == 0.01
 
 
 def settle(made):
     for turn in range(4):
         made.handle(RolloutInput.ADVANCE, turn * S)
         step(made, turn * S)
-    assert made.state is RolloutState.SETTLED and made.since == 4 * S
+    assert made.state is RolloutState.SETTLED and made.state_since == 4 * S
     return made
 
 
@@ -385,14 +387,14 @@
     made = settle(growing)
     assert made.handle(RolloutInput.ROLL_BACK, 6 * S) == CommandOutcome.DONE
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
-    made.evaluate(6 * S + made.remembered, replicas_ready=False)
+    made.evaluate(6 * S + made.retention, replicas_ready=False)
     assert made.state is RolloutState.WITHDRAWN and made.split() == TrafficSplit("f", "v1")
 
 
 def test_also_when_the_version_before_it_is_no_longer_kept(growing):
     made = settle(growing)
-    made.evaluate(4 * S + made.remembered, replicas_ready=False)
-    assert not made.kept and made.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
+    made.evaluate(4 * S + made.retention, replicas_ready=False)
+    assert not made.previous_retained and made.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
 
 
@@ -434,16 +436,16 @@
         gone = made.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
         assert not (self.over and not gone)  # what is withdrawn never comes back
         self.over = gone
-        assert split.share == 0.0 or not gone
-        assert 0.0 <= made.share <= made.peak <= 1.0 or made.state is RolloutState.SETTLED
+        assert split.weight == 0.0 or not gone
+        assert 0.0 <= made.weight <= made.peak_weight <= 1.0 or made.state is RolloutState.SETTLED
         if not gone:
-            assert made.share >= self.last  # a share grows or is taken back, nothing between
-            self.last = made.share
+            assert made.weight >= self.last  # a share grows or is taken back, nothing between
+            self.last = made.weight
         if split.candidate and not gone:
             known = next(peak for at, peak in reversed(self.peaks) if at <= self.now - 10_000)
-            assert split.share <= known  # also by the plan of a second ago
-            self.peaks.append((self.now, split.peak))
-        assert made.share in (0.0, 0.01, 0.1, 0.5, 0.9, 1.0)
+            assert split.weight <= known  # also by the plan of a second ago
+            self.peaks.append((self.now, split.peak_weight))
+        assert made.weight in (0.0, 0.01, 0.1, 0.5, 0.9, 1.0)
 
 
 Life.TestCase.settings = settings(max_examples=80, stateful_step_count=25, deadline=None, derandomize=True)
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -61,7 +61,9 @@
         planner = self.planner
         now = planner.now()
         name = f"{what}-{now}"
-        command = CommandEntry(at=now, id=name, what=what, fn="fn-0", who="duty", candidate="v2", **more)
+        command = CommandEntry(
+            at=now, id=name, action=what, fn="fn-0", operator="duty", candidate="v2", **more
+        )
         reply = planner.add(command)
         if what == "back":
             self.world.tape.put("planner", "back", version=NAME)
@@ -201,7 +203,7 @@
 
     def use_older(played):
         played.said = played.older.add(
-            CommandEntry(at=0, id="late", what="advance", fn="fn-0", who="nobody", candidate="v2")
+            CommandEntry(at=0, id="late", action="advance", fn="fn-0", operator="nobody", candidate="v2")
         )
 
     played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
@@ -260,7 +262,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_tokened_ones_that_come_back_take_effect_on_one_version_only(tmp_path, seed):
     played = tokened_day(tmp_path / "j", seed)
-    assert played.breaches() == [] and played.rollout.peak >= 0.4
+    assert played.breaches() == [] and played.rollout.peak_weight >= 0.4
 
 
 def test_that_repeats_follow_the_share_alone_is_caught(tmp_path, monkeypatch):
@@ -333,7 +335,7 @@
         played.order("back")
 
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)] + [(back, note)]
-    start = {"remembered": remembered}
+    start = {"retention": remembered}
     played = Rolled(script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start)
     fetched["after"] = played.world.store.fetched - fetched["before"]
     calls = [c for c in played.story.calls if c.message.fn == "fn-0" and c.at > back * 1000 and c.answers]
@@ -398,7 +400,7 @@
     does += [] if planner_up else [(30.0, lambda p: p.kill_planner())]
     does += [(31.0, restart(0)), (32.0, restart(1))]
     played = Rolled(
-        script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"remembered": 20_000}
+        script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"retention": 20_000}
     )
     assert played.rollout.state is RolloutState.SETTLED and played.breaches() == []
     after = {run.message.fn for run in played.story.runs if run.at > 31_000}
@@ -417,6 +419,6 @@
 def test_a_version_that_is_three_times_slower_but_in_time_is_held(tmp_path):
     played = Rolled(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
     assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
-    said = played.planner.status().rollouts[0].waits
+    said = played.planner.status().rollouts[0].shortages
     assert any("times as long as the settled version's" in why for why in said.values())
     assert played.rollout.evidence.verdict().may_advance  # errors and soft deadlines alone would let it on
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -44,10 +44,10 @@
 
 
 def test_what_the_share_keeps_busy_and_its_square_root():
-    assert required_replicas(busy=4.0, share=0.25, lanes=1, edges=1) == 2
-    assert required_replicas(busy=4.0, share=1.0, lanes=1, edges=4) == 16 + 4
-    assert required_replicas(busy=4.0, share=1.0, lanes=4, edges=4) == 5
-    assert required_replicas(busy=0.0, share=1.0, lanes=1, edges=4) == required_replicas(1.0, 0.0, 1, 4) == 0
+    assert required_replicas(busy=4.0, weight=0.25, lanes=1, edges=1) == 2
+    assert required_replicas(busy=4.0, weight=1.0, lanes=1, edges=4) == 16 + 4
+    assert required_replicas(busy=4.0, weight=1.0, lanes=4, edges=4) == 5
+    assert required_replicas(busy=0.0, weight=1.0, lanes=1, edges=4) == required_replicas(1.0, 0.0, 1, 4) == 0
 
 
 def test_a_heavy_function_counts_for_more_but_a_jam_does_not_count_for_all():
@@ -147,12 +147,12 @@
 
 
 def test_the_phase_says_what_each_version_is_loaded_for():
-    loading = TrafficSplit("f", "v1", "v2", 0.1, 0.1, next=0.5)
+    loading = TrafficSplit("f", "v1", "v2", 0.1, 0.1, next_weight=0.5)
     assert rollout_phase(loading) is RolloutPhase.LOADING and TARGET_WEIGHTS[RolloutPhase.LOADING] == (
         None,
         1.0,
     )
-    assert rollout_phase(TrafficSplit("f", "v1", "v2", 1.0, 1.0, done=True)) is RolloutPhase.RETAINED
+    assert rollout_phase(TrafficSplit("f", "v1", "v2", 1.0, 1.0, promoted=True)) is RolloutPhase.RETAINED
     assert rollout_phase(TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)) is RolloutPhase.ROLLING_BACK
     assert set(TARGET_WEIGHTS) == set(RolloutPhase) and {
         settled for _, settled in TARGET_WEIGHTS.values()
