--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -22,8 +22,8 @@
 from lapistrestle.planner.server import Planner, PlannerConnection
 from lapistrestle.planner.state import CommandEntry, CommandResult, OutcomeEntry, PlannerState
 from lapistrestle.rollout.routing import Routing
-from lapistrestle.rollout.state_machine import CommandOutcome, Rollout, RolloutInput
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout.state_machine import Rollout, RolloutInput
+from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 from lapistrestle.standins.virtual import BUFFER
 from lapistrestle.store.journal import Journal
 from lapistrestle.wire import messages as wire
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -5,8 +5,8 @@
 
 from lapistrestle.edge.sources import Source
 from lapistrestle.rollout import replicas
-from lapistrestle.rollout.routing import Routing, versioned_name
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout.routing import Routing
+from lapistrestle.rollout_types import TrafficSplit, versioned_name
 from lapistrestle.state import Fn, Srv
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -8,18 +8,17 @@
 
 from dataclasses import dataclass, field
 from itertools import pairwise
-from typing import Annotated, Literal
+from typing import Annotated
 
 import msgspec
 from msgspec import Meta, Struct
 
 from lapistrestle.rollout.evidence import OutcomeCounts, Verdict
-from lapistrestle.rollout.state_machine import CommandOutcome, Rollout, RolloutInput, RolloutState
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout.state_machine import Rollout, RolloutInput, RolloutState
+from lapistrestle.rollout_types import DEFAULT_STEPS, CommandOutcome, RolloutAction, TrafficSplit
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 OVER = (RolloutState.SETTLED, RolloutState.WITHDRAWN)
-DEFAULT_STEPS = (0.01, 0.05, 0.25, 1.0)  # shares of a candidate, unless a command names others
 DEFAULT_RETENTION = 600_000  # tenths of a millisecond for which clients may still bring tokens of a version
 
 
@@ -33,7 +32,7 @@
     """An operator's. `id` is the command's own: one that comes twice is answered as the first time."""
 
     id: Name
-    action: Literal["start", "advance", "hold", "resume", "back"] = msgspec.field(name="what")
+    action: RolloutAction = msgspec.field(name="what")
     fn: Name
     operator: Name = msgspec.field(name="who")
     reason: str = msgspec.field(default="", name="why")
--- a/lapistrestle/rollout/replicas.py
+++ b/lapistrestle/rollout/replicas.py
@@ -16,7 +16,7 @@
 from enum import Enum
 from math import ceil, sqrt
 
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout_types import TrafficSplit
 
 MIN_WORKERS = 2  # workers at least: the loss of one must not leave a version cold
 MAX_REPLICAS_PER_WORKER = 4  # copies of one version on one worker
--- a/lapistrestle/rollout/routing.py
+++ b/lapistrestle/rollout/routing.py
@@ -5,7 +5,8 @@
 
 from lapistrestle.rollout.evidence import OutcomeCounts
 from lapistrestle.rollout.lease import Lease
-from lapistrestle.rollout.version_choice import EarlierVersion, TrafficSplit, VersionChoice, choose_version
+from lapistrestle.rollout.version_choice import EarlierVersion, VersionChoice, choose_version
+from lapistrestle.rollout_types import TrafficSplit, versioned_name
 
 MINUTE = 600_000  # tenths of a millisecond
 KEPT = 3  # minutes whose counts are told again, in case they were lost
@@ -13,11 +14,6 @@
 MAX_REMEMBERED = 50_000  # tokened RPCs, twice; of one that is forgotten it is not known which version it met
 
 
-def versioned_name(fn: str, version: str) -> str:
-    """A version is a function of its own to the module and to runners."""
-    return f"{fn}@{version}" if version else fn
-
-
 @dataclass(frozen=True)
 class Route:
     """Where an RPC goes. `name` empty: it is aborted, as it may have run on what is withdrawn."""
--- a/lapistrestle/rollout/state_machine.py
+++ b/lapistrestle/rollout/state_machine.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from lapistrestle.rollout.evidence import Evidence, Verdict
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 
 RolloutState = Enum("RolloutState", "PROPOSED WARMING GROWING HELD SETTLED WITHDRAWING WITHDRAWN")
 
@@ -25,14 +25,6 @@
     RETENTION_ENDED = "forgotten"
 
 
-class CommandOutcome(Enum):
-    """What came of an input; the value is the form on the wire."""
-
-    DONE = "done"
-    NOTHING_TO_DO = "nothing to do"
-    REFUSED = "refused"
-
-
 MAX_WEIGHT_BEFORE_SETTLED = (
     0.9  # until it settles, a part stays behind as what it is judged by, and stays loaded
 )
--- a/lapistrestle/rollout/version_choice.py
+++ b/lapistrestle/rollout/version_choice.py
@@ -5,39 +5,17 @@
 overrides that.
 """
 
-from dataclasses import dataclass, field
 from enum import Enum
 from hashlib import blake2b
 
+from lapistrestle.rollout_types import TrafficSplit
+
 VersionChoice = Enum("VersionChoice", "SETTLED CANDIDATE ABORT")
 EarlierVersion = Enum(
     "EarlierVersion", "SETTLED CANDIDATE UNKNOWN"
 )  # where an edge sent earlier tries of this RPC itself
 
 
-@dataclass(frozen=True)
-class TrafficSplit:
-    """What an edge holds of one function: the part `weight` of the keys goes to `candidate`, the rest to
-    `settled`.
-
-    `peak_weight` is the largest weight that the candidate has had or gets next: keys below it may have met it
-    at an edge whose plan is newer. A withdrawn candidate has no weight but keeps its peak until clients can
-    no longer come back from it. `next_weight` is the weight to load for. Once `promoted` the candidate is
-    what runs, with no lease, and the version before it is kept for clients that come back and for a change
-    of mind.
-    """
-
-    fn: str
-    settled: str
-    candidate: str = ""
-    weight: float = 0.0
-    peak_weight: float = 0.0
-    withdrawn: bool = False
-    step: int = field(default=-1, compare=False)
-    next_weight: float = 0.0
-    promoted: bool = False
-
-
 def hash_position(fn: str, candidate: str, key: str) -> float:
     """Where this key lies. The candidate's name is in it, so that not always the same keys go first."""
     digest = blake2b(f"{fn}\0{candidate}\0{key}".encode(), digest_size=8).digest()
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -1,11 +1,11 @@
 """Messages between the planner and edges, and between operators and the planner; protocol
 `lapistrestle.planner`."""
 
-from typing import Annotated, Literal
+from typing import Annotated
 
 from msgspec import Meta, Struct, field
 
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout_types import DEFAULT_STEPS, RolloutAction, TrafficSplit
 from lapistrestle.wire.messages import Bye, Fault, Hello, Message, Name, Number
 
 PLANNER = "lapistrestle.planner"
@@ -99,12 +99,12 @@
     """An operator's command; one `id` is answered once and for all."""
 
     id: Name
-    action: Literal["start", "advance", "hold", "resume", "back"] = field(name="what")
+    action: RolloutAction = field(name="what")
     fn: Name
     operator: Name = field(name="who")
     reason: str = field(default="", name="why")
     candidate: str = ""
-    steps: tuple[float, ...] = (0.01, 0.05, 0.25, 1.0)
+    steps: tuple[float, ...] = DEFAULT_STEPS
     retention: Annotated[float, Meta(ge=0, le=86_400_000)] = field(default=60_000.0, name="remembered")
 
 
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -18,8 +18,8 @@
     TickEntry,
     encode_entry,
 )
-from lapistrestle.rollout.state_machine import CommandOutcome, RolloutState
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout.state_machine import RolloutState
+from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire.plans import SplitMessage
@@ -187,7 +187,7 @@
 WRITER = """
 import sys
 from pathlib import Path
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout_types import TrafficSplit
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire.plans import SplitMessage
 from lapistrestle.store.journal import Journal
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -21,7 +21,6 @@
 from lapistrestle.rollout.routing import FIRST_PLAN_TIMEOUT, MAX_REMEMBERED, Routing
 from lapistrestle.rollout.state_machine import (
     TRANSITIONS,
-    CommandOutcome,
     Rollout,
     RolloutInput,
     RolloutState,
@@ -29,13 +28,13 @@
 from lapistrestle.rollout.version_choice import (
     REPEATED_ATTEMPT_CHOICES,
     EarlierVersion,
-    TrafficSplit,
     VersionChoice,
     attempt_key,
     choose_after_denial,
     choose_version,
     hash_position,
 )
+from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 
 SPLIT = TrafficSplit("f", "v1", "v2", weight=0.3, peak_weight=0.3)
 S = 10_000
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -27,7 +27,7 @@
     rollout_phase,
     slowdown_reason,
 )
-from lapistrestle.rollout.version_choice import TrafficSplit
+from lapistrestle.rollout_types import TrafficSplit
 
 
 class Orders:
