--- a/benchmarks/scale/roles/control_agreement.py
+++ b/benchmarks/scale/roles/control_agreement.py
@@ -26,7 +26,7 @@
     Send,
 )
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
-from lapistrestle.planner.state import CommandEntry, encode_entry
+from lapistrestle.planner.entries import CommandEntry, encode_entry
 
 DELAY = 10  # tenths of a millisecond between two members of one region
 FAR = 500  # between two members of different regions
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -19,8 +19,10 @@
 from benchmarks.scale.roles.control_hollow import SECOND, Traffic, deployment
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.edge.planning import PlannerSource
-from lapistrestle.planner.server import Planner, PlannerConnection
-from lapistrestle.planner.state import CommandEntry, CommandResult, OutcomeEntry, PlannerState
+from lapistrestle.planner.connection import PlannerConnection
+from lapistrestle.planner.entries import CommandEntry, OutcomeEntry
+from lapistrestle.planner.server import Planner
+from lapistrestle.planner.state import CommandResult, PlannerState
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout.state_machine import Rollout, RolloutInput
 from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
@@ -59,8 +61,8 @@
         rollout.handle(RolloutInput.ROLL_BACK, 0, command.operator)
         rollout.handle(RolloutInput.RETENTION_ENDED, 0)
         state.rollouts[command.fn] = rollout
-        state.changed[command.fn] = state.number
-        state.replies[command.id] = CommandResult(
+        state.changed_at[command.fn] = state.number
+        state.results[command.id] = CommandResult(
             CommandOutcome.DONE, "none to v2", "warming", 0.0, state.number
         )
     return state
@@ -121,6 +123,8 @@
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> None: ...
 
+    def listenTCP(self, port: int, factory: Any, *, interface: str) -> None: ...
+
 
 class HollowPlanner:
     """A planner with that many edges connected and that many functions behind it."""
@@ -148,7 +152,7 @@
             id=f"burst-{candidate}-{number}", action="start", fn=function(number), operator="operator",
             reason="release of the day", candidate=f"version-{candidate}", retention=0.0,
         )  # fmt: skip
-        self.planner.state.replies.pop(order.id, None)
+        self.planner.state.results.pop(order.id, None)
         self.hear(self.speakers[-1], order)
 
     def counts(self, number: int) -> None:
@@ -244,7 +248,7 @@
             step=-1, minute=1, counts=(10, 0, 1, 0),
         )  # fmt: skip
         entry = processor_seconds(lambda: state.apply(state.number + 1, report), 3)
-        whole = processor_seconds(lambda: state.plan(), 3)
+        whole = processor_seconds(lambda: state.splits_changed_after(), 3)
         steps = count_steps(lambda: state.apply(state.number + 1, report)).instructions
         return Sample(
             state_bytes=held, processor=entry.median * BURST_CHANGES, processor_low=entry.low * BURST_CHANGES,
@@ -258,8 +262,8 @@
         functions = target.functions // (10 if quick else 1)
         state, held = build_measured(lambda: keeper_of(functions))
         entry = processor_seconds(lambda: state.apply(state.number + 1, start_of(0, 1, "v2")), 3).median
-        plan = processor_seconds(lambda: state.plan(state.number), 3).median
-        whole = processor_seconds(lambda: state.plan(), 3).median
+        plan = processor_seconds(lambda: state.splits_changed_after(state.number), 3).median
+        whole = processor_seconds(lambda: state.splits_changed_after(), 3).median
         return [
             Figure(f"state of {functions} rollouts", held, "bytes"),
             Figure(f"one entry, {functions} rollouts", entry, "s", 1 / BURST_CHANGES),
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -37,7 +37,7 @@
     except JournalError as trouble:
         raise Wrong(str(trouble)) from None
     program = Planner(reactor, kept, make_log(json_))
-    program.stopped = reactor.stop
+    program.on_stopped = reactor.stop
     serve(reactor, lambda: program.start(port), tell_port, reactor.stop)
 
 
--- a/lapistrestle/edge/keeping.py
+++ b/lapistrestle/edge/keeping.py
@@ -31,8 +31,8 @@
             had = kept.get(name, none)
             if (had.soft_deadline, had.deadline) != (facts["soft_deadline"], facts["deadline"]):
                 had = none
-            same += [name] if had.isolated_latency or had.latency_hint else []
-            figures.append((had.isolated_latency, had.latency_hint))
+            same += [name] if had.isolated_latency or had.usual_work else []
+            figures.append((had.isolated_latency, had.usual_work))
         self.edge.host.module.recall(figures)
         self.edge.log("kept figures", carried=same, afresh=[m for m in self.edge.methods if m not in same])
 
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -57,7 +57,7 @@
     def __init__(self, edge: Any, port: int) -> None:
         super().__init__(edge, port)
         self.routing: Routing = edge.routing
-        self.wants: dict[str, replicas.ReplicaTarget] = {}  # by name of a version
+        self.targets: dict[str, replicas.ReplicaTarget] = {}  # by name of a version
         self.heard = 0  # when a beat was answered last
         self.start_name = f"{edge.name}-{edge.clock()}"
         self.began = edge.clock()
@@ -129,22 +129,21 @@
     def tell(self, _: object) -> None:
         """How versions do, and keep both of an unsettled function loaded."""
         now = self.edge.clock()
-        for fn, candidate, step, minute, tally in self.routing.recent_counts(now):
-            self.say(plans.OutcomeReport(fn, candidate, step, minute, tally))
+        for key, counts in self.routing.recent_counts(now).items():
+            self.say(plans.OutcomeReport(key.fn, key.candidate, key.step, key.minute, counts))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
         names = {versioned_name(s.fn, version) for s in open_ for version in (s.candidate, s.settled)}
-        self.wants = {name: want for name, want in self.wants.items() if name in names}
+        self.targets = {name: target for name, target in self.targets.items() if name in names}
         for split in open_:
-            share, lacks = self.keep(split)
-            if replicas.rollout_phase(
-                split
-            ) is replicas.RolloutPhase.LOADING and self.routing.lease.is_usable(now):
-                self.say(plans.ReplicaReport(split.fn, split.candidate, share, lacks))
+            weight, shortage = self.keep(split)
+            loading = replicas.rollout_phase(split) is replicas.RolloutPhase.LOADING
+            if loading and self.routing.lease.is_usable(now):
+                self.say(plans.ReplicaReport(split.fn, split.candidate, weight, shortage))
         if not self.stopped:
             self.edge.after(TELL, self.tell, None)
 
     def keep(self, split: TrafficSplit) -> tuple[float, str]:
-        """Have the copies that `rollout.replicas` wants; the share that they stand for, and what is missing.
+        """Have the replicas that `rollout.replicas` wants; their weight, and what is missing for more.
 
         Orders go through the module, so that rules 3 and 5 are kept by the one that counts. Where they are
         not allowed only calls load; an edge that has met no RPC of the function needs nothing.
@@ -162,57 +161,55 @@
         model = known[-1]
         busy = sum(fn.asked.read(module.now) / fn.asked.life for fn in dict.fromkeys(known))
         busy *= replicas.demand_factor(module.iso(model), module.weight(model.method))
-        shares = [
-            split.next_weight if part is None else part
-            for part in replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
-        ]
+        target = replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
+        candidate_weight = split.next_weight if target.candidate is None else target.candidate
+        weights = (candidate_weight, target.settled)
         stands = [
-            self.keep_version(versioned_name(split.fn, version), model, busy, share)
-            for version, share in zip(versions, shares, strict=True)
+            self.keep_version(versioned_name(split.fn, version), model, busy, weight)
+            for version, weight in zip(versions, weights, strict=True)
         ]
         lacking = next((stand for stand in stands if not stand.is_sufficient), None)
         if lacking is None:
-            alone = [
+            latencies = [
                 fn.iso if (fn := registry.fns.get(versioned_name(split.fn, name))) else None
                 for name in versions
             ]
-            slower = replicas.slowdown_reason(*alone)
-            return (split.weight, slower) if slower else (split.next_weight, "")
+            reason = replicas.slowdown_reason(*latencies)
+            return (split.weight, reason) if reason else (split.next_weight, "")
         name = versions[stands.index(lacking)] or split.fn
         has = f"{name} has {lacking.loaded} of {lacking.wanted} copies"
         return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
-    def keep_version(self, name: str, model: Fn, busy: float, share: float) -> replicas.ReplicaStatus:
+    def keep_version(self, name: str, model: Fn, busy: float, weight: float) -> replicas.ReplicaStatus:
         edge, module = self.edge, self.edge.host.module
-        if self.edge.barred(name) or not share:
+        if self.edge.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
         fn = edge.host.registry.fn(name, model.method, model.memory, model.lanes)
         if edge.directory is not None and not edge.directory.ready(fn, edge.method_names[model.method]):
             edge.directory.act()
-            return replicas.ReplicaStatus(
-                replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS
-            )  # its prefix is being looked up
+            # its prefix is being looked up
+            return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
         memory, idle_life = edge.facts["memory_by_kind"], edge.facts["idle_life"]
-        shelves: dict[replicas.WorkerCapacity, Srv] = {}
+        workers: dict[replicas.WorkerCapacity, Srv] = {}
         for srv in module.walk(fn):
             if srv.listing.name != "SERVING" or not module.fit(srv):
                 continue
             size = memory[srv.kind] if srv.kind < len(memory) else 0.0
-            shelf = replicas.WorkerCapacity(
+            worker = replicas.WorkerCapacity(
                 0, replicas.replica_limit(size, fn.memory), warming_up=module.warmth_of(srv) < 1
             )
             if (spot := fn.spots.get(srv)) is not None:
-                shelf.loaded, shelf.preload_pending = module.believed(spot), bool(spot.ordered)
-                shelf.recently_confirmed = module.now - spot.seen <= idle_life // 3
-            shelves[shelf] = srv
+                worker.loaded, worker.preload_pending = module.believed(spot), bool(spot.ordered)
+                worker.recently_confirmed = module.now - spot.seen <= idle_life // 3
+            workers[worker] = srv
 
-        def order(shelf: replicas.WorkerCapacity, count: int) -> bool:
-            ordered: bool = module.order(fn.spot(shelves[shelf]), count, replicas.PRELOAD_BUDGET_FRACTION)
+        def preload(worker: replicas.WorkerCapacity, count: int) -> bool:
+            ordered: bool = module.order(fn.spot(workers[worker]), count, replicas.PRELOAD_BUDGET_FRACTION)
             return ordered
 
-        now = replicas.required_replicas(busy, share, fn.lanes, edge.facts["dispatchers"])
-        wanted = self.wants.setdefault(name, replicas.ReplicaTarget()).update(now)
-        stand = replicas.maintain_replicas(list(shelves), wanted, module.load_limit - module.loading, order)
+        required = replicas.required_replicas(busy, weight, fn.lanes, edge.facts["dispatchers"])
+        target = self.targets.setdefault(name, replicas.ReplicaTarget()).update(required)
+        stand = replicas.maintain_replicas(list(workers), target, module.load_limit - module.loading, preload)
         if edge.directory is not None and not stand.is_sufficient:
             edge.directory.more(name)
         return stand
--- a/lapistrestle/planner/__init__.py
+++ b/lapistrestle/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The program that plans: what it keeps, and what it tells edges."""
+"""The program that plans rollouts: its journal's entries, the state they make, and what it sends edges."""
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -1,73 +1,40 @@
-"""The planner's state machine: all rollouts, as the outcome of its entries in order. Free of I/O.
+"""The planner's state: all rollouts, as the outcome of its journal's entries in order. Free of I/O.
 
-Everything that changes anything is an entry: an operator's command, an edge's report, a tick.
-`PlannerState.apply` is the only way in, so the same entries give the same state after a restart, and an entry
-is written before it is applied. Plans are numbered by the entry that changed them; an edge that knows a
-number is told what changed since.
+Everything that changes anything is an entry (`planner/entries.py`): an operator's command, an edge's counts,
+a tick. `PlannerState.apply` is the only way in, so the same entries give the same state after a restart, and
+an entry is written before it is applied. Plans are numbered by the entry that changed them; an edge that
+knows a number is sent what changed since. `docs/rollout.md` says why.
 """
 
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from itertools import pairwise
-from typing import Annotated
-
-import msgspec
-from msgspec import Meta, Struct
 
+from lapistrestle.planner.entries import CommandEntry, JournalEntry, OutcomeEntry, TickEntry
 from lapistrestle.rollout.evidence import OutcomeCounts, Verdict
-from lapistrestle.rollout.state_machine import Rollout, RolloutInput, RolloutState
-from lapistrestle.rollout_types import DEFAULT_STEPS, CommandOutcome, RolloutAction, TrafficSplit
-
-Name = Annotated[str, Meta(min_length=1, max_length=200)]
-OVER = (RolloutState.SETTLED, RolloutState.WITHDRAWN)
-DEFAULT_RETENTION = 600_000  # tenths of a millisecond for which clients may still bring tokens of a version
-
-
-class Entry(Struct, tag_field="is", omit_defaults=True, kw_only=True):
-    """What all entries share: `at`, in tenths of a millisecond since the planner's first start."""
-
-    at: int
-
-
-class CommandEntry(Entry, tag="command"):
-    """An operator's. `id` is the command's own: one that comes twice is answered as the first time."""
-
-    id: Name
-    action: RolloutAction = msgspec.field(name="what")
-    fn: Name
-    operator: Name = msgspec.field(name="who")
-    reason: str = msgspec.field(default="", name="why")
-    candidate: str = ""
-    steps: tuple[float, ...] = DEFAULT_STEPS
-    retention: int = msgspec.field(default=DEFAULT_RETENTION, name="remembered")
+from lapistrestle.rollout.state_machine import FINAL_STATES, Rollout, RolloutInput, RolloutState
+from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 
 
-class OutcomeEntry(Entry, tag="report"):
-    """An edge's running counts of one minute of one candidate's step; `start` differs at each of its
-    starts."""
+class EntryOrderError(ValueError):
+    """An entry does not follow the last one that was applied.
 
-    edge: Name
-    start: str
-    fn: Name
-    candidate: str
-    step: int
-    minute: int
-    counts: tuple[int, int, int, int]
+    `number` is the entry's, `last` that of the one before it as applied here.
+    """
 
-
-class TickEntry(Entry, tag="look"):
-    """Time has passed; `warm` names the functions whose next step's copies stand."""
-
-    functions_ready: tuple[str, ...] = msgspec.field(default=(), name="warm")
-
-
-AnyEntry = CommandEntry | OutcomeEntry | TickEntry
-ENTRY_DECODER = msgspec.json.Decoder(AnyEntry)
-encode_entry = msgspec.json.Encoder().encode
+    def __init__(self, number: int, last: int) -> None:
+        super().__init__(f"entry {number} does not follow {last}")
+        self.number = number
+        self.last = last
 
 
 @dataclass(frozen=True)
 class CommandResult:
-    """What a command came to."""
+    """What a command came to.
+
+    `message` says it in words; `state` and `weight` are the rollout's after it (`none` and 0 where the
+    function has no rollout); `number` is the entry that answered it.
+    """
 
     outcome: CommandOutcome
     message: str
@@ -78,115 +45,147 @@
 
 @dataclass
 class PlannerState:
-    """All rollouts, as of the entries applied."""
+    """All rollouts, as of the entries applied; `number` is the last entry's.
+
+    By function, `rollouts` holds the newest rollout, `settled_versions` what it runs outside of any, and
+    `changed_at` the entry that changed its split. `past_rollouts` are those that a newer one replaced;
+    `results` are the answers to commands, by their ids.
+    """
 
     number: int = 0
-    rollouts: dict[str, Rollout] = field(default_factory=dict)  # by function: the newest
-    ended: list[Rollout] = field(default_factory=list)  # those before it
-    settled: dict[str, str] = field(default_factory=dict)
-    replies: dict[str, CommandResult] = field(default_factory=dict)
-    changed: dict[str, int] = field(default_factory=dict)  # by function: the entry that changed its split
-
-    def apply(self, number: int, entry: AnyEntry) -> CommandResult | None:
-        """Apply the entry of that number; returns a command's reply. Raises ValueError where it does not
-        follow the last."""
+    rollouts: dict[str, Rollout] = field(default_factory=dict)
+    past_rollouts: list[Rollout] = field(default_factory=list)
+    settled_versions: dict[str, str] = field(default_factory=dict)
+    results: dict[str, CommandResult] = field(default_factory=dict)
+    changed_at: dict[str, int] = field(default_factory=dict)
+
+    def apply(self, number: int, entry: JournalEntry) -> CommandResult | None:
+        """Apply the entry of that number; return a command's result.
+
+        Raises EntryOrderError where it does not follow the last.
+        """
         if number != self.number + 1:
-            raise ValueError(f"entry {number} does not follow {self.number}")
+            raise EntryOrderError(number, self.number)
         self.number = number
-        before = {fn: rollout.split() for fn, rollout in self.rollouts.items()}
-        reply = None
+        splits_before = {fn: rollout.split() for fn, rollout in self.rollouts.items()}
+        result = None
         match entry:
             case CommandEntry():
-                reply = self.command(entry)
+                result = self.execute(entry)
             case OutcomeEntry():
-                self.report(entry)
+                self.record_outcomes(entry)
             case TickEntry():
-                self.tick(entry)
+                self.evaluate(entry)
         for fn, rollout in self.rollouts.items():
-            if rollout.state is RolloutState.SETTLED:
-                self.settled[fn] = rollout.candidate
-            elif self.settled.get(fn) == rollout.candidate:
-                self.settled[fn] = rollout.settled  # it had settled, and was taken back
-            if before.get(fn) != rollout.split():
-                self.changed[fn] = number
-        return reply
-
-    def command(self, command: CommandEntry) -> CommandResult:
-        """A command that comes twice is answered as the first time."""
-        known = self.replies.get(command.id)
+            self._update_settled_version(fn, rollout)
+            if splits_before.get(fn) != rollout.split():
+                self.changed_at[fn] = number
+        return result
+
+    def execute(self, command: CommandEntry) -> CommandResult:
+        """Carry out a command; one that comes twice is answered as the first time."""
+        known = self.results.get(command.id)
         if known is not None:
             return known
-        outcome, message = self.start(command) if command.action == "start" else self.steer(command)
+        if command.action == "start":
+            outcome, message = self.start_rollout(command)
+        else:
+            outcome, message = self.steer_rollout(command)
         rollout = self.rollouts.get(command.fn)
-        state, weight = (rollout.state.name.lower(), rollout.weight) if rollout else ("none", 0.0)
-        reply = self.replies[command.id] = CommandResult(outcome, message, state, weight, self.number)
-        return reply
-
-    def start(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
-        """Begin a rollout. Returns the outcome and what it says."""
-        fn, candidate = command.fn, command.candidate
-        running = self.rollouts.get(fn)
-        if running is not None and running.state not in OVER:
-            if running.candidate == candidate and running.state is not RolloutState.WITHDRAWING:
-                return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
-            return (
-                CommandOutcome.REFUSED,
-                f"{fn} has {running.candidate} {running.state.name.lower()}; take that back first",
-            )
-        steps = command.steps
-        rising = all(a < b for a, b in pairwise(steps))
-        if not steps or not rising or steps[0] <= 0 or steps[-1] != 1:
-            return CommandOutcome.REFUSED, f"steps are {list(steps)}; shares must rise from above 0 to 1"
-        settled = self.settled.get(fn, "")
-        if not candidate or candidate == settled:
-            return (
-                CommandOutcome.NOTHING_TO_DO if candidate else CommandOutcome.REFUSED,
-                f"{candidate or 'no version'} is what {fn} runs",
-            )
-        if running is not None and running.previous_retained:
-            return (
-                CommandOutcome.REFUSED,
-                f"{settled} settled lately, and clients may still come back to it; wait",
-            )
-        if running is not None:
-            self.ended.append(running)
-        made = self.rollouts[fn] = Rollout(fn, settled, candidate, steps, command.retention)
-        outcome = made.handle(RolloutInput.START, command.at, command.operator, command.reason)
-        return outcome, f"{settled or 'none'} to {candidate}"
-
-    def steer(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
-        """Move the rollout under way. Returns the outcome and what it says."""
+        state = rollout.state.value if rollout else "none"
+        weight = rollout.weight if rollout else 0.0
+        result = CommandResult(outcome, message, state, weight, self.number)
+        self.results[command.id] = result
+        return result
+
+    def start_rollout(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
+        """Begin a rollout. Return the outcome and its message."""
+        objection = self._objection_to_start(command)
+        if objection is not None:
+            return objection
+        previous = self.rollouts.get(command.fn)
+        if previous is not None:
+            self.past_rollouts.append(previous)
+        settled = self.settled_versions.get(command.fn, "")
+        rollout = Rollout(command.fn, settled, command.candidate, command.steps, command.retention)
+        self.rollouts[command.fn] = rollout
+        outcome = rollout.handle(RolloutInput.START, command.at, command.operator, command.reason)
+        return outcome, f"{settled or 'none'} to {command.candidate}"
+
+    def steer_rollout(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
+        """Move the function's newest rollout. Return the outcome and its message."""
         rollout = self.rollouts.get(command.fn)
         if rollout is None:
             return CommandOutcome.REFUSED, f"{command.fn} has no rollout"
         if command.candidate and command.candidate != rollout.candidate:
-            return CommandOutcome.REFUSED, f"{command.fn} has {rollout.candidate}, not {command.candidate}"
-        outcome = rollout.handle(RolloutInput(command.action), command.at, command.operator, command.reason)
+            message = f"{command.fn} has {rollout.candidate}, not {command.candidate}"
+            return CommandOutcome.REFUSED, message
+        action = RolloutInput(command.action)
+        outcome = rollout.handle(action, command.at, command.operator, command.reason)
         if rollout.advance_requested:
             return outcome, f"{rollout.candidate} goes to {rollout.next_weight:.0%} within two seconds"
-        return outcome, f"{rollout.candidate} is {rollout.state.name.lower()} at {rollout.weight:.0%}"
-
-    def report(self, report: OutcomeEntry) -> None:
-        """Evidence of another step, or of a candidate that is gone, is none."""
-        rollout = self.rollouts.get(report.fn)
-        if rollout is not None and (rollout.candidate, rollout.step) == (report.candidate, report.step):
-            rollout.evidence.add_report(
-                report.edge, report.start, report.minute, OutcomeCounts(*report.counts)
-            )
-
-    def running(self) -> dict[str, Rollout]:
-        """Those that the clock or the evidence may still move."""
-        return {fn: r for fn, r in self.rollouts.items() if r.state not in OVER or r.previous_retained}
-
-    def tick(self, tick: TickEntry) -> dict[str, Verdict]:
-        """Let the clock and the evidence move what runs."""
+        return outcome, f"{rollout.candidate} is {rollout.state.value} at {rollout.weight:.0%}"
+
+    def record_outcomes(self, entry: OutcomeEntry) -> None:
+        """Add an edge's counts to the evidence; those of another step or candidate are none."""
+        rollout = self.rollouts.get(entry.fn)
+        if rollout is None or (rollout.candidate, rollout.step) != (entry.candidate, entry.step):
+            return
+        rollout.evidence.add_report(entry.edge, entry.start, entry.minute, OutcomeCounts(*entry.counts))
+
+    def evaluate(self, tick: TickEntry) -> dict[str, Verdict]:
+        """Let the clock and the evidence move what is active; return the verdicts by function."""
         return {
             fn: rollout.evaluate(tick.at, fn in tick.functions_ready)
-            for fn, rollout in self.running().items()
+            for fn, rollout in self.active_rollouts().items()
         }
 
-    # what edges are told
+    def active_rollouts(self) -> dict[str, Rollout]:
+        """Return, by function, the rollouts that the clock or the evidence may still move."""
+        return {
+            fn: rollout
+            for fn, rollout in self.rollouts.items()
+            if rollout.state not in FINAL_STATES or rollout.previous_retained
+        }
 
-    def plan(self, after: int = -1) -> dict[str, TrafficSplit]:
-        """Splits that changed after that number; all of them where none is known."""
-        return {fn: r.split() for fn, r in self.rollouts.items() if self.changed.get(fn, 0) > after}
+    def splits_changed_after(self, number: int = -1) -> dict[str, TrafficSplit]:
+        """Return, by function, the splits that changed after that entry; all of them by default."""
+        return {
+            fn: rollout.split()
+            for fn, rollout in self.rollouts.items()
+            if self.changed_at.get(fn, 0) > number
+        }
+
+    def _objection_to_start(self, command: CommandEntry) -> tuple[CommandOutcome, str] | None:
+        """Return why no rollout can begin by this command, or None."""
+        fn, candidate = command.fn, command.candidate
+        latest = self.rollouts.get(fn)
+        if latest is not None and latest.state not in FINAL_STATES:
+            if latest.candidate == candidate and latest.state is not RolloutState.WITHDRAWING:
+                return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
+            message = f"{fn} has {latest.candidate} {latest.state.value}; take that back first"
+            return CommandOutcome.REFUSED, message
+        if not steps_are_valid(command.steps):
+            message = f"steps are {list(command.steps)}; shares must rise from above 0 to 1"
+            return CommandOutcome.REFUSED, message
+        settled = self.settled_versions.get(fn, "")
+        if not candidate:
+            return CommandOutcome.REFUSED, f"no version is what {fn} runs"
+        if candidate == settled:
+            return CommandOutcome.NOTHING_TO_DO, f"{candidate} is what {fn} runs"
+        if latest is not None and latest.previous_retained:
+            message = f"{settled} settled lately, and clients may still come back to it; wait"
+            return CommandOutcome.REFUSED, message
+        return None
+
+    def _update_settled_version(self, fn: str, rollout: Rollout) -> None:
+        if rollout.state is RolloutState.SETTLED:
+            self.settled_versions[fn] = rollout.candidate
+        elif self.settled_versions.get(fn) == rollout.candidate:
+            self.settled_versions[fn] = rollout.settled  # it had settled, and was rolled back
+
+
+def steps_are_valid(steps: Sequence[float]) -> bool:
+    """Return whether the weights rise strictly from above 0 to 1."""
+    rising = all(earlier < later for earlier, later in pairwise(steps))
+    return bool(steps) and rising and steps[0] > 0 and steps[-1] == 1
--- a/lapistrestle/rollout/lease.py
+++ b/lapistrestle/rollout/lease.py
@@ -1,22 +1,46 @@
-"""How long an edge may go on sending to a candidate without word from the planner.
+"""How long an edge may go on sending to a candidate when the planner is silent.
 
 A rollback must hold at every edge within a second, also where the connection is stalled and not closed, so
-an edge may use an unsettled share only while a lease lasts. The planner renews leases by its beats. Two
-clocks never meet: an edge counts from when it *sent* the request that a beat answers, so a beat that lay in
-a socket grants nothing.
+an edge may use an unsettled weight only while a lease lasts. The planner renews leases by its heartbeats.
+The two clocks never meet: an edge counts from when it *sent* the request that a heartbeat answers, so one
+that lay in a socket grants nothing (C. Gray and D. Cheriton, *Leases*, SOSP 1989).
 
-An edge whose lease has run out sends all to the settled version, whose copies are kept. It takes the
-candidate up again only after some beats in a row, so that a planner that restarts or a link that flaps
+An edge whose lease has run out sends all to the settled version, whose replicas are retained. It takes the
+candidate up again only after some heartbeats in a row, so that a planner that restarts or a link that flaps
 moves the traffic over and back once and not with every gap.
+
+Times are ticks of 0.1 ms on the edge's own clock.
 """
 
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, auto
+
+LEASE_DURATION = 8_000
+"""Ticks from the request on; with a request on its way it stays under the second."""
+
+RECOVERY_PERIOD = 30_000
+"""Ticks for which heartbeats must have come before the weight is used again."""
+
+NEVER = -1
+"""Before any time of the clock."""
+
+
+class LeaseState(Enum):
+    """Whether an edge may use unsettled weights."""
+
+    ACTIVE = auto()
+    EXPIRED = auto()
+    RECOVERING = auto()  # heartbeats come again, not yet for long enough
+
+
+class LeaseEvent(Enum):
+    """What moves a lease."""
+
+    FRESH_HEARTBEAT = auto()  # answers a request within LEASE_DURATION
+    STALE_HEARTBEAT = auto()  # answers an older one
+    LEASE_EXPIRED = auto()
+    RECOVERY_COMPLETE = auto()  # RECOVERY_PERIOD is over
 
-LeaseState = Enum("LeaseState", "ACTIVE EXPIRED RECOVERING")
-LeaseEvent = Enum("LeaseEvent", "FRESH_HEARTBEAT STALE_HEARTBEAT LEASE_EXPIRED RECOVERY_COMPLETE")
-LEASE_DURATION = 8_000  # tenths of a millisecond: with a request on its way it stays under the second
-RECOVERY_PERIOD = 30_000  # beats must have come for so long before the share is used again
 
 LEASE_TRANSITIONS: dict[tuple[LeaseState, LeaseEvent], LeaseState] = {
     (LeaseState.ACTIVE, LeaseEvent.FRESH_HEARTBEAT): LeaseState.ACTIVE,
@@ -32,36 +56,40 @@
     (LeaseState.RECOVERING, LeaseEvent.LEASE_EXPIRED): LeaseState.EXPIRED,
     (LeaseState.RECOVERING, LeaseEvent.RECOVERY_COMPLETE): LeaseState.ACTIVE,
 }
+"""The state after each event; complete."""
 
 
 @dataclass
 class Lease:
-    """One edge's; times are of its own clock."""
+    """One edge's lease. `recovering_since` means something only in state RECOVERING."""
 
     state: LeaseState = LeaseState.EXPIRED
-    expires_at: int = -1
-    recovering_since: int = 0  # when it began to return
+    expires_at: int = NEVER
+    recovering_since: int = 0
 
-    def on_heartbeat(self, asked: int, now: int) -> None:
-        """The answer to a request of the time `asked`."""
+    def on_heartbeat(self, requested_at: int, now: int) -> None:
+        """Take a heartbeat that answers a request of the time `requested_at`."""
         self.update(now)
-        fresh = asked + LEASE_DURATION > now
-        self.expires_at = max(self.expires_at, asked + LEASE_DURATION)
+        expires_at = requested_at + LEASE_DURATION
+        self.expires_at = max(self.expires_at, expires_at)
+        event = LeaseEvent.FRESH_HEARTBEAT if expires_at > now else LeaseEvent.STALE_HEARTBEAT
         before = self.state
-        self.state = LEASE_TRANSITIONS[
-            self.state, LeaseEvent.FRESH_HEARTBEAT if fresh else LeaseEvent.STALE_HEARTBEAT
-        ]
+        self.state = LEASE_TRANSITIONS[before, event]
         if before is LeaseState.EXPIRED and self.state is LeaseState.RECOVERING:
             self.recovering_since = now
 
     def update(self, now: int) -> None:
+        """Let the lease expire, or its recovery end, by the clock."""
         if now >= self.expires_at:
             self.state = LEASE_TRANSITIONS[self.state, LeaseEvent.LEASE_EXPIRED]
         elif self.state is LeaseState.RECOVERING and now - self.recovering_since >= RECOVERY_PERIOD:
             self.state = LEASE_TRANSITIONS[self.state, LeaseEvent.RECOVERY_COMPLETE]
 
     def is_usable(self, now: int) -> bool:
-        """Whether an unsettled share may be used at this moment; asked for each RPC, with the clock of now,
-        so that an edge that stood still and wakes with an old plan sends nothing by it."""
+        """Return whether an unsettled weight may be used at this moment.
+
+        Asked for each request with the clock of that moment, so that an edge that stood still and wakes with
+        an old plan sends nothing by it.
+        """
         self.update(now)
         return self.state is LeaseState.ACTIVE
--- /dev/null
+++ b/lapistrestle/rollout/readiness.py
@@ -0,0 +1,64 @@
+"""Which edges have the replicas that the next weight of a rollout needs, as the planner knows it. No I/O."""
+
+from collections.abc import Collection
+from dataclasses import dataclass, field
+
+REPORT_LIFETIME = 30_000
+"""Ticks of 0.1 ms for which a report counts; edges report each second."""
+
+WEIGHT_TOLERANCE = 1e-9
+"""For weights that went through text."""
+
+
+@dataclass(frozen=True)
+class EdgeReport:
+    """What an edge said last of a candidate.
+
+    Its replicas are loaded for `weight`, and `shortage` says what it lacks for more. `received_at` is in
+    ticks of the planner's clock.
+    """
+
+    weight: float
+    shortage: str
+    received_at: int
+
+
+@dataclass
+class Readiness:
+    """The last report of each edge, by function and candidate.
+
+    One that was not renewed within `report_lifetime` (ticks) counts for nothing.
+    """
+
+    report_lifetime: int = REPORT_LIFETIME
+    reports: dict[tuple[str, str], dict[str, EdgeReport]] = field(default_factory=dict)
+
+    def on_report(self, fn: str, candidate: str, edge: str, report: EdgeReport) -> None:
+        """Take an edge's report."""
+        self.reports.setdefault((fn, candidate), {})[edge] = report
+
+    def on_edge_gone(self, edge: str) -> None:
+        """Forget what an edge reported."""
+        for by_edge in self.reports.values():
+            by_edge.pop(edge, None)
+
+    def shortages(
+        self, fn: str, candidate: str, weight: float, edges: Collection[str], now: int
+    ) -> dict[str, str]:
+        """Return the edges that are not ready for that weight, and why."""
+        reports = self.reports.get((fn, candidate), {})
+        found: dict[str, str] = {}
+        for edge in edges:
+            report = reports.get(edge)
+            if report is None or now - report.received_at > self.report_lifetime:
+                found[edge] = "has not said how its copies stand"
+            elif report.weight < weight - WEIGHT_TOLERANCE:
+                found[edge] = report.shortage or f"its copies stand for {report.weight:.0%}"
+        return found
+
+    def is_ready(self, fn: str, candidate: str, weight: float, edges: Collection[str], now: int) -> bool:
+        """Return whether all edges are ready.
+
+        Without any edge nothing is: a weight that nobody serves shows nothing.
+        """
+        return bool(edges) and not self.shortages(fn, candidate, weight, edges, now)
--- a/lapistrestle/store/atomic_files.py
+++ b/lapistrestle/store/atomic_files.py
@@ -1,4 +1,4 @@
-"""Small JSON files that are whole at any moment: this content, or the one before it."""
+"""Small JSON files that are complete at any moment: with this content, or the one before it."""
 
 import os
 from pathlib import Path
@@ -9,22 +9,41 @@
 T = TypeVar("T")
 
 
+class StoredFileError(ValueError):
+    """A stored file does not hold what its reader expects.
+
+    `path` names the file, `reason` says what was found and what was expected.
+    """
+
+    def __init__(self, path: Path, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
+
+
 def read_atomic(path: Path, decoder: msgspec.json.Decoder[T]) -> T:
-    """The file's value. Raises OSError, or ValueError with the file's name where it does not fit."""
+    """Return the file's value.
+
+    Raises OSError where it can't be read, and StoredFileError where the decoder does not take it.
+    """
     try:
         return decoder.decode(path.read_bytes())
-    except msgspec.MsgspecError as trouble:
-        raise ValueError(f"{path}: {trouble}") from None
+    except msgspec.MsgspecError as error:
+        raise StoredFileError(path, str(error)) from None
 
 
 def write_atomic(path: Path, data: bytes) -> None:
-    """The file's new content, whole or not at all. Raises OSError."""
-    beside = path.with_name(path.name + ".new")
-    with beside.open("wb") as file:
+    """Replace the file's content, entirely or not at all. Raises OSError.
+
+    The data go to a file beside it, which is flushed to disk and renamed; then the folder is flushed, since
+    the rename itself is on disk only with it.
+    """
+    temporary = path.with_name(path.name + ".new")
+    with temporary.open("wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(beside, path)
+    temporary.replace(path)
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/lapistrestle/store/journal.py
+++ b/lapistrestle/store/journal.py
@@ -1,7 +1,8 @@
-"""A journal of entries in sqlite3: appended whole and in order, or not at all, by one writer at a time.
+"""A journal of entries in sqlite3: appended completely and in order, or not at all, by one writer at a time.
 
 Each opening for writing begins a new epoch. A writer of an older epoch, one that hung and comes back, is
-refused at its next entry, so it cannot undo what a newer one decided.
+refused at its next entry, so it cannot undo what a newer one decided. `docs/rollout.md`, *State*, says why
+sqlite3.
 """
 
 import sqlite3
@@ -13,64 +14,100 @@
 create table if not exists entries (number integer primary key, epoch integer not null, entry blob not null);
 """
 
+LOCK_TIMEOUT = 10.0
+"""Seconds for which an append waits for another writer's transaction."""
+
 
 class StaleEpochError(Exception):
-    """A newer writer has opened the journal; this one must stop."""
+    """A newer writer has opened the journal; this one must stop.
+
+    `path` names the journal, `epoch` is this writer's and `newest_epoch` the newer writer's.
+    """
+
+    def __init__(self, path: Path, epoch: int, newest_epoch: int) -> None:
+        super().__init__(f"{path}: epoch {newest_epoch} writes here now, not {epoch}")
+        self.path = path
+        self.epoch = epoch
+        self.newest_epoch = newest_epoch
 
 
 class JournalError(Exception):
-    """The file is no journal, or its disk fails; the text names it."""
+    """The file is no journal, or its disk fails.
+
+    `path` names the file, `reason` is what sqlite3 said.
+    """
+
+    def __init__(self, path: Path, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
 
 
 class Journal:
-    """Opened for writing. What `append` returned for is on disk (synchronous=FULL over a write-ahead log)."""
+    """A journal opened for writing, with an epoch of its own.
+
+    What `append` returned for is on disk (synchronous=full over a write-ahead log). Raises JournalError
+    where the file can't be opened.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
         try:
-            self.database = sqlite3.connect(path, isolation_level=None, timeout=10)
+            self.database = sqlite3.connect(path, isolation_level=None, timeout=LOCK_TIMEOUT)
             self.database.execute("pragma journal_mode=wal")
             self.database.execute("pragma synchronous=full")
             self.database.executescript(SCHEMA)
-            self.epoch = int(self.database.execute("insert into epochs default values").lastrowid or 0)
-        except sqlite3.Error as trouble:
-            raise JournalError(f"{path}: {trouble}") from None
+            opened = self.database.execute("insert into epochs default values")
+            self.epoch = int(opened.lastrowid or 0)
+        except sqlite3.Error as error:
+            raise JournalError(path, str(error)) from None
 
     def append(self, entries: Sequence[bytes]) -> int:
-        """All of these or none; the number of the last. Raises StaleEpochError or JournalError."""
+        """Append all of these entries or none. Return the number of the last.
+
+        Raises StaleEpochError where a newer writer has opened the journal, and JournalError where its disk
+        fails.
+        """
         database = self.database
         try:
             database.execute("begin immediate")
             try:
-                newest = self.newest_epoch()
-                if newest != self.epoch:
-                    raise StaleEpochError(f"{self.path}: epoch {newest} writes here now, not {self.epoch}")
-                (last,) = database.execute("select coalesce(max(number), 0) from entries").fetchone()
-                rows = [(last + i, self.epoch, entry) for i, entry in enumerate(entries, 1)]
-                database.executemany("insert into entries values (?, ?, ?)", rows)
+                last = self._insert(entries)
                 database.execute("commit")
             except BaseException:
                 database.execute("rollback")
                 raise
-        except sqlite3.Error as trouble:
-            raise JournalError(f"{self.path}: {trouble}") from None
-        return int(last) + len(entries)
+        except sqlite3.Error as error:
+            raise JournalError(self.path, str(error)) from None
+        return last
 
-    def newest(self) -> bool:
-        """Whether no writer came after this one; a journal that can't be read says no."""
+    def is_newest(self) -> bool:
+        """Return whether no writer came after this one; a journal that can't be read says no."""
         try:
             return self.newest_epoch() == self.epoch
         except sqlite3.Error:
             return False
 
     def newest_epoch(self) -> int:
+        """Return the epoch of the newest writer. Raises sqlite3.Error."""
         (newest,) = self.database.execute("select max(epoch) from epochs").fetchone()
         return int(newest)
 
     def entries(self, after: int = 0) -> Iterator[tuple[int, bytes]]:
-        """Those with a number above `after`, in order."""
+        """Yield number and entry of those with a number above `after`, in order. Raises sqlite3.Error."""
         query = "select number, entry from entries where number > ? order by number"
         yield from self.database.execute(query, (after,))
 
     def close(self) -> None:
+        """Close the file; the journal can't be used after it."""
         self.database.close()
+
+    def _insert(self, entries: Sequence[bytes]) -> int:
+        """Insert the entries within the transaction under way. Return the number of the last."""
+        newest_epoch = self.newest_epoch()
+        if newest_epoch != self.epoch:
+            raise StaleEpochError(self.path, self.epoch, newest_epoch)
+        (last,) = self.database.execute("select coalesce(max(number), 0) from entries").fetchone()
+        rows = [(number, self.epoch, entry) for number, entry in enumerate(entries, last + 1)]
+        self.database.executemany("insert into entries values (?, ?, ?)", rows)
+        return int(last) + len(entries)
--- a/lapistrestle/store/persisted_plan.py
+++ b/lapistrestle/store/persisted_plan.py
@@ -1,4 +1,4 @@
-"""The last plan that an edge was told, in a file: whole at any moment, or the one before it."""
+"""The last plan that an edge received, in a file that is complete at any moment, or the one before it."""
 
 from pathlib import Path
 
@@ -9,31 +9,37 @@
 
 
 class PersistedPlan(msgspec.Struct):
-    """What an edge goes on from when it starts and no planner answers."""
+    """What an edge goes on from when it starts and no planner answers.
+
+    `epoch` and `number` are the plan's; `barred` names versions that were withdrawn, also those whose
+    rollout is over.
+    """
 
     epoch: int
     number: int
     splits: list[SplitMessage] = msgspec.field(name="shares")
-    barred: list[str] = []  # versions that were withdrawn, also those whose rollout is over
+    barred: list[str] = []
 
 
-READ = msgspec.json.Decoder(PersistedPlan)
+_DECODER = msgspec.json.Decoder(PersistedPlan)
 
 
 class PersistedPlanFile:
-    """One edge's. A write goes to a file beside it, is flushed, and takes its place."""
+    """One edge's file at `path`."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def read(self) -> PersistedPlan | None:
-        """None where there is none. Raises OSError or ValueError, with the file's name, where it can't be
-        read."""
+        """Return the plan, None where there is no file.
+
+        Raises OSError where it can't be read, and StoredFileError where it holds no plan.
+        """
         try:
-            return read_atomic(self.path, READ)
+            return read_atomic(self.path, _DECODER)
         except FileNotFoundError:
             return None
 
-    def write(self, kept: PersistedPlan) -> None:
-        """Raises OSError; what was there before then still is."""
-        write_atomic(self.path, msgspec.json.encode(kept))
+    def write(self, plan: PersistedPlan) -> None:
+        """Replace the plan. Raises OSError; what was there before then still is."""
+        write_atomic(self.path, msgspec.json.encode(plan))
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -1,7 +1,10 @@
-"""Messages between the planner and edges, and between operators and the planner; protocol
-`lapistrestle.planner`."""
+"""Messages between the planner and edges, and between operators and the planner.
 
-from typing import Annotated
+Protocol `lapistrestle.planner`; `docs/protocol.md` specifies it for other languages. Field names on the wire
+are mapped here. Weights are fractions from 0 to 1; `fn` names a function.
+"""
+
+from typing import Annotated, NamedTuple
 
 from msgspec import Meta, Struct, field
 
@@ -10,27 +13,32 @@
 
 PLANNER = "lapistrestle.planner"
 
+DEFAULT_RETENTION = 60_000.0
+"""Milliseconds (one minute) for which clients may come back from a version."""
 
-class SplitMessage(Struct, omit_defaults=True, gc=False):
-    """One function's versions: this share of the keys goes to the candidate, the rest to the settled one.
+Weight = Annotated[float, Meta(ge=0, le=1)]
+Milliseconds = Annotated[float, Meta(ge=0, le=86_400_000)]
 
-    `peak`: keys below it may have met the candidate; `next`: the share to load copies for; `done`: the
-    candidate is what runs, and the version before it is still kept.
-    """
+Counts = tuple[Number, Number, Number, Number]
+"""Requests of the settled version, bad ones of them, requests of the candidate, bad ones of them."""
+
+
+class SplitMessage(Struct, omit_defaults=True, gc=False):
+    """A `TrafficSplit` as it crosses the wire and as an edge persists it."""
 
     fn: Name
     settled: str = ""
     candidate: str = ""
-    weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="share")
-    peak_weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="peak")
+    weight: Weight = field(default=0.0, name="share")
+    peak_weight: Weight = field(default=0.0, name="peak")
     withdrawn: bool = False
     step: int = -1
-    next_weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="next")
+    next_weight: Weight = field(default=0.0, name="next")
     promoted: bool = field(default=False, name="done")
 
 
 def to_message(split: TrafficSplit) -> SplitMessage:
-    """A split as it crosses the wire: the same names."""
+    """Return a split as it crosses the wire."""
     return SplitMessage(
         fn=split.fn,
         settled=split.settled,
@@ -45,6 +53,7 @@
 
 
 def to_split(message: SplitMessage) -> TrafficSplit:
+    """Return the split that a message stands for."""
     return TrafficSplit(
         fn=message.fn,
         settled=message.settled,
@@ -59,7 +68,7 @@
 
 
 class Plan(Message, tag="plan"):
-    """Shares that changed since the number that the edge has; all of them where `whole`."""
+    """Splits that changed since the number that the edge has; all of them where `complete`."""
 
     number: Number
     epoch: Number
@@ -68,35 +77,39 @@
 
 
 class Heartbeat(Message, tag="beat"):
-    """An edge asks, with a moment of its own clock and the plan it has; the planner answers with that
-    moment."""
+    """An edge asks for its lease, with a moment of its own clock (ticks of 0.1 ms) and the plan it has.
+
+    The planner answers with that moment.
+    """
 
     sent_at: Annotated[int, Meta(ge=0)] = field(name="asked")
     plan_number: int = field(default=-1, name="has")
 
 
 class OutcomeReport(Message, tag="counts"):
-    """An edge's running counts of a minute: settled, bad of them, candidate, bad of them."""
+    """An edge's running counts of a minute of its own clock."""
 
     fn: Name
     candidate: Name
     step: int
     minute: int
-    counts: tuple[Number, Number, Number, Number]
+    counts: Counts
 
 
 class ReplicaReport(Message, tag="warm"):
-    """The share that the copies of both versions stand for as far as this edge can tell, and what is missing
-    for more; each second."""
+    """The weight that the replicas of both versions are loaded for, as far as this edge can tell.
+
+    Sent each second; `shortage` says what is missing for more.
+    """
 
     fn: Name
     candidate: Name
-    weight: Annotated[float, Meta(ge=0, le=1)] = field(default=0.0, name="share")
+    weight: Weight = field(default=0.0, name="share")
     shortage: str = field(default="", name="lacks")
 
 
 class RolloutCommand(Message, tag="order"):
-    """An operator's command; one `id` is answered once and for all."""
+    """An operator's command; one `id` is answered once and for all. `retention` is in milliseconds."""
 
     id: Name
     action: RolloutAction = field(name="what")
@@ -105,11 +118,15 @@
     reason: str = field(default="", name="why")
     candidate: str = ""
     steps: tuple[float, ...] = DEFAULT_STEPS
-    retention: Annotated[float, Meta(ge=0, le=86_400_000)] = field(default=60_000.0, name="remembered")
+    retention: Milliseconds = field(default=DEFAULT_RETENTION, name="remembered")
 
 
 class CommandReply(Message, tag="reply"):
-    """What an order came to; it is on disk when this is said. `behind`: edges that do not go by it yet."""
+    """What a command came to; it is on disk when this is sent.
+
+    `outcome` is the value of a `CommandOutcome`, `number` the plan that has it, and `edges_behind` those
+    that do not go by that plan yet.
+    """
 
     id: Name
     outcome: str
@@ -124,7 +141,23 @@
     """An operator asks how things stand."""
 
 
+class HistoryLine(NamedTuple):
+    """What moved a rollout: when (ms of the planner's clock), who, why, which input, and the state after."""
+
+    at: float
+    actor: str
+    reason: str
+    input: str
+    state: str
+
+
 class RolloutStatus(Struct):
+    """How one rollout stands.
+
+    `log_harm` and `log_safety` are the logarithms of the two tests; `shortages` says by edge what it lacks
+    for `next_weight`.
+    """
+
     fn: str
     settled: str
     candidate: str
@@ -134,18 +167,18 @@
     counts: tuple[int, int, int, int]
     log_harm: float = field(name="harm")
     log_safety: float = field(name="good")
-    history: list[tuple[float, str, str, str, str]]  # ms, who, why, input, state
+    history: list[HistoryLine]
     next_weight: float = field(default=0.0, name="next")
-    shortages: dict[str, str] = field(
-        default_factory=dict, name="waits"
-    )  # edges without copies for the next share, and why
+    shortages: dict[str, str] = field(default_factory=dict, name="waits")
 
 
 class PlannerStatus(Message, tag="status"):
+    """How all rollouts stand; `plan_by_edge` is the number of the plan that each edge has."""
+
     number: Number
     epoch: Number
     rollouts: list[RolloutStatus]
-    plan_by_edge: dict[str, int] = field(name="edges")  # the plan that each edge has
+    plan_by_edge: dict[str, int] = field(name="edges")
 
 
 FromPlanner = Hello | Plan | Heartbeat | CommandReply | PlannerStatus | Fault | Bye
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -9,7 +9,7 @@
 from test_rollout_days import script as rollout_script
 
 from lapistrestle.checks.service import serve
-from lapistrestle.rollout.state_machine import RolloutState
+from lapistrestle.rollout.state_machine import RolloutInput, RolloutState
 from lapistrestle.wire import messages as wire
 
 HOLDERS = ("holder_stall", "holder_kill", "directory_cut")
@@ -166,5 +166,5 @@
     troubles = [{"kind": "holder_kill", "at": "1.9 s", "lasts": "8 s", "share": 1.0}]
     played = Rolled(with_directory(rollout_script(troubles, length="16 s")), tmp_path / "j")
     assert played.breaches() == []
-    assert not [given for _, _, _, given, _ in played.rollout.history if given == "bad"]
+    assert not [entry for entry in played.rollout.history if entry.input is RolloutInput.HARM_FOUND]
     assert played.rollout.state not in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -10,15 +10,9 @@
 
 import pytest
 
-from lapistrestle.planner.state import (
-    ENTRY_DECODER,
-    CommandEntry,
-    OutcomeEntry,
-    PlannerState,
-    TickEntry,
-    encode_entry,
-)
-from lapistrestle.rollout.state_machine import RolloutState
+from lapistrestle.planner.entries import CommandEntry, OutcomeEntry, TickEntry, decode_entry, encode_entry
+from lapistrestle.planner.state import PlannerState
+from lapistrestle.rollout.state_machine import HistoryEntry, RolloutInput, RolloutState
 from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
@@ -75,16 +69,16 @@
     stepped(kept, 10_000)
     kept.add(good(0))
     stepped(kept, 30_000)
-    assert kept.rollouts["f"].state is RolloutState.SETTLED and kept.settled == {"f": "v2"}
+    assert kept.rollouts["f"].state is RolloutState.SETTLED and kept.settled_versions == {"f": "v2"}
     assert kept.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO  # it is what runs
     assert (
         kept.add(command("3a", candidate="v3", at=40_001)).outcome == CommandOutcome.REFUSED
     )  # clients may come back
     kept.add(TickEntry(at=10**6))
     assert kept.add(command("3", candidate="v3", at=10**6)).message == "v2 to v3"
-    assert kept.plan()["f"].settled == "v2" and len(kept.ended) == 1
+    assert kept.splits_changed_after()["f"].settled == "v2" and len(kept.past_rollouts) == 1
     kept.add(command("4", "back", candidate="v3", at=10**6))
-    assert kept.plan()["f"].withdrawn
+    assert kept.splits_changed_after()["f"].withdrawn
     assert kept.add(command("5", candidate="v4")).outcome == CommandOutcome.REFUSED  # until v3 is forgotten
     kept.add(TickEntry(at=10**9))
     assert kept.add(command("6", candidate="v4")).outcome == CommandOutcome.DONE
@@ -96,11 +90,11 @@
     kept.add(command("2", "advance", at=20_000))
     stepped(kept, 30_000)
     kept.add(TickEntry(at=10**7))
-    assert kept.plan() == {"f": TrafficSplit("f", "v2")} and not kept.running()
+    assert kept.splits_changed_after() == {"f": TrafficSplit("f", "v2")} and not kept.active_rollouts()
     assert kept.add(command("3", "back", at=10**7)).message == "v2 is withdrawing at 0%"
-    assert kept.plan()["f"] == TrafficSplit("f", "", "v2", 0.0, 1.0, withdrawn=True)
+    assert kept.splits_changed_after()["f"] == TrafficSplit("f", "", "v2", 0.0, 1.0, withdrawn=True)
     kept.add(TickEntry(at=2 * 10**7))
-    assert kept.settled["f"] == "" and kept.plan()["f"] == TrafficSplit("f", "")
+    assert kept.settled_versions["f"] == "" and kept.splits_changed_after()["f"] == TrafficSplit("f", "")
     assert kept.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"  # and may come again
 
 
@@ -132,7 +126,11 @@
     kept.add(command("2", fn="g"))
     known = kept.number
     stepped(kept, 10_000, ("g",))
-    assert set(kept.plan(known)) == {"g"} and set(kept.plan()) == {"f", "g"} and not kept.plan(kept.number)
+    assert (
+        set(kept.splits_changed_after(known)) == {"g"}
+        and set(kept.splits_changed_after()) == {"f", "g"}
+        and not kept.splits_changed_after(kept.number)
+    )
 
 
 def test_the_same_entries_give_the_same_state(kept, tmp_path):
@@ -149,9 +147,15 @@
     journal.close()
     again = PlannerState()
     for number, line in Journal(tmp_path / "j").entries():
-        again.apply(number, ENTRY_DECODER.decode(line))
-    assert again.rollouts == kept.rollouts and again.plan() == kept.plan() and again.replies == kept.replies
-    assert again.rollouts["f"].history[-1] == (30_000, "duty", "wrong prices", "back", "withdrawing")
+        again.apply(number, decode_entry(line))
+    assert (
+        again.rollouts == kept.rollouts
+        and again.splits_changed_after() == kept.splits_changed_after()
+        and again.results == kept.results
+    )
+    assert again.rollouts["f"].history[-1] == HistoryEntry(
+        30_000, "duty", "wrong prices", RolloutInput.ROLL_BACK, RolloutState.WITHDRAWING
+    )
 
 
 def test_an_entry_that_does_not_follow_is_refused(kept):
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -79,7 +79,7 @@
     assert {choose_version(back, key, kind, repeat, tokens_span) for key in others} == {VersionChoice.SETTLED}
 
 
-def test_a_tokened_one_that_comes_back_meets_only_what_it_earlier_sent_versions():
+def test_a_tokened_one_that_comes_back_meets_only_what_it_older_sent_versions():
     """Also where the share has grown since, or the first try went to another edge."""
     grown = replace(SPLIT, weight=0.3, peak_weight=0.6)
 
@@ -141,7 +141,7 @@
     routing = Routing()
     for number in range(3 * MAX_REMEMBERED):
         routing.remember_version("f", str(number), "v1")
-    assert len(routing.sent_versions) + len(routing.earlier_sent_versions) <= 2 * MAX_REMEMBERED
+    assert len(routing.sent_versions) + len(routing.older_sent_versions) <= 2 * MAX_REMEMBERED
     assert routing.earlier_version(SPLIT, str(3 * MAX_REMEMBERED - 1)) is EarlierVersion.SETTLED
     assert routing.earlier_version(SPLIT, "0") is EarlierVersion.UNKNOWN
 
@@ -192,7 +192,7 @@
     routing = Routing()
     routing.apply_plan(1, 1, True, [TrafficSplit("f", "v1", "v2", 1.0, 1.0, promoted=True)])
     assert routing.route("f", "k1", "idempotent", False, 10**6).name == "f@v2"
-    assert not routing.is_barred("f@v2", 10**6) and routing.recent_counts(10**6) == []
+    assert not routing.is_barred("f@v2", 10**6) and routing.recent_counts(10**6) == {}
 
 
 def test_without_a_candidate_all_go_to_the_settled_version():
@@ -339,7 +339,7 @@
         growing.handle(RolloutInput.ROLL_BACK, S + 6) == CommandOutcome.NOTHING_TO_DO
         and growing.handle(RolloutInput.ADVANCE, 3 * S) == CommandOutcome.REFUSED
     )
-    assert [entry[3] for entry in growing.history] == ["start", "warm", "hold", "back", "forgotten"]
+    assert [entry.input.value for entry in growing.history] == ["start", "warm", "hold", "back", "forgotten"]
 
 
 def test_one_held_before_its_copies_stood_loads_first():
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -3,9 +3,9 @@
 import pytest
 from days import Played, day
 
+from lapistrestle.planner.entries import CommandEntry
 from lapistrestle.planner.server import Planner
-from lapistrestle.planner.state import CommandEntry
-from lapistrestle.rollout.state_machine import RolloutState
+from lapistrestle.rollout.state_machine import RolloutInput, RolloutState
 from lapistrestle.rollout.version_choice import REPEATED_ATTEMPT_CHOICES, EarlierVersion, VersionChoice
 from lapistrestle.standins.engine import Engine, RunnerFacts, Task
 from lapistrestle.standins.runner import Fault
@@ -64,7 +64,7 @@
         command = CommandEntry(
             at=now, id=name, action=what, fn="fn-0", operator="duty", candidate="v2", **more
         )
-        reply = planner.add(command)
+        reply = planner.append(command)
         if what == "back":
             self.world.tape.put("planner", "back", version=NAME)
         return reply
@@ -99,8 +99,8 @@
     played = Rolled(script(length="30 s"), tmp_path / "j", fault)
     assert played.breaches() == []
     assert played.rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
-    back = next(at for at, _, _, given, _ in played.rollout.history if given == "bad")
-    began = next(at for at, _, _, given, _ in played.rollout.history if given == "start")
+    back = next(entry.at for entry in played.rollout.history if entry.input is RolloutInput.HARM_FOUND)
+    began = next(entry.at for entry in played.rollout.history if entry.input is RolloutInput.START)
     since = 2_000 + (back - began) / 10
     assert played.runs() and max(run.at for run in played.runs()) < since + 1_000
 
@@ -128,12 +128,12 @@
 
 def mute(played):
     """From now on no edge is told a plan; beats are answered as before."""
-    played.planner.edges.clear()
+    played.planner.edge_connections.clear()
 
 
 def cut_off_half(played):
     """Nothing from the planner reaches these edges any more; no connection closes."""
-    for speaker in list(played.planner.edges)[::2]:
+    for speaker in list(played.planner.edge_connections)[::2]:
         speaker.say = lambda message: None
 
 
@@ -202,13 +202,13 @@
         played.begin_planner()
 
     def use_older(played):
-        played.said = played.older.add(
+        played.said = played.older.append(
             CommandEntry(at=0, id="late", action="advance", fn="fn-0", operator="nobody", candidate="v2")
         )
 
     played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
-    assert played.said is None and played.older.over
-    assert "late" not in played.planner.state.replies
+    assert played.said is None and played.older.is_stopped
+    assert "late" not in played.planner.state.results
 
 
 @pytest.mark.parametrize(
--- a/tests/test_stock.py
+++ b/tests/test_stock.py
@@ -6,6 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lapistrestle.rollout.readiness import EdgeReport, Readiness
 from lapistrestle.rollout.replicas import (
     MAX_DEMAND_FACTOR,
     MAX_REPLICAS_PER_WORKER,
@@ -13,11 +14,10 @@
     MIN_WORKERS,
     SLOWDOWN_LIMIT,
     TARGET_WEIGHTS,
-    EdgeReport,
-    Readiness,
     ReplicaTarget,
     RolloutPhase,
     Shortage,
+    TargetWeights,
     WorkerCapacity,
     demand_factor,
     maintain_replicas,
@@ -44,15 +44,19 @@
 
 
 def test_what_the_share_keeps_busy_and_its_square_root():
-    assert required_replicas(busy=4.0, weight=0.25, lanes=1, edges=1) == 2
-    assert required_replicas(busy=4.0, weight=1.0, lanes=1, edges=4) == 16 + 4
-    assert required_replicas(busy=4.0, weight=1.0, lanes=4, edges=4) == 5
-    assert required_replicas(busy=0.0, weight=1.0, lanes=1, edges=4) == required_replicas(1.0, 0.0, 1, 4) == 0
+    assert required_replicas(concurrency=4.0, weight=0.25, lanes=1, edges=1) == 2
+    assert required_replicas(concurrency=4.0, weight=1.0, lanes=1, edges=4) == 16 + 4
+    assert required_replicas(concurrency=4.0, weight=1.0, lanes=4, edges=4) == 5
+    assert (
+        required_replicas(concurrency=0.0, weight=1.0, lanes=1, edges=4)
+        == required_replicas(1.0, 0.0, 1, 4)
+        == 0
+    )
 
 
 def test_a_heavy_function_counts_for_more_but_a_jam_does_not_count_for_all():
-    assert demand_factor(alone=150, usual=100) == 1.5 and demand_factor(50, 100) == 1.0
-    assert demand_factor(alone=25_000, usual=980) == MAX_DEMAND_FACTOR
+    assert demand_factor(isolated_latency=150, usual_latency=100) == 1.5 and demand_factor(50, 100) == 1.0
+    assert demand_factor(isolated_latency=25_000, usual_latency=980) == MAX_DEMAND_FACTOR
 
 
 def test_a_far_slower_candidate_holds_the_step_and_says_so():
@@ -66,12 +70,14 @@
 
 
 def test_room_is_a_part_of_memory_and_few():
-    assert replica_limit(memory=8_000, copy=1_000) == int(MEMORY_FRACTION * 8_000 / 1_000)
+    assert replica_limit(memory=8_000, replica_memory=1_000) == int(MEMORY_FRACTION * 8_000 / 1_000)
     assert (
-        replica_limit(memory=80_000, copy=500) == replica_limit(memory=0, copy=500) == MAX_REPLICAS_PER_WORKER
+        replica_limit(memory=80_000, replica_memory=500)
+        == replica_limit(memory=0, replica_memory=500)
+        == MAX_REPLICAS_PER_WORKER
     )  # not told
-    assert replica_limit(memory=8_000, copy=6_000) == 1  # above the part, but it fits
-    assert replica_limit(memory=8_000, copy=9_000) == 0
+    assert replica_limit(memory=8_000, replica_memory=6_000) == 1  # above the part, but it fits
+    assert replica_limit(memory=8_000, replica_memory=9_000) == 0
 
 
 def test_a_want_follows_up_at_once_and_down_only_when_it_is_clearly_less():
@@ -101,17 +107,19 @@
 
 def test_it_is_whole_once_all_stand_and_orders_nothing_then():
     orders = Orders()
-    stand = maintain_replicas([WorkerCapacity(2, 4), WorkerCapacity(3, 4)], 4, loads=9, order=orders)
+    stand = maintain_replicas(
+        [WorkerCapacity(2, 4), WorkerCapacity(3, 4)], 4, loads_available=9, preload=orders
+    )
     assert stand.is_sufficient and (stand.wanted, stand.loaded) == (4, 4) and not orders.given
 
 
 def test_what_is_missing_is_ordered_no_faster_than_loads_may_be_under_way():
     shelves, orders = [WorkerCapacity(0, 2) for _ in range(6)], Orders()
-    stand = maintain_replicas(shelves, 12, loads=3.5, order=orders)
+    stand = maintain_replicas(shelves, 12, loads_available=3.5, preload=orders)
     assert orders.given == [(shelves[0], 2), (shelves[1], 2)] and stand.shortage is Shortage.LOADS_IN_PROGRESS
     for shelf, _ in orders.given:
         shelf.preload_pending = True
-    maintain_replicas(shelves, 12, loads=3.5, order=orders)  # those four are still under way
+    maintain_replicas(shelves, 12, loads_available=3.5, preload=orders)  # those four are still under way
     assert len(orders.given) == 2
 
 
@@ -122,7 +130,7 @@
         WorkerCapacity(2, 2, recently_confirmed=False, preload_pending=True),
     ]
     orders = Orders()
-    maintain_replicas(shelves, 6, loads=9, order=orders)
+    maintain_replicas(shelves, 6, loads_available=9, preload=orders)
     assert orders.given == [(shelves[1], 2), (shelves[0], 2)]
 
 
@@ -148,15 +156,12 @@
 
 def test_the_phase_says_what_each_version_is_loaded_for():
     loading = TrafficSplit("f", "v1", "v2", 0.1, 0.1, next_weight=0.5)
-    assert rollout_phase(loading) is RolloutPhase.LOADING and TARGET_WEIGHTS[RolloutPhase.LOADING] == (
-        None,
-        1.0,
-    )
+    assert rollout_phase(loading) is RolloutPhase.LOADING
+    assert TARGET_WEIGHTS[RolloutPhase.LOADING] == TargetWeights(None, 1.0)
     assert rollout_phase(TrafficSplit("f", "v1", "v2", 1.0, 1.0, promoted=True)) is RolloutPhase.RETAINED
     assert rollout_phase(TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)) is RolloutPhase.ROLLING_BACK
-    assert set(TARGET_WEIGHTS) == set(RolloutPhase) and {
-        settled for _, settled in TARGET_WEIGHTS.values()
-    } == {1.0}
+    assert set(TARGET_WEIGHTS) == set(RolloutPhase)
+    assert {weights.settled for weights in TARGET_WEIGHTS.values()} == {1.0}
 
 
 def test_edges_that_share_an_order_ask_for_the_same_copies():
