--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -158,25 +158,21 @@
 
     def _objection_to_start(self, command: CommandEntry) -> tuple[CommandOutcome, str] | None:
         """Return why no rollout can begin by this command, or None."""
-        fn, candidate = command.fn, command.candidate
-        latest = self.rollouts.get(fn)
+        latest = self.rollouts.get(command.fn)
         if latest is not None and latest.state not in FINAL_STATES:
-            if latest.candidate == candidate and latest.state is not RolloutState.WITHDRAWING:
-                return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
-            message = f"{fn} has {latest.candidate} {latest.state.value}; take that back first"
-            return CommandOutcome.REFUSED, message
+            return _objection_of_running(latest, command.candidate)
+        settled = self.settled_versions.get(command.fn, "")
         if not steps_are_valid(command.steps):
             message = f"steps are {list(command.steps)}; shares must rise from above 0 to 1"
-            return CommandOutcome.REFUSED, message
-        settled = self.settled_versions.get(fn, "")
-        if not candidate:
-            return CommandOutcome.REFUSED, f"no version is what {fn} runs"
-        if candidate == settled:
-            return CommandOutcome.NOTHING_TO_DO, f"{candidate} is what {fn} runs"
-        if latest is not None and latest.previous_retained:
+        elif not command.candidate:
+            message = f"no version is what {command.fn} runs"
+        elif command.candidate == settled:
+            return CommandOutcome.NOTHING_TO_DO, f"{settled} is what {command.fn} runs"
+        elif latest is not None and latest.previous_retained:
             message = f"{settled} settled lately, and clients may still come back to it; wait"
-            return CommandOutcome.REFUSED, message
-        return None
+        else:
+            return None
+        return CommandOutcome.REFUSED, message
 
     def _update_settled_version(self, fn: str, rollout: Rollout) -> None:
         if rollout.state is RolloutState.SETTLED:
@@ -185,6 +181,14 @@
             self.settled_versions[fn] = rollout.settled  # it had settled, and was rolled back
 
 
+def _objection_of_running(rollout: Rollout, candidate: str) -> tuple[CommandOutcome, str]:
+    """Return why no rollout of `candidate` can begin beside one that is not over."""
+    if rollout.candidate == candidate and rollout.state is not RolloutState.WITHDRAWING:
+        return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
+    message = f"{rollout.fn} has {rollout.candidate} {rollout.state.value}; take that back first"
+    return CommandOutcome.REFUSED, message
+
+
 def steps_are_valid(steps: Sequence[float]) -> bool:
     """Return whether the weights rise strictly from above 0 to 1."""
     rising = all(earlier < later for earlier, later in pairwise(steps))
