--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -44,7 +44,7 @@
 
 def start_of(number: int, at: int, version: str = "v2") -> CommandEntry:
     return CommandEntry(
-        at=at, id=f"order-{number}-{version}", action="start", fn=function(number), operator="operator",
+        at=at, id=f"order-{number}-{version}", action="start", function=function(number), operator="operator",
         reason="release of the day", candidate=f"version-{version}", retention=REMEMBERED,
     )  # fmt: skip
 
@@ -56,12 +56,12 @@
     for number in range(functions):
         command = start_of(number, 0)
         state.number += 1
-        rollout = Rollout(command.fn, "", command.candidate, command.steps, command.retention)
+        rollout = Rollout(command.function, "", command.candidate, command.steps, command.retention)
         rollout.handle(RolloutInput.START, 0, command.operator, command.reason)
         rollout.handle(RolloutInput.ROLL_BACK, 0, command.operator)
         rollout.handle(RolloutInput.RETENTION_ENDED, 0)
-        state.rollouts[command.fn] = rollout
-        state.changed_at[command.fn] = state.number
+        state.rollouts[command.function] = rollout
+        state.changed_at[command.function] = state.number
         state.results[command.id] = CommandResult(
             CommandOutcome.DONE, "none to v2", "warming", 0.0, state.number
         )
@@ -149,7 +149,7 @@
 
     def order(self, number: int, candidate: str = "v3") -> None:
         order = plans.RolloutCommand(
-            id=f"burst-{candidate}-{number}", action="start", fn=function(number), operator="operator",
+            id=f"burst-{candidate}-{number}", action="start", function=function(number), operator="operator",
             reason="release of the day", candidate=f"version-{candidate}", retention=0.0,
         )  # fmt: skip
         self.planner.state.results.pop(order.id, None)
@@ -244,7 +244,7 @@
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         state, held = build_measured(lambda: keeper_of(size))
         report = OutcomeEntry(
-            at=SECOND, edge="dispatcher-00001", start="start-1", fn=function(0), candidate="version-v2",
+            at=SECOND, edge="dispatcher-00001", start="start-1", function=function(0), candidate="version-v2",
             step=-1, minute=1, counts=(10, 0, 1, 0),
         )  # fmt: skip
         entry = processor_seconds(lambda: state.apply(state.number + 1, report), 3)
@@ -305,7 +305,7 @@
         self.routing = Routing()
         self.now = 1_000 * SECOND
         self.seats: dict[Any, None] = {}
-        self.host = SimpleNamespace(registry=SimpleNamespace(fns={}), module=SimpleNamespace())
+        self.host = SimpleNamespace(registry=SimpleNamespace(functions={}), module=SimpleNamespace())
 
     def clock(self) -> int:
         return self.now
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -4,10 +4,10 @@
 from typing import Any
 
 from lapistrestle.edge.sources import Source
+from lapistrestle.policy.state import Function, Worker
 from lapistrestle.rollout import replicas
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout_types import TrafficSplit, versioned_name
-from lapistrestle.state import Fn, Srv
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -117,28 +117,28 @@
 
     def withdraw(self, name: str) -> None:
         """Nothing new goes there from now on: RPCs that wait for its loads move, its copies may go."""
-        fn = self.edge.host.registry.fns.get(name)
+        function = self.edge.host.registry.functions.get(name)
         for seat in list(self.edge.seats):
             for pending in list(seat.open.values()):
-                if pending.fn is fn and not pending.in_flight and pending.ran_on is None:
+                if pending.function is function and not pending.in_flight and pending.ran_on is None:
                     self.edge.host.retract(pending)
                     self.edge.move(pending)
-        for spot in list(fn.spots.values()) if fn is not None else ():
-            self.edge.unload(spot.srv, fn)
+        for replica in list(function.replicas.values()) if function is not None else ():
+            self.edge.unload(replica.worker, function)
 
     def tell(self, _: object) -> None:
         """How versions do, and keep both of an unsettled function loaded."""
         now = self.edge.clock()
         for key, counts in self.routing.recent_counts(now).items():
-            self.say(plans.OutcomeReport(key.fn, key.candidate, key.step, key.minute, counts))
+            self.say(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
-        names = {versioned_name(s.fn, version) for s in open_ for version in (s.candidate, s.settled)}
+        names = {versioned_name(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
         self.targets = {name: target for name, target in self.targets.items() if name in names}
         for split in open_:
             weight, shortage = self.keep(split)
             loading = replicas.rollout_phase(split) is replicas.RolloutPhase.LOADING
             if loading and self.routing.lease.is_usable(now):
-                self.say(plans.ReplicaReport(split.fn, split.candidate, weight, shortage))
+                self.say(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
         if not self.stopped:
             self.edge.after(TELL, self.tell, None)
 
@@ -152,64 +152,71 @@
         module.now = self.edge.clock()
         versions = (split.candidate, split.settled)
         known = [
-            fn
+            function
             for name in (*versions, "")
-            if (fn := registry.fns.get(versioned_name(split.fn, name))) is not None
+            if (function := registry.functions.get(versioned_name(split.function, name))) is not None
         ]
         if not known or not self.edge.facts["may_order"]:
             return split.next_weight, ""
         model = known[-1]
-        busy = sum(fn.asked.read(module.now) / fn.asked.life for fn in dict.fromkeys(known))
+        busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
         busy *= replicas.demand_factor(module.iso(model), module.weight(model.method))
         target = replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
         candidate_weight = split.next_weight if target.candidate is None else target.candidate
         weights = (candidate_weight, target.settled)
         stands = [
-            self.keep_version(versioned_name(split.fn, version), model, busy, weight)
+            self.keep_version(versioned_name(split.function, version), model, busy, weight)
             for version, weight in zip(versions, weights, strict=True)
         ]
         lacking = next((stand for stand in stands if not stand.is_sufficient), None)
         if lacking is None:
             latencies = [
-                fn.iso if (fn := registry.fns.get(versioned_name(split.fn, name))) else None
+                function.iso
+                if (function := registry.functions.get(versioned_name(split.function, name)))
+                else None
                 for name in versions
             ]
             reason = replicas.slowdown_reason(*latencies)
             return (split.weight, reason) if reason else (split.next_weight, "")
-        name = versions[stands.index(lacking)] or split.fn
+        name = versions[stands.index(lacking)] or split.function
         has = f"{name} has {lacking.loaded} of {lacking.wanted} copies"
         return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
-    def keep_version(self, name: str, model: Fn, busy: float, weight: float) -> replicas.ReplicaStatus:
+    def keep_version(self, name: str, model: Function, busy: float, weight: float) -> replicas.ReplicaStatus:
         edge, module = self.edge, self.edge.host.module
         if self.edge.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
-        fn = edge.host.registry.fn(name, model.method, model.memory, model.lanes)
-        if edge.directory is not None and not edge.directory.ready(fn, edge.method_names[model.method]):
+        function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
+        if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
             # its prefix is being looked up
             return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
         memory, idle_life = edge.facts["memory_by_kind"], edge.facts["idle_life"]
-        workers: dict[replicas.WorkerCapacity, Srv] = {}
-        for srv in module.walk(fn):
-            if srv.listing.name != "SERVING" or not module.fit(srv):
+        capacities: dict[replicas.WorkerCapacity, Worker] = {}
+        for worker in module.walk(function):
+            if worker.listing.name != "SERVING" or not module.fit(worker):
                 continue
-            size = memory[srv.kind] if srv.kind < len(memory) else 0.0
-            worker = replicas.WorkerCapacity(
-                0, replicas.replica_limit(size, fn.memory), warming_up=module.warmth_of(srv) < 1
+            size = memory[worker.kind] if worker.kind < len(memory) else 0.0
+            capacity = replicas.WorkerCapacity(
+                0, replicas.replica_limit(size, function.memory), warming_up=module.warmth_of(worker) < 1
+            )
+            if (replica := function.replicas.get(worker)) is not None:
+                capacity.loaded = module.believed(replica)
+                capacity.preload_pending = bool(replica.ordered)
+                capacity.recently_confirmed = module.now - replica.seen <= idle_life // 3
+            capacities[capacity] = worker
+
+        def preload(capacity: replicas.WorkerCapacity, count: int) -> bool:
+            ordered: bool = module.order(
+                function.replica(capacities[capacity]), count, replicas.PRELOAD_BUDGET_FRACTION
             )
-            if (spot := fn.spots.get(srv)) is not None:
-                worker.loaded, worker.preload_pending = module.believed(spot), bool(spot.ordered)
-                worker.recently_confirmed = module.now - spot.seen <= idle_life // 3
-            workers[worker] = srv
-
-        def preload(worker: replicas.WorkerCapacity, count: int) -> bool:
-            ordered: bool = module.order(fn.spot(workers[worker]), count, replicas.PRELOAD_BUDGET_FRACTION)
             return ordered
 
-        required = replicas.required_replicas(busy, weight, fn.lanes, edge.facts["dispatchers"])
+        required = replicas.required_replicas(busy, weight, function.lanes, edge.facts["dispatchers"])
         target = self.targets.setdefault(name, replicas.ReplicaTarget()).update(required)
-        stand = replicas.maintain_replicas(list(workers), target, module.load_limit - module.loading, preload)
+        stand = replicas.maintain_replicas(
+            list(capacities), target, module.load_limit - module.loading, preload
+        )
         if edge.directory is not None and not stand.is_sufficient:
             edge.directory.more(name)
         return stand
--- a/lapistrestle/planner/connection.py
+++ b/lapistrestle/planner/connection.py
@@ -68,7 +68,7 @@
                 self.handle_outcomes(message)
             case plans.ReplicaReport():
                 report = EdgeReport(message.weight, message.shortage, self.planner.now())
-                self.planner.readiness.on_report(message.fn, message.candidate, self.name, report)
+                self.planner.readiness.on_report(message.function, message.candidate, self.name, report)
             case plans.RolloutCommand():
                 self.handle_command(message)
             case plans.StatusRequest():
@@ -86,7 +86,7 @@
             at=self.planner.now(),
             edge=self.name,
             start=self.edge_start,
-            fn=report.fn,
+            function=report.function,
             candidate=report.candidate,
             step=report.step,
             minute=report.minute,
@@ -100,7 +100,7 @@
             at=self.planner.now(),
             id=command.id,
             action=command.action,
-            fn=command.fn,
+            function=command.function,
             operator=command.operator,
             reason=command.reason,
             candidate=command.candidate,
--- a/lapistrestle/planner/entries.py
+++ b/lapistrestle/planner/entries.py
@@ -32,7 +32,7 @@
 
     id: Name
     action: RolloutAction = msgspec.field(name="what")
-    fn: Name
+    function: Name = msgspec.field(name="fn")
     operator: Name = msgspec.field(name="who")
     reason: str = msgspec.field(default="", name="why")
     candidate: str = ""
@@ -49,7 +49,7 @@
 
     edge: Name
     start: str
-    fn: Name
+    function: Name = msgspec.field(name="fn")
     candidate: str
     step: int
     minute: int
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -118,9 +118,9 @@
         edges = {connection.name for connection in self.edge_connections}
         now = self.now()
         return tuple(
-            fn
-            for fn, rollout in self.state.rollouts.items()
-            if self.readiness.is_ready(fn, rollout.candidate, rollout.next_weight, edges, now)
+            function
+            for function, rollout in self.state.rollouts.items()
+            if self.readiness.is_ready(function, rollout.candidate, rollout.next_weight, edges, now)
         )
 
     def verify_newest(self) -> bool:
@@ -139,7 +139,7 @@
 
     def status(self) -> plans.PlannerStatus:
         """Return how all rollouts and edges stand, for operators."""
-        rollouts = [self.state.rollouts[fn] for fn in sorted(self.state.rollouts)]
+        rollouts = [self.state.rollouts[function] for function in sorted(self.state.rollouts)]
         return plans.PlannerStatus(
             number=self.state.number,
             epoch=self.journal.epoch,
@@ -155,13 +155,19 @@
             return {}
         edges = [connection.name for connection in self.edge_connections]
         now = self.now()
-        return self.readiness.shortages(rollout.fn, rollout.candidate, rollout.next_weight, edges, now)
+        return self.readiness.shortages(rollout.function, rollout.candidate, rollout.next_weight, edges, now)
 
     def _announce_changes(self, number: int) -> None:
         """Log the rollouts that entry `number` changed, and send every edge its plan."""
-        for fn, rollout in self.state.rollouts.items():
-            if self.state.changed_at.get(fn) == number:
+        for function, rollout in self.state.rollouts.items():
+            if self.state.changed_at.get(function) == number:
                 state = rollout.state.value
-                self.log("rollout", fn=fn, candidate=rollout.candidate, state=state, share=rollout.weight)
+                self.log(
+                    "rollout",
+                    function=function,
+                    candidate=rollout.candidate,
+                    state=state,
+                    share=rollout.weight,
+                )
         for connection in list(self.edge_connections):
             connection.send_changes()
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -67,7 +67,7 @@
         if number != self.number + 1:
             raise EntryOrderError(number, self.number)
         self.number = number
-        splits_before = {fn: rollout.split() for fn, rollout in self.rollouts.items()}
+        splits_before = {function: rollout.split() for function, rollout in self.rollouts.items()}
         result = None
         match entry:
             case CommandEntry():
@@ -76,10 +76,10 @@
                 self.record_outcomes(entry)
             case TickEntry():
                 self.evaluate(entry)
-        for fn, rollout in self.rollouts.items():
-            self._update_settled_version(fn, rollout)
-            if splits_before.get(fn) != rollout.split():
-                self.changed_at[fn] = number
+        for function, rollout in self.rollouts.items():
+            self._update_settled_version(function, rollout)
+            if splits_before.get(function) != rollout.split():
+                self.changed_at[function] = number
         return result
 
     def execute(self, command: CommandEntry) -> CommandResult:
@@ -91,7 +91,7 @@
             outcome, message = self.start_rollout(command)
         else:
             outcome, message = self.steer_rollout(command)
-        rollout = self.rollouts.get(command.fn)
+        rollout = self.rollouts.get(command.function)
         state = rollout.state.value if rollout else "none"
         weight = rollout.weight if rollout else 0.0
         result = CommandResult(outcome, message, state, weight, self.number)
@@ -103,22 +103,22 @@
         objection = self._objection_to_start(command)
         if objection is not None:
             return objection
-        previous = self.rollouts.get(command.fn)
+        previous = self.rollouts.get(command.function)
         if previous is not None:
             self.past_rollouts.append(previous)
-        settled = self.settled_versions.get(command.fn, "")
-        rollout = Rollout(command.fn, settled, command.candidate, command.steps, command.retention)
-        self.rollouts[command.fn] = rollout
+        settled = self.settled_versions.get(command.function, "")
+        rollout = Rollout(command.function, settled, command.candidate, command.steps, command.retention)
+        self.rollouts[command.function] = rollout
         outcome = rollout.handle(RolloutInput.START, command.at, command.operator, command.reason)
         return outcome, f"{settled or 'none'} to {command.candidate}"
 
     def steer_rollout(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
         """Move the function's newest rollout. Return the outcome and its message."""
-        rollout = self.rollouts.get(command.fn)
+        rollout = self.rollouts.get(command.function)
         if rollout is None:
-            return CommandOutcome.REFUSED, f"{command.fn} has no rollout"
+            return CommandOutcome.REFUSED, f"{command.function} has no rollout"
         if command.candidate and command.candidate != rollout.candidate:
-            message = f"{command.fn} has {rollout.candidate}, not {command.candidate}"
+            message = f"{command.function} has {rollout.candidate}, not {command.candidate}"
             return CommandOutcome.REFUSED, message
         action = RolloutInput(command.action)
         outcome = rollout.handle(action, command.at, command.operator, command.reason)
@@ -128,7 +128,7 @@
 
     def record_outcomes(self, entry: OutcomeEntry) -> None:
         """Add an edge's counts to the evidence; those of another step or candidate are none."""
-        rollout = self.rollouts.get(entry.fn)
+        rollout = self.rollouts.get(entry.function)
         if rollout is None or (rollout.candidate, rollout.step) != (entry.candidate, entry.step):
             return
         rollout.evidence.add_report(entry.edge, entry.start, entry.minute, OutcomeCounts(*entry.counts))
@@ -136,56 +136,56 @@
     def evaluate(self, tick: TickEntry) -> dict[str, Verdict]:
         """Let the clock and the evidence move what is active; return the verdicts by function."""
         return {
-            fn: rollout.evaluate(tick.at, fn in tick.functions_ready)
-            for fn, rollout in self.active_rollouts().items()
+            function: rollout.evaluate(tick.at, function in tick.functions_ready)
+            for function, rollout in self.active_rollouts().items()
         }
 
     def active_rollouts(self) -> dict[str, Rollout]:
         """Return, by function, the rollouts that the clock or the evidence may still move."""
         return {
-            fn: rollout
-            for fn, rollout in self.rollouts.items()
+            function: rollout
+            for function, rollout in self.rollouts.items()
             if rollout.state not in FINAL_STATES or rollout.previous_retained
         }
 
     def splits_changed_after(self, number: int = -1) -> dict[str, TrafficSplit]:
         """Return, by function, the splits that changed after that entry; all of them by default."""
         return {
-            fn: rollout.split()
-            for fn, rollout in self.rollouts.items()
-            if self.changed_at.get(fn, 0) > number
+            function: rollout.split()
+            for function, rollout in self.rollouts.items()
+            if self.changed_at.get(function, 0) > number
         }
 
     def _objection_to_start(self, command: CommandEntry) -> tuple[CommandOutcome, str] | None:
         """Return why no rollout can begin by this command, or None."""
-        latest = self.rollouts.get(command.fn)
+        latest = self.rollouts.get(command.function)
         if latest is not None and latest.state not in FINAL_STATES:
             return _objection_of_running(latest, command.candidate)
-        settled = self.settled_versions.get(command.fn, "")
+        settled = self.settled_versions.get(command.function, "")
         if not steps_are_valid(command.steps):
             message = f"steps are {list(command.steps)}; shares must rise from above 0 to 1"
         elif not command.candidate:
-            message = f"no version is what {command.fn} runs"
+            message = f"no version is what {command.function} runs"
         elif command.candidate == settled:
-            return CommandOutcome.NOTHING_TO_DO, f"{settled} is what {command.fn} runs"
+            return CommandOutcome.NOTHING_TO_DO, f"{settled} is what {command.function} runs"
         elif latest is not None and latest.previous_retained:
             message = f"{settled} settled lately, and clients may still come back to it; wait"
         else:
             return None
         return CommandOutcome.REFUSED, message
 
-    def _update_settled_version(self, fn: str, rollout: Rollout) -> None:
+    def _update_settled_version(self, function: str, rollout: Rollout) -> None:
         if rollout.state is RolloutState.SETTLED:
-            self.settled_versions[fn] = rollout.candidate
-        elif self.settled_versions.get(fn) == rollout.candidate:
-            self.settled_versions[fn] = rollout.settled  # it had settled, and was rolled back
+            self.settled_versions[function] = rollout.candidate
+        elif self.settled_versions.get(function) == rollout.candidate:
+            self.settled_versions[function] = rollout.settled  # it had settled, and was rolled back
 
 
 def _objection_of_running(rollout: Rollout, candidate: str) -> tuple[CommandOutcome, str]:
     """Return why no rollout of `candidate` can begin beside one that is not over."""
     if rollout.candidate == candidate and rollout.state is not RolloutState.WITHDRAWING:
         return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
-    message = f"{rollout.fn} has {rollout.candidate} {rollout.state.value}; take that back first"
+    message = f"{rollout.function} has {rollout.candidate} {rollout.state.value}; take that back first"
     return CommandOutcome.REFUSED, message
 
 
--- a/lapistrestle/planner/status.py
+++ b/lapistrestle/planner/status.py
@@ -23,7 +23,7 @@
         for entry in rollout.history
     ]
     return plans.RolloutStatus(
-        fn=rollout.fn,
+        function=rollout.function,
         settled=rollout.settled,
         candidate=rollout.candidate,
         state=rollout.state.value,
--- a/lapistrestle/rollout/readiness.py
+++ b/lapistrestle/rollout/readiness.py
@@ -33,9 +33,9 @@
     report_lifetime: int = REPORT_LIFETIME
     reports: dict[tuple[str, str], dict[str, EdgeReport]] = field(default_factory=dict)
 
-    def on_report(self, fn: str, candidate: str, edge: str, report: EdgeReport) -> None:
+    def on_report(self, function: str, candidate: str, edge: str, report: EdgeReport) -> None:
         """Take an edge's report."""
-        self.reports.setdefault((fn, candidate), {})[edge] = report
+        self.reports.setdefault((function, candidate), {})[edge] = report
 
     def on_edge_gone(self, edge: str) -> None:
         """Forget what an edge reported."""
@@ -43,10 +43,10 @@
             by_edge.pop(edge, None)
 
     def shortages(
-        self, fn: str, candidate: str, weight: float, edges: Collection[str], now: int
+        self, function: str, candidate: str, weight: float, edges: Collection[str], now: int
     ) -> dict[str, str]:
         """Return the edges that are not ready for that weight, and why."""
-        reports = self.reports.get((fn, candidate), {})
+        reports = self.reports.get((function, candidate), {})
         found: dict[str, str] = {}
         for edge in edges:
             report = reports.get(edge)
@@ -56,9 +56,11 @@
                 found[edge] = report.shortage or f"its copies stand for {report.weight:.0%}"
         return found
 
-    def is_ready(self, fn: str, candidate: str, weight: float, edges: Collection[str], now: int) -> bool:
+    def is_ready(
+        self, function: str, candidate: str, weight: float, edges: Collection[str], now: int
+    ) -> bool:
         """Return whether all edges are ready.
 
         Without any edge nothing is: a weight that nobody serves shows nothing.
         """
-        return bool(edges) and not self.shortages(fn, candidate, weight, edges, now)
+        return bool(edges) and not self.shortages(function, candidate, weight, edges, now)
--- a/lapistrestle/rollout/routing.py
+++ b/lapistrestle/rollout/routing.py
@@ -36,7 +36,7 @@
     """
 
     name: str
-    fn: str = ""
+    function: str = ""
     candidate: str = ""
     step: int = -1
     to_candidate: bool = False
@@ -45,7 +45,7 @@
 class CountsKey(NamedTuple):
     """What running counts are of."""
 
-    fn: str
+    function: str
     candidate: str
     step: int
     minute: int
@@ -54,7 +54,7 @@
 class SentKey(NamedTuple):
     """A tokened request: its function, and what stays the same over its client's attempts."""
 
-    fn: str
+    function: str
     key: str
 
 
@@ -91,7 +91,7 @@
             self.splits.clear()
         self.epoch = epoch
         self.number = number
-        self.splits |= {split.fn: split for split in splits}
+        self.splits |= {split.function: split for split in splits}
         barred_before = self.barred_names
         withdrawn, in_use = self._names_by_use()
         self.barred_names = (barred_before | withdrawn) - in_use
@@ -114,13 +114,15 @@
         """
         return self.number < 0 and age < FIRST_PLAN_TIMEOUT
 
-    def route(self, fn: str, key: str, kind: str, repeat: bool, now: int, tokens_span: bool = False) -> Route:
+    def route(
+        self, function: str, key: str, kind: str, repeat: bool, now: int, tokens_span: bool = False
+    ) -> Route:
         """Return where a request goes; the arguments are those of `choose_version`."""
-        split = self.splits.get(fn)
+        split = self.splits.get(function)
         if split is None:
-            return Route(fn)
+            return Route(function)
         if not split.candidate:
-            return Route(versioned_name(fn, split.settled))
+            return Route(versioned_name(function, split.settled))
         usable = split.promoted or self.lease.is_usable(now)
         # without a lease a newer plan may have let any key meet the candidate at another edge
         effective = split if usable else replace(split, weight=0.0, peak_weight=1.0)
@@ -132,21 +134,21 @@
         to_candidate = choice is VersionChoice.CANDIDATE
         version = split.candidate if to_candidate else split.settled
         if tokened:
-            self.remember_version(fn, key, version)
+            self.remember_version(function, key, version)
         is_evidence = usable and not split.withdrawn and not split.promoted
         counted_for = split.candidate if is_evidence else ""
-        return Route(versioned_name(fn, version), fn, counted_for, split.step, to_candidate)
+        return Route(versioned_name(function, version), function, counted_for, split.step, to_candidate)
 
-    def remember_version(self, fn: str, key: str, version: str) -> None:
+    def remember_version(self, function: str, key: str, version: str) -> None:
         """Remember where a tokened request is sent, for when its client comes back."""
         if len(self.sent_versions) >= MAX_REMEMBERED:
             self.older_sent_versions = self.sent_versions
             self.sent_versions = {}
-        self.sent_versions[SentKey(fn, key)] = version
+        self.sent_versions[SentKey(function, key)] = version
 
     def earlier_version(self, split: TrafficSplit, key: str) -> EarlierVersion:
         """Return where this edge sent earlier attempts of a tokened request."""
-        sent = SentKey(split.fn, key)
+        sent = SentKey(split.function, key)
         version = self.sent_versions.get(sent, self.older_sent_versions.get(sent))
         if version is None:
             return EarlierVersion.UNKNOWN
@@ -157,26 +159,26 @@
         """Return whether nothing new may go to this version now: withdrawn, or unsettled without a lease."""
         if name in self.barred_names:
             return True
-        fn, _, version = name.rpartition("@")
-        split = self.splits.get(fn)
+        function, _, version = name.rpartition("@")
+        split = self.splits.get(function)
         if split is None or not version or split.candidate != version or split.promoted:
             return False
         return not self.lease.is_usable(now)
 
     def reroute(self, name: str, key: str) -> Route:
         """Return where a request of a barred version goes instead, and remember it."""
-        fn = name.rpartition("@")[0]
-        split = self.splits.get(fn)
+        function = name.rpartition("@")[0]
+        split = self.splits.get(function)
         if split is None:
-            return Route(fn)  # as where no plan names it
-        self.remember_version(fn, key, split.settled)
-        return Route(versioned_name(fn, split.settled))
+            return Route(function)  # as where no plan names it
+        self.remember_version(function, key, split.settled)
+        return Route(versioned_name(function, split.settled))
 
     def count_outcome(self, route: Route, bad: bool, now: int) -> None:
         """Count a request of this route that has ended."""
         if not route.candidate:
             return
-        key = CountsKey(route.fn, route.candidate, route.step, now // TICKS_PER_MINUTE)
+        key = CountsKey(route.function, route.candidate, route.step, now // TICKS_PER_MINUTE)
         if route.to_candidate:
             outcome = OutcomeCounts(candidate=1, candidate_bad=int(bad))
         else:
@@ -194,8 +196,8 @@
         withdrawn: set[str] = set()
         in_use: set[str] = set()
         for split in self.splits.values():
-            in_use.add(versioned_name(split.fn, split.settled))
+            in_use.add(versioned_name(split.function, split.settled))
             if split.candidate:
                 names = withdrawn if split.withdrawn else in_use
-                names.add(versioned_name(split.fn, split.candidate))
+                names.add(versioned_name(split.function, split.candidate))
         return withdrawn, in_use
--- a/lapistrestle/rollout/state_machine.py
+++ b/lapistrestle/rollout/state_machine.py
@@ -72,7 +72,7 @@
     settled, and the version before it is still loaded.
     """
 
-    fn: str
+    function: str
     settled: str
     candidate: str
     steps: tuple[float, ...]
@@ -110,15 +110,15 @@
         """
         settled = self.state is RolloutState.SETTLED
         if settled and not self.previous_retained:
-            return TrafficSplit(self.fn, self.candidate)
+            return TrafficSplit(self.function, self.candidate)
         if self.state in (RolloutState.PROPOSED, RolloutState.WITHDRAWN):
-            return TrafficSplit(self.fn, self.settled)
+            return TrafficSplit(self.function, self.settled)
         withdrawn = self.state is RolloutState.WITHDRAWING
         peak_weight = self.peak_weight
         if not withdrawn and self.announced_at is not None:
             peak_weight = max(peak_weight, self.next_weight)
         return TrafficSplit(
-            fn=self.fn,
+            function=self.function,
             settled=self.settled,
             candidate=self.candidate,
             weight=self.weight,
--- a/lapistrestle/rollout/version_choice.py
+++ b/lapistrestle/rollout/version_choice.py
@@ -29,12 +29,12 @@
     UNKNOWN = auto()
 
 
-def hash_position(fn: str, candidate: str, key: str) -> float:
+def hash_position(function: str, candidate: str, key: str) -> float:
     """Return where a key lies in [0, 1).
 
     The candidate's name is in the hash, so that not always the same keys go first.
     """
-    digest = blake2b(f"{fn}\0{candidate}\0{key}".encode(), digest_size=DIGEST_BYTES).digest()
+    digest = blake2b(f"{function}\0{candidate}\0{key}".encode(), digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big") / 2 ** (8 * DIGEST_BYTES)
 
 
@@ -91,7 +91,7 @@
     """
     if not split.candidate:
         return VersionChoice.SETTLED
-    position = hash_position(split.fn, split.candidate, key)
+    position = hash_position(split.function, split.candidate, key)
     within_weight = position < split.weight and not split.withdrawn
     within_peak = within_weight or position < split.peak_weight
     if repeat and kind == "tokened" and not tokens_span:
--- a/lapistrestle/rollout_types.py
+++ b/lapistrestle/rollout_types.py
@@ -35,7 +35,7 @@
     is retained for clients that come back and for a rollback. Weights are fractions from 0 to 1.
     """
 
-    fn: str
+    function: str
     settled: str
     candidate: str = ""
     weight: float = 0.0
@@ -46,9 +46,9 @@
     promoted: bool = False
 
 
-def versioned_name(fn: str, version: str) -> str:
-    """Return the name of a version, `fn@version`.
+def versioned_name(function: str, version: str) -> str:
+    """Return the name of a version, `function@version`.
 
     To workers and to the dispatcher's decisions a version is a function of its own.
     """
-    return f"{fn}@{version}" if version else fn
+    return f"{function}@{version}" if version else function
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -1,7 +1,7 @@
 """Messages between the planner and edges, and between operators and the planner.
 
 Protocol `lapistrestle.planner`; `docs/protocol.md` specifies it for other languages. Field names on the wire
-are mapped here. Weights are fractions from 0 to 1; `fn` names a function.
+are mapped here. Weights are fractions from 0 to 1.
 """
 
 from typing import Annotated, NamedTuple
@@ -26,7 +26,7 @@
 class SplitMessage(Struct, omit_defaults=True, gc=False):
     """A `TrafficSplit` as it crosses the wire and as an edge persists it."""
 
-    fn: Name
+    function: Name = field(name="fn")
     settled: str = ""
     candidate: str = ""
     weight: Weight = field(default=0.0, name="share")
@@ -40,7 +40,7 @@
 def to_message(split: TrafficSplit) -> SplitMessage:
     """Return a split as it crosses the wire."""
     return SplitMessage(
-        fn=split.fn,
+        function=split.function,
         settled=split.settled,
         candidate=split.candidate,
         weight=split.weight,
@@ -55,7 +55,7 @@
 def to_split(message: SplitMessage) -> TrafficSplit:
     """Return the split that a message stands for."""
     return TrafficSplit(
-        fn=message.fn,
+        function=message.function,
         settled=message.settled,
         candidate=message.candidate,
         weight=message.weight,
@@ -89,7 +89,7 @@
 class OutcomeReport(Message, tag="counts"):
     """An edge's running counts of a minute of its own clock."""
 
-    fn: Name
+    function: Name = field(name="fn")
     candidate: Name
     step: int
     minute: int
@@ -102,7 +102,7 @@
     Sent each second; `shortage` says what is missing for more.
     """
 
-    fn: Name
+    function: Name = field(name="fn")
     candidate: Name
     weight: Weight = field(default=0.0, name="share")
     shortage: str = field(default="", name="lacks")
@@ -113,7 +113,7 @@
 
     id: Name
     action: RolloutAction = field(name="what")
-    fn: Name
+    function: Name = field(name="fn")
     operator: Name = field(name="who")
     reason: str = field(default="", name="why")
     candidate: str = ""
@@ -158,7 +158,7 @@
     for `next_weight`.
     """
 
-    fn: str
+    function: str = field(name="fn")
     settled: str
     candidate: str
     state: str
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -19,9 +19,15 @@
 from lapistrestle.wire.plans import SplitMessage
 
 
-def command(id_, what="start", fn="f", candidate="v2", **more):
+def command(id_, what="start", function="f", candidate="v2", **more):
     return CommandEntry(
-        at=more.pop("at", 0), id=id_, action=what, fn=fn, operator="duty", candidate=candidate, **more
+        at=more.pop("at", 0),
+        id=id_,
+        action=what,
+        function=function,
+        operator="duty",
+        candidate=candidate,
+        **more,
     )
 
 
@@ -45,7 +51,14 @@
 
 def good(step, minute=0):
     return OutcomeEntry(
-        at=1, edge="e", start="s", fn="f", candidate="v2", step=step, minute=minute, counts=(5000, 9, 5000, 9)
+        at=1,
+        edge="e",
+        start="s",
+        function="f",
+        candidate="v2",
+        step=step,
+        minute=minute,
+        counts=(5000, 9, 5000, 9),
     )
 
 
@@ -61,7 +74,7 @@
     assert kept.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO
     refused = kept.add(command("3", candidate="v3"))
     assert refused.outcome == CommandOutcome.REFUSED and "v2" in refused.message
-    assert kept.add(command("4", fn="g", candidate="v3")).outcome == CommandOutcome.DONE
+    assert kept.add(command("4", function="g", candidate="v3")).outcome == CommandOutcome.DONE
 
 
 def test_a_chain_of_rollouts_and_a_function_that_appears_for_the_first_time(kept):
@@ -101,7 +114,7 @@
 def test_a_command_for_another_candidate_does_nothing(kept):
     kept.add(command("1"))
     assert kept.add(command("2", "back", candidate="v9")).outcome == CommandOutcome.REFUSED
-    assert kept.add(command("3", "back", fn="nobody")).outcome == CommandOutcome.REFUSED
+    assert kept.add(command("3", "back", function="nobody")).outcome == CommandOutcome.REFUSED
     assert kept.rollouts["f"].state is RolloutState.WARMING
 
 
@@ -123,7 +136,7 @@
 
 def test_edges_are_told_what_changed_since_the_number_they_know(kept):
     kept.add(command("1"))
-    kept.add(command("2", fn="g"))
+    kept.add(command("2", function="g"))
     known = kept.number
     stepped(kept, 10_000, ("g",))
     assert (
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -62,7 +62,7 @@
         now = planner.now()
         name = f"{what}-{now}"
         command = CommandEntry(
-            at=now, id=name, action=what, fn="fn-0", operator="duty", candidate="v2", **more
+            at=now, id=name, action=what, function="fn-0", operator="duty", candidate="v2", **more
         )
         reply = planner.append(command)
         if what == "back":
@@ -74,7 +74,7 @@
         return self.planner.state.rollouts["fn-0"]
 
     def runs(self):
-        return [run for run in self.story.runs if run.message.fn == NAME]
+        return [run for run in self.story.runs if run.message.function == NAME]
 
 
 def script(troubles=(), length="14 s", seed=1, like="slots"):
@@ -85,11 +85,11 @@
 def test_a_good_version_is_loaded_first_and_grows_until_it_settles(tmp_path):
     played = Rolled(script(length="80 s"), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
-    orders = [hold.at for hold in played.story.holds if hold.message.fn == NAME]
+    orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
     first = min(run.at for run in played.runs())
     assert min(orders) < first
-    late = [run for run in played.story.runs if run.at > 78_000 and run.message.fn.startswith("fn-0")]
-    assert {run.message.fn for run in late} == {NAME}
+    late = [run for run in played.story.runs if run.at > 78_000 and run.message.function.startswith("fn-0")]
+    assert {run.message.function for run in late} == {NAME}
     ok = sum(c.answers[0][2].verdict == "ok" for c in played.story.calls if c.answers)
     assert ok > 0.97 * len(played.story.calls)
 
@@ -108,9 +108,9 @@
 def test_retries_meet_the_version_of_their_first_try(tmp_path):
     played = Rolled(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
     versions = {}
-    for run in played.runs() + [r for r in played.story.runs if r.message.fn == "fn-0"]:
+    for run in played.runs() + [r for r in played.story.runs if r.message.function == "fn-0"]:
         if run.at > 8_000:
-            versions.setdefault(run.message.key, set()).add(run.message.fn)
+            versions.setdefault(run.message.key, set()).add(run.message.function)
     assert len(versions) > 50 and all(len(met) == 1 for met in versions.values())
 
 
@@ -203,7 +203,9 @@
 
     def use_older(played):
         played.said = played.older.append(
-            CommandEntry(at=0, id="late", action="advance", fn="fn-0", operator="nobody", candidate="v2")
+            CommandEntry(
+                at=0, id="late", action="advance", function="fn-0", operator="nobody", candidate="v2"
+            )
         )
 
     played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
@@ -290,8 +292,15 @@
 
 def test_an_unload_calls_off_loads_that_wait_or_are_fetched(engine):
     said = []
-    for fn, count in (("a@v2", 3), ("b", 1)):
-        engine.hold(fn, count, 500.0, 1, 1.0, lambda outcome, n, fn=fn: said.append((fn, outcome, n)))
+    for function, count in (("a@v2", 3), ("b", 1)):
+        engine.hold(
+            function,
+            count,
+            500.0,
+            1,
+            1.0,
+            lambda outcome, n, function=function: said.append((function, outcome, n)),
+        )
     engine.run_for(0.3)
     assert engine.store.active == 1 and list(engine.load_queue) == ["a@v2", "a@v2", "b"]
     engine.unload("a@v2")
@@ -338,7 +347,9 @@
     start = {"retention": remembered}
     played = Rolled(script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start)
     fetched["after"] = played.world.store.fetched - fetched["before"]
-    calls = [c for c in played.story.calls if c.message.fn == "fn-0" and c.at > back * 1000 and c.answers]
+    calls = [
+        c for c in played.story.calls if c.message.function == "fn-0" and c.at > back * 1000 and c.answers
+    ]
     ok = sum(c.answers[0][2].verdict == "ok" for c in calls) / len(calls)
     assert played.breaches() == [] and played.rollout.state in (
         RolloutState.WITHDRAWING,
@@ -403,7 +414,7 @@
         script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"retention": 20_000}
     )
     assert played.rollout.state is RolloutState.SETTLED and played.breaches() == []
-    after = {run.message.fn for run in played.story.runs if run.at > 31_000}
+    after = {run.message.function for run in played.story.runs if run.at > 31_000}
     assert NAME in after and "fn-0" not in after
     assert len(played.logged("kept plan")) == 2
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -22,19 +22,19 @@
 ENTRIES: list[tuple[JournalEntry, bytes]] = [
     (
         CommandEntry(
-            at=12, id="1", action="start", fn="f", operator="duty", reason="tariff", candidate="v2",
+            at=12, id="1", action="start", function="f", operator="duty", reason="tariff", candidate="v2",
             steps=(0.5, 1.0), retention=7,
         ),
         b'{"is":"command","id":"1","what":"start","fn":"f","who":"duty","why":"tariff","candidate":"v2",'
         b'"steps":[0.5,1.0],"remembered":7,"at":12}',
     ),
     (
-        CommandEntry(at=12, id="1", action="back", fn="f", operator="duty"),
+        CommandEntry(at=12, id="1", action="back", function="f", operator="duty"),
         b'{"is":"command","id":"1","what":"back","fn":"f","who":"duty","at":12}',
     ),
     (
         OutcomeEntry(
-            at=5, edge="e", start="s", fn="f", candidate="v2", step=0, minute=3, counts=(5, 1, 4, 0)
+            at=5, edge="e", start="s", function="f", candidate="v2", step=0, minute=3, counts=(5, 1, 4, 0)
         ),
         b'{"is":"report","edge":"e","start":"s","fn":"f","candidate":"v2","step":0,"minute":3,'
         b'"counts":[5,1,4,0],"at":5}',
