--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -7,19 +7,30 @@
 import subprocess
 import sys
 import time
+from pathlib import Path
+from typing import Any
 
 import pytest
 
-from lapistrestle.planner.entries import CommandEntry, OutcomeEntry, TickEntry, decode_entry, encode_entry
+from lapistrestle.planner.entries import (
+    CommandEntry,
+    JournalEntry,
+    OutcomeEntry,
+    TickEntry,
+    decode_entry,
+    encode_entry,
+)
 from lapistrestle.planner.state import PlannerState
 from lapistrestle.rollout.state_machine import HistoryEntry, RolloutInput, RolloutState
-from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
+from lapistrestle.rollout_types import CommandOutcome, RolloutAction, TrafficSplit
 from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire.plans import SplitMessage
 
 
-def command(id_, what="start", function="f", candidate="v2", **more):
+def command(
+    id_: str, what: RolloutAction = "start", function: str = "f", candidate: str = "v2", **more: Any
+) -> CommandEntry:
     return CommandEntry(
         at=more.pop("at", 0),
         id=id_,
@@ -34,22 +45,22 @@
 class Numbered(PlannerState):
     """Numbers entries by itself."""
 
-    def add(self, entry):
+    def add(self, entry: JournalEntry) -> Any:
         return self.apply(self.number + 1, entry)
 
 
 @pytest.fixture
-def kept():
+def kept() -> Numbered:
     return Numbered()
 
 
-def stepped(kept, at, functions_ready=("f",)):
+def stepped(kept: Numbered, at: int, functions_ready: tuple[str, ...] = ("f",)) -> None:
     """Two ticks: edges are told of a step a second before it comes."""
     kept.add(TickEntry(at=at, functions_ready=functions_ready))
     kept.add(TickEntry(at=at + 10_000, functions_ready=functions_ready))
 
 
-def good(step, minute=0):
+def good(step: int, minute: int = 0) -> OutcomeEntry:
     return OutcomeEntry(
         at=1,
         edge="e",
@@ -62,14 +73,14 @@
     )
 
 
-def test_a_command_that_comes_twice_is_answered_as_the_first_time(kept):
+def test_a_command_that_comes_twice_is_answered_as_the_first_time(kept: Numbered) -> None:
     first = kept.add(command("1"))
     assert first.outcome == CommandOutcome.DONE and first.state == "warming"
     kept.add(TickEntry(at=5, functions_ready=("f",)))
     assert kept.add(command("1")) == first
 
 
-def test_two_rollouts_of_one_function(kept):
+def test_two_rollouts_of_one_function(kept: Numbered) -> None:
     kept.add(command("1"))
     assert kept.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO
     refused = kept.add(command("3", candidate="v3"))
@@ -77,7 +88,7 @@
     assert kept.add(command("4", function="g", candidate="v3")).outcome == CommandOutcome.DONE
 
 
-def test_a_chain_of_rollouts_and_a_function_that_appears_for_the_first_time(kept):
+def test_a_chain_of_rollouts_and_a_function_that_appears_for_the_first_time(kept: Numbered) -> None:
     kept.add(command("1", steps=(1.0,)))
     stepped(kept, 10_000)
     kept.add(good(0))
@@ -97,7 +108,7 @@
     assert kept.add(command("6", candidate="v4")).outcome == CommandOutcome.DONE
 
 
-def test_what_has_settled_is_taken_back_to_the_version_before_it(kept):
+def test_what_has_settled_is_taken_back_to_the_version_before_it(kept: Numbered) -> None:
     kept.add(command("1", steps=(1.0,)))
     stepped(kept, 10_000)
     kept.add(command("2", "advance", at=20_000))
@@ -111,7 +122,7 @@
     assert kept.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"  # and may come again
 
 
-def test_a_command_for_another_candidate_does_nothing(kept):
+def test_a_command_for_another_candidate_does_nothing(kept: Numbered) -> None:
     kept.add(command("1"))
     assert kept.add(command("2", "back", candidate="v9")).outcome == CommandOutcome.REFUSED
     assert kept.add(command("3", "back", function="nobody")).outcome == CommandOutcome.REFUSED
@@ -119,11 +130,11 @@
 
 
 @pytest.mark.parametrize("steps", [(), (0.5,), (0.5, 0.1, 1.0), (0.0, 1.0), (0.2, 2.0)])
-def test_steps_must_rise_to_one(kept, steps):
+def test_steps_must_rise_to_one(kept: Numbered, steps: tuple[float, ...]) -> None:
     assert kept.add(command("1", steps=steps)).outcome == CommandOutcome.REFUSED and not kept.rollouts
 
 
-def test_evidence_of_another_step_is_none(kept):
+def test_evidence_of_another_step_is_none(kept: Numbered) -> None:
     kept.add(command("1"))
     stepped(kept, 10_000)
     kept.add(good(0))
@@ -134,7 +145,7 @@
     assert kept.rollouts["f"].evidence.totals_by_minute() == {}
 
 
-def test_edges_are_told_what_changed_since_the_number_they_know(kept):
+def test_edges_are_told_what_changed_since_the_number_they_know(kept: Numbered) -> None:
     kept.add(command("1"))
     kept.add(command("2", function="g"))
     known = kept.number
@@ -146,9 +157,9 @@
     )
 
 
-def test_the_same_entries_give_the_same_state(kept, tmp_path):
+def test_the_same_entries_give_the_same_state(kept: Numbered, tmp_path: Path) -> None:
     journal = Journal(tmp_path / "j")
-    entries = [
+    entries: list[JournalEntry] = [
         command("1"),
         TickEntry(at=10_000, functions_ready=("f",)),
         good(0),
@@ -171,12 +182,12 @@
     )
 
 
-def test_an_entry_that_does_not_follow_is_refused(kept):
+def test_an_entry_that_does_not_follow_is_refused(kept: Numbered) -> None:
     with pytest.raises(ValueError, match="does not follow"):
         kept.apply(2, command("1"))
 
 
-def test_an_older_writer_that_comes_back_is_refused(tmp_path):
+def test_an_older_writer_that_comes_back_is_refused(tmp_path: Path) -> None:
     older = Journal(tmp_path / "j")
     older.append([b"1"])
     newer = Journal(tmp_path / "j")
@@ -188,16 +199,16 @@
     assert [number for number, _ in newer.entries(after=2)] == [3, 4]
 
 
-def test_what_is_no_journal_is_said_to_be_none(tmp_path):
+def test_what_is_no_journal_is_said_to_be_none(tmp_path: Path) -> None:
     (tmp_path / "j").write_bytes(b"not a database at all, but long enough to be taken for one" * 40)
     with pytest.raises(JournalError, match=r"j: "):
         Journal(tmp_path / "j")
 
 
-def test_a_failed_append_leaves_nothing(tmp_path):
+def test_a_failed_append_leaves_nothing(tmp_path: Path) -> None:
     journal = Journal(tmp_path / "j")
     with pytest.raises((JournalError, sqlite3.Error, TypeError)):
-        journal.append([b"1", object()])
+        journal.append([b"1", object()])  # type: ignore[list-item]
     assert journal.append([b"2"]) == 1 and [e for _, e in journal.entries()] == [b"2"]
 
 
@@ -217,7 +228,7 @@
 """
 
 
-def test_what_was_acknowledged_survives_a_kill_at_any_moment(tmp_path):
+def test_what_was_acknowledged_survives_a_kill_at_any_moment(tmp_path: Path) -> None:
     """Groups of three are written; each kill must leave all that was acknowledged, and no group in part."""
     path, chance, acknowledged = tmp_path / "j", random.Random(1), 0
     for _ in range(12):
@@ -241,13 +252,13 @@
 KEPT = PersistedPlan(3, 7, [SplitMessage("f", "v1", "v2", 0.5, 0.5)], ["g@v9"])
 
 
-def test_a_kept_plan_is_whole_or_the_one_before(tmp_path, monkeypatch):
+def test_a_kept_plan_is_whole_or_the_one_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = PersistedPlanFile(tmp_path / "plan")
     assert file.read() is None
     file.write(KEPT)
     assert file.read() == KEPT
 
-    def full(*asked):
+    def full(*asked: object) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr("os.fsync", full)
@@ -257,7 +268,7 @@
 
 
 @pytest.mark.parametrize("bytes_", [b"", b"{", b'{"epoch":"x"}', b"\xff\xfe"])
-def test_a_kept_plan_that_can_not_be_read_is_named(tmp_path, bytes_):
+def test_a_kept_plan_that_can_not_be_read_is_named(tmp_path: Path, bytes_: bytes) -> None:
     (tmp_path / "plan").write_bytes(bytes_)
     with pytest.raises(ValueError, match="plan"):
         PersistedPlanFile(tmp_path / "plan").read()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -2,6 +2,7 @@
 
 from dataclasses import replace
 from itertools import pairwise
+from typing import Any
 
 import numpy as np
 import pytest
@@ -41,23 +42,23 @@
 KEYS = [f"k{n}" for n in range(4_000)]
 
 
-def taken(split, **more):
-    asked = {"kind": "idempotent", "repeat": False, "tokens_span": False} | more
+def taken(split: TrafficSplit, **more: Any) -> set[str]:
+    asked: dict[str, Any] = {"kind": "idempotent", "repeat": False, "tokens_span": False} | more
     return {key for key in KEYS if choose_version(split, key, **asked) is VersionChoice.CANDIDATE}
 
 
-def test_a_growing_share_only_adds_keys_and_is_what_it_says():
+def test_a_growing_share_only_adds_keys_and_is_what_it_says() -> None:
     shares = [taken(replace(SPLIT, weight=s, peak_weight=s)) for s in (0.0, 0.1, 0.3, 0.7, 1.0)]
     assert all(a <= b for a, b in pairwise(shares))
     assert [round(len(s) / len(KEYS), 1) for s in shares] == [0.0, 0.1, 0.3, 0.7, 1.0]
 
 
-def test_another_candidate_begins_with_other_keys():
+def test_another_candidate_begins_with_other_keys() -> None:
     first, second = taken(SPLIT), taken(replace(SPLIT, candidate="v3"))
     assert 0.2 < len(first & second) / len(first) < 0.4
 
 
-def test_a_further_try_has_the_key_of_the_first():
+def test_a_further_try_has_the_key_of_the_first() -> None:
     assert attempt_key("a", 7, "c1/1") == attempt_key("a", 7, "c9/5")
     assert attempt_key("", 7, "c1/1") == attempt_key("", 7, "c9/5") != attempt_key("7", None, "")
     assert attempt_key("", None, "c1/1") != attempt_key("", None, "c1/2")
@@ -71,7 +72,9 @@
         ("side-effecting", True, False, VersionChoice.SETTLED),
     ],
 )  # fmt: skip
-def test_what_may_have_run_on_a_withdrawn_version_is_not_new(kind, repeat, tokens_span, expected):
+def test_what_may_have_run_on_a_withdrawn_version_is_not_new(
+    kind: str, repeat: bool, tokens_span: bool, expected: VersionChoice
+) -> None:
     back = replace(SPLIT, weight=0.0, withdrawn=True)
     met = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
     others = [key for key in KEYS if hash_position("f", "v2", key) >= 0.3]
@@ -79,15 +82,15 @@
     assert {choose_version(back, key, kind, repeat, tokens_span) for key in others} == {VersionChoice.SETTLED}
 
 
-def test_a_tokened_one_that_comes_back_meets_only_what_it_older_sent_versions():
+def test_a_tokened_one_that_comes_back_meets_only_what_it_older_sent_versions() -> None:
     """Also where the share has grown since, or the first try went to another edge."""
     grown = replace(SPLIT, weight=0.3, peak_weight=0.6)
 
-    def choices(met):
-        made = {}
+    def choices(earlier: EarlierVersion) -> list[VersionChoice]:
+        made: dict[float, VersionChoice] = {}
         for low, high in ((0.0, 0.3), (0.3, 0.6), (0.6, 1.0)):
             keys = [key for key in KEYS if low <= hash_position("f", "v2", key) < high]
-            (made[low],) = {choose_version(grown, key, "tokened", True, False, met) for key in keys}
+            (made[low],) = {choose_version(grown, key, "tokened", True, False, earlier) for key in keys}
         return list(made.values())
 
     assert choices(EarlierVersion.SETTLED) == [VersionChoice.SETTLED] * 3
@@ -108,14 +111,14 @@
 
 @pytest.mark.parametrize("may_have_run", [False, True])
 @pytest.mark.parametrize("span", [False, True])
-def test_a_denial_moves_only_what_harms_nobody_elsewhere(may_have_run, span):
+def test_a_denial_moves_only_what_harms_nobody_elsewhere(may_have_run: bool, span: bool) -> None:
     expected = VersionChoice.ABORT if may_have_run and not span else VersionChoice.SETTLED
     assert choose_after_denial("tokened", may_have_run, span) is expected
     assert choose_after_denial("idempotent", may_have_run, span) is VersionChoice.SETTLED
     assert choose_after_denial("side-effecting", False, span) is VersionChoice.SETTLED
 
 
-def test_an_edge_without_a_lease_knows_no_peak():
+def test_an_edge_without_a_lease_knows_no_peak() -> None:
     routing = Routing()
     routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, peak_weight=0.01)])
     keys = [key for key in KEYS if hash_position("f", "v2", key) > 0.5][:50]
@@ -125,7 +128,7 @@
     assert first == again == {"f@v1"}
 
 
-def test_an_edge_knows_where_it_sent_what_comes_back():
+def test_an_edge_knows_where_it_sent_what_comes_back() -> None:
     routing = Routing()
     beats(routing.lease, 0, 40_001)
     routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.1, peak_weight=0.3)])
@@ -137,7 +140,7 @@
     assert {routing.route("f", key, "idempotent", True, 40_100).name for key in keys} == {"f@v2"}
 
 
-def test_what_an_edge_remembers_has_a_bound():
+def test_what_an_edge_remembers_has_a_bound() -> None:
     routing = Routing()
     for number in range(3 * MAX_REMEMBERED):
         routing.remember_version("f", str(number), "v1")
@@ -146,7 +149,7 @@
     assert routing.earlier_version(SPLIT, "0") is EarlierVersion.UNKNOWN
 
 
-def test_what_was_withdrawn_stays_barred_until_a_plan_names_it_again():
+def test_what_was_withdrawn_stays_barred_until_a_plan_names_it_again() -> None:
     """The planner forgets it, and the module's own holds would load it anew."""
     routing = Routing()
     assert routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, withdrawn=True)]) == ["f@v2"]
@@ -158,7 +161,7 @@
     assert not routing.is_barred("f@v2", 40_001)
 
 
-def test_a_moved_one_goes_to_the_settled_version_and_comes_back_there():
+def test_a_moved_one_goes_to_the_settled_version_and_comes_back_there() -> None:
     routing = Routing()
     routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, peak_weight=1.0, withdrawn=True)])
     assert routing.reroute("f@v2", "k1").name == "f@v1"
@@ -167,7 +170,7 @@
     assert routing.reroute("h@v9", "k1").name == "h"  # never to the barred version itself
 
 
-def test_a_plan_kept_over_a_restart_gives_no_share_and_no_way_back():
+def test_a_plan_kept_over_a_restart_gives_no_share_and_no_way_back() -> None:
     routing = Routing()
     routing.restore_plan(
         3, 7, [replace(SPLIT, weight=0.9, peak_weight=0.9), TrafficSplit("g", "v5")], ["h@v1"]
@@ -179,7 +182,7 @@
     assert routing.apply_plan(3, 7, True, [TrafficSplit("g", "v5")]) == []
 
 
-def test_an_edge_that_knows_no_plan_waits_for_its_first_and_not_for_ever():
+def test_an_edge_that_knows_no_plan_waits_for_its_first_and_not_for_ever() -> None:
     routing = Routing()
     assert routing.awaits_first_plan(FIRST_PLAN_TIMEOUT - 1) and not routing.awaits_first_plan(
         FIRST_PLAN_TIMEOUT
@@ -188,21 +191,21 @@
     assert not routing.awaits_first_plan(0)
 
 
-def test_what_is_settled_needs_no_lease():
+def test_what_is_settled_needs_no_lease() -> None:
     routing = Routing()
     routing.apply_plan(1, 1, True, [TrafficSplit("f", "v1", "v2", 1.0, 1.0, promoted=True)])
     assert routing.route("f", "k1", "idempotent", False, 10**6).name == "f@v2"
     assert not routing.is_barred("f@v2", 10**6) and routing.recent_counts(10**6) == {}
 
 
-def test_without_a_candidate_all_go_to_the_settled_version():
+def test_without_a_candidate_all_go_to_the_settled_version() -> None:
     assert choose_version(TrafficSplit("f", "v1"), "k", "tokened", True, False) is VersionChoice.SETTLED
 
 
 # evidence
 
 
-def test_a_report_that_comes_twice_late_or_out_of_order_adds_nothing():
+def test_a_report_that_comes_twice_late_or_out_of_order_adds_nothing() -> None:
     evidence = Evidence()
     assert evidence.add_report("e0", "s1", 5, OutcomeCounts(100, 1, 10, 0))
     assert not evidence.add_report("e0", "s1", 5, OutcomeCounts(100, 1, 10, 0))
@@ -212,13 +215,13 @@
     assert evidence.totals_by_minute() == {5: OutcomeCounts(112, 1, 13, 1)}
 
 
-def test_trouble_that_meets_both_alike_tells_nothing_of_harm():
+def test_trouble_that_meets_both_alike_tells_nothing_of_harm() -> None:
     assert log_harm_ratio(OutcomeCounts(900, 900, 100, 100)) == 0.0
     assert log_harm_ratio(OutcomeCounts(900, 450, 100, 50)) < 0
     assert log_harm_ratio(OutcomeCounts(900, 9, 100, 30)) > 10
 
 
-def test_a_version_without_traffic_tells_nothing():
+def test_a_version_without_traffic_tells_nothing() -> None:
     assert (
         log_harm_ratio(OutcomeCounts(900, 9, 0, 0))
         == log_safety_ratio(OutcomeCounts(900, 9, 0, 0))
@@ -230,7 +233,15 @@
     assert not evidence.verdict().may_advance
 
 
-def findings(rate, worse, seed, minutes=60, each=600, share=0.1, trouble=0.0):
+def findings(
+    rate: float,
+    worse: float,
+    seed: int,
+    minutes: int = 60,
+    each: int = 600,
+    share: float = 0.1,
+    trouble: float = 0.0,
+) -> tuple[str, int]:
     """Minutes until it is turned back and until it may grow, None if neither."""
     random, evidence = np.random.default_rng(seed), Evidence()
     for minute in range(minutes):
@@ -246,13 +257,13 @@
 
 
 @pytest.mark.parametrize("trouble", [0.0, 0.3])
-def test_a_good_candidate_is_hardly_ever_turned_back(trouble):
+def test_a_good_candidate_is_hardly_ever_turned_back(trouble: float) -> None:
     ends = [findings(0.01, 0.0, seed, trouble=trouble)[0] for seed in range(100)]
     assert ends.count("back") <= 3 and ends.count("grow") >= 90
 
 
 @pytest.mark.parametrize(("worse", "within"), [(0.1, 4), (0.3, 2)])
-def test_a_bad_candidate_is_turned_back_soon(worse, within):
+def test_a_bad_candidate_is_turned_back_soon(worse: float, within: int) -> None:
     ends = [findings(0.01, worse, seed) for seed in range(40)]
     assert all(end == "back" for end, _ in ends)
     assert sorted(minute for _, minute in ends)[len(ends) // 2] <= within
@@ -261,34 +272,39 @@
 # the life
 
 
-def rollout():
+def rollout() -> Rollout:
     return Rollout("f", "v1", "v2", (0.01, 0.1, 0.5, 1.0), retention=50_000)
 
 
 @pytest.fixture
-def growing():
+def growing() -> Rollout:
     made = rollout()
     made.handle(RolloutInput.START, 0)
     made.handle(RolloutInput.REPLICAS_READY, S)
     return made
 
 
-def step(made, at, replicas_ready=True):
+def state_of(made: Rollout) -> RolloutState:
+    """The state now: a type checker takes the attribute for what it was found to be before."""
+    return made.state
+
+
+def step(made: Rollout, at: int, replicas_ready: bool = True) -> None:
     """A look that tells edges of the step, and one that makes it."""
     made.evaluate(at, replicas_ready)
     made.evaluate(at + S, replicas_ready)
 
 
-def good(made):
+def good(made: Rollout) -> None:
     made.evidence.add_report("e", "s", len(made.history), OutcomeCounts(5_000, 10, 5_000, 10))
 
 
-def test_it_loads_first_and_grows_by_evidence_up_to_settled():
+def test_it_loads_first_and_grows_by_evidence_up_to_settled() -> None:
     made = rollout()
     assert made.handle(RolloutInput.START, 0) == CommandOutcome.DONE
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next_weight=0.01)
     made.evaluate(S, replicas_ready=False)
-    assert made.state is RolloutState.WARMING
+    assert state_of(made) is RolloutState.WARMING
     step(made, 2 * S)
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.01, 0.01, next_weight=0.1)
     step(made, 4 * S)
@@ -301,31 +317,31 @@
         assert made.weight == expected
     good(made)
     step(made, 40 * S)
-    assert made.state is RolloutState.SETTLED
+    assert state_of(made) is RolloutState.SETTLED
     assert made.split() == TrafficSplit("f", "v1", "v2", 1.0, 1.0, next_weight=1.0, promoted=True)
     made.evaluate(41 * S + made.retention, replicas_ready=True)
-    assert made.state is RolloutState.SETTLED and made.split() == TrafficSplit("f", "v2")
+    assert state_of(made) is RolloutState.SETTLED and made.split() == TrafficSplit("f", "v2")
 
 
-def test_harm_turns_it_back_even_while_held(growing):
+def test_harm_turns_it_back_even_while_held(growing: Rollout) -> None:
     assert growing.handle(RolloutInput.HOLD, 2 * S, "duty", "looking") == CommandOutcome.DONE
     growing.evidence.add_report("e", "s", 0, OutcomeCounts(1_000, 5, 100, 40))
     growing.evaluate(3 * S, replicas_ready=True)
-    assert growing.state is RolloutState.WITHDRAWING and growing.weight == 0.0
+    assert state_of(growing) is RolloutState.WITHDRAWING and growing.weight == 0.0
     assert growing.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.01, withdrawn=True)
     growing.evaluate(3 * S + 49_999, replicas_ready=True)
-    assert growing.state is RolloutState.WITHDRAWING
+    assert state_of(growing) is RolloutState.WITHDRAWING
     growing.evaluate(3 * S + 50_000, replicas_ready=True)
-    assert growing.state is RolloutState.WITHDRAWN and growing.split() == TrafficSplit("f", "v1")
+    assert state_of(growing) is RolloutState.WITHDRAWN and growing.split() == TrafficSplit("f", "v1")
 
 
-def test_each_step_is_judged_by_itself(growing):
+def test_each_step_is_judged_by_itself(growing: Rollout) -> None:
     good(growing)
     step(growing, 2 * S)
     assert growing.weight == 0.1 and growing.evidence.verdict() == Verdict(0.0, 0.0, 0, 0)
 
 
-def test_commands_may_be_given_twice(growing):
+def test_commands_may_be_given_twice(growing: Rollout) -> None:
     assert (
         growing.handle(RolloutInput.HOLD, S + 1) == CommandOutcome.DONE
         and growing.handle(RolloutInput.HOLD, S + 2) == CommandOutcome.NOTHING_TO_DO
@@ -342,7 +358,7 @@
     assert [entry.input.value for entry in growing.history] == ["start", "warm", "hold", "back", "forgotten"]
 
 
-def test_one_held_before_its_copies_stood_loads_first():
+def test_one_held_before_its_copies_stood_loads_first() -> None:
     made = rollout()
     made.handle(RolloutInput.START, 0)
     made.handle(RolloutInput.HOLD, 1)
@@ -350,7 +366,7 @@
     assert made.state is RolloutState.WARMING and made.weight == 0.0
 
 
-def test_edges_know_of_a_step_for_a_second_before_it_comes(growing):
+def test_edges_know_of_a_step_for_a_second_before_it_comes(growing: Rollout) -> None:
     assert (
         growing.handle(RolloutInput.ADVANCE, 2 * S) == CommandOutcome.DONE
         and growing.weight == growing.split().peak_weight == 0.01
@@ -364,7 +380,9 @@
 
 
 @pytest.mark.parametrize("given", [RolloutInput.HOLD, RolloutInput.ROLL_BACK])
-def test_an_advance_that_is_called_off_in_that_second_does_not_come(growing, given):
+def test_an_advance_that_is_called_off_in_that_second_does_not_come(
+    growing: Rollout, given: RolloutInput
+) -> None:
     growing.handle(RolloutInput.ADVANCE, 2 * S)
     growing.evaluate(2 * S, replicas_ready=True)
     growing.handle(given, 2 * S + 5)
@@ -374,7 +392,7 @@
         assert growing.split().peak_weight == 0.01
 
 
-def settle(made):
+def settle(made: Rollout) -> Rollout:
     for turn in range(4):
         made.handle(RolloutInput.ADVANCE, turn * S)
         step(made, turn * S)
@@ -382,7 +400,7 @@
     return made
 
 
-def test_what_has_settled_can_be_taken_back_with_all_its_keys(growing):
+def test_what_has_settled_can_be_taken_back_with_all_its_keys(growing: Rollout) -> None:
     made = settle(growing)
     assert made.handle(RolloutInput.ROLL_BACK, 6 * S) == CommandOutcome.DONE
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
@@ -390,7 +408,7 @@
     assert made.state is RolloutState.WITHDRAWN and made.split() == TrafficSplit("f", "v1")
 
 
-def test_also_when_the_version_before_it_is_no_longer_kept(growing):
+def test_also_when_the_version_before_it_is_no_longer_kept(growing: Rollout) -> None:
     made = settle(growing)
     made.evaluate(4 * S + made.retention, replicas_ready=False)
     assert not made.previous_retained and made.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
@@ -410,12 +428,15 @@
     """Any inputs in any order, beside a simple reference: what must always hold."""
 
     @initialize()
-    def begin(self):
-        self.made, self.now, self.last, self.over = rollout(), 0, 0.0, False
+    def begin(self) -> None:
+        self.made = rollout()
+        self.now = 0
+        self.last = 0.0
+        self.over = False
         self.peaks = [(-(10**9), 0.0)]  # when which peak was told
 
     @rule(given=st.sampled_from(COMMANDS), wait=st.integers(0, 60_000))
-    def tell(self, given, wait):
+    def tell(self, given: RolloutInput, wait: int) -> None:
         self.now += wait
         before = (self.made.state, self.made.step)
         said = self.made.handle(given, self.now)
@@ -423,14 +444,14 @@
             assert (self.made.state, self.made.step) == before
 
     @rule(tally=st.tuples(*[st.integers(0, 300)] * 4), warm=st.booleans())
-    def look(self, tally, warm):
+    def look(self, tally: tuple[int, int, int, int], warm: bool) -> None:
         settled, settled_bad, candidate, candidate_bad = tally
         counts = OutcomeCounts(settled + settled_bad, settled_bad, candidate + candidate_bad, candidate_bad)
         self.made.evidence.add_report("e", "s", self.now, counts)
         self.made.evaluate(self.now, warm)
 
     @invariant()
-    def holds(self):
+    def holds(self) -> None:
         made, split = self.made, self.made.split()
         gone = made.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
         assert not (self.over and not gone)  # what is withdrawn never comes back
@@ -451,7 +472,7 @@
 TestLife = Life.TestCase
 
 
-def test_every_state_but_the_last_ones_can_be_taken_back():
+def test_every_state_but_the_last_ones_can_be_taken_back() -> None:
     ends = {RolloutState.WITHDRAWING, RolloutState.WITHDRAWN}
     assert {state for state, given in TRANSITIONS if given is RolloutInput.ROLL_BACK} == set(
         RolloutState
@@ -461,12 +482,12 @@
 # leases
 
 
-def beats(lease, begin, end, every=2_000, way=100):
+def beats(lease: Lease, begin: int, end: int, every: int = 2_000, way: int = 100) -> None:
     for now in range(begin, end, every):
         lease.on_heartbeat(now - way, now)
 
 
-def test_a_share_is_used_only_after_steady_beats():
+def test_a_share_is_used_only_after_steady_beats() -> None:
     lease = Lease()
     beats(lease, 0, RECOVERY_PERIOD)
     assert not lease.is_usable(RECOVERY_PERIOD - 1)
@@ -474,7 +495,7 @@
     assert lease.is_usable(RECOVERY_PERIOD + 4_100)
 
 
-def test_an_edge_without_word_stops_within_the_second_whatever_lies_in_its_socket():
+def test_an_edge_without_word_stops_within_the_second_whatever_lies_in_its_socket() -> None:
     lease = Lease()
     beats(lease, 0, 40_001)
     assert lease.is_usable(40_001)
@@ -483,7 +504,7 @@
     assert not lease.is_usable(70_000)
 
 
-def test_one_that_stood_still_and_wakes_with_an_old_plan_sends_nothing_by_it():
+def test_one_that_stood_still_and_wakes_with_an_old_plan_sends_nothing_by_it() -> None:
     lease = Lease()
     beats(lease, 0, 40_001)
     assert not lease.is_usable(60_000)
@@ -491,7 +512,7 @@
     assert not lease.is_usable(60_050)
 
 
-def test_a_flapping_link_moves_the_traffic_once_and_not_with_every_gap():
+def test_a_flapping_link_moves_the_traffic_once_and_not_with_every_gap() -> None:
     lease, modes = Lease(), []
     beats(lease, 0, 40_001)
     for gap in range(5):
@@ -501,5 +522,5 @@
     assert modes == [False] * 5
 
 
-def test_the_table_of_leases_is_whole():
+def test_the_table_of_leases_is_whole() -> None:
     assert set(LEASE_TRANSITIONS) == {(mode, news) for mode in LeaseState for news in LeaseEvent}
