--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -19,6 +19,7 @@
 from lapistrestle.edge.running import reactor_of_now
 from lapistrestle.planner.server import Planner
 from lapistrestle.records.logs import make_log
+from lapistrestle.rollout_types import CommandOutcome
 from lapistrestle.store.journal import Journal, JournalError
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -93,10 +94,9 @@
             click.echo(msgspec.json.encode(reply))
         else:
             late = f"; not there yet: {', '.join(reply.edges_behind)}" if reply.edges_behind else ""
-            click.echo(
-                f"{reply.outcome}: {reply.message}; {function} is {reply.state} at {reply.weight:.0%}{late}"
-            )
-        raise SystemExit(1 if reply.outcome == "refused" else 0)
+            stands = f"{function} is {reply.state} at {reply.weight:.0%}"
+            click.echo(f"{reply.outcome.value}: {reply.message}; {stands}{late}")
+        raise SystemExit(1 if reply.outcome is CommandOutcome.REFUSED else 0)
 
     made: Callable[..., None] = command
     if what == "start":
--- a/lapistrestle/planner/connection.py
+++ b/lapistrestle/planner/connection.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from lapistrestle.planner.entries import CommandEntry, OutcomeEntry
+from lapistrestle.planner.entries import TICKS_PER_MILLISECOND, CommandEntry, OutcomeEntry
 from lapistrestle.rollout.readiness import EdgeReport
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -18,8 +18,6 @@
 if TYPE_CHECKING:
     from lapistrestle.planner.server import Planner
 
-TICKS_PER_MILLISECOND = 10
-
 
 class PlannerConnection(Speaker):
     """One connection, of an edge or an operator.
@@ -118,7 +116,7 @@
         ]
         reply = plans.CommandReply(
             id=command.id,
-            outcome=result.outcome.value,
+            outcome=result.outcome,
             message=result.message,
             state=result.state,
             weight=result.weight,
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -7,7 +7,13 @@
 from typing import Any, Protocol
 
 from lapistrestle.planner.connection import PlannerConnection, PlannerConnectionFactory
-from lapistrestle.planner.entries import JournalEntry, TickEntry, decode_entry, encode_entry
+from lapistrestle.planner.entries import (
+    TICKS_PER_SECOND,
+    JournalEntry,
+    TickEntry,
+    decode_entry,
+    encode_entry,
+)
 from lapistrestle.planner.state import CommandResult, PlannerState
 from lapistrestle.planner.status import rollout_status
 from lapistrestle.rollout.readiness import Readiness
@@ -15,8 +21,6 @@
 from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
 from lapistrestle.wire import plans
 
-TICKS_PER_SECOND = 10_000  # a tick is 0.1 ms
-
 TICK_INTERVAL = 1.0
 """Seconds between two evaluations of the active rollouts."""
 
--- a/lapistrestle/planner/status.py
+++ b/lapistrestle/planner/status.py
@@ -1,11 +1,10 @@
 """What operators are shown of a rollout."""
 
+from lapistrestle.planner.entries import TICKS_PER_MILLISECOND
 from lapistrestle.rollout.evidence import OutcomeCounts
 from lapistrestle.rollout.state_machine import Rollout
 from lapistrestle.wire import plans
 
-TICKS_PER_MILLISECOND = 10
-
 LOG_DECIMALS = 3
 """Digits of the two logarithms: enough to compare them with their limits."""
 
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -5,6 +5,7 @@
 
 from twisted.internet.protocol import ClientFactory
 
+from lapistrestle.rollout_types import CommandOutcome
 from lapistrestle.standins.tape import Tape
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -95,6 +96,6 @@
             return
         self.replies.append(reply)
         version = f"{order.function}@{order.candidate}"
-        if order.action == "back" and reply.outcome == "done":
+        if order.action == "back" and reply.outcome is CommandOutcome.DONE:
             self.tape.put("planner", "back", version=version)
-        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome)
+        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome.value)
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, Struct, field
 
-from lapistrestle.rollout_types import DEFAULT_STEPS, RolloutAction, TrafficSplit
+from lapistrestle.rollout_types import DEFAULT_STEPS, CommandOutcome, RolloutAction, TrafficSplit
 from lapistrestle.wire.messages import Bye, Fault, Hello, Message, Name, Number
 
 PLANNER = "lapistrestle.planner"
@@ -124,12 +124,11 @@
 class CommandReply(Message, tag="reply"):
     """What a command came to; it is on disk when this is sent.
 
-    `outcome` is the value of a `CommandOutcome`, `number` the plan that has it, and `edges_behind` those
-    that do not go by that plan yet.
+    `number` is the plan that has it, and `edges_behind` names those that do not go by that plan yet.
     """
 
     id: Name
-    outcome: str
+    outcome: CommandOutcome
     message: str = field(name="says")
     state: str
     weight: float = field(name="share")
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -7,6 +7,7 @@
 from lapistrestle.planner.server import Planner
 from lapistrestle.rollout.state_machine import RolloutInput, RolloutState
 from lapistrestle.rollout.version_choice import REPEATED_ATTEMPT_CHOICES, EarlierVersion, VersionChoice
+from lapistrestle.rollout_types import CommandOutcome
 from lapistrestle.standins.engine import Engine, RunnerFacts, Task
 from lapistrestle.standins.runner import Fault
 from lapistrestle.standins.store import Store, StoreFacts
@@ -233,7 +234,7 @@
     assert rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN, RolloutState.WARMING), (
         rollout.evidence.verdict()
     )
-    assert played.world.operator.replies[0].outcome == "done"
+    assert played.world.operator.replies[0].outcome is CommandOutcome.DONE
 
 
 def test_a_scripted_rollback_is_judged_and_the_tape_is_the_same_each_time():
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -13,6 +13,7 @@
     decode_entry,
     encode_entry,
 )
+from lapistrestle.rollout_types import CommandOutcome
 from lapistrestle.store.learned_state import LearnedMethod, read_learned_state, write_learned_state
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import plans
@@ -82,7 +83,7 @@
         b'"steps":[0.5,1.0],"remembered":5.0}',
     ),
     (
-        plans.CommandReply("1", "done", "v1 to v2", "warming", 0.5, 7, ["e"]),
+        plans.CommandReply("1", CommandOutcome.DONE, "v1 to v2", "warming", 0.5, 7, ["e"]),
         b'{"is":"reply","id":"1","outcome":"done","says":"v1 to v2","state":"warming","share":0.5,'
         b'"number":7,"behind":["e"]}',
     ),
