--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -20,7 +20,7 @@
     return tmp_path / "edge.learnt"
 
 
-def book(stage, **changed):
+def learned_methods(stage, **changed):
     return {
         name: learned_state.LearnedMethod(changed.get("soft", m["soft_deadline"]), m["deadline"], 900.0, 40.0)
         for name, m in zip(stage.edge.methods, stage.edge.facts["methods"], strict=True)
@@ -32,7 +32,7 @@
 
 
 def test_the_first_seconds_after_a_switch_know_what_a_usual_rpc_takes(stage, path):
-    learned_state.write_learned_state(path, book(stage))
+    learned_state.write_learned_state(path, learned_methods(stage))
     module = stage.edge.host.module
     before = module.weight(0)
     Keeping(stage.edge, str(path))
@@ -53,7 +53,7 @@
 
 
 def test_a_method_with_other_deadlines_starts_afresh(stage, path):
-    learned_state.write_learned_state(path, book(stage, soft=1))
+    learned_state.write_learned_state(path, learned_methods(stage, soft=1))
     before = stage.edge.host.module.weight(0)
     Keeping(stage.edge, str(path))
     assert stage.edge.host.module.weight(0) == before and said(stage)[1]["carried"] == []
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -1,17 +1,24 @@
 """Rollouts in whole days: a planner, edges, runners with faulty versions, and troubles, in virtual time."""
 
+from collections.abc import Callable, Mapping, Sequence
+from functools import partial
+from pathlib import Path
+from typing import Any
+
 import pytest
 from days import Played, day
 
 from lapistrestle.planner.entries import CommandEntry
 from lapistrestle.planner.server import Planner
-from lapistrestle.rollout.state_machine import RolloutInput, RolloutState
+from lapistrestle.planner.state import CommandResult
+from lapistrestle.rollout.state_machine import Rollout, RolloutInput, RolloutState
 from lapistrestle.rollout.version_choice import REPEATED_ATTEMPT_CHOICES, EarlierVersion, VersionChoice
-from lapistrestle.rollout_types import CommandOutcome
+from lapistrestle.rollout_types import CommandOutcome, RolloutAction
 from lapistrestle.standins.engine import Engine, RunnerFacts, Task
 from lapistrestle.standins.runner import Fault
 from lapistrestle.standins.store import Store, StoreFacts
 from lapistrestle.standins.virtual import Process, VirtualReactor
+from lapistrestle.standins.world import World
 from lapistrestle.store.journal import Journal
 
 NAME = "fn-0@v2"
@@ -20,30 +27,48 @@
 class Rolled(Played):
     """A day with a planner that starts a rollout of fn-0 after two seconds."""
 
-    def __init__(
-        self, script, path, fault=None, orders=(), steps=(0.3, 1.0), does=(), start=(), absent=False
-    ):
-        self.start, self.absent = dict(start), absent
-        self.path, self.fault, self.orders, self.steps, self.does = path, fault, orders, steps, does
-        super().__init__(script)
+    world: Any  # its handles are those of edges and planners in virtual time
+    older: Planner  # where a newer one has taken over
+    older_process: Process
+    said: CommandResult | None
 
-    def prepare(self, reactor):
+    def __init__(
+        self,
+        script: Mapping[str, Any],
+        path: Path,
+        fault: Fault | None = None,
+        orders: Sequence[tuple[float, RolloutAction]] = (),
+        steps: tuple[float, ...] = (0.3, 1.0),
+        does: Sequence[tuple[float, Callable[["Rolled"], object]]] = (),
+        start: Mapping[str, Any] | None = None,
+        absent: bool = False,
+    ) -> None:
+        self.start = dict(start or {})
+        self.absent = absent
+        self.path = path
+        self.fault = fault
+        self.orders = orders
+        self.steps = steps
+        self.does = does
+        super().__init__(dict(script))
+
+    def prepare(self, reactor: VirtualReactor) -> None:
         self.reactor = reactor
         self.port = reactor.free_port()
         self.deployment.planner.port = self.port
         if not self.absent:
             self.begin_planner()
 
-    def begin_planner(self):
+    def begin_planner(self) -> None:
         self.process = Process(self.reactor, "planner")
         self.planner = Planner(self.process, Journal(self.path), self.log)
         self.planner.start(self.port)
 
-    def kill_planner(self):
+    def kill_planner(self) -> None:
         self.process.kill()
         self.planner.journal.close()
 
-    def begun(self, world):
+    def begun(self, world: World) -> None:
         self.world = world
         if self.fault:
             world.faults[NAME] = self.fault
@@ -51,14 +76,14 @@
             return
         self.at(2.0, lambda: self.order("start", steps=self.steps, **self.start))
         for when, what in self.orders:
-            self.at(when, lambda what=what: self.order(what))
+            self.at(when, partial(self.order, what))
         for when, do in self.does:
-            self.at(when, lambda do=do: do(self))
+            self.at(when, partial(do, self))
 
-    def at(self, seconds, call):
+    def at(self, seconds: float, call: Callable[[], object]) -> None:
         self.world.reactor.callLater(seconds, call)
 
-    def order(self, what, **more):
+    def order(self, what: RolloutAction, **more: Any) -> CommandResult | None:
         planner = self.planner
         now = planner.now()
         name = f"{what}-{now}"
@@ -71,19 +96,19 @@
         return reply
 
     @property
-    def rollout(self):
+    def rollout(self) -> Rollout:
         return self.planner.state.rollouts["fn-0"]
 
-    def runs(self):
+    def runs(self) -> list[Any]:
         return [run for run in self.story.runs if run.message.function == NAME]
 
 
-def script(troubles=(), length="14 s", seed=1, like="slots"):
+def script(troubles: Any = (), length: str = "14 s", seed: int = 1, like: str = "slots") -> dict[str, Any]:
     traffic = {"rate": 60, "functions": 3, "popularity": 1.2}
     return day(like, troubles, seed, length=length, traffic=traffic)
 
 
-def test_a_good_version_is_loaded_first_and_grows_until_it_settles(tmp_path):
+def test_a_good_version_is_loaded_first_and_grows_until_it_settles(tmp_path: Path) -> None:
     played = Rolled(script(length="80 s"), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
@@ -96,7 +121,7 @@
 
 
 @pytest.mark.parametrize("fault", [Fault(errors=0.4), Fault(slower=40.0)])
-def test_a_bad_version_is_turned_back_by_evidence(tmp_path, fault):
+def test_a_bad_version_is_turned_back_by_evidence(tmp_path: Path, fault: Fault) -> None:
     played = Rolled(script(length="30 s"), tmp_path / "j", fault)
     assert played.breaches() == []
     assert played.rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
@@ -106,39 +131,39 @@
     assert played.runs() and max(run.at for run in played.runs()) < since + 1_000
 
 
-def test_retries_meet_the_version_of_their_first_try(tmp_path):
+def test_retries_meet_the_version_of_their_first_try(tmp_path: Path) -> None:
     played = Rolled(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
-    versions = {}
+    versions: dict[str, set[str]] = {}
     for run in played.runs() + [r for r in played.story.runs if r.message.function == "fn-0"]:
         if run.at > 8_000:
             versions.setdefault(run.message.key, set()).add(run.message.function)
     assert len(versions) > 50 and all(len(met) == 1 for met in versions.values())
 
 
-def stall(played):
+def stall(played: Rolled) -> None:
     edge = played.world.edges[0]
     played.world.tape.put(edge.name, "stalled")
     edge.stall()
 
 
-def resume(played):
+def resume(played: Rolled) -> None:
     edge = played.world.edges[0]
     played.world.tape.put(edge.name, "resumed")
     edge.resume()
 
 
-def mute(played):
+def mute(played: Rolled) -> None:
     """From now on no edge is told a plan; beats are answered as before."""
     played.planner.edge_connections.clear()
 
 
-def cut_off_half(played):
+def cut_off_half(played: Rolled) -> None:
     """Nothing from the planner reaches these edges any more; no connection closes."""
     for speaker in list(played.planner.edge_connections)[::2]:
-        speaker.say = lambda message: None
+        speaker.say = lambda message: None  # type: ignore[method-assign]
 
 
-TROUBLED = {
+TROUBLED: dict[str, list[tuple[float, Callable[[Rolled], object]]]] = {
     "quiet": [],
     "an edge stands still and wakes with an old plan": [(13.9, stall), (15.9, resume)],
     "the planner stands still just after": [(14.001, lambda p: p.process.stall())],
@@ -152,7 +177,9 @@
 
 @pytest.mark.parametrize("name", TROUBLED)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_after_a_rollback_nothing_new_reaches_the_version_within_a_second(tmp_path, name, seed):
+def test_after_a_rollback_nothing_new_reaches_the_version_within_a_second(
+    tmp_path: Path, name: str, seed: int
+) -> None:
     troubles = [{"kind": "zone_loss", "at": "13.5 s", "lasts": "3 s"}, {"kind": "slow", "at": "12.5 s"}]
     does = TROUBLED[name]
     played = Rolled(
@@ -164,8 +191,8 @@
     assert not played.logged("module raised") and not played.logged("deadline guarded")
 
 
-def test_an_edge_that_heeds_no_lease_is_caught(tmp_path):
-    def careless(played):
+def test_an_edge_that_heeds_no_lease_is_caught(tmp_path: Path) -> None:
+    def careless(played: Rolled) -> None:
         for edge in played.world.edges:
             edge.edge.routing.lease.is_usable = lambda now: True
 
@@ -174,7 +201,7 @@
     assert {breach.rule for breach in played.breaches()} == {"withdrawn versions left"}
 
 
-def test_what_the_planner_accepted_holds_after_its_restart(tmp_path):
+def test_what_the_planner_accepted_holds_after_its_restart(tmp_path: Path) -> None:
     played = Rolled(
         script(),
         tmp_path / "j",
@@ -187,7 +214,7 @@
     assert all(edge.routing.splits["fn-0"].withdrawn for edge in edges)
 
 
-def test_a_planner_away_moves_traffic_to_the_settled_version_and_back_once(tmp_path):
+def test_a_planner_away_moves_traffic_to_the_settled_version_and_back_once(tmp_path: Path) -> None:
     does = [(6.0, lambda p: p.kill_planner()), (8.5, lambda p: p.begin_planner())]
     played = Rolled(script(length="20 s"), tmp_path / "j", does=does, steps=(0.5, 1.0))
     assert played.breaches() == []
@@ -196,13 +223,13 @@
     assert not away and again
 
 
-def test_an_older_planner_that_comes_back_is_heeded_by_nobody(tmp_path):
-    def newer(played):
+def test_an_older_planner_that_comes_back_is_heeded_by_nobody(tmp_path: Path) -> None:
+    def newer(played: Rolled) -> None:
         played.older, played.older_process = played.planner, played.process
         played.port = played.reactor.free_port()
         played.begin_planner()
 
-    def use_older(played):
+    def use_older(played: Rolled) -> None:
         played.said = played.older.append(
             CommandEntry(
                 at=0, id="late", action="advance", function="fn-0", operator="nobody", candidate="v2"
@@ -225,19 +252,20 @@
     ],
     ids=str,
 )
-def test_a_scripted_version_that_is_wrong_in_its_own_way_never_settles(wrong):
+def test_a_scripted_version_that_is_wrong_in_its_own_way_never_settles(wrong: dict[str, Any]) -> None:
     version = {"candidate": "v2", "at": "2 s", "steps": [30, 100], "wrong": wrong}
     troubles = [{"kind": "planner_kill", "at": "6 s", "lasts": "1 s"}, {"kind": "planner_stall", "at": "9 s"}]
     played = Played(script(troubles, length="60 s") | {"rollouts": [version]})
     assert played.breaches() == [] and played.world.crowd.open == 0
-    rollout = played.world.planner.planner.state.rollouts["fn-0"]
+    world: Any = played.world
+    rollout = world.planner.planner.state.rollouts["fn-0"]
     assert rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN, RolloutState.WARMING), (
         rollout.evidence.verdict()
     )
-    assert played.world.operator.replies[0].outcome is CommandOutcome.DONE
+    assert world.operator.replies[0].outcome is CommandOutcome.DONE
 
 
-def test_a_scripted_rollback_is_judged_and_the_tape_is_the_same_each_time():
+def test_a_scripted_rollback_is_judged_and_the_tape_is_the_same_each_time() -> None:
     version = {"candidate": "v2", "at": "2 s", "back": "9 s", "steps": [50, 100]}
     troubles = [{"kind": "planner_kill", "at": "9 s", "lasts": "2 s"}]
     first, second = (Played(script(troubles) | {"rollouts": [version]}) for _ in range(2))
@@ -245,7 +273,7 @@
     assert [version for _, _, version in first.story.backs] == [NAME]
 
 
-def test_an_edge_that_sends_more_than_the_share_is_caught(monkeypatch):
+def test_an_edge_that_sends_more_than_the_share_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     version = {"candidate": "v2", "at": "2 s", "steps": [10, 100]}
     day_ = script(length="20 s") | {"rollouts": [version]}
     assert Played(day_).breaches() == []
@@ -253,7 +281,7 @@
     assert {breach.rule for breach in Played(day_).breaches()} == {"shares kept"}
 
 
-def tokened_day(path, seed):
+def tokened_day(path: Path, seed: int) -> Rolled:
     """Every RPC is tokened, and its client comes back, marked, to the next edge while the share grows."""
     troubles = [{"kind": "delayed", "at": "11 s", "lasts": "14 s", "share": 1.0, "by": "400 ms"}]
     day_ = script(troubles, "22 s", seed, like="thumbs")
@@ -263,12 +291,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_tokened_ones_that_come_back_take_effect_on_one_version_only(tmp_path, seed):
+def test_tokened_ones_that_come_back_take_effect_on_one_version_only(tmp_path: Path, seed: int) -> None:
     played = tokened_day(tmp_path / "j", seed)
     assert played.breaches() == [] and played.rollout.peak_weight >= 0.4
 
 
-def test_that_repeats_follow_the_share_alone_is_caught(tmp_path, monkeypatch):
+def test_that_repeats_follow_the_share_alone_is_caught(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """As it was: what comes back meets the candidate wherever its key lies within the share by now."""
     before = dict.fromkeys(((True, True, met) for met in EarlierVersion), VersionChoice.CANDIDATE)
     monkeypatch.setattr(
@@ -282,17 +312,17 @@
 
 
 @pytest.fixture
-def engine():
+def engine() -> Any:
     reactor = VirtualReactor()
     process = Process(reactor, "runner")
     store = Store(process, StoreFacts(fetches=10, limit=10))
-    made = Engine(process, RunnerFacts(loads=1, memory=4_000.0), store, lambda: None, cold=False)
+    made: Any = Engine(process, RunnerFacts(loads=1, memory=4_000.0), store, lambda: None, cold=False)
     made.run_for = lambda seconds: reactor.run(reactor.seconds() + seconds)
     return made
 
 
-def test_an_unload_calls_off_loads_that_wait_or_are_fetched(engine):
-    said = []
+def test_an_unload_calls_off_loads_that_wait_or_are_fetched(engine: Any) -> None:
+    said: list[tuple[str, str, int]] = []
     for function, count in (("a@v2", 3), ("b", 1)):
         engine.hold(
             function,
@@ -310,8 +340,8 @@
     assert said[1:] == [("b", "ok", 1)] and engine.loads == engine.store.active == 0
 
 
-def test_what_a_call_waits_for_is_not_called_off(engine):
-    ended = []
+def test_what_a_call_waits_for_is_not_called_off(engine: Any) -> None:
+    ended: list[str] = []
     task = Task("a@v2", 0.01, 500.0, 1, 1.0, lambda _, outcome, *more: ended.append(outcome), lambda _: True)
     engine.run(task)
     engine.unload("a@v2")
@@ -319,10 +349,10 @@
     assert ended == ["ok"]
 
 
-def test_a_rollback_while_its_loads_wait_leaves_none_of_them(tmp_path):
-    seen = {}
+def test_a_rollback_while_its_loads_wait_leaves_none_of_them(tmp_path: Path) -> None:
+    seen: dict[float, tuple[int, int]] = {}
 
-    def loads(played):
+    def loads(played: Rolled) -> tuple[int, int]:
         copies = [s.runner.engine.copies.get(NAME) for s in played.world.slots]
         return sum(c.loading + c.standing for c in copies if c), played.world.store.active
 
@@ -333,11 +363,11 @@
     assert played.breaches() == [] and played.world.crowd.open == 0
 
 
-def settled_then_back(path, remembered, back, seed=1):
+def settled_then_back(path: Path, remembered: int, back: int, seed: int = 1) -> tuple[dict[str, int], float]:
     """A rollout that operators push to the end, and take back once it has settled; loads after it."""
-    fetched = {}
+    fetched: dict[str, int] = {}
 
-    def note(played):
+    def note(played: Rolled) -> None:
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
         fetched["standing"] = sum(c.standing for c in copies if c)
         fetched["before"] = played.world.store.fetched
@@ -361,18 +391,18 @@
     return fetched, ok
 
 
-def test_what_has_settled_is_taken_back_onto_copies_that_were_kept(tmp_path):
+def test_what_has_settled_is_taken_back_onto_copies_that_were_kept(tmp_path: Path) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=600_000, back=30)
     assert fetched["standing"] >= 2 and ok > 0.99
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_and_without_a_storm_of_loads_where_none_were(tmp_path, seed):
+def test_and_without_a_storm_of_loads_where_none_were(tmp_path: Path, seed: int) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=20_000, back=60, seed=seed)
     assert fetched["standing"] == 0 and 0 < fetched["after"] <= 20 and ok > 0.95
 
 
-def slow_tokened_day(seed):
+def slow_tokened_day(seed: int) -> dict[str, Any]:
     """A version so slow that its call-outs time out, with tokened RPCs alone, and a rollback."""
     version = {"candidate": "v2", "at": "2 s", "back": "13 s", "steps": [50, 100], "wrong": {"slower": 12}}
     day_ = script(length="17 s", seed=seed, like="thumbs") | {"rollouts": [version]}
@@ -381,11 +411,11 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_what_may_have_run_on_a_withdrawn_version_is_not_moved(seed):
+def test_what_may_have_run_on_a_withdrawn_version_is_not_moved(seed: int) -> None:
     assert Played(slow_tokened_day(seed)).breaches() == []
 
 
-def test_that_every_denied_one_moves_is_caught(monkeypatch):
+def test_that_every_denied_one_moves_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     """As it was: a denial of a tokened RPC was taken for proof that it had not run."""
     monkeypatch.setattr("lapistrestle.edge.program.choose_after_denial", lambda *asked: VersionChoice.SETTLED)
     broken = {breach.rule for breach in Played(slow_tokened_day(3)).breaches()}
@@ -396,8 +426,8 @@
 # an edge that starts
 
 
-def restart(number):
-    def do(played):
+def restart(number: int) -> Callable[[Rolled], None]:
+    def do(played: Rolled) -> None:
         played.world.tape.put(f"edge-{number}", "killed")
         played.world.edges[number].kill()
         played.world.restart_edge(number)
@@ -406,7 +436,7 @@
 
 
 @pytest.mark.parametrize("planner_up", [True, False])
-def test_an_edge_that_starts_anew_never_sends_to_the_version_before(tmp_path, planner_up):
+def test_an_edge_that_starts_anew_never_sends_to_the_version_before(tmp_path: Path, planner_up: bool) -> None:
     """Settled, and long so, when an edge restarts; with the planner down it goes on from the plan it kept."""
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)]
     does += [] if planner_up else [(30.0, lambda p: p.kill_planner())]
@@ -420,7 +450,7 @@
     assert len(played.logged("kept plan")) == 2
 
 
-def test_an_edge_without_plan_or_planner_denies_at_first_and_then_serves(tmp_path):
+def test_an_edge_without_plan_or_planner_denies_at_first_and_then_serves(tmp_path: Path) -> None:
     played = Rolled(script(length="8 s"), tmp_path / "j", absent=True)
     answers = [(c.at, c.answers[0][2].verdict, c.answers[0][0] - c.at) for c in played.story.calls]
     early = [(verdict, took) for at, verdict, took in answers if at < 2_000]
@@ -428,7 +458,7 @@
     assert sum(verdict == "ok" for at, verdict, _ in answers if at > 2_100) > 100
 
 
-def test_a_version_that_is_three_times_slower_but_in_time_is_held(tmp_path):
+def test_a_version_that_is_three_times_slower_but_in_time_is_held(tmp_path: Path) -> None:
     played = Rolled(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
     assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
     said = played.planner.status().rollouts[0].shortages
