--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -24,7 +24,7 @@
     SendTo,
     WatcherSettings,
 )
-from lapistrestle.directory.holder import ShardHolder
+from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.standins.virtual import DelayedCall, VirtualReactor
 from lapistrestle.wire import directory as wire
--- a/benchmarks/scale/roles/directory_failures.py
+++ b/benchmarks/scale/roles/directory_failures.py
@@ -10,8 +10,8 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.dispatcher_directory import region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.directory.holder import UNCHANGED_COST
-from lapistrestle.directory.links import Connection
+from lapistrestle.directory.connection_state import Connection
+from lapistrestle.directory.shard_holder import UNCHANGED_COST
 
 CUT = 20.0  # seconds without the roster
 LEAVES = 10.0  # seconds that a lost copy is followed for
--- a/lapistrestle/directory/order.py
+++ b/lapistrestle/directory/hash_ring.py
@@ -14,7 +14,7 @@
 from itertools import islice
 from struct import Struct
 
-from lapistrestle.directory.points import PointTable
+from lapistrestle.directory.ring_positions import PointTable
 
 POINTS_PER_SIZE = 16  # of an instance of size 1
 MOST_POINTS = 4_096  # of one instance, whatever its size
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 from lapistrestle.directory.digests import undated
-from lapistrestle.directory.order import InstanceRing
+from lapistrestle.directory.hash_ring import InstanceRing
 from lapistrestle.wire.directory import Instance as WireInstance
 from lapistrestle.wire.directory import RegionSums
 from lapistrestle.wire.messages import Entry
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -19,7 +19,7 @@
     HolderSettings,
     SendTo,
 )
-from lapistrestle.directory.holder import ShardHolder
+from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.edge.following import Do, News, NumberedList
 from lapistrestle.edge.rosters import RosterSource, RosterSpeaker
 from lapistrestle.wire import directory as wire
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -6,9 +6,9 @@
 from heapq import heappop, heappush
 
 from lapistrestle.directory.instances import Instances
-from lapistrestle.directory.pacing import TokenBucket
 from lapistrestle.directory.prefixes import message_of
-from lapistrestle.directory.watched import WatchedFunctions
+from lapistrestle.directory.rate_limits import TokenBucket
+from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.wire.directory import (
     MOST_IN_A_BATCH,
     Instance,
--- a/lapistrestle/directory/holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -4,7 +4,8 @@
 `take()` afterwards. Times are whole tenths of a millisecond on the holder's own clock.
 
 What a change of an instance costs is in proportion to the watches that were told the instance, or are to be
-told it now (`watched.py`); what a look-up costs does not depend on the number of instances (`order.py`).
+told it now (`watched_functions.py`); what a look-up costs does not depend on the number of instances
+(`hash_ring.py`).
 """
 
 from collections.abc import Callable, Iterable
@@ -16,12 +17,12 @@
 from lapistrestle.directory.assignment import shard_of
 from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, HolderSettings, SendTo
 from lapistrestle.directory.instances import Changes, Instances
-from lapistrestle.directory.knowledge import Knowledge
-from lapistrestle.directory.pacing import SECOND, Admission, Jitter, TokenBucket
+from lapistrestle.directory.message_sizes import LINE_BYTES, line_bytes
+from lapistrestle.directory.rate_limits import SECOND, Admission, Jitter, TokenBucket
+from lapistrestle.directory.roster_freshness import Knowledge
 from lapistrestle.directory.sessions import Batches, Session, Sessions
-from lapistrestle.directory.sizes import LINE_BYTES, line_bytes
-from lapistrestle.directory.watched import Watch as Watched
-from lapistrestle.directory.watched import WatchedFunctions
+from lapistrestle.directory.watched_functions import Watch as Watched
+from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.wire.directory import (
     MOST_SUPERSEDED,
     Busy,
--- a/lapistrestle/directory/watched.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -12,9 +12,9 @@
 
 from lapistrestle.directory.digests import digest_of
 from lapistrestle.directory.instances import Changes, Instances
-from lapistrestle.directory.points import PointTable
+from lapistrestle.directory.message_sizes import entries_bytes
 from lapistrestle.directory.prefixes import Difference, Prefix, difference
-from lapistrestle.directory.sizes import entries_bytes
+from lapistrestle.directory.ring_positions import PointTable
 from lapistrestle.wire.directory import LONGEST_PREFIX, Instance
 
 MOST_MEMBERS = 4 * LONGEST_PREFIX  # of one function in the index, before what nobody was told is pruned
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -13,6 +13,8 @@
 from heapq import heappop, heappush
 
 from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.cached_instances import KnownInstances, aged
+from lapistrestle.directory.connection_state import NEVER, Connection, Function, Question, Shard
 from lapistrestle.directory.digests import digest_of
 from lapistrestle.directory.effects import (
     MILLISECOND,
@@ -29,12 +31,10 @@
     WatcherEffect,
     WatcherSettings,
 )
-from lapistrestle.directory.known import KnownInstances, aged
-from lapistrestle.directory.links import NEVER, Connection, Function, Question, Shard
-from lapistrestle.directory.pacing import Jitter
 from lapistrestle.directory.prefixes import LostChange
 from lapistrestle.directory.prefixes import Prefix as Prefix
 from lapistrestle.directory.prefixes import changed as changed_names
+from lapistrestle.directory.rate_limits import Jitter
 from lapistrestle.directory.revisions import Revisions
 from lapistrestle.wire.directory import (
     LONGEST_PREFIX,
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -23,7 +23,7 @@
     WatcherEffect,
     WatcherSettings,
 )
-from lapistrestle.directory.region import Region
+from lapistrestle.directory.region_estimate import Region
 from lapistrestle.directory.watcher import NEAR_THE_END, DirectoryWatcher
 from lapistrestle.edge.holders import HolderConnections
 from lapistrestle.edge.instances import InstanceHandOver
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from lapistrestle.directory.region import Region
+from lapistrestle.directory.region_estimate import Region
 from lapistrestle.edge.following import Address, Known
 from lapistrestle.interface import Listing, SrvFacts
 from lapistrestle.state import Fn
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -54,7 +54,7 @@
         told = dict(facts(deployment))
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
-            from lapistrestle.directory.region import Region
+            from lapistrestle.directory.region_estimate import Region
 
             told["region"] = Region(self.clock, told["cold_share"], told["ramp_time"])
         super().__init__(reactor, place.name, told, log, seed, self.margin // 2, make)
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 
 from lapistrestle.directory import effects as directory
+from lapistrestle.directory.connection_state import NEVER
 from lapistrestle.directory.instances import Instances
-from lapistrestle.directory.links import NEVER
 from lapistrestle.directory.prefixes import Prefix
-from lapistrestle.directory.watched import longest
+from lapistrestle.directory.watched_functions import longest
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import Entry
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -9,9 +9,9 @@
 
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.connection_state import NEVER
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
-from lapistrestle.directory.holder import ShardHolder
-from lapistrestle.directory.links import NEVER
+from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.edge.following import Do, Following
 from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -10,16 +10,16 @@
 from lapistrestle.directory.assignment import Assignment, Copy
 from lapistrestle.directory.digests import digest_of, undated
 from lapistrestle.directory.effects import MILLISECOND, SECOND, HolderSettings, WatcherSettings
-from lapistrestle.directory.holder import ShardHolder
+from lapistrestle.directory.hash_ring import InstanceRing
 from lapistrestle.directory.instances import Instances
-from lapistrestle.directory.knowledge import Knowledge
-from lapistrestle.directory.order import InstanceRing
-from lapistrestle.directory.pacing import Admission, Jitter
+from lapistrestle.directory.message_sizes import line_bytes
 from lapistrestle.directory.prefixes import LostChange, changed
+from lapistrestle.directory.rate_limits import Admission, Jitter
 from lapistrestle.directory.revisions import REVERSAL, Revisions
+from lapistrestle.directory.roster_freshness import Knowledge
 from lapistrestle.directory.sessions import Batches
-from lapistrestle.directory.sizes import line_bytes
-from lapistrestle.directory.watched import WatchedFunctions
+from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.directory.watcher import DirectoryWatcher, Prefix
 from lapistrestle.standins.directory_checks import true_prefix
 from lapistrestle.standins.directory_world import CALM, WILD, Plan, World, play, random_day
@@ -1257,7 +1257,7 @@
 
 
 def test_that_nothing_has_changed_said_of_what_has_changed_is_caught(monkeypatch):
-    for module in ("watched", "watcher"):
+    for module in ("watched_functions", "watcher"):
         monkeypatch.setattr(f"lapistrestle.directory.{module}.digest_of", lambda entries, complete: "same")
     assert any(" after batch " in breach for breach in breaches_of(range(6)))
 
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from lapistrestle.directory.assignment import Assignment, Copy, shard_of
-from lapistrestle.directory.order import INSTANCE, InstanceRing, draws, points_for
-from lapistrestle.directory.points import RING, PointTable
+from lapistrestle.directory.hash_ring import INSTANCE, InstanceRing, draws, points_for
 from lapistrestle.directory.prefixes import LostChange, Prefix, changed, difference, message_of
+from lapistrestle.directory.ring_positions import RING, PointTable
 
 SIZES = st.sampled_from([0.25, 0.5, 1.0, 2.0, 4.0])
 FLEETS = st.dictionaries(st.integers(0, 10_000).map(lambda n: f"w{n}"), SIZES, min_size=1, max_size=40)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
-from lapistrestle.directory.region import Region
+from lapistrestle.directory.region_estimate import Region
 from lapistrestle.hosting.events import described
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -12,7 +12,7 @@
 
 from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
-from lapistrestle.directory.region import Region
+from lapistrestle.directory.region_estimate import Region
 from lapistrestle.interface import SrvFacts
 from lapistrestle.state import Fn, Rpc, Srv
 from lapistrestle.wire.directory import RegionSums
