--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -95,7 +95,7 @@
         self.last_session += 1
         session = self.last_session
         self.sessions[session] = watcher, connection
-        self.put(self.holder.connected, session, tenths(self.reactor))
+        self.put(self.holder.session_opened, session, tenths(self.reactor))
         watcher.after(self.one_way, watcher.connected, connection, self, session)
 
     def leave(self, session: int) -> None:
@@ -103,7 +103,7 @@
             self.put(self.gone, session)
 
     def gone(self, session: int) -> None:
-        self.holder.disconnected(session, tenths(self.reactor))
+        self.holder.session_closed(session, tenths(self.reactor))
 
     def arrive(self, session: int, line: bytes) -> None:
         self.messages_in += 1
@@ -112,7 +112,7 @@
 
     def heard(self, session: int, line: bytes) -> None:
         message = FROM_WATCHER.decode(line)
-        self.holder.heard(session, message, tenths(self.reactor))
+        self.holder.message_received(session, message, tenths(self.reactor))
 
     def kill(self) -> None:
         """Gone at once; its connections break."""
@@ -142,7 +142,7 @@
             call(*args)
         if self.holder.next_due() <= tenths(self.reactor):
             self.holder.tick(tenths(self.reactor))
-        lines = self.lines_of(self.holder.take())
+        lines = self.lines_of(self.holder.take_effects())
         took = time.process_time() - began
         self.processor += took
         delay = int(took * MILLION) if self.timed else 0
@@ -229,10 +229,10 @@
     def call(self, function: str) -> bool:
         """A call wants this function; whether its prefix was known."""
         began = time.process_time()
-        prefix = self.watcher.wanted(function, "check", tenths(self.reactor))
+        prefix = self.watcher.prefix_for(function, "check", tenths(self.reactor))
         if prefix is not None:
             self.known += 1
-            self.watcher.used(function, 0, tenths(self.reactor))
+            self.watcher.function_used(function, 0, tenths(self.reactor))
         else:
             self.asked_at.setdefault(function, self.reactor.seconds())
         self.act(began)
@@ -244,14 +244,14 @@
         if connection not in self.watcher.connections:
             return holder.leave(session)
         self.links[connection] = holder, session
-        self.tell(self.watcher.connected, connection)
+        self.tell(self.watcher.connection_ready, connection)
 
     def refused(self, connection: int) -> None:
-        self.tell(self.watcher.refused, connection)
+        self.tell(self.watcher.connection_failed, connection)
 
     def broken(self, connection: int) -> None:
         if self.links.pop(connection, None) is not None:
-            self.tell(self.watcher.disconnected, connection)
+            self.tell(self.watcher.connection_lost, connection)
 
     def arrive(self, connection: int, line: bytes) -> None:
         if self.stopped or connection not in self.links:
@@ -263,7 +263,7 @@
         self.messages_in += 1
         self.bytes_in += len(line)
         began = time.process_time()
-        self.watcher.heard(connection, FROM_HOLDER.decode(line), tenths(self.reactor))
+        self.watcher.message_received(connection, FROM_HOLDER.decode(line), tenths(self.reactor))
         self.act(began)
 
     @contextmanager
@@ -295,7 +295,7 @@
     def act(self, began: float) -> None:
         sends = [
             (e.connection, encode(e.message) + b"\n") if isinstance(e, Send) else e
-            for e in self.watcher.take()
+            for e in self.watcher.take_effects()
         ]
         due = self.watcher.next_due()
         self.processor += time.process_time() - began
--- a/benchmarks/scale/roles/directory_failures.py
+++ b/benchmarks/scale/roles/directory_failures.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.dispatcher_directory import region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.directory.connection_state import Connection
+from lapistrestle.directory.connection_state import HolderConnection
 from lapistrestle.directory.shard_holder import UNCHANGED_COST
 
 CUT = 20.0  # seconds without the roster
@@ -156,7 +156,7 @@
     return sum(len(connection.watches) for node in nodes for connection in of_holder(node, holder))
 
 
-def of_holder(node: WatcherNode, holder: HolderNode) -> list[Connection]:
+def of_holder(node: WatcherNode, holder: HolderNode) -> list[HolderConnection]:
     linked = [number for number, (at, _) in node.links.items() if at is holder]
     return [node.watcher.connections[number] for number in linked if number in node.watcher.connections]
 
--- a/lapistrestle/command/directories.py
+++ b/lapistrestle/command/directories.py
@@ -57,7 +57,7 @@
     from lapistrestle.wire import directory as wire
 
     none = f"no answer from a holder at port {port}"
-    answer = asked(port, wire.DIRECTORY, wire.FromHolder, wire.Show(function), none)
+    answer = asked(port, wire.DIRECTORY, wire.FromHolder, wire.InspectRequest(function), none)
     shown = msgspec.json.decode(answer.body, type=dict[str, Any])
     if json_:
         return click.echo(msgspec.json.encode(shown).decode())
--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Known:
+class CachedInstance:
     """An instance, and from which revision this is known."""
 
     entry: Entry
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class News:
+class WatchEvent:
     """What one message has changed."""
 
     changed: dict[str, Entry] = field(default_factory=dict)
@@ -44,26 +44,26 @@
     functions: dict[str, None] = field(default_factory=dict)  # whose prefixes may be shown otherwise now
 
 
-class KnownInstances:
+class CachedInstances:
     """All instances that a watcher knows."""
 
     def __init__(self, revisions: Revisions, most_retired: int) -> None:
         self.revisions, self.most_retired = revisions, most_retired
-        self.known = dict[str, Known]()
-        self.retired = dict[str, Known]()  # in no prefix any more, the oldest first
+        self.known = dict[str, CachedInstance]()
+        self.retired = dict[str, CachedInstance]()  # in no prefix any more, the oldest first
         self.floor: Revision | None = None  # nothing older is taken
-        self.news = News()
+        self.news = WatchEvent()
 
-    def take_news(self) -> News:
+    def take_news(self) -> WatchEvent:
         """What has changed since the last call."""
-        news, self.news = self.news, News()
+        news, self.news = self.news, WatchEvent()
         return news
 
     def told(self, entry: Entry, revision: Revision, now: int) -> None:
         """A holder told an instance."""
         known = self.known.get(entry.name) or self.restored(entry.name, now)
         if known is None:
-            self.known[entry.name] = Known(entry, revision, now)
+            self.known[entry.name] = CachedInstance(entry, revision, now)
             self.news.changed[entry.name] = entry
             return
         if self.revisions.older(revision, known.revision):
@@ -76,7 +76,7 @@
         if before.listing == "gone":
             self.news.functions.update(dict.fromkeys(known.functions))
 
-    def restored(self, name: str, now: int) -> Known | None:
+    def restored(self, name: str, now: int) -> CachedInstance | None:
         """Bring back what is remembered of an instance that is named again."""
         known = self.retired.pop(name, None)
         if known is None:
@@ -116,7 +116,7 @@
         for name in new - old:
             known = self.known.get(name) or self.restored(name, now)
             if known is None:  # named, but gone by the time the batch was made
-                known = self.known[name] = Known(Entry(name, listing="gone"), revision, now)
+                known = self.known[name] = CachedInstance(Entry(name, listing="gone"), revision, now)
             known.functions.add(function)
         for name in old - new:
             known = self.known.get(name)
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Function:
+class CachedFunction:
     """A function that is called here."""
 
     name: str
@@ -25,7 +25,7 @@
     shown: tuple[str, ...] = ()  # the same as the edge was told it: without instances that are gone
     shown_complete: bool = False
     watch: int = -1  # whose changes are taken; -1: none, what is known may be old
-    open_question: int = -1  # the watch that has no answer yet
+    pending_watch: int = -1  # the watch that has no answer yet
     retry_at: int = NEVER  # when it is asked for again
     deadline: int = NEVER  # of the look-up that calls wait for
     reach: int = 0  # the furthest position used since the last look at it
@@ -33,17 +33,17 @@
 
 
 @dataclass(eq=False, slots=True)
-class Question:
+class PendingRequest:
     """A watch that was sent and has no answer."""
 
-    function: Function
+    function: CachedFunction
     asked: int
     held: tuple[Entry, ...] = ()  # the prefix whose digest was sent with it
     complete: bool = False
 
 
 @dataclass(eq=False, slots=True)
-class Connection:
+class HolderConnection:
     """A connection to a copy, from its dialling on."""
 
     number: int
@@ -57,8 +57,8 @@
     lease_until: int = NEVER  # by our clock, from before we asked; `NEVER`: none was given yet
     renew_at: int = 0
     renewals: deque[int] = field(default_factory=deque)  # without answer, by when they were sent
-    questions: dict[int, Question] = field(default_factory=dict)  # by watch, the oldest first
-    watches: dict[int, Function] = field(default_factory=dict)  # answered
+    pending_requests: dict[int, PendingRequest] = field(default_factory=dict)  # by watch, the oldest first
+    watches: dict[int, CachedFunction] = field(default_factory=dict)  # answered
     patience_from: int = 0  # silence isn't counted from before this moment
     older: int = 0  # snapshots in a row that were older than what is known
     return_at: int = NEVER  # to the copy of the first choice
@@ -66,7 +66,7 @@
     def silent_since(self) -> int:
         """Since when the oldest question is without answer; `NEVER`: none is."""
         asked = [self.renewals[0]] if self.renewals else []
-        asked.extend(question.asked for question in next_values(self.questions))
+        asked.extend(pending.asked for pending in next_values(self.pending_requests))
         return max(min(asked), self.patience_from) if asked else NEVER
 
     def renewed(self, asked: int, lease: int) -> None:
@@ -81,9 +81,9 @@
         self.lease_until = until if self.lease_until == NEVER else max(until, self.lease_until)
 
 
-def next_values(questions: dict[int, Question]) -> list[Question]:
+def next_values(pending_requests: dict[int, PendingRequest]) -> list[PendingRequest]:
     """The oldest question, if there is one."""
-    return [next(iter(questions.values()))] if questions else []
+    return [next(iter(pending_requests.values()))] if pending_requests else []
 
 
 @dataclass(eq=False, slots=True)
@@ -93,12 +93,12 @@
     number: int
     copies: tuple[Copy, ...]  # in the order in which they are tried
     at: int = 0  # the copy that is tried next, or is connected
-    connection: Connection | None = None
-    functions: dict[str, Function] = field(default_factory=dict)
+    connection: HolderConnection | None = None
+    functions: dict[str, CachedFunction] = field(default_factory=dict)
     dial_at: int = NEVER
     failures: int = 0  # in a row
     moves: int = 0  # to another copy for the sake of freshness, in a row and in vain
-    stay_until: int = 0  # before then no further one
+    next_move_at: int = 0  # before then no further one
     floor: Revision | None = None  # of the latest word taken; nothing older is
     avoided: dict[Copy, int] = field(
         default_factory=dict
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -29,7 +29,7 @@
     """Close a session; it is forgotten already, and `disconnected` need not be called for it."""
 
     session: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
--- a/lapistrestle/directory/hash_ring.py
+++ b/lapistrestle/directory/hash_ring.py
@@ -14,7 +14,7 @@
 from itertools import islice
 from struct import Struct
 
-from lapistrestle.directory.ring_positions import PointTable
+from lapistrestle.directory.ring_positions import RingPositions
 
 POINTS_PER_SIZE = 16  # of an instance of size 1
 MOST_POINTS = 4_096  # of one instance, whatever its size
@@ -61,7 +61,7 @@
     """All instances of a region, and the order in which each function uses them."""
 
     def __init__(self) -> None:
-        self.points = PointTable()
+        self.points = RingPositions()
         self.held = dict[str, int]()  # how many points each instance has
 
     def __len__(self) -> int:
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -14,11 +14,11 @@
 PER_MILLISECOND = 10
 LONGEST_UP_FOR = 86_400_000.0  # milliseconds, as bounded on the wire
 
-Word = Enum("Word", "NEW GONE URGENT CHANGED SAME")  # what a list says of an instance
+ChangeKind = Enum("ChangeKind", "NEW GONE URGENT CHANGED SAME")  # what a list says of an instance
 
 
 @dataclass(eq=False, slots=True)
-class Instance:
+class RegionInstance:
     """One instance. `entry` has no `up_for`: that is counted from `booted`, on the holder's clock."""
 
     entry: WireInstance
@@ -51,7 +51,7 @@
     other: list[str] = field(default_factory=list)
 
 
-class RegionSizes:
+class RegionCapacity:
     """Sums of size and warmth, kept up with each change. Young instances are kept by the second of their
     start, so that their warmth costs as many steps as the ramp has seconds."""
 
@@ -60,7 +60,7 @@
         self.serving, self.size = 0, 0.0
         self.by_second = dict[int, float]()  # sizes by second of start, as far back as the ramp reaches
 
-    def count(self, instance: Instance, sign: int) -> None:
+    def count(self, instance: RegionInstance, sign: int) -> None:
         """Add an instance that serves, or take it out again."""
         if instance.entry.listing != "serving":
             return
@@ -80,21 +80,21 @@
         return max(0.0, self.size - missing)
 
 
-class Instances:
+class RegionInstances:
     """The region's instances, and the ring of them."""
 
     def __init__(self, ramp_time: int = 0, cold_share: float = 1.0) -> None:
         self.ring = InstanceRing()
-        self.known = dict[str, Instance]()
-        self.sizes = RegionSizes(ramp_time, cold_share)
+        self.known = dict[str, RegionInstance]()
+        self.capacity = RegionCapacity(ramp_time, cold_share)
 
     def serves(self, name: str) -> bool:
         return self.known[name].entry.listing == "serving"
 
     def sums(self, now: int) -> RegionSums:
-        sizes = self.sizes
-        size, warm = round(sizes.size, 3), round(sizes.warm(now), 3)
-        return RegionSums(size, warm, sizes.serving, len(self.known))
+        capacity = self.capacity
+        size, warm = round(capacity.size, 3), round(capacity.warm(now), 3)
+        return RegionSums(size, warm, capacity.serving, len(self.known))
 
     def apply(self, entries: Iterable[Entry], whole: bool, now: int) -> Changes:
         """Take a list, or a change of some."""
@@ -114,37 +114,37 @@
             if known is not None:
                 self.drop(entry.name, changes)
             return
-        word = self.word(known, entry)
-        if word is Word.SAME:
+        change_kind = self.change_kind(known, entry)
+        if change_kind is ChangeKind.SAME:
             return
         sized = known is None or known.entry.size != entry.size
         if known is None:
-            known = self.known[entry.name] = Instance(undated(entry), booted_at(entry, now))
+            known = self.known[entry.name] = RegionInstance(undated(entry), booted_at(entry, now))
         else:
-            self.sizes.count(known, -1)
+            self.capacity.count(known, -1)
             if entry.start != known.entry.start or known.booted is None:
                 known.booted = booted_at(entry, now)
             known.entry, known.dated = undated(entry), None
-        self.sizes.count(known, +1)
+        self.capacity.count(known, +1)
         if sized:
             self.ring.insert(entry.name, entry.size)
             changes.entered.append(entry.name)
-        if word is not Word.NEW:
-            (changes.urgent if word is Word.URGENT else changes.other).append(entry.name)
+        if change_kind is not ChangeKind.NEW:
+            (changes.urgent if change_kind is ChangeKind.URGENT else changes.other).append(entry.name)
 
-    def word(self, known: Instance | None, entry: Entry) -> Word:
+    def change_kind(self, known: RegionInstance | None, entry: Entry) -> ChangeKind:
         if known is None:
-            return Word.NEW
+            return ChangeKind.NEW
         old = known.entry
         if entry.start != old.start or (entry.port, entry.zone) != (old.port, old.zone):
-            return Word.URGENT
+            return ChangeKind.URGENT
         if entry.listing != old.listing:
-            return Word.URGENT if entry.listing == "draining" else Word.CHANGED
+            return ChangeKind.URGENT if entry.listing == "draining" else ChangeKind.CHANGED
         same = (entry.size, entry.cell, entry.kind) == (old.size, old.cell, old.kind)
-        return Word.SAME if same else Word.CHANGED
+        return ChangeKind.SAME if same else ChangeKind.CHANGED
 
     def drop(self, name: str, changes: Changes) -> None:
-        self.sizes.count(self.known.pop(name), -1)
+        self.capacity.count(self.known.pop(name), -1)
         self.ring.remove(name)
         changes.left.append(name)
 
--- a/lapistrestle/directory/prefixes.py
+++ b/lapistrestle/directory/prefixes.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lapistrestle.wire.directory import Placed, PrefixChange
+from lapistrestle.wire.directory import PlacedInstance, PrefixChange
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,50 +26,57 @@
         return len(self.removed) + len(self.inserted)
 
 
-class LostChange(Exception):
+class RevisionGapError(Exception):
     """A change doesn't fit the prefix that it is for."""
 
 
 def difference(before: Sequence[str], after: Sequence[str]) -> Difference:
     """From one order of names to another; a name that moves leaves and enters again."""
     wanted = set(after)
-    kept = [name for name in before if name in wanted]
-    left = set(kept)  # of `kept`: those not met yet, and not moved
+    remaining = [name for name in before if name in wanted]
+    unplaced = set(remaining)  # of `kept`: those not met yet, and not moved
     removed = [name for name in before if name not in wanted]
     inserted = list[tuple[int, str]]()
     at = 0
     for position, name in enumerate(after):
-        while at < len(kept) and kept[at] not in left:
+        while at < len(remaining) and remaining[at] not in unplaced:
             at += 1
-        if name in left and at + 1 < len(kept) and kept[at] != name and kept[at + 1] == name:
-            left.discard(kept[at])  # the one ahead has moved back
-            removed.append(kept[at])
+        if (
+            name in unplaced
+            and at + 1 < len(remaining)
+            and remaining[at] != name
+            and remaining[at + 1] == name
+        ):
+            unplaced.discard(remaining[at])
+            removed.append(remaining[at])
             at += 1
-        if at < len(kept) and kept[at] == name:
+        if at < len(remaining) and remaining[at] == name:
             at += 1
         else:
-            if name in left:
+            if name in unplaced:
                 removed.append(name)
             inserted.append((position, name))
-        left.discard(name)
+        unplaced.discard(name)
     return Difference(tuple(removed), tuple(inserted))
 
 
-def message_of(watch: int, change: Difference, after: Prefix) -> PrefixChange:
-    inserted = [Placed(position, name) for position, name in change.inserted]
+def change_message(watch: int, change: Difference, after: Prefix) -> PrefixChange:
+    inserted = [PlacedInstance(position, name) for position, name in change.inserted]
     return PrefixChange(watch, len(after.names), list(change.removed), inserted, after.complete)
 
 
-def changed(names: Sequence[str], change: PrefixChange) -> tuple[str, ...]:
+def apply_change(names: Sequence[str], change: PrefixChange) -> tuple[str, ...]:
     """The names after a change. Raises `LostChange` where the result can't be the sender's."""
     removed = set(change.removed)
     after = [name for name in names if name not in removed]
     if len(after) + len(removed) != len(names):
-        raise LostChange(f"{len(removed)} were to leave {len(names)}, {len(names) - len(after)} did")
+        raise RevisionGapError(f"{len(removed)} were to leave {len(names)}, {len(names) - len(after)} did")
     for placed in change.inserted:
         if placed.position > len(after):
-            raise LostChange(f"position {placed.position} is past the {len(after)} that there are")
+            raise RevisionGapError(f"position {placed.position} is past the {len(after)} that there are")
         after.insert(placed.position, placed.name)
     if len(after) != change.length or len(set(after)) != len(after):
-        raise LostChange(f"{len(after)} names, {len(set(after))} different, where {change.length} should be")
+        raise RevisionGapError(
+            f"{len(after)} names, {len(set(after))} different, where {change.length} should be"
+        )
     return tuple(after)
--- a/lapistrestle/directory/rate_limits.py
+++ b/lapistrestle/directory/rate_limits.py
@@ -49,7 +49,7 @@
 RESERVED = 0.5  # of what may come at once: kept for look-ups that calls wait for
 
 
-class Admission:
+class SnapshotRateLimit:
     """Admits so many snapshots a second. Who isn't admitted is told a moment of its own to ask again.
 
     Look-ups that calls wait for go first: the others leave them a part of what may come at once, and are told
--- a/lapistrestle/directory/region_estimate.py
+++ b/lapistrestle/directory/region_estimate.py
@@ -9,7 +9,7 @@
 from lapistrestle.wire.directory import RegionSums
 
 
-class Region:
+class RegionEstimate:
     """Sums over all instances of the region, for the module, whose list is a part of them (fact `region`)."""
 
     def __init__(self, clock: Callable[[], int], cold_share: float, ramp_time: int) -> None:
--- a/lapistrestle/directory/ring_positions.py
+++ b/lapistrestle/directory/ring_positions.py
@@ -42,7 +42,7 @@
         return Bucket(self.positions + other.positions, self.owners + other.owners)
 
 
-class PointTable:
+class RingPositions:
     """Positions and their owners, in the order of the ring. The same pair may be held once only."""
 
     def __init__(self) -> None:
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -54,7 +54,7 @@
     )
 
 
-class Instances(NumberedList):
+class RosterInstances(NumberedList):
     """The roster's list by its numbers; the entries themselves are kept by the decisions."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
@@ -112,7 +112,7 @@
         self.holder = ShardHolder(
             self.decided, seed, self.clock(), lambda text: log("directory", figures=text)
         )
-        self.list = Instances(lambda text: log("roster", figures=text))
+        self.list = RosterInstances(lambda text: log("roster", figures=text))
         self.bounds = LineBounds(line=ROSTER_LINE)  # of the connection to the roster
         self.facts = {"dial_time_out": ROSTER_DIAL, "list_asked": False}
         self.source = HolderRosterSource(self, settings.roster.port)
@@ -155,15 +155,15 @@
             revision = wire.Revision(message.epoch, message.number)
             self.holder.instances_changed(message.workers, whole, revision, self.clock())
         elif do is Do.ASK and not whole:  # a whole list has answered a question: as many are open as before
-            self.holder.roster_asked(self.clock())
+            self.holder.snapshot_requested(self.clock())
         elif do is Do.PASS and whole:
-            self.holder.list_passed(self.clock())
+            self.holder.snapshot_discarded(self.clock())
         self.act()
         return do
 
     def list_followed(self) -> None:
         """The connection to the roster stands, and the whole list was asked for."""
-        self.holder.roster_asked(self.clock())
+        self.holder.snapshot_requested(self.clock())
         self.act()
 
     def list_news(self, news: News) -> None:
@@ -186,19 +186,21 @@
         self.count += 1
         speaker.session = self.count
         self.sessions[speaker.session] = speaker
-        self.holder.connected(speaker.session, self.clock())
+        self.holder.session_opened(speaker.session, self.clock())
         self.act()
 
     def heard(self, speaker: "WatcherSpeaker", message: Any) -> None:
-        if isinstance(message, wire.Show):
-            return speaker.say(wire.Shown(msgspec.Raw(msgspec.json.encode(self.show(message.function)))))
-        self.holder.heard(speaker.session, message, self.clock())
+        if isinstance(message, wire.InspectRequest):
+            return speaker.say(
+                wire.InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
+            )
+        self.holder.message_received(speaker.session, message, self.clock())
         self.act()
 
     def lost(self, speaker: "WatcherSpeaker") -> None:
         self.slow.discard(speaker.session)
         if self.sessions.pop(speaker.session, None) is not None:
-            self.holder.disconnected(speaker.session, self.clock())
+            self.holder.session_closed(speaker.session, self.clock())
             self.act()
         if self.stopping:
             self.look()
@@ -215,7 +217,7 @@
 
     def act(self) -> None:
         """Carry out what was decided, and be woken when more is due."""
-        for effect in self.holder.take():
+        for effect in self.holder.take_effects():
             self.carry_out(effect)
         self.wake()
 
@@ -227,7 +229,7 @@
             case CloseSession():
                 if (speaker := self.sessions.pop(effect.session, None)) is not None:
                     self.counts["turned away"] += 1
-                    speaker.cut(effect.why)
+                    speaker.cut(effect.reason)
             case AskRoster():
                 self.source.ask()
 
@@ -247,9 +249,9 @@
 
     # operators
 
-    def show(self, function: str) -> dict[str, Any]:
+    def inspect(self, function: str) -> dict[str, Any]:
         """What the decisions know, and what only the connections show."""
-        now, knowledge = self.clock(), self.holder.knowledge
+        now, freshness = self.clock(), self.holder.freshness
         mean, most = self.meter.rates(now)
         copies = [
             [{"host": copy.host, "port": copy.port, "zone": copy.zone} for copy in shard]
@@ -268,10 +270,10 @@
             "most bytes in a second": most,
             "bytes": self.meter.total,
             "list": self.list.mode.name.lower(),
-            "age ms": knowledge.age(now) / MILLISECOND,
-            "roster heard ms ago": (now - knowledge.heard_at) / MILLISECOND,
+            "age ms": freshness.age(now) / MILLISECOND,
+            "roster heard ms ago": (now - freshness.last_heard_at) / MILLISECOND,
             **self.counts,
-            **self.holder.show(function),
+            **self.holder.inspect(function),
         }
 
     # the end
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
-from lapistrestle.directory.instances import Instances
-from lapistrestle.directory.prefixes import message_of
+from lapistrestle.directory.instances import RegionInstances
+from lapistrestle.directory.prefixes import change_message
 from lapistrestle.directory.rate_limits import TokenBucket
 from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.wire.directory import (
@@ -104,7 +104,7 @@
 class Batches:
     """Makes the updates of sessions."""
 
-    def __init__(self, instances: Instances, watched: WatchedFunctions) -> None:
+    def __init__(self, instances: RegionInstances, watched: WatchedFunctions) -> None:
         self.instances, self.watched = instances, watched
 
     def urgent(self, session: Session, revision: Revision, now: int) -> Update | None:
@@ -130,7 +130,7 @@
                 break
             size += change.size
             if watch.told != prefix:
-                changes.append(message_of(watch.id, change, prefix))
+                changes.append(change_message(watch.id, change, prefix))
                 names.update(dict.fromkeys(name for _, name in change.inserted))
             watch.told = prefix
             del session.behind[function]
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -16,23 +16,23 @@
 
 from lapistrestle.directory.assignment import shard_of
 from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, HolderSettings, SendTo
-from lapistrestle.directory.instances import Changes, Instances
+from lapistrestle.directory.instances import Changes, RegionInstances
 from lapistrestle.directory.message_sizes import LINE_BYTES, line_bytes
-from lapistrestle.directory.rate_limits import SECOND, Admission, Jitter, TokenBucket
-from lapistrestle.directory.roster_freshness import Knowledge
+from lapistrestle.directory.rate_limits import SECOND, Jitter, SnapshotRateLimit, TokenBucket
+from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches, Session, Sessions
-from lapistrestle.directory.watched_functions import Watch as Watched
-from lapistrestle.directory.watched_functions import WatchedFunctions
+from lapistrestle.directory.watched_functions import SessionWatch, WatchedFunctions
 from lapistrestle.wire.directory import (
     MOST_SUPERSEDED,
     Busy,
+    InspectRequest,
+    InspectResponse,
+    RefusalReason,
     Refused,
     RegionSums,
     Renew,
     Renewed,
     Revision,
-    Show,
-    Shown,
     Snapshot,
     Unchanged,
     Unwatch,
@@ -43,7 +43,7 @@
 BURST = 2.0  # seconds of the holder's bytes that may be saved up
 LONGEST_DEBT = SECOND  # of sending, before look-ups that calls wait for are put off, too
 UNCHANGED_COST = 0.6  # of a snapshot: 12 us of decisions and coding, where a snapshot takes 20
-MOST_SHOWN = 64  # instances in an answer to an operator
+MOST_INSPECTED = 64  # instances in an answer to an operator
 
 
 class ShardHolder:
@@ -55,18 +55,18 @@
         """`seed` spreads the times at which busy watchers are told to come back."""
         self.settings, self.log = settings, log
         self.effects = list[HolderEffect]()
-        self.instances = Instances(settings.ramp_time, settings.cold_share)
+        self.instances = RegionInstances(settings.ramp_time, settings.cold_share)
         self.watched = WatchedFunctions(self.instances)
         self.sessions = Sessions()
         self.batches = Batches(self.instances, self.watched)
-        self.knowledge = Knowledge(settings, now, lambda: self.effects.append(AskRoster()), log)
+        self.freshness = RosterFreshness(settings, now, lambda: self.effects.append(AskRoster()), log)
         self.revision = Revision()
         self.superseded = list[str]()  # sources before the present one
         rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.longest_retry
-        self.admission = Admission(rate, burst, longest, now, Jitter(seed))
+        self.snapshot_limit = SnapshotRateLimit(rate, burst, longest, now, Jitter(seed))
         self.bytes = TokenBucket.full(settings.total_bytes, settings.total_bytes * BURST, now)
 
-    def take(self) -> list[HolderEffect]:
+    def take_effects(self) -> list[HolderEffect]:
         """What is to be done since the last call, in order."""
         effects, self.effects = self.effects, []
         return effects
@@ -79,7 +79,7 @@
         Called for what `edge/following.py` says to take only, so in order and without gaps.
         """
         told = list(entries)
-        self.knowledge.called(now, len(told))
+        self.freshness.called(now, len(told))
         if revision.source == self.revision.source and revision.number < self.revision.number:
             self.start_over(revision)
         if self.revision.source not in ("", revision.source):
@@ -87,7 +87,7 @@
         self.revision = revision
         changes = self.instances.apply(told, whole, now)
         self.pass_on(changes, now)
-        self.knowledge.told(whole, len(told), len(changes.entered), now)
+        self.freshness.told(whole, len(told), len(changes.entered), now)
 
     def start_over(self, revision: Revision) -> None:
         """The roster's numbers went back under the same epoch: no session may see its revision go back."""
@@ -97,27 +97,27 @@
         for session in list(self.sessions.all.values()):
             self.close(session, "the roster went back")
 
-    def roster_asked(self, now: int) -> None:
+    def snapshot_requested(self, now: int) -> None:
         """The program itself has asked the roster for a whole list: on connecting, or because of a gap.
 
         Not to be called for `AskRoster`. Without it a list that was on its way while the holder stood still
         would pass for the answer to what the holder asks when it wakes.
         """
-        self.knowledge.called(now)
-        self.knowledge.asked(now)
+        self.freshness.called(now)
+        self.freshness.asked(now)
 
-    def list_passed(self, now: int) -> None:
+    def snapshot_discarded(self, now: int) -> None:
         """A whole list has come that is not taken; it is no answer that the holder can go by."""
-        self.knowledge.called(now)
-        self.knowledge.passed(now)
+        self.freshness.called(now)
+        self.freshness.passed(now)
 
     def roster_lost(self, now: int) -> None:
         """The connection to the roster is gone, or the roster says that it can't answer.
 
         Until the next whole list the age of the holder's knowledge grows, and watchers are told so.
         """
-        self.knowledge.called(now)
-        self.knowledge.lost(now)
+        self.freshness.called(now)
+        self.freshness.lost(now)
 
     def pass_on(self, changes: Changes, now: int) -> None:
         """Note for each session what it is to be told of these changes, and by when."""
@@ -149,9 +149,9 @@
 
     # watchers
 
-    def connected(self, session: int, now: int) -> None:
+    def session_opened(self, session: int, now: int) -> None:
         """A watcher has connected and greeted; the program numbers its sessions and uses no number twice."""
-        self.knowledge.called(now)
+        self.freshness.called(now)
         if len(self.sessions.all) >= self.settings.most_sessions:
             self.effects.append(
                 CloseSession(session, f"{self.settings.most_sessions} watchers are connected")
@@ -159,9 +159,9 @@
             return
         self.sessions.open(session, now + self.settings.lease, self.settings.session_bytes, now)
 
-    def disconnected(self, session: int, now: int) -> None:
+    def session_closed(self, session: int, now: int) -> None:
         """A session is over; one that is not known (any more) does no harm."""
-        self.knowledge.called(now)
+        self.freshness.called(now)
         known = self.sessions.all.get(session)
         if known is not None:
             self.forget(known)
@@ -175,9 +175,11 @@
         self.forget(session)
         self.effects.append(CloseSession(session.number, why))
 
-    def heard(self, session: int, message: Watch | Unwatch | Renew | Show, now: int) -> None:
+    def message_received(
+        self, session: int, message: Watch | Unwatch | Renew | InspectRequest, now: int
+    ) -> None:
         """A watcher says something."""
-        self.knowledge.called(now)
+        self.freshness.called(now)
         known = self.sessions.all.get(session)
         if known is None:
             return
@@ -188,7 +190,9 @@
         elif isinstance(message, Renew):
             self.renew(known, message, now)
         else:
-            self.send(known, Shown(msgspec.Raw(msgspec.json.encode(self.show(message.function)))))
+            self.send(
+                known, InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
+            )
 
     def send(self, session: Session, message: Message) -> None:
         self.effects.append(SendTo(session.number, message))
@@ -200,12 +204,12 @@
         if refused is not None:
             return self.send(session, refused)
         cost = UNCHANGED_COST if asked.digest else 1.0
-        wait = self.admission.retry_after(now, cost, not asked.known, self.in_debt(asked, now))
+        wait = self.snapshot_limit.retry_after(now, cost, not asked.known, self.in_debt(asked, now))
         if wait:
             return self.send(session, Busy(asked.id, wait))
         self.unwatch(session, session.ids.get(asked.function, -1), replaced=True)
         session.ids[asked.function], session.watches[asked.id] = asked.id, asked.function
-        watch = Watched(session.number, asked.id, asked.shard, asked.epoch, asked.count)
+        watch = SessionWatch(session.number, asked.id, asked.shard, asked.epoch, asked.count)
         self.watched.watch(asked.function, watch)
         session.behind.pop(asked.function, None)
         self.sessions.renewed(session, now + self.settings.lease)
@@ -219,7 +223,7 @@
     def answer(self, session: Session, asked: Watch, now: int) -> None:
         """Tell a watch its prefix, or that the watcher has it."""
         answer = self.watched.answer(asked.function, asked.count, now)
-        sequence, lease, age = session.next_sequence(), self.settings.lease, self.knowledge.age(now)
+        sequence, lease, age = session.next_sequence(), self.settings.lease, self.freshness.age(now)
         if answer.digest == asked.digest:
             self.bytes.take(LINE_BYTES, now)
             return self.send(
@@ -227,7 +231,7 @@
                 Unchanged(asked.id, asked.epoch, self.revision, sequence, lease, age, self.superseded),
             )
         if asked.digest:
-            self.admission.bucket.take(1 - UNCHANGED_COST, now)
+            self.snapshot_limit.bucket.take(1 - UNCHANGED_COST, now)
         snapshot = Snapshot(
             asked.id, asked.epoch, self.revision, sequence, answer.entries, answer.complete,
             lease, age, self.superseded, now - answer.at,
@@ -238,16 +242,16 @@
     def refusal(self, session: Session, asked: Watch) -> Refused | None:
         settings = self.settings
         if asked.epoch > settings.epoch:
-            return Refused(asked.id, "new epoch", settings.epoch)
+            return Refused(asked.id, RefusalReason.NEW_EPOCH, settings.epoch)
         if asked.epoch < settings.oldest_epoch:
-            return Refused(asked.id, "old epoch", settings.epoch)
+            return Refused(asked.id, RefusalReason.OLD_EPOCH, settings.epoch)
         elsewhere = shard_of(asked.function, settings.shard_count) != asked.shard
         if asked.shard not in settings.shards or (asked.epoch == settings.epoch and elsewhere):
-            return Refused(asked.id, "shard", settings.epoch)
-        if not self.knowledge.may_answer:
-            return Refused(asked.id, "stale", settings.epoch)
+            return Refused(asked.id, RefusalReason.WRONG_SHARD, settings.epoch)
+        if not self.freshness.may_answer:
+            return Refused(asked.id, RefusalReason.OUTDATED, settings.epoch)
         if len(session.ids) >= settings.most_watches and asked.function not in session.ids:
-            return Refused(asked.id, "full", settings.epoch)
+            return Refused(asked.id, RefusalReason.TOO_MANY_WATCHES, settings.epoch)
         return None
 
     def unwatch(self, session: Session, watch: int, replaced: bool = False) -> None:
@@ -261,19 +265,19 @@
 
     def renew(self, session: Session, asked: Renew, now: int) -> None:
         """A holder that doesn't know how old its knowledge is keeps silent, so that the watcher leaves it."""
-        if not self.knowledge.may_answer:
+        if not self.freshness.may_answer:
             return
         self.sessions.renewed(session, now + self.settings.lease)
         sums: RegionSums | None = None
         if now - session.sums_at >= SECOND:
             sums, session.sums_at = self.instances.sums(now), now
-        age = self.knowledge.age(now)
+        age = self.freshness.age(now)
         lease, sequence = self.settings.lease, session.sequence
-        self.send(session, Renewed(asked.asked, lease, sequence, self.revision, age, sums))
+        self.send(session, Renewed(asked.sent_at, lease, sequence, self.revision, age, sums))
 
     def configure(self, settings: HolderSettings, now: int) -> None:
         """Settings of another epoch; of an older one they aren't taken."""
-        self.knowledge.called(now)
+        self.freshness.called(now)
         if settings.epoch < self.settings.epoch:
             return self.log(f"settings of epoch {settings.epoch} not taken, {self.settings.epoch} holds")
         self.log(f"epoch {settings.epoch} in place of {self.settings.epoch}")
@@ -290,8 +294,8 @@
 
     def tick(self, now: int) -> None:
         """To be called when `next_due` has come, or soon after: leases lapse, batches are sent."""
-        self.knowledge.called(now)
-        self.knowledge.tick(now)
+        self.freshness.called(now)
+        self.freshness.tick(now)
         for session in self.sessions.lapsed(now):
             self.close(session, "no renewal within the lease")
         for session in self.sessions.take_due(now):
@@ -314,29 +318,29 @@
 
     def next_due(self) -> int:
         """When `tick` is to be called next; it may have become earlier after any other call."""
-        return min(self.sessions.next_due(), self.sessions.next_lapse(), self.knowledge.next_due())
+        return min(self.sessions.next_due(), self.sessions.next_lapse(), self.freshness.next_due())
 
     # for operators
 
-    def show(self, function: str = "") -> dict[str, Any]:
+    def inspect(self, function: str = "") -> dict[str, Any]:
         """What is known, as plain values: of one function, or figures of the whole."""
-        shown: dict[str, Any] = {
+        report: dict[str, Any] = {
             "revision": msgspec.to_builtins(self.revision),
-            "knowledge": self.knowledge.mode.name.lower(),
+            "knowledge": self.freshness.state.name.lower(),
             "epoch": self.settings.epoch,
             "shards": sorted(self.settings.shards),
             "instances": len(self.instances.known),
         }
         if not function:
-            shown["sessions"] = len(self.sessions.all)
-            shown["functions"] = len(self.watched.functions)
-            shown["watches"] = sum(len(session.ids) for session in self.sessions.all.values())
-            shown["snapshots refused as busy"] = self.admission.turned_away
-            return shown
+            report["sessions"] = len(self.sessions.all)
+            report["functions"] = len(self.watched.functions)
+            report["watches"] = sum(len(session.ids) for session in self.sessions.all.values())
+            report["snapshots refused as busy"] = self.snapshot_limit.turned_away
+            return report
         known = self.watched.functions.get(function)
-        shown["function"], shown["shard"] = function, shard_of(function, self.settings.shard_count)
-        shown["watchers"] = len(known.watches) if known is not None else 0
-        places = islice(self.instances.ring.places(function), MOST_SHOWN)
+        report["function"], report["shard"] = function, shard_of(function, self.settings.shard_count)
+        report["watchers"] = len(known.watches) if known is not None else 0
+        places = islice(self.instances.ring.places(function), MOST_INSPECTED)
         names = [place.name for place in places]
-        shown["order"] = [msgspec.structs.asdict(self.instances.known[name].entry) for name in names]
-        return shown
+        report["order"] = [msgspec.structs.asdict(self.instances.known[name].entry) for name in names]
+        return report
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 
 from lapistrestle.directory.digests import digest_of
-from lapistrestle.directory.instances import Changes, Instances
+from lapistrestle.directory.instances import Changes, RegionInstances
 from lapistrestle.directory.message_sizes import entries_bytes
 from lapistrestle.directory.prefixes import Difference, Prefix, difference
-from lapistrestle.directory.ring_positions import PointTable
+from lapistrestle.directory.ring_positions import RingPositions
 from lapistrestle.wire.directory import LONGEST_PREFIX, Instance
 
 MOST_MEMBERS = 4 * LONGEST_PREFIX  # of one function in the index, before what nobody was told is pruned
@@ -25,7 +25,7 @@
 
 
 @dataclass(eq=False, slots=True)
-class Watch:
+class SessionWatch:
     """One watcher's watch of a function."""
 
     session: int
@@ -52,7 +52,7 @@
     """A function with at least one watch."""
 
     name: str
-    watches: dict[int, Watch] = field(default_factory=dict)  # by session
+    watches: dict[int, SessionWatch] = field(default_factory=dict)  # by session
     counts: Counter[int] = field(default_factory=Counter)  # how many watches ask for each count
     prefixes: dict[int, Prefix] = field(default_factory=dict)  # by count
     answers: dict[int, Answer] = field(default_factory=dict)  # by count, of the present prefixes
@@ -73,18 +73,18 @@
 class WatchedFunctions:
     """All watched functions of a holder."""
 
-    def __init__(self, instances: Instances) -> None:
+    def __init__(self, instances: RegionInstances) -> None:
         self.instances = instances
         self.functions = dict[str, WatchedFunction]()
         self.having = dict[str, set[str]]()  # instance to functions
-        self.positions = PointTable()
+        self.positions = RingPositions()
         self.short = set[str]()  # functions whose longest prefix is the whole order: any new instance enters
         self.by_length = dict[int, set[str]]()  # functions by the length of their longest prefix
         self.recomputed = 0  # prefixes computed so far, for tests of the cost
 
     # watches
 
-    def watch(self, function: str, watch: Watch) -> Prefix:
+    def watch(self, function: str, watch: SessionWatch) -> Prefix:
         """Start a watch, or take the place of the same session's earlier one. Gives the prefix to be told."""
         known = self.functions.get(function)
         if known is None:
@@ -165,9 +165,9 @@
                 functions.update(self.positions.owners_within(arc.first, arc.last))
         return functions
 
-    def renew(self, functions: Iterable[str]) -> list[tuple[WatchedFunction, Watch]]:
+    def renew(self, functions: Iterable[str]) -> list[tuple[WatchedFunction, SessionWatch]]:
         """Compute these functions' prefixes anew. Gives the watches that were told other ones."""
-        behind = list[tuple[WatchedFunction, Watch]]()
+        behind = list[tuple[WatchedFunction, SessionWatch]]()
         for name in sorted(functions):
             known = self.functions[name]
             self.recompute(known)
@@ -181,7 +181,7 @@
                 self.caught_up(known, -1)
         return behind
 
-    def having_told(self, name: str) -> list[Watch]:
+    def having_told(self, name: str) -> list[SessionWatch]:
         """Watches whose watcher was told this instance."""
         functions = sorted(self.having.get(name, ()))
         watches = (watch for function in functions for watch in self.functions[function].watches.values())
@@ -197,7 +197,7 @@
             names.append(place.name)
             positions.extend(place.looked_from)
             serving += self.instances.serves(place.name)
-            while missing and (serving >= missing[0] or len(names) >= longest(missing[0])):
+            while missing and (serving >= missing[0] or len(names) >= longest_prefix(missing[0])):
                 complete = len(names) == len(self.instances.ring)
                 known.prefixes[missing.pop(0)] = Prefix(tuple(names), complete)
             if not missing:
@@ -242,6 +242,6 @@
         known.members = members
 
 
-def longest(count: int) -> int:
+def longest_prefix(count: int) -> int:
     """How many instances a prefix has at the most, for so many that serve."""
     return min(MOST_PER_SERVING * count, LONGEST_PREFIX)
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -13,8 +13,14 @@
 from heapq import heappop, heappush
 
 from lapistrestle.directory.assignment import Assignment, Copy
-from lapistrestle.directory.cached_instances import KnownInstances, aged
-from lapistrestle.directory.connection_state import NEVER, Connection, Function, Question, Shard
+from lapistrestle.directory.cached_instances import CachedInstances, aged
+from lapistrestle.directory.connection_state import (
+    NEVER,
+    CachedFunction,
+    HolderConnection,
+    PendingRequest,
+    Shard,
+)
 from lapistrestle.directory.digests import digest_of
 from lapistrestle.directory.effects import (
     MILLISECOND,
@@ -31,21 +37,21 @@
     WatcherEffect,
     WatcherSettings,
 )
-from lapistrestle.directory.prefixes import LostChange
 from lapistrestle.directory.prefixes import Prefix as Prefix
-from lapistrestle.directory.prefixes import changed as changed_names
+from lapistrestle.directory.prefixes import RevisionGapError, apply_change
 from lapistrestle.directory.rate_limits import Jitter
 from lapistrestle.directory.revisions import Revisions
 from lapistrestle.wire.directory import (
     LONGEST_PREFIX,
     Busy,
+    InspectResponse,
     PrefixChange,
+    RefusalReason,
     Refused,
     RegionSums,
     Renew,
     Renewed,
     Revision,
-    Shown,
     Snapshot,
     Unchanged,
     Unwatch,
@@ -53,7 +59,7 @@
     Watch,
 )
 
-NEAR_THE_END = 0.75  # of a prefix: a call there has a longer one asked for
+EXTENSION_THRESHOLD = 0.75  # of a prefix: a call there has a longer one asked for
 MOST_OLDER = 3  # snapshots in a row that are too old, before another copy is tried
 OLDER_PAUSE = 100 * MILLISECOND  # before a holder that is behind is asked again
 AVOIDED_FOR = (
@@ -81,10 +87,10 @@
         self.log, self.jitter = log, Jitter(seed)
         self.effects = list[WatcherEffect]()
         self.revisions = Revisions()
-        self.instances = KnownInstances(self.revisions, settings.most_retired)
-        self.functions = OrderedDict[str, Function]()  # the one used longest ago first
+        self.instances = CachedInstances(self.revisions, settings.most_retired)
+        self.functions = OrderedDict[str, CachedFunction]()  # the one used longest ago first
         self.shards = dict[int, Shard]()
-        self.connections = dict[int, Connection]()
+        self.connections = dict[int, HolderConnection]()
         self.pending = dict[str, None]()  # functions that calls wait for, the oldest look-up first
         self.retries = list[tuple[int, str]]()  # a heap: when a function is asked for again
         self.sums = RegionSums()
@@ -93,14 +99,14 @@
         self.called_at = now
         self.review_at = now + settings.idle
 
-    def take(self) -> list[WatcherEffect]:
+    def take_effects(self) -> list[WatcherEffect]:
         """What is to be done since the last call, in order."""
         effects, self.effects = self.effects, []
         return effects
 
     # calls
 
-    def wanted(self, function: str, method: str, now: int) -> Prefix | None:
+    def prefix_for(self, function: str, method: str, now: int) -> Prefix | None:
         """A call needs this function: its prefix if one is known.
 
         Else `None`; then exactly one of `PrefixReady` and `LookupFailed` follows among the effects: within
@@ -122,14 +128,14 @@
             self.look_up(known, now)
         return None
 
-    def start(self, name: str, method: str, now: int) -> Function:
+    def start(self, name: str, method: str, now: int) -> CachedFunction:
         """Begin to watch a function."""
         number = self.assignment.shard_of(name)
         shard = self.shards.get(number)
         if shard is None:
             copies = self.assignment.copies_for(number, self.name, self.zone)
             shard = self.shards[number] = Shard(number, copies)
-        function = Function(name, method, number, self.settings.first_count, now)
+        function = CachedFunction(name, method, number, self.settings.first_count, now)
         self.functions[name] = shard.functions[name] = function
         if shard.connection is None:
             shard.dial_at = now if shard.dial_at == NEVER else shard.dial_at
@@ -138,7 +144,7 @@
             self.ask(shard.connection, function, now)
         return function
 
-    def look_up(self, function: Function, now: int) -> None:
+    def look_up(self, function: CachedFunction, now: int) -> None:
         """A call waits for this function from now on."""
         shard = self.shards[function.shard]
         if shard.unreachable:
@@ -156,7 +162,7 @@
         spread = self.jitter.below(self.settings.lookup_time_out)
         self.effects.append(LookupFailed(function, max(self.settings.first_pause, retry_after) + spread))
 
-    def used(self, function: str, position: int, now: int) -> None:
+    def function_used(self, function: str, position: int, now: int) -> None:
         """A call went to the instance at this position of the prefix.
 
         The function stays watched; where the position is near the end, a longer prefix is asked for, and
@@ -167,10 +173,10 @@
             return
         self.functions.move_to_end(function)
         known.used_at, known.reach = now, max(known.reach, position + 1)
-        if position + 1 > NEAR_THE_END * len(known.shown):
-            self.more(function, now)
+        if position + 1 > EXTENSION_THRESHOLD * len(known.shown):
+            self.extend_prefix(function, now)
 
-    def more(self, function: str, now: int) -> bool:
+    def extend_prefix(self, function: str, now: int) -> bool:
         """The prefix was not enough for a call; whether a longer one is (already) asked for.
 
         What a longer one brings must show before a yet longer one is asked for: else each jam would have the
@@ -180,7 +186,7 @@
         known = self.functions.get(function)
         if known is None or (known.known and known.complete):
             return False
-        if known.open_question >= 0 or known.retry_at != NEVER or not known.known:
+        if known.pending_watch >= 0 or known.retry_at != NEVER or not known.known:
             return True
         if known.count >= LONGEST_PREFIX or known.watch < 0:
             return False
@@ -190,7 +196,7 @@
         self.ask_if_up(known, now)
         return True
 
-    def assign(self, assignment: Assignment, now: int) -> None:
+    def replace_assignment(self, assignment: Assignment, now: int) -> None:
         """The settings name other copies. An assignment of an older epoch is not taken."""
         self.called(now)
         if assignment.epoch <= self.assignment.epoch:
@@ -216,7 +222,7 @@
             return
         self.last_connection += 1
         copy = shard.copies[shard.at]
-        connection = Connection(self.last_connection, shard.number, copy, now)
+        connection = HolderConnection(self.last_connection, shard.number, copy, now)
         shard.connection, shard.dial_at = connection, NEVER
         self.connections[connection.number] = connection
         self.effects.append(Dial(connection.number, shard.number, copy))
@@ -227,9 +233,9 @@
         if connection is not None and self.connections.pop(connection.number, None) is not None:
             self.effects.append(HangUp(connection.number))
         for function in shard.functions.values():
-            function.watch = function.open_question = -1
+            function.watch = function.pending_watch = -1
 
-    def connected(self, connection: int, now: int) -> None:
+    def connection_ready(self, connection: int, now: int) -> None:
         """The connection stands and both ends have greeted."""
         self.called(now)
         known = self.connections.get(connection)
@@ -243,51 +249,51 @@
         self.renew(known, now)
         self.ask_all(known, now)
 
-    def ask_all(self, connection: Connection, now: int) -> None:
+    def ask_all(self, connection: HolderConnection, now: int) -> None:
         """Ask for a snapshot of each function, those that calls wait for first."""
         functions = self.shards[connection.shard].functions.values()
         for function in sorted(functions, key=lambda function: (function.known, function.deadline)):
             self.ask(connection, function, now)
 
-    def ask(self, connection: Connection, function: Function, now: int) -> None:
+    def ask(self, connection: HolderConnection, function: CachedFunction, now: int) -> None:
         self.last_watch += 1
-        function.open_question, function.retry_at = self.last_watch, NEVER
-        question = connection.questions[self.last_watch] = Question(function, now)
+        function.pending_watch, function.retry_at = self.last_watch, NEVER
+        pending = connection.pending_requests[self.last_watch] = PendingRequest(function, now)
         watch = Watch(
             self.last_watch, function.shard, self.assignment.epoch, function.name, function.count,
-            function.method, self.digest(question, now), function.known,
+            function.method, self.digest(pending, now), function.known,
         )  # fmt: skip
         self.effects.append(Send(connection.number, watch))
 
-    def digest(self, question: Question, now: int) -> str:
+    def digest(self, pending: PendingRequest, now: int) -> str:
         """Of the prefix that is known from before, where it is to be watched again; else nothing."""
-        function = question.function
+        function = pending.function
         if not function.known or function.watch >= 0:
             return ""
-        question.held, question.complete = self.instances.held(function.names, now), function.complete
-        return digest_of(question.held, question.complete) if question.held else ""
+        pending.held, pending.complete = self.instances.held(function.names, now), function.complete
+        return digest_of(pending.held, pending.complete) if pending.held else ""
 
-    def ask_if_up(self, function: Function, now: int) -> None:
+    def ask_if_up(self, function: CachedFunction, now: int) -> None:
         """Else it is asked for once there is a connection."""
         connection = self.shards[function.shard].connection
-        if connection is not None and connection.up and function.open_question < 0:
+        if connection is not None and connection.up and function.pending_watch < 0:
             self.ask(connection, function, now)
 
-    def ask_later(self, function: Function, at: int) -> None:
+    def ask_later(self, function: CachedFunction, at: int) -> None:
         function.retry_at = at
         heappush(self.retries, (at, function.name))
 
-    def renew(self, connection: Connection, now: int) -> None:
+    def renew(self, connection: HolderConnection, now: int) -> None:
         connection.renewals.append(now)
         connection.renew_at = now + self.settings.heartbeat
         self.effects.append(Send(connection.number, Renew(now)))
 
-    def refused(self, connection: int, now: int) -> None:
+    def connection_failed(self, connection: int, now: int) -> None:
         """It could not be opened."""
         self.called(now)
         self.lost(connection, "can't be reached", now)
 
-    def disconnected(self, connection: int, now: int) -> None:
+    def connection_lost(self, connection: int, now: int) -> None:
         """It broke, or the holder closed it."""
         self.called(now)
         self.lost(connection, "connection lost", now)
@@ -323,10 +329,10 @@
 
     # what holders say
 
-    def heard(
+    def message_received(
         self,
         connection: int,
-        message: Snapshot | Unchanged | Update | Renewed | Busy | Refused | Shown,
+        message: Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse,
         now: int,
     ) -> None:
         """A holder says something."""
@@ -345,7 +351,7 @@
         elif isinstance(message, Refused):
             self.turned_away(known, message, now)
 
-    def in_turn(self, connection: Connection, sequence: int, now: int) -> bool:
+    def in_turn(self, connection: HolderConnection, sequence: int, now: int) -> bool:
         """Whether a batch follows the last one. A gap has all functions asked for anew."""
         if sequence == connection.sequence + 1:
             connection.sequence = sequence
@@ -355,29 +361,29 @@
             connection.sequence = sequence
         return False
 
-    def resync(self, connection: Connection, why: str, now: int) -> None:
+    def resync(self, connection: HolderConnection, why: str, now: int) -> None:
         self.log(f"shard {connection.shard} asks for all {len(connection.watches)} watches anew: {why}")
         connection.watches.clear()
-        connection.questions.clear()
+        connection.pending_requests.clear()
         for function in self.shards[connection.shard].functions.values():
             function.watch = -1
             self.ask(connection, function, now)
 
-    def spoke(self, connection: Connection, revision: Revision, now: int) -> None:
+    def spoke(self, connection: HolderConnection, revision: Revision, now: int) -> None:
         """A holder told how new its knowledge is."""
         if connection.source is not None and connection.source != revision.source:
             self.revisions.superseded([connection.source], revision.source, now)
         connection.source = revision.source
 
-    def snapshot(self, connection: Connection, snapshot: Snapshot | Unchanged, now: int) -> None:
+    def snapshot(self, connection: HolderConnection, snapshot: Snapshot | Unchanged, now: int) -> None:
         """A prefix as a whole: told now, or what was held when the watch was sent, whatever came since."""
         if not self.in_turn(connection, snapshot.sequence, now):
             return
-        question = connection.questions.pop(snapshot.id, None)
-        if question is None:
+        pending = connection.pending_requests.pop(snapshot.id, None)
+        if pending is None:
             return
-        function = question.function
-        function.open_question = -1
+        function = pending.function
+        function.pending_watch = -1
         if snapshot.epoch < self.epoch_seen:
             return self.hop_from(connection, f"epoch {snapshot.epoch}, not {self.epoch_seen}", now)
         self.spoke(connection, snapshot.revision, now)
@@ -388,15 +394,15 @@
         connection.older = 0
         self.revisions.seen(snapshot.revision.source, now)
         shard.floor, shard.failures, connection.proven = snapshot.revision, 0, True
-        connection.leased(question.asked, snapshot.lease)
+        connection.leased(pending.asked, snapshot.lease)
         connection.watches.pop(function.watch, None)
         connection.watches[snapshot.id], function.watch = function, snapshot.id
         if isinstance(snapshot, Snapshot):
             entries = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
             complete = snapshot.complete
         else:
-            entries = [aged(entry, now - question.asked) for entry in question.held]
-            complete = question.complete
+            entries = [aged(entry, now - pending.asked) for entry in pending.held]
+            complete = pending.complete
         for entry in entries:
             self.instances.told(entry, snapshot.revision, now)
         function.known = True
@@ -411,26 +417,28 @@
         floors = (shard.floor, self.instances.floor)
         return any(floor is not None and self.revisions.older(revision, floor) for floor in floors)
 
-    def too_old(self, connection: Connection, function: Function, revision: Revision, now: int) -> None:
+    def too_old(
+        self, connection: HolderConnection, function: CachedFunction, revision: Revision, now: int
+    ) -> None:
         """The holder is behind what another told: it is asked again soon, and left if it stays so."""
         connection.older += 1
-        if connection.older >= MOST_OLDER + len(connection.questions):
+        if connection.older >= MOST_OLDER + len(connection.pending_requests):
             text = f"its knowledge is older: {revision.source} {revision.number}"
             return self.hop_from(connection, text, now)
         self.ask_later(function, now + OLDER_PAUSE)
 
-    def hop_from(self, connection: Connection, why: str, now: int) -> None:
+    def hop_from(self, connection: HolderConnection, why: str, now: int) -> None:
         self.hop(self.shards[connection.shard], why, now)
 
     def set_names(
-        self, function: Function, names: tuple[str, ...], complete: bool, revision: Revision, now: int
+        self, function: CachedFunction, names: tuple[str, ...], complete: bool, revision: Revision, now: int
     ) -> None:
         before, function.names, function.complete = function.names, names, complete
         self.instances.used_by(function.name, before, names, revision, now)
         self.instances.retire(before)
         self.instances.news.functions[function.name] = None
 
-    def update(self, connection: Connection, update: Update, now: int) -> None:
+    def update(self, connection: HolderConnection, update: Update, now: int) -> None:
         following = update.sequence > connection.sequence
         in_turn = self.in_turn(connection, update.sequence, now)
         if not following or not connection.proven:
@@ -448,21 +456,21 @@
         self.instances.retire(entry.name for entry in update.entries)
         self.tell()
 
-    def apply(self, connection: Connection, change: PrefixChange, revision: Revision, now: int) -> None:
+    def apply(self, connection: HolderConnection, change: PrefixChange, revision: Revision, now: int) -> None:
         function = connection.watches.get(change.id)
         if function is None:
             return
         try:
-            names = changed_names(function.names, change)
-        except LostChange as trouble:
-            self.log(f"{function.name} is asked for anew: {trouble}")
+            names = apply_change(function.names, change)
+        except RevisionGapError as error:
+            self.log(f"{function.name} is asked for anew: {error}")
             del connection.watches[change.id]
             function.watch = -1
             return self.ask_if_up(function, now)
         self.set_names(function, names, change.complete, revision, now)
 
-    def renewed(self, connection: Connection, renewed: Renewed, now: int) -> None:
-        connection.renewed(renewed.asked, renewed.lease)
+    def renewed(self, connection: HolderConnection, renewed: Renewed, now: int) -> None:
+        connection.renewed(renewed.sent_at, renewed.lease)
         self.spoke(connection, renewed.revision, now)
         if renewed.sequence != connection.sequence:
             self.resync(connection, f"batch {renewed.sequence} lost after {connection.sequence}", now)
@@ -474,15 +482,15 @@
             self.revisions.seen(renewed.revision.source, now)
         self.weigh_age(connection, renewed.age, now)
 
-    def weigh_age(self, connection: Connection, age: int, now: int) -> None:
+    def weigh_age(self, connection: HolderConnection, age: int, now: int) -> None:
         """The holder may not hear its roster: another copy is tried, if none was lately found no better."""
         shard = self.shards[connection.shard]
         if not age:
-            shard.moves = shard.stay_until = 0
+            shard.moves = shard.next_move_at = 0
         if age < self.settings.stale:
             return
         shard.avoided[connection.copy] = now
-        if now < shard.stay_until:
+        if now < shard.next_move_at:
             return
         for step in range(1, len(shard.copies)):
             at = (shard.at + step) % len(shard.copies)
@@ -497,36 +505,36 @@
         if rounds < 0:
             return
         pause = AVOIDED_FOR << min(rounds, MOST_DOUBLINGS)
-        shard.stay_until = now + pause + self.jitter.below(pause)
+        shard.next_move_at = now + pause + self.jitter.below(pause)
         if not rounds:
             text = f"the last of {len(shard.copies)} copies is tried for fresher knowledge, then no more for"
-            self.log(f"shard {shard.number}: {text} {(shard.stay_until - now) / SECOND:.0f} s")
+            self.log(f"shard {shard.number}: {text} {(shard.next_move_at - now) / SECOND:.0f} s")
 
-    def busy(self, connection: Connection, busy: Busy, now: int) -> None:
+    def busy(self, connection: HolderConnection, busy: Busy, now: int) -> None:
         """The holder has more to send than it may: again later, and calls that can't wait so long fail."""
-        question = connection.questions.pop(busy.id, None)
-        if question is None:
+        pending = connection.pending_requests.pop(busy.id, None)
+        if pending is None:
             return
-        function = question.function
-        function.open_question = -1
+        function = pending.function
+        function.pending_watch = -1
         self.ask_later(function, now + busy.retry_after)
         if function.name in self.pending and now + busy.retry_after >= function.deadline:
             self.fail(function.name, busy.retry_after)
 
-    def turned_away(self, connection: Connection, refused: Refused, now: int) -> None:
-        question = connection.questions.pop(refused.id, None)
-        if question is None:
+    def turned_away(self, connection: HolderConnection, refused: Refused, now: int) -> None:
+        pending = connection.pending_requests.pop(refused.id, None)
+        if pending is None:
             return
-        function = question.function
-        function.open_question = -1
-        if refused.why == "full":
+        function = pending.function
+        function.pending_watch = -1
+        if refused.reason == RefusalReason.TOO_MANY_WATCHES:
             self.ask_later(function, now + self.settings.longest_pause)
             if function.name in self.pending:
                 self.fail(function.name, self.settings.longest_pause)
             return
-        if refused.why == "old epoch":
+        if refused.reason == RefusalReason.OLD_EPOCH:
             self.epoch_seen = max(self.epoch_seen, refused.epoch)
-        self.hop_from(connection, f"refused as {refused.why}, epoch {refused.epoch}", now)
+        self.hop_from(connection, f"refused as {refused.reason}, epoch {refused.epoch}", now)
 
     def tell(self) -> None:
         """Tell the edge what has changed: instances ahead of the prefixes that name them."""
@@ -542,7 +550,7 @@
         if news.forgotten:
             self.effects.append(InstancesForgotten(tuple(news.forgotten)))
 
-    def show(self, function: Function) -> None:
+    def show(self, function: CachedFunction) -> None:
         names = self.instances.usable(function.names)
         waited = function.name in self.pending
         self.pending.pop(function.name, None)
@@ -618,13 +626,13 @@
                 self.review(function, now)
         self.tell()
 
-    def review(self, function: Function, now: int) -> None:
+    def review(self, function: CachedFunction, now: int) -> None:
         reach, function.reach = function.reach, 0
         if function.count > self.settings.first_count and reach < function.count // 4 and function.watch >= 0:
             function.count = max(self.settings.first_count, function.count // 2)
             self.ask_if_up(function, now)
 
-    def stop(self, function: Function) -> None:
+    def stop(self, function: CachedFunction) -> None:
         """Watch a function no more."""
         shard = self.shards[function.shard]
         del self.functions[function.name], shard.functions[function.name]
@@ -633,11 +641,11 @@
             self.effects.append(LookupFailed(function.name, self.settings.lookup_time_out))
         connection = shard.connection
         if connection is not None and connection.up:
-            for watch in (function.watch, function.open_question):
+            for watch in (function.watch, function.pending_watch):
                 if watch >= 0:
                     self.effects.append(Send(connection.number, Unwatch(watch)))
             connection.watches.pop(function.watch, None)
-            connection.questions.pop(function.open_question, None)
+            connection.pending_requests.pop(function.pending_watch, None)
         self.instances.used_by(function.name, function.names, (), Revision(), self.called_at)
         self.instances.retire(function.names)
         if not shard.functions:
@@ -667,7 +675,7 @@
 
     # for operators
 
-    def shards_reached(self) -> int:
+    def reachable_shards(self) -> int:
         """Shards with a holder that answers."""
         shards = self.shards.values()
         return sum(shard.connection is not None and shard.connection.proven for shard in shards)
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -23,8 +23,8 @@
     WatcherEffect,
     WatcherSettings,
 )
-from lapistrestle.directory.region_estimate import Region
-from lapistrestle.directory.watcher import NEAR_THE_END, DirectoryWatcher
+from lapistrestle.directory.region_estimate import RegionEstimate
+from lapistrestle.directory.watcher import EXTENSION_THRESHOLD, DirectoryWatcher
 from lapistrestle.edge.holders import HolderConnections
 from lapistrestle.edge.instances import InstanceHandOver
 from lapistrestle.edge.waiting import WaitingRequests
@@ -59,7 +59,7 @@
 
     def __init__(self, edge: Any, settings: Directory) -> None:
         self.edge, self.settings = edge, settings
-        self.region: Region = edge.facts["region"]
+        self.region: RegionEstimate = edge.facts["region"]
         place = edge.deployment.dispatcher
         self.watcher = DirectoryWatcher(
             place.name,
@@ -99,7 +99,7 @@
 
     def ready(self, fn: Fn, method: str) -> bool:
         """Whether an RPC of this function can be placed now; else it has to wait."""
-        prefix = self.watcher.wanted(fn.name, method, self.edge.clock())
+        prefix = self.watcher.prefix_for(fn.name, method, self.edge.clock())
         if prefix is not None and fn.prefix is None:
             self.instances.rank(fn, prefix.names)
         return prefix is not None
@@ -117,36 +117,36 @@
         """
         prefix = attempt.pending.fn.prefix or ()
         if attempt.srv in prefix:
-            last = max(0, int(NEAR_THE_END * len(prefix)) - 1)
+            last = max(0, int(EXTENSION_THRESHOLD * len(prefix)) - 1)
             place = min(prefix.index(attempt.srv), last)
-            self.watcher.used(attempt.pending.fn.name, place, self.edge.clock())
+            self.watcher.function_used(attempt.pending.fn.name, place, self.edge.clock())
             if self.watcher.effects:  # else nothing is due earlier than it was
                 self.act()
 
     def more(self, fn: str) -> None:
         """The prefix was not enough."""
-        self.watcher.more(fn, self.edge.clock())
+        self.watcher.extend_prefix(fn, self.edge.clock())
         if self.watcher.effects:
             self.act()
 
     # what becomes of connections (holders.Listener)
 
     def connected(self, connection: int) -> None:
-        self.watcher.connected(connection, self.edge.clock())
+        self.watcher.connection_ready(connection, self.edge.clock())
         self.act()
 
     def refused(self, connection: int) -> None:
-        self.watcher.refused(connection, self.edge.clock())
+        self.watcher.connection_failed(connection, self.edge.clock())
         self.act()
 
     def disconnected(self, connection: int) -> None:
-        self.watcher.disconnected(connection, self.edge.clock())
+        self.watcher.connection_lost(connection, self.edge.clock())
         self.act()
 
     def heard(self, connection: int, message: Any) -> None:
         now = self.edge.clock()
-        self.asked = message.asked - message.age if isinstance(message, Renewed) else now
-        self.watcher.heard(connection, message, now)
+        self.asked = message.sent_at - message.age if isinstance(message, Renewed) else now
+        self.watcher.message_received(connection, message, now)
         self.act()
 
     # what the watcher decided
@@ -157,7 +157,7 @@
             return
         self.acting = True
         try:
-            while effects := self.watcher.take():
+            while effects := self.watcher.take_effects():
                 for effect in effects:
                     self.carry_out(effect)
         finally:
@@ -218,7 +218,7 @@
             "name": self.edge.name,
             "epoch": self.settings.epoch,
             "shards": len(self.settings.shards),
-            "shards reached": self.watcher.shards_reached(),
+            "shards reached": self.watcher.reachable_shards(),
             "connections": len(self.connections),
             "instances": len(self.edge.following.known),
             "functions": sum(fn.prefix is not None for fn in self.edge.host.registry.fns.values()),
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 from typing import Any
 
-from lapistrestle.directory.region_estimate import Region
+from lapistrestle.directory.region_estimate import RegionEstimate
 from lapistrestle.edge.following import Address, Known
 from lapistrestle.interface import Listing, SrvFacts
 from lapistrestle.state import Fn
@@ -17,7 +17,7 @@
 class InstanceHandOver:
     """Keeps the module's list of workers to the instances in prefixes of functions that are called."""
 
-    def __init__(self, edge: Any, region: Region) -> None:
+    def __init__(self, edge: Any, region: RegionEstimate) -> None:
         self.edge, self.region = edge, region
         self.parted: dict[str, Known] = {}  # in no prefix any more, while they warm up
 
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -54,9 +54,9 @@
         told = dict(facts(deployment))
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
-            from lapistrestle.directory.region_estimate import Region
+            from lapistrestle.directory.region_estimate import RegionEstimate
 
-            told["region"] = Region(self.clock, told["cold_share"], told["ramp_time"])
+            told["region"] = RegionEstimate(self.clock, told["cold_share"], told["ramp_time"])
         super().__init__(reactor, place.name, told, log, seed, self.margin // 2, make)
         clients = Clients(self)
         self.front, self.seats = clients, clients.seats
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -4,9 +4,9 @@
 
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.connection_state import NEVER
-from lapistrestle.directory.instances import Instances
+from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.prefixes import Prefix
-from lapistrestle.directory.watched_functions import longest
+from lapistrestle.directory.watched_functions import longest_prefix
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import Entry
@@ -121,11 +121,11 @@
     return order.index(revision.source), revision.number
 
 
-def true_prefix(truth: Instances, function: str, count: int) -> Prefix:
+def true_prefix(truth: RegionInstances, function: str, count: int) -> Prefix:
     """The prefix by its definition, from a ring that was made anew."""
     names, serving = list[str](), 0
     for known in truth.ring.places(function):
-        if serving >= count or len(names) >= longest(count):
+        if serving >= count or len(names) >= longest_prefix(count):
             break
         names.append(known.name)
         serving += truth.serves(known.name)
@@ -133,7 +133,7 @@
 
 
 def check_end(
-    watcher: DirectoryWatcher, view: EdgeView, truth: Instances, now: int, breaches: Breaches
+    watcher: DirectoryWatcher, view: EdgeView, truth: RegionInstances, now: int, breaches: Breaches
 ) -> None:
     """Once all faults are over a watcher knows what is true, of each function that it uses."""
     for name, function in watcher.functions.items():
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -128,7 +128,7 @@
         if channel.cut:
             self.world.time.after(REDIAL, lambda: self.deliver(lambda: self.roster_broke(channel, life)))
             return
-        self.decisions.roster_asked(self.world.time.now)
+        self.decisions.snapshot_requested(self.world.time.now)
         to_roster.send(roster, lambda: roster.follow(self, channel))
 
     def roster_said(self, channel: Channel, message: wire.Whole | wire.Change, sent: int) -> None:
@@ -137,7 +137,7 @@
         now = self.world.time.now
         taken = self.following.told(message, now)
         if taken.do is Do.ASK:
-            self.decisions.roster_asked(now)
+            self.decisions.snapshot_requested(now)
             self.ask_roster()
         if taken.do is Do.TAKE:
             whole = isinstance(message, wire.Whole)
@@ -184,7 +184,7 @@
     def after_event(self) -> None:
         if not self.alive:
             return
-        for effect in self.decisions.take():
+        for effect in self.decisions.take_effects():
             self.carry_out(effect)
         self.plan_tick(self.decisions.next_due())
 
@@ -196,7 +196,7 @@
         if connection is None:
             return
         if isinstance(effect, directory.CloseSession):
-            if "lease" in effect.why:
+            if "lease" in effect.reason:
                 connection.record.lapsed_at = self.world.time.now
             connection.close_by_holder()
         else:
@@ -235,12 +235,12 @@
 
     def greeted(self) -> None:
         if self.holder.connections.get(self.session) is self:
-            self.holder.decisions.connected(self.session, self.world.time.now)
+            self.holder.decisions.session_opened(self.session, self.world.time.now)
             self.to_watcher.send(self.watcher, self.met)
 
     def met(self) -> None:
         if self.current():
-            self.watcher.decisions.connected(self.number, self.world.time.now)
+            self.watcher.decisions.connection_ready(self.number, self.world.time.now)
 
     def current(self) -> bool:
         """Whether the watcher that has this connection still runs and keeps it."""
@@ -249,13 +249,13 @@
     def holder_hears(self, line: bytes) -> None:
         if self.holder.connections.get(self.session) is self:
             message: Any = DECODE_FROM_WATCHER(line)
-            self.holder.decisions.heard(self.session, message, self.world.time.now)
+            self.holder.decisions.message_received(self.session, message, self.world.time.now)
 
     def watcher_hears(self, line: bytes) -> None:
         if not self.current():
             return
         message: Any = DECODE_FROM_HOLDER(line)
-        self.watcher.decisions.heard(self.number, message, self.world.time.now)
+        self.watcher.decisions.message_received(self.number, message, self.world.time.now)
         if isinstance(message, Snapshot | Unchanged | Update):
             self.check(message.sequence)
 
@@ -295,12 +295,12 @@
     def watcher_loses(self) -> None:
         if self.current():
             del self.watcher.connections[self.number]
-            self.watcher.decisions.disconnected(self.number, self.world.time.now)
+            self.watcher.decisions.connection_lost(self.number, self.world.time.now)
 
     def holder_loses(self) -> None:
         if self.holder.connections.get(self.session) is self:
             del self.holder.connections[self.session]
-            self.holder.decisions.disconnected(self.session, self.world.time.now)
+            self.holder.decisions.session_closed(self.session, self.world.time.now)
 
     def break_off(self) -> None:
         """The connection breaks; both ends hear of it, if they run, unless it is cut."""
@@ -341,12 +341,12 @@
 
     def call(self, function: str) -> None:
         now = self.world.time.now
-        prefix = self.decisions.wanted(function, "", now)
+        prefix = self.decisions.prefix_for(function, "", now)
         if prefix is None:
             self.view.waiting.setdefault(function, now)
         elif prefix.names:
             position = min(int(self.world.chance.expovariate(0.4)), len(prefix.names) - 1)
-            self.decisions.used(function, position, now)
+            self.decisions.function_used(function, position, now)
 
     def tick(self) -> None:
         self.decisions.tick(self.world.time.now)
@@ -356,7 +356,7 @@
 
     def after_event(self) -> None:
         now = self.world.time.now
-        for effect in self.decisions.take():
+        for effect in self.decisions.take_effects():
             self.carry_out(effect)
         self.view.check_waiting(self.settings.lookup_time_out, now)
         check_floors(self.decisions, self.floors, self.world.roster.epochs, now, self.world.breaches)
--- a/lapistrestle/standins/directory_world.py
+++ b/lapistrestle/standins/directory_world.py
@@ -13,7 +13,7 @@
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.assignment import Assignment, Copy
 from lapistrestle.directory.effects import SECOND, HolderSettings, WatcherSettings
-from lapistrestle.directory.instances import Instances
+from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.standins.directory_checks import Breaches, check_end
 from lapistrestle.standins.directory_network import Time, Weather
 from lapistrestle.standins.directory_programs import Connection, Holder, Roster, Watcher
@@ -109,7 +109,7 @@
 
     def refuse(self, watcher: Watcher, life: int, connection: int) -> None:
         if watcher.life == life:
-            watcher.decisions.refused(connection, self.time.now)
+            watcher.decisions.connection_failed(connection, self.time.now)
 
     # what happens
 
@@ -265,7 +265,7 @@
         self.day(quiet)
         self.weather = replace(self.weather, calls=0)
         self.day(1)
-        truth = Instances()
+        truth = RegionInstances()
         truth.apply(self.roster.entries.values(), True, self.time.now)
         for watcher in self.watchers:
             check_end(watcher.decisions, watcher.view, truth, self.time.now, self.breaches)
--- a/lapistrestle/wire/directory.py
+++ b/lapistrestle/wire/directory.py
@@ -5,7 +5,8 @@
 tells one incarnation from the next, and its `up_for` (milliseconds) is as of the sending of the message.
 """
 
-from typing import Annotated, Literal
+from enum import StrEnum
+from typing import Annotated
 
 from msgspec import Meta, Raw, Struct, convert, field
 
@@ -83,12 +84,15 @@
 
 
 class Renew(Message, tag="renew"):
-    """Renew the lease on all watches of this connection. `asked`: the watcher's clock, sent back as it is."""
+    """Renew the lease on all watches of this connection.
 
-    asked: Number
+    `sent_at`: the watcher's clock, sent back as it is.
+    """
+
+    sent_at: Number = field(name="asked")
 
 
-class Show(Message, tag="show"):
+class InspectRequest(Message, tag="show"):
     """An operator asks what the holder knows, of one function or in all."""
 
     function: str = ""
@@ -132,7 +136,7 @@
     superseded: list[str] = field(default_factory=list)
 
 
-class Placed(Struct, omit_defaults=True, gc=False):
+class PlacedInstance(Struct, omit_defaults=True, gc=False):
     """An instance that enters a prefix, at this position of the new prefix."""
 
     position: Annotated[int, Meta(ge=0, lt=LONGEST_PREFIX)]
@@ -148,7 +152,7 @@
     id: Number
     length: Number
     removed: list[Name] = field(default_factory=list)
-    inserted: list[Placed] = field(default_factory=list)
+    inserted: list[PlacedInstance] = field(default_factory=list)
     complete: bool = False
 
 
@@ -169,7 +173,7 @@
 class Renewed(Message, tag="renewed"):
     """The answer to a renewal. `sequence`: that of the last batch sent before it, so that a loss shows."""
 
-    asked: Number
+    sent_at: Number = field(name="asked")
     lease: Duration
     sequence: Number
     revision: Revision
@@ -184,24 +188,29 @@
     retry_after: Duration
 
 
-class Refused(Message, tag="refused"):
-    """The holder doesn't serve this watch.
+class RefusalReason(StrEnum):
+    """Why a holder does not serve a watch."""
 
-    `old epoch`: the watcher's assignment is older than the holder's `epoch`; `new epoch`: the holder's is the
-    older; `shard`: the shard is not here; `stale`: it has not heard its roster yet, or not again; `full`: no
-    room for a further watch.
-    """
+    OLD_EPOCH = "old epoch"  # the watcher's assignment is older than the holder's
+    NEW_EPOCH = "new epoch"  # the holder's assignment is the older one
+    WRONG_SHARD = "shard"  # the holder does not hold the shard
+    OUTDATED = "stale"  # the holder has not heard its roster yet, or not again
+    TOO_MANY_WATCHES = "full"
+
+
+class Refused(Message, tag="refused"):
+    """The holder doesn't serve this watch. `epoch`: that of the holder."""
 
     id: Number
-    why: Literal["old epoch", "new epoch", "shard", "stale", "full"]
+    reason: RefusalReason = field(name="why")
     epoch: Number
 
 
-class Shown(Message, tag="shown"):
+class InspectResponse(Message, tag="shown"):
     """The answer to `show`, as JSON for people and tools; its names may grow."""
 
     body: Raw = NO_BODY
 
 
-FromWatcher = Hello | Watch | Unwatch | Renew | Show | Bye
-FromHolder = Hello | Snapshot | Unchanged | Update | Renewed | Busy | Refused | Shown | Fault | Bye
+FromWatcher = Hello | Watch | Unwatch | Renew | InspectRequest | Bye
+FromHolder = Hello | Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse | Fault | Bye
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -11,12 +11,12 @@
 from lapistrestle.directory.digests import digest_of, undated
 from lapistrestle.directory.effects import MILLISECOND, SECOND, HolderSettings, WatcherSettings
 from lapistrestle.directory.hash_ring import InstanceRing
-from lapistrestle.directory.instances import Instances
+from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.message_sizes import line_bytes
-from lapistrestle.directory.prefixes import LostChange, changed
-from lapistrestle.directory.rate_limits import Admission, Jitter
+from lapistrestle.directory.prefixes import RevisionGapError, apply_change
+from lapistrestle.directory.rate_limits import Jitter, SnapshotRateLimit
 from lapistrestle.directory.revisions import REVERSAL, Revisions
-from lapistrestle.directory.roster_freshness import Knowledge
+from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watched_functions import WatchedFunctions
@@ -54,7 +54,7 @@
         self.collect()
 
     def collect(self):
-        for effect in self.holder.take():
+        for effect in self.holder.take_effects():
             if isinstance(effect, directory.SendTo):
                 self.sent.append((self.now, effect.session, effect.message))
             elif isinstance(effect, directory.CloseSession):
@@ -68,10 +68,10 @@
         return self.last_id
 
     def connect(self, session):
-        self.holder.connected(session, self.now)
+        self.holder.session_opened(session, self.now)
 
     def say(self, session, message):
-        self.holder.heard(session, message, self.now)
+        self.holder.message_received(session, message, self.now)
         self.collect()
 
     def run(self, length, renew=()):
@@ -96,7 +96,7 @@
     made.connect(1)
     made.watch(1, "f", 4)
     (snapshot,) = made.of(wire.Snapshot)
-    truth = Instances()
+    truth = RegionInstances()
     truth.apply([entry(i) for i in range(20)], True, 0)
     assert tuple(e.name for e in snapshot.entries) == true_prefix(truth, "f", 4).names
     assert (snapshot.sequence, snapshot.complete, snapshot.revision) == (1, False, wire.Revision("e1", 1))
@@ -212,7 +212,7 @@
     for i in range(30):
         made.watch(1, f"f{i}", 1 + i % 6)
     jitter = Jitter(5)
-    truth = Instances()
+    truth = RegionInstances()
     truth.apply([entry(i) for i in range(30)], True, 0)
     for step in range(400):
         number, what = jitter.below(40), jitter.below(4)
@@ -277,14 +277,14 @@
     for update in made.of(wire.Update):
         assert len(update.entries) + len(update.gone) <= 30
         for change in update.changes:
-            names[change.id] = changed(names[change.id], change)
+            names[change.id] = apply_change(names[change.id], change)
     for watch, function in ids.items():
         assert names[watch] == made.holder.watched.functions[function].prefixes[4].names
 
 
 def test_snapshots_are_admitted_at_a_rate_and_the_others_told_times_that_are_spread():
-    admission = Admission(1_000, 100, 2 * SECOND, 0, Jitter(1))
-    waits = [admission.retry_after(0) for _ in range(5_000)]
+    snapshot_limit = SnapshotRateLimit(1_000, 100, 2 * SECOND, 0, Jitter(1))
+    waits = [snapshot_limit.retry_after(0) for _ in range(5_000)]
     assert waits.count(0) == 100
     told = sorted(wait for wait in waits if wait)
     assert told[-1] <= 2 * SECOND
@@ -312,7 +312,7 @@
     made.run(5 * SECOND, renew=[2])
     assert list(made.closed) == [1] and made.closed[1] <= 3 * SECOND + 1_000
     assert list(made.holder.watched.functions["f"].watches) == [2]
-    made.holder.disconnected(2, made.now)
+    made.holder.session_closed(2, made.now)
     assert not made.holder.watched.functions and not made.holder.watched.having
     assert not len(made.holder.watched.positions) and not made.holder.watched.by_length
 
@@ -331,16 +331,18 @@
     made = Directory()
     made.connect(1)
     made.watch(1, "f", epoch=epoch, shard=shard)
-    assert [(m.why, m.epoch) for m in made.of(wire.Refused)] == [(why, EPOCH)] and not made.of(wire.Snapshot)
+    assert [(m.reason, m.epoch) for m in made.of(wire.Refused)] == [(why, EPOCH)] and not made.of(
+        wire.Snapshot
+    )
 
 
 def test_calls_that_wait_are_answered_before_watches_that_are_only_renewed():
-    admission = Admission(1_000, 100, 2 * SECOND, 0, Jitter(1))
-    renewed = [admission.retry_after(0, waiting=False) for _ in range(1_000)]
+    snapshot_limit = SnapshotRateLimit(1_000, 100, 2 * SECOND, 0, Jitter(1))
+    renewed = [snapshot_limit.retry_after(0, waiting=False) for _ in range(1_000)]
     assert renewed.count(0) == 50
-    waiting = [admission.retry_after(0) for _ in range(100)]
+    waiting = [snapshot_limit.retry_after(0) for _ in range(100)]
     assert waiting[:50] == [0] * 50 and max(waiting) <= 500  # nor behind those in the others' queue
-    assert Admission(10, 1, SECOND, 0, Jitter(1)).retry_after(0, waiting=False) == 0
+    assert SnapshotRateLimit(10, 1, SECOND, 0, Jitter(1)).retry_after(0, waiting=False) == 0
 
 
 def test_snapshots_wait_while_the_holder_has_sent_too_many_bytes():
@@ -445,7 +447,7 @@
     made.watch(1, "g")
     assert made.asked == 1
     assert not made.of(wire.Renewed) and not made.of(wire.Snapshot)
-    assert [m.why for m in made.of(wire.Refused)] == ["stale"]
+    assert [m.reason for m in made.of(wire.Refused)] == ["stale"]
     made.tell([entry(0, listing="draining")])
     made.watch(1, "g")
     assert not made.of(wire.Snapshot)
@@ -458,7 +460,7 @@
 def test_a_list_that_was_under_way_before_a_standstill_is_not_the_answer_after_it():
     made = Directory()
     made.connect(1)
-    made.holder.roster_asked(made.now)
+    made.holder.snapshot_requested(made.now)
     made.now += 2 * SECOND
     made.tell([entry(i) for i in range(20)], whole=True)
     made.watch(1, "f")
@@ -531,11 +533,11 @@
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
-    made.say(1, wire.Show("f"))
-    shown = msgspec.json.decode(made.of(wire.Shown)[0].body)
+    made.say(1, wire.InspectRequest("f"))
+    shown = msgspec.json.decode(made.of(wire.InspectResponse)[0].body)
     names = [e.name for e in made.of(wire.Snapshot)[0].entries]
     assert [e["name"] for e in shown["order"]][:4] == names and shown["watchers"] == 1
-    assert made.holder.show()["watches"] == 1
+    assert made.holder.inspect()["watches"] == 1
 
 
 # the watcher
@@ -556,7 +558,7 @@
         self.logs.append(text)
 
     def collect(self):
-        self.effects += [(self.now, effect) for effect in self.watcher.take()]
+        self.effects += [(self.now, effect) for effect in self.watcher.take_effects()]
 
     def of(self, kind):
         return [effect for _, effect in self.effects if isinstance(effect, kind)]
@@ -573,19 +575,19 @@
         self.now = until
 
     def wanted(self, function="f"):
-        prefix = self.watcher.wanted(function, "m", self.now)
+        prefix = self.watcher.prefix_for(function, "m", self.now)
         self.collect()
         return prefix
 
     def connect(self):
         number = self.of(directory.Dial)[-1].connection
-        self.watcher.connected(number, self.now)
+        self.watcher.connection_ready(number, self.now)
         self.sequence[number] = 0
         self.collect()
         return number
 
     def hear(self, connection, message):
-        self.watcher.heard(connection, message, self.now)
+        self.watcher.message_received(connection, message, self.now)
         self.collect()
 
     def snapshot(self, connection, names, number=1, source="e1", start="1", id=None, epoch=EPOCH, **more):
@@ -605,7 +607,7 @@
         )
 
     def answer_renewals(self, connection, lease=3 * SECOND, **more):
-        asked = self.sent(wire.Renew)[-1].asked
+        asked = self.sent(wire.Renew)[-1].sent_at
         revision = wire.Revision("e1", 1)
         self.hear(connection, wire.Renewed(asked, lease, self.sequence[connection], revision, **more))
 
@@ -628,7 +630,7 @@
 
 def moved(made, connection):
     """The same watcher at another copy, with what it knows."""
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.collect()
     made.run(100 * MILLISECOND)
     return made.connect()
@@ -702,11 +704,11 @@
 def test_with_no_holder_what_is_known_serves_on_and_other_look_ups_fail_at_once():
     made = Dispatcher()
     connection = ready(made)
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.collect()
     for _ in range(2):
         made.run(SECOND // 2)
-        made.watcher.refused(made.of(directory.Dial)[-1].connection, made.now)
+        made.watcher.connection_failed(made.of(directory.Dial)[-1].connection, made.now)
         made.collect()
     assert made.wanted("f") == Prefix(("w1", "w2", "w3"), False)
     before = len(made.of(directory.LookupFailed))
@@ -726,7 +728,7 @@
         made.watcher.jitter = Jitter(seed)
         made.wanted()
         for _ in range(12):
-            made.watcher.refused(made.of(directory.Dial)[-1].connection, made.now)
+            made.watcher.connection_failed(made.of(directory.Dial)[-1].connection, made.now)
             made.run(3 * SECOND)
         dials = [at for at, e in made.effects if isinstance(e, directory.Dial)]
         assert len(dials) < 40 and {e.copy for e in made.of(directory.Dial)} == set(COPIES)
@@ -737,7 +739,7 @@
 def test_the_lease_counts_from_before_the_question():
     made = Dispatcher(heartbeat=SECOND // 5, silence=10 * SECOND)
     connection = ready(made)
-    asked = made.sent(wire.Renew)[-1].asked
+    asked = made.sent(wire.Renew)[-1].sent_at
     made.now += SECOND // 4
     made.hear(connection, wire.Renewed(asked, 3 * SECOND, 1, wire.Revision("e1", 1)))
     assert made.watcher.connections[connection].lease_until == asked + 3 * SECOND
@@ -746,7 +748,7 @@
 def test_an_answer_that_comes_after_its_lease_renews_nothing():
     made = Dispatcher(silence=10 * SECOND)
     connection = ready(made)
-    asked = made.sent(wire.Renew)[-1].asked
+    asked = made.sent(wire.Renew)[-1].sent_at
     made.run(29_000)
     made.now += 2_000
     made.hear(connection, wire.Renewed(asked, 3 * SECOND, 1, wire.Revision("e1", 1)))
@@ -779,17 +781,17 @@
     made = Dispatcher()
     made.wanted()
     connection = made.connect()
-    made.hear(connection, wire.Refused(made.sent(wire.Watch)[-1].id, "old epoch", EPOCH + 1))
+    made.hear(connection, wire.Refused(made.sent(wire.Watch)[-1].id, wire.RefusalReason.OLD_EPOCH, EPOCH + 1))
     made.run(SECOND // 5)
     other = made.connect()
     made.snapshot(other, [1])
     assert not made.of(directory.PrefixReady)
-    made.watcher.assign(Assignment(EPOCH + 1, (COPIES,)), made.now)
+    made.watcher.replace_assignment(Assignment(EPOCH + 1, (COPIES,)), made.now)
     made.collect()
     third = made.connect()
     made.snapshot(third, [1], epoch=EPOCH + 1)
     assert made.of(directory.PrefixReady)
-    made.watcher.assign(Assignment(EPOCH, ((),)), made.now)
+    made.watcher.replace_assignment(Assignment(EPOCH, ((),)), made.now)
     assert made.watcher.assignment.epoch == EPOCH + 1
 
 
@@ -797,7 +799,7 @@
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9, [entry(1, start="2")])
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.run(SECOND // 10)
     other = made.connect()
     made.snapshot(other, [1, 4], number=8)
@@ -811,7 +813,7 @@
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9)
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.run(SECOND // 10)
     other = made.connect()
     for _ in range(3):
@@ -824,11 +826,11 @@
 def test_a_superseded_source_is_not_taken_again():
     made = Dispatcher()
     connection = ready(made)
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.run(SECOND // 10)
     second = made.connect()
     made.snapshot(second, [5, 6], number=1, source="e2")
-    made.watcher.disconnected(second, made.now)
+    made.watcher.connection_lost(second, made.now)
     made.run(SECOND // 10)
     third = made.connect()
     made.snapshot(third, [1, 2, 3], number=100, source="e1")
@@ -853,7 +855,7 @@
     made = Dispatcher()
     connection = ready(made)
     watch = made.sent(wire.Watch)[-1].id
-    inserted = wire.PrefixChange(watch, 4, [], [wire.Placed(0, "w9")])
+    inserted = wire.PrefixChange(watch, 4, [], [wire.PlacedInstance(0, "w9")])
     message = wire.Update(2, wire.Revision("e1", 2), [wire.compact(entry(9))], [], [inserted])
     made.hear(connection, message)
     made.hear(connection, message)
@@ -914,18 +916,18 @@
     assert made.wanted() is None
     connection = made.connect()
     made.snapshot(connection, [1, 2, 3, 4])
-    made.watcher.used("f", 1, made.now)
+    made.watcher.function_used("f", 1, made.now)
     made.collect()
     assert len(made.sent(wire.Watch)) == 1
-    made.watcher.used("f", 3, made.now)
+    made.watcher.function_used("f", 3, made.now)
     made.collect()
     assert made.sent(wire.Watch)[-1].count == 8
-    assert made.watcher.more("f", made.now)
+    assert made.watcher.extend_prefix("f", made.now)
     made.collect()
     assert len(made.sent(wire.Watch)) == 2
     made.snapshot(connection, [1, 2, 3, 4, 5], complete=True)
     assert made.of(directory.PrefixReady)[-1].complete
-    assert not made.watcher.more("f", made.now)
+    assert not made.watcher.extend_prefix("f", made.now)
 
 
 def test_a_function_unused_for_the_idle_time_is_watched_no_more():
@@ -949,7 +951,7 @@
     assert len(made.of(directory.LookupFailed)) == 8
     watch = made.sent(wire.Watch)[0].id
     for i in range(20):
-        insert = wire.PrefixChange(watch, 3, [f"w{3 + i}"], [wire.Placed(2, f"w{4 + i}")])
+        insert = wire.PrefixChange(watch, 3, [f"w{3 + i}"], [wire.PlacedInstance(2, f"w{4 + i}")])
         made.update(connection, 10 + i, [entry(4 + i)], changes=[insert])
     assert len(made.watcher.instances.retired) == 3
     assert made.watcher.instances.floor == wire.Revision("e1", 25)
@@ -1232,7 +1234,7 @@
         return tuple(dict.fromkeys(kept))
 
     monkeypatch.setattr(DirectoryWatcher, "in_turn", in_turn)
-    monkeypatch.setattr("lapistrestle.directory.watcher.changed_names", careless)
+    monkeypatch.setattr("lapistrestle.directory.watcher.apply_change", careless)
     found = []
     for seed in range(3):
         world = random_day(seed)
@@ -1244,9 +1246,9 @@
 
 def test_a_holder_that_answers_at_once_after_a_standstill_is_caught(monkeypatch):
     def called(self, now, entries=0):
-        self.called_at = now
+        self.last_call_at = now
 
-    monkeypatch.setattr(Knowledge, "called", called)
+    monkeypatch.setattr(RosterFreshness, "called", called)
     assert any("before it stood still" in breach for breach in breaches_of(range(3)))
 
 
@@ -1263,5 +1265,5 @@
 
 
 def test_a_lost_change_shows_in_the_length_of_the_prefix():
-    with pytest.raises(LostChange):
-        changed(("a", "b"), wire.PrefixChange(1, 3, ["a"], [wire.Placed(0, "c")]))
+    with pytest.raises(RevisionGapError):
+        apply_change(("a", "b"), wire.PrefixChange(1, 3, ["a"], [wire.PlacedInstance(0, "c")]))
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -8,8 +8,8 @@
 
 from lapistrestle.directory.assignment import Assignment, Copy, shard_of
 from lapistrestle.directory.hash_ring import INSTANCE, InstanceRing, draws, points_for
-from lapistrestle.directory.prefixes import LostChange, Prefix, changed, difference, message_of
-from lapistrestle.directory.ring_positions import RING, PointTable
+from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change, change_message, difference
+from lapistrestle.directory.ring_positions import RING, RingPositions
 
 SIZES = st.sampled_from([0.25, 0.5, 1.0, 2.0, 4.0])
 FLEETS = st.dictionaries(st.integers(0, 10_000).map(lambda n: f"w{n}"), SIZES, min_size=1, max_size=40)
@@ -167,7 +167,7 @@
 @settings(max_examples=50)
 @given(st.lists(st.tuples(st.integers(0, RING - 1), st.sampled_from("abc"), st.booleans()), max_size=300))
 def test_the_table_of_points_is_a_sorted_set(steps):
-    table, pairs = PointTable(), set()
+    table, pairs = RingPositions(), set()
     for position, owner, add in steps:
         if add:
             table.add(position, owner)
@@ -188,7 +188,7 @@
 
 
 def test_the_table_divides_and_merges_its_buckets():
-    table = PointTable()
+    table = RingPositions()
     positions = [position for position, _ in zip(draws("w", INSTANCE), range(20_000), strict=False)]
     for position in positions:
         table.add(position, "w")
@@ -212,8 +212,8 @@
 @given(NAMES, NAMES)
 def test_a_difference_turns_one_prefix_into_the_other(before, after):
     change = difference(before, after)
-    message = message_of(3, change, Prefix(tuple(after), True))
-    assert changed(tuple(before), message) == tuple(after)
+    message = change_message(3, change, Prefix(tuple(after), True))
+    assert apply_change(tuple(before), message) == tuple(after)
 
 
 @given(NAMES, st.integers(0, 20), st.integers(0, 20))
@@ -228,10 +228,10 @@
 def test_a_change_for_another_prefix_is_noticed_or_fits(before, after, other):
     """A change is taken for a prefix of which it tells too much or too little only if the result has the
     length that the sender told."""
-    message = message_of(3, difference(before, after), Prefix(tuple(after), True))
+    message = change_message(3, difference(before, after), Prefix(tuple(after), True))
     try:
-        assert len(changed(tuple(other), message)) == len(after)
-    except LostChange:
+        assert len(apply_change(tuple(other), message)) == len(after)
+    except RevisionGapError:
         assert other != before
 
 
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -155,7 +155,7 @@
         names = [n for n in names if n not in change.removed]
         for placed in change.inserted:
             names.insert(placed.position, placed.name)
-    shown = rig.program.show("f")
+    shown = rig.program.inspect("f")
     assert names == [e["name"] for e in shown["order"]][: len(names)] and shown["longest prefix"] == len(
         names
     )
@@ -167,7 +167,7 @@
         other.note(entry(f"w{number}"))
     other.run(0.1)
     for function in ("f", "g", "h"):
-        orders = [[e["name"] for e in rig.program.show(function)["order"]] for rig in (one, other)]
+        orders = [[e["name"] for e in rig.program.inspect(function)["order"]] for rig in (one, other)]
         assert orders[0] == orders[1] and len(orders[0]) == 12
 
 
@@ -192,7 +192,7 @@
     for id, (epoch, shard) in enumerate([(4, 0), (6, 0), (5, 1)]):
         edge.watch(id=id, epoch=epoch, shard=shard)
     rig.run(0.01)
-    assert [(r.id, r.why, r.epoch) for r in edge.of(wire.Refused)] == [
+    assert [(r.id, r.reason, r.epoch) for r in edge.of(wire.Refused)] == [
         (0, "old epoch", 5),
         (1, "new epoch", 5),
         (2, "shard", 5),
@@ -261,7 +261,7 @@
     assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over it
     assert rig.logged("watcher slow") == [{"watcher": "slow", "slow": 1, "sessions": 2}]
     assert rig.program.counts["cut as slow"] == 1 and rig.program.slow == set()
-    assert not edge.over and rig.program.show("")["sessions"] == 1
+    assert not edge.over and rig.program.inspect("")["sessions"] == 1
     assert {e.start for e in edge.of(wire.Update)[-1].entries} == {f"w{n}#{turns}" for n in range(count)}
 
 
@@ -284,7 +284,7 @@
     rig.reactor.run(rig.reactor.seconds() + 0.0004)
     edge.speaker.transport.write(encode(Hello("lapistrestle.roster", 1)) + b"\n")
     rig.run(0.1)
-    assert edge.over and rig.program.show("")["sessions"] == 0
+    assert edge.over and rig.program.inspect("")["sessions"] == 0
 
 
 def test_a_watch_that_is_not_renewed_lapses():
@@ -321,7 +321,7 @@
     assert not asked and len(answered) == 1_000
     in_second = [sum(second <= at < second + 1 for at in answered) for second in range(10)]
     assert max(in_second) <= 200 + 50 and answered[-1] < 2 * 1_000 / 200
-    assert rig.program.show("")["snapshots refused as busy"] > 0
+    assert rig.program.inspect("")["snapshots refused as busy"] > 0
 
 
 def test_one_that_stops_says_so_to_all_and_ends():
@@ -363,7 +363,7 @@
 
 def standstill(program):
     """The next event comes a second late."""
-    program.holder.heard(0, wire.Renew(0), program.clock() + 10_000)
+    program.holder.message_received(0, wire.Renew(0), program.clock() + 10_000)
     program.act()
 
 
@@ -372,9 +372,9 @@
     program.source.heard(Change(program.list.number + 2, [], program.list.epoch))  # a gap: it is asked for
     standstill(program)  # the holder asks on its own
     program.source.heard(whole_of(program))  # the answer to the first question
-    assert not program.holder.knowledge.may_answer
+    assert not program.holder.freshness.may_answer
     program.source.heard(whole_of(program))
-    assert program.holder.knowledge.may_answer
+    assert program.holder.freshness.may_answer
 
 
 def test_a_list_asked_for_on_connecting_does_not_end_a_standstill_after_it():
@@ -383,9 +383,9 @@
     program.source.speaker.met(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
     standstill(program)
     program.source.heard(whole_of(program))
-    assert not program.holder.knowledge.may_answer
+    assert not program.holder.freshness.may_answer
     program.source.heard(whole_of(program))
-    assert program.holder.knowledge.may_answer
+    assert program.holder.freshness.may_answer
 
 
 def test_a_list_that_is_passed_over_has_another_one_asked_for():
@@ -394,9 +394,9 @@
     before = program.list.number
     program.source.heard(Whole(before - 1, [], program.list.epoch))  # goes back: the same must be said twice
     program.source.heard(Whole(before - 2, [], program.list.epoch))  # passed over
-    assert program.holder.knowledge.unanswered == 1
+    assert program.holder.freshness.open_requests == 1
     program.source.heard(whole_of(program))
-    assert program.holder.knowledge.may_answer
+    assert program.holder.freshness.may_answer
 
 
 def test_an_unreadable_line_of_the_roster_has_the_connection_begin_anew():
@@ -406,4 +406,4 @@
     rig.run(2.0)
     assert rig.program.source.speaker is not first
     assert rig.program.counts["passed over"] == 1
-    assert rig.program.holder.knowledge.age(rig.program.clock()) == 0
+    assert rig.program.holder.freshness.age(rig.program.clock()) == 0
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -300,7 +300,7 @@
     stage.run(0.002)
     assert "r1" not in stage.edge.following.known and "r1" not in stage.edge.runners
     assert cold.listing is Listing.DRAINING
-    changes = [wire.PrefixChange(1, 2, inserted=[wire.Placed(1, "r1")])]
+    changes = [wire.PrefixChange(1, 2, inserted=[wire.PlacedInstance(1, "r1")])]
     stage.update(peer, stage.entry("r1", up_for=20), changes=changes)
     stage.run(0.002)
     assert stage.edge.host.registry.srvs["r1"] is cold and cold.sends and cold.listing is Listing.SERVING
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -6,7 +6,7 @@
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
-from lapistrestle.directory.region_estimate import Region
+from lapistrestle.directory.region_estimate import RegionEstimate
 from lapistrestle.hosting.events import described
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
@@ -313,7 +313,7 @@
 def with_region(clock, workers):
     """A host that is told a part of the region, with as many functions in use as workers."""
     facts = words.facts(SETTINGS)
-    region = Region(clock, facts["cold_share"], facts["ramp_time"])
+    region = RegionEstimate(clock, facts["cold_share"], facts["ramp_time"])
     made = ModuleHost(Recorder(), {**facts, "region": region}, 7, clock)
     made.listed([SrvFacts(f"w{i}") for i in range(workers)], whole=False)
     for i in range(workers):
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -12,7 +12,7 @@
 
 from lapistrestle.choice import Dispatcher
 from lapistrestle.deployment import words
-from lapistrestle.directory.region_estimate import Region
+from lapistrestle.directory.region_estimate import RegionEstimate
 from lapistrestle.interface import SrvFacts
 from lapistrestle.state import Fn, Rpc, Srv
 from lapistrestle.wire.directory import RegionSums
@@ -50,7 +50,7 @@
     slow_start = {**SETTINGS["rules"], **rules.settings()}
     facts = words.facts({**SETTINGS, "balancers": of, "me": number, "rules": slow_start})
     if told:
-        facts = {**facts, "region": Region(clock, facts["cold_share"], facts["ramp_time"])}
+        facts = {**facts, "region": RegionEstimate(clock, facts["cold_share"], facts["ramp_time"])}
     return Dispatcher(Recorder(), facts, seed * 1000 + number, 0)
 
 
@@ -154,7 +154,7 @@
         return sum(min(1.0, share + (1 - share) * (now - boot) / ramp) for boot in workers)
 
     now = told
-    region = Region(lambda: now, share, ramp)
+    region = RegionEstimate(lambda: now, share, ramp)
     assert region.warm_size == inf  # of answers over it nothing is left for cold ones
     region.told(RegionSums(len(boots), warm(boots, told), serving=len(boots)), told)
     now = told + later
