--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -26,7 +26,7 @@
 
     entry: Entry
     revision: Revision
-    at: int  # when `up_for` was true, on the watcher's clock
+    dated_at: int  # when `up_for` was true, on the watcher's clock
     functions: set[str] = field(default_factory=set)  # that have it in their prefix
 
     @property
@@ -52,69 +52,69 @@
         self.known = dict[str, CachedInstance]()
         self.retired = dict[str, CachedInstance]()  # in no prefix any more, the oldest first
         self.floor: Revision | None = None  # nothing older is taken
-        self.news = WatchEvent()
+        self.event = WatchEvent()
 
-    def take_news(self) -> WatchEvent:
+    def take_event(self) -> WatchEvent:
         """What has changed since the last call."""
-        news, self.news = self.news, WatchEvent()
-        return news
+        event, self.event = self.event, WatchEvent()
+        return event
 
-    def told(self, entry: Entry, revision: Revision, now: int) -> None:
+    def apply_entry(self, entry: Entry, revision: Revision, now: int) -> None:
         """A holder told an instance."""
-        known = self.known.get(entry.name) or self.restored(entry.name, now)
+        known = self.known.get(entry.name) or self.restore(entry.name, now)
         if known is None:
             self.known[entry.name] = CachedInstance(entry, revision, now)
-            self.news.changed[entry.name] = entry
+            self.event.changed[entry.name] = entry
             return
-        if self.revisions.older(revision, known.revision):
+        if self.revisions.is_older(revision, known.revision):
             return
-        before, known.entry, known.revision, known.at = known.entry, entry, revision, now
+        before, known.entry, known.revision, known.dated_at = known.entry, entry, revision, now
         if undated(before) == undated(entry):
             return
-        self.news.changed[entry.name] = entry
-        self.news.gone.pop(entry.name, None)
+        self.event.changed[entry.name] = entry
+        self.event.gone.pop(entry.name, None)
         if before.listing == "gone":
-            self.news.functions.update(dict.fromkeys(known.functions))
+            self.event.functions.update(dict.fromkeys(known.functions))
 
-    def restored(self, name: str, now: int) -> CachedInstance | None:
+    def restore(self, name: str, now: int) -> CachedInstance | None:
         """Bring back what is remembered of an instance that is named again."""
         known = self.retired.pop(name, None)
         if known is None:
             return None
         self.known[name] = known
-        self.news.forgotten.pop(name, None)
-        known.entry, known.at = aged(known.entry, now - known.at), now
+        self.event.forgotten.pop(name, None)
+        known.entry, known.dated_at = aged(known.entry, now - known.dated_at), now
         if not known.gone:
-            self.news.changed[name] = known.entry
+            self.event.changed[name] = known.entry
         return known
 
-    def held(self, names: Iterable[str], now: int) -> tuple[Entry, ...]:
+    def current_entries(self, names: Iterable[str], now: int) -> tuple[Entry, ...]:
         """These instances as of now; nothing where one of them is not known or gone."""
         entries = list[Entry]()
         for name in names:
             known = self.known.get(name)
             if known is None or known.gone:
                 return ()
-            entries.append(aged(known.entry, now - known.at))
+            entries.append(aged(known.entry, now - known.dated_at))
         return tuple(entries)
 
-    def told_gone(self, name: str, revision: Revision) -> None:
+    def mark_gone(self, name: str, revision: Revision) -> None:
         """A holder said that an instance is gone."""
         known = self.known.get(name) or self.retired.get(name)
-        if known is None or known.gone or self.revisions.older(revision, known.revision):
+        if known is None or known.gone or self.revisions.is_older(revision, known.revision):
             return
         known.entry, known.revision = msgspec.structs.replace(known.entry, listing="gone"), revision
-        self.news.gone[name] = None
-        self.news.changed.pop(name, None)
-        self.news.functions.update(dict.fromkeys(known.functions))
+        self.event.gone[name] = None
+        self.event.changed.pop(name, None)
+        self.event.functions.update(dict.fromkeys(known.functions))
 
-    def used_by(
+    def replace_prefix(
         self, function: str, before: Iterable[str], after: Iterable[str], revision: Revision, now: int
     ) -> None:
         """A function's prefix has become another one, by word of this revision."""
         old, new = set(before), set(after)
         for name in new - old:
-            known = self.known.get(name) or self.restored(name, now)
+            known = self.known.get(name) or self.restore(name, now)
             if known is None:  # named, but gone by the time the batch was made
                 known = self.known[name] = CachedInstance(Entry(name, listing="gone"), revision, now)
             known.functions.add(function)
@@ -130,12 +130,12 @@
             if known is None or known.functions:
                 continue
             self.retired[name] = self.known.pop(name)
-            self.news.changed.pop(name, None)
+            self.event.changed.pop(name, None)
             if not known.gone:
-                self.news.forgotten[name] = None
+                self.event.forgotten[name] = None
         while len(self.retired) > self.most_retired:
             oldest = self.retired.pop(next(iter(self.retired)))
-            if self.floor is None or self.revisions.older(self.floor, oldest.revision):
+            if self.floor is None or self.revisions.is_older(self.floor, oldest.revision):
                 self.floor = oldest.revision
 
     def usable(self, names: Iterable[str]) -> tuple[str, ...]:
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -1,4 +1,7 @@
-"""What a watcher keeps for each shard, for its connection to a copy, and for each function it watches."""
+"""What a watcher keeps for each shard, for its connection to a copy, and for each function it watches.
+
+Times are ticks of a tenth of a millisecond on the watcher's clock.
+"""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -7,28 +10,28 @@
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import Entry
 
-NEVER = 2**62
+NEVER = 2**62  # a time that does not come
 
 
 @dataclass(eq=False, slots=True)
 class CachedFunction:
-    """A function that is called here."""
+    """A function that is called here, with its prefix."""
 
     name: str
     method: str
     shard: int
     count: int  # instances that are asked for
     used_at: int
-    known: bool = False  # a snapshot has come, from whichever holder
-    names: tuple[str, ...] = ()  # the prefix as the holder tells it
+    has_prefix: bool = False  # a snapshot has come, from whichever holder
+    names: tuple[str, ...] = ()  # the prefix as the holder has sent it
     complete: bool = False
-    shown: tuple[str, ...] = ()  # the same as the edge was told it: without instances that are gone
-    shown_complete: bool = False
-    watch: int = -1  # whose changes are taken; -1: none, what is known may be old
+    published: tuple[str, ...] = ()  # the same as the edge has it: without instances that are gone
+    published_complete: bool = False
+    watch: int = -1  # whose changes are taken; -1: none, the prefix may be outdated
     pending_watch: int = -1  # the watch that has no answer yet
     retry_at: int = NEVER  # when it is asked for again
     deadline: int = NEVER  # of the look-up that calls wait for
-    reach: int = 0  # the furthest position used since the last look at it
+    furthest_used: int = 0  # positions used since the last review of the prefix's length
     extended_at: int = -NEVER  # when a longer prefix was asked for last
 
 
@@ -37,8 +40,8 @@
     """A watch that was sent and has no answer."""
 
     function: CachedFunction
-    asked: int
-    held: tuple[Entry, ...] = ()  # the prefix whose digest was sent with it
+    sent_at: int
+    entries: tuple[Entry, ...] = ()  # of the prefix whose digest was sent with it
     complete: bool = False
 
 
@@ -49,43 +52,39 @@
     number: int
     shard: int
     copy: Copy
-    dialled: int
-    up: bool = False
-    proven: bool = False  # it has answered something that was taken
+    dialled_at: int
+    is_ready: bool = False  # both ends have greeted
+    has_answered: bool = False  # a snapshot was taken from it
     sequence: int = 0  # of the last batch or snapshot
-    source: str | None = None  # that the holder spoke of last
+    source: str | None = None  # the roster's epoch that the holder spoke of last
     lease_until: int = NEVER  # by our clock, from before we asked; `NEVER`: none was given yet
     renew_at: int = 0
     renewals: deque[int] = field(default_factory=deque)  # without answer, by when they were sent
     pending_requests: dict[int, PendingRequest] = field(default_factory=dict)  # by watch, the oldest first
     watches: dict[int, CachedFunction] = field(default_factory=dict)  # answered
-    patience_from: int = 0  # silence isn't counted from before this moment
-    older: int = 0  # snapshots in a row that were older than what is known
-    return_at: int = NEVER  # to the copy of the first choice
+    silence_counted_from: int = 0  # silence isn't counted from before this moment
+    outdated_snapshots: int = 0  # in a row that were older than what is cached
+    rebalance_at: int = NEVER  # when the copy of the first choice is tried again
 
     def silent_since(self) -> int:
-        """Since when the oldest question is without answer; `NEVER`: none is."""
-        asked = [self.renewals[0]] if self.renewals else []
-        asked.extend(pending.asked for pending in next_values(self.pending_requests))
-        return max(min(asked), self.patience_from) if asked else NEVER
+        """Since when the oldest request is without answer; `NEVER`: none is."""
+        sent = [self.renewals[0]] if self.renewals else []
+        if self.pending_requests:
+            sent.append(next(iter(self.pending_requests.values())).sent_at)
+        return max(min(sent), self.silence_counted_from) if sent else NEVER
 
-    def renewed(self, asked: int, lease: int) -> None:
+    def renewed(self, sent_at: int, lease: int) -> None:
         """A renewal was answered, and with it all before it."""
-        while self.renewals and self.renewals[0] <= asked:
+        while self.renewals and self.renewals[0] <= sent_at:
             self.renewals.popleft()
-        self.leased(asked, lease)
+        self.extend_lease(sent_at, lease)
 
-    def leased(self, asked: int, lease: int) -> None:
-        """The lease counts from before the question, whatever the answer took."""
-        until = asked + lease
+    def extend_lease(self, sent_at: int, lease: int) -> None:
+        """Count a lease of so many ticks from before the request, whatever the answer took."""
+        until = sent_at + lease
         self.lease_until = until if self.lease_until == NEVER else max(until, self.lease_until)
 
 
-def next_values(pending_requests: dict[int, PendingRequest]) -> list[PendingRequest]:
-    """The oldest question, if there is one."""
-    return [next(iter(pending_requests.values()))] if pending_requests else []
-
-
 @dataclass(eq=False, slots=True)
 class Shard:
     """A shard of which functions are used here."""
@@ -97,17 +96,16 @@
     functions: dict[str, CachedFunction] = field(default_factory=dict)
     dial_at: int = NEVER
     failures: int = 0  # in a row
-    moves: int = 0  # to another copy for the sake of freshness, in a row and in vain
+    freshness_moves: int = 0  # to another copy for the sake of freshness, in a row and in vain
     next_move_at: int = 0  # before then no further one
-    floor: Revision | None = None  # of the latest word taken; nothing older is
-    avoided: dict[Copy, int] = field(
-        default_factory=dict
-    )  # stale or unreachable ones, and when that was seen
+    floor: Revision | None = None  # of the latest message taken; nothing older is
+    avoided: dict[Copy, int] = field(default_factory=dict)  # stale or unreachable ones, since when
 
     @property
     def unreachable(self) -> bool:
         """Every copy was tried in vain, one after the other."""
         return self.failures >= len(self.copies)
 
-    def move_on(self) -> None:
+    def select_next_copy(self) -> None:
+        """Try the next copy, after the last one the first."""
         self.at = (self.at + 1) % len(self.copies)
--- /dev/null
+++ b/lapistrestle/directory/holder_messages.py
@@ -0,0 +1,267 @@
+"""What holders send to a watcher: which of it is believed, and what it changes.
+
+An older epoch is not taken, nor a snapshot older than what the shard's holders sent before. A batch is taken
+once and in sequence; a gap leads to fresh snapshots.
+"""
+
+from collections.abc import Callable
+
+from lapistrestle.directory.cached_instances import aged
+from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest, Shard
+from lapistrestle.directory.effects import MILLISECOND, SumsChanged, WatcherEffect, WatcherSettings
+from lapistrestle.directory.lookups import Lookups
+from lapistrestle.directory.prefix_cache import PrefixCache
+from lapistrestle.directory.prefixes import RevisionGapError, apply_change
+from lapistrestle.directory.shard_connections import ShardConnections
+from lapistrestle.directory.watch_requests import WatchRequests
+from lapistrestle.wire.directory import (
+    Busy,
+    InspectResponse,
+    PrefixChange,
+    RefusalReason,
+    Refused,
+    RegionSums,
+    Renewed,
+    Revision,
+    Snapshot,
+    Unchanged,
+    Update,
+)
+from lapistrestle.wire.messages import Entry
+
+MOST_OUTDATED_SNAPSHOTS = 3  # in a row, before another copy is tried
+OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a holder that is behind is asked again
+
+HolderMessage = Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse
+
+
+class HolderMessages:
+    """Applies what holders send to the cache, and leaves holders that can't be relied on."""
+
+    def __init__(
+        self,
+        settings: WatcherSettings,
+        epoch: int,
+        cache: PrefixCache,
+        connections: ShardConnections,
+        requests: WatchRequests,
+        lookups: Lookups,
+        emit: Callable[[WatcherEffect], None],
+        log: Callable[[str], None],
+    ) -> None:
+        """`epoch`: of the assignment."""
+        self.settings = settings
+        self.epoch_seen = epoch  # the latest one; snapshots of an older one are not taken
+        self.cache = cache
+        self.connections = connections
+        self.requests = requests
+        self.lookups = lookups
+        self.emit = emit
+        self.log = log
+        self.sums = RegionSums()
+
+    def receive(self, connection: HolderConnection, message: HolderMessage, now: int) -> None:
+        """Apply a message of a holder."""
+        match message:
+            case Snapshot() | Unchanged():
+                self.apply_snapshot(connection, message, now)
+            case Update():
+                self.apply_update(connection, message, now)
+            case Renewed():
+                self.apply_renewal(connection, message, now)
+            case Busy():
+                self.postpone(connection, message, now)
+            case Refused():
+                self.apply_refusal(connection, message, now)
+            case InspectResponse():
+                pass  # only operators ask for one
+
+    def record_epoch(self, epoch: int) -> None:
+        """An assignment of this epoch is known to exist."""
+        self.epoch_seen = max(self.epoch_seen, epoch)
+
+    # the sequence of batches
+
+    def in_sequence(self, connection: HolderConnection, sequence: int, now: int) -> bool:
+        """Whether a batch follows the last one. A gap has all functions asked for anew."""
+        if sequence == connection.sequence + 1:
+            connection.sequence = sequence
+            return True
+        if sequence > connection.sequence:
+            self.resync(connection, f"batch {sequence} after {connection.sequence}", now)
+            connection.sequence = sequence
+        return False
+
+    def resync(self, connection: HolderConnection, reason: str, now: int) -> None:
+        """Ask for fresh snapshots of all functions of a connection."""
+        self.log(f"shard {connection.shard} asks for all {len(connection.watches)} watches anew: {reason}")
+        connection.watches.clear()
+        connection.pending_requests.clear()
+        for function in self.shard_of(connection).functions.values():
+            function.watch = -1
+            self.requests.send(connection, function, now)
+
+    def record_source(self, connection: HolderConnection, revision: Revision, now: int) -> None:
+        """Note the roster's epoch that a holder speaks of; it never goes back to an earlier one."""
+        if connection.source is not None and connection.source != revision.source:
+            self.cache.revisions.record_superseded([connection.source], revision.source, now)
+        connection.source = revision.source
+
+    # snapshots
+
+    def apply_snapshot(self, connection: HolderConnection, snapshot: Snapshot | Unchanged, now: int) -> None:
+        """Take a complete prefix: sent now, or what was cached when the watch was sent."""
+        if not self.in_sequence(connection, snapshot.sequence, now):
+            return
+        pending = self.requests.answered(connection, snapshot.id)
+        if pending is None:
+            return
+        if snapshot.epoch < self.epoch_seen:
+            reason = f"epoch {snapshot.epoch}, not {self.epoch_seen}"
+            return self.connections.fail_over(self.shard_of(connection), reason, now)
+        self.record_source(connection, snapshot.revision, now)
+        self.cache.revisions.record_superseded(snapshot.superseded, snapshot.revision.source, now)
+        if self.is_outdated(self.shard_of(connection), snapshot.revision, snapshot.age, now):
+            return self.retry_outdated(connection, pending.function, snapshot.revision, now)
+        self.accept_snapshot(connection, pending, snapshot, now)
+        self.store_prefix(pending, snapshot, now)
+        self.cache.publish()
+        self.connections.leave_if_stale(connection, snapshot.age, now)
+
+    def is_outdated(self, shard: Shard, revision: Revision, age: int, now: int) -> bool:
+        """Whether a snapshot is older than what the shard's holders sent before."""
+        revisions = self.cache.revisions
+        if not revisions.is_acceptable(revision.source, age, now):
+            return True
+        floors = (shard.floor, self.cache.instances.floor)
+        return any(floor is not None and revisions.is_older(revision, floor) for floor in floors)
+
+    def retry_outdated(
+        self, connection: HolderConnection, function: CachedFunction, revision: Revision, now: int
+    ) -> None:
+        """Ask a holder that is behind another one again soon; leave it if it stays so."""
+        connection.outdated_snapshots += 1
+        most = MOST_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
+        if connection.outdated_snapshots >= most:
+            reason = f"its knowledge is older: {revision.source} {revision.number}"
+            return self.connections.fail_over(self.shard_of(connection), reason, now)
+        self.requests.schedule_retry(function, now + OUTDATED_RETRY_PAUSE)
+
+    def accept_snapshot(
+        self,
+        connection: HolderConnection,
+        pending: PendingRequest,
+        snapshot: Snapshot | Unchanged,
+        now: int,
+    ) -> None:
+        """Note that the holder can be relied on, and that its changes of this watch are taken from now on."""
+        function = pending.function
+        shard = self.shard_of(connection)
+        connection.outdated_snapshots = 0
+        self.cache.revisions.record_seen(snapshot.revision.source, now)
+        shard.floor = snapshot.revision
+        shard.failures = 0
+        connection.has_answered = True
+        connection.extend_lease(pending.sent_at, snapshot.lease)
+        connection.watches.pop(function.watch, None)
+        connection.watches[snapshot.id] = function
+        function.watch = snapshot.id
+
+    def store_prefix(self, pending: PendingRequest, snapshot: Snapshot | Unchanged, now: int) -> None:
+        """Put the instances and the prefix into the cache."""
+        if isinstance(snapshot, Snapshot):
+            entries: list[Entry] = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
+            complete = snapshot.complete
+        else:
+            entries = [aged(entry, now - pending.sent_at) for entry in pending.entries]
+            complete = pending.complete
+        for entry in entries:
+            self.cache.instances.apply_entry(entry, snapshot.revision, now)
+        pending.function.has_prefix = True
+        names = tuple(entry.name for entry in entries)
+        self.cache.replace_prefix(pending.function, names, complete, snapshot.revision, now)
+
+    # changes
+
+    def apply_update(self, connection: HolderConnection, update: Update, now: int) -> None:
+        """Take a batch of changes. After a gap instances are taken, but no changes of prefixes."""
+        is_new = update.sequence > connection.sequence
+        in_sequence = self.in_sequence(connection, update.sequence, now)
+        if not is_new or not connection.has_answered:
+            return
+        self.record_source(connection, update.revision, now)
+        self.cache.revisions.record_seen(update.revision.source, now)
+        for entry in update.entries:
+            self.cache.instances.apply_entry(entry, update.revision, now)
+        for name in update.gone:
+            self.cache.instances.mark_gone(name, update.revision)
+        if in_sequence:
+            self.shard_of(connection).floor = update.revision
+            for change in update.changes:
+                self.apply_prefix_change(connection, change, update.revision, now)
+        self.cache.instances.retire(entry.name for entry in update.entries)
+        self.cache.publish()
+
+    def apply_prefix_change(
+        self, connection: HolderConnection, change: PrefixChange, revision: Revision, now: int
+    ) -> None:
+        """Change one watch's prefix; one that the change does not fit is asked for anew."""
+        function = connection.watches.get(change.id)
+        if function is None:
+            return
+        try:
+            names = apply_change(function.names, change)
+        except RevisionGapError as error:
+            self.log(f"{function.name} is asked for anew: {error}")
+            del connection.watches[change.id]
+            function.watch = -1
+            current = self.connections.shards[function.shard].connection
+            return self.requests.send_if_connected(current, function, now)
+        self.cache.replace_prefix(function, names, change.complete, revision, now)
+
+    # other answers
+
+    def apply_renewal(self, connection: HolderConnection, renewed: Renewed, now: int) -> None:
+        """Take the answer to a renewal; a batch that was lost before it shows by its number."""
+        connection.renewed(renewed.sent_at, renewed.lease)
+        self.record_source(connection, renewed.revision, now)
+        if renewed.sequence != connection.sequence:
+            reason = f"batch {renewed.sequence} lost after {connection.sequence}"
+            self.resync(connection, reason, now)
+            connection.sequence = max(connection.sequence, renewed.sequence)
+        if renewed.sums is not None and renewed.sums != self.sums:
+            self.sums = renewed.sums
+            self.emit(SumsChanged(renewed.sums))
+        if connection.has_answered:
+            self.cache.revisions.record_seen(renewed.revision.source, now)
+        self.connections.leave_if_stale(connection, renewed.age, now)
+
+    def postpone(self, connection: HolderConnection, busy: Busy, now: int) -> None:
+        """Ask a holder again that has more to send than it may; calls that can't wait so long fail."""
+        pending = self.requests.answered(connection, busy.id)
+        if pending is None:
+            return
+        function = pending.function
+        self.requests.schedule_retry(function, now + busy.retry_after)
+        if function.name in self.lookups.pending and now + busy.retry_after >= function.deadline:
+            self.lookups.fail(function.name, busy.retry_after)
+
+    def apply_refusal(self, connection: HolderConnection, refused: Refused, now: int) -> None:
+        """Leave a holder that does not serve a watch, or ask again later if it has too many of them."""
+        pending = self.requests.answered(connection, refused.id)
+        if pending is None:
+            return
+        function = pending.function
+        if refused.reason == RefusalReason.TOO_MANY_WATCHES:
+            self.requests.schedule_retry(function, now + self.settings.longest_pause)
+            if function.name in self.lookups.pending:
+                self.lookups.fail(function.name, self.settings.longest_pause)
+            return
+        if refused.reason == RefusalReason.OLD_EPOCH:
+            self.record_epoch(refused.epoch)
+        reason = f"refused as {refused.reason.value}, epoch {refused.epoch}"
+        self.connections.fail_over(self.shard_of(connection), reason, now)
+
+    def shard_of(self, connection: HolderConnection) -> Shard:
+        """The shard that a connection is for."""
+        return self.connections.shards[connection.shard]
--- a/lapistrestle/directory/revisions.py
+++ b/lapistrestle/directory/revisions.py
@@ -21,9 +21,9 @@
 
     def __init__(self) -> None:
         self.order = list[str]()  # the last one is the present one
-        self.heard_at = dict[str, int]()  # when a holder last spoke of each
+        self.last_heard_at = dict[str, int]()  # when a holder last spoke of each
 
-    def older(self, one: Revision, other: Revision) -> bool:
+    def is_older(self, one: Revision, other: Revision) -> bool:
         """Whether `one` is older than `other`, which this watcher has seen."""
         if one.source == other.source:
             return one.number < other.number
@@ -31,38 +31,39 @@
 
     def rank(self, source: str) -> int:
         """The higher, the newer. What was never seen here is taken for new."""
-        return self.order.index(source) if source in self.heard_at else len(self.order)
+        return self.order.index(source) if source in self.last_heard_at else len(self.order)
 
-    def seen(self, source: str, now: int) -> None:
+    def record_seen(self, source: str, now: int) -> None:
         """Word of this source was taken."""
-        if source not in self.heard_at:
-            self.place(source, len(self.order), now)
-        self.heard_at[source] = max(now, self.heard_at[source])
+        if source not in self.last_heard_at:
+            self.insert(source, len(self.order), now)
+        self.last_heard_at[source] = max(now, self.last_heard_at[source])
 
-    def place(self, source: str, at: int, now: int) -> None:
+    def insert(self, source: str, at: int, now: int) -> None:
         self.order.insert(at, source)
-        self.heard_at[source] = now
+        self.last_heard_at[source] = now
         while len(self.order) > MOST_SOURCES:
-            del self.heard_at[self.order.pop(0)]
+            del self.last_heard_at[self.order.pop(0)]
 
-    def superseded(self, sources: Sequence[str], by: str, now: int) -> None:
+    def record_superseded(self, sources: Sequence[str], by: str, now: int) -> None:
         """A holder saw these end, one after the other, before the one that it speaks of now."""
         later = by
         for source in reversed(sources):
-            if source not in self.heard_at:
-                at = self.rank(later) if later in self.heard_at else self.after_known(sources, source)
-                self.place(source, at, now)
-            elif later in self.heard_at and self.rank(later) < self.rank(source):
+            if source not in self.last_heard_at:
+                at = self.rank(later) if later in self.last_heard_at else self.after_known(sources, source)
+                self.insert(source, at, now)
+            elif later in self.last_heard_at and self.rank(later) < self.rank(source):
                 self.order.remove(source)
                 self.order.insert(self.rank(later), source)
             later = source
 
     def after_known(self, sources: Sequence[str], source: str) -> int:
         """Behind the last of the sources ahead of this one that is known here; first, if none is."""
-        ahead = [self.rank(known) for known in sources[: sources.index(source)] if known in self.heard_at]
+        earlier = sources[: sources.index(source)]
+        ahead = [self.rank(known) for known in earlier if known in self.last_heard_at]
         return max(ahead, default=-1) + 1
 
-    def acceptable(self, source: str, age: int, now: int) -> bool:
+    def is_acceptable(self, source: str, age: int, now: int) -> bool:
         """Whether knowledge of this source may be taken from a holder that this watcher has just met.
 
         `age` is 0 where the holder hears its roster. Where it doesn't, a source not heard of here may well be
@@ -70,10 +71,10 @@
         """
         if not self.order or source == self.order[-1]:
             return True
-        if source not in self.heard_at:
-            return not age or now - self.heard_at[self.order[-1]] >= REVERSAL
+        if source not in self.last_heard_at:
+            return not age or now - self.last_heard_at[self.order[-1]] >= REVERSAL
         later = self.order[self.rank(source) + 1 :]
-        if age or any(now - self.heard_at[other] < REVERSAL for other in later):
+        if age or any(now - self.last_heard_at[other] < REVERSAL for other in later):
             return False
         self.order.remove(source)
         self.order.append(source)
--- /dev/null
+++ b/lapistrestle/directory/shard_connections.py
@@ -0,0 +1,226 @@
+"""Which copy of each shard a watcher is connected to: dialling, failover, fresher copies."""
+
+from collections.abc import Callable, Iterable
+
+from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.connection_state import NEVER, CachedFunction, HolderConnection, Shard
+from lapistrestle.directory.effects import (
+    MILLISECOND,
+    SECOND,
+    Dial,
+    HangUp,
+    WatcherEffect,
+    WatcherSettings,
+)
+from lapistrestle.directory.lookups import Lookups
+from lapistrestle.directory.rate_limits import Jitter
+
+AVOIDANCE_TIME = 10 * SECOND  # for which a copy found stale or unreachable is not changed over to
+MOST_DOUBLINGS = 2  # of the pause between two moves for freshness, where all copies are as stale
+MOST_DIAL_DOUBLINGS = 16  # of the pause before a dial; `longest_pause` bounds it long before
+
+
+class ShardConnections:
+    """The shards whose functions are used here, each with one connection at most.
+
+    Connections are numbered in `Dial`, never twice.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        assignment: Assignment,
+        settings: WatcherSettings,
+        jitter: Jitter,
+        lookups: Lookups,
+        emit: Callable[[WatcherEffect], None],
+        log: Callable[[str], None],
+    ) -> None:
+        """`name` and `zone` order the copies; `jitter` spreads pauses; `lookups` fail without a copy."""
+        self.name = name
+        self.zone = zone
+        self.assignment = assignment
+        self.settings = settings
+        self.jitter = jitter
+        self.lookups = lookups
+        self.emit = emit
+        self.log = log
+        self.shards = dict[int, Shard]()
+        self.connections = dict[int, HolderConnection]()
+        self.last_connection = 0
+
+    # the functions of shards
+
+    def add_function(self, function: CachedFunction) -> Shard:
+        """Enter a function in its shard, which is begun with its first function."""
+        shard = self.shards.get(function.shard)
+        if shard is None:
+            copies = self.assignment.copies_for(function.shard, self.name, self.zone)
+            shard = self.shards[function.shard] = Shard(function.shard, copies)
+        shard.functions[function.name] = function
+        return shard
+
+    def remove_function(self, function: CachedFunction) -> None:
+        """Take a function out of its shard; a shard without functions needs no connection."""
+        self.shards[function.shard].functions.pop(function.name, None)
+
+    def release_if_unused(self, shard: Shard) -> None:
+        """Close the connection of a shard without functions."""
+        if not shard.functions:
+            self.hang_up(shard)
+            shard.dial_at = NEVER
+
+    def replace_assignment(
+        self, assignment: Assignment, functions: Iterable[CachedFunction], now: int
+    ) -> None:
+        """Give up all connections, divide the functions over the new shards, and dial their copies."""
+        for shard in self.shards.values():
+            self.hang_up(shard)
+        self.assignment = assignment
+        self.shards = {}
+        for function in functions:
+            function.shard = assignment.shard_of(function.name)
+            if function.shard not in self.shards:
+                self.add_function(function).dial_at = now
+            else:
+                self.add_function(function)
+        for shard in self.shards.values():
+            self.dial_if_due(shard, now)
+
+    # dialling and hanging up
+
+    def dial_if_due(self, shard: Shard, now: int) -> None:
+        """Dial the copy whose turn it is, unless the shard has a connection, must wait or is not used."""
+        if shard.connection is not None or shard.dial_at > now or not shard.functions:
+            return
+        self.last_connection += 1
+        copy = shard.copies[shard.at]
+        connection = HolderConnection(self.last_connection, shard.number, copy, now)
+        shard.connection = connection
+        shard.dial_at = NEVER
+        self.connections[connection.number] = connection
+        self.emit(Dial(connection.number, shard.number, copy))
+
+    def hang_up(self, shard: Shard) -> None:
+        """Give up the shard's connection; what is cached stays."""
+        connection, shard.connection = shard.connection, None
+        if connection is not None and self.connections.pop(connection.number, None) is not None:
+            self.emit(HangUp(connection.number))
+        for function in shard.functions.values():
+            function.watch = -1
+            function.pending_watch = -1
+
+    def mark_ready(self, number: int, now: int) -> HolderConnection | None:
+        """A connection stands; `None` where it is not known or stood before.
+
+        With a copy that is not the first choice, a time is drawn at which the first one is tried again.
+        """
+        connection = self.connections.get(number)
+        if connection is None or connection.is_ready:
+            return None
+        connection.is_ready = True
+        connection.silence_counted_from = now
+        if self.shards[connection.shard].at:
+            rebalance = self.settings.rebalance
+            connection.rebalance_at = now + rebalance // 2 + self.jitter.below(rebalance)
+        return connection
+
+    def excuse_silence(self, now: int) -> None:
+        """Count no silence from before now, after a standstill of the dispatcher itself."""
+        for connection in self.connections.values():
+            connection.silence_counted_from = now
+            connection.dialled_at = now
+
+    # failover
+
+    def fail_connection(self, number: int, reason: str, now: int) -> None:
+        """A connection has ended by itself; one that is not known does no harm."""
+        connection = self.connections.pop(number, None)
+        if connection is not None:
+            self.fail_over(self.shards[connection.shard], reason, now)
+
+    def fail_over(self, shard: Shard, reason: str, now: int) -> None:
+        """Go on to the next copy after a failure; the pause before it grows with failures in a row."""
+        connection = shard.connection
+        self.hang_up(shard)
+        shard.failures += 1
+        doublings = min(MOST_DIAL_DOUBLINGS, shard.failures - 1)
+        pause = min(self.settings.longest_pause, self.settings.first_pause << doublings)
+        shard.dial_at = now + pause // 2 + self.jitter.below(pause // 2 + 1)
+        if connection is not None:
+            shard.avoided[connection.copy] = now
+            known = sum(function.has_prefix for function in shard.functions.values())
+            figures = f"{known} of {len(shard.functions)} functions known, {shard.failures} failures"
+            self.log(f"shard {shard.number} leaves {address_of(connection.copy)}: {reason}; {figures}")
+        shard.select_next_copy()
+        if shard.unreachable:
+            self.lookups.fail_pending(shard.functions, shard.dial_at - now)
+
+    def change_over(self, shard: Shard, to: int, reason: str, now: int) -> None:
+        """Go to the copy at place `to`, which may be better, though this one answers."""
+        self.log(f"shard {shard.number} changes over from copy {shard.at} to {to}: {reason}")
+        self.hang_up(shard)
+        shard.at = to
+        shard.dial_at = now
+        self.dial_if_due(shard, now)
+
+    def rebalance_if_due(self, shard: Shard, connection: HolderConnection, now: int) -> bool:
+        """Go back to the copy of the first choice when its time has come; whether that was done."""
+        if now < connection.rebalance_at:
+            return False
+        connection.rebalance_at = NEVER
+        if self.is_avoided(shard, shard.copies[0], now):
+            return False
+        self.change_over(shard, 0, "the first choice is tried again", now)
+        return True
+
+    # freshness
+
+    def leave_if_stale(self, connection: HolderConnection, age: int, now: int) -> None:
+        """Try another copy, if none was lately found no better, where the holder may not hear its roster.
+
+        `age`: ticks for which the holder has not been sure to hear it.
+        """
+        shard = self.shards[connection.shard]
+        if not age:
+            shard.freshness_moves = 0
+            shard.next_move_at = 0
+        if age < self.settings.stale:
+            return
+        shard.avoided[connection.copy] = now
+        if now < shard.next_move_at:
+            return
+        for step in range(1, len(shard.copies)):
+            at = (shard.at + step) % len(shard.copies)
+            if not self.is_avoided(shard, shard.copies[at], now):
+                self.limit_moves(shard, now)
+                return self.change_over(shard, at, f"knowledge {age / MILLISECOND:.0f} ms old", now)
+
+    def is_avoided(self, shard: Shard, copy: Copy, now: int) -> bool:
+        """Whether a copy was lately found stale or unreachable."""
+        return now - shard.avoided.get(copy, -NEVER) < AVOIDANCE_TIME
+
+    def limit_moves(self, shard: Shard, now: int) -> None:
+        """Count a move. After a round of all copies in vain each further one waits about twice as long."""
+        shard.freshness_moves += 1
+        rounds = shard.freshness_moves - len(shard.copies) + 1
+        if rounds < 0:
+            return
+        pause = AVOIDANCE_TIME << min(rounds, MOST_DOUBLINGS)
+        shard.next_move_at = now + pause + self.jitter.below(pause)
+        if not rounds:
+            text = f"the last of {len(shard.copies)} copies is tried for fresher knowledge, then no more for"
+            self.log(f"shard {shard.number}: {text} {(shard.next_move_at - now) / SECOND:.0f} s")
+
+    # for operators
+
+    def reachable_shards(self) -> int:
+        """Shards with a holder that answers."""
+        shards = self.shards.values()
+        return sum(shard.connection is not None and shard.connection.has_answered for shard in shards)
+
+
+def address_of(copy: Copy) -> str:
+    """Host and port of a copy, for the log."""
+    return f"{copy.host}:{copy.port}"
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -138,7 +138,7 @@
     """Once all faults are over a watcher knows what is true, of each function that it uses."""
     for name, function in watcher.functions.items():
         prefix = true_prefix(truth, name, function.count)
-        if not function.known or (function.names, function.complete) != (prefix.names, prefix.complete):
+        if not function.has_prefix or (function.names, function.complete) != (prefix.names, prefix.complete):
             text = f"{function.names} {function.complete}, not {prefix.names} {prefix.complete}"
             breaches.add(now, f"{watcher.name}: {name} ends as {text}")
             continue
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -372,7 +372,7 @@
         if known.lease_until != NEVER and known.lease_until > made.record.lapsed_at:
             self.world.breaches.add(now, f"{self.name} believes in a lease that lapsed at its holder")
             made.record.lapsed_at = NEVER
-        if known.proven and made.holder.settings.epoch < self.decisions.assignment.epoch:
+        if known.has_answered and made.holder.settings.epoch < self.decisions.assignment.epoch:
             self.world.breaches.add(now, f"{self.name} takes word of an older epoch")
 
     def carry_out(self, effect: directory.WatcherEffect) -> None:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -11,16 +11,18 @@
 from lapistrestle.directory.digests import digest_of, undated
 from lapistrestle.directory.effects import MILLISECOND, SECOND, HolderSettings, WatcherSettings
 from lapistrestle.directory.hash_ring import InstanceRing
+from lapistrestle.directory.holder_messages import HolderMessages
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.message_sizes import line_bytes
-from lapistrestle.directory.prefixes import RevisionGapError, apply_change
+from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change
 from lapistrestle.directory.rate_limits import Jitter, SnapshotRateLimit
 from lapistrestle.directory.revisions import REVERSAL, Revisions
 from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches
 from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.watch_requests import WatchRequests
 from lapistrestle.directory.watched_functions import WatchedFunctions
-from lapistrestle.directory.watcher import DirectoryWatcher, Prefix
+from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.standins.directory_checks import true_prefix
 from lapistrestle.standins.directory_world import CALM, WILD, Plan, World, play, random_day
 from lapistrestle.wire import directory as wire
@@ -665,8 +667,8 @@
     made = Dispatcher()
     other = moved(made, ready(made))
     known = made.watcher.instances
-    known.told(wire.compact(entry(1, "2")), wire.Revision("e1", 5), made.now)  # another shard's holder
-    known.told(wire.compact(entry(2, "2")), wire.Revision("e1", 3), made.now)
+    known.apply_entry(wire.compact(entry(1, "2")), wire.Revision("e1", 5), made.now)  # another shard's holder
+    known.apply_entry(wire.compact(entry(2, "2")), wire.Revision("e1", 3), made.now)
     unchanged(made, other, number=4)
     assert [known.known[f"w{n}"].entry.start for n in (1, 2, 3)] == ["2", "1", "1"]
     assert [known.known[f"w{n}"].revision.number for n in (1, 2, 3)] == [5, 4, 4]
@@ -725,7 +727,7 @@
     times = []
     for seed in range(2):
         made = Dispatcher()
-        made.watcher.jitter = Jitter(seed)
+        made.watcher.jitter.seed = seed
         made.wanted()
         for _ in range(12):
             made.watcher.connection_failed(made.of(directory.Dial)[-1].connection, made.now)
@@ -886,12 +888,12 @@
     assert made.of(directory.InstancesGone) == [directory.InstancesGone(("w2",))]
     assert made.wanted() == Prefix(("w1", "w3"), False)
     second = DirectoryWatcher("d", "", Assignment(EPOCH, (COPIES, COPIES)), WatcherSettings(), 1, 0)
-    second.instances.told(entry(2), wire.Revision("e1", 3), 0)
-    second.instances.used_by("f", (), ("w2",), wire.Revision("e1", 3), 0)
-    second.instances.told_gone("w2", wire.Revision("e1", 9))
-    second.instances.told(entry(2), wire.Revision("e1", 8), 0)
+    second.instances.apply_entry(entry(2), wire.Revision("e1", 3), 0)
+    second.instances.replace_prefix("f", (), ("w2",), wire.Revision("e1", 3), 0)
+    second.instances.mark_gone("w2", wire.Revision("e1", 9))
+    second.instances.apply_entry(entry(2), wire.Revision("e1", 8), 0)
     assert second.instances.usable(["w2"]) == ()
-    second.instances.told(entry(2, "2"), wire.Revision("e1", 10), 0)
+    second.instances.apply_entry(entry(2, "2"), wire.Revision("e1", 10), 0)
     assert second.instances.usable(["w2"]) == ("w2",)
 
 
@@ -947,7 +949,7 @@
     connection = ready(made)
     for i in range(10):
         made.wanted(f"g{i}")
-    assert len(made.watcher.functions) == 5 and len(made.watcher.pending) <= 2
+    assert len(made.watcher.functions) == 5 and len(made.watcher.lookups.pending) <= 2
     assert len(made.of(directory.LookupFailed)) == 8
     watch = made.sent(wire.Watch)[0].id
     for i in range(20):
@@ -1048,19 +1050,19 @@
 
 def test_sources_are_ordered_by_what_holders_saw():
     known = Revisions()
-    known.seen("e1", 0)
-    known.seen("e3", 0)
-    known.superseded(["e1", "e2"], "e3", 0)
+    known.record_seen("e1", 0)
+    known.record_seen("e3", 0)
+    known.record_superseded(["e1", "e2"], "e3", 0)
     assert known.order == ["e1", "e2", "e3"]
-    assert not known.acceptable("e2", 0, 100) and known.acceptable("e3", 900, 100)
-    assert known.acceptable("e4", 0, 100) and not known.acceptable("e4", 900, 100)
+    assert not known.is_acceptable("e2", 0, 100) and known.is_acceptable("e3", 900, 100)
+    assert known.is_acceptable("e4", 0, 100) and not known.is_acceptable("e4", 900, 100)
     late = Revisions()  # met the new source first
-    late.seen("e2", 0)
-    late.seen("e1", 0)
-    assert late.older(wire.Revision("e2", 9), wire.Revision("e1", 1))
-    late.superseded(["e1"], "e2", 0)
-    assert late.older(wire.Revision("e1", 1), wire.Revision("e2", 9))
-    assert not late.acceptable("e1", 0, REVERSAL - 1) and late.acceptable("e1", 0, REVERSAL)
+    late.record_seen("e2", 0)
+    late.record_seen("e1", 0)
+    assert late.is_older(wire.Revision("e2", 9), wire.Revision("e1", 1))
+    late.record_superseded(["e1"], "e2", 0)
+    assert late.is_older(wire.Revision("e1", 1), wire.Revision("e2", 9))
+    assert not late.is_acceptable("e1", 0, REVERSAL - 1) and late.is_acceptable("e1", 0, REVERSAL)
 
 
 # whole regions in virtual time
@@ -1114,7 +1116,7 @@
         for function in world.used[watcher.name]:
             world.time.at(when, lambda w=watcher, f=function: (w.call(f"f{f}"), w.after_event()))
     world.day(4)
-    assert all(f.known for w in world.watchers for f in w.decisions.functions.values())
+    assert all(f.has_prefix for w in world.watchers for f in w.decisions.functions.values())
     assert all(len(w.decisions.functions) == 6 for w in world.watchers)
     connected = [len(h.decisions.sessions.all) for h in world.holders.values()]
     assert min(connected) > 100 and sum(connected) == 325
@@ -1193,32 +1195,32 @@
 
 
 def test_a_lease_that_counts_from_the_answer_is_caught(monkeypatch):
-    made = DirectoryWatcher.renewed
+    made = HolderMessages.apply_renewal
 
     def renewed(self, connection, message, now):
         made(self, connection, message, now)
         connection.lease_until = now + message.lease
 
-    monkeypatch.setattr(DirectoryWatcher, "renewed", renewed)
+    monkeypatch.setattr(HolderMessages, "apply_renewal", renewed)
     assert any("lease that lapsed" in breach for breach in held_answers().breaches.found)
 
 
 def test_an_older_epoch_that_is_taken_is_caught(monkeypatch):
-    made = DirectoryWatcher.snapshot
-    ask = DirectoryWatcher.ask
+    made = HolderMessages.apply_snapshot
+    ask = WatchRequests.send
 
     def snapshot(self, connection, message, now):
         self.epoch_seen = 0
         made(self, connection, message, now)
 
     def asked(self, connection, function, now):
-        epoch = 1 if connection.copy.port == 6_999 else self.assignment.epoch
-        kept, self.assignment = self.assignment, replace(self.assignment, epoch=epoch)
+        kept = self.epoch
+        self.epoch = 1 if connection.copy.port == 6_999 else kept
         ask(self, connection, function, now)
-        self.assignment = kept
+        self.epoch = kept
 
-    monkeypatch.setattr(DirectoryWatcher, "snapshot", snapshot)
-    monkeypatch.setattr(DirectoryWatcher, "ask", asked)
+    monkeypatch.setattr(HolderMessages, "apply_snapshot", snapshot)
+    monkeypatch.setattr(WatchRequests, "send", asked)
     assert any("older epoch" in breach for breach in breaches_of(range(0, 9, 3)))
 
 
@@ -1233,8 +1235,8 @@
             kept.insert(placed.position, placed.name)
         return tuple(dict.fromkeys(kept))
 
-    monkeypatch.setattr(DirectoryWatcher, "in_turn", in_turn)
-    monkeypatch.setattr("lapistrestle.directory.watcher.apply_change", careless)
+    monkeypatch.setattr(HolderMessages, "in_sequence", in_turn)
+    monkeypatch.setattr("lapistrestle.directory.holder_messages.apply_change", careless)
     found = []
     for seed in range(3):
         world = random_day(seed)
@@ -1253,13 +1255,13 @@
 
 
 def test_word_of_an_older_revision_that_is_taken_is_caught(monkeypatch):
-    monkeypatch.setattr(Revisions, "older", lambda self, one, other: False)
-    monkeypatch.setattr(Revisions, "acceptable", lambda self, source, age, now: True)
+    monkeypatch.setattr(Revisions, "is_older", lambda self, one, other: False)
+    monkeypatch.setattr(Revisions, "is_acceptable", lambda self, source, age, now: True)
     assert any(" goes back " in breach for breach in breaches_of(range(6)))
 
 
 def test_that_nothing_has_changed_said_of_what_has_changed_is_caught(monkeypatch):
-    for module in ("watched_functions", "watcher"):
+    for module in ("watched_functions", "watch_requests"):
         monkeypatch.setattr(f"lapistrestle.directory.{module}.digest_of", lambda entries, complete: "same")
     assert any(" after batch " in breach for breach in breaches_of(range(6)))
 
