--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -14,8 +14,9 @@
 from benchmarks.scale.roles.control_hollow import SECOND, Traffic
 from benchmarks.scale.roles.control_rollout import CountingTransport
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.edge.following import Do, Following
-from lapistrestle.edge.rosters import RosterSpeaker as EdgeSpeaker
+from lapistrestle.edge.following import Following
+from lapistrestle.sources.numbered_list import Do
+from lapistrestle.sources.roster import RosterSpeaker as EdgeSpeaker
 from lapistrestle.standins.roster import RosterFactory, RosterStandIn
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import LineBounds, union
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -20,8 +20,8 @@
     SendTo,
 )
 from lapistrestle.directory.shard_holder import ShardHolder
-from lapistrestle.edge.following import Do, News, NumberedList
-from lapistrestle.edge.rosters import RosterSource, RosterSpeaker
+from lapistrestle.sources.numbered_list import Do, News, NumberedList
+from lapistrestle.sources.roster import RosterSource, RosterSpeaker
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.lines import LineBounds, Speaker, union
 from lapistrestle.wire.messages import VERSION, Change, Entry, Hello, Message, Whole, encode
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -76,7 +76,7 @@
     def instances_changed(self, entries: Iterable[Entry], whole: bool, revision: Revision, now: int) -> None:
         """A list (`whole`: one not named is gone) or a change was taken from the roster.
 
-        Called for what `edge/following.py` says to take only, so in order and without gaps.
+        Called for what `sources/numbered_list.py` says to take only, so in order and without gaps.
         """
         told = list(entries)
         self.freshness.called(now, len(told))
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -3,10 +3,10 @@
 from pathlib import Path
 from typing import Any
 
-from lapistrestle.edge.sources import Source
 from lapistrestle.rollout import stock
 from lapistrestle.rollout.routing import Routing, named
 from lapistrestle.rollout.versions import Split
+from lapistrestle.sources.reconnecting import Source
 from lapistrestle.state import Fn, Srv
 from lapistrestle.store.plans import Kept, PlanFile
 from lapistrestle.wire import messages as wire
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -8,16 +8,17 @@
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
 from lapistrestle.edge.core import Core, Log
-from lapistrestle.edge.following import Address, Do, Following, News
+from lapistrestle.edge.following import Address, Following
 from lapistrestle.edge.keeping import Keeping
 from lapistrestle.edge.peers import Peers
 from lapistrestle.edge.planning import PlannerSource
-from lapistrestle.edge.rosters import RosterSource
 from lapistrestle.edge.runners import Runner, bounds_of
 from lapistrestle.hosting.requests import ABORTED, DENIED, Attempt, PendingRequest, WorkerTask
 from lapistrestle.interface import FnFacts, Outcome, SrvFacts
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.versions import Course, after_denial, key_of
+from lapistrestle.sources.numbered_list import Do, News
+from lapistrestle.sources.roster import RosterSource
 from lapistrestle.wire import messages as wire
 
 
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from lapistrestle.edge.clients import ClientSpeaker
-from lapistrestle.edge.following import Do
 from lapistrestle.edge.linking import Input
 from lapistrestle.edge.runners import hold_of, run_of, tell
 from lapistrestle.hosting.requests import Attempt, WorkerTask
 from lapistrestle.interface import Outcome
+from lapistrestle.sources.numbered_list import Do
 from lapistrestle.standins.client import Crowd, Line, Wish
 from lapistrestle.standins.runner import RunnerStandIn
 from lapistrestle.standins.tape import Tape
--- a/lapistrestle/edge/rosters.py
+++ b/lapistrestle/sources/roster.py
@@ -2,8 +2,8 @@
 
 from typing import Any, Protocol
 
-from lapistrestle.edge.following import Do, News
-from lapistrestle.edge.sources import Source
+from lapistrestle.sources.numbered_list import Do, News
+from lapistrestle.sources.reconnecting import Source
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import LineBounds, Speaker, union
 
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -13,7 +13,8 @@
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watcher import DirectoryWatcher
-from lapistrestle.edge.following import Do, Following
+from lapistrestle.edge.following import Following
+from lapistrestle.sources.numbered_list import Do
 from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
 from lapistrestle.standins.directory_network import Channel, Program
 from lapistrestle.wire import messages as wire
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -2,8 +2,9 @@
 
 import pytest
 
-from lapistrestle.edge.following import FOLLOWING, Do, Following, Mode, News
+from lapistrestle.edge.following import Following
 from lapistrestle.interface import Listing
+from lapistrestle.sources.numbered_list import FOLLOWING, Do, Mode, News
 from lapistrestle.wire.messages import Change, Entry, Whole
 
 A = Entry("a", 1000, "north", start="a#0", up_for=60_000.0)
