--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -1,126 +1,56 @@
-"""A holder of the directory as a program: its connections to watchers and to the roster. Decides nothing.
+"""A holder of the directory as a program: it carries out what `ShardHolder` decides. Decides nothing itself.
 
-Times are tenths of a millisecond on the reactor's clock, which must be monotonic, unless stated otherwise.
+Times are ticks of a tenth of a millisecond on the reactor's clock, which must be monotonic, unless stated
+otherwise.
 """
 
-from collections import deque
 from collections.abc import Callable
 from typing import Any
 
 import msgspec
-from twisted.internet.protocol import ServerFactory
 
 from lapistrestle.deployment.shape import HolderDeployment
 from lapistrestle.directory.effects import (
     MILLISECOND,
+    SECOND,
     AskRoster,
     CloseSession,
     HolderEffect,
-    HolderSettings,
     SendTo,
 )
+from lapistrestle.directory.holder_counts import HolderCounts
+from lapistrestle.directory.holder_settings import holder_settings
+from lapistrestle.directory.roster_subscription import RosterSubscription
 from lapistrestle.directory.shard_holder import ShardHolder
-from lapistrestle.sources.numbered_list import Do, News, NumberedList
-from lapistrestle.sources.roster import RosterSource, RosterSpeaker
-from lapistrestle.wire import directory as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
-from lapistrestle.wire.messages import VERSION, Change, Entry, Hello, Message, Whole, encode
+from lapistrestle.directory.watcher_sessions import Log, WatcherFactory, WatcherSessions
+from lapistrestle.wire.directory import InspectResponse
 
-Log = Callable[..., None]
-TENTHS = 10_000  # tenths of a millisecond in a second
-ROSTER_DIAL = 2_500  # for the connection to the roster and its greeting
-ROSTER_LINE = 134_217_728  # bytes: a whole list of 380,000 instances is 50 MB
-PATIENCE = 1.0  # seconds at the end for what was written to leave
-RATE_SECONDS = 10  # over which bytes a second are measured
-MOST_TOLD = 100  # lines passed over that are logged one by one
-
-
-def holder_settings(made: HolderDeployment) -> HolderSettings:
-    """What the decisions keep to."""
-    directory, serve, workers = made.directory, made.serve, made.workers
-    return HolderSettings(
-        shards=frozenset(serve.shards or range(len(directory.shards))),
-        shard_count=len(directory.shards),
-        epoch=directory.epoch,
-        oldest_epoch=serve.oldest_epoch or directory.epoch,
-        lease=int(directory.lease),
-        session_bytes=directory.bytes_per_second,
-        total_bytes=serve.bytes_per_second,
-        snapshot_rate=max(1, round(serve.snapshots_per_second)),
-        snapshot_burst=max(1, round(serve.snapshots_per_second / 4)),
-        most_sessions=serve.connections,
-        ramp_time=int(workers.ramp),
-        cold_share=workers.cold_share,
-    )
-
-
-class RosterInstances(NumberedList):
-    """The roster's list by its numbers; the entries themselves are kept by the decisions."""
-
-    def __init__(self, log: Callable[[str], None]) -> None:
-        super().__init__(log)
-        self.names: set[str] = set()
-
-    def size(self) -> int:
-        return len(self.names)
-
-    def take(self, entries: list[Entry], whole: bool) -> None:
-        """Note who is there, after a list or change was accepted."""
-        if whole:
-            if not entries and self.names:
-                self.log(f"list empty at {self.number}: all {len(self.names)} count as gone")
-            self.names.clear()
-        for entry in entries:
-            if entry.listing == "gone":
-                self.names.discard(entry.name)
-            else:
-                self.names.add(entry.name)
-
-
-class Meter:
-    """Bytes a second, over the last whole seconds."""
-
-    def __init__(self, now: int) -> None:
-        self.began = now // TENTHS
-        self.seconds: deque[tuple[int, int]] = deque()  # second, bytes
-        self.total = 0
-
-    def add(self, size: int, now: int) -> None:
-        second = now // TENTHS
-        self.total += size
-        if self.seconds and self.seconds[-1][0] == second:
-            size += self.seconds.pop()[1]
-        self.seconds.append((second, size))
-        while self.seconds[0][0] < second - RATE_SECONDS:
-            self.seconds.popleft()
-
-    def rates(self, now: int) -> tuple[float, int]:
-        """The mean over the last whole seconds, and the most in one of them."""
-        second = now // TENTHS
-        whole = [size for at, size in self.seconds if second - RATE_SECONDS <= at < second]
-        span = max(1, min(RATE_SECONDS, second - self.began))
-        return sum(whole) / span, max(whole, default=0)
+CLOSING_TIME = 1.0  # seconds at the end for what was written to leave
+MOST_LOGGED = 100  # unreadable lines that are logged one by one
+LONGEST_LOGGED = 200  # characters of the reason
+CLOCK_ROUNDING = 0.001  # ticks: a time that floating point keeps just under a tick counts as that tick
 
 
 class HolderProgram:
-    """One holder on one reactor. Also what a `RosterSource` follows the roster for."""
+    """One holder on one reactor."""
 
     def __init__(self, reactor: Any, settings: HolderDeployment, log: Log, seed: int = 0) -> None:
+        """`seed` spreads the times at which busy watchers are asked to come back."""
         serve = settings.serve
-        self.reactor, self.settings, self.name, self.log = reactor, settings, serve.name, log
+        self.reactor = reactor
+        self.settings = settings
+        self.name = serve.name
+        self.log = log
         self.decided = holder_settings(settings)
         self.holder = ShardHolder(
             self.decided, seed, self.clock(), lambda text: log("directory", figures=text)
         )
-        self.list = RosterInstances(lambda text: log("roster", figures=text))
-        self.bounds = LineBounds(line=ROSTER_LINE)  # of the connection to the roster
-        self.facts = {"dial_time_out": ROSTER_DIAL, "list_asked": False}
-        self.source = HolderRosterSource(self, settings.roster.port)
-        self.sessions: dict[int, WatcherSpeaker] = {}
-        self.count = 0  # of sessions so far: no number is used twice
-        self.counts = dict.fromkeys(("turned away", "cut as slow", "passed over"), 0)
-        self.meter = Meter(self.clock())
-        self.slow: set[int] = set()  # sessions that read more slowly than is written
+        self.counts = HolderCounts()
+        self.roster = RosterSubscription(
+            reactor, serve.name, settings.roster.port, self.holder, self.clock, self.act, self.passed_over,
+            lambda text: log("roster", figures=text),
+        )  # fmt: skip
+        self.sessions = WatcherSessions(self, serve.name, serve.unsent, self.counts, log)
         self.next_turn: Any = None
         self.turn_at = 0
         self.listening: Any = None
@@ -128,131 +58,94 @@
         self.stopping = False
 
     def clock(self) -> int:
-        return int(self.reactor.seconds() * TENTHS + 0.001)
+        """Now, in ticks."""
+        return int(self.reactor.seconds() * SECOND + CLOCK_ROUNDING)
 
     def start(self) -> int:
         """Listen, and follow the roster. Returns the port."""
-        factory, port = Watchers(self), self.settings.serve.port
+        factory, port = WatcherFactory(self.sessions), self.settings.serve.port
         self.listening = self.reactor.listenTCP(port, factory, backlog=1024, interface="127.0.0.1")
         made: int = self.listening.getHost().port
         shards = sorted(self.decided.shards)
         self.log("listening", port=made, holder=self.name, epoch=self.decided.epoch, shards=shards)
-        self.source.start()
-        self.wake()
+        self.roster.start()
+        self.schedule_turn()
         return made
 
-    # what a `RosterSource` asks of whoever follows the roster
-
-    def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Any:
-        return self.reactor.callLater(delay / TENTHS, call, arg)
-
-    def input(self) -> None: ...
+    def passed_over(self, name: str, why: str) -> None:
+        """A line of this peer could not be read."""
+        self.counts.unreadable_lines += 1
+        if self.counts.unreadable_lines <= MOST_LOGGED:
+            self.log("passed over", peer=name, why=why[:LONGEST_LOGGED])
 
-    def list_told(self, message: Whole | Change) -> Do:
-        do, whole = self.list.accept(message), isinstance(message, Whole)
-        if do is Do.TAKE:
-            self.list.take(message.workers, whole)
-            revision = wire.Revision(message.epoch, message.number)
-            self.holder.instances_changed(message.workers, whole, revision, self.clock())
-        elif do is Do.ASK and not whole:  # a whole list has answered a question: as many are open as before
-            self.holder.snapshot_requested(self.clock())
-        elif do is Do.PASS and whole:
-            self.holder.snapshot_discarded(self.clock())
-        self.act()
-        return do
+    # what the sessions report
 
-    def list_followed(self) -> None:
-        """The connection to the roster stands, and the whole list was asked for."""
-        self.holder.snapshot_requested(self.clock())
+    def session_opened(self, session: int) -> None:
+        """A watcher has connected and greeted."""
+        self.holder.session_opened(session, self.clock())
         self.act()
 
-    def list_news(self, news: News) -> None:
-        if self.stopping:
-            return
-        if self.list.step(news) is Do.TELL_FAILED:
-            self.holder.roster_lost(self.clock())
-            self.act()
-
-    def passed_over(self, name: str, why: str) -> None:
-        self.counts["passed over"] += 1
-        if self.counts["passed over"] <= MOST_TOLD:
-            self.log("passed over", peer=name, why=why[:200])
-
-    # what a `WatcherSpeaker` tells
-
-    def met(self, speaker: "WatcherSpeaker") -> None:
-        if self.stopping:
-            return speaker.cut("the holder stops")
-        self.count += 1
-        speaker.session = self.count
-        self.sessions[speaker.session] = speaker
-        self.holder.session_opened(speaker.session, self.clock())
+    def session_message(self, session: int, message: Any) -> None:
+        """A watcher has sent a message."""
+        self.holder.message_received(session, message, self.clock())
         self.act()
 
-    def heard(self, speaker: "WatcherSpeaker", message: Any) -> None:
-        if isinstance(message, wire.InspectRequest):
-            return speaker.say(
-                wire.InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
-            )
-        self.holder.message_received(speaker.session, message, self.clock())
+    def session_closed(self, session: int) -> None:
+        """A watcher's connection is over."""
+        self.holder.session_closed(session, self.clock())
         self.act()
 
-    def lost(self, speaker: "WatcherSpeaker") -> None:
-        self.slow.discard(speaker.session)
-        if self.sessions.pop(speaker.session, None) is not None:
-            self.holder.session_closed(speaker.session, self.clock())
-            self.act()
+    def connection_ended(self) -> None:
+        """A connection is over; the last one may be what the end waits for."""
         if self.stopping:
-            self.look()
-
-    def slowed(self, speaker: "WatcherSpeaker", slow: bool) -> None:
-        """A watcher has begun, or ceased, to read more slowly than it is written to."""
-        self.slow.discard(speaker.session)
-        if slow:
-            self.slow.add(speaker.session)
-        figures = {"slow": len(self.slow), "sessions": len(self.sessions)}
-        self.log("watcher slow" if slow else "watcher reads", watcher=speaker.name, **figures)
+            self.finish_if_idle()
 
     # turns
 
     def act(self) -> None:
-        """Carry out what was decided, and be woken when more is due."""
+        """Carry out what was decided, and be called when more is due."""
         for effect in self.holder.take_effects():
             self.carry_out(effect)
-        self.wake()
+        self.schedule_turn()
 
     def carry_out(self, effect: HolderEffect) -> None:
+        """Do what one effect says."""
         match effect:
             case SendTo():
-                if (speaker := self.sessions.get(effect.session)) is not None:
-                    speaker.say(effect.message)
+                self.sessions.send(effect.session, effect.message)
             case CloseSession():
-                if (speaker := self.sessions.pop(effect.session, None)) is not None:
-                    self.counts["turned away"] += 1
-                    speaker.cut(effect.reason)
+                self.sessions.close(effect.session, effect.reason)
             case AskRoster():
-                self.source.ask()
+                self.roster.request_snapshot()
 
-    def wake(self) -> None:
+    def schedule_turn(self) -> None:
+        """Be called when the holder's next work is due."""
         due = self.holder.next_due()
         if self.stopping or (self.next_turn is not None and self.turn_at <= due):
             return
         if self.next_turn is not None:
             self.next_turn.cancel()
         self.turn_at = due
-        self.next_turn = self.reactor.callLater(max(0.0, due / TENTHS - self.reactor.seconds()), self.turn)
+        delay = max(0.0, due / SECOND - self.reactor.seconds())
+        self.next_turn = self.reactor.callLater(delay, self.turn)
 
     def turn(self) -> None:
+        """Let the holder do what is due."""
         self.next_turn = None
         self.holder.tick(self.clock())
         self.act()
 
     # operators
 
-    def inspect(self, function: str) -> dict[str, Any]:
-        """What the decisions know, and what only the connections show."""
-        now, freshness = self.clock(), self.holder.freshness
-        mean, most = self.meter.rates(now)
+    def inspect(self, function: str) -> InspectResponse:
+        """The answer to an operator."""
+        return InspectResponse(msgspec.Raw(msgspec.json.encode(self.report(function))))
+
+    def report(self, function: str) -> dict[str, Any]:
+        """What the decisions know, and what only the connections show, as plain values."""
+        now = self.clock()
+        freshness = self.holder.freshness
+        mean, most = self.sessions.meter.rates(now)
         copies = [
             [{"host": copy.host, "port": copy.port, "zone": copy.zone} for copy in shard]
             for shard in self.settings.directory.shards
@@ -265,14 +158,14 @@
             "zone": self.settings.serve.zone,
             "copies": copies,
             "sessions": len(self.sessions),
-            "slow": len(self.slow),
+            "slow": len(self.sessions.slow),
             "bytes a second": round(mean, 1),
             "most bytes in a second": most,
-            "bytes": self.meter.total,
-            "list": self.list.mode.name.lower(),
+            "bytes": self.sessions.meter.total,
+            "list": self.roster.list.mode.name.lower(),
             "age ms": freshness.age(now) / MILLISECOND,
             "roster heard ms ago": (now - freshness.last_heard_at) / MILLISECOND,
-            **self.counts,
+            **self.counts.as_report(),
             **self.holder.inspect(function),
         }
 
@@ -282,105 +175,24 @@
         """Tell every watcher, which goes to the next copy at once, and end. A second call doesn't wait."""
         if self.stopping:
             return self.finish()
-        self.stopping, self.stopped = True, stopped
+        self.stopping = True
+        self.stopped = stopped
         self.log("stopping", sessions=len(self.sessions))
         self.listening.stopListening()
-        self.source.stop()
-        for speaker in list(self.sessions.values()):
-            speaker.cut("the holder stops")
-        self.reactor.callLater(PATIENCE, self.finish)
-        self.look()
-
-    def look(self) -> None:
-        if not self.sessions:
+        self.roster.stop()
+        self.sessions.close_all("the holder stops")
+        self.reactor.callLater(CLOSING_TIME, self.finish)
+        self.finish_if_idle()
+
+    def finish_if_idle(self) -> None:
+        """End now if no session is open."""
+        if not len(self.sessions):
             self.finish()
 
     def finish(self) -> None:
+        """End; a further call does nothing."""
         stopped, self.stopped = self.stopped, None
         if stopped is not None:
-            self.log("stopped", sessions=self.count, bytes=self.meter.total, **self.counts)
+            counts = self.counts.as_report()
+            self.log("stopped", sessions=self.sessions.opened, bytes=self.sessions.meter.total, **counts)
             stopped()
-
-
-class HolderRosterSpeaker(RosterSpeaker):
-    """The holder's end of the connection to the roster."""
-
-    source: "HolderRosterSource"
-
-    def met(self, hello: Hello) -> None:
-        super().met(hello)
-        self.source.edge.list_followed()
-
-    def unreadable(self, line: bytes, why: str) -> None:
-        """What can't be read may have answered a question: only a new connection has none open."""
-        self.source.edge.passed_over("roster", why)
-        self.cut(f"unreadable line: {why}")
-
-
-class HolderRosterSource(RosterSource):
-    """Follows the roster, and has the decisions told whenever a whole list is asked for."""
-
-    edge: HolderProgram
-
-    def speak(self) -> HolderRosterSpeaker:
-        return HolderRosterSpeaker(self)
-
-
-class WatcherSpeaker(Speaker):
-    """The holder's end of a connection, of a dispatcher or an operator."""
-
-    protocol = wire.DIRECTORY
-    decoder = union(wire.FromWatcher)
-    speaks_first = False
-
-    def __init__(self, program: HolderProgram) -> None:
-        super().__init__(LineBounds(waiting=program.settings.serve.unsent))
-        self.program = program
-        self.session, self.name = 0, ""
-
-    def greeting(self) -> Hello:
-        return Hello(self.protocol, VERSION, self.program.name)
-
-    def met(self, hello: Hello) -> None:
-        self.name = hello.name
-        self.program.met(self)
-
-    def heard(self, message: Any) -> None:
-        self.program.heard(self, message)
-
-    def say(self, message: Message) -> None:
-        if self.closed:
-            return
-        line = encode(message) + b"\n"
-        self.program.meter.add(len(line), self.program.clock())
-        self.say_line(line)
-
-    def cut(self, why: str) -> None:
-        if not self.closed and self.waiting > self.bounds.waiting:
-            self.program.counts["cut as slow"] += 1
-            self.program.log("watcher cut", watcher=self.name, why=why, waiting=self.waiting)
-        super().cut(why)
-
-    def unreadable(self, line: bytes, why: str) -> None:
-        """What can't be read may have been a watch: the watcher begins anew."""
-        self.program.passed_over(self.name, why)
-        super().unreadable(line, why)
-
-    def slowed(self, slow: bool) -> None:
-        if self.session:
-            self.program.slowed(self, slow)
-
-    def lost(self) -> None:
-        self.program.lost(self)
-
-
-class Watchers(ServerFactory):
-    """Connections of watchers."""
-
-    noisy = False
-
-    def __init__(self, program: HolderProgram) -> None:
-        self.program = program
-
-    def buildProtocol(self, addr: Any) -> WatcherSpeaker:
-        return WatcherSpeaker(self.program)
--- /dev/null
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -0,0 +1,189 @@
+"""A holder's connections to watchers and operators: lines in and out, and the session of each.
+
+Times are ticks of a tenth of a millisecond on the program's clock.
+"""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from twisted.internet.protocol import ServerFactory
+
+from lapistrestle.directory.byte_rate import ByteRateMeter
+from lapistrestle.directory.holder_counts import HolderCounts
+from lapistrestle.wire import directory as wire
+from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.messages import VERSION, Hello, Message, encode
+
+Log = Callable[..., None]
+
+
+class SessionListener(Protocol):
+    """Whom the sessions are for: the program around the holder's decisions."""
+
+    stopping: bool
+
+    def clock(self) -> int:
+        """Now, in ticks."""
+
+    def session_opened(self, session: int) -> None:
+        """A watcher has connected and greeted."""
+
+    def session_message(self, session: int, message: Any) -> None:
+        """A watcher has sent a message."""
+
+    def session_closed(self, session: int) -> None:
+        """A watcher's connection is over, which the program has not closed itself."""
+
+    def connection_ended(self) -> None:
+        """A connection is over, whoever closed it."""
+
+    def inspect(self, function: str) -> wire.InspectResponse:
+        """The answer to an operator."""
+
+    def passed_over(self, name: str, why: str) -> None:
+        """A line of a peer could not be read."""
+
+
+class WatcherSessions:
+    """The sessions of watchers by number; no number is used twice."""
+
+    def __init__(
+        self, listener: SessionListener, holder: str, unsent_bytes: int, counts: HolderCounts, log: Log
+    ) -> None:
+        """`holder`: its name in greetings. `unsent_bytes`: beyond so many a slow connection is cut."""
+        self.listener = listener
+        self.holder = holder
+        self.unsent_bytes = unsent_bytes
+        self.counts = counts
+        self.log = log
+        self.speakers = dict[int, WatcherSpeaker]()
+        self.opened = 0  # so far
+        self.slow = set[int]()  # sessions that read more slowly than is written
+        self.meter = ByteRateMeter(listener.clock())
+
+    def __len__(self) -> int:
+        """Sessions that are open."""
+        return len(self.speakers)
+
+    def send(self, session: int, message: Message) -> None:
+        """Send a message, where the session is still open."""
+        speaker = self.speakers.get(session)
+        if speaker is not None:
+            speaker.say(message)
+
+    def close(self, session: int, reason: str) -> None:
+        """Close a session by the holder's decision; nothing more is said of it."""
+        speaker = self.speakers.pop(session, None)
+        if speaker is not None:
+            self.counts.closed_sessions += 1
+            speaker.cut(reason)
+
+    def close_all(self, reason: str) -> None:
+        """Tell all watchers that the holder leaves, and close their connections."""
+        for speaker in list(self.speakers.values()):
+            speaker.cut(reason)
+
+    # what the connections report
+
+    def greeted(self, speaker: "WatcherSpeaker") -> None:
+        """Both ends of a connection have greeted: a session begins, unless the holder stops."""
+        if self.listener.stopping:
+            return speaker.cut("the holder stops")
+        self.opened += 1
+        speaker.session = self.opened
+        self.speakers[speaker.session] = speaker
+        self.listener.session_opened(speaker.session)
+
+    def received(self, speaker: "WatcherSpeaker", message: Any) -> None:
+        """A message has come. Operators are answered here, in the program's own words."""
+        if isinstance(message, wire.InspectRequest):
+            return speaker.say(self.listener.inspect(message.function))
+        self.listener.session_message(speaker.session, message)
+
+    def ended(self, speaker: "WatcherSpeaker") -> None:
+        """A connection is over."""
+        self.slow.discard(speaker.session)
+        if self.speakers.pop(speaker.session, None) is not None:
+            self.listener.session_closed(speaker.session)
+        self.listener.connection_ended()
+
+    def slowed(self, speaker: "WatcherSpeaker", slow: bool) -> None:
+        """A watcher has begun, or ceased, to read more slowly than it is written to."""
+        self.slow.discard(speaker.session)
+        if slow:
+            self.slow.add(speaker.session)
+        figures = {"slow": len(self.slow), "sessions": len(self.speakers)}
+        self.log("watcher slow" if slow else "watcher reads", watcher=speaker.name, **figures)
+
+    def cut_as_slow(self, speaker: "WatcherSpeaker", reason: str) -> None:
+        """A connection is cut while too much waits to be read."""
+        self.counts.slow_connections_cut += 1
+        self.log("watcher cut", watcher=speaker.name, why=reason, waiting=speaker.waiting)
+
+
+class WatcherSpeaker(Speaker):
+    """The holder's end of a connection, of a dispatcher or an operator."""
+
+    protocol = wire.DIRECTORY
+    decoder = union(wire.FromWatcher)
+    speaks_first = False
+
+    def __init__(self, sessions: WatcherSessions) -> None:
+        super().__init__(LineBounds(waiting=sessions.unsent_bytes))
+        self.sessions = sessions
+        self.session = 0  # before the greeting
+        self.name = ""
+
+    def greeting(self) -> Hello:
+        """The holder's greeting."""
+        return Hello(self.protocol, VERSION, self.sessions.holder)
+
+    def met(self, hello: Hello) -> None:
+        """The peer has greeted."""
+        self.name = hello.name
+        self.sessions.greeted(self)
+
+    def heard(self, message: Any) -> None:
+        """The peer has sent a message."""
+        self.sessions.received(self, message)
+
+    def say(self, message: Message) -> None:
+        """Send a message, and count its bytes."""
+        if self.closed:
+            return
+        line = encode(message) + b"\n"
+        self.sessions.meter.add(len(line), self.sessions.listener.clock())
+        self.say_line(line)
+
+    def cut(self, why: str) -> None:
+        """Close the connection with a reason."""
+        if not self.closed and self.waiting > self.bounds.waiting:
+            self.sessions.cut_as_slow(self, why)
+        super().cut(why)
+
+    def unreadable(self, line: bytes, why: str) -> None:
+        """What can't be read may have been a watch: the watcher begins anew."""
+        self.sessions.listener.passed_over(self.name, why)
+        super().unreadable(line, why)
+
+    def slowed(self, slow: bool) -> None:
+        """The peer has begun, or ceased, to read too slowly."""
+        if self.session:
+            self.sessions.slowed(self, slow)
+
+    def lost(self) -> None:
+        """The connection is over."""
+        self.sessions.ended(self)
+
+
+class WatcherFactory(ServerFactory):
+    """Makes the holder's ends of connections."""
+
+    noisy = False
+
+    def __init__(self, sessions: WatcherSessions) -> None:
+        self.sessions = sessions
+
+    def buildProtocol(self, addr: Any) -> WatcherSpeaker:
+        """A protocol for a connection that was accepted."""
+        return WatcherSpeaker(self.sessions)
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -12,7 +12,8 @@
     Roster,
     Span,
 )
-from lapistrestle.directory.server import HolderProgram, Meter
+from lapistrestle.directory.byte_rate import ByteRateMeter
+from lapistrestle.directory.server import HolderProgram
 from lapistrestle.standins.roster import RosterStandIn
 from lapistrestle.standins.virtual import Process, VirtualReactor
 from lapistrestle.wire import directory as wire
@@ -155,7 +156,7 @@
         names = [n for n in names if n not in change.removed]
         for placed in change.inserted:
             names.insert(placed.position, placed.name)
-    shown = rig.program.inspect("f")
+    shown = rig.program.report("f")
     assert names == [e["name"] for e in shown["order"]][: len(names)] and shown["longest prefix"] == len(
         names
     )
@@ -167,7 +168,7 @@
         other.note(entry(f"w{number}"))
     other.run(0.1)
     for function in ("f", "g", "h"):
-        orders = [[e["name"] for e in rig.program.inspect(function)["order"]] for rig in (one, other)]
+        orders = [[e["name"] for e in rig.program.report(function)["order"]] for rig in (one, other)]
         assert orders[0] == orders[1] and len(orders[0]) == 12
 
 
@@ -260,8 +261,8 @@
     (cut,) = rig.logged("watcher cut")
     assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over it
     assert rig.logged("watcher slow") == [{"watcher": "slow", "slow": 1, "sessions": 2}]
-    assert rig.program.counts["cut as slow"] == 1 and rig.program.slow == set()
-    assert not edge.over and rig.program.inspect("")["sessions"] == 1
+    assert rig.program.counts.slow_connections_cut == 1 and rig.program.sessions.slow == set()
+    assert not edge.over and rig.program.report("")["sessions"] == 1
     assert {e.start for e in edge.of(wire.Update)[-1].entries} == {f"w{n}#{turns}" for n in range(count)}
 
 
@@ -272,7 +273,7 @@
     assert [e.over for e in edges] == [False, False, True] and "2 watchers" in edges[2].bye
     edges[0].speaker.transport.write(b'{"is": "watch"}\n')
     rig.run(0.1)
-    assert edges[0].over and "unreadable" in edges[0].bye and rig.program.counts["passed over"] == 1
+    assert edges[0].over and "unreadable" in edges[0].bye and rig.program.counts.unreadable_lines == 1
     edges[1].watch()
     rig.run(0.1)
     assert edges[1].of(wire.Snapshot)
@@ -284,7 +285,7 @@
     rig.reactor.run(rig.reactor.seconds() + 0.0004)
     edge.speaker.transport.write(encode(Hello("lapistrestle.roster", 1)) + b"\n")
     rig.run(0.1)
-    assert edge.over and rig.program.inspect("")["sessions"] == 0
+    assert edge.over and rig.program.report("")["sessions"] == 0
 
 
 def test_a_watch_that_is_not_renewed_lapses():
@@ -321,7 +322,7 @@
     assert not asked and len(answered) == 1_000
     in_second = [sum(second <= at < second + 1 for at in answered) for second in range(10)]
     assert max(in_second) <= 200 + 50 and answered[-1] < 2 * 1_000 / 200
-    assert rig.program.inspect("")["snapshots refused as busy"] > 0
+    assert rig.program.report("")["snapshots refused as busy"] > 0
 
 
 def test_one_that_stops_says_so_to_all_and_ends():
@@ -351,14 +352,15 @@
 
 @pytest.mark.parametrize("span", [1, 5, 10])
 def test_the_meter_counts_whole_seconds(span):
-    meter = Meter(0)
+    meter = ByteRateMeter(0)
     for at in range(0, span * 10_000, 1_000):
         meter.add(100, at)
     assert meter.rates(span * 10_000) == (1_000.0, 1_000) and meter.total == span * 1_000
 
 
 def whole_of(program):
-    return Whole(program.list.number, [entry(f"w{number}") for number in range(12)], program.list.epoch)
+    listed = program.roster.list
+    return Whole(listed.number, [entry(f"w{number}") for number in range(12)], listed.epoch)
 
 
 def standstill(program):
@@ -369,41 +371,44 @@
 
 def test_a_list_that_the_program_asked_for_before_a_standstill_does_not_end_it():
     program = Rig().program
-    program.source.heard(Change(program.list.number + 2, [], program.list.epoch))  # a gap: it is asked for
+    listed = program.roster.list
+    program.roster.source.heard(Change(listed.number + 2, [], listed.epoch))  # a gap: it is asked for
     standstill(program)  # the holder asks on its own
-    program.source.heard(whole_of(program))  # the answer to the first question
+    program.roster.source.heard(whole_of(program))  # the answer to the first question
     assert not program.holder.freshness.may_answer
-    program.source.heard(whole_of(program))
+    program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
 
 
 def test_a_list_asked_for_on_connecting_does_not_end_a_standstill_after_it():
     program = Rig().program
     program.holder.roster_lost(program.clock())
-    program.source.speaker.met(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
+    speaker = program.roster.source.speaker
+    speaker.met(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
     standstill(program)
-    program.source.heard(whole_of(program))
+    program.roster.source.heard(whole_of(program))
     assert not program.holder.freshness.may_answer
-    program.source.heard(whole_of(program))
+    program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
 
 
 def test_a_list_that_is_passed_over_has_another_one_asked_for():
     program = Rig().program
     standstill(program)
-    before = program.list.number
-    program.source.heard(Whole(before - 1, [], program.list.epoch))  # goes back: the same must be said twice
-    program.source.heard(Whole(before - 2, [], program.list.epoch))  # passed over
+    listed, source = program.roster.list, program.roster.source
+    before = listed.number
+    source.heard(Whole(before - 1, [], listed.epoch))  # goes back: the same must be said twice
+    source.heard(Whole(before - 2, [], listed.epoch))  # passed over
     assert program.holder.freshness.open_requests == 1
-    program.source.heard(whole_of(program))
+    program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
 
 
 def test_an_unreadable_line_of_the_roster_has_the_connection_begin_anew():
     rig = Rig()
-    first = rig.program.source.speaker
+    first = rig.program.roster.source.speaker
     first.unreadable(b"{", "cut off")
     rig.run(2.0)
-    assert rig.program.source.speaker is not first
-    assert rig.program.counts["passed over"] == 1
+    assert rig.program.roster.source.speaker is not first
+    assert rig.program.counts.unreadable_lines == 1
     assert rig.program.holder.freshness.age(rig.program.clock()) == 0
