--- a/benchmarks/scale/roles/dispatcher_directory.py
+++ b/benchmarks/scale/roles/dispatcher_directory.py
@@ -16,7 +16,8 @@
 from benchmarks.scale.directory_fleet import MILLION, HolderNode, Region, WatcherNode
 from benchmarks.scale.roles import register
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
-from lapistrestle.directory.effects import SECOND, WatcherSettings
+from lapistrestle.directory.effects import WatcherSettings
+from lapistrestle.directory.ticks import SECOND
 from lapistrestle.standins.virtual import VirtualReactor
 from lapistrestle.wire.messages import Entry
 
--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -1,9 +1,9 @@
 """The instances that a watcher knows: those of its prefixes, and a bounded memory of those it knew before.
 
-Holders of different shards may be at different revisions, and each instance may be told by several of them.
-The word of the newest revision holds for each. What is remembered of an instance that left all prefixes keeps
-a holder that is behind from bringing back an older incarnation; where that memory is full, its oldest item
-goes, and nothing older than that item's revision is taken from any holder from then on.
+Holders of different shards may be at different revisions, and each instance may be sent by several of them.
+The entry of the newest revision holds for each. What is remembered of an instance that left all prefixes
+keeps a holder that is behind from bringing back an older incarnation; where that memory is full, its oldest
+item goes, and nothing older than that item's revision is taken from any holder from then on.
 """
 
 from collections.abc import Iterable
@@ -13,12 +13,10 @@
 
 from lapistrestle.directory.digests import undated
 from lapistrestle.directory.revisions import Revisions
-from lapistrestle.wire.directory import Revision
+from lapistrestle.directory.ticks import MILLISECOND
+from lapistrestle.wire.directory import LONGEST_UP_FOR, Revision
 from lapistrestle.wire.messages import Entry
 
-LONGEST_UP_FOR = 86_400_000.0  # milliseconds, as bounded on the wire
-PER_MILLISECOND = 10
-
 
 @dataclass(eq=False, slots=True)
 class CachedInstance:
@@ -31,6 +29,7 @@
 
     @property
     def gone(self) -> bool:
+        """Whether a holder has said that it is gone."""
         return self.entry.listing == "gone"
 
 
@@ -48,7 +47,8 @@
     """All instances that a watcher knows."""
 
     def __init__(self, revisions: Revisions, most_retired: int) -> None:
-        self.revisions, self.most_retired = revisions, most_retired
+        self.revisions = revisions
+        self.most_retired = most_retired
         self.known = dict[str, CachedInstance]()
         self.retired = dict[str, CachedInstance]()  # in no prefix any more, the oldest first
         self.floor: Revision | None = None  # nothing older is taken
@@ -56,11 +56,12 @@
 
     def take_event(self) -> WatchEvent:
         """What has changed since the last call."""
-        event, self.event = self.event, WatchEvent()
+        event = self.event
+        self.event = WatchEvent()
         return event
 
     def apply_entry(self, entry: Entry, revision: Revision, now: int) -> None:
-        """A holder told an instance."""
+        """Take an entry that a holder has sent; one of an older revision is passed over."""
         known = self.known.get(entry.name) or self.restore(entry.name, now)
         if known is None:
             self.known[entry.name] = CachedInstance(entry, revision, now)
@@ -68,7 +69,10 @@
             return
         if self.revisions.is_older(revision, known.revision):
             return
-        before, known.entry, known.revision, known.dated_at = known.entry, entry, revision, now
+        before = known.entry
+        known.entry = entry
+        known.revision = revision
+        known.dated_at = now
         if undated(before) == undated(entry):
             return
         self.event.changed[entry.name] = entry
@@ -83,7 +87,8 @@
             return None
         self.known[name] = known
         self.event.forgotten.pop(name, None)
-        known.entry, known.dated_at = aged(known.entry, now - known.dated_at), now
+        known.entry = aged(known.entry, now - known.dated_at)
+        known.dated_at = now
         if not known.gone:
             self.event.changed[name] = known.entry
         return known
@@ -99,11 +104,12 @@
         return tuple(entries)
 
     def mark_gone(self, name: str, revision: Revision) -> None:
-        """A holder said that an instance is gone."""
+        """Take from a holder that an instance is gone, unless something newer is known."""
         known = self.known.get(name) or self.retired.get(name)
         if known is None or known.gone or self.revisions.is_older(revision, known.revision):
             return
-        known.entry, known.revision = msgspec.structs.replace(known.entry, listing="gone"), revision
+        known.entry = msgspec.structs.replace(known.entry, listing="gone")
+        known.revision = revision
         self.event.gone[name] = None
         self.event.changed.pop(name, None)
         self.event.functions.update(dict.fromkeys(known.functions))
@@ -111,7 +117,7 @@
     def replace_prefix(
         self, function: str, before: Iterable[str], after: Iterable[str], revision: Revision, now: int
     ) -> None:
-        """A function's prefix has become another one, by word of this revision."""
+        """A function's prefix has become another one, at this revision."""
         old, new = set(before), set(after)
         for name in new - old:
             known = self.known.get(name) or self.restore(name, now)
@@ -147,4 +153,4 @@
     """An entry whose `up_for` was true so long ago, with that of now."""
     if entry.up_for is None or age <= 0:
         return entry
-    return msgspec.structs.replace(entry, up_for=min(LONGEST_UP_FOR, entry.up_for + age / PER_MILLISECOND))
+    return msgspec.structs.replace(entry, up_for=min(LONGEST_UP_FOR, entry.up_for + age / MILLISECOND))
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -7,11 +7,10 @@
 from dataclasses import dataclass, field
 
 from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.ticks import NEVER
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import Entry
 
-NEVER = 2**62  # a time that does not come
-
 
 @dataclass(eq=False, slots=True)
 class CachedFunction:
--- a/lapistrestle/directory/digests.py
+++ b/lapistrestle/directory/digests.py
@@ -10,16 +10,16 @@
 
 
 def undated(entry: Entry) -> Instance:
-    """As it crosses the wire, without the time since its start, which differs each time it is told."""
+    """As it crosses the wire, without the time since its start, which differs each time it is sent."""
     return Instance(
         entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing, entry.start
     )
 
 
 def digest_of(entries: Iterable[Entry], complete: bool) -> str:
-    """Covers the order, every field of each entry but `up_for`, and whether the prefix is the whole order.
+    """Covers the order, every field of each entry but `up_for`, and whether the prefix is the complete order.
 
     8 bytes of BLAKE2b as hexadecimal digits: two prefixes of one function share it by chance once in 2^64.
     """
-    told = msgspec.json.encode(([undated(entry) for entry in entries], complete))
-    return blake2b(told, digest_size=DIGEST_BYTES).hexdigest()
+    encoded = msgspec.json.encode(([undated(entry) for entry in entries], complete))
+    return blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -6,13 +6,10 @@
 from dataclasses import dataclass
 
 from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import RegionSums
 from lapistrestle.wire.messages import Entry, Message
 
-MILLISECOND = 10
-SECOND = 10_000
-
-
 # effects of a holder; a session is one connection of a watcher, numbered by the program
 
 
@@ -34,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskRoster:
-    """Ask the roster for the whole list: the holder stood still and can't tell how old its knowledge is."""
+    """Ask the roster for the complete list: the holder can't tell how old its knowledge is."""
 
 
 HolderEffect = SendTo | CloseSession | AskRoster
@@ -54,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HangUp:
-    """Close a connection; it is forgotten already, and nothing need be told of it any more."""
+    """Close a connection; it is forgotten already, and no event of it need be reported any more."""
 
     connection: int
 
@@ -78,7 +75,7 @@
 class PrefixReady:
     """A function's prefix is known, or has changed: names of its instances in order.
 
-    All of them were told by `InstancesChanged`, some may drain. `complete`: there are no further ones.
+    All of them came with `InstancesChanged`, some may drain. `complete`: there are no further ones.
     """
 
     function: str
@@ -146,9 +143,9 @@
     total_bytes: int = 8_000_000  # a second, the same over all sessions
     snapshot_rate: int = 10_000  # snapshots a second: 20 us of decisions each, a fifth of a core
     snapshot_burst: int = 2_500
-    longest_retry: int = 2 * SECOND  # that a watcher is told to wait for a snapshot
+    longest_retry: int = 2 * SECOND  # that a watcher is asked to wait for a snapshot
     standstill: int = 300 * MILLISECOND  # without a call: the holder itself stood still
-    roster_silence: int = 5 * SECOND  # of the roster: it is asked for the whole list
+    roster_silence: int = 5 * SECOND  # of the roster: it is asked for the complete list
     roster_patience: int = 2 * SECOND  # for that list; then the roster counts as lost
     most_sessions: int = 8_192
     most_watches: int = 8_192  # of one session
@@ -163,7 +160,7 @@
     first_count: int = 8  # instances that a first look-up asks for
     lookup_time_out: int = 250 * MILLISECOND
     heartbeat: int = 200 * MILLISECOND  # between two renewals
-    silence: int = 600 * MILLISECOND  # without a word: the next copy is tried
+    silence: int = 600 * MILLISECOND  # without a message: the next copy is tried
     stale: int = 1 * SECOND  # age of a holder's knowledge at which another copy is looked for
     dial_time_out: int = 300 * MILLISECOND
     idle: int = 120 * SECOND  # a function unused for so long is watched no more
@@ -173,4 +170,4 @@
     longest_pause: int = 2 * SECOND
     most_functions: int = 16_384  # watched at once; a look-up of a further one fails
     most_pending: int = 4_096  # look-ups without answer
-    most_retired: int = 4_096  # instances remembered so that older word of them is not believed
+    most_retired: int = 4_096  # instances remembered so that older entries of them are not believed
--- a/lapistrestle/directory/hash_ring.py
+++ b/lapistrestle/directory/hash_ring.py
@@ -62,13 +62,13 @@
 
     def __init__(self) -> None:
         self.points = RingPositions()
-        self.held = dict[str, int]()  # how many points each instance has
+        self.point_counts = dict[str, int]()  # how many points each instance has
 
     def __len__(self) -> int:
-        return len(self.held)
+        return len(self.point_counts)
 
     def __contains__(self, name: str) -> bool:
-        return name in self.held
+        return name in self.point_counts
 
     @property
     def steps(self) -> int:
@@ -77,8 +77,8 @@
 
     def insert(self, name: str, size: float) -> None:
         """Add an instance, or give one another size: points are added or taken, none of the others moves."""
-        before, after = self.held.get(name, 0), points_for(size)
-        self.held[name] = after
+        before, after = self.point_counts.get(name, 0), points_for(size)
+        self.point_counts[name] = after
         for position in islice(draws(name, INSTANCE), before, after):
             self.points.add(position, name)
         for position in islice(draws(name, INSTANCE), after, before):
@@ -86,19 +86,19 @@
 
     def remove(self, name: str) -> None:
         """Take an instance out; one that is not there does no harm."""
-        for position in islice(draws(name, INSTANCE), self.held.pop(name, 0)):
+        for position in islice(draws(name, INSTANCE), self.point_counts.pop(name, 0)):
             self.points.discard(position, name)
 
     def arcs(self, name: str) -> Iterator[Arc]:
         """The stretches of the ring that an instance has taken from those behind its points."""
-        for position in islice(draws(name, INSTANCE), self.held.get(name, 0)):
+        for position in islice(draws(name, INSTANCE), self.point_counts.get(name, 0)):
             yield Arc(self.points.before(position, name), position)
 
     def places(self, function: str) -> Iterator[Place]:
         """A function's order, from the first place on, as far as it is asked for."""
         seen = set[str]()
         probes = draws(function, FUNCTION)
-        while len(seen) < len(self.held):
+        while len(seen) < len(self.point_counts):
             place = self.next_place(probes, seen)
             seen.add(place.name)
             yield place
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -8,14 +8,16 @@
 
 from lapistrestle.directory.cached_instances import aged
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest, Shard
-from lapistrestle.directory.effects import MILLISECOND, SumsChanged, WatcherEffect, WatcherSettings
+from lapistrestle.directory.effects import SumsChanged, WatcherEffect, WatcherSettings
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.directory.prefix_cache import PrefixCache
 from lapistrestle.directory.prefixes import RevisionGapError, apply_change
 from lapistrestle.directory.shard_connections import ShardConnections
+from lapistrestle.directory.ticks import MILLISECOND
 from lapistrestle.directory.watch_requests import WatchRequests
 from lapistrestle.wire.directory import (
     Busy,
+    HolderMessage,
     InspectResponse,
     PrefixChange,
     RefusalReason,
@@ -32,8 +34,6 @@
 MOST_OUTDATED_SNAPSHOTS = 3  # in a row, before another copy is tried
 OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a holder that is behind is asked again
 
-HolderMessage = Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse
-
 
 class HolderMessages:
     """Applies what holders send to the cache, and leaves holders that can't be relied on."""
@@ -118,11 +118,13 @@
             return
         if snapshot.epoch < self.epoch_seen:
             reason = f"epoch {snapshot.epoch}, not {self.epoch_seen}"
-            return self.connections.fail_over(self.shard_of(connection), reason, now)
+            self.connections.fail_over(self.shard_of(connection), reason, now)
+            return
         self.record_source(connection, snapshot.revision, now)
         self.cache.revisions.record_superseded(snapshot.superseded, snapshot.revision.source, now)
         if self.is_outdated(self.shard_of(connection), snapshot.revision, snapshot.age, now):
-            return self.retry_outdated(connection, pending.function, snapshot.revision, now)
+            self.retry_outdated(connection, pending.function, snapshot.revision, now)
+            return
         self.accept_snapshot(connection, pending, snapshot, now)
         self.store_prefix(pending, snapshot, now)
         self.cache.publish()
@@ -144,7 +146,8 @@
         most = MOST_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
         if connection.outdated_snapshots >= most:
             reason = f"its knowledge is older: {revision.source} {revision.number}"
-            return self.connections.fail_over(self.shard_of(connection), reason, now)
+            self.connections.fail_over(self.shard_of(connection), reason, now)
+            return
         self.requests.schedule_retry(function, now + OUTDATED_RETRY_PAUSE)
 
     def accept_snapshot(
@@ -216,7 +219,8 @@
             del connection.watches[change.id]
             function.watch = -1
             current = self.connections.shards[function.shard].connection
-            return self.requests.send_if_connected(current, function, now)
+            self.requests.send_if_connected(current, function, now)
+            return
         self.cache.replace_prefix(function, names, change.complete, revision, now)
 
     # other answers
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -2,19 +2,23 @@
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, auto
 
 from lapistrestle.directory.digests import undated
 from lapistrestle.directory.hash_ring import InstanceRing
+from lapistrestle.directory.ticks import MILLISECOND, SECOND
+from lapistrestle.wire.directory import LONGEST_UP_FOR, RegionSums
 from lapistrestle.wire.directory import Instance as WireInstance
-from lapistrestle.wire.directory import RegionSums
 from lapistrestle.wire.messages import Entry
 
-SECOND = 10_000  # in tenths of a millisecond
-PER_MILLISECOND = 10
-LONGEST_UP_FOR = 86_400_000.0  # milliseconds, as bounded on the wire
 
-ChangeKind = Enum("ChangeKind", "NEW GONE URGENT CHANGED SAME")  # what a list says of an instance
+class ChangeKind(Enum):
+    """What an entry of a list says of an instance."""
+
+    NEW = auto()
+    URGENT = auto()  # it drains, was restarted or has another address
+    CHANGED = auto()
+    SAME = auto()
 
 
 @dataclass(eq=False, slots=True)
@@ -23,7 +27,7 @@
 
     entry: WireInstance
     booted: int | None
-    urgent_at: int = -(10**15)  # when word of it was urgent last
+    urgent_at: int = -(10**15)  # when a change of it was urgent last
     dated_at: int = -1
     dated: WireInstance | None = None
 
@@ -33,7 +37,7 @@
             return self.entry
         if self.dated is None or self.dated_at != now:
             e = self.entry
-            up_for = min(LONGEST_UP_FOR, max(0, now - self.booted) / PER_MILLISECOND)
+            up_for = min(LONGEST_UP_FOR, max(0, now - self.booted) / MILLISECOND)
             self.dated = WireInstance(
                 e.name, e.port, e.zone, e.cell, e.kind, e.size, e.listing, e.start, up_for
             )  # fmt: skip
@@ -52,12 +56,17 @@
 
 
 class RegionCapacity:
-    """Sums of size and warmth, kept up with each change. Young instances are kept by the second of their
-    start, so that their warmth costs as many steps as the ramp has seconds."""
+    """Sums of size and warmth, kept up with each change.
+
+    Young instances are kept by the second of their start, so that their warmth costs as many steps as the
+    ramp has seconds.
+    """
 
     def __init__(self, ramp_time: int, cold_share: float) -> None:
-        self.ramp_time, self.cold_share = ramp_time, cold_share
-        self.serving, self.size = 0, 0.0
+        self.ramp_time = ramp_time
+        self.cold_share = cold_share
+        self.serving = 0
+        self.size = 0.0
         self.by_second = dict[int, float]()  # sizes by second of start, as far back as the ramp reaches
 
     def count(self, instance: RegionInstance, sign: int) -> None:
@@ -71,6 +80,7 @@
             self.by_second[second] = self.by_second.get(second, 0.0) + sign * instance.entry.size
 
     def warm(self, now: int) -> float:
+        """The size of instances that serve, each times its warmth by now."""
         missing = 0.0
         for second in [s for s in self.by_second if now - s * SECOND >= self.ramp_time + SECOND]:
             del self.by_second[second]
@@ -89,26 +99,29 @@
         self.capacity = RegionCapacity(ramp_time, cold_share)
 
     def serves(self, name: str) -> bool:
+        """Whether an instance that is known serves, and does not drain."""
         return self.known[name].entry.listing == "serving"
 
     def sums(self, now: int) -> RegionSums:
+        """Sums over all instances, as they are sent to watchers."""
         capacity = self.capacity
         size, warm = round(capacity.size, 3), round(capacity.warm(now), 3)
         return RegionSums(size, warm, capacity.serving, len(self.known))
 
-    def apply(self, entries: Iterable[Entry], whole: bool, now: int) -> Changes:
+    def apply(self, entries: Iterable[Entry], complete: bool, now: int) -> Changes:
         """Take a list, or a change of some."""
         changes = Changes()
         named = set[str]()
         for entry in entries:
             named.add(entry.name)
             self.take(entry, now, changes)
-        if whole:
+        if complete:
             for name in [name for name in self.known if name not in named]:
                 self.drop(name, changes)
         return changes
 
     def take(self, entry: Entry, now: int, changes: Changes) -> None:
+        """Take one entry of a list, and note in `changes` what it came to."""
         known = self.known.get(entry.name)
         if entry.listing == "gone":
             if known is not None:
@@ -124,7 +137,8 @@
             self.capacity.count(known, -1)
             if entry.start != known.entry.start or known.booted is None:
                 known.booted = booted_at(entry, now)
-            known.entry, known.dated = undated(entry), None
+            known.entry = undated(entry)
+            known.dated = None
         self.capacity.count(known, +1)
         if sized:
             self.ring.insert(entry.name, entry.size)
@@ -133,6 +147,7 @@
             (changes.urgent if change_kind is ChangeKind.URGENT else changes.other).append(entry.name)
 
     def change_kind(self, known: RegionInstance | None, entry: Entry) -> ChangeKind:
+        """What an entry says of an instance that is (not) known so far."""
         if known is None:
             return ChangeKind.NEW
         old = known.entry
@@ -144,11 +159,12 @@
         return ChangeKind.SAME if same else ChangeKind.CHANGED
 
     def drop(self, name: str, changes: Changes) -> None:
+        """Remove an instance that is gone."""
         self.capacity.count(self.known.pop(name), -1)
         self.ring.remove(name)
         changes.left.append(name)
 
 
 def booted_at(entry: Entry, now: int) -> int | None:
-    """When it started, on the clock of `now`; `None`: not told."""
-    return None if entry.up_for is None else now - int(entry.up_for * PER_MILLISECOND)
+    """When it started, on the clock of `now`; `None`: not known."""
+    return None if entry.up_for is None else now - int(entry.up_for * MILLISECOND)
--- a/lapistrestle/directory/leases.py
+++ b/lapistrestle/directory/leases.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from lapistrestle.directory.connection_state import HolderConnection
-from lapistrestle.directory.effects import MILLISECOND, Send, WatcherEffect, WatcherSettings
+from lapistrestle.directory.effects import Send, WatcherEffect, WatcherSettings
+from lapistrestle.directory.ticks import MILLISECOND
 from lapistrestle.wire.directory import Renew
 
 
--- a/lapistrestle/directory/lookups.py
+++ b/lapistrestle/directory/lookups.py
@@ -2,9 +2,10 @@
 
 from collections.abc import Callable, Container
 
-from lapistrestle.directory.connection_state import NEVER, CachedFunction
+from lapistrestle.directory.connection_state import CachedFunction
 from lapistrestle.directory.effects import LookupFailed, WatcherEffect, WatcherSettings
-from lapistrestle.directory.rate_limits import Jitter
+from lapistrestle.directory.jitter import Jitter
+from lapistrestle.directory.ticks import NEVER
 
 
 class Lookups:
@@ -22,7 +23,8 @@
     def begin(self, function: CachedFunction, now: int) -> None:
         """Let a call wait for this function's prefix; fails at once where too many wait already."""
         if len(self.pending) >= self.settings.most_pending:
-            return self.fail(function.name, self.settings.lookup_time_out)
+            self.fail(function.name, self.settings.lookup_time_out)
+            return
         function.deadline = now + self.settings.lookup_time_out
         self.pending[function.name] = function
 
--- a/lapistrestle/directory/message_sizes.py
+++ b/lapistrestle/directory/message_sizes.py
@@ -4,11 +4,16 @@
 
 from lapistrestle.wire.directory import Instance, Snapshot, Update
 
-LINE_BYTES, ENTRY_BYTES, CHANGE_BYTES, NAME_BYTES = 110, 40, 45, 28  # of JSON around the names themselves
+# bytes of JSON around the names themselves
+LINE_BYTES = 110
+ENTRY_BYTES = 40
+CHANGE_BYTES = 45
+NAME_BYTES = 28
+QUOTES_BYTES = 3  # two quotes and a comma
 
 
 def entries_bytes(entries: Iterable[Instance]) -> int:
-    """Of a list of instances."""
+    """Bytes of a list of instances on the wire, estimated."""
     size = 0
     for entry in entries:
         size += ENTRY_BYTES + len(entry.name) + len(entry.zone) + len(entry.kind) + len(entry.start)
@@ -16,11 +21,11 @@
 
 
 def line_bytes(message: Snapshot | Update) -> int:
-    """Of a whole line."""
+    """Bytes of a line on the wire, estimated."""
     size = LINE_BYTES + entries_bytes(message.entries)
     if isinstance(message, Update):
-        size += sum(len(name) + 3 for name in message.gone)
+        size += sum(len(name) + QUOTES_BYTES for name in message.gone)
         for change in message.changes:
-            size += CHANGE_BYTES + sum(len(name) + 3 for name in change.removed)
+            size += CHANGE_BYTES + sum(len(name) + QUOTES_BYTES for name in change.removed)
             size += sum(len(placed.name) + NAME_BYTES for placed in change.inserted)
     return size
--- a/lapistrestle/directory/prefixes.py
+++ b/lapistrestle/directory/prefixes.py
@@ -23,18 +23,27 @@
 
     @property
     def size(self) -> int:
+        """Names that leave or enter."""
         return len(self.removed) + len(self.inserted)
 
 
 class RevisionGapError(Exception):
-    """A change doesn't fit the prefix that it is for."""
+    """A change doesn't fit the prefix that it is for: an earlier one was lost.
+
+    `expected` and `found`: names, or the position, by what of the change `problem` is about.
+    """
+
+    def __init__(self, problem: str, expected: int, found: int) -> None:
+        super().__init__(problem)
+        self.expected = expected
+        self.found = found
 
 
 def difference(before: Sequence[str], after: Sequence[str]) -> Difference:
     """From one order of names to another; a name that moves leaves and enters again."""
     wanted = set(after)
     remaining = [name for name in before if name in wanted]
-    unplaced = set(remaining)  # of `kept`: those not met yet, and not moved
+    unplaced = set(remaining)  # of `remaining`: those not met yet, and not moved
     removed = [name for name in before if name not in wanted]
     inserted = list[tuple[int, str]]()
     at = 0
@@ -61,22 +70,26 @@
 
 
 def change_message(watch: int, change: Difference, after: Prefix) -> PrefixChange:
+    """The wire message of one watch's change."""
     inserted = [PlacedInstance(position, name) for position, name in change.inserted]
     return PrefixChange(watch, len(after.names), list(change.removed), inserted, after.complete)
 
 
 def apply_change(names: Sequence[str], change: PrefixChange) -> tuple[str, ...]:
-    """The names after a change. Raises `LostChange` where the result can't be the sender's."""
+    """The names after a change. Raises `RevisionGapError` where the result can't be the sender's."""
     removed = set(change.removed)
     after = [name for name in names if name not in removed]
-    if len(after) + len(removed) != len(names):
-        raise RevisionGapError(f"{len(removed)} were to leave {len(names)}, {len(names) - len(after)} did")
+    left = len(names) - len(after)
+    if left != len(removed):
+        problem = f"{len(removed)} were to leave {len(names)}, {left} did"
+        raise RevisionGapError(problem, len(removed), left)
     for placed in change.inserted:
         if placed.position > len(after):
-            raise RevisionGapError(f"position {placed.position} is past the {len(after)} that there are")
+            problem = f"position {placed.position} is past the {len(after)} that there are"
+            raise RevisionGapError(problem, len(after), placed.position)
         after.insert(placed.position, placed.name)
-    if len(after) != change.length or len(set(after)) != len(after):
-        raise RevisionGapError(
-            f"{len(after)} names, {len(set(after))} different, where {change.length} should be"
-        )
+    different = len(set(after))
+    if len(after) != change.length or different != len(after):
+        problem = f"{len(after)} names, {different} different, where {change.length} should be"
+        raise RevisionGapError(problem, change.length, different)
     return tuple(after)
--- a/lapistrestle/directory/region_estimate.py
+++ b/lapistrestle/directory/region_estimate.py
@@ -14,28 +14,31 @@
 
     def __init__(self, clock: Callable[[], int], cold_share: float, ramp_time: int) -> None:
         """`cold_share` and `ramp_time`: how the capacity of an instance grows after its start."""
-        self.clock, self.cold_share, self.ramp_time = clock, cold_share, ramp_time
+        self.clock = clock
+        self.cold_share = cold_share
+        self.ramp_time = ramp_time
         self.sums: RegionSums | None = None
         self.since = 0  # when the sums were true at the latest
 
-    def told(self, sums: RegionSums, since: int) -> None:
-        """What a holder says, true `since` then. One that has only just started knows of none."""
+    def update(self, sums: RegionSums, since: int) -> None:
+        """Take a holder's sums, true `since` then. One that has only just started knows of none."""
         if sums.serving:
-            self.sums, self.since = sums, since
+            self.sums = sums
+            self.since = since
 
     @property
     def size(self) -> float:
-        """Of all that serve; 0 until it is told."""
+        """Of all that serve; 0 until it is known."""
         return self.sums.size if self.sums is not None else 0.0
 
     @property
     def count(self) -> int:
-        """Instances, those that drain among them; 0 until it is told."""
+        """Instances, those that drain among them; 0 until it is known."""
         return self.sums.instances if self.sums is not None else 0
 
     @property
     def warm_size(self) -> float:
-        """By now at most, of all that serve, each times its warmth; infinite until it is told.
+        """By now at most, of all that serve, each times its warmth; infinite until it is known.
 
         A cold instance is allowed what warm ones answer for each unit of this size, so a sum that is too
         small would let all dispatchers together send it too much. Since the sum was asked for each instance
--- a/lapistrestle/directory/revisions.py
+++ b/lapistrestle/directory/revisions.py
@@ -2,15 +2,15 @@
 
 from collections.abc import Sequence
 
+from lapistrestle.directory.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 
-SECOND = 10_000  # in tenths of a millisecond
 MOST_SOURCES = 64  # that are remembered, the latest
 REVERSAL = 15 * SECOND  # longer than a holder takes to notice that its roster is gone
 
 
 class Revisions:
-    """Sources in the order in which they superseded one another, as far as holders have told.
+    """Sources in the order in which they superseded one another, as far as holders have reported.
 
     Revisions of one source are ordered by their number. A source that is new to this watcher is taken for
     newer than all before it: the roster began anew. One that was superseded stays so, but where the order was
@@ -40,6 +40,7 @@
         self.last_heard_at[source] = max(now, self.last_heard_at[source])
 
     def insert(self, source: str, at: int, now: int) -> None:
+        """Enter a source that was not met before, at this place of the order."""
         self.order.insert(at, source)
         self.last_heard_at[source] = now
         while len(self.order) > MOST_SOURCES:
--- a/lapistrestle/directory/ring_positions.py
+++ b/lapistrestle/directory/ring_positions.py
@@ -34,11 +34,13 @@
         return i
 
     def divided(self, at: int) -> tuple["Bucket", "Bucket"]:
+        """The pairs below a position, and those from it on."""
         i = bisect_left(self.positions, at)
         low = Bucket(self.positions[:i], self.owners[:i])
         return low, Bucket(self.positions[i:], self.owners[i:])
 
     def merged(self, other: "Bucket") -> "Bucket":
+        """The pairs of this bucket and of the one after it."""
         return Bucket(self.positions + other.positions, self.owners + other.owners)
 
 
@@ -55,6 +57,7 @@
         return self.count
 
     def bucket_of(self, position: int) -> Bucket:
+        """The bucket of the stretch that a position is in."""
         return self.buckets[position >> (RING_BITS - self.bits)]
 
     def add(self, position: int, owner: str) -> None:
@@ -81,13 +84,16 @@
             self.merge()
 
     def divide(self) -> None:
+        """Double the number of buckets."""
         self.bits += 1
         width = 1 << (RING_BITS - self.bits)
-        old, self.buckets = self.buckets, []
+        old = self.buckets
+        self.buckets = []
         for i, bucket in enumerate(old):
             self.buckets.extend(bucket.divided((2 * i + 1) * width))
 
     def merge(self) -> None:
+        """Halve the number of buckets."""
         self.bits -= 1
         low, high = self.buckets[::2], self.buckets[1::2]
         self.buckets = [one.merged(other) for one, other in zip(low, high, strict=True)]
@@ -102,6 +108,7 @@
         yield from self.part(first, 0, start)
 
     def part(self, number: int, start: int, end: int | None) -> Iterator[tuple[int, str]]:
+        """The pairs of one bucket, from one index up to another."""
         bucket = self.buckets[number]
         self.steps += 1
         for i in range(start, len(bucket.owners) if end is None else end):
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -1,7 +1,7 @@
 """How sure a holder may be that what it knows of the region is what the roster knows now.
 
 A holder that has stood still can't tell what it missed, so it answers no look-up and renews no lease until
-the roster has answered a question that was asked afterwards. A roster that has been silent for long is asked,
+the roster has answered a request that was sent afterwards. A roster that has been silent for long is asked,
 too, since a connection that was cut looks like one on which nothing happens.
 """
 
@@ -9,20 +9,36 @@
 from enum import Enum
 
 from lapistrestle.directory.effects import HolderSettings
+from lapistrestle.directory.ticks import MILLISECOND
+
+
+class FreshnessState(Enum):
+    """How sure the holder may be; the values are those of reports to operators and of the log."""
+
+    EMPTY = "blank"  # no list has come yet
+    FRESH = "fresh"
+    DISCONNECTED = "cut"  # from the roster: what is known may be old
+    CATCHING_UP = "catching_up"  # after a standstill, until the roster has answered
+
+
+class FreshnessEvent(Enum):
+    """What changes the state; the values are those of the log."""
+
+    CURRENT_LIST = "current list"
+    ROSTER_LOST = "roster lost"
+    STOOD_STILL = "stood still"
 
-FreshnessState = Enum("FreshnessState", "BLANK FRESH CUT CATCHING_UP")
-FreshnessEvent = Enum("FreshnessEvent", "CURRENT_LIST ROSTER_LOST STOOD_STILL")
 
 TRANSITIONS: dict[tuple[FreshnessState, FreshnessEvent], FreshnessState] = {
-    (FreshnessState.BLANK, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
-    (FreshnessState.BLANK, FreshnessEvent.ROSTER_LOST): FreshnessState.BLANK,
-    (FreshnessState.BLANK, FreshnessEvent.STOOD_STILL): FreshnessState.BLANK,
+    (FreshnessState.EMPTY, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
+    (FreshnessState.EMPTY, FreshnessEvent.ROSTER_LOST): FreshnessState.EMPTY,
+    (FreshnessState.EMPTY, FreshnessEvent.STOOD_STILL): FreshnessState.EMPTY,
     (FreshnessState.FRESH, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
-    (FreshnessState.FRESH, FreshnessEvent.ROSTER_LOST): FreshnessState.CUT,
+    (FreshnessState.FRESH, FreshnessEvent.ROSTER_LOST): FreshnessState.DISCONNECTED,
     (FreshnessState.FRESH, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
-    (FreshnessState.CUT, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
-    (FreshnessState.CUT, FreshnessEvent.ROSTER_LOST): FreshnessState.CUT,
-    (FreshnessState.CUT, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
+    (FreshnessState.DISCONNECTED, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
+    (FreshnessState.DISCONNECTED, FreshnessEvent.ROSTER_LOST): FreshnessState.DISCONNECTED,
+    (FreshnessState.DISCONNECTED, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
     (FreshnessState.CATCHING_UP, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
     (FreshnessState.CATCHING_UP, FreshnessEvent.ROSTER_LOST): FreshnessState.CATCHING_UP,
     (FreshnessState.CATCHING_UP, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
@@ -33,93 +49,109 @@
 
 
 class RosterFreshness:
-    """The mode, the questions that the roster has not answered, and what follows for watchers."""
+    """The state, the requests that the roster has not answered, and what follows for watchers."""
 
     def __init__(
-        self, settings: HolderSettings, now: int, ask: Callable[[], None], log: Callable[[str], None]
+        self,
+        settings: HolderSettings,
+        now: int,
+        request_from_roster: Callable[[], None],
+        log: Callable[[str], None],
     ) -> None:
-        self.settings, self.ask_roster, self.log = settings, ask, log
-        self.state = FreshnessState.BLANK
+        self.settings = settings
+        self.request_from_roster = request_from_roster
+        self.log = log
+        self.state = FreshnessState.EMPTY
         self.last_call_at = now
         self.extra_allowance = 0  # further time until the next call, for work that a call has made
-        self.last_heard_at = now  # the last list or change
+        self.last_heard_at = now  # when the last list or change came
         self.outdated_since = now  # from when on it may be old
         self.is_connected = False  # to the roster, as far as is known
-        self.open_requests = 0  # questions; a list answers one
+        self.open_requests = 0  # requests without answer; a list answers one
         self.requested_at = now
 
     @property
     def may_answer(self) -> bool:
         """Whether look-ups may be answered and leases renewed."""
-        return self.state is FreshnessState.FRESH or self.state is FreshnessState.CUT
+        return self.state is FreshnessState.FRESH or self.state is FreshnessState.DISCONNECTED
 
     def age(self, now: int) -> int:
+        """Ticks for which the holder has not been sure to hear its roster; 0 while it hears it."""
         return 0 if self.state is FreshnessState.FRESH else max(0, now - self.outdated_since)
 
-    def step(self, event: FreshnessEvent, now: int, outdated_since: int) -> None:
-        """An event; if the mode is lost by it, knowledge may be old from `since` on."""
+    def transition(self, event: FreshnessEvent, now: int, outdated_since: int) -> None:
+        """Note an event; if freshness ends with it, what is known may be old from `outdated_since` on."""
         before = self.state
         self.state = TRANSITIONS[before, event]
         if self.state is not before:
             if before is FreshnessState.FRESH:
                 self.outdated_since = outdated_since
-            text = f"knowledge {self.state.name.lower()}: {event.name.lower().replace('_', ' ')}"
-            self.log(f"{text}, {(now - self.last_heard_at) / 10:.0f} ms after the last word of the roster")
+            text = f"knowledge {self.state.value}: {event.value}"
+            self.log(
+                f"{text}, {(now - self.last_heard_at) / MILLISECOND:.0f} ms after the last word of the roster"
+            )
 
-    def called(self, now: int, entries: int = 0) -> None:
-        """The program calls, with so many entries to tell: it comes late if it stood still."""
+    def record_call(self, now: int, entries: int = 0) -> None:
+        """The program calls, with so many entries: it comes late if it stood still."""
         extra_allowance = (
             self.settings.standstill + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
         )
         if now - self.last_call_at > extra_allowance:
-            self.step(FreshnessEvent.STOOD_STILL, now, self.last_call_at)
+            self.transition(FreshnessEvent.STOOD_STILL, now, self.last_call_at)
             if self.is_connected:
-                self.ask(now)
-        self.last_call_at, self.extra_allowance = max(now, self.last_call_at), 0
+                self.request_snapshot(now)
+        self.last_call_at = max(now, self.last_call_at)
+        self.extra_allowance = 0
 
-    def ask(self, now: int) -> None:
-        self.asked(now)
-        self.ask_roster()
+    def request_snapshot(self, now: int) -> None:
+        """Request the complete list from the roster."""
+        self.snapshot_requested(now)
+        self.request_from_roster()
 
-    def asked(self, now: int) -> None:
-        """One more whole list is to come."""
+    def snapshot_requested(self, now: int) -> None:
+        """One more complete list is to come."""
         self.is_connected = True
-        self.open_requests, self.requested_at = self.open_requests + 1, now
+        self.open_requests = self.open_requests + 1
+        self.requested_at = now
 
-    def told(self, whole: bool, entries: int, entered: int, now: int) -> None:
+    def list_applied(self, complete: bool, entries: int, entered: int, now: int) -> None:
         """A list or a change was taken."""
-        self.last_heard_at, self.is_connected = now, True
+        self.last_heard_at = now
+        self.is_connected = True
         self.extra_allowance = int(entries * TICKS_PER_ENTRY_READ + entered * TICKS_PER_NEW_INSTANCE)
-        if whole:
+        if complete:
             self.open_requests = max(0, self.open_requests - 1)
             if not self.open_requests:
-                self.step(FreshnessEvent.CURRENT_LIST, now, now)
+                self.transition(FreshnessEvent.CURRENT_LIST, now, now)
 
-    def passed(self, now: int) -> None:
-        """A whole list was not taken: one question is answered by it, and the last one is asked again."""
+    def snapshot_discarded(self, now: int) -> None:
+        """A complete list was not taken: one request is answered by it, and the last one is sent again."""
         if not self.open_requests:
             return
         self.open_requests -= 1
         if not self.open_requests:
-            self.ask(now)
+            self.request_snapshot(now)
 
-    def lost(self, now: int) -> None:
+    def roster_lost(self, now: int) -> None:
         """The connection to the roster is over, and every question on it."""
-        self.open_requests, self.is_connected = 0, False
-        self.step(FreshnessEvent.ROSTER_LOST, now, now)
+        self.open_requests = 0
+        self.is_connected = False
+        self.transition(FreshnessEvent.ROSTER_LOST, now, now)
 
     def tick(self, now: int) -> None:
+        """Notice a roster that is silent or does not answer."""
         if self.state is not FreshnessState.FRESH:
             return
         if self.open_requests:
             if now - self.requested_at >= self.settings.roster_patience:
-                self.step(FreshnessEvent.ROSTER_LOST, now, self.last_heard_at)
+                self.transition(FreshnessEvent.ROSTER_LOST, now, self.last_heard_at)
         elif now - self.last_heard_at >= self.settings.roster_silence:
-            self.ask(now)
+            self.request_snapshot(now)
 
     def next_due(self) -> int:
         """When to be called at the latest, so that a late call means a standstill, and a silent roster is
-        noticed however often others call."""
+        noticed however often others call.
+        """
         due = self.last_call_at + self.settings.standstill // 3
         if self.state is not FreshnessState.FRESH:
             return due
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapistrestle.directory.effects import SECOND
 from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.ticks import SECOND
 from lapistrestle.sources.numbered_list import Do, News, NumberedList
 from lapistrestle.sources.roster import RosterSource, RosterSpeaker
 from lapistrestle.wire.directory import Revision
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -10,20 +10,14 @@
 import msgspec
 
 from lapistrestle.deployment.shape import HolderDeployment
-from lapistrestle.directory.effects import (
-    MILLISECOND,
-    SECOND,
-    AskRoster,
-    CloseSession,
-    HolderEffect,
-    SendTo,
-)
+from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, SendTo
 from lapistrestle.directory.holder_counts import HolderCounts
 from lapistrestle.directory.holder_settings import holder_settings
 from lapistrestle.directory.roster_subscription import RosterSubscription
 from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.ticks import MILLISECOND, SECOND
 from lapistrestle.directory.watcher_sessions import Log, WatcherFactory, WatcherSessions
-from lapistrestle.wire.directory import InspectResponse
+from lapistrestle.wire.directory import InspectResponse, WatcherMessage
 
 CLOSING_TIME = 1.0  # seconds at the end for what was written to leave
 MOST_LOGGED = 100  # unreadable lines that are logged one by one
@@ -85,7 +79,7 @@
         self.holder.session_opened(session, self.clock())
         self.act()
 
-    def session_message(self, session: int, message: Any) -> None:
+    def session_message(self, session: int, message: WatcherMessage) -> None:
         """A watcher has sent a message."""
         self.holder.message_received(session, message, self.clock())
         self.act()
@@ -174,7 +168,8 @@
     def stop(self, stopped: Callable[[], None]) -> None:
         """Tell every watcher, which goes to the next copy at once, and end. A second call doesn't wait."""
         if self.stopping:
-            return self.finish()
+            self.finish()
+            return
         self.stopping = True
         self.stopped = stopped
         self.log("stopping", sessions=len(self.sessions))
@@ -191,7 +186,8 @@
 
     def finish(self) -> None:
         """End; a further call does nothing."""
-        stopped, self.stopped = self.stopped, None
+        stopped = self.stopped
+        self.stopped = None
         if stopped is not None:
             counts = self.counts.as_report()
             self.log("stopped", sessions=self.sessions.opened, bytes=self.sessions.meter.total, **counts)
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -8,6 +8,7 @@
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.prefixes import change_message
 from lapistrestle.directory.rate_limits import TokenBucket
+from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.wire.directory import (
     MOST_IN_A_BATCH,
@@ -17,7 +18,6 @@
     Update,
 )
 
-NEVER = 2**62
 BURST_SECONDS = 4  # of a session's bytes that may be saved up
 
 
@@ -27,23 +27,24 @@
 
     number: int
     lease_until: int
-    bytes: TokenBucket
+    byte_limit: TokenBucket
     sequence: int = 0  # of the last snapshot or batch
     watches: dict[int, str] = field(default_factory=dict)  # functions by watch id
     ids: dict[str, int] = field(default_factory=dict)  # and the other way round
-    names: dict[str, bool] = field(default_factory=dict)  # instances to tell of, and whether that is urgent
-    behind: dict[str, None] = field(default_factory=dict)  # functions whose prefix is to be told
+    changed_instances: dict[str, bool] = field(default_factory=dict)  # to be sent, and whether urgently
+    changed_functions: dict[str, None] = field(default_factory=dict)  # whose prefix is to be sent
     due: int = NEVER  # the next batch
     sums_at: int = -NEVER  # when sums were sent last
 
     def next_sequence(self) -> int:
+        """Count up and return the number of the next snapshot or batch."""
         self.sequence += 1
         return self.sequence
 
     @property
     def idle(self) -> bool:
-        """Nothing is to be told."""
-        return not self.names and not self.behind
+        """Whether nothing is to be sent."""
+        return not self.changed_instances and not self.changed_functions
 
 
 class Sessions:
@@ -54,15 +55,17 @@
         self.dues = list[tuple[int, int]]()  # a heap; an item that is not its session's `due` is void
 
     def open(self, number: int, lease_until: int, bytes_per_second: int, now: int) -> Session:
+        """Begin a session, whose lease ends at `lease_until` unless it is renewed."""
         bucket = TokenBucket.full(bytes_per_second, bytes_per_second * BURST_SECONDS, now)
         session = self.all[number] = Session(number, lease_until, bucket)
         return session
 
-    def renewed(self, session: Session, lease_until: int) -> None:
+    def renew(self, session: Session, lease_until: int) -> None:
+        """Extend a session's lease up to this time."""
         session.lease_until = lease_until
         self.all.move_to_end(session.number)
 
-    def lapsed(self, now: int) -> list[Session]:
+    def expired(self, now: int) -> list[Session]:
         """Sessions whose lease is over."""
         found = list[Session]()
         for session in self.all.values():
@@ -89,6 +92,7 @@
         return due
 
     def next_due(self) -> int:
+        """When the next batch is due; `NEVER` where none is."""
         while self.dues:
             at, number = self.dues[0]
             session = self.all.get(number)
@@ -97,7 +101,8 @@
             heappop(self.dues)
         return NEVER
 
-    def next_lapse(self) -> int:
+    def next_expiry(self) -> int:
+        """When the next lease ends; `NEVER` without sessions."""
         return next(iter(self.all.values())).lease_until if self.all else NEVER
 
 
@@ -105,39 +110,40 @@
     """Makes the updates of sessions."""
 
     def __init__(self, instances: RegionInstances, watched: WatchedFunctions) -> None:
-        self.instances, self.watched = instances, watched
+        self.instances = instances
+        self.watched = watched
 
-    def urgent(self, session: Session, revision: Revision, now: int) -> Update | None:
+    def urgent_update(self, session: Session, revision: Revision, now: int) -> Update | None:
         """Drains and departures alone, for a session that may not be sent more."""
-        names = [name for name, urgent in session.names.items() if urgent][:MOST_IN_A_BATCH]
-        return self.update(session, names, [], revision, now) if names else None
+        names = [name for name, urgent in session.changed_instances.items() if urgent][:MOST_IN_A_BATCH]
+        return self.make_update(session, names, [], revision, now) if names else None
 
-    def all(self, session: Session, revision: Revision, now: int) -> Update | None:
-        """Everything that there is to tell, as far as it fits one batch."""
+    def full_update(self, session: Session, revision: Revision, now: int) -> Update | None:
+        """Everything that there is to send, as far as it fits one batch."""
         if session.idle:
             return None
-        urgent_first = sorted(session.names, key=lambda name: not session.names[name])
+        urgent_first = sorted(session.changed_instances, key=lambda name: not session.changed_instances[name])
         names = dict.fromkeys(urgent_first[:MOST_IN_A_BATCH])
         changes, size = list[PrefixChange](), len(names)
-        for function in list(session.behind):
+        for function in list(session.changed_functions):
             if size >= MOST_IN_A_BATCH:
                 break
             known = self.watched.functions[function]
             watch = known.watches[session.number]
             prefix = known.prefixes[watch.count]
-            change = known.difference(watch.told, prefix)
+            change = known.difference(watch.sent_prefix, prefix)
             if changes and size + change.size > MOST_IN_A_BATCH:
                 break
             size += change.size
-            if watch.told != prefix:
+            if watch.sent_prefix != prefix:
                 changes.append(change_message(watch.id, change, prefix))
                 names.update(dict.fromkeys(name for _, name in change.inserted))
-            watch.told = prefix
-            del session.behind[function]
-            self.watched.caught_up(known, session.number)
-        return self.update(session, names, changes, revision, now) if names or changes else None
+            watch.sent_prefix = prefix
+            del session.changed_functions[function]
+            self.watched.mark_current(known, session.number)
+        return self.make_update(session, names, changes, revision, now) if names or changes else None
 
-    def update(
+    def make_update(
         self,
         session: Session,
         names: Iterable[str],
@@ -145,9 +151,10 @@
         revision: Revision,
         now: int,
     ) -> Update:
+        """One batch of these instances and changes, which the session then has."""
         entries, gone = list[Instance](), list[str]()
         for name in names:
-            session.names.pop(name, None)
+            session.changed_instances.pop(name, None)
             instance = self.instances.known.get(name)
             if instance is None:
                 gone.append(name)
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -3,17 +3,11 @@
 from collections.abc import Callable, Iterable
 
 from lapistrestle.directory.assignment import Assignment, Copy
-from lapistrestle.directory.connection_state import NEVER, CachedFunction, HolderConnection, Shard
-from lapistrestle.directory.effects import (
-    MILLISECOND,
-    SECOND,
-    Dial,
-    HangUp,
-    WatcherEffect,
-    WatcherSettings,
-)
+from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, Shard
+from lapistrestle.directory.effects import Dial, HangUp, WatcherEffect, WatcherSettings
+from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.lookups import Lookups
-from lapistrestle.directory.rate_limits import Jitter
+from lapistrestle.directory.ticks import MILLISECOND, NEVER, SECOND
 
 AVOIDANCE_TIME = 10 * SECOND  # for which a copy found stale or unreachable is not changed over to
 MOST_DOUBLINGS = 2  # of the pause between two moves for freshness, where all copies are as stale
@@ -104,7 +98,8 @@
 
     def hang_up(self, shard: Shard) -> None:
         """Give up the shard's connection; what is cached stays."""
-        connection, shard.connection = shard.connection, None
+        connection = shard.connection
+        shard.connection = None
         if connection is not None and self.connections.pop(connection.number, None) is not None:
             self.emit(HangUp(connection.number))
         for function in shard.functions.values():
@@ -195,7 +190,8 @@
             at = (shard.at + step) % len(shard.copies)
             if not self.is_avoided(shard, shard.copies[at], now):
                 self.limit_moves(shard, now)
-                return self.change_over(shard, at, f"knowledge {age / MILLISECOND:.0f} ms old", now)
+                self.change_over(shard, at, f"knowledge {age / MILLISECOND:.0f} ms old", now)
+                return
 
     def is_avoided(self, shard: Shard, copy: Copy, now: int) -> bool:
         """Whether a copy was lately found stale or unreachable."""
--- a/lapistrestle/directory/watch_requests.py
+++ b/lapistrestle/directory/watch_requests.py
@@ -4,9 +4,10 @@
 from heapq import heappop, heappush
 
 from lapistrestle.directory.cached_instances import CachedInstances
-from lapistrestle.directory.connection_state import NEVER, CachedFunction, HolderConnection, PendingRequest
+from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest
 from lapistrestle.directory.digests import digest_of
 from lapistrestle.directory.effects import Send, WatcherEffect
+from lapistrestle.directory.ticks import NEVER
 from lapistrestle.wire.directory import Unwatch, Watch
 
 
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -1,7 +1,7 @@
 """The functions that are watched at a holder, and which of them a change of an instance touches.
 
 Two indexes make a change cost what it touches and no more. One leads from an instance to the functions that
-have it in a prefix that some watcher was told, or is to be told. The other keeps the positions on the ring
+have it in a prefix that some watcher was sent, or is to be sent. The other keeps the positions on the ring
 from which the prefixes of watched functions were searched: a new instance takes stretches of the ring from
 the points behind it, and touches the functions with a position in one of them.
 """
@@ -15,13 +15,14 @@
 from lapistrestle.directory.message_sizes import entries_bytes
 from lapistrestle.directory.prefixes import Difference, Prefix, difference
 from lapistrestle.directory.ring_positions import RingPositions
+from lapistrestle.directory.ticks import SECOND
 from lapistrestle.wire.directory import LONGEST_PREFIX, Instance
 
-MOST_MEMBERS = 4 * LONGEST_PREFIX  # of one function in the index, before what nobody was told is pruned
+MOST_MEMBERS = 4 * LONGEST_PREFIX  # of one function in the index, before what nobody was sent is pruned
 MOST_PER_SERVING = 4  # instances in a prefix for each that was asked for, where many drain
-LONGEST_KEPT = 600_000  # tenths of a millisecond that an answer is used for
+ANSWER_LIFETIME = 60 * SECOND  # that an answer is used for
 
-NOTHING = Prefix()
+EMPTY_PREFIX = Prefix()
 
 
 @dataclass(eq=False, slots=True)
@@ -33,12 +34,12 @@
     shard: int
     epoch: int
     count: int
-    told: Prefix = NOTHING
+    sent_prefix: Prefix = EMPTY_PREFIX
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What every watcher that asks for a prefix is told, until an instance in it changes."""
+    """What every watcher that asks for a prefix is sent, until an instance in it changes."""
 
     entries: list[Instance]
     complete: bool
@@ -59,7 +60,7 @@
     positions: frozenset[int] = frozenset()  # that the prefixes were searched from
     members: set[str] = field(default_factory=set)  # in the index of instances
     length: int = 0  # of the longest prefix
-    behind: set[int] = field(default_factory=set)  # sessions that were not told the latest prefix
+    behind: set[int] = field(default_factory=set)  # sessions that were not sent the latest prefix
     differences: dict[tuple[Prefix, Prefix], Difference] = field(default_factory=dict)
 
     def difference(self, before: Prefix, after: Prefix) -> Difference:
@@ -76,37 +77,37 @@
     def __init__(self, instances: RegionInstances) -> None:
         self.instances = instances
         self.functions = dict[str, WatchedFunction]()
-        self.having = dict[str, set[str]]()  # instance to functions
+        self.functions_by_instance = dict[str, set[str]]()  # instance to functions
         self.positions = RingPositions()
-        self.short = set[str]()  # functions whose longest prefix is the whole order: any new instance enters
+        self.complete = set[str]()  # functions whose longest prefix is the whole order: any new one enters
         self.by_length = dict[int, set[str]]()  # functions by the length of their longest prefix
         self.recomputed = 0  # prefixes computed so far, for tests of the cost
 
     # watches
 
     def watch(self, function: str, watch: SessionWatch) -> Prefix:
-        """Start a watch, or take the place of the same session's earlier one. Gives the prefix to be told."""
+        """Start a watch, in place of the same session's earlier one. Returns the prefix to be sent."""
         known = self.functions.get(function)
         if known is None:
             known = self.functions[function] = WatchedFunction(function)
         before = known.watches.get(watch.session)
         known.counts[watch.count] += 1
         if before is not None:
-            self.uncount(known, before.count)
+            self.release_count(known, before.count)
         known.watches[watch.session] = watch
         fresh = watch.count not in known.prefixes
         if fresh:
             self.recompute(known)
-        watch.told = known.prefixes[watch.count]
+        watch.sent_prefix = known.prefixes[watch.count]
         if fresh or before is not None:
-            self.caught_up(known, watch.session)
-        return watch.told
+            self.mark_current(known, watch.session)
+        return watch.sent_prefix
 
     def answer(self, function: str, count: int, now: int) -> Answer:
         """The answer to a watch of this count, made once for all who ask."""
         known = self.functions[function]
         answer = known.answers.get(count)
-        if answer is None or now - answer.at > LONGEST_KEPT:
+        if answer is None or now - answer.at > ANSWER_LIFETIME:
             prefix = known.prefixes[count]
             entries = [self.instances.known[name].entry_at(now) for name in prefix.names]
             digest = digest_of(entries, prefix.complete)
@@ -115,17 +116,19 @@
         return answer
 
     def unwatch(self, function: str, session: int) -> None:
+        """End a session's watch of a function; one that is not known does no harm."""
         known = self.functions.get(function)
         watch = known.watches.pop(session, None) if known is not None else None
         if known is None or watch is None:
             return
-        self.uncount(known, watch.count)
+        self.release_count(known, watch.count)
         if known.watches:
-            self.caught_up(known, session)
+            self.mark_current(known, session)
         else:
             self.forget(known)
 
-    def uncount(self, known: WatchedFunction, count: int) -> None:
+    def release_count(self, known: WatchedFunction, count: int) -> None:
+        """One watch fewer asks for this count: without any its prefix is not kept."""
         known.counts[count] -= 1
         if not known.counts[count]:
             del known.counts[count]
@@ -133,14 +136,15 @@
             known.answers.pop(count, None)
 
     def forget(self, known: WatchedFunction) -> None:
+        """Remove a function that nobody watches."""
         self.index_positions(known, frozenset())
         self.index_members(known, set())
-        self.short.discard(known.name)
+        self.complete.discard(known.name)
         self.index_length(known, 0)
         del self.functions[known.name]
 
-    def caught_up(self, known: WatchedFunction, session: int) -> None:
-        """A session was told the latest prefix, or watches no more."""
+    def mark_current(self, known: WatchedFunction, session: int) -> None:
+        """A session was sent the latest prefix, or watches no more."""
         known.behind.discard(session)
         if not known.behind:
             known.differences.clear()
@@ -148,51 +152,52 @@
 
     # instances
 
-    def touched(self, changes: Changes) -> set[str]:
+    def affected_functions(self, changes: Changes) -> set[str]:
         """Functions whose prefixes may have changed; the ring has the changes already."""
         functions = set[str]()
         for name in (*changes.left, *changes.urgent, *changes.other, *changes.entered):
-            functions |= self.having.get(name, set())
-        if changes.left:  # a prefix may have become the whole order without any change of its own
+            functions |= self.functions_by_instance.get(name, set())
+        if changes.left:  # a prefix may have become the complete order without any change of its own
             functions |= self.by_length.get(len(self.instances.ring), set())
         if not changes.entered:
             return functions
         if len(changes.entered) > len(self.functions):
             return set(self.functions)
-        functions |= self.short
+        functions |= self.complete
         for name in changes.entered:
             for arc in self.instances.ring.arcs(name):
                 functions.update(self.positions.owners_within(arc.first, arc.last))
         return functions
 
-    def renew(self, functions: Iterable[str]) -> list[tuple[WatchedFunction, SessionWatch]]:
-        """Compute these functions' prefixes anew. Gives the watches that were told other ones."""
+    def recompute_changed(self, functions: Iterable[str]) -> list[tuple[WatchedFunction, SessionWatch]]:
+        """Compute these functions' prefixes anew. Returns the watches that were sent other ones."""
         behind = list[tuple[WatchedFunction, SessionWatch]]()
         for name in sorted(functions):
             known = self.functions[name]
             self.recompute(known)
             for watch in known.watches.values():
-                if watch.told != known.prefixes[watch.count]:
+                if watch.sent_prefix != known.prefixes[watch.count]:
                     known.behind.add(watch.session)
                     behind.append((known, watch))
                 elif watch.session in known.behind:
-                    known.behind.discard(watch.session)  # it came back to what was told
+                    known.behind.discard(watch.session)  # it came back to what was sent
             if not known.behind:
-                self.caught_up(known, -1)
+                self.mark_current(known, -1)
         return behind
 
-    def having_told(self, name: str) -> list[SessionWatch]:
-        """Watches whose watcher was told this instance."""
-        functions = sorted(self.having.get(name, ()))
+    def watches_sent(self, name: str) -> list[SessionWatch]:
+        """Watches whose watcher was sent this instance."""
+        functions = sorted(self.functions_by_instance.get(name, ()))
         watches = (watch for function in functions for watch in self.functions[function].watches.values())
-        return [watch for watch in watches if name in watch.told.names]
+        return [watch for watch in watches if name in watch.sent_prefix.names]
 
     def recompute(self, known: WatchedFunction) -> None:
         """Walk the order as far as the longest count asks, and cut the prefixes from it."""
         self.recomputed += 1
         missing = sorted(known.counts)
         names, positions, serving = list[str](), list[int](), 0
-        known.prefixes, known.answers = {}, {}
+        known.prefixes = {}
+        known.answers = {}
         for place in self.instances.ring.places(known.name):
             names.append(place.name)
             positions.extend(place.looked_from)
@@ -204,16 +209,17 @@
                 break
         for count in missing:
             known.prefixes[count] = Prefix(tuple(names), True)
-        whole = len(names) == len(self.instances.ring)
-        (self.short.add if whole else self.short.discard)(known.name)
+        complete = len(names) == len(self.instances.ring)
+        (self.complete.add if complete else self.complete.discard)(known.name)
         self.index_positions(known, frozenset(positions))
         self.index_length(known, len(names))
         self.index_members(known, known.members | set(names))
         if len(known.members) > MOST_MEMBERS:
-            told = {name for watch in known.watches.values() for name in watch.told.names}
-            self.index_members(known, told | set(names))
+            sent_names = {name for watch in known.watches.values() for name in watch.sent_prefix.names}
+            self.index_members(known, sent_names | set(names))
 
     def index_length(self, known: WatchedFunction, length: int) -> None:
+        """Keep the index by length of the longest prefix."""
         if length == known.length:
             return
         functions = self.by_length.get(known.length, set())
@@ -225,6 +231,7 @@
         known.length = length
 
     def index_positions(self, known: WatchedFunction, positions: frozenset[int]) -> None:
+        """Keep the index of ring positions that prefixes were searched from."""
         for position in known.positions - positions:
             self.positions.discard(position, known.name)
         for position in positions - known.positions:
@@ -232,13 +239,14 @@
         known.positions = positions
 
     def index_members(self, known: WatchedFunction, members: set[str]) -> None:
+        """Keep the index from instance to functions."""
         for name in known.members - members:
-            functions = self.having[name]
+            functions = self.functions_by_instance[name]
             functions.discard(known.name)
             if not functions:
-                del self.having[name]
+                del self.functions_by_instance[name]
         for name in members - known.members:
-            self.having.setdefault(name, set()).add(known.name)
+            self.functions_by_instance.setdefault(name, set()).add(known.name)
         known.members = members
 
 
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -14,17 +14,18 @@
 
 from lapistrestle.directory.assignment import Assignment
 from lapistrestle.directory.cached_instances import CachedInstances
-from lapistrestle.directory.connection_state import NEVER, CachedFunction, HolderConnection, Shard
-from lapistrestle.directory.effects import SECOND, WatcherEffect, WatcherSettings
-from lapistrestle.directory.holder_messages import HolderMessage, HolderMessages
+from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, Shard
+from lapistrestle.directory.effects import WatcherEffect, WatcherSettings
+from lapistrestle.directory.holder_messages import HolderMessages
+from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.leases import LeaseRenewal
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.directory.prefix_cache import PrefixCache
 from lapistrestle.directory.prefixes import Prefix
-from lapistrestle.directory.rate_limits import Jitter
 from lapistrestle.directory.shard_connections import ShardConnections
+from lapistrestle.directory.ticks import NEVER, SECOND
 from lapistrestle.directory.watch_requests import WatchRequests
-from lapistrestle.wire.directory import LONGEST_PREFIX
+from lapistrestle.wire.directory import LONGEST_PREFIX, HolderMessage
 
 EXTENSION_THRESHOLD = 0.75  # of a prefix: a call beyond it has a longer one asked for
 SHRINK_BELOW = 4  # a prefix of which less than one part in so many is used is cut to half
@@ -70,7 +71,8 @@
 
     def take_effects(self) -> list[WatcherEffect]:
         """What is to be done since the last call, in order."""
-        effects, self.effects = self.effects, []
+        effects = self.effects
+        self.effects = []
         return effects
 
     # what is known
@@ -144,7 +146,8 @@
         """A call waits for this function from now on; it fails at once where no copy can be reached."""
         shard = self.shards[function.shard]
         if shard.unreachable:
-            return self.lookups.fail(function.name, max(0, min(shard.dial_at, now + SECOND) - now))
+            self.lookups.fail(function.name, max(0, min(shard.dial_at, now + SECOND) - now))
+            return
         self.lookups.begin(function, now)
 
     def function_used(self, function: str, position: int, now: int) -> None:
@@ -192,7 +195,8 @@
         """The settings name other copies. An assignment of an older epoch is not taken."""
         self.record_call(now)
         if assignment.epoch <= self.assignment.epoch:
-            return self.log(f"assignment {assignment.epoch} not taken, {self.assignment.epoch} holds")
+            self.log(f"assignment {assignment.epoch} not taken, {self.assignment.epoch} holds")
+            return
         self.log(f"assignment {assignment.epoch} in place of {self.assignment.epoch}")
         self.requests.epoch = assignment.epoch
         self.messages.record_epoch(assignment.epoch)
@@ -258,14 +262,16 @@
         """What the passing of time means for a shard's connection."""
         connection = shard.connection
         if connection is None:
-            return self.shard_connections.dial_if_due(shard, now)
+            self.shard_connections.dial_if_due(shard, now)
+            return
         if not connection.is_ready:
             if now - connection.dialled_at >= self.settings.dial_time_out:
                 self.shard_connections.fail_over(shard, "no connection in time", now)
             return
         loss = self.leases.loss(connection, now)
         if loss:
-            return self.shard_connections.fail_over(shard, loss, now)
+            self.shard_connections.fail_over(shard, loss, now)
+            return
         if self.shard_connections.rebalance_if_due(shard, connection, now):
             return
         if now >= connection.renew_at:
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -28,7 +28,7 @@
     def session_opened(self, session: int) -> None:
         """A watcher has connected and greeted."""
 
-    def session_message(self, session: int, message: Any) -> None:
+    def session_message(self, session: int, message: wire.WatcherMessage) -> None:
         """A watcher has sent a message."""
 
     def session_closed(self, session: int) -> None:
@@ -88,7 +88,8 @@
     def greeted(self, speaker: "WatcherSpeaker") -> None:
         """Both ends of a connection have greeted: a session begins, unless the holder stops."""
         if self.listener.stopping:
-            return speaker.cut("the holder stops")
+            speaker.cut("the holder stops")
+            return
         self.opened += 1
         speaker.session = self.opened
         self.speakers[speaker.session] = speaker
@@ -97,7 +98,8 @@
     def received(self, speaker: "WatcherSpeaker", message: Any) -> None:
         """A message has come. Operators are answered here, in the program's own words."""
         if isinstance(message, wire.InspectRequest):
-            return speaker.say(self.listener.inspect(message.function))
+            speaker.say(self.listener.inspect(message.function))
+            return
         self.listener.session_message(speaker.session, message)
 
     def ended(self, speaker: "WatcherSpeaker") -> None:
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -198,7 +198,7 @@
             case LookupFailed():
                 self.waiting.failed(effect.function, effect.retry_after)
             case SumsChanged():
-                self.region.told(effect.sums, self.asked)
+                self.region.update(effect.sums, self.asked)
 
     def prefix_ready(self, effect: PrefixReady) -> None:
         """Tell the module of it, and then of the RPCs that waited for it."""
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -54,7 +54,9 @@
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self.log = log
-        self.mode, self.number, self.epoch = Mode.BLANK, -1, ""
+        self.mode = Mode.BLANK
+        self.number = -1
+        self.epoch = ""
         self.back: tuple[str, int] | None = None  # a list that jumped back, seen once
 
     def size(self) -> int:
@@ -65,10 +67,13 @@
         """What is to be done with a list or change; one that is taken is the newest from now on."""
         do = self.step(self.news(message))
         if do is Do.TAKE:
-            self.number, self.epoch, self.back = message.number, message.epoch, None
+            self.number = message.number
+            self.epoch = message.epoch
+            self.back = None
         return do
 
     def news(self, message: Whole | Change) -> News:
+        """How a message's number lies to the last one taken."""
         same = message.epoch == self.epoch
         if isinstance(message, Whole):
             if not same or message.number >= self.number:
@@ -82,6 +87,7 @@
         return News.NEXT if step == 1 else News.REPEAT if step <= 0 else News.GAP
 
     def step(self, news: News) -> Do:
+        """Note an event: what is to be done with it. A change of mode is logged."""
         before = self.mode
         self.mode, do = FOLLOWING[self.mode, news]
         if self.mode is not before:
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -17,11 +17,13 @@
     noisy = False
 
     def __init__(self, edge: Any, port: int) -> None:
-        self.edge, self.port = edge, port
+        self.edge = edge
+        self.port = port
         self.speaker: Speaker | None = None
         self.stopped = False
 
-    def follow(self) -> None: ...
+    def follow(self) -> None:
+        """Ask for the list anew, where the protocol knows of that."""
 
     def read_now(self) -> None:
         """Read what lies unread, ahead of the reactor's turn. The end of the connection is left to that."""
@@ -34,16 +36,19 @@
         return True
 
     def start(self, _: object = None) -> None:
+        """Dial, unless it was stopped."""
         if not self.stopped:
             time_out = self.edge.facts["dial_time_out"] / 10_000
             self.edge.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
 
     def stop(self) -> None:
+        """Close the connection, and dial no more."""
         self.stopped = True
         if self.speaker is not None:
             self.speaker.transport.loseConnection()
 
     def buildProtocol(self, addr: Any) -> Speaker:
+        """Our end of a connection that was made; it has the dial time-out to greet."""
         self.speaker = self.speak()
         self.edge.after(self.edge.facts["dial_time_out"], self.unmet, self.speaker)
         return self.speaker
@@ -54,20 +59,25 @@
             speaker.transport.abortConnection()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+        """Dial again after a pause."""
         self.down(False)
         self.edge.after(PAUSE, self.start, None)
 
     def lost(self, speaker: Speaker) -> None:
+        """The connection is over: dial again after a pause."""
         if self.speaker is speaker:
             self.speaker = None
             self.down(True)
             self.edge.after(PAUSE, self.start, None)
 
     def say(self, message: Message) -> None:
+        """Send a message, where both ends have greeted."""
         if self.speaker is not None and self.speaker.greeted:
             self.speaker.say(message)
 
     def speak(self) -> Speaker:
+        """Our end of a new connection."""
         raise NotImplementedError
 
-    def down(self, was_up: bool) -> None: ...
+    def down(self, was_up: bool) -> None:
+        """The connection is lost (`was_up`), or could not be made."""
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -9,6 +9,8 @@
 
 
 class RosterSpeaker(Speaker):
+    """Our end of the connection to the roster."""
+
     protocol = wire.ROSTER
     decoder = union(wire.FromRoster)
 
@@ -17,13 +19,16 @@
         self.source = source
 
     def greeting(self) -> wire.Hello:
+        """The follower's greeting."""
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name)
 
     def met(self, hello: wire.Hello) -> None:
+        """The roster has greeted: follow its list."""
         if not self.source.edge.facts["list_asked"] or self.source.wanted:
             self.say(wire.Follow())
 
     def heard(self, message: Any) -> None:
+        """The roster has sent a message."""
         self.source.heard(message)
 
     def unreadable(self, line: bytes, why: str) -> None:
@@ -32,6 +37,7 @@
         self.say(wire.Ask())
 
     def lost(self) -> None:
+        """The connection is over."""
         self.source.lost(self)
 
 
@@ -42,10 +48,17 @@
     bounds: LineBounds  # of the connection
     facts: dict[str, Any]  # `dial_time_out`, in tenths of a millisecond, and `list_asked`
 
-    def input(self) -> None: ...  # something is heard
-    def list_told(self, message: wire.Whole | wire.Change) -> Do: ...
-    def list_news(self, news: News) -> None: ...
-    def passed_over(self, name: str, why: str) -> None: ...
+    def input(self) -> None:
+        """Something has come from the roster."""
+
+    def list_told(self, message: wire.Whole | wire.Change) -> Do:
+        """A list or change has come: what is done with it."""
+
+    def list_news(self, news: News) -> None:
+        """The connection is lost, or the roster can't answer."""
+
+    def passed_over(self, name: str, why: str) -> None:
+        """A line of this peer could not be read."""
 
 
 class RosterSource(Source):
@@ -59,13 +72,16 @@
         self.say(wire.Ask())
 
     def speak(self) -> RosterSpeaker:
+        """Our end of a new connection."""
         return RosterSpeaker(self)
 
     def follow(self) -> None:
+        """Ask for the list, now and with each new connection."""
         self.wanted = True
         self.say(wire.Follow())
 
     def heard(self, message: Any) -> None:
+        """The roster has sent a message."""
         if isinstance(message, wire.Whole | wire.Change):
             self.edge.input()
             if self.edge.list_told(message) is Do.ASK:
@@ -74,4 +90,5 @@
             self.edge.list_news(News.FAILED)
 
     def down(self, was_up: bool) -> None:
+        """The connection is lost (`was_up`), or could not be made."""
         self.edge.list_news(News.CUT if was_up else News.FAILED)
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -3,9 +3,9 @@
 from dataclasses import dataclass, field
 
 from lapistrestle.directory import effects as directory
-from lapistrestle.directory.connection_state import NEVER
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.prefixes import Prefix
+from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watched_functions import longest_prefix
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.wire.directory import Revision
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -9,9 +9,9 @@
 
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.assignment import Copy
-from lapistrestle.directory.connection_state import NEVER
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.edge.following import Following
 from lapistrestle.sources.numbered_list import Do
@@ -266,7 +266,8 @@
             functions = self.holder.decisions.sessions.all[self.session].watches
             watched = self.holder.decisions.watched.functions
             told = {
-                watch: watched[function].watches[self.session].told for watch, function in functions.items()
+                watch: watched[function].watches[self.session].sent_prefix
+                for watch, function in functions.items()
             }
             for watch, prefix in told.items():
                 self.record.prefixes[message.sequence, watch] = prefix.names
--- a/lapistrestle/wire/directory.py
+++ b/lapistrestle/wire/directory.py
@@ -1,7 +1,7 @@
 """Messages between a dispatcher that watches functions and a holder of the directory of instances.
 
 Protocol `lapistrestle.directory`, framed like the others (`wire/lines.py`). Unless stated otherwise times are
-whole tenths of a millisecond. An instance is told as the roster's `Entry`, written as an array; its `start`
+whole tenths of a millisecond. An instance is sent as the roster's `Entry`, written as an array; its `start`
 tells one incarnation from the next, and its `up_for` (milliseconds) is as of the sending of the message.
 """
 
@@ -16,6 +16,7 @@
 MOST_SUPERSEDED = 8  # sources named in a snapshot
 LONGEST_PREFIX = 512  # instances of one prefix, so that a snapshot fits the longest line
 DIGEST_BYTES = 8  # of a digest, written as hexadecimal digits
+LONGEST_UP_FOR = 86_400_000.0  # milliseconds, the bound of an entry's `up_for`
 MOST_IN_A_BATCH = 512  # entries of one update, for the same reason
 
 Count = Annotated[int, Meta(ge=1, le=LONGEST_PREFIX)]
@@ -63,8 +64,8 @@
 
     Starts a watch, or takes the place of the connection's earlier watch of the same function. `id` is the
     watcher's and grows with each. `digest`: of the prefix that the watcher holds already
-    (`directory/digests.py`); where the holder's is the same, `Unchanged` is the answer. `known`: calls are
-    served by what the watcher holds meanwhile; those that wait for a prefix are answered first.
+    (`directory/digests.py`); where the holder's is the same, `Unchanged` is the answer. `has_prefix`: calls
+    are served by what the watcher holds meanwhile; those that wait for a prefix are answered first.
     """
 
     id: Number
@@ -74,11 +75,11 @@
     count: Count
     method: str = ""
     digest: str = ""
-    known: bool = False
+    has_prefix: bool = field(default=False, name="known")
 
 
 class Unwatch(Message, tag="unwatch"):
-    """This watch is not needed any more."""
+    """The watch is not needed any more."""
 
     id: Number
 
@@ -102,9 +103,9 @@
 
 
 class Snapshot(Message, tag="snapshot"):
-    """A prefix as a whole, the answer to a watch. `complete`: it is the whole order, there are no more.
+    """A complete prefix, the answer to a watch. `complete`: it is the complete order, there are no more.
 
-    `lease` counts from when the watcher sent its question. `age`: for how long the holder has not been sure
+    `lease` counts from when the watcher sent its request. `age`: for how long the holder has not been sure
     to hear its roster; 0 while it hears it. `superseded`: the roster's earlier epochs that it saw end.
     `up_for_age`: how long before the sending the `up_for` of the entries was true; such lists are shared.
     """
@@ -122,7 +123,7 @@
 
 
 class Unchanged(Message, tag="unchanged"):
-    """The answer to a watch whose digest fits: what the watcher had when it asked is the prefix as a whole.
+    """The answer to a watch whose digest fits: what the watcher had when it asked is the whole prefix.
 
     The other fields are those of `Snapshot`.
     """
@@ -212,5 +213,9 @@
     body: Raw = NO_BODY
 
 
-FromWatcher = Hello | Watch | Unwatch | Renew | InspectRequest | Bye
-FromHolder = Hello | Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse | Fault | Bye
+# what follows the greeting, each way
+WatcherMessage = Watch | Unwatch | Renew | InspectRequest
+HolderMessage = Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse
+
+FromWatcher = Hello | WatcherMessage | Bye
+FromHolder = Hello | HolderMessage | Fault | Bye
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -9,17 +9,19 @@
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.assignment import Assignment, Copy
 from lapistrestle.directory.digests import digest_of, undated
-from lapistrestle.directory.effects import MILLISECOND, SECOND, HolderSettings, WatcherSettings
+from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.hash_ring import InstanceRing
 from lapistrestle.directory.holder_messages import HolderMessages
 from lapistrestle.directory.instances import RegionInstances
+from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.message_sizes import line_bytes
 from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change
-from lapistrestle.directory.rate_limits import Jitter, SnapshotRateLimit
+from lapistrestle.directory.rate_limits import SnapshotRateLimit
 from lapistrestle.directory.revisions import REVERSAL, Revisions
 from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches
 from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.ticks import MILLISECOND, SECOND
 from lapistrestle.directory.watch_requests import WatchRequests
 from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.directory.watcher import DirectoryWatcher
@@ -203,7 +205,7 @@
 
 
 def test_the_measure_of_a_changes_work_catches_a_scan_over_all_watches(monkeypatch):
-    monkeypatch.setattr(WatchedFunctions, "touched", lambda self, changes: set(self.functions))
+    monkeypatch.setattr(WatchedFunctions, "affected_functions", lambda self, changes: set(self.functions))
     small, large = work_of_one_change(400), work_of_one_change(1_000)
     assert large[0] >= small[0] / 4
 
@@ -315,7 +317,7 @@
     assert list(made.closed) == [1] and made.closed[1] <= 3 * SECOND + 1_000
     assert list(made.holder.watched.functions["f"].watches) == [2]
     made.holder.session_closed(2, made.now)
-    assert not made.holder.watched.functions and not made.holder.watched.having
+    assert not made.holder.watched.functions and not made.holder.watched.functions_by_instance
     assert not len(made.holder.watched.positions) and not made.holder.watched.by_length
 
 
@@ -642,10 +644,10 @@
     made = Dispatcher()
     connection = ready(made)
     first = made.sent(wire.Watch)[0]
-    assert (first.digest, first.known) == ("", False)
+    assert (first.digest, first.has_prefix) == ("", False)
     held = digest_of([wire.compact(entry(n)) for n in (1, 2, 3)], False)
     other = moved(made, connection)
-    assert (made.sent(wire.Watch)[-1].digest, made.sent(wire.Watch)[-1].known) == (held, True)
+    assert (made.sent(wire.Watch)[-1].digest, made.sent(wire.Watch)[-1].has_prefix) == (held, True)
     told = len(made.of(directory.InstancesChanged)), len(made.of(directory.PrefixReady))
     unchanged(made, other, number=2)
     assert (len(made.of(directory.InstancesChanged)), len(made.of(directory.PrefixReady))) == told
@@ -1153,7 +1155,7 @@
 
 
 def test_a_lost_change_is_caught(monkeypatch):
-    made = Batches.all
+    made = Batches.full_update
 
     def lose(self, session, revision, now):
         update = made(self, session, revision, now)
@@ -1161,7 +1163,7 @@
             update.changes = update.changes[1:]
         return update
 
-    monkeypatch.setattr(Batches, "all", lose)
+    monkeypatch.setattr(Batches, "full_update", lose)
     assert any(" after batch " in breach or " ends as " in breach for breach in breaches_of(range(3)))
 
 
@@ -1250,7 +1252,7 @@
     def called(self, now, entries=0):
         self.last_call_at = now
 
-    monkeypatch.setattr(RosterFreshness, "called", called)
+    monkeypatch.setattr(RosterFreshness, "record_call", called)
     assert any("before it stood still" in breach for breach in breaches_of(range(3)))
 
 
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -73,7 +73,7 @@
         if told and now >= next_sums:
             next_sums = now + TOLD_EVERY
             for dispatcher in all_:
-                dispatcher.facts["region"].told(fleet.sums(now, dispatcher.facts), now)
+                dispatcher.facts["region"].update(fleet.sums(now, dispatcher.facts), now)
         if not restarted and now >= BOOT:
             restarted = True
             for dispatcher in all_:
@@ -156,7 +156,7 @@
     now = told
     region = RegionEstimate(lambda: now, share, ramp)
     assert region.warm_size == inf  # of answers over it nothing is left for cold ones
-    region.told(RegionSums(len(boots), warm(boots, told), serving=len(boots)), told)
+    region.update(RegionSums(len(boots), warm(boots, told), serving=len(boots)), told)
     now = told + later
     assert region.warm_size >= warm(boots[: len(boots) - gone] or boots, now) - 1e-9
     assert region.warm_size <= len(boots)
