--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -65,7 +65,8 @@
         self.passed_over = passed_over
         self.list = RosterInstances(log)
         self.bounds = LineBounds(line=LONGEST_LINE)
-        self.facts: dict[str, Any] = {"dial_time_out": DIAL_TIME_OUT, "list_asked": False}
+        self.connect_timeout = DIAL_TIME_OUT
+        self.endpoints_polled = False
         self.source = HolderRosterSource(self, port)
         self.stopped = False
 
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -3,8 +3,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from lapistrestle.choice import Dispatcher
-from lapistrestle.deployment.load import facts
+from lapistrestle.deployment.load import to_settings
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
 from lapistrestle.edge.core import Core, Log
@@ -13,8 +12,10 @@
 from lapistrestle.edge.peers import Peers
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.edge.runners import Runner, bounds_of
-from lapistrestle.hosting.requests import ABORTED, DENIED, Attempt, PendingRequest, WorkerTask
-from lapistrestle.interface import FnFacts, Outcome, SrvFacts
+from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.fleet_guidance import FleetGuidance
+from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.versions import Course, after_denial, key_of
 from lapistrestle.sources.numbered_list import Do, News
@@ -24,12 +25,12 @@
 
 def cost_before(pending: PendingRequest) -> bool:
     """Whether a call-out of it that has ended cost a worker something: what missed did not."""
-    return any(c.outcome not in (None, Outcome.MISS, Outcome.MOOT) for c in pending.call_outs)
+    return any(c.outcome not in (None, Outcome.NOT_LOADED, Outcome.NOT_SENT) for c in pending.attempts)
 
 
 def faulty(pending: PendingRequest) -> bool:
     """Whether a worker failed it, and did not only have no room or time for it."""
-    return any(c.outcome in (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE) for c in pending.call_outs)
+    return any(c.outcome in (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE) for c in pending.attempts)
 
 
 class Edge(Core):
@@ -52,13 +53,14 @@
         self.planner: PlannerSource | None = None
         self.routing = Routing()
         seed = place.seed if seed is None else seed
-        told = dict(facts(deployment))
+        settings, guidance = to_settings(deployment), FleetGuidance()
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
             from lapistrestle.directory.region_estimate import RegionEstimate
 
-            told["region"] = RegionEstimate(self.clock, told["cold_share"], told["ramp_time"])
-        super().__init__(reactor, place.name, told, log, seed, self.margin // 2, make)
+            share, duration = settings.slow_start_share, settings.slow_start_duration
+            guidance.region = RegionEstimate(self.clock, share, duration)
+        super().__init__(reactor, place.name, settings, log, seed, self.margin // 2, make, fleet=guidance)
         clients = Clients(self)
         self.front, self.seats = clients, clients.seats
         self.make_runner = lambda name, port, start: Runner(self, name, port, start)
@@ -70,12 +72,12 @@
             self.sources.append(self.directory)
         elif deployment.roster.port:
             self.source = RosterSource(self, deployment.roster.port)
-            self.source.wanted = self.facts["list_asked"]
+            self.source.wanted = self.settings.endpoints_polled
             self.sources.append(self.source)
         if deployment.planner.port:
             self.planner = PlannerSource(self, deployment.planner.port)
             self.sources.append(self.planner)
-        self.peers = Peers(self) if self.facts["may_tell_peers"] else None
+        self.peers = Peers(self) if self.settings.may_gossip else None
         self.keeping = Keeping(self, place.keep) if place.keep else None
         fleet = deployment.fleet
         boot = round(reactor.seconds() * 1000) if boot is None else boot
@@ -105,7 +107,7 @@
         return taken.do
 
     def workers_told(
-        self, told: Sequence[SrvFacts], addresses: Sequence[Address], whole: bool = False
+        self, told: Sequence[WorkerInfo], addresses: Sequence[Address], whole: bool = False
     ) -> None:
         """Workers that are new or have changed, and where they listen now."""
         self.listed(told, whole)
@@ -139,10 +141,12 @@
 
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
         key = key_of(call.key, call.token, f"{seat.name}/{call.id}")
-        return self.routing.route(call.fn, key, self.kind(method), call.repeat, self.clock(), self.span(call))
+        return self.routing.route(
+            call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
+        )
 
     def kind(self, method: int) -> str:
-        kind: str = self.facts["methods"][method]["kind"]
+        kind: str = self.settings.methods[method].kind
         return kind
 
     def span(self, call: wire.Call) -> bool:
@@ -158,10 +162,10 @@
         load = None if call.load is None else int(call.load * 10)
         waits = False
         if self.directory is not None:
-            fn = self.host.registry.fn(route.name, method, call.memory, call.lanes, load)
-            waits = not self.directory.ready(fn, call.method)
+            function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
+            waits = not self.directory.ready(function, call.method)
         pending = self.host.arrived(
-            client=seat, message=call, tag=f"{seat.name}/{call.id}", fn=route.name, method=method,
+            client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
             customer=customer, left=left, memory=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.repeat, route=route,
             load=load, moved=moved, prior_attempts=prior_attempts, waits=waits,
@@ -174,7 +178,7 @@
     def move(self, pending: PendingRequest) -> None:
         """An RPC that has not run on a version that is barred now goes to the settled one, in its time."""
         call, attempts = pending.message, pending.attempt_count()
-        route = self.routing.moved(pending.fn.name, key_of(call.key, call.token, pending.tag))
+        route = self.routing.moved(pending.function.name, key_of(call.key, call.token, pending.tag))
         left = pending.deadline - self.clock()
         if self.fleet_member is not None:
             self.fleet_member.admission.count_restart()
@@ -188,28 +192,28 @@
             late = self.late(pending)
             if how in (DENIED, ABORTED) and cost_before(pending) and not late:
                 self.fleet_member.admission.count_further_attempt()
-            self.fleet_member.admission.ended(how, late, bool(pending.call_outs), faulty(pending))
+            self.fleet_member.admission.ended(how, late, bool(pending.attempts), faulty(pending))
         if pending.route is not None and pending.route.candidate and how != "moved":
-            if how != "ok" and (waited or self.barred(pending.fn.name)):
+            if how != "ok" and (waited or self.barred(pending.function.name)):
                 return
             self.routing.note(pending.route, how != "ok" or self.late(pending), self.clock())
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
-        method = self.facts["methods"][pending.method]
-        stretched = method["soft_deadline"] + method["soft_stretch"] * (pending.work or 0)
-        return bool(self.clock() - pending.began > min(method["deadline"], stretched))
+        method = self.settings.methods[pending.method]
+        stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
+        return bool(self.clock() - pending.began > min(method.deadline, stretched))
 
     # what the host asks (hosting.transport)
 
-    def answer(self, pending: PendingRequest, verdict: str, come_back: int, body: Any) -> None:
+    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
         late = pending.deadline - self.clock() <= 0
-        if verdict == DENIED and not late and not self.stopping and self.barred(pending.fn.name):
+        if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
             if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
                 return self.move(pending)
-            verdict, come_back = ABORTED, 0
-        pending.client.answer(pending, verdict, come_back, body)
+            verdict, retry_after = ABORTED, 0
+        pending.client.answer(pending, verdict, retry_after, body)
 
     def stream(self, pending: PendingRequest) -> None:
         pending.client.say(wire.Begun(pending.message.id))
@@ -217,23 +221,23 @@
     def barred(self, name: str) -> bool:
         return "@" in name and self.routing.barred(name, self.clock())
 
-    def run(self, attempt: Attempt) -> None:
-        if self.barred(attempt.pending.fn.name):
-            return self.host.ended(attempt.number, Outcome.MOOT)
-        if self.fleet_member is not None and cost_before(attempt.pending):
+    def run(self, worker_call: WorkerCall) -> None:
+        if self.barred(worker_call.pending.function.name):
+            return self.host.ended(worker_call.number, Outcome.NOT_SENT)
+        if self.fleet_member is not None and cost_before(worker_call.pending):
             self.fleet_member.admission.count_further_attempt()
         if self.directory is not None:
-            self.directory.used(attempt)
-        super().run(attempt)
+            self.directory.used(worker_call)
+        super().run(worker_call)
 
     def hold(self, task: WorkerTask) -> None:
-        if task.fn is not None and task.count and self.barred(task.fn.name):
-            return self.host.ordered(task.number, Outcome.FULL, 0)
+        if task.function is not None and task.count and self.barred(task.function.name):
+            return self.host.ordered(task.number, Outcome.REJECTED, 0)
         super().hold(task)
 
-    def more(self, fn: FnFacts) -> None:
+    def more(self, function: FunctionInfo) -> None:
         if self.directory is not None:
-            self.directory.more(fn.name)
+            self.directory.more(function.name)
 
     def tell_peer(self, peer: int | None, text: str) -> None:
         if self.peers is not None:
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -23,12 +23,12 @@
         self.context.counts[TAKEN] += 1
         pending.guard = self.context.timers.at(pending.deadline + self.slack, self.overdue, pending)
 
-    def finish(self, pending: PendingRequest, verdict: str, come_back: int = 0, body: Any = None) -> None:
+    def finish(self, pending: PendingRequest, verdict: str, retry_after: int = 0, body: Any = None) -> None:
         """Answer, unless an answer is out already."""
         if pending.final:
             return
         self.close(pending, verdict)
-        self.context.transport.answer(pending, verdict, come_back, body)
+        self.context.transport.answer(pending, verdict, retry_after, body)
 
     def close(self, pending: PendingRequest, how: str) -> None:
         """The request is over; its attempts may still be under way."""
@@ -47,25 +47,25 @@
         """The client has gone; what a worker has of the request goes on to its own end."""
         if not pending.final:
             self.close(pending, LEFT)
-            self.events.post(pending, "left", pending)
+            self.events.post(pending, "on_client_gone", pending)
 
     def retract(self, pending: PendingRequest) -> None:
         """The host takes a request back that has not run, to have it placed anew under another function."""
         if not pending.final:
             self.close(pending, MOVED)
-            self.events.post(pending, "left", pending)
+            self.events.post(pending, "on_client_gone", pending)
 
     def abort_all(self, requests: Sequence[PendingRequest]) -> None:
         """Answer these at once: the program ends."""
         for pending in requests:
             if not pending.final:
                 self.finish(pending, ABORTED)
-                self.events.post(pending, "left", pending)
+                self.events.post(pending, "on_client_gone", pending)
 
     def overdue(self, pending: PendingRequest) -> None:
         """Guards rule 1 where the module let a deadline pass, by error or in an unforeseen state."""
         if not pending.final:
             self.context.counts[GUARDED] += 1
-            self.context.transport.log("deadline guarded", rpc=pending.tag, state=str(pending.state))
+            self.context.transport.log("deadline guarded", request=pending.tag, state=str(pending.state))
             self.finish(pending, ABORTED)
-            self.events.post(pending, "left", pending)
+            self.events.post(pending, "on_client_gone", pending)
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -41,7 +41,7 @@
     @classmethod
     def of(cls, call: Invocation, request: records.Request) -> "RunRequest":
         """From a checked call; `key` is a part of the line's attributes."""
-        head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.fn)
+        head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.function)
         key = b',"uniq":"%s"' % call.key if call.key else b""
         return cls(request.number, request.keep, call.id, head, key, request.body)
 
@@ -63,13 +63,13 @@
         self.held, self.most_held = 0, memory / HELD_PART  # bytes of what has not come whole
         # if each brings the longest body
         most = max(LEAST_OPEN, int(memory / BODIES_PART / records.MOST_BODY))
-        self.most_open = min(configuration.settings.limits.max_open, most)
+        self.most_open = min(configuration.platform.limits.max_open, most)
         self.listener: Listener | None = None
         self.ready: Callable[[], bool] = lambda: False  # whether the list stands; the source knows
         self.leaving = False
         self.ids: OrderedDict[str, int] = OrderedDict()  # those taken in the last window of orders, and when
         self.lingering: dict[str, PendingRequest] = {}  # by id, until the last call-out has ended
-        self.parser = Parser(configuration, core.facts)
+        self.parser = Parser(configuration, core.settings)
 
     # core.Front
 
@@ -213,7 +213,7 @@
             next(iter(self.parting)).dismiss("it stays open")
         over = [tag for tag, pending in self.lingering.items() if pending.final and not pending.in_flight]
         for tag in over:
-            self.lingering.pop(tag).call_outs.clear()  # they point to each other
+            self.lingering.pop(tag).attempts.clear()  # they point to each other
         self.core.after(SWEEP, self.sweep, None)
 
     def patience(self, connection: ClientConnection) -> int:
@@ -224,7 +224,7 @@
         """Whether an RPC of this id came within the window of orders, where an id counts once: guards the
         ration against clients that send the same again as soon as it is turned away."""
         now = self.core.clock()
-        while self.ids and next(iter(self.ids.values())) <= now - self.core.facts["order_window"]:
+        while self.ids and next(iter(self.ids.values())) <= now - self.core.settings.preload_window:
             self.ids.popitem(last=False)
         known = tag in self.ids
         self.ids.setdefault(tag, now)
@@ -258,13 +258,21 @@
             return connection.reply(request.number, 503)
         self.idle.pop(connection, None)
         pending = self.core.host.arrived(
-            client=connection, message=RunRequest.of(call, request), tag=tag, fn=call.fn.decode(),
-            method=call.method.number, customer=call.customer, left=left, memory=call.memory,
-            lanes=call.lanes, repeat=call.repeat,
+            client=connection,
+            message=RunRequest.of(call, request),
+            tag=tag,
+            function_name=call.function.decode(),
+            method=call.method.number,
+            customer=call.customer,
+            left=left,
+            memory=call.memory,
+            lanes=call.lanes,
+            repeat=call.repeat,
             work=None if call.work is None else max(1, int(call.work * 10)),
             load=None if call.load is None else int(call.load * 10),
-            moved=self.taken_before(tag), came=self.core.earliest_arrival(),
-        )  # fmt: skip
+            moved=self.taken_before(tag),
+            came=self.core.earliest_arrival(),
+        )
         if not pending.final:
             connection.requests[request.number] = pending
         if not pending.final or pending.in_flight:
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -5,9 +5,9 @@
 
 from msgspec import Struct
 
-from lapistrestle.interface import Facts
 from lapistrestle.node import records
 from lapistrestle.node.configuration import Configuration
+from lapistrestle.policy.settings import Settings
 
 MOST_WORK = 600_000.0  # milliseconds
 MOST_MEMORY = 1e6  # MB
@@ -42,7 +42,7 @@
 
     method: Method
     id: bytes
-    fn: bytes
+    function: bytes
     patience: float  # milliseconds that the client waits, at most the class's deadline
     work: float | None
     repeat: bool
@@ -77,33 +77,33 @@
     return found
 
 
-def methods_of(configuration: Configuration, facts: Facts) -> dict[bytes, Method]:
+def methods_of(configuration: Configuration, settings: Settings) -> dict[bytes, Method]:
     """By path."""
     made = {}
-    for number, profile in enumerate(configuration.settings.profiles):
-        name, method = profile.name.encode(), facts["methods"][number]
+    for number, profile in enumerate(configuration.platform.profiles):
+        name, method = profile.name.encode(), settings.methods[number]
         quoted = name.replace(b"\\", b"\\\\").replace(b'"', b'\\"')
-        tokened = method["kind"] == "tokened"
-        made[b"/invoke/" + name] = Method(number, quoted, method["deadline"] / 10, tokened)
+        tokened = method.kind == "tokened"
+        made[b"/invoke/" + name] = Method(number, quoted, method.deadline / 10, tokened)
     return made
 
 
 class Parser:
     """Requests to invocations, by the settings of one dispatcher."""
 
-    def __init__(self, configuration: Configuration, facts: Facts) -> None:
-        self.methods = methods_of(configuration, facts)
-        self.customers = {t.name.encode(): number for number, t in enumerate(configuration.settings.tenants)}
+    def __init__(self, configuration: Configuration, settings: Settings) -> None:
+        self.methods = methods_of(configuration, settings)
+        self.customers = {t.name.encode(): number for number, t in enumerate(configuration.platform.tenants)}
 
     def parse(self, request: records.Request, path: bytes) -> Invocation:
         """Raises Unfit where the request can't be used."""
         fields, method = request.fields, self.methods.get(path)
         if method is None:
             raise Unfit(404, "no such class")
-        id, fn = fields.get(b"HTTP_X_CALL_ID", b""), fields.get(b"HTTP_X_ENTITY", b"")
+        id, function = fields.get(b"HTTP_X_CALL_ID", b""), fields.get(b"HTTP_X_ENTITY", b"")
         if not ID.fullmatch(id):
             raise Unfit(400, "X-Call-Id is not 16 hex digits")
-        if not ID.fullmatch(fn):
+        if not ID.fullmatch(function):
             raise Unfit(400, "X-Entity is not 16 hex digits")
         patience = number_of(fields, b"HTTP_X_PATIENCE_MS", method.deadline + SLACK)
         if not patience:
@@ -126,7 +126,7 @@
         if lanes is not None and (lanes < 1 or lanes != int(lanes)):
             raise Unfit(400, "lanes is no count")
         return Invocation(
-            method, id, fn, min(patience, method.deadline), work, repeat == b"1", key, customer, memory,
+            method, id, function, min(patience, method.deadline), work, repeat == b"1", key, customer, memory,
             int(lanes or 1), load,
         )  # fmt: skip
 
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -3,13 +3,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.core import Core, Log
 from lapistrestle.node.configuration import Configuration, ConfigurationError
 from lapistrestle.node.connection import PROMPT
 from lapistrestle.node.discovery import ServiceDiscovery
 from lapistrestle.node.front import Front
 from lapistrestle.node.runners import RunnerPools
+from lapistrestle.policy.dispatcher import Dispatcher
 
 GUARD = 40  # tenths of a millisecond past its deadline at which an RPC is answered whatever the module does
 LINGER = 7_500  # after SIGTERM new connections and requests still come for some tenths of a second
@@ -28,7 +28,7 @@
     ) -> None:
         seed = int(configuration.file.seed, 16)
         self.core = Core(
-            reactor, configuration.file.name, configuration.facts, log, seed, GUARD, make, PROMPT
+            reactor, configuration.file.name, configuration.settings, log, seed, GUARD, make, PROMPT
         )
         self.pools = RunnerPools(self.core, configuration)
         self.discovery = ServiceDiscovery(self.core, configuration)
@@ -73,7 +73,7 @@
             return
         self.leaving = self.front.leaving = True
         self.core.log("leaving", open=self.core.host.open)
-        longest = max(method["deadline"] for method in self.core.facts["methods"])
+        longest = max(method.deadline for method in self.core.settings.methods)
         last = min(longest, COUNTED) + KILLED - SPARE
         self.core.after(min(LINGER, last), self.core.stop, stopped)
         self.core.after(last, self.cut_short, stopped)
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -38,7 +38,7 @@
     def start(self, _: object = None) -> None:
         """Dial, unless it was stopped."""
         if not self.stopped:
-            time_out = self.edge.facts["dial_time_out"] / 10_000
+            time_out = self.edge.connect_timeout / 10_000
             self.edge.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
 
     def stop(self) -> None:
@@ -50,7 +50,7 @@
     def buildProtocol(self, addr: Any) -> Speaker:
         """Our end of a connection that was made; it has the dial time-out to greet."""
         self.speaker = self.speak()
-        self.edge.after(self.edge.facts["dial_time_out"], self.unmet, self.speaker)
+        self.edge.after(self.edge.connect_timeout, self.unmet, self.speaker)
         return self.speaker
 
     def unmet(self, speaker: Speaker) -> None:
