--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -1,6 +1,7 @@
 """One dispatcher of the platform: the edge's core with a FastCGI front, runners' pools and the board."""
 
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
 from lapistrestle.edge.core import Core, Log
@@ -27,9 +28,8 @@
         self, reactor: Any, configuration: Configuration, log: Log, make: Callable[..., Any] = Dispatcher
     ) -> None:
         seed = int(configuration.file.seed, 16)
-        self.core = Core(
-            reactor, configuration.file.name, configuration.settings, log, seed, GUARD, make, PROMPT
-        )
+        settings = replace(configuration.settings, preload_delay=PROMPT)
+        self.core = Core(reactor, configuration.file.name, settings, log, seed, GUARD, make)
         self.pools = RunnerPools(self.core, configuration)
         self.discovery = ServiceDiscovery(self.core, configuration)
         self.front = Front(self.core, configuration)
