--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -52,7 +52,7 @@
     """Decides what each watcher is sent."""
 
     def __init__(
-        self, settings: HolderSettings, seed: int, now: int, log: Callable[[str], None] = lambda text: None
+        self, settings: HolderSettings, seed: int, now: int, log: Callable[[str], None] = lambda _: None
     ) -> None:
         """`seed` spreads the times at which busy watchers are asked to come back."""
         self.settings = settings
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -43,7 +43,7 @@
         settings: WatcherSettings,
         seed: int,
         now: int,
-        log: Callable[[str], None] = lambda text: None,
+        log: Callable[[str], None] = lambda _: None,
     ) -> None:
         """`name` spreads watchers over copies; it is the same after a restart. `seed` draws the jitter."""
         self.name = name
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -18,9 +18,10 @@
     "benchlink": {"policy"},
     "hosting": {"policy"},
     "wire": set(),
+    "sources": {"wire"},  # connections that lists are followed on
     "deployment": set(),
     "records": set(),
-    "edge": {"hosting", "wire", "deployment", "records"} | DECISIONS,
+    "edge": {"hosting", "wire", "sources", "deployment", "records"} | DECISIONS,
     "node": {"edge", "hosting", "policy", "deployment"},
     "planner": {"hosting", "wire", "deployment", "records"} | DECISIONS,
     "fleet": {"wire", "records"},
@@ -28,7 +29,7 @@
     "agreement": {"store", "wire", "records"},
     "rollout": {"wire", "records"},
     "store": {"wire", "records"},
-    "directory": {"wire", "records", "agreement"},
+    "directory": {"wire", "sources", "records", "agreement"},
     "command": PACKAGES,
     "model": {"hosting"} | DECISIONS,
     "standins": {"wire"},
@@ -38,8 +39,8 @@
 EXCEPTIONS: dict[str, set[str]] = {
     "benchlink": {"deployment", "hosting"},  # its settings' translation; the registry of ids
     "deployment": {"policy"},  # the type of the map that it translates to
-    "directory": {"deployment", "edge"},  # the holder's program: its settings, and the roster's follower
-    "model": {"checks", "deployment", "edge", "standins", "wire"},  # it plays the stand-ins' days
+    "directory": {"deployment"},  # the settings of the holder's program
+    "model": {"checks", "deployment", "edge", "sources", "standins", "wire"},  # it plays the stand-ins' days
     "node": {"records"},  # the log, made where the program begins
     "overload": {"wire"},  # verdicts of workers, as datagrams carry them
     # The days' programs and the rigs stand here, beside the stand-ins for what is not ours.
@@ -52,11 +53,12 @@
         "hosting",
         "node",
         "planner",
+        "sources",
         "store",
     },
     "wire": {"rollout"},  # a split, which a share on the wire is made from
 }
-CIRCLES = [{"directory", "edge"}]  # the holder's program follows the roster with the edge's modules
+CIRCLES: list[set[str]] = []
 
 # What the platform's edge is made of.
 OF_THE_PLATFORM = {"deployment", "edge", "hosting", "node", "policy", "records"}
