--- a/lapistrestle/directory/known.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -1,9 +1,9 @@
 """The instances that a watcher knows: those of its prefixes, and a bounded memory of those it knew before.
 
-Holders of different shards may be at different revisions, and each instance may be told by several of them.
-The word of the newest revision holds for each. What is remembered of an instance that left all prefixes keeps
-a holder that is behind from bringing back an older incarnation; where that memory is full, its oldest item
-goes, and nothing older than that item's revision is taken from any holder from then on.
+Holders of different shards may be at different revisions, and each instance may be sent by several of them.
+The entry of the newest revision holds for each. What is remembered of an instance that left all prefixes
+keeps a holder that is behind from bringing back an older incarnation; where that memory is full, its oldest
+item goes, and nothing older than that item's revision is taken from any holder from then on.
 """
 
 from collections.abc import Iterable
@@ -13,29 +13,28 @@
 
 from lapistrestle.directory.digests import undated
 from lapistrestle.directory.revisions import Revisions
-from lapistrestle.wire.directory import Revision
+from lapistrestle.directory.ticks import MILLISECOND
+from lapistrestle.wire.directory import LONGEST_UP_FOR, Revision
 from lapistrestle.wire.messages import Entry
 
-LONGEST_UP_FOR = 86_400_000.0  # milliseconds, as bounded on the wire
-PER_MILLISECOND = 10
-
 
 @dataclass(eq=False, slots=True)
-class Known:
+class CachedInstance:
     """An instance, and from which revision this is known."""
 
     entry: Entry
     revision: Revision
-    at: int  # when `up_for` was true, on the watcher's clock
+    dated_at: int  # when `up_for` was true, on the watcher's clock
     functions: set[str] = field(default_factory=set)  # that have it in their prefix
 
     @property
     def gone(self) -> bool:
+        """Whether a holder has said that it is gone."""
         return self.entry.listing == "gone"
 
 
 @dataclass(slots=True)
-class News:
+class WatchEvent:
     """What one message has changed."""
 
     changed: dict[str, Entry] = field(default_factory=dict)
@@ -44,79 +43,86 @@
     functions: dict[str, None] = field(default_factory=dict)  # whose prefixes may be shown otherwise now
 
 
-class KnownInstances:
+class CachedInstances:
     """All instances that a watcher knows."""
 
     def __init__(self, revisions: Revisions, most_retired: int) -> None:
-        self.revisions, self.most_retired = revisions, most_retired
-        self.known = dict[str, Known]()
-        self.retired = dict[str, Known]()  # in no prefix any more, the oldest first
+        self.revisions = revisions
+        self.most_retired = most_retired
+        self.known = dict[str, CachedInstance]()
+        self.retired = dict[str, CachedInstance]()  # in no prefix any more, the oldest first
         self.floor: Revision | None = None  # nothing older is taken
-        self.news = News()
+        self.event = WatchEvent()
 
-    def take_news(self) -> News:
+    def take_event(self) -> WatchEvent:
         """What has changed since the last call."""
-        news, self.news = self.news, News()
-        return news
+        event = self.event
+        self.event = WatchEvent()
+        return event
 
-    def told(self, entry: Entry, revision: Revision, now: int) -> None:
-        """A holder told an instance."""
-        known = self.known.get(entry.name) or self.restored(entry.name, now)
+    def apply_entry(self, entry: Entry, revision: Revision, now: int) -> None:
+        """Take an entry that a holder has sent; one of an older revision is passed over."""
+        known = self.known.get(entry.name) or self.restore(entry.name, now)
         if known is None:
-            self.known[entry.name] = Known(entry, revision, now)
-            self.news.changed[entry.name] = entry
+            self.known[entry.name] = CachedInstance(entry, revision, now)
+            self.event.changed[entry.name] = entry
             return
-        if self.revisions.older(revision, known.revision):
+        if self.revisions.is_older(revision, known.revision):
             return
-        before, known.entry, known.revision, known.at = known.entry, entry, revision, now
+        before = known.entry
+        known.entry = entry
+        known.revision = revision
+        known.dated_at = now
         if undated(before) == undated(entry):
             return
-        self.news.changed[entry.name] = entry
-        self.news.gone.pop(entry.name, None)
+        self.event.changed[entry.name] = entry
+        self.event.gone.pop(entry.name, None)
         if before.listing == "gone":
-            self.news.functions.update(dict.fromkeys(known.functions))
+            self.event.functions.update(dict.fromkeys(known.functions))
 
-    def restored(self, name: str, now: int) -> Known | None:
+    def restore(self, name: str, now: int) -> CachedInstance | None:
         """Bring back what is remembered of an instance that is named again."""
         known = self.retired.pop(name, None)
         if known is None:
             return None
         self.known[name] = known
-        self.news.forgotten.pop(name, None)
-        known.entry, known.at = aged(known.entry, now - known.at), now
+        self.event.forgotten.pop(name, None)
+        known.entry = aged(known.entry, now - known.dated_at)
+        known.dated_at = now
         if not known.gone:
-            self.news.changed[name] = known.entry
+            self.event.changed[name] = known.entry
         return known
 
-    def held(self, names: Iterable[str], now: int) -> tuple[Entry, ...]:
+    def current_entries(self, names: Iterable[str], now: int) -> tuple[Entry, ...]:
         """These instances as of now; nothing where one of them is not known or gone."""
         entries = list[Entry]()
         for name in names:
             known = self.known.get(name)
             if known is None or known.gone:
                 return ()
-            entries.append(aged(known.entry, now - known.at))
+            entries.append(aged(known.entry, now - known.dated_at))
         return tuple(entries)
 
-    def told_gone(self, name: str, revision: Revision) -> None:
-        """A holder said that an instance is gone."""
+    def mark_gone(self, name: str, revision: Revision) -> None:
+        """Take from a holder that an instance is gone, unless something newer is known."""
         known = self.known.get(name) or self.retired.get(name)
-        if known is None or known.gone or self.revisions.older(revision, known.revision):
+        if known is None or known.gone or self.revisions.is_older(revision, known.revision):
             return
-        known.entry, known.revision = msgspec.structs.replace(known.entry, listing="gone"), revision
-        self.news.gone[name] = None
-        self.news.changed.pop(name, None)
-        self.news.functions.update(dict.fromkeys(known.functions))
+        known.entry = msgspec.structs.replace(known.entry, listing="gone")
+        known.revision = revision
+        self.event.gone[name] = None
+        self.event.changed.pop(name, None)
+        self.event.functions.update(dict.fromkeys(known.functions))
 
-    def used_by(
+    def replace_prefix(
         self, function: str, before: Iterable[str], after: Iterable[str], revision: Revision, now: int
     ) -> None:
-        """A function's prefix has become another one, by word of this revision."""
+        """A function's prefix has become another one, at this revision."""
         old, new = set(before), set(after)
         for name in new - old:
-            known = self.known.get(name) or self.restored(name, now)
+            known = self.known.get(name) or self.restore(name, now)
             if known is None:  # named, but gone by the time the batch was made
-                known = self.known[name] = Known(Entry(name, listing="gone"), revision, now)
+                known = self.known[name] = CachedInstance(Entry(name, listing="gone"), revision, now)
             known.functions.add(function)
         for name in old - new:
             known = self.known.get(name)
@@ -130,12 +136,12 @@
             if known is None or known.functions:
                 continue
             self.retired[name] = self.known.pop(name)
-            self.news.changed.pop(name, None)
+            self.event.changed.pop(name, None)
             if not known.gone:
-                self.news.forgotten[name] = None
+                self.event.forgotten[name] = None
         while len(self.retired) > self.most_retired:
             oldest = self.retired.pop(next(iter(self.retired)))
-            if self.floor is None or self.revisions.older(self.floor, oldest.revision):
+            if self.floor is None or self.revisions.is_older(self.floor, oldest.revision):
                 self.floor = oldest.revision
 
     def usable(self, names: Iterable[str]) -> tuple[str, ...]:
@@ -147,4 +153,4 @@
     """An entry whose `up_for` was true so long ago, with that of now."""
     if entry.up_for is None or age <= 0:
         return entry
-    return msgspec.structs.replace(entry, up_for=min(LONGEST_UP_FOR, entry.up_for + age / PER_MILLISECOND))
+    return msgspec.structs.replace(entry, up_for=min(LONGEST_UP_FOR, entry.up_for + age / MILLISECOND))
--- /dev/null
+++ b/lapistrestle/directory/shard_holder.py
@@ -0,0 +1,364 @@
+"""A holder of shards of the directory: all instances of its region, and the watches on its functions.
+
+Events in, effects out (`take_effects`), the clock handed in; every other call returns nothing. Times are
+whole ticks of a tenth of a millisecond on the holder's own clock.
+
+What a change of an instance costs is in proportion to the watches that were sent the instance, or are to be
+sent it now (`watched_functions.py`); what a look-up costs does not depend on the number of instances
+(`hash_ring.py`).
+"""
+
+from collections.abc import Callable, Iterable
+from itertools import islice
+from typing import Any
+
+import msgspec
+
+from lapistrestle.directory.assignment import shard_of
+from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, HolderSettings, SendTo
+from lapistrestle.directory.instances import Changes, RegionInstances
+from lapistrestle.directory.jitter import Jitter
+from lapistrestle.directory.message_sizes import LINE_BYTES, line_bytes
+from lapistrestle.directory.rate_limits import SnapshotRateLimit, TokenBucket
+from lapistrestle.directory.roster_freshness import RosterFreshness
+from lapistrestle.directory.sessions import Batches, Session, Sessions
+from lapistrestle.directory.ticks import SECOND
+from lapistrestle.directory.watched_functions import SessionWatch, WatchedFunctions
+from lapistrestle.wire.directory import (
+    MOST_SUPERSEDED,
+    Busy,
+    InspectResponse,
+    RefusalReason,
+    Refused,
+    RegionSums,
+    Renew,
+    Renewed,
+    Revision,
+    Snapshot,
+    Unchanged,
+    Unwatch,
+    Watch,
+    WatcherMessage,
+)
+from lapistrestle.wire.messages import Entry, Message
+
+BURST = 2.0  # seconds of the holder's bytes that may be saved up
+LONGEST_DEBT = SECOND  # of sending, before look-ups that calls wait for are put off, too
+UNCHANGED_COST = 0.6  # of a snapshot: 12 us of decisions and coding, where a snapshot takes 20
+MOST_INSPECTED = 64  # instances in an answer to an operator
+
+
+class ShardHolder:
+    """Decides what each watcher is sent."""
+
+    def __init__(
+        self, settings: HolderSettings, seed: int, now: int, log: Callable[[str], None] = lambda _: None
+    ) -> None:
+        """`seed` spreads the times at which busy watchers are asked to come back."""
+        self.settings = settings
+        self.log = log
+        self.effects = list[HolderEffect]()
+        self.instances = RegionInstances(settings.ramp_time, settings.cold_share)
+        self.watched = WatchedFunctions(self.instances)
+        self.sessions = Sessions()
+        self.batches = Batches(self.instances, self.watched)
+        self.freshness = RosterFreshness(settings, now, lambda: self.effects.append(AskRoster()), log)
+        self.revision = Revision()
+        self.superseded = list[str]()  # sources before the present one
+        rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.longest_retry
+        self.snapshot_limit = SnapshotRateLimit(rate, burst, longest, now, Jitter(seed))
+        self.byte_limit = TokenBucket.full(settings.total_bytes, settings.total_bytes * BURST, now)
+
+    def take_effects(self) -> list[HolderEffect]:
+        """What is to be done since the last call, in order."""
+        effects = self.effects
+        self.effects = []
+        return effects
+
+    # the roster
+
+    def instances_changed(
+        self, entries: Iterable[Entry], complete: bool, revision: Revision, now: int
+    ) -> None:
+        """A list (`complete`: one not named is gone) or a change was taken from the roster.
+
+        Called for what `sources/numbered_list.py` says to take only, so in order and without gaps.
+        """
+        listed = list(entries)
+        self.freshness.record_call(now, len(listed))
+        if revision.source == self.revision.source and revision.number < self.revision.number:
+            self.start_over(revision)
+        if self.revision.source not in ("", revision.source):
+            self.superseded = [*self.superseded, self.revision.source][-MOST_SUPERSEDED:]
+        self.revision = revision
+        changes = self.instances.apply(listed, complete, now)
+        self.queue_changes(changes, now)
+        self.freshness.list_applied(complete, len(listed), len(changes.entered), now)
+
+    def start_over(self, revision: Revision) -> None:
+        """The roster's numbers went back under the same epoch: no session may see its revision go back."""
+        self.log(
+            f"roster back from {self.revision.number} to {revision.number}: {len(self.sessions.all)} closed"
+        )
+        for session in list(self.sessions.all.values()):
+            self.close(session, "the roster went back")
+
+    def snapshot_requested(self, now: int) -> None:
+        """The program itself has asked the roster for a complete list: on connecting, or because of a gap.
+
+        Not to be called for `AskRoster`. Without it a list that was on its way while the holder stood still
+        would pass for the answer to what the holder asks when it wakes.
+        """
+        self.freshness.record_call(now)
+        self.freshness.snapshot_requested(now)
+
+    def snapshot_discarded(self, now: int) -> None:
+        """A complete list has come that is not taken; it is no answer that the holder can go by."""
+        self.freshness.record_call(now)
+        self.freshness.snapshot_discarded(now)
+
+    def roster_lost(self, now: int) -> None:
+        """The connection to the roster is gone, or the roster says that it can't answer.
+
+        Until the next complete list the age of the holder's knowledge grows, and watchers are notified of it.
+        """
+        self.freshness.record_call(now)
+        self.freshness.roster_lost(now)
+
+    def queue_changes(self, changes: Changes, now: int) -> None:
+        """Note for each session what it is to be sent of these changes, and by when."""
+        for function, watch in self.watched.recompute_changed(self.watched.affected_functions(changes)):
+            session = self.sessions.all[watch.session]
+            session.changed_functions[function.name] = None
+            self.sessions.due_by(session, now + self.settings.batch_delay)
+        for name in changes.left:
+            self.notify_of(name, now + self.settings.urgent_delay, True)
+        for name in changes.urgent:
+            self.notify_of(name, self.urgent_due(name, now), True)
+        for name in (*changes.other, *changes.entered):
+            self.notify_of(name, now + self.settings.batch_delay, False)
+
+    def urgent_due(self, name: str, now: int) -> int:
+        """When a drain is sent: soon, but for one that flaps no more often than other changes."""
+        instance = self.instances.known.get(name)
+        if instance is None:
+            return now + self.settings.urgent_delay
+        due = max(now + self.settings.urgent_delay, instance.urgent_at + self.settings.batch_delay)
+        instance.urgent_at = due
+        return due
+
+    def notify_of(self, name: str, due: int, urgent: bool) -> None:
+        """Note for each session that was sent an instance that it is to be sent again, by `due`."""
+        for watch in self.watched.watches_sent(name):
+            session = self.sessions.all[watch.session]
+            session.changed_instances[name] = urgent or session.changed_instances.get(name, False)
+            self.sessions.due_by(session, due)
+
+    # watchers
+
+    def session_opened(self, session: int, now: int) -> None:
+        """A watcher has connected and greeted; the program numbers its sessions and uses no number twice."""
+        self.freshness.record_call(now)
+        if len(self.sessions.all) >= self.settings.most_sessions:
+            self.effects.append(
+                CloseSession(session, f"{self.settings.most_sessions} watchers are connected")
+            )
+            return
+        self.sessions.open(session, now + self.settings.lease, self.settings.session_bytes, now)
+
+    def session_closed(self, session: int, now: int) -> None:
+        """A session is over; one that is not known (any more) does no harm."""
+        self.freshness.record_call(now)
+        known = self.sessions.all.get(session)
+        if known is not None:
+            self.forget(known)
+
+    def forget(self, session: Session) -> None:
+        """Remove a session and its watches."""
+        del self.sessions.all[session.number]
+        for function in session.ids:
+            self.watched.unwatch(function, session.number)
+
+    def close(self, session: Session, reason: str) -> None:
+        """Close a session, and have the program close its connection."""
+        self.forget(session)
+        self.effects.append(CloseSession(session.number, reason))
+
+    def message_received(self, session: int, message: WatcherMessage, now: int) -> None:
+        """A watcher has sent a message."""
+        self.freshness.record_call(now)
+        known = self.sessions.all.get(session)
+        if known is None:
+            return
+        if isinstance(message, Watch):
+            self.watch(known, message, now)
+        elif isinstance(message, Unwatch):
+            self.unwatch(known, message.id)
+        elif isinstance(message, Renew):
+            self.renew(known, message, now)
+        else:
+            self.send(
+                known, InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
+            )
+
+    def send(self, session: Session, message: Message) -> None:
+        """Send a message on a session."""
+        self.effects.append(SendTo(session.number, message))
+
+    def watch(self, session: Session, request: Watch, now: int) -> None:
+        """Answer a watch: a snapshot, `Unchanged`, a time to come back, or a refusal."""
+        if request.id in session.watches:
+            return  # answered already
+        refused = self.refusal_of(session, request)
+        if refused is not None:
+            self.send(session, refused)
+            return
+        cost = UNCHANGED_COST if request.digest else 1.0
+        wait = self.snapshot_limit.retry_after(now, cost, not request.has_prefix, self.in_debt(request, now))
+        if wait:
+            self.send(session, Busy(request.id, wait))
+            return
+        self.unwatch(session, session.ids.get(request.function, -1), replaced=True)
+        session.ids[request.function] = request.id
+        session.watches[request.id] = request.function
+        watch = SessionWatch(session.number, request.id, request.shard, request.epoch, request.count)
+        self.watched.watch(request.function, watch)
+        session.changed_functions.pop(request.function, None)
+        self.sessions.renew(session, now + self.settings.lease)
+        self.answer(session, request, now)
+
+    def in_debt(self, request: Watch, now: int) -> bool:
+        """Whether so many bytes were sent lately that this snapshot has to wait."""
+        allowed = LONGEST_DEBT if not request.has_prefix else 0
+        return not request.digest and self.byte_limit.wait(now) > allowed
+
+    def answer(self, session: Session, request: Watch, now: int) -> None:
+        """Send the prefix of a watch, or that the watcher has it."""
+        answer = self.watched.answer(request.function, request.count, now)
+        sequence, lease, age = session.next_sequence(), self.settings.lease, self.freshness.age(now)
+        if answer.digest == request.digest:
+            self.byte_limit.take(LINE_BYTES, now)
+            self.send(
+                session,
+                Unchanged(request.id, request.epoch, self.revision, sequence, lease, age, self.superseded),
+            )
+            return
+        if request.digest:
+            self.snapshot_limit.bucket.take(1 - UNCHANGED_COST, now)
+        snapshot = Snapshot(
+            request.id, request.epoch, self.revision, sequence, answer.entries, answer.complete,
+            lease, age, self.superseded, now - answer.at,
+        )  # fmt: skip
+        self.byte_limit.take(LINE_BYTES + answer.size, now)
+        self.send(session, snapshot)
+
+    def refusal_of(self, session: Session, request: Watch) -> Refused | None:
+        """The refusal of a watch that is not served here; `None` where it is."""
+        settings = self.settings
+        if request.epoch > settings.epoch:
+            return Refused(request.id, RefusalReason.NEW_EPOCH, settings.epoch)
+        if request.epoch < settings.oldest_epoch:
+            return Refused(request.id, RefusalReason.OLD_EPOCH, settings.epoch)
+        elsewhere = shard_of(request.function, settings.shard_count) != request.shard
+        if request.shard not in settings.shards or (request.epoch == settings.epoch and elsewhere):
+            return Refused(request.id, RefusalReason.WRONG_SHARD, settings.epoch)
+        if not self.freshness.may_answer:
+            return Refused(request.id, RefusalReason.OUTDATED, settings.epoch)
+        if len(session.ids) >= settings.most_watches and request.function not in session.ids:
+            return Refused(request.id, RefusalReason.TOO_MANY_WATCHES, settings.epoch)
+        return None
+
+    def unwatch(self, session: Session, watch: int, replaced: bool = False) -> None:
+        """End a watch; `replaced`: a later one of the same function takes its place."""
+        function = session.watches.pop(watch, None)
+        if function is None:
+            return
+        del session.ids[function]
+        if not replaced:
+            session.changed_functions.pop(function, None)
+            self.watched.unwatch(function, session.number)
+
+    def renew(self, session: Session, request: Renew, now: int) -> None:
+        """A holder that doesn't know how old its knowledge is keeps silent, so that the watcher leaves it."""
+        if not self.freshness.may_answer:
+            return
+        self.sessions.renew(session, now + self.settings.lease)
+        sums: RegionSums | None = None
+        if now - session.sums_at >= SECOND:
+            sums = self.instances.sums(now)
+            session.sums_at = now
+        age = self.freshness.age(now)
+        lease, sequence = self.settings.lease, session.sequence
+        self.send(session, Renewed(request.sent_at, lease, sequence, self.revision, age, sums))
+
+    def configure(self, settings: HolderSettings, now: int) -> None:
+        """Settings of another epoch; of an older one they aren't taken."""
+        self.freshness.record_call(now)
+        if settings.epoch < self.settings.epoch:
+            self.log(f"settings of epoch {settings.epoch} not taken, {self.settings.epoch} holds")
+            return
+        self.log(f"epoch {settings.epoch} in place of {self.settings.epoch}")
+        self.settings = settings
+        for session in list(self.sessions.all.values()):
+            if any(self.outdated(session, function) for function in session.ids):
+                self.close(session, f"epoch {settings.epoch} holds")
+
+    def outdated(self, session: Session, function: str) -> bool:
+        """Whether the settings that hold now don't serve a session's watch any more."""
+        watch = self.watched.functions[function].watches[session.number]
+        return watch.epoch < self.settings.oldest_epoch or watch.shard not in self.settings.shards
+
+    # time
+
+    def tick(self, now: int) -> None:
+        """To be called when `next_due` has come, or soon after: leases lapse, batches are sent."""
+        self.freshness.record_call(now)
+        self.freshness.tick(now)
+        for session in self.sessions.expired(now):
+            self.close(session, "no renewal within the lease")
+        for session in self.sessions.take_due(now):
+            self.flush(session, now)
+
+    def flush(self, session: Session, now: int) -> None:
+        """Send what is due, as far as the bounds on bytes allow; what is urgent goes in any case."""
+        wait = max(session.byte_limit.wait(now), self.byte_limit.wait(now))
+        make = self.batches.urgent_update if wait else self.batches.full_update
+        update = make(session, self.revision, now)
+        if update is not None:
+            size = line_bytes(update)
+            session.byte_limit.take(size, now)
+            self.byte_limit.take(size, now)
+            self.send(session, update)
+        if not session.idle:
+            wait = max(session.byte_limit.wait(now), self.byte_limit.wait(now), self.settings.urgent_delay)
+            urgent = any(session.changed_instances.values())
+            self.sessions.due_by(session, now + (self.settings.urgent_delay if urgent else wait))
+
+    def next_due(self) -> int:
+        """When `tick` is to be called next; it may have become earlier after any other call."""
+        return min(self.sessions.next_due(), self.sessions.next_expiry(), self.freshness.next_due())
+
+    # for operators
+
+    def inspect(self, function: str = "") -> dict[str, Any]:
+        """What is known, as plain values: of one function, or figures of the whole."""
+        report: dict[str, Any] = {
+            "revision": msgspec.to_builtins(self.revision),
+            "knowledge": self.freshness.state.value,
+            "epoch": self.settings.epoch,
+            "shards": sorted(self.settings.shards),
+            "instances": len(self.instances.known),
+        }
+        if not function:
+            report["sessions"] = len(self.sessions.all)
+            report["functions"] = len(self.watched.functions)
+            report["watches"] = sum(len(session.ids) for session in self.sessions.all.values())
+            report["snapshots refused as busy"] = self.snapshot_limit.rejected
+            return report
+        known = self.watched.functions.get(function)
+        report["function"], report["shard"] = function, shard_of(function, self.settings.shard_count)
+        report["watchers"] = len(known.watches) if known is not None else 0
+        places = islice(self.instances.ring.places(function), MOST_INSPECTED)
+        names = [place.name for place in places]
+        report["order"] = [msgspec.structs.asdict(self.instances.known[name].entry) for name in names]
+        return report
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -23,8 +23,8 @@
     WatcherEffect,
     WatcherSettings,
 )
-from lapistrestle.directory.region import Region
-from lapistrestle.directory.watcher import NEAR_THE_END, DirectoryWatcher
+from lapistrestle.directory.region_estimate import RegionEstimate
+from lapistrestle.directory.watcher import EXTENSION_THRESHOLD, DirectoryWatcher
 from lapistrestle.edge.holders import HolderConnections
 from lapistrestle.edge.instances import InstanceHandOver
 from lapistrestle.edge.waiting import WaitingRequests
@@ -59,7 +59,7 @@
 
     def __init__(self, edge: Any, settings: Directory) -> None:
         self.edge, self.settings = edge, settings
-        assert isinstance(edge.fleet.region, Region)
+        assert isinstance(edge.fleet.region, RegionEstimate)
         self.region = edge.fleet.region
         place = edge.deployment.dispatcher
         self.watcher = DirectoryWatcher(
@@ -100,7 +100,7 @@
 
     def ready(self, function: Function, method: str) -> bool:
         """Whether an RPC of this function can be placed now; else it has to wait."""
-        prefix = self.watcher.wanted(function.name, method, self.edge.clock())
+        prefix = self.watcher.prefix_for(function.name, method, self.edge.clock())
         if prefix is not None and function.prefix is None:
             self.instances.rank(function, prefix.names)
         return prefix is not None
@@ -118,36 +118,36 @@
         """
         prefix = worker_call.pending.function.prefix or ()
         if worker_call.worker in prefix:
-            last = max(0, int(NEAR_THE_END * len(prefix)) - 1)
+            last = max(0, int(EXTENSION_THRESHOLD * len(prefix)) - 1)
             place = min(prefix.index(worker_call.worker), last)
-            self.watcher.used(worker_call.pending.function.name, place, self.edge.clock())
+            self.watcher.function_used(worker_call.pending.function.name, place, self.edge.clock())
             if self.watcher.effects:  # else nothing is due earlier than it was
                 self.act()
 
     def more(self, function: str) -> None:
         """The prefix was not enough."""
-        self.watcher.more(function, self.edge.clock())
+        self.watcher.extend_prefix(function, self.edge.clock())
         if self.watcher.effects:
             self.act()
 
     # what becomes of connections (holders.Listener)
 
     def connected(self, connection: int) -> None:
-        self.watcher.connected(connection, self.edge.clock())
+        self.watcher.connection_ready(connection, self.edge.clock())
         self.act()
 
     def refused(self, connection: int) -> None:
-        self.watcher.refused(connection, self.edge.clock())
+        self.watcher.connection_failed(connection, self.edge.clock())
         self.act()
 
     def disconnected(self, connection: int) -> None:
-        self.watcher.disconnected(connection, self.edge.clock())
+        self.watcher.connection_lost(connection, self.edge.clock())
         self.act()
 
     def heard(self, connection: int, message: Any) -> None:
         now = self.edge.clock()
-        self.asked = message.asked - message.age if isinstance(message, Renewed) else now
-        self.watcher.heard(connection, message, now)
+        self.asked = message.sent_at - message.age if isinstance(message, Renewed) else now
+        self.watcher.message_received(connection, message, now)
         self.act()
 
     # what the watcher decided
@@ -158,7 +158,7 @@
             return
         self.acting = True
         try:
-            while effects := self.watcher.take():
+            while effects := self.watcher.take_effects():
                 for effect in effects:
                     self.carry_out(effect)
         finally:
@@ -199,7 +199,7 @@
             case LookupFailed():
                 self.waiting.failed(effect.function, effect.retry_after)
             case SumsChanged():
-                self.region.told(effect.sums, self.asked)
+                self.region.update(effect.sums, self.asked)
 
     def prefix_ready(self, effect: PrefixReady) -> None:
         """Tell the module of it, and then of the RPCs that waited for it."""
@@ -219,7 +219,7 @@
             "name": self.edge.name,
             "epoch": self.settings.epoch,
             "shards": len(self.settings.shards),
-            "shards reached": self.watcher.shards_reached(),
+            "shards reached": self.watcher.reachable_shards(),
             "connections": len(self.connections),
             "instances": len(self.edge.following.known),
             "functions": sum(
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -3,11 +3,11 @@
 from pathlib import Path
 from typing import Any
 
-from lapistrestle.edge.sources import Source
 from lapistrestle.policy.state import Function, Worker
 from lapistrestle.rollout import replicas
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout_types import TrafficSplit, versioned_name
+from lapistrestle.sources.reconnecting import Source
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -8,12 +8,11 @@
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
 from lapistrestle.edge.core import Core, Log
-from lapistrestle.edge.following import Address, Do, Following, News
+from lapistrestle.edge.following import Address, Following
 from lapistrestle.edge.keeping import Keeping
 from lapistrestle.edge.linking import PROMPT
 from lapistrestle.edge.peers import Peers
 from lapistrestle.edge.planning import PlannerSource
-from lapistrestle.edge.rosters import RosterSource
 from lapistrestle.edge.runners import Runner, bounds_of
 from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
@@ -21,6 +20,8 @@
 from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.version_choice import VersionChoice, attempt_key, choose_after_denial
+from lapistrestle.sources.numbered_list import Do, News
+from lapistrestle.sources.roster import RosterSource
 from lapistrestle.wire import messages as wire
 
 
@@ -58,9 +59,10 @@
         guidance = FleetGuidance()
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
-            from lapistrestle.directory.region import Region
+            from lapistrestle.directory.region_estimate import RegionEstimate
 
-            guidance.region = Region(self.clock, settings.slow_start_share, settings.slow_start_duration)
+            share, duration = settings.slow_start_share, settings.slow_start_duration
+            guidance.region = RegionEstimate(self.clock, share, duration)
         super().__init__(reactor, place.name, settings, log, seed, self.margin // 2, make, fleet=guidance)
         clients = Clients(self)
         self.front, self.seats = clients, clients.seats
--- a/lapistrestle/wire/directory.py
+++ b/lapistrestle/wire/directory.py
@@ -1,11 +1,12 @@
 """Messages between a dispatcher that watches functions and a holder of the directory of instances.
 
 Protocol `lapistrestle.directory`, framed like the others (`wire/lines.py`). Unless stated otherwise times are
-whole tenths of a millisecond. An instance is told as the roster's `Entry`, written as an array; its `start`
+whole tenths of a millisecond. An instance is sent as the roster's `Entry`, written as an array; its `start`
 tells one incarnation from the next, and its `up_for` (milliseconds) is as of the sending of the message.
 """
 
-from typing import Annotated, Literal
+from enum import StrEnum
+from typing import Annotated
 
 from msgspec import Meta, Raw, Struct, convert, field
 
@@ -15,6 +16,7 @@
 MOST_SUPERSEDED = 8  # sources named in a snapshot
 LONGEST_PREFIX = 512  # instances of one prefix, so that a snapshot fits the longest line
 DIGEST_BYTES = 8  # of a digest, written as hexadecimal digits
+LONGEST_UP_FOR = 86_400_000.0  # milliseconds, the bound of an entry's `up_for`
 MOST_IN_A_BATCH = 512  # entries of one update, for the same reason
 
 Count = Annotated[int, Meta(ge=1, le=LONGEST_PREFIX)]
@@ -62,8 +64,8 @@
 
     Starts a watch, or takes the place of the connection's earlier watch of the same function. `id` is the
     watcher's and grows with each. `digest`: of the prefix that the watcher holds already
-    (`directory/digests.py`); where the holder's is the same, `Unchanged` is the answer. `known`: calls are
-    served by what the watcher holds meanwhile; those that wait for a prefix are answered first.
+    (`directory/digests.py`); where the holder's is the same, `Unchanged` is the answer. `has_prefix`: calls
+    are served by what the watcher holds meanwhile; those that wait for a prefix are answered first.
     """
 
     id: Number
@@ -73,22 +75,25 @@
     count: Count
     method: str = ""
     digest: str = ""
-    known: bool = False
+    has_prefix: bool = field(default=False, name="known")
 
 
 class Unwatch(Message, tag="unwatch"):
-    """This watch is not needed any more."""
+    """The watch is not needed any more."""
 
     id: Number
 
 
 class Renew(Message, tag="renew"):
-    """Renew the lease on all watches of this connection. `asked`: the watcher's clock, sent back as it is."""
+    """Renew the lease on all watches of this connection.
 
-    asked: Number
+    `sent_at`: the watcher's clock, sent back as it is.
+    """
+
+    sent_at: Number = field(name="asked")
 
 
-class Show(Message, tag="show"):
+class InspectRequest(Message, tag="show"):
     """An operator asks what the holder knows, of one function or in all."""
 
     function: str = ""
@@ -98,9 +103,9 @@
 
 
 class Snapshot(Message, tag="snapshot"):
-    """A prefix as a whole, the answer to a watch. `complete`: it is the whole order, there are no more.
+    """A complete prefix, the answer to a watch. `complete`: it is the complete order, there are no more.
 
-    `lease` counts from when the watcher sent its question. `age`: for how long the holder has not been sure
+    `lease` counts from when the watcher sent its request. `age`: for how long the holder has not been sure
     to hear its roster; 0 while it hears it. `superseded`: the roster's earlier epochs that it saw end.
     `up_for_age`: how long before the sending the `up_for` of the entries was true; such lists are shared.
     """
@@ -118,7 +123,7 @@
 
 
 class Unchanged(Message, tag="unchanged"):
-    """The answer to a watch whose digest fits: what the watcher had when it asked is the prefix as a whole.
+    """The answer to a watch whose digest fits: what the watcher had when it asked is the whole prefix.
 
     The other fields are those of `Snapshot`.
     """
@@ -132,7 +137,7 @@
     superseded: list[str] = field(default_factory=list)
 
 
-class Placed(Struct, omit_defaults=True, gc=False):
+class PlacedInstance(Struct, omit_defaults=True, gc=False):
     """An instance that enters a prefix, at this position of the new prefix."""
 
     position: Annotated[int, Meta(ge=0, lt=LONGEST_PREFIX)]
@@ -148,7 +153,7 @@
     id: Number
     length: Number
     removed: list[Name] = field(default_factory=list)
-    inserted: list[Placed] = field(default_factory=list)
+    inserted: list[PlacedInstance] = field(default_factory=list)
     complete: bool = False
 
 
@@ -169,7 +174,7 @@
 class Renewed(Message, tag="renewed"):
     """The answer to a renewal. `sequence`: that of the last batch sent before it, so that a loss shows."""
 
-    asked: Number
+    sent_at: Number = field(name="asked")
     lease: Duration
     sequence: Number
     revision: Revision
@@ -184,24 +189,33 @@
     retry_after: Duration
 
 
-class Refused(Message, tag="refused"):
-    """The holder doesn't serve this watch.
+class RefusalReason(StrEnum):
+    """Why a holder does not serve a watch."""
 
-    `old epoch`: the watcher's assignment is older than the holder's `epoch`; `new epoch`: the holder's is the
-    older; `shard`: the shard is not here; `stale`: it has not heard its roster yet, or not again; `full`: no
-    room for a further watch.
-    """
+    OLD_EPOCH = "old epoch"  # the watcher's assignment is older than the holder's
+    NEW_EPOCH = "new epoch"  # the holder's assignment is the older one
+    WRONG_SHARD = "shard"  # the holder does not hold the shard
+    OUTDATED = "stale"  # the holder has not heard its roster yet, or not again
+    TOO_MANY_WATCHES = "full"
+
+
+class Refused(Message, tag="refused"):
+    """The holder doesn't serve this watch. `epoch`: that of the holder."""
 
     id: Number
-    why: Literal["old epoch", "new epoch", "shard", "stale", "full"]
+    reason: RefusalReason = field(name="why")
     epoch: Number
 
 
-class Shown(Message, tag="shown"):
+class InspectResponse(Message, tag="shown"):
     """The answer to `show`, as JSON for people and tools; its names may grow."""
 
     body: Raw = NO_BODY
 
 
-FromWatcher = Hello | Watch | Unwatch | Renew | Show | Bye
-FromHolder = Hello | Snapshot | Unchanged | Update | Renewed | Busy | Refused | Shown | Fault | Bye
+# what follows the greeting, each way
+WatcherMessage = Watch | Unwatch | Renew | InspectRequest
+HolderMessage = Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse
+
+FromWatcher = Hello | WatcherMessage | Bye
+FromHolder = Hello | HolderMessage | Fault | Bye
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -9,18 +9,22 @@
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.assignment import Assignment, Copy
 from lapistrestle.directory.digests import digest_of, undated
-from lapistrestle.directory.effects import MILLISECOND, SECOND, HolderSettings, WatcherSettings
-from lapistrestle.directory.holder import ShardHolder
-from lapistrestle.directory.instances import Instances
-from lapistrestle.directory.knowledge import Knowledge
-from lapistrestle.directory.order import InstanceRing
-from lapistrestle.directory.pacing import Admission, Jitter
-from lapistrestle.directory.prefixes import LostChange, changed
+from lapistrestle.directory.effects import HolderSettings, WatcherSettings
+from lapistrestle.directory.hash_ring import InstanceRing
+from lapistrestle.directory.holder_messages import HolderMessages
+from lapistrestle.directory.instances import RegionInstances
+from lapistrestle.directory.jitter import Jitter
+from lapistrestle.directory.message_sizes import line_bytes
+from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change
+from lapistrestle.directory.rate_limits import SnapshotRateLimit
 from lapistrestle.directory.revisions import REVERSAL, Revisions
+from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches
-from lapistrestle.directory.sizes import line_bytes
-from lapistrestle.directory.watched import WatchedFunctions
-from lapistrestle.directory.watcher import DirectoryWatcher, Prefix
+from lapistrestle.directory.shard_holder import ShardHolder
+from lapistrestle.directory.ticks import MILLISECOND, SECOND
+from lapistrestle.directory.watch_requests import WatchRequests
+from lapistrestle.directory.watched_functions import WatchedFunctions
+from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.standins.directory_checks import true_prefix
 from lapistrestle.standins.directory_world import CALM, WILD, Plan, World, play, random_day
 from lapistrestle.wire import directory as wire
@@ -54,7 +58,7 @@
         self.collect()
 
     def collect(self):
-        for effect in self.holder.take():
+        for effect in self.holder.take_effects():
             if isinstance(effect, directory.SendTo):
                 self.sent.append((self.now, effect.session, effect.message))
             elif isinstance(effect, directory.CloseSession):
@@ -68,10 +72,10 @@
         return self.last_id
 
     def connect(self, session):
-        self.holder.connected(session, self.now)
+        self.holder.session_opened(session, self.now)
 
     def say(self, session, message):
-        self.holder.heard(session, message, self.now)
+        self.holder.message_received(session, message, self.now)
         self.collect()
 
     def run(self, length, renew=()):
@@ -96,7 +100,7 @@
     made.connect(1)
     made.watch(1, "f", 4)
     (snapshot,) = made.of(wire.Snapshot)
-    truth = Instances()
+    truth = RegionInstances()
     truth.apply([entry(i) for i in range(20)], True, 0)
     assert tuple(e.name for e in snapshot.entries) == true_prefix(truth, "f", 4).names
     assert (snapshot.sequence, snapshot.complete, snapshot.revision) == (1, False, wire.Revision("e1", 1))
@@ -202,7 +206,7 @@
 
 
 def test_the_measure_of_a_changes_work_catches_a_scan_over_all_watches(monkeypatch):
-    monkeypatch.setattr(WatchedFunctions, "touched", lambda self, changes: set(self.functions))
+    monkeypatch.setattr(WatchedFunctions, "affected_functions", lambda self, changes: set(self.functions))
     small, large = work_of_one_change(400), work_of_one_change(1_000)
     assert large[0] >= small[0] / 4
 
@@ -213,7 +217,7 @@
     for i in range(30):
         made.watch(1, f"f{i}", 1 + i % 6)
     jitter = Jitter(5)
-    truth = Instances()
+    truth = RegionInstances()
     truth.apply([entry(i) for i in range(30)], True, 0)
     for step in range(400):
         number, what = jitter.below(40), jitter.below(4)
@@ -278,14 +282,14 @@
     for update in made.of(wire.Update):
         assert len(update.entries) + len(update.gone) <= 30
         for change in update.changes:
-            names[change.id] = changed(names[change.id], change)
+            names[change.id] = apply_change(names[change.id], change)
     for watch, function in ids.items():
         assert names[watch] == made.holder.watched.functions[function].prefixes[4].names
 
 
 def test_snapshots_are_admitted_at_a_rate_and_the_others_told_times_that_are_spread():
-    admission = Admission(1_000, 100, 2 * SECOND, 0, Jitter(1))
-    waits = [admission.retry_after(0) for _ in range(5_000)]
+    snapshot_limit = SnapshotRateLimit(1_000, 100, 2 * SECOND, 0, Jitter(1))
+    waits = [snapshot_limit.retry_after(0) for _ in range(5_000)]
     assert waits.count(0) == 100
     told = sorted(wait for wait in waits if wait)
     assert told[-1] <= 2 * SECOND
@@ -313,8 +317,8 @@
     made.run(5 * SECOND, renew=[2])
     assert list(made.closed) == [1] and made.closed[1] <= 3 * SECOND + 1_000
     assert list(made.holder.watched.functions["f"].watches) == [2]
-    made.holder.disconnected(2, made.now)
-    assert not made.holder.watched.functions and not made.holder.watched.having
+    made.holder.session_closed(2, made.now)
+    assert not made.holder.watched.functions and not made.holder.watched.functions_by_instance
     assert not len(made.holder.watched.positions) and not made.holder.watched.by_length
 
 
@@ -332,16 +336,18 @@
     made = Directory()
     made.connect(1)
     made.watch(1, "f", epoch=epoch, shard=shard)
-    assert [(m.why, m.epoch) for m in made.of(wire.Refused)] == [(why, EPOCH)] and not made.of(wire.Snapshot)
+    assert [(m.reason, m.epoch) for m in made.of(wire.Refused)] == [(why, EPOCH)] and not made.of(
+        wire.Snapshot
+    )
 
 
 def test_calls_that_wait_are_answered_before_watches_that_are_only_renewed():
-    admission = Admission(1_000, 100, 2 * SECOND, 0, Jitter(1))
-    renewed = [admission.retry_after(0, waiting=False) for _ in range(1_000)]
+    snapshot_limit = SnapshotRateLimit(1_000, 100, 2 * SECOND, 0, Jitter(1))
+    renewed = [snapshot_limit.retry_after(0, waiting=False) for _ in range(1_000)]
     assert renewed.count(0) == 50
-    waiting = [admission.retry_after(0) for _ in range(100)]
+    waiting = [snapshot_limit.retry_after(0) for _ in range(100)]
     assert waiting[:50] == [0] * 50 and max(waiting) <= 500  # nor behind those in the others' queue
-    assert Admission(10, 1, SECOND, 0, Jitter(1)).retry_after(0, waiting=False) == 0
+    assert SnapshotRateLimit(10, 1, SECOND, 0, Jitter(1)).retry_after(0, waiting=False) == 0
 
 
 def test_snapshots_wait_while_the_holder_has_sent_too_many_bytes():
@@ -446,7 +452,7 @@
     made.watch(1, "g")
     assert made.asked == 1
     assert not made.of(wire.Renewed) and not made.of(wire.Snapshot)
-    assert [m.why for m in made.of(wire.Refused)] == ["stale"]
+    assert [m.reason for m in made.of(wire.Refused)] == ["stale"]
     made.tell([entry(0, listing="draining")])
     made.watch(1, "g")
     assert not made.of(wire.Snapshot)
@@ -459,7 +465,7 @@
 def test_a_list_that_was_under_way_before_a_standstill_is_not_the_answer_after_it():
     made = Directory()
     made.connect(1)
-    made.holder.roster_asked(made.now)
+    made.holder.snapshot_requested(made.now)
     made.now += 2 * SECOND
     made.tell([entry(i) for i in range(20)], whole=True)
     made.watch(1, "f")
@@ -532,11 +538,11 @@
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
-    made.say(1, wire.Show("f"))
-    shown = msgspec.json.decode(made.of(wire.Shown)[0].body)
+    made.say(1, wire.InspectRequest("f"))
+    shown = msgspec.json.decode(made.of(wire.InspectResponse)[0].body)
     names = [e.name for e in made.of(wire.Snapshot)[0].entries]
     assert [e["name"] for e in shown["order"]][:4] == names and shown["watchers"] == 1
-    assert made.holder.show()["watches"] == 1
+    assert made.holder.inspect()["watches"] == 1
 
 
 # the watcher
@@ -557,7 +563,7 @@
         self.logs.append(text)
 
     def collect(self):
-        self.effects += [(self.now, effect) for effect in self.watcher.take()]
+        self.effects += [(self.now, effect) for effect in self.watcher.take_effects()]
 
     def of(self, kind):
         return [effect for _, effect in self.effects if isinstance(effect, kind)]
@@ -574,19 +580,19 @@
         self.now = until
 
     def wanted(self, function="f"):
-        prefix = self.watcher.wanted(function, "m", self.now)
+        prefix = self.watcher.prefix_for(function, "m", self.now)
         self.collect()
         return prefix
 
     def connect(self):
         number = self.of(directory.Dial)[-1].connection
-        self.watcher.connected(number, self.now)
+        self.watcher.connection_ready(number, self.now)
         self.sequence[number] = 0
         self.collect()
         return number
 
     def hear(self, connection, message):
-        self.watcher.heard(connection, message, self.now)
+        self.watcher.message_received(connection, message, self.now)
         self.collect()
 
     def snapshot(self, connection, names, number=1, source="e1", start="1", id=None, epoch=EPOCH, **more):
@@ -606,7 +612,7 @@
         )
 
     def answer_renewals(self, connection, lease=3 * SECOND, **more):
-        asked = self.sent(wire.Renew)[-1].asked
+        asked = self.sent(wire.Renew)[-1].sent_at
         revision = wire.Revision("e1", 1)
         self.hear(connection, wire.Renewed(asked, lease, self.sequence[connection], revision, **more))
 
@@ -629,7 +635,7 @@
 
 def moved(made, connection):
     """The same watcher at another copy, with what it knows."""
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.collect()
     made.run(100 * MILLISECOND)
     return made.connect()
@@ -639,10 +645,10 @@
     made = Dispatcher()
     connection = ready(made)
     first = made.sent(wire.Watch)[0]
-    assert (first.digest, first.known) == ("", False)
+    assert (first.digest, first.has_prefix) == ("", False)
     held = digest_of([wire.compact(entry(n)) for n in (1, 2, 3)], False)
     other = moved(made, connection)
-    assert (made.sent(wire.Watch)[-1].digest, made.sent(wire.Watch)[-1].known) == (held, True)
+    assert (made.sent(wire.Watch)[-1].digest, made.sent(wire.Watch)[-1].has_prefix) == (held, True)
     told = len(made.of(directory.InstancesChanged)), len(made.of(directory.PrefixReady))
     unchanged(made, other, number=2)
     assert (len(made.of(directory.InstancesChanged)), len(made.of(directory.PrefixReady))) == told
@@ -664,8 +670,8 @@
     made = Dispatcher()
     other = moved(made, ready(made))
     known = made.watcher.instances
-    known.told(wire.compact(entry(1, "2")), wire.Revision("e1", 5), made.now)  # another shard's holder
-    known.told(wire.compact(entry(2, "2")), wire.Revision("e1", 3), made.now)
+    known.apply_entry(wire.compact(entry(1, "2")), wire.Revision("e1", 5), made.now)  # another shard's holder
+    known.apply_entry(wire.compact(entry(2, "2")), wire.Revision("e1", 3), made.now)
     unchanged(made, other, number=4)
     assert [known.known[f"w{n}"].entry.start for n in (1, 2, 3)] == ["2", "1", "1"]
     assert [known.known[f"w{n}"].revision.number for n in (1, 2, 3)] == [5, 4, 4]
@@ -703,11 +709,11 @@
 def test_with_no_holder_what_is_known_serves_on_and_other_look_ups_fail_at_once():
     made = Dispatcher()
     connection = ready(made)
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.collect()
     for _ in range(2):
         made.run(SECOND // 2)
-        made.watcher.refused(made.of(directory.Dial)[-1].connection, made.now)
+        made.watcher.connection_failed(made.of(directory.Dial)[-1].connection, made.now)
         made.collect()
     assert made.wanted("f") == Prefix(("w1", "w2", "w3"), False)
     before = len(made.of(directory.LookupFailed))
@@ -724,10 +730,10 @@
     times = []
     for seed in range(2):
         made = Dispatcher()
-        made.watcher.jitter = Jitter(seed)
+        made.watcher.jitter.seed = seed
         made.wanted()
         for _ in range(12):
-            made.watcher.refused(made.of(directory.Dial)[-1].connection, made.now)
+            made.watcher.connection_failed(made.of(directory.Dial)[-1].connection, made.now)
             made.run(3 * SECOND)
         dials = [at for at, e in made.effects if isinstance(e, directory.Dial)]
         assert len(dials) < 40 and {e.copy for e in made.of(directory.Dial)} == set(COPIES)
@@ -738,7 +744,7 @@
 def test_the_lease_counts_from_before_the_question():
     made = Dispatcher(heartbeat=SECOND // 5, silence=10 * SECOND)
     connection = ready(made)
-    asked = made.sent(wire.Renew)[-1].asked
+    asked = made.sent(wire.Renew)[-1].sent_at
     made.now += SECOND // 4
     made.hear(connection, wire.Renewed(asked, 3 * SECOND, 1, wire.Revision("e1", 1)))
     assert made.watcher.connections[connection].lease_until == asked + 3 * SECOND
@@ -747,7 +753,7 @@
 def test_an_answer_that_comes_after_its_lease_renews_nothing():
     made = Dispatcher(silence=10 * SECOND)
     connection = ready(made)
-    asked = made.sent(wire.Renew)[-1].asked
+    asked = made.sent(wire.Renew)[-1].sent_at
     made.run(29_000)
     made.now += 2_000
     made.hear(connection, wire.Renewed(asked, 3 * SECOND, 1, wire.Revision("e1", 1)))
@@ -780,17 +786,17 @@
     made = Dispatcher()
     made.wanted()
     connection = made.connect()
-    made.hear(connection, wire.Refused(made.sent(wire.Watch)[-1].id, "old epoch", EPOCH + 1))
+    made.hear(connection, wire.Refused(made.sent(wire.Watch)[-1].id, wire.RefusalReason.OLD_EPOCH, EPOCH + 1))
     made.run(SECOND // 5)
     other = made.connect()
     made.snapshot(other, [1])
     assert not made.of(directory.PrefixReady)
-    made.watcher.assign(Assignment(EPOCH + 1, (COPIES,)), made.now)
+    made.watcher.replace_assignment(Assignment(EPOCH + 1, (COPIES,)), made.now)
     made.collect()
     third = made.connect()
     made.snapshot(third, [1], epoch=EPOCH + 1)
     assert made.of(directory.PrefixReady)
-    made.watcher.assign(Assignment(EPOCH, ((),)), made.now)
+    made.watcher.replace_assignment(Assignment(EPOCH, ((),)), made.now)
     assert made.watcher.assignment.epoch == EPOCH + 1
 
 
@@ -798,7 +804,7 @@
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9, [entry(1, start="2")])
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.run(SECOND // 10)
     other = made.connect()
     made.snapshot(other, [1, 4], number=8)
@@ -812,7 +818,7 @@
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9)
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.run(SECOND // 10)
     other = made.connect()
     for _ in range(3):
@@ -825,11 +831,11 @@
 def test_a_superseded_source_is_not_taken_again():
     made = Dispatcher()
     connection = ready(made)
-    made.watcher.disconnected(connection, made.now)
+    made.watcher.connection_lost(connection, made.now)
     made.run(SECOND // 10)
     second = made.connect()
     made.snapshot(second, [5, 6], number=1, source="e2")
-    made.watcher.disconnected(second, made.now)
+    made.watcher.connection_lost(second, made.now)
     made.run(SECOND // 10)
     third = made.connect()
     made.snapshot(third, [1, 2, 3], number=100, source="e1")
@@ -854,7 +860,7 @@
     made = Dispatcher()
     connection = ready(made)
     watch = made.sent(wire.Watch)[-1].id
-    inserted = wire.PrefixChange(watch, 4, [], [wire.Placed(0, "w9")])
+    inserted = wire.PrefixChange(watch, 4, [], [wire.PlacedInstance(0, "w9")])
     message = wire.Update(2, wire.Revision("e1", 2), [wire.compact(entry(9))], [], [inserted])
     made.hear(connection, message)
     made.hear(connection, message)
@@ -885,12 +891,12 @@
     assert made.of(directory.InstancesGone) == [directory.InstancesGone(("w2",))]
     assert made.wanted() == Prefix(("w1", "w3"), False)
     second = DirectoryWatcher("d", "", Assignment(EPOCH, (COPIES, COPIES)), WatcherSettings(), 1, 0)
-    second.instances.told(entry(2), wire.Revision("e1", 3), 0)
-    second.instances.used_by("f", (), ("w2",), wire.Revision("e1", 3), 0)
-    second.instances.told_gone("w2", wire.Revision("e1", 9))
-    second.instances.told(entry(2), wire.Revision("e1", 8), 0)
+    second.instances.apply_entry(entry(2), wire.Revision("e1", 3), 0)
+    second.instances.replace_prefix("f", (), ("w2",), wire.Revision("e1", 3), 0)
+    second.instances.mark_gone("w2", wire.Revision("e1", 9))
+    second.instances.apply_entry(entry(2), wire.Revision("e1", 8), 0)
     assert second.instances.usable(["w2"]) == ()
-    second.instances.told(entry(2, "2"), wire.Revision("e1", 10), 0)
+    second.instances.apply_entry(entry(2, "2"), wire.Revision("e1", 10), 0)
     assert second.instances.usable(["w2"]) == ("w2",)
 
 
@@ -915,18 +921,18 @@
     assert made.wanted() is None
     connection = made.connect()
     made.snapshot(connection, [1, 2, 3, 4])
-    made.watcher.used("f", 1, made.now)
+    made.watcher.function_used("f", 1, made.now)
     made.collect()
     assert len(made.sent(wire.Watch)) == 1
-    made.watcher.used("f", 3, made.now)
+    made.watcher.function_used("f", 3, made.now)
     made.collect()
     assert made.sent(wire.Watch)[-1].count == 8
-    assert made.watcher.more("f", made.now)
+    assert made.watcher.extend_prefix("f", made.now)
     made.collect()
     assert len(made.sent(wire.Watch)) == 2
     made.snapshot(connection, [1, 2, 3, 4, 5], complete=True)
     assert made.of(directory.PrefixReady)[-1].complete
-    assert not made.watcher.more("f", made.now)
+    assert not made.watcher.extend_prefix("f", made.now)
 
 
 def test_a_function_unused_for_the_idle_time_is_watched_no_more():
@@ -946,11 +952,11 @@
     connection = ready(made)
     for i in range(10):
         made.wanted(f"g{i}")
-    assert len(made.watcher.functions) == 5 and len(made.watcher.pending) <= 2
+    assert len(made.watcher.functions) == 5 and len(made.watcher.lookups.pending) <= 2
     assert len(made.of(directory.LookupFailed)) == 8
     watch = made.sent(wire.Watch)[0].id
     for i in range(20):
-        insert = wire.PrefixChange(watch, 3, [f"w{3 + i}"], [wire.Placed(2, f"w{4 + i}")])
+        insert = wire.PrefixChange(watch, 3, [f"w{3 + i}"], [wire.PlacedInstance(2, f"w{4 + i}")])
         made.update(connection, 10 + i, [entry(4 + i)], changes=[insert])
     assert len(made.watcher.instances.retired) == 3
     assert made.watcher.instances.floor == wire.Revision("e1", 25)
@@ -1047,19 +1053,19 @@
 
 def test_sources_are_ordered_by_what_holders_saw():
     known = Revisions()
-    known.seen("e1", 0)
-    known.seen("e3", 0)
-    known.superseded(["e1", "e2"], "e3", 0)
+    known.record_seen("e1", 0)
+    known.record_seen("e3", 0)
+    known.record_superseded(["e1", "e2"], "e3", 0)
     assert known.order == ["e1", "e2", "e3"]
-    assert not known.acceptable("e2", 0, 100) and known.acceptable("e3", 900, 100)
-    assert known.acceptable("e4", 0, 100) and not known.acceptable("e4", 900, 100)
+    assert not known.is_acceptable("e2", 0, 100) and known.is_acceptable("e3", 900, 100)
+    assert known.is_acceptable("e4", 0, 100) and not known.is_acceptable("e4", 900, 100)
     late = Revisions()  # met the new source first
-    late.seen("e2", 0)
-    late.seen("e1", 0)
-    assert late.older(wire.Revision("e2", 9), wire.Revision("e1", 1))
-    late.superseded(["e1"], "e2", 0)
-    assert late.older(wire.Revision("e1", 1), wire.Revision("e2", 9))
-    assert not late.acceptable("e1", 0, REVERSAL - 1) and late.acceptable("e1", 0, REVERSAL)
+    late.record_seen("e2", 0)
+    late.record_seen("e1", 0)
+    assert late.is_older(wire.Revision("e2", 9), wire.Revision("e1", 1))
+    late.record_superseded(["e1"], "e2", 0)
+    assert late.is_older(wire.Revision("e1", 1), wire.Revision("e2", 9))
+    assert not late.is_acceptable("e1", 0, REVERSAL - 1) and late.is_acceptable("e1", 0, REVERSAL)
 
 
 # whole regions in virtual time
@@ -1113,7 +1119,7 @@
         for function in world.used[watcher.name]:
             world.time.at(when, lambda w=watcher, f=function: (w.call(f"f{f}"), w.after_event()))
     world.day(4)
-    assert all(f.known for w in world.watchers for f in w.decisions.functions.values())
+    assert all(f.has_prefix for w in world.watchers for f in w.decisions.functions.values())
     assert all(len(w.decisions.functions) == 6 for w in world.watchers)
     connected = [len(h.decisions.sessions.all) for h in world.holders.values()]
     assert min(connected) > 100 and sum(connected) == 325
@@ -1150,7 +1156,7 @@
 
 
 def test_a_lost_change_is_caught(monkeypatch):
-    made = Batches.all
+    made = Batches.full_update
 
     def lose(self, session, revision, now):
         update = made(self, session, revision, now)
@@ -1158,7 +1164,7 @@
             update.changes = update.changes[1:]
         return update
 
-    monkeypatch.setattr(Batches, "all", lose)
+    monkeypatch.setattr(Batches, "full_update", lose)
     assert any(" after batch " in breach or " ends as " in breach for breach in breaches_of(range(3)))
 
 
@@ -1192,32 +1198,32 @@
 
 
 def test_a_lease_that_counts_from_the_answer_is_caught(monkeypatch):
-    made = DirectoryWatcher.renewed
+    made = HolderMessages.apply_renewal
 
     def renewed(self, connection, message, now):
         made(self, connection, message, now)
         connection.lease_until = now + message.lease
 
-    monkeypatch.setattr(DirectoryWatcher, "renewed", renewed)
+    monkeypatch.setattr(HolderMessages, "apply_renewal", renewed)
     assert any("lease that lapsed" in breach for breach in held_answers().breaches.found)
 
 
 def test_an_older_epoch_that_is_taken_is_caught(monkeypatch):
-    made = DirectoryWatcher.snapshot
-    ask = DirectoryWatcher.ask
+    made = HolderMessages.apply_snapshot
+    ask = WatchRequests.send
 
     def snapshot(self, connection, message, now):
         self.epoch_seen = 0
         made(self, connection, message, now)
 
     def asked(self, connection, function, now):
-        epoch = 1 if connection.copy.port == 6_999 else self.assignment.epoch
-        kept, self.assignment = self.assignment, replace(self.assignment, epoch=epoch)
+        kept = self.epoch
+        self.epoch = 1 if connection.copy.port == 6_999 else kept
         ask(self, connection, function, now)
-        self.assignment = kept
+        self.epoch = kept
 
-    monkeypatch.setattr(DirectoryWatcher, "snapshot", snapshot)
-    monkeypatch.setattr(DirectoryWatcher, "ask", asked)
+    monkeypatch.setattr(HolderMessages, "apply_snapshot", snapshot)
+    monkeypatch.setattr(WatchRequests, "send", asked)
     assert any("older epoch" in breach for breach in breaches_of(range(0, 9, 3)))
 
 
@@ -1232,8 +1238,8 @@
             kept.insert(placed.position, placed.name)
         return tuple(dict.fromkeys(kept))
 
-    monkeypatch.setattr(DirectoryWatcher, "in_turn", in_turn)
-    monkeypatch.setattr("lapistrestle.directory.watcher.changed_names", careless)
+    monkeypatch.setattr(HolderMessages, "in_sequence", in_turn)
+    monkeypatch.setattr("lapistrestle.directory.holder_messages.apply_change", careless)
     found = []
     for seed in range(3):
         world = random_day(seed)
@@ -1245,24 +1251,24 @@
 
 def test_a_holder_that_answers_at_once_after_a_standstill_is_caught(monkeypatch):
     def called(self, now, entries=0):
-        self.called_at = now
+        self.last_call_at = now
 
-    monkeypatch.setattr(Knowledge, "called", called)
+    monkeypatch.setattr(RosterFreshness, "record_call", called)
     assert any("before it stood still" in breach for breach in breaches_of(range(3)))
 
 
 def test_word_of_an_older_revision_that_is_taken_is_caught(monkeypatch):
-    monkeypatch.setattr(Revisions, "older", lambda self, one, other: False)
-    monkeypatch.setattr(Revisions, "acceptable", lambda self, source, age, now: True)
+    monkeypatch.setattr(Revisions, "is_older", lambda self, one, other: False)
+    monkeypatch.setattr(Revisions, "is_acceptable", lambda self, source, age, now: True)
     assert any(" goes back " in breach for breach in breaches_of(range(6)))
 
 
 def test_that_nothing_has_changed_said_of_what_has_changed_is_caught(monkeypatch):
-    for module in ("watched", "watcher"):
+    for module in ("watched_functions", "watch_requests"):
         monkeypatch.setattr(f"lapistrestle.directory.{module}.digest_of", lambda entries, complete: "same")
     assert any(" after batch " in breach for breach in breaches_of(range(6)))
 
 
 def test_a_lost_change_shows_in_the_length_of_the_prefix():
-    with pytest.raises(LostChange):
-        changed(("a", "b"), wire.PrefixChange(1, 3, ["a"], [wire.Placed(0, "c")]))
+    with pytest.raises(RevisionGapError):
+        apply_change(("a", "b"), wire.PrefixChange(1, 3, ["a"], [wire.PlacedInstance(0, "c")]))
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -5,7 +5,7 @@
 
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.deployment import translation
-from lapistrestle.directory.region import Region
+from lapistrestle.directory.region_estimate import RegionEstimate
 from lapistrestle.hosting.events import described
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
@@ -322,7 +322,7 @@
 def with_region(clock, workers):
     """A host that is told a part of the region, with as many functions in use as workers."""
     settings = translation.to_settings(SETTINGS)
-    region = Region(clock, settings.slow_start_share, settings.slow_start_duration)
+    region = RegionEstimate(clock, settings.slow_start_share, settings.slow_start_duration)
     made = ModuleHost(Recorder(), settings, 7, clock, fleet=FleetGuidance(region=region))
     made.listed([WorkerInfo(f"w{i}") for i in range(workers)], whole=False)
     for i in range(workers):
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -11,7 +11,7 @@
 from test_ramp import FLEETS
 
 from lapistrestle.deployment import translation
-from lapistrestle.directory.region import Region
+from lapistrestle.directory.region_estimate import RegionEstimate
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import WorkerInfo
@@ -52,7 +52,7 @@
     settings = translation.to_settings({**SETTINGS, "balancers": of, "me": number, "rules": slow_start})
     guidance = FleetGuidance()
     if told:
-        guidance.region = Region(clock, settings.slow_start_share, settings.slow_start_duration)
+        guidance.region = RegionEstimate(clock, settings.slow_start_share, settings.slow_start_duration)
     return Dispatcher(Recorder(), settings, seed * 1000 + number, 0, guidance)
 
 
@@ -76,7 +76,7 @@
         if told and now >= next_sums:
             next_sums = now + TOLD_EVERY
             for dispatcher in all_:
-                dispatcher.fleet.region.told(fleet.sums(now, dispatcher.settings), now)
+                dispatcher.fleet.region.update(fleet.sums(now, dispatcher.settings), now)
         if not restarted and now >= BOOT:
             restarted = True
             for dispatcher in all_:
@@ -158,9 +158,9 @@
         return sum(min(1.0, share + (1 - share) * (now - boot) / ramp) for boot in workers)
 
     now = told
-    region = Region(lambda: now, share, ramp)
+    region = RegionEstimate(lambda: now, share, ramp)
     assert region.warm_size == inf  # of answers over it nothing is left for cold ones
-    region.told(RegionSums(len(boots), warm(boots, told), serving=len(boots)), told)
+    region.update(RegionSums(len(boots), warm(boots, told), serving=len(boots)), told)
     now = told + later
     assert region.warm_size >= warm(boots[: len(boots) - gone] or boots, now) - 1e-9
     assert region.warm_size <= len(boots)
