--- a/benchmarks/raft_schedules.py
+++ b/benchmarks/raft_schedules.py
@@ -13,7 +13,7 @@
 
 ROUGH = Faults(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
 WILD = Faults(loss=0.2, doubled=0.2, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
-HASTY = RaftSettings(election_timeout=300, heartbeat=80, batch=1)
+HASTY = RaftSettings(election_timeout=300, heartbeat_interval=80, max_batch=1)
 
 
 def play(seed: int) -> tuple[int, list[str], int, int, int]:
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -36,7 +36,14 @@
 from lapistrestle.standins.fleet import free_ports
 from lapistrestle.standins.roster import RosterStandIn
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.fleet import Claim, Datagram, Rank, Row, Rows, pack
+from lapistrestle.wire.fleet import (
+    CounterGossip,
+    CounterSnapshot,
+    Datagram,
+    MemberRecord,
+    MemberStatus,
+    encode,
+)
 from lapistrestle.wire.lines import LineBounds, Speaker, union
 
 HELLO = msgspec.json.encode(wire.Hello(wire.CLIENT, wire.VERSION)) + b"\n"
@@ -444,20 +451,20 @@
     made = Edge(reactor, deployment, lambda what, **figures: None)
     made.host.events.stopwatch = time.perf_counter
 
-    claims = tuple(Claim(name, 1, 1, 0, Rank.ALIVE, "127.0.0.1", 1) for name in others)
+    claims = tuple(MemberRecord(name, 1, 1, 0, MemberStatus.ALIVE, "127.0.0.1", 1) for name in others)
 
     def told(second: int) -> None:
         """A second's rows of all, in datagrams as they come."""
         member = made.fleet_member
         assert member is not None
-        digests = member.admission.digests
+        digests = member.admission.counters
         counts = (10 * second,) * len(digests.counts)
-        rows = [Row(name, 1, 1, second + 1, 10_000 * (second + 1), 0, counts) for name in others]
+        rows = [CounterSnapshot(name, 1, 1, second + 1, 10_000 * (second + 1), 0, counts) for name in others]
         for first in range(0, len(rows), 10):  # each passes on what it has heard of others
             claim = claims[first]
-            word = Rows(digests.layout, tuple(rows[first : first + 10]))
+            word = CounterGossip(digests.layout, tuple(rows[first : first + 10]))
             news = () if second else claims[first : first + 10]
-            data = pack(Datagram("measured", 1, claim, word, news))
+            data = encode(Datagram("measured", 1, claim, word, news))
             when = first / len(others)
             reactor.callLater(when, member.endpoint.datagramReceived, data, ("127.0.0.1", 1))
         reactor.callLater(1.0, told, second + 1)
--- a/benchmarks/scale/roles/control_agreement.py
+++ b/benchmarks/scale/roles/control_agreement.py
@@ -17,7 +17,7 @@
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.agreement.messages import (
     AppendEntries,
-    Commit,
+    Committed,
     Effect,
     LogEntry,
     Message,
@@ -93,7 +93,7 @@
             self.step(name, lambda: member.tick(self.clock.now))
             self.wake(name)
 
-        self.clock.at(max(member.due, self.clock.now + 1), turn)
+        self.clock.at(max(member.next_deadline, self.clock.now + 1), turn)
 
     def step(self, name: str, event: Callable[[], Sequence[Effect]]) -> None:
         made: list[Effect] = []
@@ -106,7 +106,7 @@
             self.post(name, effect.to, effect.message)
         elif isinstance(effect, Persist) and name == self.names[0]:
             self.saved_bytes += len(PACK.encode(effect))
-        elif isinstance(effect, Commit) and effect.index in self.proposed_at and name == self.leader:
+        elif isinstance(effect, Committed) and effect.index in self.proposed_at and name == self.leader:
             self.took.append(self.clock.now - self.proposed_at.pop(effect.index))
 
     def post(self, sender: str, to: str, message: Message) -> None:
@@ -117,7 +117,7 @@
         self.clock.at(self.clock.now + self.delay, self.deliver, sender, to, message)
 
     def deliver(self, sender: str, to: str, message: Message) -> None:
-        self.step(to, lambda: self.members[to].heard(sender, message, self.clock.now))
+        self.step(to, lambda: self.members[to].on_message(sender, message, self.clock.now))
 
     def propose(self, number: int) -> None:
         leader = self.leader
@@ -205,7 +205,7 @@
         member = RaftNode(
             "member-0", ["member-0"], PersistentState(1, "", list(entries)), RaftSettings(), 1, 0
         )
-        member.tick(member.due)
+        member.tick(member.next_deadline)
         assert member.commit_index >= len(entries)
 
     return processor_seconds(restart, 3).median
@@ -214,7 +214,7 @@
 def answered(meter: Meter, member: RaftNode, sender: str, message: Message, now: int) -> list[Effect]:
     """What a member does with a word, metered."""
     made: list[Effect] = []
-    meter.run(lambda: made.extend(member.heard(sender, message, now)))
+    meter.run(lambda: made.extend(member.on_message(sender, message, now)))
     return made
 
 
@@ -224,7 +224,7 @@
     names = ["member-0", "member-1", "member-2"]
     leader = node(names[0], names, entries, 1, clock.now)
     follower = node(names[1], names, (), 2, clock.now)
-    leader.start_election(clock.now, pre=False)
+    leader.start_election(clock.now, pre_vote=False)
     leader.votes.add(names[2])
     leader.count_votes(clock.now)
     outbox = [effect for effect in leader.take_effects() if isinstance(effect, Send)]
--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -1,8 +1,9 @@
 """Allowances and lending of loads, and the trials that a dispatcher's part in its fleet shares out.
 
 `lending`: a whole of units over all dispatchers, a tenth of which want more than their cut; each runs the
-program's own `Lending` and `Allowance`, words are encoded as they cross. `together`: the look that an edge
-takes twice a second at its workers (`FleetMember.share_trials` and `loading`), by number of instances.
+program's own `QuotaLeasing` and `QuotaShare`, messages are encoded as they cross. `together`: the look that
+an edge takes twice a second at its workers (`FleetMember.share_trials` and `loading`), by number of
+instances.
 """
 
 import random
@@ -17,13 +18,13 @@
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
 from lapistrestle.deployment.shape import Fleet
 from lapistrestle.edge.fleet_member import FleetMember
-from lapistrestle.fleet.allowance import Allowance, AllowanceSettings
-from lapistrestle.fleet.lending import Lending
+from lapistrestle.fleet.quota_leasing import QuotaLeasing
+from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.overload.admission import UPDATE_EVERY
-from lapistrestle.overload.probers import probers
+from lapistrestle.overload.worker_verdicts import select_probers
 from lapistrestle.state import Srv
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Datagram, Rank
+from lapistrestle.wire.fleet import Datagram, MemberRecord, MemberStatus
 
 UNITS_EACH = 2  # of the whole, for each dispatcher: its cut
 HOT = 10  # one dispatcher in so many wants more than its cut
@@ -40,30 +41,30 @@
 
     def __init__(self, fleet: "LendingFleet", number: int, of: int, seed: int) -> None:
         self.fleet, self.number = fleet, number
-        self.claim = Claim(
-            f"dispatcher-{number:05d}", 1, number + 1, 0, Rank.ALIVE, "127.0.0.1", 10_000 + number
+        self.record = MemberRecord(
+            f"dispatcher-{number:05d}", 1, number + 1, 0, MemberStatus.ALIVE, "127.0.0.1", 10_000 + number
         )
-        settings = AllowanceSettings(lasts=3 * SETTLE, settle=SETTLE)
-        allowance = Allowance("loads", UNITS_EACH * of, of, number, settings, fleet.clock.now)
-        self.lending = Lending(allowance, self.used, self.send, seed + number)
+        settings = QuotaSettings(lease_duration=3 * SETTLE, settling_time=SETTLE)
+        share = QuotaShare("loads", UNITS_EACH * of, of, number, settings, fleet.clock.now)
+        self.lending = QuotaLeasing(share, self.used, self.send, seed + number)
         self.hot = number % HOT == 0
 
     def used(self) -> int:
-        part = self.lending.part(self.fleet.clock.now)
+        part = self.lending.available(self.fleet.clock.now)
         return min(part, WISHES if self.hot else 0)
 
-    def send(self, to: Claim, word: wire.AnyWord) -> None:
-        data = wire.pack(Datagram("region", wire.VERSION, self.claim, word, ()))
+    def send(self, to: MemberRecord, message: wire.Message) -> None:
+        data = wire.encode(Datagram("region", wire.VERSION, self.record, message, ()))
         self.fleet.post(self, to, data)
 
     def hear(self, data: bytes) -> None:
-        datagram = wire.unpack(data, "region")
-        self.lending.heard(datagram.sender, datagram.word, self.fleet.clock.now)
+        datagram = wire.decode(data, "region")
+        self.lending.on_message(datagram.sender, datagram.message, self.fleet.clock.now)
 
-    def look(self, others: list[Claim]) -> None:
+    def look(self, others: list[MemberRecord]) -> None:
         if self.hot:
-            self.lending.wish()
-        live = [claim for claim in others if claim is not self.claim]
+            self.lending.record_shortage()
+        live = [record for record in others if record is not self.record]
         self.lending.update(live, True, self.fleet.clock.now)
 
 
@@ -73,10 +74,10 @@
     def __init__(self, size: int, seed: int) -> None:
         self.clock, self.meter, self.traffic = Clock(), Meter(), Traffic()
         self.all = [Borrower(self, number, size, seed) for number in range(size)]
-        self.claims = [borrower.claim for borrower in self.all]
+        self.records = [borrower.record for borrower in self.all]
         self.random = random.Random(seed)
 
-    def post(self, sender: Borrower, to: Claim, data: bytes) -> None:
+    def post(self, sender: Borrower, to: MemberRecord, data: bytes) -> None:
         if sender.number == 0:
             self.traffic.sent(data)
         self.clock.at(self.clock.now + DELAY, self.deliver, to.port - 10_000, data)
@@ -91,9 +92,9 @@
         """One look of each hot one: where nothing is wanted, a look says nothing."""
         for borrower in self.all:
             if borrower.number == 0:
-                self.meter.run(borrower.look, self.claims)
+                self.meter.run(borrower.look, self.records)
             elif borrower.hot:
-                borrower.look(self.claims)
+                borrower.look(self.records)
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds * SECOND // UPDATE_EVERY):
@@ -102,7 +103,7 @@
 
     def had(self) -> list[int]:
         """Units that each hot dispatcher may use at this moment."""
-        return [b.lending.part(self.clock.now) for b in self.all if b.hot]
+        return [b.lending.available(self.clock.now) for b in self.all if b.hot]
 
 
 class LendingRole:
@@ -158,9 +159,9 @@
     """An edge's part in a fleet of that many, with nobody suspect."""
     edge = HollowEdge(instances, dispatchers)
     together = FleetMember(edge, Fleet(name="region", port=7_000, loads=UNITS_EACH * dispatchers), 1, 1)
-    others = [Claim(f"dispatcher-{i:05d}", 1, i + 1, 0, Rank.ALIVE, "127.0.0.1", 10_000 + i)
+    others = [MemberRecord(f"dispatcher-{i:05d}", 1, i + 1, 0, MemberStatus.ALIVE, "127.0.0.1", 10_000 + i)
               for i in range(1, dispatchers)]  # fmt: skip
-    together.endpoint.members.heard(others[0], wire.Ack(0), others, edge.now)
+    together.endpoint.members.on_message(others[0], wire.Ack(0), others, edge.now)
     return together
 
 
@@ -196,7 +197,8 @@
     """Processor time of drawing who tries one suspect worker; drawn anew when a member comes or goes."""
     names = together.drawn_from
     return (
-        processor_seconds(lambda: [probers(f"runner-{i}", names) for i in range(SUSPECTS)]).median / SUSPECTS
+        processor_seconds(lambda: [select_probers(f"runner-{i}", names) for i in range(SUSPECTS)]).median
+        / SUSPECTS
     )
 
 
--- a/benchmarks/scale/roles/control_gossip.py
+++ b/benchmarks/scale/roles/control_gossip.py
@@ -1,9 +1,10 @@
 """Membership, digests and what admission makes of them, by number of dispatchers.
 
-One member runs the program's own `FleetEndpoint`, `Members`, `Digests` and `AdmissionController`; the others
-are synthetic: they answer its pings, ping it, ask for pages and tell rows as often as real ones would on
-average, in real encoded datagrams. So a fleet of any size costs one process. `gossip-fleet` plays a whole
-fleet of real members and meters one of them; the scene `check` holds the two against each other.
+One member runs the program's own `GossipEndpoint`, `Membership`, `GossipCounters` and `AdmissionController`;
+the others are synthetic: they answer its pings, ping it, ask for pages and send counters as often as real
+ones would on average, in real encoded datagrams. So a fleet of any size costs one process. `gossip-fleet`
+plays a whole fleet of real members and meters one of them; the scene `check` holds the two against each
+other.
 """
 
 import random
@@ -25,15 +26,15 @@
     module_facts,
 )
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.fleet.digests import DigestSettings
-from lapistrestle.fleet.endpoint import FleetEndpoint
+from lapistrestle.fleet.gossip_counters import CounterSettings
+from lapistrestle.fleet.gossip_endpoint import GossipEndpoint
+from lapistrestle.fleet.member_table import MAX_CONFIRMATIONS, LocalState
 from lapistrestle.fleet.settings import FleetSettings
-from lapistrestle.fleet.table import CONFIRMATIONS, SelfState
 from lapistrestle.overload.admission import UPDATE_EVERY, AdmissionController, AdmissionSettings
-from lapistrestle.overload.probers import Verdicts
+from lapistrestle.overload.worker_verdicts import WorkerVerdicts
 from lapistrestle.standins.fleet import Cluster
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Datagram, Rank, Row
+from lapistrestle.wire.fleet import CounterSnapshot, Datagram, MemberRecord, MemberStatus
 
 FLEET = "region"
 BOOT = 1_790_000_000_000  # milliseconds, as a start's clock gives it
@@ -58,100 +59,105 @@
     def __init__(self, others: int, seed: int) -> None:
         self.clock, self.meter, self.traffic = Clock(), Meter(), Traffic()
         self.random = random.Random(seed)
-        self.claims = [claim_of(i) for i in range(others)]
+        self.records = [record_of(i) for i in range(others)]
         self.turns: list[int] = []
         self.began = self.clock.now
         self.ground = Ground(self.clock, self.meter)
         settings = FleetSettings(fleet=FLEET, port=7_000)
-        self.endpoint = FleetEndpoint(self.ground, settings, "dispatcher-99999", "zone-a", BOOT, seed, seed)
+        self.endpoint = GossipEndpoint(self.ground, settings, "dispatcher-99999", "zone-a", BOOT, seed, seed)
         self.endpoint.transport = self
-        life = self.endpoint.members.me.life
-        self.admission = controller(others + 1, life, DigestSettings(), seed, self.clock.now)
-        self.endpoint.digests, self.endpoint.verdicts = self.admission.digests, Verdicts("dispatcher-99999")
+        process_id = self.endpoint.members.me.process_id
+        self.admission = controller(others + 1, process_id, CounterSettings(), seed, self.clock.now)
+        self.endpoint.counters, self.endpoint.verdicts = (
+            self.admission.counters,
+            WorkerVerdicts("dispatcher-99999"),
+        )
         count_calls(self.admission, UP)
-        self.admission.digests.renew(self.clock.now)
+        self.admission.counters.refresh_own(self.clock.now)
         self.know_all()
 
     @property
     def size(self) -> int:
-        return len(self.claims) + 1
+        return len(self.records) + 1
 
     def know_all(self) -> None:
         """As after a long calm: all known, no news left, some rows of each."""
-        members, digests, now = self.endpoint.members, self.admission.digests, self.clock.now
+        members, digests, now = self.endpoint.members, self.admission.counters, self.clock.now
         members.start(now)
-        members.heard(self.claims[0], wire.Ack(0), self.claims, now)
+        members.on_message(self.records[0], wire.Ack(0), self.records, now)
         members.table.news.clear()
         members.sync.reading = None
         for back in range(HEARD_ROWS, 0, -1):
-            for number in range(len(self.claims)):
+            for number in range(len(self.records)):
                 digests.accept(self.row(number, now - back * SECOND, 0), now)
 
-    def row(self, number: int, true_at: int, age: int) -> Row:
-        claim, digests = self.claims[number], self.admission.digests
-        phase = SECOND * number // len(self.claims)
+    def row(self, number: int, true_at: int, age: int) -> CounterSnapshot:
+        record, digests = self.records[number], self.admission.counters
+        phase = SECOND * number // len(self.records)
         seq = (true_at + phase) // SECOND
         at = seq * SECOND
         counts = counts_at(len(digests.columns), UP + (at - self.began) / SECOND)
-        return Row(claim.name, claim.boot, claim.nonce, seq, at, age, counts)
+        return CounterSnapshot(record.name, record.boot, record.nonce, seq, at, age, counts)
 
     # what the member sends: answered by whom it asks
 
     def write(self, data: bytes, address: tuple[str, int]) -> None:
         self.traffic.sent(data)
-        word = wire.unpack(data, FLEET).word
-        if isinstance(word, wire.Ping):
-            self.hear_later(DELAY, self.by_port(address[1]), wire.Ack(word.seq))
-        elif isinstance(word, wire.PageAsk):
-            first = self.random.randrange(len(self.claims))
-            page = tuple(self.claims[first : first + PAGE_CLAIMS])
-            self.hear_later(DELAY, self.by_port(address[1]), wire.Page(word.after, False), page)
+        message = wire.decode(data, FLEET).message
+        if isinstance(message, wire.Ping):
+            self.hear_later(DELAY, self.by_port(address[1]), wire.Ack(message.seq))
+        elif isinstance(message, wire.PageRequest):
+            first = self.random.randrange(len(self.records))
+            page = tuple(self.records[first : first + PAGE_CLAIMS])
+            self.hear_later(DELAY, self.by_port(address[1]), wire.TablePage(message.after, False), page)
 
-    def by_port(self, port: int) -> Claim:
-        return self.claims[port - 10_000]
+    def by_port(self, port: int) -> MemberRecord:
+        return self.records[port - 10_000]
 
     # what the member hears
 
     def hear_later(
-        self, delay: int, sender: Claim, word: wire.AnyWord, claims: tuple[Claim, ...] = ()
+        self, delay: int, sender: MemberRecord, message: wire.Message, records: tuple[MemberRecord, ...] = ()
     ) -> None:
-        self.clock.at(self.clock.now + delay, self.hear, sender, word, claims)
+        self.clock.at(self.clock.now + delay, self.hear, sender, message, records)
 
-    def hear(self, sender: Claim, word: wire.AnyWord, claims: tuple[Claim, ...] = ()) -> None:
-        data = wire.pack(Datagram(FLEET, wire.VERSION, sender, word, claims))
+    def hear(
+        self, sender: MemberRecord, message: wire.Message, records: tuple[MemberRecord, ...] = ()
+    ) -> None:
+        data = wire.encode(Datagram(FLEET, wire.VERSION, sender, message, records))
         self.traffic.received(data)
         self.meter.run(self.endpoint.datagramReceived, data, ("127.0.0.1", sender.port))
 
-    def some(self) -> Claim:
-        return self.random.choice(self.claims)
+    def some(self) -> MemberRecord:
+        return self.random.choice(self.records)
 
     @cached_property
     def rows_fit(self) -> int:
-        own = wire.size(self.row(0, self.clock.now, 0))
-        return (wire.MOST - wire.HEAD) // own
+        own = wire.encoded_size(self.row(0, self.clock.now, 0))
+        return (wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES) // own
 
     @cached_property
     def datagrams(self) -> int:
         """Of rows, that each member sends at one telling; as many reach each on average."""
-        own = wire.size(self.row(0, self.clock.now, 0))
-        return min(len(self.claims), self.admission.digests.datagrams(self.size, own))
+        own = wire.encoded_size(self.row(0, self.clock.now, 0))
+        return min(len(self.records), self.admission.counters.datagrams_per_round(self.size, own))
 
     def hear_rows(self, second: int) -> None:
         """One datagram of rows: the sender's own, and others' as old as a fleet of this size tells them."""
         rows_a_second = max(1, self.datagrams * 2 * self.rows_fit)
         oldest = min(10 * SECOND, max(SECOND, SECOND * self.size // rows_a_second))
-        numbers = [self.next_row() for _ in range(min(len(self.claims), self.rows_fit))]
+        numbers = [self.next_row() for _ in range(min(len(self.records), self.rows_fit))]
         ages = [0, *(self.random.randrange(oldest) for _ in numbers[1:])]
         rows = tuple(
             self.row(number, self.clock.now - age, age) for number, age in zip(numbers, ages, strict=True)
         )
-        self.hear(self.claims[numbers[0]], wire.Rows(self.admission.digests.layout, rows))
+        self.hear(self.records[numbers[0]], wire.CounterGossip(self.admission.counters.layout, rows))
 
     def next_row(self) -> int:
         """Whose row comes next: all in turn, in an order drawn anew each round, since what is passed on is
         what was told least."""
         if not self.turns:
-            self.turns = list(range(len(self.claims)))
+            self.turns = list(range(len(self.records)))
             self.random.shuffle(self.turns)
         return self.turns.pop()
 
@@ -162,7 +168,7 @@
             self.clock.at(start + SECOND * i // (2 * self.datagrams), self.hear_rows, index)
         self.clock.at(start + self.random.randrange(SECOND), self.hear, self.some(), wire.Ping(index))
         if index % 10 == 0:
-            self.clock.at(start + SECOND // 3, self.hear, self.some(), wire.PageAsk(self.some().name))
+            self.clock.at(start + SECOND // 3, self.hear, self.some(), wire.PageRequest(self.some().name))
         for half in range(2):
             self.clock.at(start + half * UPDATE_EVERY, self.update)
         self.own_calls()
@@ -170,7 +176,7 @@
 
     def update(self) -> None:
         members = self.endpoint.members
-        self.meter.run(self.admission.update, self.endpoint.present, members.size, self.clock.now)
+        self.meter.run(self.admission.update, self.endpoint.is_present, members.size, self.clock.now)
 
     def own_calls(self) -> None:
         """What the member itself counts; no part of what is measured."""
@@ -183,29 +189,36 @@
     def start(self) -> "LoneMember":
         self.endpoint.wake()
         self.run(3)
-        assert self.endpoint.members.state is SelfState.MEMBER and not self.ground.passed
+        assert self.endpoint.members.state is LocalState.MEMBER and not self.ground.passed
         return self
 
 
 def controller(
-    size: int, life: tuple[str, int, int], told: DigestSettings, seed: int, now: int
+    size: int, process_id: tuple[str, int, int], told: CounterSettings, seed: int, now: int
 ) -> AdmissionController:
     """The admission controller of one dispatcher of so many."""
     settings = AdmissionSettings.of(module_facts(size))
-    return AdmissionController(settings, life, told, seed, lambda text: None, now)
+    return AdmissionController(settings, process_id, told, seed, lambda text: None, now)
 
 
 def count_calls(admission: AdmissionController, seconds: float) -> None:
     """Count so many seconds of the member's own calls."""
-    columns = admission.digests.columns
+    columns = admission.counters.columns
     for column, count in zip(columns, counts_at(len(columns), seconds), strict=True):
-        admission.digests.add(column, count)
+        admission.counters.add(column, count)
 
 
-def claim_of(number: int) -> Claim:
+def record_of(number: int) -> MemberRecord:
     zone = f"zone-{number % 12}"
-    return Claim(
-        f"dispatcher-{number:05d}", BOOT, number + 1, 0, Rank.ALIVE, "127.0.0.1", 10_000 + number, zone
+    return MemberRecord(
+        f"dispatcher-{number:05d}",
+        BOOT,
+        number + 1,
+        0,
+        MemberStatus.ALIVE,
+        "127.0.0.1",
+        10_000 + number,
+        zone,
     )
 
 
@@ -214,7 +227,7 @@
     members = member.endpoint.members
     live = members.live()
     began = time.process_time()
-    members.draws.some(live, len(live))
+    members.random.sample(live, len(live))
     return time.process_time() - began
 
 
@@ -322,7 +335,7 @@
         as in a larger fleet under the program's bounds."""
         size, made = (50 if quick else 100), []
         for most, tell in THINNED:
-            fleet = WholeFleet(size, seed, DigestSettings(send_every=tell, max_datagrams=most))
+            fleet = WholeFleet(size, seed, CounterSettings(send_interval=tell, max_datagrams=most))
             fleet.run(25)
             counted, age = fleet.coverage()
             as_if = size * 10 // most * tell // (SECOND // 2)
@@ -343,7 +356,7 @@
 class WholeFleet:
     """Real members in one process and virtual time, each with its admission; the first is metered."""
 
-    def __init__(self, size: int, seed: int, told: DigestSettings | None = None) -> None:
+    def __init__(self, size: int, seed: int, told: CounterSettings | None = None) -> None:
         self.cluster, self.meter = Cluster(seed), Meter()
         names = [f"dispatcher-{number:05d}" for number in range(size)]
         self.endpoints = [
@@ -351,19 +364,21 @@
         ]
         joined = self.cluster.until(self.cluster.agreed, 120)
         assert joined < 120, f"{size} members did not agree within 120 s"
-        self.controllers = [self.fit(endpoint, size, told or DigestSettings()) for endpoint in self.endpoints]
+        self.controllers = [
+            self.fit(endpoint, size, told or CounterSettings()) for endpoint in self.endpoints
+        ]
         self.traffic = Traffic()
         self.watch(self.endpoints[0])
 
-    def fit(self, endpoint: FleetEndpoint, size: int, told: DigestSettings) -> AdmissionController:
-        life, now = endpoint.members.me.life, endpoint.runtime.clock()
-        admission = controller(size, life, told, endpoint.seed, now)
-        endpoint.digests, endpoint.verdicts = admission.digests, Verdicts(endpoint.members.me.name)
+    def fit(self, endpoint: GossipEndpoint, size: int, told: CounterSettings) -> AdmissionController:
+        process_id, now = endpoint.members.me.process_id, endpoint.runtime.clock()
+        admission = controller(size, process_id, told, endpoint.seed, now)
+        endpoint.counters, endpoint.verdicts = admission.counters, WorkerVerdicts(endpoint.members.me.name)
         count_calls(admission, UP)
         endpoint.wake()
         return admission
 
-    def watch(self, endpoint: FleetEndpoint) -> None:
+    def watch(self, endpoint: GossipEndpoint) -> None:
         """Meter this member's own work, and count what it hears."""
         received, turn = endpoint.datagramReceived, endpoint.turn
 
@@ -387,15 +402,15 @@
 
     def update(self) -> None:
         endpoint, admission = self.endpoints[0], self.controllers[0]
-        self.meter.run(admission.update, endpoint.present, endpoint.members.size, endpoint.runtime.clock())
+        self.meter.run(admission.update, endpoint.is_present, endpoint.members.size, endpoint.runtime.clock())
 
     def coverage(self) -> tuple[float, float]:
         """Of the fleet, the part that one member's figures count; and the age of the oldest, in seconds. The
         median over some members."""
         shares, ages = [], []
         for endpoint, admission in list(zip(self.endpoints, self.controllers, strict=True))[:20]:
-            figures = admission.digests.figures(
-                endpoint.runtime.clock(), endpoint.present, endpoint.members.size
+            figures = admission.counters.statistics(
+                endpoint.runtime.clock(), endpoint.is_present, endpoint.members.size
             )
             shares.append(figures.counted / figures.size)
             ages.append(figures.age / SECOND)
@@ -429,13 +444,15 @@
     """Seconds from a suspicion to its end, with enough accusers and with a single one."""
     made = []
     for size in (assumptions.target.dispatchers_per_region, assumptions.target.dispatchers):
-        for accusers in (1, CONFIRMATIONS + 1):
+        for suspecters in (1, MAX_CONFIRMATIONS + 1):
             members = LoneMember(size - 1, seed).start().endpoint.members
             victim = members.live()[0]
-            for accuser in members.live()[1 : 1 + accusers]:
-                members.apply(wire.replace(victim.claim, rank=Rank.SUSPECT, by=accuser.name))
+            for accuser in members.live()[1 : 1 + suspecters]:
+                members.apply(
+                    wire.replace(victim.record, status=MemberStatus.SUSPECT, suspected_by=accuser.name)
+                )
             lasts = (members.suspicion_ends(victim) - members.now) / SECOND
-            made.append(Figure(f"a suspicion lasts, {accusers} accusers, fleet of {size}", lasts, "s"))
+            made.append(Figure(f"a suspicion lasts, {suspecters} accusers, fleet of {size}", lasts, "s"))
     return made
 
 
--- a/lapistrestle/agreement/messages.py
+++ b/lapistrestle/agreement/messages.py
@@ -28,56 +28,56 @@
 
 @dataclass(frozen=True)
 class RequestVote:
-    """`pre`: would you vote for me in that term? Nothing is promised by it."""
+    """`pre_vote`: would you vote for me in that term? Nothing is promised by it."""
 
     term: int
-    last: int
-    last_term: int
-    pre: bool
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool
 
 
 @dataclass(frozen=True)
-class VoteReply:
+class RequestVoteReply:
     """`term`: the voter's; of a granted pre-vote the one that was asked for."""
 
     term: int
     granted: bool
-    pre: bool
+    pre_vote: bool
 
 
 @dataclass(frozen=True)
 class AppendEntries:
-    """A leader's entries after `prev`, and how far the log is committed. `round` comes back in the reply."""
+    """A leader's entries after `prev_log_index`, and how far the log is committed. `round` comes back."""
 
     term: int
-    prev: int
-    prev_term: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[LogEntry, ...]
-    commit: int
+    leader_commit: int
     round: int
 
 
 @dataclass(frozen=True)
-class AppendReply:
-    """`index`: up to there the log is the leader's and on disk; not `ok`: the leader is to go back there."""
+class AppendEntriesReply:
+    """`index`: up to there the log is the leader's and on disk; no `success`: the leader is to go back."""
 
     term: int
-    ok: bool
+    success: bool
     index: int
     round: int
 
 
-Message = RequestVote | VoteReply | AppendEntries | AppendReply
+Message = RequestVote | RequestVoteReply | AppendEntries | AppendEntriesReply
 
 
 @dataclass(frozen=True)
 class Persist:
-    """Put term and vote on disk, and the log from `since` on in place of what stands there. Nothing that
-    follows it among the effects may be done before it is on disk."""
+    """Put term and vote on disk, and the log from `first_index` on in place of what stands there. Nothing
+    that follows it among the effects may be done before it is on disk."""
 
     term: int
     voted_for: str
-    since: int = 0  # 0: the log is as it was
+    first_index: int = 0  # 0: the log is as it was
     entries: tuple[LogEntry, ...] = ()
 
 
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True)
-class Commit:
+class Committed:
     """The entry at `index` is committed; told once a life for each, in order."""
 
     index: int
@@ -98,11 +98,11 @@
 
 
 @dataclass(frozen=True)
-class Read:
-    """What was asked under `tag` may be answered from the state up to `index`; None: by nobody here."""
+class ReadResult:
+    """What was asked under `request_id` may be answered from the state up to `index`; None: by nobody."""
 
-    tag: Any
+    request_id: Any
     index: int | None
 
 
-Effect = Persist | Send | Commit | Read
+Effect = Persist | Send | Committed | ReadResult
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -3,14 +3,14 @@
 from typing import Any
 
 from lapistrestle.deployment.shape import Fleet
-from lapistrestle.fleet.allowance import Allowance, AllowanceSettings
-from lapistrestle.fleet.digests import DigestSettings
-from lapistrestle.fleet.endpoint import FleetEndpoint
-from lapistrestle.fleet.lending import Lending
+from lapistrestle.fleet.gossip_counters import CounterSettings
+from lapistrestle.fleet.gossip_endpoint import GossipEndpoint
+from lapistrestle.fleet.member_table import ACTIVE_STATES
+from lapistrestle.fleet.quota_leasing import QuotaLeasing
+from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.fleet.settings import FleetSettings
-from lapistrestle.fleet.table import ACTIVE
 from lapistrestle.overload.admission import UPDATE_EVERY, AdmissionController, AdmissionSettings
-from lapistrestle.overload.probers import Verdicts, probers
+from lapistrestle.overload.worker_verdicts import WorkerVerdicts, select_probers
 from lapistrestle.state import Srv
 
 
@@ -25,43 +25,47 @@
             fleet=fleet.name,
             port=fleet.port,
             advertised_port=fleet.told_port,
-            period=int(fleet.period),
-            direct=int(fleet.period) * 3 // 10,
+            protocol_period=int(fleet.period),
+            ping_timeout=int(fleet.period) * 3 // 10,
             seeds=tuple(("127.0.0.1", port) for port in fleet.seeds),
         )
-        self.endpoint = FleetEndpoint(edge, settings, place.name, place.zone, boot, nonce, place.seed)
-        digest_settings = DigestSettings(send_every=int(fleet.tell), refresh=2 * int(fleet.tell))
-        life = self.endpoint.members.me.life
+        self.endpoint = GossipEndpoint(edge, settings, place.name, place.zone, boot, nonce, place.seed)
+        digest_settings = CounterSettings(send_interval=int(fleet.tell), refresh_interval=2 * int(fleet.tell))
+        process_id = self.endpoint.members.me.process_id
         self.admission = AdmissionController(
             AdmissionSettings.of(edge.facts),
-            life,
+            process_id,
             digest_settings,
             place.seed,
             self.endpoint.log,
             edge.clock(),
         )
-        self.verdicts = Verdicts(place.name)
+        self.verdicts = WorkerVerdicts(place.name)
         self.probers_of: dict[str, list[str]] = {}  # by worker: who probes it while it is suspect
         self.drawn_from: list[str] = []  # the members from whom they were drawn
         self.announced: set[Srv] = set()  # those of whom others were told that they are suspect
         if fleet.shed:
-            self.endpoint.digests, self.endpoint.verdicts = self.admission.digests, self.verdicts
+            self.endpoint.counters, self.endpoint.verdicts = self.admission.counters, self.verdicts
 
         if fleet.loads:
             longest = max(m["deadline"] for m in edge.facts["methods"])  # that one counts as under way
             settle = max(longest, edge.facts["order_time_out"])
-            lends = AllowanceSettings(lasts=3 * settle, settle=settle)  # what began on a loan ends within it
-            loads = Allowance("loads", fleet.loads, place.of, place.number, lends, edge.clock())
-            self.endpoint.lending = Lending(loads, self.loading, self.endpoint.lend, place.seed)
+            lends = QuotaSettings(
+                lease_duration=3 * settle, settling_time=settle
+            )  # what began on a loan ends within it
+            loads = QuotaShare("loads", fleet.loads, place.of, place.number, lends, edge.clock())
+            self.endpoint.quota_leasing = QuotaLeasing(
+                loads, self.loading, self.endpoint.send_lease_message, place.seed
+            )
             edge.facts["loads"] = self.loads
 
     def loads(self, now: int) -> bool:
         """Whether one more load of this edge may begin at this moment."""
-        lending = self.endpoint.lending
+        lending = self.endpoint.quota_leasing
         assert lending is not None
-        if self.loading() < lending.part(now):
+        if self.loading() < lending.available(now):
             return True
-        lending.wish()
+        lending.record_shortage()
         return False
 
     def loading(self) -> int:
@@ -77,14 +81,14 @@
         """Read the fleet's figures, and hand the module what follows, now and again."""
         if self.edge.stopping:
             return
-        if self.endpoint.lending is not None:
-            live = [member.claim for member in self.endpoint.members.live()]
-            member = self.endpoint.members.state in ACTIVE
-            self.endpoint.lending.update(live, member, self.edge.clock())
+        if self.endpoint.quota_leasing is not None:
+            live = [member.record for member in self.endpoint.members.live()]
+            member = self.endpoint.members.state in ACTIVE_STATES
+            self.endpoint.quota_leasing.update(live, member, self.edge.clock())
         if self.fleet.shed:
-            self.admission.update(self.endpoint.present, self.endpoint.members.size, self.edge.clock())
-            self.edge.facts["shedding"] = self.admission.sheds  # the module's map is the edge's
-            self.edge.facts["further"] = self.admission.further
+            self.admission.update(self.endpoint.is_present, self.endpoint.members.size, self.edge.clock())
+            self.edge.facts["shedding"] = self.admission.is_shedding  # the module's map is the edge's
+            self.edge.facts["further"] = self.admission.retry_rate
             self.share_trials()
         self.edge.after(UPDATE_EVERY, self.update, None)
 
@@ -96,20 +100,20 @@
         if members_by_name != self.drawn_from:
             self.drawn_from, self.probers_of = members_by_name, {}
         srvs = self.edge.host.module.serving
-        self.verdicts.keep(srv.name for srv in srvs)
+        self.verdicts.retain(srv.name for srv in srvs)
         for srv in srvs:
             told = found.get(srv.name)
-            if srv.suspect and told is not None and told.fit and told.by != me:
+            if srv.suspect and told is not None and told.healthy and told.prober != me:
                 self.edge.host.vouched(srv, told.at)
             if srv.suspect and srv not in self.announced:
                 self.verdicts.record(srv.name, False, now)
                 self.announced.add(srv)
             elif not srv.suspect and srv in self.announced:
                 self.announced.discard(srv)
-                if told is not None and told.by == me:  # else it was others that found it fit
+                if told is not None and told.prober == me:  # else it was others that found it fit
                     self.verdicts.record(srv.name, True, now)
             if srv.suspect:
-                names = self.probers_of.get(srv.name) or probers(srv.name, members_by_name)
+                names = self.probers_of.get(srv.name) or select_probers(srv.name, members_by_name)
                 self.probers_of[srv.name] = names
                 srv.trial = me in names
         self.announced &= set(srvs)
@@ -122,11 +126,11 @@
 
     def loads_shown(self, now: int) -> dict[str, int] | None:
         """For operators; None where the fleet shares no loads."""
-        if self.endpoint.lending is None:
+        if self.endpoint.quota_leasing is None:
             return None
-        of = self.endpoint.lending.allowance
-        lent, had = of.lent_units(), sum(loan.units for loan in of.borrowed.values())
-        return {"may": of.part(now), "cut": of.cut, "lent": lent, "borrowed": had,
+        of = self.endpoint.quota_leasing.share
+        lent, had = of.leased_out_units(), sum(loan.units for loan in of.borrowed.values())
+        return {"may": of.available(now), "cut": of.own_units, "lent": lent, "borrowed": had,
                 "under way": self.loading()}  # fmt: skip
 
     def show(self) -> dict[str, Any]:
@@ -136,13 +140,13 @@
             "name": members.me.name, "fleet": self.fleet.name, "standing": members.state.name.lower(),
             "doubt": members.health.score, "size": members.size, "door": self.admission.show(),
             "loads": self.loads_shown(now),
-            "datagrams": {"sent": endpoint.sent, "bytes": endpoint.sent_bytes, "came": endpoint.came,
-                          "refused": endpoint.refused + self.admission.digests.refused},
+            "datagrams": {"sent": endpoint.sent, "bytes": endpoint.sent_bytes, "came": endpoint.received,
+                          "refused": endpoint.rejected + self.admission.counters.rejected},
             "members": [
-                {"name": m.name, "zone": m.claim.zone, "port": m.claim.port, "is": m.rank.name.lower(),
-                 "for ms": (now - m.since) / 10, "incarnation": m.claim.incarnation,
-                 "accused by": sorted(m.accusers),
-                 "heard ms ago": (now - m.heard) / 10 if m.heard >= 0 else None}
+                {"name": m.name, "zone": m.record.zone, "port": m.record.port, "is": m.status.name.lower(),
+                 "for ms": (now - m.since) / 10, "incarnation": m.record.incarnation,
+                 "accused by": sorted(m.suspecters),
+                 "heard ms ago": (now - m.last_heard_at) / 10 if m.last_heard_at >= 0 else None}
                 for _, m in sorted(members.members.items())
             ],
         }  # fmt: skip
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -186,8 +186,10 @@
         if self.fleet_member is not None:
             late = self.late(pending)
             if how in (DENIED, ABORTED) and cost_before(pending) and not late:
-                self.fleet_member.admission.count_further_attempt()
-            self.fleet_member.admission.ended(how, late, bool(pending.call_outs), faulty(pending))
+                self.fleet_member.admission.count_retry()
+            self.fleet_member.admission.on_request_finished(
+                how, late, bool(pending.call_outs), faulty(pending)
+            )
         if pending.route is not None and pending.route.candidate and how != "moved":
             if how != "ok" and (waited or self.barred(pending.fn.name)):
                 return
@@ -220,7 +222,7 @@
         if self.barred(attempt.pending.fn.name):
             return self.host.ended(attempt.number, Outcome.MOOT)
         if self.fleet_member is not None and cost_before(attempt.pending):
-            self.fleet_member.admission.count_further_attempt()
+            self.fleet_member.admission.count_retry()
         if self.directory is not None:
             self.directory.used(attempt)
         super().run(attempt)
--- a/lapistrestle/fleet/dissemination.py
+++ b/lapistrestle/fleet/dissemination.py
@@ -6,9 +6,9 @@
 from math import ceil, log10
 from typing import Protocol
 
-from lapistrestle.fleet.table import Member, MemberTable
+from lapistrestle.fleet.member_table import Member, MemberTable
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Rank
+from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
 RETRANSMIT_FACTOR = 4  # a claim is passed on so often, times the decimal logarithm of the size
 CANDIDATES = 24  # claims weighed for one datagram
@@ -17,7 +17,7 @@
 class MembershipTransport(Protocol):
     """What membership can do to the world."""
 
-    def send(self, host: str, port: int, word: wire.AnyWord, claims: tuple[Claim, ...]) -> None:
+    def send(self, host: str, port: int, message: wire.Message, records: tuple[MemberRecord, ...]) -> None:
         """Send a datagram; nothing tells whether it arrives."""
 
     def changed(self, member: Member) -> None:
@@ -45,30 +45,30 @@
         self.transport.send(host, port, wire.Ping(self.ping_number), self.piggyback(member))
         return self.ping_number
 
-    def send(self, member: Member, word: wire.AnyWord) -> None:
+    def send(self, member: Member, message: wire.Message) -> None:
         """Send with claims that are news."""
-        self.reply(member.claim, word, self.piggyback(member))
+        self.reply(member.record, message, self.piggyback(member))
 
-    def reply(self, to: Claim, word: wire.AnyWord, claims: tuple[Claim, ...] = ()) -> None:
+    def reply(self, to: MemberRecord, message: wire.Message, records: tuple[MemberRecord, ...] = ()) -> None:
         """Send with these claims alone."""
-        self.transport.send(to.host, to.port, word, claims)
+        self.transport.send(to.host, to.port, message, records)
 
-    def piggyback(self, receiver: Member | None) -> tuple[Claim, ...]:
+    def piggyback(self, receiver: Member | None) -> tuple[MemberRecord, ...]:
         """What is news, least passed on first, as far as it fits; and what the receiver has to refute."""
         limit = retransmit_limit(self.table.size)
-        claims, room = list[Claim](), wire.MOST - wire.HEAD
-        if receiver is not None and receiver.rank is not Rank.ALIVE:
-            claims.append(receiver.claim)
-            room -= wire.size(receiver.claim)
+        records, room = list[MemberRecord](), wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES
+        if receiver is not None and receiver.status is not MemberStatus.ALIVE:
+            records.append(receiver.record)
+            room -= wire.encoded_size(receiver.record)
         for member in nsmallest(CANDIDATES, self.table.news, key=lambda m: (m.transmissions, -m.since)):
-            room -= wire.size(member.claim)
+            room -= wire.encoded_size(member.record)
             if room < 0:
                 break
-            claims.append(member.claim)
+            records.append(member.record)
             member.transmissions += 1
             if member.transmissions >= limit:
                 del self.table.news[member]
-        return tuple(claims)
+        return tuple(records)
 
 
 @dataclass(frozen=True)
@@ -88,7 +88,7 @@
         self.reading: Reading | None = None
         self.cursor = ""  # after which name the next single page begins
 
-    def read_whole(self, of: Claim) -> None:
+    def read_whole(self, of: MemberRecord) -> None:
         """Read another's table from its beginning to its end."""
         self.reading = Reading(of.host, of.port, "")
         self.read_on()
@@ -96,16 +96,16 @@
     def read_on(self) -> None:
         """Ask for the next page, or for the same again where it was lost."""
         if self.reading is not None:
-            page = wire.PageAsk(self.reading.after)
+            page = wire.PageRequest(self.reading.after)
             self.outbox.transport.send(self.reading.host, self.reading.port, page, ())
 
-    def read_page(self, of: Claim) -> None:
+    def read_page(self, of: MemberRecord) -> None:
         """Ask for the page that is next in turn."""
-        self.outbox.reply(of, wire.PageAsk(self.cursor))
+        self.outbox.reply(of, wire.PageRequest(self.cursor))
 
-    def received(self, page: wire.Page, claims: Iterable[Claim]) -> None:
+    def received(self, page: wire.TablePage, records: Iterable[MemberRecord]) -> None:
         """A page came; its claims are taken up by the caller."""
-        last = max((c.name for c in claims), default=page.after)
+        last = max((c.name for c in records), default=page.after)
         self.cursor = last if page.more else ""
         reading = self.reading
         if reading is not None and reading.after == page.after:
@@ -117,10 +117,10 @@
         """What is known of members whose names follow, as many as fit."""
         members = self.table.members
         names = sorted(name for name in members if name > after and name != to.name)
-        claims, room = list[Claim](), wire.MOST - wire.HEAD
+        records, room = list[MemberRecord](), wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES
         for name in names:
-            room -= wire.size(members[name].claim)
+            room -= wire.encoded_size(members[name].record)
             if room < 0:
                 break
-            claims.append(members[name].claim)
-        self.outbox.reply(to.claim, wire.Page(after, len(claims) < len(names)), tuple(claims))
+            records.append(members[name].record)
+        self.outbox.reply(to.record, wire.TablePage(after, len(records) < len(names)), tuple(records))
--- a/lapistrestle/fleet/probing.py
+++ b/lapistrestle/fleet/failure_detector.py
@@ -5,25 +5,25 @@
 from enum import Enum
 from typing import Any
 
-from lapistrestle.fleet.chance import Draws
 from lapistrestle.fleet.dissemination import Outbox
+from lapistrestle.fleet.member_table import Member, MemberTable
+from lapistrestle.fleet.seeded_random import SeededRandom
 from lapistrestle.fleet.settings import MembershipSettings
 from lapistrestle.fleet.suspicion import LocalHealth
-from lapistrestle.fleet.table import Member, MemberTable
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Rank
+from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
 MOST_RELAYED = 64  # pings for others that may be open: guards against one that asks without end
 
-Phase = Enum("Phase", "IDLE DIRECT INDIRECT ANSWERED")  # of the probe under way
-Event = Enum("Event", "PERIOD LATE ANSWER")
+ProbePhase = Enum("ProbePhase", "IDLE DIRECT INDIRECT ANSWERED")  # of the probe under way
+ProbeEvent = Enum("ProbeEvent", "PERIOD LATE ANSWER")
 
 
 @dataclass(frozen=True)
 class RelayedPing:
     """A ping that another asked us for."""
 
-    asker: Claim
+    asker: MemberRecord
     number: int  # the asker's
     until: int
 
@@ -38,23 +38,23 @@
         table: MemberTable,
         outbox: Outbox,
         health: LocalHealth,
-        draws: Draws,
-        suspect: Callable[[Claim], None],
+        random: SeededRandom,
+        suspect: Callable[[MemberRecord], None],
         nobody_left: Callable[[], None],
         now: int,
     ) -> None:
         self.settings, self.table, self.outbox = settings, table, outbox
-        self.health, self.draws = health, draws
+        self.health, self.random = health, random
         self.suspect, self.nobody_left = suspect, nobody_left
         self.now = now
-        self.phase = Phase.IDLE
+        self.phase = ProbePhase.IDLE
         self.target: Member | None = None
         self.ping = -1  # number of the one that was sent to the target
         self.pinged_at, self.late_at = now, -1
         self.round: list[Member] = []  # yet to be probed in this round
         self.relayed: dict[int, RelayedPing] = {}
 
-    def handle(self, event: Event, now: int) -> None:
+    def handle(self, event: ProbeEvent, now: int) -> None:
         """Move the probe under way."""
         self.now = now
         self.phase, effect = TRANSITIONS[self.phase, event]
@@ -63,14 +63,14 @@
     def interrupt(self) -> bool:
         """After a standstill of our own what was not heard says nothing of others. Returns whether a probe
         was open."""
-        waiting = self.phase in (Phase.DIRECT, Phase.INDIRECT)
+        waiting = self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
         if waiting:
-            self.phase = Phase.IDLE
+            self.phase = ProbePhase.IDLE
         return waiting
 
     def deadlines(self) -> list[int]:
         """When a probe or a relayed ping is late."""
-        probe = [self.late_at] if self.phase is Phase.DIRECT else []
+        probe = [self.late_at] if self.phase is ProbePhase.DIRECT else []
         return probe + [relayed.until for relayed in self.relayed.values()]
 
     # effects of the transitions
@@ -81,24 +81,26 @@
             self.round.pop()
         if not self.round:
             live = self.table.live()
-            self.round = self.draws.some(live, len(live))
+            self.round = self.random.sample(live, len(live))
         if not self.round:
-            self.phase = Phase.IDLE
+            self.phase = ProbePhase.IDLE
             return self.nobody_left()
         self.target = self.round.pop()
         self.pinged_at = self.now
-        self.late_at = self.now + self.health.stretch(self.settings.direct)
-        claim = self.target.claim
-        self.ping = self.outbox.ping(claim.host, claim.port, self.target)
+        self.late_at = self.now + self.health.stretch(self.settings.ping_timeout)
+        record = self.target.record
+        self.ping = self.outbox.ping(record.host, record.port, self.target)
 
     def ping_indirectly(self) -> None:
         """Have others ping the target, who has not answered us."""
         target = self.target
         assert target is not None
         others = [m for m in self.table.live() if m is not target]
-        relays = self.draws.some(others, self.settings.relays)
+        relays = self.random.sample(others, self.settings.indirect_probes)
         for relay in relays:
-            self.outbox.send(relay, wire.Ask(self.ping, target.name, target.claim.host, target.claim.port))
+            self.outbox.send(
+                relay, wire.PingRequest(self.ping, target.name, target.record.host, target.record.port)
+            )
         if relays:
             self.health.worsen()  # until one of them says that it hears us
 
@@ -106,11 +108,13 @@
         """Nobody has had an answer from the target: suspect it, and probe the next."""
         target = self.target
         assert target is not None
-        if target.known and target.rank is Rank.ALIVE:
+        if target.known and target.status is MemberStatus.ALIVE:
             waited = self.now - self.pinged_at
             self.outbox.transport.log(f"{target.name} suspect: no answer in {waited}")
         if target.known and target.live:
-            self.suspect(wire.replace(target.claim, rank=Rank.SUSPECT, by=self.table.me.name))
+            self.suspect(
+                wire.replace(target.record, status=MemberStatus.SUSPECT, suspected_by=self.table.me.name)
+            )
         self.ping_next()
 
     def recover(self) -> None:
@@ -121,22 +125,26 @@
 
     def ack_received(self, member: Member, number: int, now: int) -> None:
         """An answer to a ping: to our own, or to one relayed, which is passed on with the target's claim."""
-        if number == self.ping and self.phase in (Phase.DIRECT, Phase.INDIRECT) and member is self.target:
-            self.handle(Event.ANSWER, now)
+        if (
+            number == self.ping
+            and self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
+            and member is self.target
+        ):
+            self.handle(ProbeEvent.ANSWER, now)
         relayed = self.relayed.pop(number, None)
         if relayed is not None:
-            self.outbox.reply(relayed.asker, wire.Ack(relayed.number), (member.claim,))
+            self.outbox.reply(relayed.asker, wire.Ack(relayed.number), (member.record,))
 
     def nack_received(self, number: int) -> None:
         """A relay hears us, though not the target: silence is not ours."""
-        if number == self.ping and self.phase is Phase.INDIRECT:
+        if number == self.ping and self.phase is ProbePhase.INDIRECT:
             self.health.improve()
 
-    def relay(self, asker: Claim, ask: wire.Ask, now: int) -> None:
+    def relay(self, asker: MemberRecord, ask: wire.PingRequest, now: int) -> None:
         """Ping a member for another."""
         if len(self.relayed) < MOST_RELAYED:
             number = self.outbox.ping(ask.host, ask.port)
-            self.relayed[number] = RelayedPing(asker, ask.seq, now + self.settings.direct)
+            self.relayed[number] = RelayedPing(asker, ask.seq, now + self.settings.ping_timeout)
 
     def give_up_relayed(self, now: int) -> None:
         """Tell those who asked that the target has not answered us either."""
@@ -146,12 +154,12 @@
 
 
 Effect = Callable[[FailureDetector], Any]
-TRANSITIONS: dict[tuple[Phase, Event], tuple[Phase, Effect]] = {
-    (Phase.IDLE, Event.PERIOD): (Phase.DIRECT, FailureDetector.ping_next),
-    (Phase.DIRECT, Event.ANSWER): (Phase.ANSWERED, FailureDetector.recover),
-    (Phase.DIRECT, Event.LATE): (Phase.INDIRECT, FailureDetector.ping_indirectly),
-    (Phase.DIRECT, Event.PERIOD): (Phase.DIRECT, FailureDetector.accuse),
-    (Phase.INDIRECT, Event.ANSWER): (Phase.ANSWERED, FailureDetector.recover),
-    (Phase.INDIRECT, Event.PERIOD): (Phase.DIRECT, FailureDetector.accuse),
-    (Phase.ANSWERED, Event.PERIOD): (Phase.DIRECT, FailureDetector.ping_next),
+TRANSITIONS: dict[tuple[ProbePhase, ProbeEvent], tuple[ProbePhase, Effect]] = {
+    (ProbePhase.IDLE, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.ping_next),
+    (ProbePhase.DIRECT, ProbeEvent.ANSWER): (ProbePhase.ANSWERED, FailureDetector.recover),
+    (ProbePhase.DIRECT, ProbeEvent.LATE): (ProbePhase.INDIRECT, FailureDetector.ping_indirectly),
+    (ProbePhase.DIRECT, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.accuse),
+    (ProbePhase.INDIRECT, ProbeEvent.ANSWER): (ProbePhase.ANSWERED, FailureDetector.recover),
+    (ProbePhase.INDIRECT, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.accuse),
+    (ProbePhase.ANSWERED, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.ping_next),
 }
--- a/lapistrestle/fleet/endpoint.py
+++ b/lapistrestle/fleet/gossip_endpoint.py
@@ -6,26 +6,26 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from lapistrestle.fleet.digests import Digests
-from lapistrestle.fleet.lending import Lending
-from lapistrestle.fleet.members import Members
+from lapistrestle.fleet.gossip_counters import GossipCounters
+from lapistrestle.fleet.member_table import LocalState, Member
+from lapistrestle.fleet.membership import Membership
+from lapistrestle.fleet.quota_leasing import QuotaLeasing
 from lapistrestle.fleet.settings import FleetSettings
-from lapistrestle.fleet.table import Member, SelfState
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Datagram, Rank
+from lapistrestle.wire.fleet import Datagram, MemberRecord, MemberStatus
 
 VERDICTS = 4  # in one datagram
 INTERFACE = "127.0.0.1"  # where datagrams are heard
-LOANS = (wire.Lend, wire.Lent, wire.Returned)
+LOANS = (wire.LeaseRequest, wire.LeaseGrant, wire.LeaseReturn)
 
 
-class Verdicts(Protocol):
+class WorkerVerdicts(Protocol):
     """What passes on what was found of workers (`overload.probers`)."""
 
-    def heard(self, verdicts: Iterable[wire.Verdict], now: int) -> None:
+    def on_verdicts(self, verdicts: Iterable[wire.WorkerVerdict], now: int) -> None:
         """Findings of others came."""
 
-    def to_send(self, now: int, most: int) -> tuple[wire.Verdict, ...]:
+    def to_send(self, now: int, most: int) -> tuple[wire.WorkerVerdict, ...]:
         """Those that are news, so many at the most."""
 
 
@@ -50,9 +50,9 @@
         """One log line."""
 
 
-class FleetEndpoint(DatagramProtocol):
+class GossipEndpoint(DatagramProtocol):
     """One dispatcher's end of its fleet. `boot` grows with each start of a process, `nonce` differs at each;
-    `digests`, `verdicts` and `lending` are set by whoever has something to tell beside who is there."""
+    `counters`, `verdicts` and `quota_leasing` are set by whoever has more to tell than who is there."""
 
     transport: Any
 
@@ -68,16 +68,16 @@
     ) -> None:
         self.runtime, self.settings, self.seed = runtime, settings, seed
         port = settings.advertised_port or settings.port
-        me = Claim(name, boot, nonce, 0, Rank.ALIVE, settings.host, port, zone)
-        self.members = Members(self, settings, me, seed, runtime.clock())
-        self.digests: Digests | None = None
-        self.verdicts: Verdicts | None = None
-        self.lending: Lending | None = None
+        me = MemberRecord(name, boot, nonce, 0, MemberStatus.ALIVE, settings.host, port, zone)
+        self.members = Membership(self, settings, me, seed, runtime.clock())
+        self.counters: GossipCounters | None = None
+        self.verdicts: WorkerVerdicts | None = None
+        self.quota_leasing: QuotaLeasing | None = None
         self.sent_at = runtime.clock()
         self.draws = 0
         self.timer: Any = None
         self.timer_at = -1
-        self.sent = self.sent_bytes = self.came = self.refused = 0
+        self.sent = self.sent_bytes = self.received = self.rejected = 0
 
     def start(self) -> None:
         """Listen, and join through the seeds."""
@@ -92,27 +92,27 @@
     def datagramReceived(self, data: bytes, addr: Any) -> None:
         """A datagram came; one that can not be read is counted and passed over."""
         self.runtime.input()
-        self.came += 1
+        self.received += 1
         try:
-            datagram = wire.unpack(data, self.settings.fleet)
-        except wire.Unreadable as trouble:
-            self.refused += 1
+            datagram = wire.decode(data, self.settings.fleet)
+        except wire.DatagramError as trouble:
+            self.rejected += 1
             return self.runtime.passed_over(f"fleet datagram from port {addr[1]}", str(trouble))
         now = self.runtime.clock()
-        self.members.heard(datagram.sender, datagram.word, datagram.claims, now)
-        if isinstance(datagram.word, wire.Rows) and self.digests is not None:
-            self.digests.heard(datagram.word.layout, datagram.word.rows, now)
+        self.members.on_message(datagram.sender, datagram.message, datagram.records, now)
+        if isinstance(datagram.message, wire.CounterGossip) and self.counters is not None:
+            self.counters.on_snapshots(datagram.message.layout, datagram.message.snapshots, now)
             if self.verdicts is not None:
-                self.verdicts.heard(datagram.word.verdicts, now)
-        if isinstance(datagram.word, LOANS) and self.lending is not None:
-            self.lending.heard(datagram.sender, datagram.word, now)
+                self.verdicts.on_verdicts(datagram.message.verdicts, now)
+        if isinstance(datagram.message, LOANS) and self.quota_leasing is not None:
+            self.quota_leasing.on_message(datagram.sender, datagram.message, now)
         self.wake()
 
     def wake(self) -> None:
         """Have `turn` called when something is due next; one timer at a time."""
         due = self.members.due
-        if self.digests is not None:
-            due = min(due, self.sent_at + self.digests.settings.send_every)
+        if self.counters is not None:
+            due = min(due, self.sent_at + self.counters.settings.send_interval)
         if self.timer is not None and self.timer_at <= due:
             return
         if self.timer is not None:
@@ -126,43 +126,45 @@
         now = self.runtime.clock()
         if now >= self.members.due:
             self.members.tick(now)
-        if self.digests is not None and now >= self.sent_at + self.digests.settings.send_every:
+        if self.counters is not None and now >= self.sent_at + self.counters.settings.send_interval:
             self.sent_at = now
-            self.send_rows(self.digests, now)
+            self.send_rows(self.counters, now)
         self.wake()
 
-    def send_rows(self, digests: Digests, now: int) -> None:
+    def send_rows(self, counters: GossipCounters, now: int) -> None:
         """Counters to a few, drawn anew each time."""
-        live = list(self.members.live()) if self.members.state is SelfState.MEMBER else []
-        own = wire.size(digests.reporters[digests.life[0]].row)
-        for _ in range(min(len(live), digests.datagrams(len(live) + 1, own))):
+        live = list(self.members.live()) if self.members.state is LocalState.MEMBER else []
+        own = wire.encoded_size(counters.reporters[counters.process_id[0]].snapshot)
+        for _ in range(min(len(live), counters.datagrams_per_round(len(live) + 1, own))):
             self.draws += 1
             member = live.pop(crc32(f"{self.seed}:tell:{self.draws}".encode()) % len(live))
             verdicts = self.verdicts.to_send(now, VERDICTS) if self.verdicts is not None else ()
-            room = wire.MOST - wire.HEAD - sum(map(wire.size, verdicts))
-            word = wire.Rows(digests.layout, tuple(digests.rows_to_send(now, room)), verdicts)
-            self.send(member.claim.host, member.claim.port, word, ())
+            room = wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES - sum(map(wire.encoded_size, verdicts))
+            message = wire.CounterGossip(
+                counters.layout, tuple(counters.snapshots_to_send(now, room)), verdicts
+            )
+            self.send(member.record.host, member.record.port, message, ())
 
     # what membership asks (dissemination.MembershipTransport)
 
-    def send(self, host: str, port: int, word: wire.AnyWord, claims: tuple[Claim, ...]) -> None:
+    def send(self, host: str, port: int, message: wire.Message, records: tuple[MemberRecord, ...]) -> None:
         """Send one datagram."""
-        data = wire.pack(Datagram(self.settings.fleet, wire.VERSION, self.members.me, word, claims))
+        data = wire.encode(Datagram(self.settings.fleet, wire.VERSION, self.members.me, message, records))
         if self.transport is not None:
             self.sent += 1
             self.sent_bytes += len(data)
             self.transport.write(data, (host, port))
 
-    def lend(self, to: Claim, word: wire.AnyWord) -> None:
+    def send_lease_message(self, to: MemberRecord, message: wire.Message) -> None:
         """Send a word of lending."""
-        self.send(to.host, to.port, word, ())
+        self.send(to.host, to.port, message, ())
 
     def changed(self, member: Member) -> None:
         """Counters of one that is known no more are dropped."""
-        if self.digests is not None and not member.known:
-            self.digests.forget(member.name)
+        if self.counters is not None and not member.known:
+            self.counters.forget(member.name)
 
-    def present(self, name: str) -> bool:
+    def is_present(self, name: str) -> bool:
         """Whether that one counts as there."""
         member = self.members.members.get(name)
         return member is not None and member.live
--- a/lapistrestle/fleet/table.py
+++ b/lapistrestle/fleet/member_table.py
@@ -5,49 +5,49 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from lapistrestle.wire.fleet import Claim, Rank
+from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-CONFIRMATIONS = 3  # further accusers after whom the least suspicion is enough
+MAX_CONFIRMATIONS = 3  # further accusers after whom the least suspicion is enough
 OLD_NEWS = 4  # transmissions that the claim of one counts as having had who was dead before we heard of it
 
-SelfState = Enum("SelfState", "JOINING MEMBER DISPLACED LEFT")  # of oneself
-ACTIVE = (SelfState.JOINING, SelfState.MEMBER)
+LocalState = Enum("LocalState", "JOINING MEMBER DISPLACED LEFT")  # of oneself
+ACTIVE_STATES = (LocalState.JOINING, LocalState.MEMBER)
 
 
 @dataclass(eq=False)
 class Member:
     """Another dispatcher, as far as it is known."""
 
-    claim: Claim
+    record: MemberRecord
     since: int  # when its rank last changed
-    heard: int = -1  # when it last spoke to us itself
+    last_heard_at: int = -1  # when it last spoke to us itself
     transmissions: int = 0  # how often this claim was passed on
-    accusers: set[str] = field(default_factory=set)
+    suspecters: set[str] = field(default_factory=set)
     known: bool = True
 
     @property
     def name(self) -> str:
         """The same in all its lives."""
-        return self.claim.name
+        return self.record.name
 
     @property
-    def rank(self) -> Rank:
+    def status(self) -> MemberStatus:
         """What is believed of it."""
-        return self.claim.rank
+        return self.record.status
 
     @property
     def live(self) -> bool:
         """Whether it counts as there: a suspect still does."""
-        return self.claim.rank <= Rank.SUSPECT
+        return self.record.status <= MemberStatus.SUSPECT
 
 
 class MemberTable:
     """One dispatcher's beliefs of all. `me` is its own claim, `changed` is called with each member of whom
     another claim holds, or who is forgotten."""
 
-    def __init__(self, me: Claim, changed: Callable[[Member], None]) -> None:
+    def __init__(self, me: MemberRecord, changed: Callable[[Member], None]) -> None:
         self.me, self.changed = me, changed
-        self.state = SelfState.JOINING
+        self.state = LocalState.JOINING
         self.members: dict[str, Member] = {}
         self.news: dict[Member, None] = {}  # whose claims are still to be passed on
         self.suspected: dict[Member, None] = {}
@@ -62,51 +62,51 @@
     @property
     def size(self) -> int:
         """How many count as there, oneself included; a displaced or left one is alone and no member."""
-        return 1 + len(self.live()) if self.state in ACTIVE else 0
+        return 1 + len(self.live()) if self.state in ACTIVE_STATES else 0
 
-    def apply(self, claim: Claim, now: int) -> None:
+    def apply(self, record: MemberRecord, now: int) -> None:
         """Take up a claim about another if it is greater than what is held."""
-        member = self.members.get(claim.name)
+        member = self.members.get(record.name)
         if member is None:
-            member = self.insert(claim, now)
-        elif claim.order > member.claim.order:
-            self.replace(member, claim, now)
+            member = self.insert(record, now)
+        elif record.precedence > member.record.precedence:
+            self.replace(member, record, now)
         else:
-            return self.confirm(member, claim)
-        if claim.rank is Rank.SUSPECT:
-            member.accusers |= {claim.by} if claim.by else set()
+            return self.confirm(member, record)
+        if record.status is MemberStatus.SUSPECT:
+            member.suspecters |= {record.suspected_by} if record.suspected_by else set()
             self.suspected[member] = None
         else:
             self.suspected.pop(member, None)
         self.news[member] = None
         self.changed(member)
 
-    def insert(self, claim: Claim, now: int) -> Member:
+    def insert(self, record: MemberRecord, now: int) -> Member:
         """One of whom nothing was known."""
-        member = self.members[claim.name] = Member(claim, now)
+        member = self.members[record.name] = Member(record, now)
         self.live_by_name = None
-        if claim.rank >= Rank.DEAD:
+        if record.status >= MemberStatus.DEAD:
             member.transmissions = OLD_NEWS
         return member
 
-    def replace(self, member: Member, claim: Claim, now: int) -> None:
+    def replace(self, member: Member, record: MemberRecord, now: int) -> None:
         """A greater claim holds."""
-        held = member.claim
-        if claim.rank != held.rank or claim.life != held.life:
+        held = member.record
+        if record.status != held.status or record.process_id != held.process_id:
             member.since, self.live_by_name = now, None
-        if claim.life != held.life or claim.incarnation != held.incarnation:
-            member.accusers.clear()
-        member.claim, member.transmissions = claim, 0
+        if record.process_id != held.process_id or record.incarnation != held.incarnation:
+            member.suspecters.clear()
+        member.record, member.transmissions = record, 0
 
-    def confirm(self, member: Member, claim: Claim) -> None:
+    def confirm(self, member: Member, record: MemberRecord) -> None:
         """A further accuser of the same suspicion is news; who says that a member is there accuses nobody."""
-        if claim.rank is Rank.ALIVE or claim.order != member.claim.order:
+        if record.status is MemberStatus.ALIVE or record.precedence != member.record.precedence:
             return
-        if not claim.by or claim.by in member.accusers:
+        if not record.suspected_by or record.suspected_by in member.suspecters:
             return
-        member.accusers.add(claim.by)
-        if len(member.accusers) <= CONFIRMATIONS + 1:
-            member.claim, member.transmissions = claim, 0
+        member.suspecters.add(record.suspected_by)
+        if len(member.suspecters) <= MAX_CONFIRMATIONS + 1:
+            member.record, member.transmissions = record, 0
         self.news[member] = None
 
     def forget(self, before: int) -> None:
--- a/lapistrestle/fleet/members.py
+++ b/lapistrestle/fleet/membership.py
@@ -7,46 +7,51 @@
 
 from collections.abc import Iterable
 
-from lapistrestle.fleet.chance import Draws
 from lapistrestle.fleet.dissemination import MembershipTransport, Outbox, TableSync, retransmit_limit
-from lapistrestle.fleet.probing import Event, FailureDetector, Phase
+from lapistrestle.fleet.failure_detector import FailureDetector, ProbeEvent, ProbePhase
+from lapistrestle.fleet.member_table import ACTIVE_STATES, LocalState, Member, MemberTable
+from lapistrestle.fleet.seeded_random import SeededRandom
 from lapistrestle.fleet.settings import Address, MembershipSettings
 from lapistrestle.fleet.suspicion import MAX_SUSPICION, LocalHealth, suspicion_ends
-from lapistrestle.fleet.table import ACTIVE, Member, MemberTable, SelfState
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Rank
+from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
 MOST_SEEDS = 5  # spoken to at the start
 
 
-class Members:
+class Membership:
     """One dispatcher's part in its fleet. `me` says its name, boot, nonce, address and zone."""
 
     def __init__(
-        self, transport: MembershipTransport, settings: MembershipSettings, me: Claim, seed: int, now: int
+        self,
+        transport: MembershipTransport,
+        settings: MembershipSettings,
+        me: MemberRecord,
+        seed: int,
+        now: int,
     ) -> None:
         self.transport, self.settings, self.now = transport, settings, now
-        self.health, self.draws = LocalHealth(), Draws(seed)
+        self.health, self.random = LocalHealth(), SeededRandom(seed)
         self.table = MemberTable(me, transport.changed)
         self.outbox = Outbox(transport, self.table)
         self.sync = TableSync(self.outbox, self.table)
         self.detector = FailureDetector(
-            settings, self.table, self.outbox, self.health, self.draws, self.apply, self.nobody_left, now
+            settings, self.table, self.outbox, self.health, self.random, self.apply, self.nobody_left, now
         )
         self.next_period = now
         self.periods = self.retries = 0
-        self.rival: Claim | None = None  # another process under our name, whose claim is greater
+        self.rival: MemberRecord | None = None  # another process under our name, whose claim is greater
         self.rival_heard = now
 
     # what others read
 
     @property
-    def me(self) -> Claim:
+    def me(self) -> MemberRecord:
         """What this member says of itself."""
         return self.table.me
 
     @property
-    def state(self) -> SelfState:
+    def state(self) -> LocalState:
         """Whether oneself is a member."""
         return self.table.state
 
@@ -81,18 +86,18 @@
         self.now = now
         for host, port in self.settings.seeds[:MOST_SEEDS]:
             self.outbox.ping(host, port)
-        self.next_period = now + self.settings.period // 4
+        self.next_period = now + self.settings.protocol_period // 4
 
     def leave(self, now: int) -> None:
         """Say that this boot is over, to some directly; it is not taken back."""
-        if self.state in ACTIVE:
+        if self.state in ACTIVE_STATES:
             self.now = now
-            self.table.me = wire.replace(self.me, rank=Rank.LEFT)
-            for member in self.draws.some(self.live(), retransmit_limit(self.size)):
+            self.table.me = wire.replace(self.me, status=MemberStatus.LEFT)
+            for member in self.random.sample(self.live(), retransmit_limit(self.size)):
                 self.outbox.send(member, wire.Ack(0))
-            self.enter(SelfState.LEFT, "left in order")
+            self.enter(LocalState.LEFT, "left in order")
 
-    def enter(self, state: SelfState, why: str) -> None:
+    def enter(self, state: LocalState, why: str) -> None:
         """Change the state of oneself, with a log line."""
         if state is not self.state:
             self.table.state = state
@@ -101,90 +106,96 @@
 
     def nobody_left(self) -> None:
         """There is nobody to probe: join anew."""
-        if self.state is SelfState.MEMBER:
-            self.enter(SelfState.JOINING, "nobody else is there")
+        if self.state is LocalState.MEMBER:
+            self.enter(LocalState.JOINING, "nobody else is there")
 
     # what is heard
 
-    def heard(self, sender: Claim, word: wire.AnyWord, claims: Iterable[Claim], now: int) -> None:
+    def on_message(
+        self, sender: MemberRecord, message: wire.Message, records: Iterable[MemberRecord], now: int
+    ) -> None:
         """A datagram of this fleet came."""
         self.now = now
-        if self.state is SelfState.LEFT or sender.life == self.me.life:
+        if self.state is LocalState.LEFT or sender.process_id == self.me.process_id:
             return
         if sender.name == self.me.name:
-            return self.met_namesake(sender, word)
+            return self.met_namesake(sender, message)
         before = self.members.get(sender.name)
-        returns = before is not None and before.rank is Rank.DEAD
-        for claim in (sender, *claims):
-            self.apply(claim)
+        returns = before is not None and before.status is MemberStatus.DEAD
+        for record in (sender, *records):
+            self.apply(record)
         member = self.members.get(sender.name)
-        if self.state is SelfState.DISPLACED or member is None:
+        if self.state is LocalState.DISPLACED or member is None:
             return
-        if member.claim.life != sender.life:  # another has taken its place, and it has to hear of that
-            if isinstance(word, wire.Ping):
-                self.outbox.reply(sender, wire.Ack(0), (member.claim,))
+        if (
+            member.record.process_id != sender.process_id
+        ):  # another has taken its place, and it has to hear of that
+            if isinstance(message, wire.Ping):
+                self.outbox.reply(sender, wire.Ack(0), (member.record,))
             return
-        member.heard = now
-        if self.state is SelfState.JOINING and member.live:
-            self.enter(SelfState.MEMBER, f"{member.name} answers")
+        member.last_heard_at = now
+        if self.state is LocalState.JOINING and member.live:
+            self.enter(LocalState.MEMBER, f"{member.name} answers")
             returns = True
         if returns and member.live:  # it may know of many that we don't, or hold dead
             self.sync.read_whole(sender)
-        self.handle(member, sender, word, claims)
+        self.handle(member, sender, message, records)
 
-    def handle(self, member: Member, sender: Claim, word: wire.AnyWord, claims: Iterable[Claim]) -> None:
+    def handle(
+        self, member: Member, sender: MemberRecord, message: wire.Message, records: Iterable[MemberRecord]
+    ) -> None:
         """A word from a member."""
-        match word:
+        match message:
             case wire.Ping(number):
                 self.outbox.send(member, wire.Ack(number))
             case wire.Ack(number):
                 self.detector.ack_received(member, number, self.now)
-            case wire.Ask():
-                self.detector.relay(sender, word, self.now)
+            case wire.PingRequest():
+                self.detector.relay(sender, message, self.now)
             case wire.Nack(number):
                 self.detector.nack_received(number)
-            case wire.PageAsk(after):
+            case wire.PageRequest(after):
                 self.sync.send_page(member, after)
-            case wire.Page():
-                self.sync.received(word, claims)
+            case wire.TablePage():
+                self.sync.received(message, records)
 
-    def apply(self, claim: Claim) -> None:
+    def apply(self, record: MemberRecord) -> None:
         """Take up a claim if it is greater than what is held."""
-        if claim.name == self.me.name:
-            self.apply_to_self(claim)
+        if record.name == self.me.name:
+            self.apply_to_self(record)
         else:
-            self.table.apply(claim, self.now)
+            self.table.apply(record, self.now)
 
-    def apply_to_self(self, claim: Claim) -> None:
+    def apply_to_self(self, record: MemberRecord) -> None:
         """What others say of us: refuted by a higher incarnation, or told by a namesake's friends."""
-        if claim.life == self.me.life:
-            wrong = claim.rank > Rank.ALIVE and claim.incarnation >= self.me.incarnation
-            if wrong and self.state in ACTIVE:
-                self.table.me = wire.replace(self.me, incarnation=claim.incarnation + 1)
+        if record.process_id == self.me.process_id:
+            wrong = record.status > MemberStatus.ALIVE and record.incarnation >= self.me.incarnation
+            if wrong and self.state in ACTIVE_STATES:
+                self.table.me = wire.replace(self.me, incarnation=record.incarnation + 1)
                 self.health.worsen()
-        elif claim.order > self.me.order:
-            if claim.rank <= Rank.SUSPECT:
-                self.displaced(claim)
-            elif self.state is not SelfState.LEFT:  # that process is gone; our clock was set back
-                self.table.me = wire.replace(self.me, boot=claim.boot + 1)
+        elif record.precedence > self.me.precedence:
+            if record.status <= MemberStatus.SUSPECT:
+                self.displaced(record)
+            elif self.state is not LocalState.LEFT:  # that process is gone; our clock was set back
+                self.table.me = wire.replace(self.me, boot=record.boot + 1)
 
     # another process under our name
 
-    def met_namesake(self, sender: Claim, word: wire.AnyWord) -> None:
+    def met_namesake(self, sender: MemberRecord, message: wire.Message) -> None:
         """Another process speaks under our name. The greater claim keeps it."""
-        if self.rival is not None and sender.life == self.rival.life:
+        if self.rival is not None and sender.process_id == self.rival.process_id:
             self.rival_heard = self.now
-        if sender.order > self.me.order:
+        if sender.precedence > self.me.precedence:
             self.displaced(sender)
-        elif isinstance(word, wire.Ping):  # it has to hear of us
-            self.outbox.reply(sender, wire.Ack(word.seq))
+        elif isinstance(message, wire.Ping):  # it has to hear of us
+            self.outbox.reply(sender, wire.Ack(message.seq))
 
-    def displaced(self, rival: Claim) -> None:
+    def displaced(self, rival: MemberRecord) -> None:
         """Another process keeps our name."""
-        if self.rival is None or rival.order > self.rival.order:
+        if self.rival is None or rival.precedence > self.rival.precedence:
             self.rival, self.rival_heard = rival, self.now
-        if self.state in ACTIVE:
-            self.enter(SelfState.DISPLACED, f"another process is {rival.name}, at port {rival.port}")
+        if self.state in ACTIVE_STATES:
+            self.enter(LocalState.DISPLACED, f"another process is {rival.name}, at port {rival.port}")
             for member in self.members.values():
                 self.transport.changed(member)
 
@@ -192,10 +203,10 @@
         """Whether the process that took our name still lives; a name that nobody answers to is ours again."""
         rival = self.rival
         assert rival is not None
-        patience = self.settings.suspicion * MAX_SUSPICION * self.settings.period
+        patience = self.settings.suspicion_multiplier * MAX_SUSPICION * self.settings.protocol_period
         if self.now - self.rival_heard > patience:
             self.table.me, self.rival = wire.replace(self.me, boot=rival.boot + 1), None
-            self.table.state = SelfState.JOINING
+            self.table.state = LocalState.JOINING
             self.transport.log(f"fleet joining: nobody answers as {rival.name} at port {rival.port}")
             self.contact_absent()
         else:
@@ -206,18 +217,18 @@
     def tick(self, now: int) -> None:
         """Do what is due."""
         before, self.now = self.now, now
-        if self.state is SelfState.LEFT:
-            self.next_period = now + self.settings.forget
+        if self.state is LocalState.LEFT:
+            self.next_period = now + self.settings.retention
             return
-        stood = now - self.next_period > self.settings.period // 2
+        stood = now - self.next_period > self.settings.protocol_period // 2
         if stood and self.detector.interrupt():
             self.health.worsen()
             for member in self.table.suspected:
                 member.since += now - before
         self.detector.give_up_relayed(now)
         self.end_suspicions()
-        if self.detector.phase is Phase.DIRECT and now >= self.detector.late_at:
-            self.detector.handle(Event.LATE, now)
+        if self.detector.phase is ProbePhase.DIRECT and now >= self.detector.late_at:
+            self.detector.handle(ProbeEvent.LATE, now)
         if now >= self.next_period:
             self.begin_period()
 
@@ -225,26 +236,26 @@
         """Suspects whose time to refute is over are dead."""
         for member in list(self.table.suspected):
             if self.now >= self.suspicion_ends(member):
-                accusers, score = len(member.accusers), self.health.score
+                suspecters, score = len(member.suspecters), self.health.score
                 silent = f"silent for {self.now - member.since}"
-                self.transport.log(f"{member.name} dead: {silent}, {accusers} accuse it, doubt {score}")
-                self.apply(wire.replace(member.claim, rank=Rank.DEAD, by=""))
+                self.transport.log(f"{member.name} dead: {silent}, {suspecters} accuse it, doubt {score}")
+                self.apply(wire.replace(member.record, status=MemberStatus.DEAD, suspected_by=""))
 
     def begin_period(self) -> None:
         """Probe the next; now and then speak to one that is not there, and read a page of another's table."""
         self.periods += 1
-        self.next_period = self.now + self.health.stretch(self.settings.period)
-        if self.state is SelfState.DISPLACED:
+        self.next_period = self.now + self.health.stretch(self.settings.protocol_period)
+        if self.state is LocalState.DISPLACED:
             return self.ping_rival()
-        self.detector.handle(Event.PERIOD, self.now)
-        if self.state is SelfState.JOINING or self.periods % self.settings.retry == 0:
+        self.detector.handle(ProbeEvent.PERIOD, self.now)
+        if self.state is LocalState.JOINING or self.periods % self.settings.reconnect_periods == 0:
             self.contact_absent()
         if self.sync.reading is not None:
             self.sync.read_on()
-        elif self.periods % self.settings.pages == 0:
-            for member in self.draws.some(self.live(), 1):
-                self.sync.read_page(member.claim)
-        self.table.forget(self.now - self.settings.forget)
+        elif self.periods % self.settings.sync_periods == 0:
+            for member in self.random.sample(self.live(), 1):
+                self.sync.read_page(member.record)
+        self.table.forget(self.now - self.settings.retention)
 
     def contact_absent(self) -> None:
         """A word to one that is not there: a seed, or a dead one. Without it the halves of a partition that
@@ -253,13 +264,13 @@
         if addresses:
             self.retries += 1
             host, port = addresses[self.retries % len(addresses)]
-            member = next((m for m in self.members.values() if m.claim.port == port), None)
+            member = next((m for m in self.members.values() if m.record.port == port), None)
             self.outbox.ping(host, port, member)
 
     def absent_addresses(self) -> list[Address]:
         """Seeds and dead members at whose address nobody counts as there, each once."""
         members = self.members.values()
-        taken = {(m.claim.host, m.claim.port) for m in members if m.live}
+        taken = {(m.record.host, m.record.port) for m in members if m.live}
         taken.add((self.me.host, self.me.port))
-        dead = [(m.claim.host, m.claim.port) for m in members if m.rank is Rank.DEAD]
+        dead = [(m.record.host, m.record.port) for m in members if m.status is MemberStatus.DEAD]
         return [a for a in dict.fromkeys([*self.settings.seeds, *dead]) if a not in taken]
--- a/lapistrestle/fleet/chance.py
+++ b/lapistrestle/fleet/seeded_random.py
@@ -7,7 +7,7 @@
 T = TypeVar("T")
 
 
-class Draws:
+class SeededRandom:
     """Draws in order, of one seed."""
 
     def __init__(self, seed: int) -> None:
@@ -18,7 +18,7 @@
         self.count += 1
         return crc32(f"{self.seed}:{self.count}".encode()) % max(1, bound)
 
-    def some(self, items: Sequence[T], count: int) -> list[T]:
+    def sample(self, items: Sequence[T], count: int) -> list[T]:
         """That many of them, in the order drawn."""
         left, chosen = list(items), list[T]()
         while left and len(chosen) < count:
--- a/lapistrestle/fleet/settings.py
+++ b/lapistrestle/fleet/settings.py
@@ -11,13 +11,19 @@
 class MembershipSettings:
     """When members are probed, suspected, synchronised and forgotten."""
 
-    period: int = SECOND  # between two probes; the longest delay between two members must be well under it
-    direct: int = 3_000  # for the answer to a ping, before others are asked to ping
-    relays: int = 3  # others that are asked
-    suspicion: int = 4  # periods, times the logarithm of the size, before a suspect is dead at the least
-    retry: int = 2  # periods between two words to one that is not there, so that a partition heals
-    pages: int = 10  # periods between two requests for a page of another's table
-    forget: int = 600 * SECOND  # after which one that is dead or left is no longer known
+    protocol_period: int = (
+        SECOND  # between two probes; the longest delay between two members must be well under it
+    )
+    ping_timeout: int = 3_000  # for the answer to a ping, before others are asked to ping
+    indirect_probes: int = 3  # others that are asked
+    suspicion_multiplier: int = (
+        4  # periods, times the logarithm of the size, before a suspect is dead at the least
+    )
+    reconnect_periods: int = (
+        2  # periods between two words to one that is not there, so that a partition heals
+    )
+    sync_periods: int = 10  # periods between two requests for a page of another's table
+    retention: int = 600 * SECOND  # after which one that is dead or left is no longer known
     seeds: tuple[Address, ...] = ()  # through which a fleet is joined
 
 
--- a/lapistrestle/fleet/suspicion.py
+++ b/lapistrestle/fleet/suspicion.py
@@ -2,8 +2,8 @@
 
 from math import log, log10
 
+from lapistrestle.fleet.member_table import MAX_CONFIRMATIONS, Member
 from lapistrestle.fleet.settings import MembershipSettings
-from lapistrestle.fleet.table import CONFIRMATIONS, Member
 
 MAX_SCORE = 4  # worst health of oneself: everything takes so many times longer, and once more
 MAX_SUSPICION = 4  # the longest suspicion, of an accuser that nobody confirms, over the least
@@ -32,9 +32,9 @@
     """When a suspect counts as dead: sooner the more accuse it, later the worse our own health. `size` is
     that of the fleet, oneself included."""
     others = max(0, size - 2)
-    least = settings.suspicion * max(1.0, log10(others + 2)) * settings.period
-    wanted = min(CONFIRMATIONS, others)
-    confirmed = min(wanted, max(0, len(member.accusers) - 1))
+    least = settings.suspicion_multiplier * max(1.0, log10(others + 2)) * settings.protocol_period
+    wanted = min(MAX_CONFIRMATIONS, others)
+    confirmed = min(wanted, max(0, len(member.suspecters) - 1))
     part = log(confirmed + 1) / log(wanted + 1) if wanted else 1.0
     lasts = least * (MAX_SUSPICION - (MAX_SUSPICION - 1) * part)
     return member.since + int(lasts * (1 + health.score))
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -12,11 +12,11 @@
 
 import numpy as np
 
-from lapistrestle.overload.priorities import Level, level_for
-from lapistrestle.overload.shedding import SECOND, Shedding, Traffic
+from lapistrestle.overload.level_controller import SECOND, LevelController, Traffic
+from lapistrestle.overload.priorities import AdmissionLevel, level_for
 
 STEP = 0.1  # seconds
-WINDOW = 20  # steps over which rates are taken, as in `fleet.digests`
+WINDOW = 20  # steps over which rates are taken, as in `fleet.gossip_counters`
 EVERY = 5  # steps between two looks at the level
 TRIES = 3
 
@@ -63,9 +63,9 @@
 
     def __init__(self, day: Day, rungs: int) -> None:
         self.logs: list[str] = []
-        self.shedding = Shedding(rungs, int(day.soft * SECOND), self.logs.append, 0)
+        self.shedding = LevelController(rungs, int(day.soft * SECOND), self.logs.append, 0)
 
-    def look(self, fleet: Traffic, own: Traffic, now: int) -> Level:
+    def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.shedding.update(fleet, now)
 
 
@@ -73,9 +73,9 @@
     """Nothing is denied at the door."""
 
     def __init__(self, day: Day, rungs: int) -> None:
-        self.level = Level(rungs)
+        self.level = AdmissionLevel(rungs)
 
-    def look(self, fleet: Traffic, own: Traffic, now: int) -> Level:
+    def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.level
 
 
@@ -85,28 +85,28 @@
     def __init__(self, day: Day, rungs: int) -> None:
         self.room = day.capacity / day.dispatchers
 
-    def look(self, fleet: Traffic, own: Traffic, now: int) -> Level:
+    def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return level_for(own.demand, self.room)
 
 
 class AloneByLevel(ByLevel):
     """The same decision from one's own figures alone."""
 
-    def look(self, fleet: Traffic, own: Traffic, now: int) -> Level:
+    def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.shedding.update(own, now)
 
 
 class RetryBudget(Open):
     """Each dispatcher denies repeats beyond a fifth of what it has let in lately, and nothing else."""
 
-    def look(self, fleet: Traffic, own: Traffic, now: int) -> Level:
+    def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         repeats = sum(own.demand[1::2])
         part = min(1.0, 0.2 * own.admitted / repeats) if repeats else 1.0
         return RepeatsOnly(len(own.demand), part)
 
 
 @dataclass(frozen=True)
-class RepeatsOnly(Level):
+class RepeatsOnly(AdmissionLevel):
     """All first tries, and a part of the repeats: not in order of worth."""
 
 
@@ -120,7 +120,7 @@
     shares /= shares.sum()
     lags = rng.uniform(0.2, 1.0, count) * day.age / STEP
     phases = rng.integers(0, EVERY, count)
-    made, levels = [policy(day, rungs) for _ in range(count)], [Level(rungs) for _ in range(count)]
+    made, levels = [policy(day, rungs) for _ in range(count)], [AdmissionLevel(rungs) for _ in range(count)]
     steps = int(day.seconds / STEP)
     back = np.zeros((steps + 200, count, len(mix), TRIES))  # those that come (again), by step, worth and try
     asked = np.zeros((steps, count, rungs))
@@ -197,7 +197,7 @@
     return story
 
 
-def gate(level: Level, rungs: int) -> list[float]:
+def gate(level: AdmissionLevel, rungs: int) -> list[float]:
     """The part of each rung that is let in."""
     if isinstance(level, RepeatsOnly):
         return [level.fraction if rung % 2 else 1.0 for rung in range(rungs)]
--- a/lapistrestle/overload/shedding.py
+++ b/lapistrestle/overload/level_controller.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lapistrestle.overload.priorities import Level, level_for
+from lapistrestle.overload.priorities import AdmissionLevel, level_for
 
 SECOND = 10_000  # in tenths of a millisecond
 STRAINED = 0.12  # of what was let in came late or not at all: too much
@@ -47,18 +47,18 @@
     age: int  # of the oldest figure, in tenths of a millisecond
 
 
-class Shedding:
+class LevelController:
     """One dispatcher's working out of the level. `priorities`: how many there are."""
 
     def __init__(self, priorities: int, soft: int, log: Callable[[str], None], now: int) -> None:
         """`soft`: the usual soft deadline, in tenths of a millisecond."""
         self.priorities, self.soft, self.log = priorities, soft, log
-        self.mode, self.level, self.room = Mode.CALM, Level(priorities), float("inf")
+        self.mode, self.level, self.room = Mode.CALM, AdmissionLevel(priorities), float("inf")
         self.stepped = now  # when room was last raised
         self.best: deque[tuple[int, float]] = deque()  # done in time: when, how much; falling
         self.least: deque[tuple[int, float]] = deque()  # how long an RPC stays, by Little's law; rising
 
-    def update(self, traffic: Traffic, now: int) -> Level:
+    def update(self, traffic: Traffic, now: int) -> AdmissionLevel:
         """New figures: the level from now on."""
         self.remember(traffic, now)
         condition = self.condition(traffic)
@@ -70,7 +70,9 @@
             ended, asked = traffic.good + traffic.bad, sum(traffic.demand)
             bad = f"{traffic.bad:.0f} of {ended:.0f} a second bad, {asked:.0f} asked"
             self.log(f"shedding {mode.name.lower()}: {bad}, room {self.room:.0f}, figures {traffic.age} old")
-        self.level = Level(self.priorities) if mode is Mode.CALM else level_for(traffic.demand, self.room)
+        self.level = (
+            AdmissionLevel(self.priorities) if mode is Mode.CALM else level_for(traffic.demand, self.room)
+        )
         return self.level
 
     def condition(self, traffic: Traffic) -> Condition:
@@ -137,17 +139,19 @@
         self.room = float("inf")
 
 
-TRANSITIONS: dict[tuple[Mode, Condition], tuple[Mode, Callable[[Shedding, Traffic, int], None] | None]] = {
-    (Mode.CALM, Condition.STRAINED): (Mode.SHEDDING, Shedding.cut),
+TRANSITIONS: dict[
+    tuple[Mode, Condition], tuple[Mode, Callable[[LevelController, Traffic, int], None] | None]
+] = {
+    (Mode.CALM, Condition.STRAINED): (Mode.SHEDDING, LevelController.cut),
     (Mode.CALM, Condition.FINE): (Mode.CALM, None),
     (Mode.CALM, Condition.FITS): (Mode.CALM, None),
-    (Mode.SHEDDING, Condition.STRAINED): (Mode.SHEDDING, Shedding.cut),
+    (Mode.SHEDDING, Condition.STRAINED): (Mode.SHEDDING, LevelController.cut),
     (Mode.CALM, Condition.QUEUEING): (Mode.CALM, None),
     (Mode.SHEDDING, Condition.QUEUEING): (Mode.SHEDDING, None),
-    (Mode.SHEDDING, Condition.FINE): (Mode.EASING, Shedding.ease),
-    (Mode.SHEDDING, Condition.FITS): (Mode.EASING, Shedding.ease),
-    (Mode.EASING, Condition.STRAINED): (Mode.SHEDDING, Shedding.cut),
-    (Mode.EASING, Condition.QUEUEING): (Mode.EASING, Shedding.drain),
-    (Mode.EASING, Condition.FINE): (Mode.EASING, Shedding.ease),
-    (Mode.EASING, Condition.FITS): (Mode.CALM, Shedding.open),
+    (Mode.SHEDDING, Condition.FINE): (Mode.EASING, LevelController.ease),
+    (Mode.SHEDDING, Condition.FITS): (Mode.EASING, LevelController.ease),
+    (Mode.EASING, Condition.STRAINED): (Mode.SHEDDING, LevelController.cut),
+    (Mode.EASING, Condition.QUEUEING): (Mode.EASING, LevelController.drain),
+    (Mode.EASING, Condition.FINE): (Mode.EASING, LevelController.ease),
+    (Mode.EASING, Condition.FITS): (Mode.CALM, LevelController.open),
 }
--- a/lapistrestle/overload/priorities.py
+++ b/lapistrestle/overload/priorities.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Level:
+class AdmissionLevel:
     """The level of admission: priorities under `priority` are let in, of that one this `fraction` of keys, of
     those above none."""
 
@@ -60,11 +60,11 @@
     return crc32(key.encode()) / 2**32
 
 
-def level_for(demand: Sequence[float], room: float) -> Level:
+def level_for(demand: Sequence[float], room: float) -> AdmissionLevel:
     """The level at which demand by priority fits into `room`, both in RPCs a second."""
     left = room
     for priority, amount in enumerate(demand):
         if amount > left:
-            return Level(priority, max(0.0, left) / amount)
+            return AdmissionLevel(priority, max(0.0, left) / amount)
         left -= amount
-    return Level(len(demand))
+    return AdmissionLevel(len(demand))
--- a/lapistrestle/overload/retry_after.py
+++ b/lapistrestle/overload/retry_after.py
@@ -9,7 +9,7 @@
 LONG_AGO = -(10**9)  # a slot
 
 
-class RetryCalendar:
+class RetryReservations:
     """What one dispatcher has reserved. It reserves out of its own part of the fleet's room only, so that the
     reservations of all add up to no more than the whole. `longest` is the furthest time that may be named."""
 
--- a/lapistrestle/overload/retry_budget.py
+++ b/lapistrestle/overload/retry_budget.py
@@ -12,7 +12,7 @@
 MIN_RATE = 1.0  # a second for each dispatcher: without any nothing would show that it works again
 
 
-def further_attempt_rate(fleet: Mapping[str, float], own: Mapping[str, float], known: bool) -> float:
+def retry_rate(fleet: Mapping[str, float], own: Mapping[str, float], known: bool) -> float:
     """Further attempts a second that one may make; inf where no figures are `known`: the module's own limit
     is the only one then. Rates a second of `good`, `again` (further attempts wished for, made or not) and
     `repeat` (clients' repeats let in), the fleet's with one's own among them."""
--- a/lapistrestle/overload/fallback.py
+++ b/lapistrestle/overload/statistics_source.py
@@ -14,31 +14,35 @@
 MIN_HEARD = 0.5  # of those that count as there must be heard of, for the fleet's figures to say something
 MIN_OWN = 5.0  # RPCs a second of one's own, under which one's own figures are chance
 
-Basis = IntEnum("Basis", "FLEET OWN NONE")  # each further down than the one before
+StatisticsSource = IntEnum("StatisticsSource", "FLEET OWN NONE")  # each further down than the one before
 Reading = Enum("Reading", "FLEET OWN NONE")  # what the figures allow at this moment
 
-NAMES = {Basis.FLEET: "together", Basis.OWN: "part", Basis.NONE: "alone"}  # in log lines and shown
-
-TRANSITIONS: dict[tuple[Basis, Reading], Basis] = {
-    (Basis.FLEET, Reading.FLEET): Basis.FLEET,
-    (Basis.FLEET, Reading.OWN): Basis.OWN,
-    (Basis.FLEET, Reading.NONE): Basis.NONE,
-    (Basis.OWN, Reading.FLEET): Basis.FLEET,
-    (Basis.OWN, Reading.OWN): Basis.OWN,
-    (Basis.OWN, Reading.NONE): Basis.NONE,
-    (Basis.NONE, Reading.FLEET): Basis.OWN,
-    (Basis.NONE, Reading.OWN): Basis.OWN,
-    (Basis.NONE, Reading.NONE): Basis.NONE,
+NAMES = {
+    StatisticsSource.FLEET: "together",
+    StatisticsSource.OWN: "part",
+    StatisticsSource.NONE: "alone",
+}  # in log lines and shown
+
+TRANSITIONS: dict[tuple[StatisticsSource, Reading], StatisticsSource] = {
+    (StatisticsSource.FLEET, Reading.FLEET): StatisticsSource.FLEET,
+    (StatisticsSource.FLEET, Reading.OWN): StatisticsSource.OWN,
+    (StatisticsSource.FLEET, Reading.NONE): StatisticsSource.NONE,
+    (StatisticsSource.OWN, Reading.FLEET): StatisticsSource.FLEET,
+    (StatisticsSource.OWN, Reading.OWN): StatisticsSource.OWN,
+    (StatisticsSource.OWN, Reading.NONE): StatisticsSource.NONE,
+    (StatisticsSource.NONE, Reading.FLEET): StatisticsSource.OWN,
+    (StatisticsSource.NONE, Reading.OWN): StatisticsSource.OWN,
+    (StatisticsSource.NONE, Reading.NONE): StatisticsSource.NONE,
 }
 
 
-class Fallback:
+class SourceSelector:
     """Steps down and up between the bases, one log line for each."""
 
     def __init__(self, log: Callable[[str], None], now: int) -> None:
-        self.basis, self.log, self.stepped_down = Basis.NONE, log, now
+        self.basis, self.log, self.stepped_down = StatisticsSource.NONE, log, now
 
-    def update(self, counted: int, size: int, own: float, now: int) -> Basis:
+    def update(self, counted: int, size: int, own: float, now: int) -> StatisticsSource:
         """`counted` of `size` dispatchers have young figures, oneself among them; `own`: in RPCs a second."""
         basis = TRANSITIONS[self.basis, read(counted, size, own)]
         settled = now - self.stepped_down >= SETTLED
--- a/lapistrestle/overload/unused.py
+++ b/lapistrestle/overload/unused_capacity.py
@@ -13,7 +13,7 @@
 DEMAND_KEPT = 20 * SECOND  # own demand is remembered for so long: figures are never older
 
 
-class UnusedRoom:
+class UnusedCapacityBucket:
     """A token bucket that fills at one's part of the room, in RPCs a second; inf: no level is in force."""
 
     def __init__(self, now: int) -> None:
--- a/lapistrestle/overload/probers.py
+++ b/lapistrestle/overload/worker_verdicts.py
@@ -4,10 +4,10 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from lapistrestle.wire.fleet import Verdict
+from lapistrestle.wire.fleet import WorkerVerdict
 
 SECOND = 10_000
-PROBERS = 2  # of each worker: one may stand still without being missed yet
+PROBERS_PER_WORKER = 2  # of each worker: one may stand still without being missed yet
 PROBE_EVERY = SECOND  # by one prober: a worker gets PROBERS probes in it, twice that in a partition
 STALE = 5 * SECOND  # a verdict older than this says nothing
 TRANSMISSIONS = 4  # of a verdict that is news, by each that holds it
@@ -18,21 +18,21 @@
     return blake2b(f"{worker}\0{member}".encode(), digest_size=8).digest()
 
 
-def probers(worker: str, members: Iterable[str]) -> list[str]:
+def select_probers(worker: str, members: Iterable[str]) -> list[str]:
     """By rendezvous hashing: when one comes or goes, only the workers that it probes change hands."""
-    return sorted(members, key=lambda member: weight(worker, member), reverse=True)[:PROBERS]
+    return sorted(members, key=lambda member: weight(worker, member), reverse=True)[:PROBERS_PER_WORKER]
 
 
 @dataclass(frozen=True)
 class Finding:
     """A verdict as it is held: when it was true, by our clock."""
 
-    fit: bool
+    healthy: bool
     at: int
-    by: str
+    prober: str
 
 
-class Verdicts:
+class WorkerVerdicts:
     """What was found of workers, by whoever found it last. Those of others are hints: they lower what one
     does alone, and never replace what one has seen oneself."""
 
@@ -44,41 +44,41 @@
     def should_probe(self, worker: str, live: Iterable[str], now: int) -> bool:
         """Whether we are to probe it now."""
         due = now - self.probed_at.get(worker, -PROBE_EVERY) >= PROBE_EVERY
-        if not due or self.me not in probers(worker, {*live, self.me}):
+        if not due or self.me not in select_probers(worker, {*live, self.me}):
             return False
         self.probed_at[worker] = now
         return True
 
-    def record(self, worker: str, fit: bool, now: int) -> None:
+    def record(self, worker: str, healthy: bool, now: int) -> None:
         """Our own finding."""
         before = self.findings.get(worker)
-        self.findings[worker] = Finding(fit, now, self.me)
-        if before is None or before.fit != fit:
+        self.findings[worker] = Finding(healthy, now, self.me)
+        if before is None or before.healthy != healthy:
             self.transmissions.pop(worker, None)  # news
 
-    def heard(self, verdicts: Iterable[Verdict], now: int) -> None:
+    def on_verdicts(self, verdicts: Iterable[WorkerVerdict], now: int) -> None:
         """The newest holds. One of our own that comes back is no news."""
         for verdict in verdicts:
             at, held = now - verdict.age, self.findings.get(verdict.worker)
-            if verdict.by != self.me and now - at < STALE and (held is None or at > held.at):
-                self.findings[verdict.worker] = Finding(verdict.fit, at, verdict.by)
+            if verdict.prober != self.me and now - at < STALE and (held is None or at > held.at):
+                self.findings[verdict.worker] = Finding(verdict.healthy, at, verdict.prober)
                 self.transmissions.pop(verdict.worker, None)
 
-    def unfit(self, worker: str, now: int) -> bool:
+    def is_unhealthy(self, worker: str, now: int) -> bool:
         """Whether the last word on it, if young enough, is that it serves nobody."""
         found = self.findings.get(worker)
-        return found is not None and not found.fit and now - found.at < STALE
+        return found is not None and not found.healthy and now - found.at < STALE
 
-    def to_send(self, now: int, most: int, times: int = TRANSMISSIONS) -> tuple[Verdict, ...]:
+    def to_send(self, now: int, most: int, times: int = TRANSMISSIONS) -> tuple[WorkerVerdict, ...]:
         """What is news, a few times each."""
-        chosen = list[Verdict]()
+        chosen = list[WorkerVerdict]()
         for worker, found in self.findings.items():
             if len(chosen) < most and now - found.at < STALE and self.transmissions.get(worker, 0) < times:
                 self.transmissions[worker] = self.transmissions.get(worker, 0) + 1
-                chosen.append(Verdict(worker, found.fit, max(0, now - found.at), found.by))
+                chosen.append(WorkerVerdict(worker, found.healthy, max(0, now - found.at), found.prober))
         return tuple(chosen)
 
-    def keep(self, workers: Iterable[str]) -> None:
+    def retain(self, workers: Iterable[str]) -> None:
         """Only these are still on the list."""
         names = set(workers)
         self.findings = {w: found for w, found in self.findings.items() if w in names}
--- a/lapistrestle/standins/fleet.py
+++ b/lapistrestle/standins/fleet.py
@@ -7,7 +7,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from lapistrestle.fleet.endpoint import FleetEndpoint
+from lapistrestle.fleet.gossip_endpoint import GossipEndpoint
 from lapistrestle.fleet.settings import FleetSettings
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.standins.virtual import LATENCY, Process, VirtualReactor
@@ -74,8 +74,8 @@
 
 
 class VirtualRuntime:
-    """What a `FleetEndpoint` needs of its program (`fleet.endpoint.Runtime`), on a process of the virtual
-    reactor whose clock may run wrong."""
+    """What a `GossipEndpoint` needs of its program (`fleet.gossip_endpoint.Runtime`), on a process of the
+    virtual reactor whose clock may run wrong."""
 
     def __init__(self, reactor: VirtualReactor, name: str, drift: float = 0.0) -> None:
         self.reactor: Any = Process(reactor, name)
@@ -101,13 +101,13 @@
 
 
 class Cluster:
-    """Dispatchers that only endpoint. `make` builds one, by default a plain `FleetEndpoint`."""
+    """Dispatchers that only endpoint. `make` builds one, by default a plain `GossipEndpoint`."""
 
     def __init__(self, seed: int = 1, **facts: Any) -> None:
         self.reactor, self.links, self.seed = VirtualReactor(), Links(seed), seed
         self.reactor.links = self.links.fates
         self.facts: dict[str, Any] = {"fleet": "f", **facts}
-        self.endpoints: dict[str, FleetEndpoint] = {}
+        self.endpoints: dict[str, GossipEndpoint] = {}
         self.starts = 0
 
     def port(self, name: str) -> int:
@@ -116,20 +116,20 @@
     def add(
         self, name: str, seeds: tuple[str, ...] = (), boot: int | None = None, zone: str = "", port: int = 0,
         drift: float = 0.0, **facts: Any,
-    ) -> FleetEndpoint:  # fmt: skip
+    ) -> GossipEndpoint:  # fmt: skip
         self.starts += 1
         runtime = VirtualRuntime(self.reactor, name, drift)
         addresses = tuple(("127.0.0.1", self.port(s)) for s in seeds)
         settings = FleetSettings(**{**self.facts, **facts}, port=port or self.port(name), seeds=addresses)
         boot = round(self.reactor.seconds() * 1000) if boot is None else boot
-        endpoint = FleetEndpoint(
+        endpoint = GossipEndpoint(
             runtime, settings, name, zone, boot, self.seed * 1_000 + self.starts, self.seed + self.starts
         )
         self.endpoints[name] = endpoint
         endpoint.start()
         return endpoint
 
-    def many(self, count: int, zones: int = 1) -> list[FleetEndpoint]:
+    def many(self, count: int, zones: int = 1) -> list[GossipEndpoint]:
         return [self.add(f"e-{i}", ("e-0", "e-1")[: max(1, i)], zone=f"z{i % zones}") for i in range(count)]
 
     def process(self, name: str) -> Process:
--- a/lapistrestle/standins/raft_cluster.py
+++ b/lapistrestle/standins/raft_cluster.py
@@ -12,17 +12,17 @@
 
 from lapistrestle.agreement.messages import (
     AppendEntries,
-    AppendReply,
-    Commit,
+    AppendEntriesReply,
+    Committed,
     Effect,
     LogEntry,
     Message,
     Persist,
     PersistentState,
-    Read,
+    ReadResult,
     RequestVote,
+    RequestVoteReply,
     Send,
-    VoteReply,
 )
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
 
@@ -69,20 +69,20 @@
     def check_message(self, name: str, to: str, message: Message, disk: PersistentState) -> None:
         """What is said has to be on disk by then: a kill may follow at once."""
         match message:
-            case VoteReply(granted=True, pre=False):
+            case RequestVoteReply(granted=True, pre_vote=False):
                 stands = (disk.term, disk.voted_for) == (message.term, to)
-            case RequestVote(pre=False):
+            case RequestVote(pre_vote=False):
                 stands = (disk.term, disk.voted_for) == (message.term, name)
-            case AppendReply(ok=True):
+            case AppendEntriesReply(success=True):
                 stands = len(disk.entries) >= message.index
             case AppendEntries():
-                stands = len(disk.entries) >= message.prev + len(message.entries)
+                stands = len(disk.entries) >= message.prev_log_index + len(message.entries)
             case _:
                 stands = True
         if not stands:
             self.breaches.append(f"{name} says {message} and its disk stands for something else")
 
-    def check_own_term(self, name: str, term: int, commits: Sequence[Commit]) -> None:
+    def check_own_term(self, name: str, term: int, commits: Sequence[Committed]) -> None:
         """A leader agrees on entries of earlier terms only beneath one of its own."""
         if commits and commits[-1].entry.term != term:
             self.breaches.append(f"{name}, leading term {term}, agrees on {commits[-1]} by its copies")
@@ -145,7 +145,7 @@
                 self.step(name, lambda: made.tick(self.now))
                 self.wake(name, made)
 
-        self.at(max(1, made.due - self.now, self.stalled.get(name, 0) - self.now), turn)
+        self.at(max(1, made.next_deadline - self.now, self.stalled.get(name, 0) - self.now), turn)
 
     def step(self, name: str, event: Callable[[], Sequence[Effect]]) -> None:
         """One event at one member, and its effects, unless it is killed between two of them."""
@@ -153,7 +153,7 @@
         effects = event()
         if made.role is Role.LEADER:
             self.invariants.check_leader(name, made.term)
-            self.invariants.check_own_term(name, made.term, [e for e in effects if isinstance(e, Commit)])
+            self.invariants.check_own_term(name, made.term, [e for e in effects if isinstance(e, Committed)])
         for effect in effects:
             left = self.dying.get(name, 1)
             if not left:
@@ -167,15 +167,15 @@
         match effect:
             case Persist():
                 disk.term, disk.voted_for = effect.term, effect.voted_for
-                if effect.since:
-                    disk.entries[effect.since - 1 :] = effect.entries
+                if effect.first_index:
+                    disk.entries[effect.first_index - 1 :] = effect.entries
             case Send():
                 self.invariants.check_message(name, effect.to, effect.message, disk)
                 self.post(name, effect.to, effect.message)
-            case Commit():
+            case Committed():
                 self.invariants.check_commit(name, effect.index, effect.entry)
-            case Read():
-                asked_at = self.asked.pop(effect.tag)
+            case ReadResult():
+                asked_at = self.asked.pop(effect.request_id)
                 if effect.index is not None:
                     self.done_reads += 1
                     self.invariants.check_read(name, effect.index, asked_at)
@@ -204,7 +204,7 @@
         if held > 0:
             return self.at(held, lambda: self.arrive(sender, to, message))
         if (made := self.members.get(to)) is not None:
-            self.step(to, lambda: made.heard(sender, message, self.now))
+            self.step(to, lambda: made.on_message(sender, message, self.now))
 
     # the day
 
--- a/lapistrestle/wire/fleet.py
+++ b/lapistrestle/wire/fleet.py
@@ -1,7 +1,11 @@
 """Datagrams between dispatchers: one msgpack value each, under 1,200 bytes, with fleet and version named.
 
-What is said of a member is a `Claim`; claims about one member are ordered, and the greater one holds. Times
-are whole tenths of a millisecond, ages count from when the figures were true at their source.
+The messages are those of SWIM (Das, Gupta, Motivala, DSN 2002: ping, ack, ping-req, piggybacked membership
+updates) with Lifeguard's nack (Dadgar, Phillips, Currey, DSN-W 2018), and beside them gossiped counters and
+leases of quota (docs/fleet.md). Structs are encoded as arrays of their fields in order, messages with a
+number in front, so no Python name is on the wire.
+
+Times are whole ticks of 0.1 ms; an age counts from when the value was valid at its source.
 """
 
 from enum import IntEnum
@@ -10,202 +14,234 @@
 import msgspec
 from msgspec import Meta, Struct
 
-VERSION = 1
-MOST = 1_200  # bytes of a datagram, so that it crosses any link in one piece
-HEAD = 160  # of these, what the datagram itself takes around its claims and rows, names at their longest
+VERSION = 1  # of the protocol; a datagram of another one is rejected
+MAX_DATAGRAM_BYTES = 1_200  # so that a datagram crosses any link without fragmentation
+ENVELOPE_BYTES = 160  # reserved for what surrounds the piggybacked parts, with names at their longest
 
-Text = Annotated[str, Meta(min_length=1, max_length=64)]
+MemberName = Annotated[str, Meta(min_length=1, max_length=64)]
+OptionalName = Annotated[str, Meta(max_length=64)]  # "" is nobody
+WorkerName = Annotated[str, Meta(min_length=1, max_length=200)]
 Zone = Annotated[str, Meta(max_length=32)]
-Host = Annotated[str, Meta(max_length=15)]
+Host = Annotated[str, Meta(max_length=15)]  # an IPv4 address
 Port = Annotated[int, Meta(ge=1, le=65_535)]
-Whole = Annotated[int, Meta(ge=0, lt=2**62)]
-Rank = IntEnum("Rank", "ALIVE SUSPECT DEAD LEFT")  # of claims of one incarnation the later here holds
+NonNegative = Annotated[int, Meta(ge=0, lt=2**62)]
+
+ProcessId = tuple[str, int, int]  # name, boot and nonce: one start of one process
+
+
+class MemberStatus(IntEnum):
+    """The states of a member after SWIM; within one incarnation the later one here overrides."""
 
+    ALIVE = 1
+    SUSPECT = 2
+    DEAD = 3
+    LEFT = 4
 
-class Part(Struct, array_like=True, frozen=True, gc=False):
-    """A piece of a datagram, as a list of its fields."""
 
+class ArrayStruct(Struct, array_like=True, frozen=True, gc=False):
+    """A part of a datagram, encoded as an array of its fields."""
 
-class Claim(Part, frozen=True):
-    """What is said of one member. `boot` differs at each start and grows, `nonce` tells two processes under
-    one name apart, `incarnation` grows where a member refutes what is said of it."""
 
-    name: Text
-    boot: Whole
-    nonce: Whole
-    incarnation: Whole
-    rank: Rank
+class MemberRecord(ArrayStruct, frozen=True):
+    """A membership update: one member's address, incarnation and status, as somebody believes them.
+
+    `boot` grows with each start of a process, `nonce` tells two processes under one name apart, and only the
+    member itself raises its `incarnation`, to refute a suspicion (SWIM, section 4.2).
+    """
+
+    name: MemberName
+    boot: NonNegative
+    nonce: NonNegative
+    incarnation: NonNegative
+    status: MemberStatus
     host: Host
     port: Port
     zone: Zone = ""
-    by: Annotated[str, Meta(max_length=64)] = ""  # who suspects it; no part of the order
+    suspected_by: OptionalName = ""  # no part of the precedence
 
     @property
-    def order(self) -> tuple[int, int, bool, int, int]:
-        """Leaving ends a boot for good; else the incarnation counts before the rank."""
-        return self.boot, self.nonce, self.rank is Rank.LEFT, self.incarnation, self.rank
+    def precedence(self) -> tuple[int, int, bool, int, int]:
+        """The record with the greater precedence overrides; leaving ends a boot for good."""
+        return self.boot, self.nonce, self.status is MemberStatus.LEFT, self.incarnation, self.status
 
     @property
-    def life(self) -> tuple[str, int, int]:
-        """One start of one process."""
+    def process_id(self) -> ProcessId:
+        """Which start of which process the record is about."""
         return self.name, self.boot, self.nonce
 
 
-class Row(Part, frozen=True):
+class CounterSnapshot(ArrayStruct, frozen=True):
     """One member's counters, which only grow, as of `at` on its own clock and `age` ago."""
 
-    name: Text
-    boot: Whole
-    nonce: Whole
-    seq: Whole
-    at: Whole
-    age: Whole
-    counts: tuple[Whole, ...]
+    name: MemberName
+    boot: NonNegative
+    nonce: NonNegative
+    seq: NonNegative
+    at: NonNegative
+    age: NonNegative
+    counts: tuple[NonNegative, ...]
 
 
-class Verdict(Part, frozen=True):
-    """What one member found of one worker, `age` ago."""
+class WorkerVerdict(ArrayStruct, frozen=True):
+    """Whether one member found a worker healthy, `age` ago."""
 
-    worker: Annotated[str, Meta(min_length=1, max_length=200)]
-    fit: bool
-    age: Whole
-    by: Text
+    worker: WorkerName
+    healthy: bool
+    age: NonNegative
+    prober: MemberName
 
 
-class Word(Struct, array_like=True, tag=True, frozen=True, gc=False):
-    """What a datagram is for."""
+class TaggedStruct(Struct, array_like=True, tag=True, frozen=True, gc=False):
+    """A message, encoded as an array of its tag and its fields."""
 
 
-class Ping(Word, tag=1, frozen=True):
-    """Answer me."""
+class Ping(TaggedStruct, tag=1, frozen=True):
+    """A probe that is to be answered with an `Ack` of the same number."""
 
-    seq: Whole
+    seq: NonNegative
 
 
-class Ack(Word, tag=2, frozen=True):
-    """An answer to the ping of that number; 0: to none."""
+class Ack(TaggedStruct, tag=2, frozen=True):
+    """The answer to the ping of that number; 0 is sent unasked."""
 
-    seq: Whole
+    seq: NonNegative
 
 
-class Ask(Word, tag=3, frozen=True):
-    """Ping that member for me."""
+class PingRequest(TaggedStruct, tag=3, frozen=True):
+    """SWIM's ping-req: ping that member on the sender's behalf."""
 
-    seq: Whole
-    name: Text
+    seq: NonNegative
+    name: MemberName
     host: Host
     port: Port
 
 
-class Nack(Word, tag=4, frozen=True):
-    """The member that I was to ping has not answered me; I am here, though."""
+class Nack(TaggedStruct, tag=4, frozen=True):
+    """Lifeguard's nack: the target of the ping-req has not answered the relay, which itself is alive."""
 
-    seq: Whole
+    seq: NonNegative
 
 
-class PageAsk(Word, tag=5, frozen=True):
-    """Say what you know of members whose names follow this one."""
+class PageRequest(TaggedStruct, tag=5, frozen=True):
+    """A request for the records of members whose names follow this one."""
 
-    after: Annotated[str, Meta(max_length=64)]
+    after: OptionalName
 
 
-class Page(Word, tag=6, frozen=True):
-    """The claims beside it are all that I know of after that name, or the first where there is `more`."""
+class TablePage(TaggedStruct, tag=6, frozen=True):
+    """A page of the sender's member table: the records beside it, and whether `more` follow them."""
 
-    after: Annotated[str, Meta(max_length=64)]
+    after: OptionalName
     more: bool
 
 
-class Rows(Word, tag=7, frozen=True):
-    """Counters of members, and verdicts. `layout` names the columns."""
+class CounterGossip(TaggedStruct, tag=7, frozen=True):
+    """Counters of members, and verdicts on workers. `layout` is a checksum of the counters' names."""
 
-    layout: Whole
-    rows: tuple[Row, ...]
-    verdicts: tuple[Verdict, ...] = ()
+    layout: NonNegative
+    snapshots: tuple[CounterSnapshot, ...]
+    verdicts: tuple[WorkerVerdict, ...] = ()
 
 
-class Lend(Word, tag=8, frozen=True):
-    """Ask for units of an allowance; `asked` is the asker's clock, given back unread."""
+class LeaseRequest(TaggedStruct, tag=8, frozen=True):
+    """A request to lease units of a quota; `requested_at` is the borrower's clock and comes back unread."""
 
-    allowance: Text
-    number: Whole
-    asked: Whole
-    units: Whole
+    quota: MemberName
+    number: NonNegative
+    requested_at: NonNegative
+    units: NonNegative
 
 
-class Lent(Word, tag=9, frozen=True):
-    """Units lent, for a time that the borrower counts from `asked`."""
+class LeaseGrant(TaggedStruct, tag=9, frozen=True):
+    """Units leased for `duration`, which the borrower counts from `requested_at`."""
 
-    allowance: Text
-    number: Whole
-    asked: Whole
-    units: Whole
-    lasts: Whole
+    quota: MemberName
+    number: NonNegative
+    requested_at: NonNegative
+    units: NonNegative
+    duration: NonNegative
 
 
-class Returned(Word, tag=10, frozen=True):
-    """The borrower no longer uses what was lent under this number."""
+class LeaseReturn(TaggedStruct, tag=10, frozen=True):
+    """The borrower no longer uses the units of the lease with this number."""
 
-    allowance: Text
-    number: Whole
+    quota: MemberName
+    number: NonNegative
 
 
-AnyWord = Ping | Ack | Ask | Nack | PageAsk | Page | Rows | Lend | Lent | Returned
+LeaseMessage = LeaseRequest | LeaseGrant | LeaseReturn
+Message = Ping | Ack | PingRequest | Nack | PageRequest | TablePage | CounterGossip | LeaseMessage
 
 
-class Datagram(Part, frozen=True):
-    """`sender` is what the sender says of itself; `claims` is what it says of others."""
+class Datagram(ArrayStruct, frozen=True):
+    """One datagram: the sender's record of itself, a message, and piggybacked records of others."""
 
-    fleet: Annotated[str, Meta(max_length=64)]
+    fleet: OptionalName
     version: int
-    sender: Claim
-    word: AnyWord
-    claims: tuple[Claim, ...] = ()
+    sender: MemberRecord
+    message: Message
+    records: tuple[MemberRecord, ...] = ()
 
 
-class Envelope(Part, frozen=True):
-    """As much of a datagram as every version has."""
+class Envelope(ArrayStruct, frozen=True):
+    """As much of a datagram as is the same in every version."""
 
     fleet: str
     version: int
 
 
-class Unreadable(Exception):
-    """Bytes that are no datagram of this fleet and version; the text says which part."""
-
-
-ENCODER = msgspec.msgpack.Encoder()
-DECODER = msgspec.msgpack.Decoder(Datagram)
-ENVELOPE = msgspec.msgpack.Decoder(Envelope)
-
-
-def pack(datagram: Datagram) -> bytes:
-    return ENCODER.encode(datagram)
+class DatagramError(Exception):
+    """A datagram that can not be used: malformed, or of another fleet or version.
 
+    `field` names the part that is wrong, `found` and `expected` are its values where it could be read.
+    """
 
-def replace(claim: Claim, **fields: object) -> Claim:
-    """The same claim with other fields."""
-    return msgspec.structs.replace(claim, **fields)
+    def __init__(
+        self, message: str, field: str, found: str | int | None = None, expected: str | int | None = None
+    ) -> None:
+        super().__init__(message)
+        self.field, self.found, self.expected = field, found, expected
 
 
-def aged(row: Row, age: int) -> Row:
-    """The same row as it is passed on, `age` after it was true."""
-    return msgspec.structs.replace(row, age=age)
+ENCODER = msgspec.msgpack.Encoder()
+DATAGRAM_DECODER = msgspec.msgpack.Decoder(Datagram)
+ENVELOPE_DECODER = msgspec.msgpack.Decoder(Envelope)
 
 
-def size(part: Part) -> int:
-    """Bytes that a claim, row or verdict takes."""
-    return len(ENCODER.encode(part))
+def encode(datagram: Datagram) -> bytes:
+    """The datagram's bytes."""
+    return ENCODER.encode(datagram)
 
 
-def unpack(data: bytes, fleet: str) -> Datagram:
-    """Raises Unreadable, which names another fleet or version where it is that."""
+def decode(data: bytes, fleet: str) -> Datagram:
+    """The datagram of this fleet in `data`; raises `DatagramError`."""
     try:
-        head = ENVELOPE.decode(data)
-        if head.fleet != fleet:
-            raise Unreadable(f'it is of the fleet "{head.fleet[:64]}", this one is "{fleet}"')
-        if head.version != VERSION:
-            raise Unreadable(f"it is of version {head.version}, this one speaks {VERSION}")
-        return DECODER.decode(data)
-    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
-        raise Unreadable(f"it can't be read: {trouble}") from None
+        envelope = ENVELOPE_DECODER.decode(data)
+        if envelope.fleet != fleet:
+            raise DatagramError(
+                f'it is of the fleet "{envelope.fleet[:64]}", this one is "{fleet}"',
+                "fleet", envelope.fleet, fleet,
+            )  # fmt: skip
+        if envelope.version != VERSION:
+            raise DatagramError(
+                f"it is of version {envelope.version}, this one speaks {VERSION}",
+                "version", envelope.version, VERSION,
+            )  # fmt: skip
+        return DATAGRAM_DECODER.decode(data)
+    except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
+        raise DatagramError(f"it can't be read: {error}", "datagram") from None
+
+
+def replace(record: MemberRecord, **fields: object) -> MemberRecord:
+    """The same record with other values in some fields."""
+    return msgspec.structs.replace(record, **fields)
+
+
+def with_age(snapshot: CounterSnapshot, age: int) -> CounterSnapshot:
+    """The same snapshot as it is passed on, `age` after it was valid."""
+    return msgspec.structs.replace(snapshot, age=age)
+
+
+def encoded_size(part: ArrayStruct) -> int:
+    """Bytes that a record, snapshot or verdict takes in a datagram."""
+    return len(ENCODER.encode(part))
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,15 +8,15 @@
 
 from lapistrestle.agreement.messages import (
     AppendEntries,
-    AppendReply,
-    Commit,
+    AppendEntriesReply,
+    Committed,
     LogEntry,
     Persist,
     PersistentState,
-    Read,
+    ReadResult,
     RequestVote,
+    RequestVoteReply,
     Send,
-    VoteReply,
 )
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
 from lapistrestle.standins.raft_cluster import Faults, RaftCluster
@@ -37,8 +37,8 @@
 
 def leading(one, now=2 * SECOND):
     one.tick(now)
-    one.heard("b", VoteReply(1, True, True), now)
-    one.heard("b", VoteReply(1, True, False), now)
+    one.on_message("b", RequestVoteReply(1, True, True), now)
+    one.on_message("b", RequestVoteReply(1, True, False), now)
     assert one.role is Role.LEADER
     return one
 
@@ -49,50 +49,50 @@
 def test_no_term_is_raised_before_a_majority_would_vote(one):
     effects = one.tick(2 * SECOND)
     assert one.term == 0 and [m for _, m in said(effects, RequestVote)] == [RequestVote(1, 0, 0, True)] * 2
-    effects = one.heard("c", VoteReply(1, True, True), 2 * SECOND)
+    effects = one.on_message("c", RequestVoteReply(1, True, True), 2 * SECOND)
     assert effects[0] == Persist(1, "a") and said(effects, RequestVote)[0][1] == RequestVote(1, 0, 0, False)
 
 
 def test_a_vote_is_on_disk_before_it_is_said_and_given_once(one):
-    effects = one.heard("b", RequestVote(3, 0, 0, False), 0)
-    assert effects.index(Persist(3, "b")) < effects.index(Send("b", VoteReply(3, True, False)))
-    assert said(one.heard("c", RequestVote(3, 9, 3, False), 0), VoteReply) == [
-        ("c", VoteReply(3, False, False))
+    effects = one.on_message("b", RequestVote(3, 0, 0, False), 0)
+    assert effects.index(Persist(3, "b")) < effects.index(Send("b", RequestVoteReply(3, True, False)))
+    assert said(one.on_message("c", RequestVote(3, 9, 3, False), 0), RequestVoteReply) == [
+        ("c", RequestVoteReply(3, False, False))
     ]
 
 
 def test_one_with_a_longer_log_gives_no_vote(one):
     one.entries = [LogEntry(2, "x")]
-    assert said(one.heard("b", RequestVote(3, 5, 1, False), 0), VoteReply) == [
-        ("b", VoteReply(3, False, False))
+    assert said(one.on_message("b", RequestVote(3, 5, 1, False), 0), RequestVoteReply) == [
+        ("b", RequestVoteReply(3, False, False))
     ]
-    assert said(one.heard("c", RequestVote(4, 1, 2, False), 0), VoteReply) == [
-        ("c", VoteReply(4, True, False))
+    assert said(one.on_message("c", RequestVote(4, 1, 2, False), 0), RequestVoteReply) == [
+        ("c", RequestVoteReply(4, True, False))
     ]
 
 
 def test_a_pre_vote_is_refused_while_a_leader_is_heard(one):
-    one.heard("b", AppendEntries(1, 0, 0, (), 0, 1), 0)
-    assert said(one.heard("c", RequestVote(2, 0, 0, True), 100), VoteReply) == [
-        ("c", VoteReply(1, False, True))
+    one.on_message("b", AppendEntries(1, 0, 0, (), 0, 1), 0)
+    assert said(one.on_message("c", RequestVote(2, 0, 0, True), 100), RequestVoteReply) == [
+        ("c", RequestVoteReply(1, False, True))
     ]
     later = 2 * SECOND
-    assert said(one.heard("c", RequestVote(2, 0, 0, True), later), VoteReply) == [
-        ("c", VoteReply(2, True, True))
+    assert said(one.on_message("c", RequestVote(2, 0, 0, True), later), RequestVoteReply) == [
+        ("c", RequestVoteReply(2, True, True))
     ]
 
 
 def test_a_late_word_cuts_nothing_off_that_came_after_it(one):
-    one.heard("b", AppendEntries(1, 0, 0, (LogEntry(1, "x"), LogEntry(1, "y")), 0, 1), 0)
-    effects = one.heard("b", AppendEntries(1, 0, 0, (LogEntry(1, "x"),), 0, 1), 10)
+    one.on_message("b", AppendEntries(1, 0, 0, (LogEntry(1, "x"), LogEntry(1, "y")), 0, 1), 0)
+    effects = one.on_message("b", AppendEntries(1, 0, 0, (LogEntry(1, "x"),), 0, 1), 10)
     assert one.last_index == 2 and not any(isinstance(e, Persist) for e in effects)
 
 
 def test_what_differs_is_replaced_on_disk_before_it_is_answered(one):
-    one.heard("b", AppendEntries(1, 0, 0, (LogEntry(1, "x"), LogEntry(1, "y")), 1, 1), 0)
-    effects = one.heard("c", AppendEntries(2, 1, 1, (LogEntry(2, "z"),), 1, 1), 10)
+    one.on_message("b", AppendEntries(1, 0, 0, (LogEntry(1, "x"), LogEntry(1, "y")), 1, 1), 0)
+    effects = one.on_message("c", AppendEntries(2, 1, 1, (LogEntry(2, "z"),), 1, 1), 10)
     save = Persist(2, "", 2, (LogEntry(2, "z"),))
-    assert effects.index(save) < effects.index(Send("c", AppendReply(2, True, 2, 1)))
+    assert effects.index(save) < effects.index(Send("c", AppendEntriesReply(2, True, 2, 1)))
     assert one.entries == [LogEntry(1, "x"), LogEntry(2, "z")]
 
 
@@ -100,20 +100,28 @@
     one.entries = [LogEntry(1, "x")]
     one.term = 1
     one.tick(2 * SECOND)
-    one.heard("b", VoteReply(2, True, True), 2 * SECOND)
-    one.heard("b", VoteReply(2, True, False), 2 * SECOND)
-    assert not any(isinstance(e, Commit) for e in one.heard("b", AppendReply(2, True, 1, 1), 2 * SECOND))
-    told = [e for e in one.heard("b", AppendReply(2, True, 2, 1), 2 * SECOND) if isinstance(e, Commit)]
-    assert told == [Commit(1, LogEntry(1, "x")), Commit(2, LogEntry(2, None))]
+    one.on_message("b", RequestVoteReply(2, True, True), 2 * SECOND)
+    one.on_message("b", RequestVoteReply(2, True, False), 2 * SECOND)
+    assert not any(
+        isinstance(e, Committed) for e in one.on_message("b", AppendEntriesReply(2, True, 1, 1), 2 * SECOND)
+    )
+    told = [
+        e
+        for e in one.on_message("b", AppendEntriesReply(2, True, 2, 1), 2 * SECOND)
+        if isinstance(e, Committed)
+    ]
+    assert told == [Committed(1, LogEntry(1, "x")), Committed(2, LogEntry(2, None))]
 
 
 def test_a_read_waits_for_a_majority_that_answers_after_it_was_asked(one):
     now = 2 * SECOND
-    leading(one).heard("b", AppendReply(1, True, 1, 1), now)
+    leading(one).on_message("b", AppendEntriesReply(1, True, 1, 1), now)
     before = one.round
-    assert not any(isinstance(e, Read) for e in one.read("r", now))
-    assert not any(isinstance(e, Read) for e in one.heard("c", AppendReply(1, True, 1, before), now))
-    assert Read("r", 1) in one.heard("c", AppendReply(1, True, 1, before + 1), now)
+    assert not any(isinstance(e, ReadResult) for e in one.read("r", now))
+    assert not any(
+        isinstance(e, ReadResult) for e in one.on_message("c", AppendEntriesReply(1, True, 1, before), now)
+    )
+    assert ReadResult("r", 1) in one.on_message("c", AppendEntriesReply(1, True, 1, before + 1), now)
 
 
 def test_a_leader_that_hears_no_majority_leads_no_more_and_says_so_to_reads(one):
@@ -121,32 +129,32 @@
     leading(one, now)
     one.read("r", now)
     effects = one.tick(now + 3 * SECOND)
-    assert one.role is Role.FOLLOWER and Read("r", None) in effects
+    assert one.role is Role.FOLLOWER and ReadResult("r", None) in effects
 
 
 def test_who_does_not_lead_takes_no_command_and_answers_no_read(one):
-    assert one.propose("x", 0) == (None, []) and one.read("r", 0) == [Read("r", None)]
+    assert one.propose("x", 0) == (None, []) and one.read("r", 0) == [ReadResult("r", None)]
 
 
 def test_one_far_behind_is_led_back_in_few_words_and_caught_up_in_batches(one):
-    one.settings = replace(one.settings, batch=10)
+    one.settings = replace(one.settings, max_batch=10)
     one.entries, one.term = [LogEntry(1, i) for i in range(95)], 1
     one.tick(2 * SECOND)
-    one.heard("b", VoteReply(2, True, True), 2 * SECOND)
-    one.heard("b", VoteReply(2, True, False), 2 * SECOND)
+    one.on_message("b", RequestVoteReply(2, True, True), 2 * SECOND)
+    one.on_message("b", RequestVoteReply(2, True, False), 2 * SECOND)
     other, words = RaftNode("b", THREE, PersistentState(1), RaftSettings(), 2, 0), 0
     queue = said(one.tick(2 * SECOND + 1_000), AppendEntries)
     while queue and words < 40:
         to, word = queue.pop(0)
         if to == "b":
             words += 1
-            for _, answer in said(other.heard("a", word, 3 * SECOND), AppendReply):
-                queue += said(one.heard("b", answer, 3 * SECOND), AppendEntries)
+            for _, answer in said(other.on_message("a", word, 3 * SECOND), AppendEntriesReply):
+                queue += said(one.on_message("b", answer, 3 * SECOND), AppendEntries)
     assert other.entries == one.entries and words <= 14
 
 
 def test_words_of_one_that_is_no_member_are_passed_over(one):
-    assert one.heard("x", RequestVote(9, 9, 9, False), 0) == [] and one.term == 0
+    assert one.on_message("x", RequestVote(9, 9, 9, False), 0) == [] and one.term == 0
 
 
 # clusters
@@ -195,7 +203,7 @@
     """Its vote is not on disk when it says it."""
 
     def persist(self, since=0, entries=()):
-        self.out.append(Persist(self.term, "", since, tuple(entries)))
+        self.effects.append(Persist(self.term, "", since, tuple(entries)))
 
 
 class CountsCopies(RaftNode):
@@ -211,7 +219,7 @@
     """Answers reads as long as it thinks that it leads."""
 
     def read(self, tag, now):
-        return [Read(tag, self.commit_index if self.role is Role.LEADER else None)]
+        return [ReadResult(tag, self.commit_index if self.role is Role.LEADER else None)]
 
 
 class AnswersFirst(RaftNode):
@@ -228,11 +236,11 @@
     def on_append_entries(self, sender, word, now):
         if (
             word.term >= self.term
-            and word.prev <= self.last_index
-            and self.term_at(word.prev) == word.prev_term
+            and word.prev_log_index <= self.last_index
+            and self.term_at(word.prev_log_index) == word.prev_log_term
         ):
-            del self.entries[word.prev :]
-            self.persist(word.prev + 1)
+            del self.entries[word.prev_log_index :]
+            self.persist(word.prev_log_index + 1)
         super().on_append_entries(sender, word, now)
 
 
@@ -252,7 +260,11 @@
     """A cluster that chooses leaders all the time, and loses them as often."""
     faults = Faults(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
     made = RaftCluster(
-        3 + 2 * (seed % 2), seed, faults, make, RaftSettings(election_timeout=300, heartbeat=80, batch=1)
+        3 + 2 * (seed % 2),
+        seed,
+        faults,
+        make,
+        RaftSettings(election_timeout=300, heartbeat_interval=80, max_batch=1),
     )
     made.day(6)
     return made.invariants.breaches
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapistrestle.fleet.members import Members
+from lapistrestle.fleet.member_table import LocalState
+from lapistrestle.fleet.membership import Membership
 from lapistrestle.fleet.settings import MembershipSettings
 from lapistrestle.fleet.suspicion import MAX_SCORE
-from lapistrestle.fleet.table import SelfState
 from lapistrestle.standins.fleet import Cluster
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Claim, Rank
+from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
 SECOND = 10_000
 
@@ -23,99 +23,106 @@
     def __init__(self):
         self.sent, self.logs = [], []
 
-    def send(self, host, port, word, claims):
-        self.sent.append((port, word, claims))
+    def send(self, host, port, message, records):
+        self.sent.append((port, message, records))
 
     def changed(self, member): ...
 
     def log(self, text):
         self.logs.append(text)
 
-    def words(self, kind):
-        return [(port, word) for port, word, _ in self.sent if isinstance(word, kind)]
+    def messages(self, kind):
+        return [(port, message) for port, message, _ in self.sent if isinstance(message, kind)]
 
 
-def claim(name="b", incarnation=0, rank=Rank.ALIVE, boot=1, nonce=1, port=0, by=""):
+def record(name="b", incarnation=0, status=MemberStatus.ALIVE, boot=1, nonce=1, port=0, suspected_by=""):
     number = int(name[1:] or 0) if name[1:].isdigit() else ord(name[0])
-    return Claim(name, boot, nonce, incarnation, rank, "127.0.0.1", port or 1_000 + number, "", by)
+    return MemberRecord(
+        name, boot, nonce, incarnation, status, "127.0.0.1", port or 1_000 + number, "", suspected_by
+    )
 
 
 @pytest.fixture
 def made():
     transport = Written()
-    members = Members(transport, MembershipSettings(), claim("a"), 1, 0)
+    members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     members.start(0)
     return members, transport
 
 
 def meet(members, *names):
     for name in names:
-        members.heard(claim(name), wire.Ack(0), (), members.now)
+        members.on_message(record(name), wire.Ack(0), (), members.now)
 
 
-claims = st.builds(
-    Claim, st.sampled_from("bcd"), st.integers(1, 2), st.integers(1, 2), st.integers(0, 2),
-    st.sampled_from(Rank), st.just("127.0.0.1"), st.just(9), st.just(""), st.sampled_from(["", "x", "y"]),
+records = st.builds(
+    MemberRecord, st.sampled_from("bcd"), st.integers(1, 2), st.integers(1, 2), st.integers(0, 2),
+    st.sampled_from(MemberStatus), st.just("127.0.0.1"), st.just(9), st.just(""),
+    st.sampled_from(["", "x", "y"]),
 )  # fmt: skip
 
 
 def test_who_says_that_a_member_is_there_accuses_it_of_nothing():
     """Said twice, with a name beside it, it had counted as an accuser of the suspicion that followed."""
-    members = Members(Written(), MembershipSettings(), claim("a"), 1, 0)
-    for rank, by in ((Rank.ALIVE, "x"), (Rank.ALIVE, "x"), (Rank.SUSPECT, "y")):
-        members.apply(Claim("b", 1, 1, 1, rank, "127.0.0.1", 9, "", by))
-    assert members.members["b"].rank is Rank.SUSPECT and members.members["b"].accusers == {"y"}
+    members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
+    for status, by in ((MemberStatus.ALIVE, "x"), (MemberStatus.ALIVE, "x"), (MemberStatus.SUSPECT, "y")):
+        members.apply(MemberRecord("b", 1, 1, 1, status, "127.0.0.1", 9, "", by))
+    assert members.members["b"].status is MemberStatus.SUSPECT and members.members["b"].suspecters == {"y"}
 
 
-@given(st.lists(claims, max_size=12), st.randoms())
+@given(st.lists(records, max_size=12), st.randoms())
 def test_claims_lead_to_one_belief_in_any_order_and_doubled(told, random):
     other = [*told, *random.sample(told, len(told) // 2)]
     random.shuffle(other)
     beliefs = []
     for said in (told, other):
-        members = Members(Written(), MembershipSettings(), claim("a"), 1, 0)
+        members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
         for each in said:
             members.apply(each)
         known = members.members.values()
-        held = {m.name: (m.claim.order, m.rank is Rank.SUSPECT and m.accusers) for m in known}
+        held = {
+            m.name: (m.record.precedence, m.status is MemberStatus.SUSPECT and m.suspecters) for m in known
+        }
         beliefs.append((held, {m.name for m in members.table.suspected}, [m.name for m in members.live()]))
     assert beliefs[0] == beliefs[1]
 
 
-@given(st.lists(claims, max_size=12))
+@given(st.lists(records, max_size=12))
 def test_leaving_is_not_taken_back_within_a_boot_and_nobody_else_raises_an_incarnation(told):
-    members = Members(Written(), MembershipSettings(), claim("a"), 1, 0)
+    members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
     left = set()
     for each in told:
         members.apply(each)
-        left |= {each.life} if each.rank is Rank.LEFT else set()
-        held = members.members[each.name].claim
-        assert held.life not in left or held.rank is Rank.LEFT
-        assert held.incarnation in {c.incarnation for c in told if c.life == held.life}
+        left |= {each.process_id} if each.status is MemberStatus.LEFT else set()
+        held = members.members[each.name].record
+        assert held.process_id not in left or held.status is MemberStatus.LEFT
+        assert held.incarnation in {c.incarnation for c in told if c.process_id == held.process_id}
 
 
 def test_the_suspected_refutes_and_doubts_itself(made):
     members, _ = made
     meet(members, "b")
-    members.heard(claim("b"), wire.Ping(1), (claim("a", 0, Rank.SUSPECT, by="b"),), 10)
+    members.on_message(
+        record("b"), wire.Ping(1), (record("a", 0, MemberStatus.SUSPECT, suspected_by="b"),), 10
+    )
     assert members.me.incarnation == 1 and members.health.score == 1
-    members.heard(claim("b"), wire.Ping(2), (claim("a", 0, Rank.DEAD),), 20)
+    members.on_message(record("b"), wire.Ping(2), (record("a", 0, MemberStatus.DEAD),), 20)
     assert members.me.incarnation == 1  # refuted already
 
 
 def test_further_accusers_shorten_a_suspicion_and_doubt_lengthens_it(made):
     members, _ = made
     meet(members, "b", "c", "d", "e", "f")
-    members.apply(claim("b", 0, Rank.SUSPECT, by="c"))
+    members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="c"))
     suspect = members.members["b"]
     alone = members.suspicion_ends(suspect)
-    members.apply(claim("b", 0, Rank.SUSPECT, by="d"))
+    members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="d"))
     two = members.suspicion_ends(suspect)
     for by in "ef":
-        members.apply(claim("b", 0, Rank.SUSPECT, by=by))
+        members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by=by))
     assert members.suspicion_ends(suspect) < two < alone
     certain = members.suspicion_ends(suspect)
-    members.apply(claim("b", 0, Rank.SUSPECT, by="e"))
+    members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="e"))
     assert members.suspicion_ends(suspect) == certain  # said twice by one is said once
     members.health.score = 1
     assert members.suspicion_ends(suspect) - suspect.since == 2 * (certain - suspect.since)
@@ -133,11 +140,11 @@
     meet(members, "b", "c", "d")
     target, late = probing(members)
     members.tick(late)
-    asks = transport.words(wire.Ask)
-    assert len(asks) == 2 and {word.name for _, word in asks} == {target.name}
-    assert target.rank is Rank.ALIVE
+    asks = transport.messages(wire.PingRequest)
+    assert len(asks) == 2 and {message.name for _, message in asks} == {target.name}
+    assert target.status is MemberStatus.ALIVE
     members.tick(members.next_period)
-    assert target.rank is Rank.SUSPECT and target.accusers == {"a"}
+    assert target.status is MemberStatus.SUSPECT and target.suspecters == {"a"}
 
 
 def test_an_answer_through_another_saves_it(made):
@@ -146,30 +153,30 @@
     target, late = probing(members)
     members.tick(late)
     doubt = members.health.score
-    members.heard(claim(target.name), wire.Ack(members.detector.ping), (), late + 100)
+    members.on_message(record(target.name), wire.Ack(members.detector.ping), (), late + 100)
     assert members.health.score == doubt - 1
     members.tick(members.next_period)
-    assert target.rank is Rank.ALIVE
+    assert target.status is MemberStatus.ALIVE
 
 
 def test_an_old_answer_saves_nobody(made):
     members, _ = made
     meet(members, "b", "c")
     target, late = probing(members)
-    members.heard(claim(target.name), wire.Ack(members.detector.ping - 1), (), late - 1)
+    members.on_message(record(target.name), wire.Ack(members.detector.ping - 1), (), late - 1)
     members.tick(late)
     members.tick(members.next_period)
-    assert target.rank is Rank.SUSPECT
+    assert target.status is MemberStatus.SUSPECT
 
 
 def test_who_stood_still_accuses_nobody_and_gives_suspects_their_time(made):
     members, _ = made
     meet(members, "b", "c")
-    members.apply(claim("c", 0, Rank.SUSPECT, by="b"))
+    members.apply(record("c", 0, MemberStatus.SUSPECT, suspected_by="b"))
     probing(members)
     members.tick(members.next_period + 60 * SECOND)
-    assert {m.rank for m in members.members.values()} == {Rank.ALIVE, Rank.SUSPECT}
-    assert members.health.score >= 1 and "a" not in members.members["c"].accusers
+    assert {m.status for m in members.members.values()} == {MemberStatus.ALIVE, MemberStatus.SUSPECT}
+    assert members.health.score >= 1 and "a" not in members.members["c"].suspecters
 
 
 def test_doubt_is_bounded(made):
@@ -182,14 +189,14 @@
 def test_a_relay_pings_for_another_and_says_so_when_nobody_answers(made):
     members, transport = made
     meet(members, "b", "c")
-    members.heard(claim("b"), wire.Ask(77, "c", "127.0.0.1", 1_099), (), 10)
-    port, ping = transport.words(wire.Ping)[-1]
+    members.on_message(record("b"), wire.PingRequest(77, "c", "127.0.0.1", 1_099), (), 10)
+    port, ping = transport.messages(wire.Ping)[-1]
     assert port == 1_099
-    members.heard(claim("c"), wire.Ack(ping.seq), (), 20)
-    assert (claim("b").port, wire.Ack(77)) in transport.words(wire.Ack)
-    members.heard(claim("b"), wire.Ask(78, "c", "127.0.0.1", 1_099), (), 30)
-    members.tick(30 + members.settings.direct)
-    assert (claim("b").port, wire.Nack(78)) in transport.words(wire.Nack)
+    members.on_message(record("c"), wire.Ack(ping.seq), (), 20)
+    assert (record("b").port, wire.Ack(77)) in transport.messages(wire.Ack)
+    members.on_message(record("b"), wire.PingRequest(78, "c", "127.0.0.1", 1_099), (), 30)
+    members.tick(30 + members.settings.ping_timeout)
+    assert (record("b").port, wire.Nack(78)) in transport.messages(wire.Nack)
 
 
 def test_the_answer_through_a_relay_counts_as_the_target_s():
@@ -204,18 +211,18 @@
 
 def test_a_page_stays_within_a_datagram_and_goes_on():
     transport = Written()
-    members = Members(transport, MembershipSettings(), claim("a"), 1, 0)
+    members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     names = [f"{i:03d}" + "x" * 60 for i in range(60)]
     for name in names:
         long = ("127.127.127.127", 65_535, "z" * 32, "y" * 64)
-        members.apply(Claim(name, 2**61, 2**61, 0, Rank.ALIVE, *long))
+        members.apply(MemberRecord(name, 2**61, 2**61, 0, MemberStatus.ALIVE, *long))
     meet(members, "b")
     read, after, more = [], "", True
     while more:
-        members.heard(claim("b"), wire.PageAsk(after), (), 10)
+        members.on_message(record("b"), wire.PageRequest(after), (), 10)
         _, page, told = transport.sent[-1]
-        data = wire.pack(wire.Datagram("f" * 64, 1, members.me, page, told))
-        assert len(data) <= wire.MOST and told
+        data = wire.encode(wire.Datagram("f" * 64, 1, members.me, page, told))
+        assert len(data) <= wire.MAX_DATAGRAM_BYTES and told
         read += [c.name for c in told]
         after, more = told[-1].name, page.more
     assert read == names
@@ -224,22 +231,24 @@
 def test_a_namesake_with_the_greater_start_keeps_the_name(made):
     members, transport = made
     meet(members, "b")
-    members.heard(claim("a", boot=2, nonce=9), wire.Ping(1), (), 10)
-    assert members.state is SelfState.DISPLACED and members.size == 0
+    members.on_message(record("a", boot=2, nonce=9), wire.Ping(1), (), 10)
+    assert members.state is LocalState.DISPLACED and members.size == 0
     asked = len(transport.sent)
-    members.heard(claim("b"), wire.Ping(5), (), 20)
-    assert not transport.words(wire.Ack)[asked:]  # it speaks to nobody as a member
+    members.on_message(record("b"), wire.Ping(5), (), 20)
+    assert not transport.messages(wire.Ack)[asked:]  # it speaks to nobody as a member
     transport2 = Written()
-    later = Members(transport2, MembershipSettings(), claim("a", boot=3), 1, 0)
-    later.heard(claim("a", boot=2, nonce=9), wire.Ping(4), (), 10)
-    assert later.state is SelfState.JOINING and transport2.words(wire.Ack)  # the other hears of us
+    later = Membership(transport2, MembershipSettings(), record("a", boot=3), 1, 0)
+    later.on_message(record("a", boot=2, nonce=9), wire.Ping(4), (), 10)
+    assert later.state is LocalState.JOINING and transport2.messages(wire.Ack)  # the other hears of us
 
 
 def test_a_name_whose_holder_is_dead_is_taken_up_though_the_clock_went_back(made):
     members, _ = made
     meet(members, "b")
-    members.heard(claim("b"), wire.Ping(1), (claim("a", rank=Rank.DEAD, boot=50, nonce=7),), 10)
-    assert members.state is SelfState.MEMBER and members.me.boot == 51
+    members.on_message(
+        record("b"), wire.Ping(1), (record("a", status=MemberStatus.DEAD, boot=50, nonce=7),), 10
+    )
+    assert members.state is LocalState.MEMBER and members.me.boot == 51
 
 
 # many of them, in virtual time
@@ -257,7 +266,7 @@
     cluster = twelve
     cluster.add("e-12", ("e-7",))
     assert cluster.until(cluster.agreed, 30) < 10
-    assert {m.claim.zone for m in cluster.endpoints["e-12"].members.live()} == {"z0", "z1", "z2"}
+    assert {m.record.zone for m in cluster.endpoints["e-12"].members.live()} == {"z0", "z1", "z2"}
 
 
 def test_a_dead_one_is_missed_by_all_within_the_stated_time(twelve):
@@ -291,7 +300,7 @@
     cluster.kill("e-5")
     cluster.add("e-5", ("e-0",))
     cluster.run(15)
-    boots = {t.members.members["e-5"].claim.boot for n, t in cluster.endpoints.items() if n != "e-5"}
+    boots = {t.members.members["e-5"].record.boot for n, t in cluster.endpoints.items() if n != "e-5"}
     assert cluster.agreed() and boots == {cluster.endpoints["e-5"].members.me.boot}
 
 
@@ -307,7 +316,7 @@
     old = cluster.endpoints["e-8"]
     new = cluster.add("e-8", ("e-0",), port=41_000)
     cluster.run(30)
-    assert old.members.state is SelfState.DISPLACED and new.members.state is SelfState.MEMBER
+    assert old.members.state is LocalState.DISPLACED and new.members.state is LocalState.MEMBER
     assert cluster.agreed() and not any("dead" in line for line in new.runtime.logs)
     new.runtime.reactor.kill()
     cluster.endpoints["e-8"] = old
@@ -358,7 +367,7 @@
     cluster.add("e-1", ("e-0",), fleet="other")
     cluster.run(5)
     assert cluster.view("e-0") == set() and 'of the fleet "other"' in a.runtime.over[0]
-    newer = wire.pack(wire.Datagram("f", 2, claim("b"), wire.Ping(1)))
+    newer = wire.encode(wire.Datagram("f", 2, record("b"), wire.Ping(1)))
     a.datagramReceived(newer, ("127.0.0.1", 9))
     a.datagramReceived(b"\xc1", ("127.0.0.1", 9))
     assert "of version 2" in a.runtime.over[-2] and "can't be read" in a.runtime.over[-1]
--- a/tests/test_digests.py
+++ b/tests/test_gossip_counters.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapistrestle.fleet.digests import MAX_OVER_MEDIAN, Digests, DigestSettings
+from lapistrestle.fleet.gossip_counters import MAX_OVER_MEDIAN, CounterSettings, GossipCounters
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import Row
+from lapistrestle.wire.fleet import CounterSnapshot
 
 SECOND = 10_000
 COLUMNS = ("asked", "ok")
@@ -17,18 +17,20 @@
 
 
 def digests(name="a", boot=1, now=0, **settings):
-    return Digests(COLUMNS, (name, boot, 1), DigestSettings(**settings), now)
+    return GossipCounters(COLUMNS, (name, boot, 1), CounterSettings(**settings), now)
 
 
-def row(name="b", boot=1, seq=1, at=0, age=0, counts=(0, 0), nonce=1):
-    return Row(name, boot, nonce, seq, at, age, counts)
+def snapshot(name="b", boot=1, seq=1, at=0, age=0, counts=(0, 0), nonce=1):
+    return CounterSnapshot(name, boot, nonce, seq, at, age, counts)
 
 
 def steady(made, name, rate, until, seed=0, boot=1, drift=1.0):
     """Rows of one that counts `rate` a second, told each second."""
     for second in range(until + 1):
         at = 10**6 + int(second * SECOND * drift)
-        made.heard(made.layout, [row(name, boot, second + 1, at, 0, (rate * second, 0))], second * SECOND)
+        made.on_snapshots(
+            made.layout, [snapshot(name, boot, second + 1, at, 0, (rate * second, 0))], second * SECOND
+        )
 
 
 ways = st.tuples(st.integers(1, 20), st.integers(0, 3 * SECOND))
@@ -41,8 +43,10 @@
     told = [(seq, seq * SECOND + delay) for seq, delay in ways]
     told.sort(key=lambda way: way[1] + random.randrange(SECOND))
     for seq, _ in told:
-        made.heard(made.layout, [row(seq=seq, at=seq * SECOND, age=0, counts=(50 * seq, seq))], 20 * SECOND)
-    figures = made.figures(20 * SECOND, everyone, 2)
+        made.on_snapshots(
+            made.layout, [snapshot(seq=seq, at=seq * SECOND, age=0, counts=(50 * seq, seq))], 20 * SECOND
+        )
+    figures = made.statistics(20 * SECOND, everyone, 2)
     assert figures.rates["asked"] in (0, pytest.approx(50))
     assert figures.counted == 1 + (figures.rates["asked"] > 0)
 
@@ -51,55 +55,57 @@
     made = digests()
     steady(made, "b", 100, 8)
     steady(made, "c", 100, 8, drift=1.05)
-    rates = made.figures(8 * SECOND, everyone, 3).rates
+    rates = made.statistics(8 * SECOND, everyone, 3).rates
     assert rates["asked"] == pytest.approx(100 + 100 / 1.05)
 
 
 def test_a_restart_counts_from_nothing_and_the_one_before_no_more():
     made = digests()
     steady(made, "b", 100, 8)
-    made.heard(made.layout, [row("b", 2, 1, 5, 0, (7, 0))], 8 * SECOND)
-    made.heard(made.layout, [row("b", 1, 99, 10**7, 0, (10**6, 0))], 8 * SECOND)  # late, of the boot before
-    made.heard(made.layout, [row("b", 2, 2, 5 + SECOND, 0, (17, 0))], 9 * SECOND)
-    assert made.figures(9 * SECOND, everyone, 2).rates["asked"] == pytest.approx(10)
+    made.on_snapshots(made.layout, [snapshot("b", 2, 1, 5, 0, (7, 0))], 8 * SECOND)
+    made.on_snapshots(
+        made.layout, [snapshot("b", 1, 99, 10**7, 0, (10**6, 0))], 8 * SECOND
+    )  # late, of the boot before
+    made.on_snapshots(made.layout, [snapshot("b", 2, 2, 5 + SECOND, 0, (17, 0))], 9 * SECOND)
+    assert made.statistics(9 * SECOND, everyone, 2).rates["asked"] == pytest.approx(10)
 
 
 def test_figures_age_out_and_absent_ones_count_nothing():
     made = digests()
     steady(made, "b", 100, 8)
-    seen = [made.figures((8 + s) * SECOND, everyone, 2).rates["asked"] for s in (0, 3, 6, 9, 10)]
+    seen = [made.statistics((8 + s) * SECOND, everyone, 2).rates["asked"] for s in (0, 3, 6, 9, 10)]
     assert seen[:2] == [100, 100] and seen[1] > seen[2] > seen[3] > seen[4] == 0
-    assert made.figures(8 * SECOND, lambda name: False, 2).rates["asked"] == 0
+    assert made.statistics(8 * SECOND, lambda name: False, 2).rates["asked"] == 0
 
 
 def test_age_grows_on_the_way_and_a_shorter_way_makes_younger():
     made = digests()
-    made.heard(made.layout, [row(seq=1, at=1, age=4 * SECOND)], 10 * SECOND)
-    assert made.reporters["b"].true_at == 6 * SECOND
-    assert [r.age for r in made.rows_to_send(11 * SECOND, 500) if r.name == "b"] == [5 * SECOND]
-    made.heard(made.layout, [row(seq=1, at=1, age=2 * SECOND)], 11 * SECOND)
-    assert made.reporters["b"].true_at == 9 * SECOND
+    made.on_snapshots(made.layout, [snapshot(seq=1, at=1, age=4 * SECOND)], 10 * SECOND)
+    assert made.reporters["b"].valid_at == 6 * SECOND
+    assert [r.age for r in made.snapshots_to_send(11 * SECOND, 500) if r.name == "b"] == [5 * SECOND]
+    made.on_snapshots(made.layout, [snapshot(seq=1, at=1, age=2 * SECOND)], 11 * SECOND)
+    assert made.reporters["b"].valid_at == 9 * SECOND
 
 
 @pytest.mark.parametrize(("at", "counts"), [(10**7, (3, 0)), (1, (10**6, 10**6)), (10**7, (10**6,))])
 def test_what_can_not_be_is_refused(at, counts):
     made = digests()
     steady(made, "b", 100, 6)
-    made.heard(made.layout, [row(seq=9, at=at, counts=counts)], 6 * SECOND)
-    assert made.figures(6 * SECOND, everyone, 2).rates["asked"] == pytest.approx(100)
+    made.on_snapshots(made.layout, [snapshot(seq=9, at=at, counts=counts)], 6 * SECOND)
+    assert made.statistics(6 * SECOND, everyone, 2).rates["asked"] == pytest.approx(100)
 
 
 def test_one_that_tells_nonsense_moves_the_figure_by_its_own_part_only():
     made = digests(max_rate=5_000.0)
     for name in "bcdefg":
         steady(made, name, 10, 8)
-    before = made.figures(8 * SECOND, everyone, 8).rates["asked"]
+    before = made.statistics(8 * SECOND, everyone, 8).rates["asked"]
     steady(made, "h", 10**9, 8)
-    after = made.figures(8 * SECOND, everyone, 8).rates["asked"]
+    after = made.statistics(8 * SECOND, everyone, 8).rates["asked"]
     assert before == pytest.approx(60) and after - before <= MAX_OVER_MEDIAN * 10
     small = digests(max_rate=5_000.0)
     steady(small, "b", 10**9, 8)
-    assert small.figures(8 * SECOND, everyone, 2).rates["asked"] == 5_000
+    assert small.statistics(8 * SECOND, everyone, 2).rates["asked"] == 5_000
 
 
 def test_fifty_times_the_traffic_of_the_others_counts_in_full():
@@ -107,27 +113,27 @@
     for name in "bcdefg":
         steady(made, name, 10, 8)
     steady(made, "h", 500, 8)
-    assert made.figures(8 * SECOND, everyone, 8).rates["asked"] == pytest.approx(560)
+    assert made.statistics(8 * SECOND, everyone, 8).rates["asked"] == pytest.approx(560)
 
 
 def test_another_layout_is_refused():
     made = digests()
-    made.heard(made.layout + 1, [row(seq=1)], 0)
-    assert made.refused == 1 and "b" not in made.reporters
+    made.on_snapshots(made.layout + 1, [snapshot(seq=1)], 0)
+    assert made.rejected == 1 and "b" not in made.reporters
 
 
 def test_a_telling_fits_its_room_and_passes_on_what_was_told_least():
     made = digests()
     for i in range(100):
-        made.heard(made.layout, [row(f"m{i:02d}", seq=1, at=1, counts=(2**60, 2**60))], 0)
+        made.on_snapshots(made.layout, [snapshot(f"m{i:02d}", seq=1, at=1, counts=(2**60, 2**60))], 0)
     seen = []
     for _ in range(30):
-        rows = made.rows_to_send(10, 1_000)
-        assert sum(map(wire.size, rows)) <= 1_000 and rows[0].name == "a"
-        seen += [r.name for r in rows[1:]]
+        snapshots = made.snapshots_to_send(10, 1_000)
+        assert sum(map(wire.encoded_size, snapshots)) <= 1_000 and snapshots[0].name == "a"
+        seen += [r.name for r in snapshots[1:]]
     assert max(map(seen.count, seen)) == min(map(seen.count, seen)) and len(set(seen)) == 100
 
 
 def test_the_count_of_datagrams_is_bounded_whatever_the_size():
     made = digests()
-    assert [made.datagrams(n, 150) for n in (2, 40, 200, 500, 5_000)] == [1, 5, 10, 10, 10]
+    assert [made.datagrams_per_round(n, 150) for n in (2, 40, 200, 500, 5_000)] == [1, 5, 10, 10, 10]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 
 from lapistrestle.model.overload import AloneByLevel, ByLevel, Day, Open, RetryBudget, play
-from lapistrestle.overload import shedding
-from lapistrestle.overload.fallback import Basis, Fallback
-from lapistrestle.overload.priorities import Level, PriorityLevels, hash_fraction, level_for
-from lapistrestle.overload.probers import PROBERS, STALE, Verdicts, probers
-from lapistrestle.overload.retry_after import HEADROOM, SLOT, RetryCalendar
-from lapistrestle.overload.retry_budget import MIN_RATE, RETRY_RATIO, further_attempt_rate
-from lapistrestle.overload.shedding import TRANSITIONS, Condition, Mode, Shedding, Traffic
-from lapistrestle.overload.unused import UnusedRoom
-from lapistrestle.wire.fleet import Verdict
+from lapistrestle.overload import level_controller
+from lapistrestle.overload.level_controller import TRANSITIONS, Condition, LevelController, Mode, Traffic
+from lapistrestle.overload.priorities import AdmissionLevel, PriorityLevels, hash_fraction, level_for
+from lapistrestle.overload.retry_after import HEADROOM, SLOT, RetryReservations
+from lapistrestle.overload.retry_budget import MIN_RATE, RETRY_RATIO, retry_rate
+from lapistrestle.overload.statistics_source import SourceSelector, StatisticsSource
+from lapistrestle.overload.unused_capacity import UnusedCapacityBucket
+from lapistrestle.overload.worker_verdicts import PROBERS_PER_WORKER, STALE, WorkerVerdicts, select_probers
+from lapistrestle.wire.fleet import WorkerVerdict
 
 SECOND = 10_000
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def one():
-    return Shedding(2, SECOND, lambda text: None, 0)
+    return LevelController(2, SECOND, lambda text: None, 0)
 
 
 # priorities
@@ -62,7 +62,7 @@
 
 
 def test_a_key_lies_alike_everywhere_and_keys_are_spread():
-    level = Level(1, 0.3)
+    level = AdmissionLevel(1, 0.3)
     assert level.admits(0, "x") and not level.admits(2, "x")
     assert 250 < sum(level.admits(1, f"rpc-{i}") for i in range(1_000)) < 350
     assert hash_fraction("x") == hash_fraction("x")
@@ -78,11 +78,11 @@
 def test_strain_cuts_under_what_is_done_and_the_best_of_late_is_its_floor(one):
     one.update(seen(good=1_000, let=1_000), 0)
     one.update(strained(500, 500), SECOND)
-    assert one.mode is Mode.SHEDDING and one.room == shedding.CUT * 500
+    assert one.mode is Mode.SHEDDING and one.room == level_controller.CUT * 500
     one.update(strained(10, 990), 2 * SECOND)
-    assert one.room == shedding.FLOOR * 1_000
+    assert one.room == level_controller.FLOOR * 1_000
     one.update(strained(10, 990), 20 * SECOND)
-    assert one.room == shedding.CUT * 10  # what was done long ago says nothing
+    assert one.room == level_controller.CUT * 10  # what was done long ago says nothing
 
 
 def test_few_ends_are_no_strain(one):
@@ -94,7 +94,7 @@
     """Workers or loads that fail: fewer let in would mend nothing."""
     for now in range(0, 20 * SECOND, SECOND):
         one.update(seen((2_000.0, 1_000.0), let=900, good=500, bad=400, out=90), now)
-    assert one.mode is Mode.CALM and one.level == Level(2)
+    assert one.mode is Mode.CALM and one.level == AdmissionLevel(2)
 
 
 def test_the_room_goes_back_to_the_best_of_late_once_but_not_after_a_relapse(one):
@@ -102,11 +102,13 @@
     jam, fine = strained(300, 700), seen((3_000, 0), 300, 300, 0)
     one.update(jam, SECOND)
     one.update(fine, 2 * SECOND)
-    assert one.room == shedding.BACK * 1_000
+    assert one.room == level_controller.BACK * 1_000
     one.update(jam, 3 * SECOND)
-    assert one.room == pytest.approx(shedding.CUT * 300)
+    assert one.room == pytest.approx(level_controller.CUT * 300)
     one.update(fine, 4 * SECOND)
-    assert one.room == pytest.approx(shedding.BACK * shedding.BACK * 1_000)  # less with every relapse
+    assert one.room == pytest.approx(
+        level_controller.BACK * level_controller.BACK * 1_000
+    )  # less with every relapse
 
 
 def test_a_step_is_not_made_again_until_the_figures_can_show_it(one):
@@ -116,8 +118,11 @@
     before = one.room
     for now in range(20, 4 * SECOND, 1_000):  # one lag: the window of two seconds and the age of two
         one.update(fine, now)
-    assert before < one.room <= before * (1 + shedding.EASE) * 1.05
-    hasty, slow = Shedding(2, SECOND, lambda text: None, 0), Shedding(2, SECOND, lambda text: None, 0)
+    assert before < one.room <= before * (1 + level_controller.EASE) * 1.05
+    hasty, slow = (
+        LevelController(2, SECOND, lambda text: None, 0),
+        LevelController(2, SECOND, lambda text: None, 0),
+    )
     for made, age in ((hasty, 0), (slow, 8 * SECOND)):
         made.update(strained(500, 500), 0)
         for now in range(10, 6 * SECOND, 1_000):
@@ -129,7 +134,7 @@
     one.update(strained(500, 500), 0)
     one.update(seen((3_000, 0), 1_000, 1_000, 0), SECOND)
     one.update(seen((3_000, 0), 1_000, 900, 0, out=0.5 * 900), 2 * SECOND)
-    assert one.mode is Mode.EASING and one.room == pytest.approx(shedding.DRAIN * 900)
+    assert one.mode is Mode.EASING and one.room == pytest.approx(level_controller.DRAIN * 900)
 
 
 def over(t):
@@ -159,11 +164,13 @@
     """Planted: steps as if each look at the figures were news."""
 
     def hasty(self, now_seen, now):
-        self.room = max(self.room, now_seen.admitted) * (1 + shedding.EASE)
+        self.room = max(self.room, now_seen.admitted) * (1 + level_controller.EASE)
 
     good = play(day(12, age=3.0), ByLevel).part(35, 75)
-    table = {key: (mode, hasty if do is Shedding.ease else do) for key, (mode, do) in TRANSITIONS.items()}
-    monkeypatch.setattr(shedding, "TRANSITIONS", table)
+    table = {
+        key: (mode, hasty if do is LevelController.ease else do) for key, (mode, do) in TRANSITIONS.items()
+    }
+    monkeypatch.setattr(level_controller, "TRANSITIONS", table)
     assert play(day(12, age=3.0), ByLevel).part(35, 75) < good - 0.15
 
 
@@ -178,13 +185,13 @@
 
 
 def test_figures_that_age_lead_down_at_once_and_up_in_steps():
-    made = Fallback(lambda text: None, 0)
-    assert made.update(12, 12, 50.0, SECOND) is Basis.NONE
-    assert made.update(12, 12, 50.0, 4 * SECOND) is Basis.OWN
-    assert made.update(12, 12, 50.0, 8 * SECOND) is Basis.FLEET
-    assert made.update(5, 12, 50.0, 8 * SECOND + 1) is Basis.OWN
-    assert made.update(12, 12, 50.0, 9 * SECOND) is Basis.OWN
-    assert made.update(1, 1, 0.5, 9 * SECOND + 1) is Basis.NONE
+    made = SourceSelector(lambda text: None, 0)
+    assert made.update(12, 12, 50.0, SECOND) is StatisticsSource.NONE
+    assert made.update(12, 12, 50.0, 4 * SECOND) is StatisticsSource.OWN
+    assert made.update(12, 12, 50.0, 8 * SECOND) is StatisticsSource.FLEET
+    assert made.update(5, 12, 50.0, 8 * SECOND + 1) is StatisticsSource.OWN
+    assert made.update(12, 12, 50.0, 9 * SECOND) is StatisticsSource.OWN
+    assert made.update(1, 1, 0.5, 9 * SECOND + 1) is StatisticsSource.NONE
 
 
 def test_what_ends_falls_with_what_is_let_in_and_that_shuts_nothing(one):
@@ -195,7 +202,7 @@
     for step in range(1, 20):  # ten seconds in which half of what is let in ends, and stays long
         let = one.room
         one.update(seen((2_000.0, 1_000.0), let=let, good=let / 2, out=let), 2 * SECOND + step * SECOND // 2)
-        assert one.room >= shedding.FLOOR * 1_000  # the best of the last 15 s
+        assert one.room >= level_controller.FLOOR * 1_000  # the best of the last 15 s
 
 
 # room that the level leaves unused
@@ -204,7 +211,7 @@
 @given(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=300), st.floats(1, 500))
 def test_no_more_is_filled_in_than_there_is_room_for(asks, rate):
     """However the level and what it denies take turns."""
-    made, now, taken = UnusedRoom(0), 0, 0
+    made, now, taken = UnusedCapacityBucket(0), 0, 0
     made.set_rate(rate, 0)
     for gap, admitted in asks:
         now += gap
@@ -215,7 +222,7 @@
 
 
 def test_room_that_the_level_leaves_unused_is_filled_and_what_it_uses_is_not():
-    made = UnusedRoom(0)
+    made = UnusedCapacityBucket(0)
     made.set_rate(10.0, 0)
     assert sum(made.try_take(now) for now in range(0, 10 * SECOND, 100)) in (99, 100)
     for now in range(10 * SECOND, 20 * SECOND, SECOND // 10):  # all of the room by the level
@@ -226,7 +233,7 @@
 
 
 def test_ones_part_is_taken_of_figures_of_one_moment():
-    made = UnusedRoom(0)
+    made = UnusedCapacityBucket(0)
     for second in range(10):  # a burst that ended three seconds ago, which the fleet's figures don't show yet
         part = made.own_part(120.0 if second < 7 else 10.0, 960.0, 4 * SECOND, second * SECOND)
     assert part == 120 / 960
@@ -237,7 +244,7 @@
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.floats(0, 0.999)), max_size=200), st.floats(0.1, 200))
 def test_no_moment_is_promised_to_more_than_fit_in_it(denials, room):
-    calendar, now, promised = RetryCalendar(5 * SECOND, 0), 0, {}
+    calendar, now, promised = RetryReservations(5 * SECOND, 0), 0, {}
     for gap, chance in denials:
         now += gap
         stay = calendar.reserve(now, 500, room, chance)
@@ -252,7 +259,7 @@
 
 
 def test_nothing_is_promised_without_room():
-    assert RetryCalendar(5 * SECOND, 0).reserve(0, 0, 0.0, 0.5) == 0
+    assert RetryReservations(5 * SECOND, 0).reserve(0, 0, 0.0, 0.5) == 0
 
 
 rates = st.floats(0, 1e4)
@@ -264,7 +271,7 @@
     rows = [dict(zip(("good", "again", "repeat"), row, strict=True)) for row in members]
     fleet = {name: sum(row[name] for row in rows) for name in rows[0]}
     whole = max(0.0, RETRY_RATIO * fleet["good"] - fleet["repeat"])
-    parts = [further_attempt_rate(fleet, row, True) for row in rows]
+    parts = [retry_rate(fleet, row, True) for row in rows]
     assert all(part >= MIN_RATE for part in parts)
     if fleet["again"] > whole:
         assert sum(part for part in parts if part > MIN_RATE) <= whole * (1 + 1e-9)
@@ -274,32 +281,35 @@
 
 def test_a_budget_follows_need_and_without_figures_there_is_none():
     fleet = {"good": 1_000.0, "again": 400.0, "repeat": 0.0}
-    parts = [further_attempt_rate(fleet, {"good": 333.0, "again": x}, True) for x in (300.0, 80.0, 20.0)]
+    parts = [retry_rate(fleet, {"good": 333.0, "again": x}, True) for x in (300.0, 80.0, 20.0)]
     assert sum(parts) == pytest.approx(RETRY_RATIO * 1_000) and parts == sorted(parts, reverse=True)
-    assert further_attempt_rate(fleet, {"good": 333.0, "again": 300.0}, False) == float("inf")
+    assert retry_rate(fleet, {"good": 333.0, "again": 300.0}, False) == float("inf")
 
 
 def test_what_clients_repeat_by_themselves_leaves_less_to_try_again():
     own = {"good": 500.0, "again": 100.0}
     fleet = {"good": 1_000.0, "again": 200.0}
-    assert further_attempt_rate({**fleet, "repeat": 150.0}, own, True) == pytest.approx(25.0)
-    assert further_attempt_rate({**fleet, "repeat": 900.0}, own, True) == MIN_RATE
+    assert retry_rate({**fleet, "repeat": 150.0}, own, True) == pytest.approx(25.0)
+    assert retry_rate({**fleet, "repeat": 900.0}, own, True) == MIN_RATE
 
 
 def test_few_probe_each_worker_and_little_changes_hands():
     members = [f"e-{i}" for i in range(50)]
     workers = [f"w-{i}" for i in range(200)]
-    before = {w: probers(w, members) for w in workers}
-    after = {w: probers(w, [m for m in members if m != "e-7"]) for w in workers}
-    assert all(len(names) == PROBERS for names in before.values())
+    before = {w: select_probers(w, members) for w in workers}
+    after = {w: select_probers(w, [m for m in members if m != "e-7"]) for w in workers}
+    assert all(len(names) == PROBERS_PER_WORKER for names in before.values())
     moved = [w for w in workers if before[w] != after[w]]
     assert moved and all("e-7" in before[w] for w in moved)
 
 
 def test_a_worker_gets_a_bounded_count_of_probes_and_twice_that_in_a_split():
     members = [f"e-{i}" for i in range(30)]
-    held = {m: Verdicts(m) for m in members}
-    for views, most in (([members], PROBERS), ([members[:15], members[15:]], 2 * PROBERS)):
+    held = {m: WorkerVerdicts(m) for m in members}
+    for views, most in (
+        ([members], PROBERS_PER_WORKER),
+        ([members[:15], members[15:]], 2 * PROBERS_PER_WORKER),
+    ):
         for second in range(10, 20):
             asks = [(m, view, second * SECOND + k) for view in views for m in view for k in (0, 9)]
             count = sum(held[m].should_probe("w", view, now) for m, view, now in asks)
@@ -307,12 +317,12 @@
 
 
 def test_the_newest_verdict_holds_and_an_old_one_says_nothing():
-    made = Verdicts("a")
+    made = WorkerVerdicts("a")
     made.record("w", True, 0)
-    made.heard([Verdict("w", False, 1_000, "b")], SECOND)
-    assert made.unfit("w", SECOND)
-    made.heard([Verdict("w", True, 9_900, "c")], SECOND)  # older than b's
-    assert made.unfit("w", SECOND) and not made.unfit("w", 1_000 + 9_000 + STALE)
-    made.heard([Verdict("w", False, STALE, "d")], 10 * SECOND)
-    assert not made.unfit("w", 10 * SECOND)
+    made.on_verdicts([WorkerVerdict("w", False, 1_000, "b")], SECOND)
+    assert made.is_unhealthy("w", SECOND)
+    made.on_verdicts([WorkerVerdict("w", True, 9_900, "c")], SECOND)  # older than b's
+    assert made.is_unhealthy("w", SECOND) and not made.is_unhealthy("w", 1_000 + 9_000 + STALE)
+    made.on_verdicts([WorkerVerdict("w", False, STALE, "d")], 10 * SECOND)
+    assert not made.is_unhealthy("w", 10 * SECOND)
     assert [v.worker for v in made.to_send(SECOND, 5)] == ["w"]
--- a/tests/test_lending.py
+++ b/tests/test_quota_leasing.py
@@ -10,9 +10,9 @@
 
 from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.program import Edge
-from lapistrestle.fleet.allowance import Allowance, AllowanceSettings
-from lapistrestle.fleet.lending import Lending
-from lapistrestle.wire.fleet import Claim, Lend, Rank
+from lapistrestle.fleet.quota_leasing import QuotaLeasing
+from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
+from lapistrestle.wire.fleet import LeaseRequest, MemberRecord, MemberStatus
 
 SECOND = 10_000
 WHOLE = 8
@@ -22,35 +22,37 @@
     """Some dispatchers with one clock and links that lose what they are told to."""
 
     def __init__(self, count):
-        self.now, self.lost, self.words, self.use = 0, False, [], [0] * count
-        self.claims = [Claim(f"e-{i}", 1, i, 0, Rank.ALIVE, "127.0.0.1", 7000 + i) for i in range(count)]
+        self.now, self.lost, self.messages, self.use = 0, False, [], [0] * count
+        self.records = [
+            MemberRecord(f"e-{i}", 1, i, 0, MemberStatus.ALIVE, "127.0.0.1", 7000 + i) for i in range(count)
+        ]
         self.made = [
-            Lending(self.cut(i, count), partial(self.use.__getitem__, i), partial(self.say, i), i)
+            QuotaLeasing(self.cut(i, count), partial(self.use.__getitem__, i), partial(self.say, i), i)
             for i in range(count)
         ]
 
     @staticmethod
     def cut(number, count):
-        return Allowance("loads", WHOLE, count, number, AllowanceSettings(), 0)
+        return QuotaShare("loads", WHOLE, count, number, QuotaSettings(), 0)
 
-    def say(self, sender, to, word):
+    def say(self, sender, to, message):
         if not self.lost:
-            self.words.append((sender, int(to.name[2:]), word))
+            self.messages.append((sender, int(to.name[2:]), message))
 
     def step(self, wants):
         """Half a second: each wants so many, uses what it may, and looks; then the words arrive."""
         self.now += SECOND // 2
         for i, (made, want) in enumerate(zip(self.made, wants, strict=True)):
-            part = made.part(self.now)
+            part = made.available(self.now)
             self.use[i] = min(want, part)
             for _ in range(want - part):
-                made.wish()
-            others = [claim for claim in self.claims if claim.name != f"e-{i}"]
+                made.record_shortage()
+            others = [record for record in self.records if record.name != f"e-{i}"]
             made.update(others, True, self.now)
-        words, self.words = self.words, []
-        for sender, to, word in words:
-            self.made[to].heard(self.claims[sender], word, self.now)
-        assert sum(min(u, m.part(self.now)) for u, m in zip(self.use, self.made, strict=True)) <= WHOLE
+        messages, self.messages = self.messages, []
+        for sender, to, message in messages:
+            self.made[to].on_message(self.records[sender], message, self.now)
+        assert sum(min(u, m.available(self.now)) for u, m in zip(self.use, self.made, strict=True)) <= WHOLE
 
 
 def test_one_that_needs_more_borrows_and_what_is_not_needed_goes_back():
@@ -62,8 +64,8 @@
     assert most >= 4  # its own 2, and of the 1 that each of three others lends, those that are not settling
     for _ in range(10):
         ring.step([0, 0, 0, 0])
-    assert [made.part(ring.now) for made in ring.made] == [2, 2, 2, 2]
-    assert [made.allowance.lent_units() for made in ring.made] == [0, 0, 0, 0]
+    assert [made.available(ring.now) for made in ring.made] == [2, 2, 2, 2]
+    assert [made.share.leased_out_units() for made in ring.made] == [0, 0, 0, 0]
 
 
 @given(st.lists(st.tuples(st.lists(st.integers(0, 9), min_size=4, max_size=4), st.booleans()), max_size=60))
@@ -79,28 +81,28 @@
     for _ in range(12):
         ring.step([0, 0])
     ring.use[1] = 4  # all of it, begun since
-    ring.made[1].heard(ring.claims[0], Lend("loads", 1, ring.now, 2), ring.now)
-    assert ring.words == [] and ring.made[1].part(ring.now) == 4
+    ring.made[1].on_message(ring.records[0], LeaseRequest("loads", 1, ring.now, 2), ring.now)
+    assert ring.messages == [] and ring.made[1].available(ring.now) == 4
 
 
 def test_one_that_is_no_member_uses_nothing():
     ring = Ring(2)
     ring.made[0].update([], False, SECOND)
-    assert ring.made[0].part(SECOND) == 0
+    assert ring.made[0].available(SECOND) == 0
 
 
 def test_a_word_for_another_allowance_changes_nothing():
     ring = Ring(2)
     for _ in range(20):
         ring.step([8, 0])
-    part = ring.made[0].part(ring.now)
-    other = Lending(
-        Allowance("trials", WHOLE, 2, 0, AllowanceSettings(), 0), lambda: 8, partial(ring.say, 0), 0
+    part = ring.made[0].available(ring.now)
+    other = QuotaLeasing(
+        QuotaShare("trials", WHOLE, 2, 0, QuotaSettings(), 0), lambda: 8, partial(ring.say, 0), 0
     )
-    other.wish()
-    other.update([ring.claims[1]], True, ring.now)
-    ring.made[1].heard(ring.claims[0], ring.words[0][2], ring.now)
-    assert ring.made[0].part(ring.now) == part
+    other.record_shortage()
+    other.update([ring.records[1]], True, ring.now)
+    ring.made[1].on_message(ring.records[0], ring.messages[0][2], ring.now)
+    assert ring.made[0].available(ring.now) == part
 
 
 class Watched(Dispatcher):
--- a/tests/test_allowance.py
+++ b/tests/test_quota_share.py
@@ -6,16 +6,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.fleet.allowance import Allowance, AllowanceSettings, Loan
-from lapistrestle.wire.fleet import Lend, Lent
+from lapistrestle.fleet.quota_share import Lease, QuotaSettings, QuotaShare
+from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest
 
-WHOLE, SETTINGS = 100, AllowanceSettings(lasts=4_000, settle=500, drift=0.1)
+WHOLE, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
 
 
 class Schedule:
     """Some dispatchers, each with a clock that runs wrong, and datagrams that come when chance says."""
 
-    def __init__(self, seed, count=4, kind=Allowance):
+    def __init__(self, seed, count=4, kind=QuotaShare):
         self.random, self.kind, self.now = random.Random(seed), kind, 0
         self.rates = [self.random.uniform(0.92, 1.08) for _ in range(count)]
         self.boots = [0] * count
@@ -31,11 +31,11 @@
     def clock(self, i):
         return 10_000 * i + int(self.now * self.rates[i])
 
-    def life(self, i):
+    def process_id(self, i):
         return (f"e{i}", self.boots[i], 0)
 
-    def send(self, target, source, word):
-        sent = (target, self.life(target), source, self.life(source), word)
+    def send(self, target, source, message):
+        sent = (target, self.process_id(target), source, self.process_id(source), message)
         self.way += [sent] * self.random.choice((0, 1, 1, 2))
 
     def step(self):
@@ -68,41 +68,43 @@
         one, now, chance = self.all[i], self.clock(i), self.random
         self.holds[i] = [(until, units) for until, units in self.holds[i] if until > self.now]
         in_use = sum(units for _, units in self.holds[i])
-        one.note(in_use, now)
+        one.record_use(in_use, now)
         if act == "ask":
-            one.wanted = chance.choice((0, 10, 60))
+            one.demand = chance.choice((0, 10, 60))
             other = chance.randrange(len(self.all))
-            word = one.request(self.life(other), chance.randint(1, 60), now) if other != i else None
-            if word:
-                self.send(other, i, word)
-        elif act == "use" and (room := one.part(now) - in_use) > 0:
+            message = (
+                one.request_lease(self.process_id(other), chance.randint(1, 60), now) if other != i else None
+            )
+            if message:
+                self.send(other, i, message)
+        elif act == "use" and (room := one.available(now) - in_use) > 0:
             units = chance.randint(1, room)
-            self.holds[i].append((self.now + SETTINGS.settle / 1.1, units))
-            one.note(in_use + units, now)
+            self.holds[i].append((self.now + SETTINGS.settling_time / 1.1, units))
+            one.record_use(in_use + units, now)
         elif act == "back":
-            one.wanted = 0
-            for lender, word in one.give_back(now):
-                self.send(int(lender[0][1:]), i, word)
+            one.demand = 0
+            for lender, message in one.return_unneeded(now):
+                self.send(int(lender[0][1:]), i, message)
         elif act == "take" and self.way:
-            target, life, source, sender, word = self.way.pop(chance.randrange(len(self.way)))
-            if target in self.dead | self.still or self.life(target) != life:
+            target, process_id, source, sender, message = self.way.pop(chance.randrange(len(self.way)))
+            if target in self.dead | self.still or self.process_id(target) != process_id:
                 return
             there, clock = self.all[target], self.clock(target)
-            if isinstance(word, Lend):
-                answer = there.lend(sender, word, clock)
+            if isinstance(message, LeaseRequest):
+                answer = there.grant_lease(sender, message, clock)
                 if answer:
                     self.send(source, target, answer)
-            elif hasattr(word, "lasts"):
-                there.lent(sender, word, clock)
+            elif hasattr(message, "duration"):
+                there.on_grant(sender, message, clock)
             else:
-                there.returned(sender, word, clock)
+                there.on_return(sender, message, clock)
 
     def total(self):
         """What may be used or is used by all together, at this true moment."""
         parts = 0
         for i, one in enumerate(self.all):
             used = sum(units for until, units in self.holds[i] if until > self.now)
-            parts += max(used, 0 if i in self.dead else one.part(self.clock(i)))
+            parts += max(used, 0 if i in self.dead else one.available(self.clock(i)))
         self.worst = max(self.worst, parts)
         return parts
 
@@ -113,57 +115,63 @@
     assert Schedule(seed, count).run(400) <= WHOLE
 
 
-class OutBeforeBack(Allowance):
+class OutBeforeBack(QuotaShare):
     """Planted: what is given back is handed out again though the borrower may still use it."""
 
-    def longest(self):
-        return int(self.settings.lasts * 0.7)
+    def longest_lease(self):
+        return int(self.settings.lease_duration * 0.7)
 
 
-class CountsFromAnswer(Allowance):
+class CountsFromAnswer(QuotaShare):
     """Planted: the borrower counts from when the answer came, not from when it asked."""
 
-    def lent(self, lender, word, now):
-        if self.open.get(word.number) == (lender, word.asked):
-            self.open[word.number] = (lender, now)
-            super().lent(lender, Lent(word.allowance, word.number, now, word.units, word.lasts), now)
+    def on_grant(self, lender, message, now):
+        if self.open_requests.get(message.number) == (lender, message.requested_at):
+            self.open_requests[message.number] = (lender, now)
+            super().on_grant(
+                lender, LeaseGrant(message.quota, message.number, now, message.units, message.duration), now
+            )
 
 
-class LendsWhatIsInUse(Allowance):
+class LendsWhatIsInUse(QuotaShare):
     """Planted: what was in use a moment ago counts as spare."""
 
-    def used(self, now):
+    def peak_use(self, now):
         return 0
 
 
-class TakesTwice(Allowance):
+class TakesTwice(QuotaShare):
     """Planted: a doubled answer counts twice."""
 
-    def lent(self, lender, word, now):
-        self.borrowed[lender, word.number * 1_000 + len(self.borrowed)] = Loan(
-            word.units, now + word.lasts // 2
+    def on_grant(self, lender, message, now):
+        self.borrowed[lender, message.number * 1_000 + len(self.borrowed)] = Lease(
+            message.units, now + message.duration // 2
         )
 
 
-class MixesUpItsLives(Allowance):
+class MixesUpItsLives(QuotaShare):
     """Planted: an answer to the process before, under the same number, is taken for one's own."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.numbers = 0
+        self.last_number = 0
 
-    def lent(self, lender, word, now):
-        if word.number in self.open:
-            asked = self.open[word.number][1]
-            super().lent(lender, Lent(word.allowance, word.number, asked, word.units, word.lasts), now)
+    def on_grant(self, lender, message, now):
+        if message.number in self.open_requests:
+            asked = self.open_requests[message.number][1]
+            super().on_grant(
+                lender,
+                LeaseGrant(message.quota, message.number, asked, message.units, message.duration),
+                now,
+            )
 
 
-class ForgetsAtStart(Allowance):
+class ForgetsAtStart(QuotaShare):
     """Planted: a process that starts takes its whole cut at once, whatever the one before it had lent."""
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.whole_from = 0
+        self.full_from = 0
 
 
 PLANTED = OutBeforeBack, CountsFromAnswer, LendsWhatIsInUse, TakesTwice, ForgetsAtStart, MixesUpItsLives
@@ -175,37 +183,37 @@
 
 
 def test_need_moves_units_and_they_come_back():
-    a, b = (Allowance("loads", 100, 2, i, SETTINGS, 0) for i in (0, 1))
+    a, b = (QuotaShare("loads", 100, 2, i, SETTINGS, 0) for i in (0, 1))
     now = 10_000
-    assert (a.part(now), b.part(now)) == (50, 50)
-    b.wanted = 60
-    word = b.request(("a", 0, 0), 10, now)
-    b.lent(("a", 0, 0), a.lend(("b", 0, 0), word, now), now)
-    assert (a.part(now), b.part(now)) == (40, 60)
-    b.wanted = 0
-    [(lender, back)] = b.give_back(now + 1_000)
-    assert b.part(now + 1_000) == 50 and lender == ("a", 0, 0)
-    a.returned(("b", 0, 0), back, now + 1_100)
-    assert a.part(now + 1_100) == 50
+    assert (a.available(now), b.available(now)) == (50, 50)
+    b.demand = 60
+    message = b.request_lease(("a", 0, 0), 10, now)
+    b.on_grant(("a", 0, 0), a.grant_lease(("b", 0, 0), message, now), now)
+    assert (a.available(now), b.available(now)) == (40, 60)
+    b.demand = 0
+    [(lender, back)] = b.return_unneeded(now + 1_000)
+    assert b.available(now + 1_000) == 50 and lender == ("a", 0, 0)
+    a.on_return(("b", 0, 0), back, now + 1_100)
+    assert a.available(now + 1_100) == 50
 
 
 def test_what_is_kept_is_never_lent_and_a_start_has_it_at_once():
-    a = Allowance("loads", 100, 2, 0, SETTINGS, 0)
-    assert a.part(0) == 25 and a.lend(("b", 0, 0), Lend("loads", 1, 0, 50), 0) is None
-    now = a.whole_from
-    given = [a.lend(("b", 0, 0), Lend("loads", n, 0, 50), now) for n in range(2, 12)]
-    assert sum(g.units for g in given if g) == 25 and a.part(now) == 25
+    a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
+    assert a.available(0) == 25 and a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 50), 0) is None
+    now = a.full_from
+    given = [a.grant_lease(("b", 0, 0), LeaseRequest("loads", n, 0, 50), now) for n in range(2, 12)]
+    assert sum(g.units for g in given if g) == 25 and a.available(now) == 25
 
 
 def test_a_loan_that_nobody_returns_comes_back_by_the_clock():
-    a = Allowance("loads", 100, 2, 0, SETTINGS, 0)
-    now = a.whole_from
-    lent = a.lend(("b", 0, 0), Lend("loads", 1, 0, 10), now)
-    assert lent and a.part(now) == 40
-    assert a.part(now + a.longest() - 1) == 40 and a.part(now + a.longest()) == 50
+    a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
+    now = a.full_from
+    lent = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
+    assert lent and a.available(now) == 40
+    assert a.available(now + a.longest_lease() - 1) == 40 and a.available(now + a.longest_lease()) == 50
 
 
 def test_the_cuts_add_up_exactly_and_a_strange_number_has_none():
     for of in (1, 3, 7, 200, 333):
-        assert sum(Allowance("x", WHOLE, of, i, SETTINGS, 0).cut for i in range(of)) == WHOLE
-    assert Allowance("x", WHOLE, 3, 5, SETTINGS, 0).part(10**9) == 0
+        assert sum(QuotaShare("x", WHOLE, of, i, SETTINGS, 0).own_units for i in range(of)) == WHOLE
+    assert QuotaShare("x", WHOLE, 3, 5, SETTINGS, 0).available(10**9) == 0
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -17,7 +17,7 @@
 from lapistrestle.agreement.raft import RaftNode
 from lapistrestle.choice import Dispatcher
 from lapistrestle.edge.following import KnownWorkers
-from lapistrestle.fleet.table import MemberTable
+from lapistrestle.fleet.member_table import MemberTable
 from lapistrestle.wire.lines import LineBounds
 
 GIVEN = assumptions.load()
