--- a/lapistrestle/agreement/__init__.py
+++ b/lapistrestle/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log: elections, terms, commits. Decisions free of I/O; nothing carries them yet."""
+"""A replicated log after Raft: elections, terms, commits. Decisions free of I/O; nothing carries them yet."""
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -209,10 +209,10 @@
 class CountsCopies(RaftNode):
     """Takes an entry of an earlier term for agreed once a majority has it."""
 
-    def advance(self):
+    def advance_commit_index(self):
         matches = sorted([*self.match_index.values(), self.last_index], reverse=True)
         self.commit_to(matches[len(matches) // 2])
-        super().advance()
+        super().advance_commit_index()
 
 
 class ReadsAtOnce(RaftNode):
@@ -233,15 +233,15 @@
 class CutsOff(RaftNode):
     """A late word cuts off what came after it."""
 
-    def on_append_entries(self, sender, word, now):
+    def on_append_entries(self, sender, request, now):
         if (
-            word.term >= self.term
-            and word.prev_log_index <= self.last_index
-            and self.term_at(word.prev_log_index) == word.prev_log_term
+            request.term >= self.term
+            and request.prev_log_index <= self.last_index
+            and self.term_at(request.prev_log_index) == request.prev_log_term
         ):
-            del self.entries[word.prev_log_index :]
-            self.persist(word.prev_log_index + 1)
-        super().on_append_entries(sender, word, now)
+            del self.entries[request.prev_log_index :]
+            self.persist(request.prev_log_index + 1)
+        super().on_append_entries(sender, request, now)
 
 
 HANDLED_BY = {CutsOff: CutsOff.on_append_entries}
