--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -59,6 +59,7 @@
 
     def hear(self, data: bytes) -> None:
         datagram = wire.decode(data, "region")
+        assert isinstance(datagram.message, wire.LeaseMessage)
         self.lending.on_message(datagram.sender, datagram.message, self.fleet.clock.now)
 
     def look(self, others: list[MemberRecord]) -> None:
@@ -161,7 +162,7 @@
     together = FleetMember(edge, Fleet(name="region", port=7_000, loads=UNITS_EACH * dispatchers), 1, 1)
     others = [MemberRecord(f"dispatcher-{i:05d}", 1, i + 1, 0, MemberStatus.ALIVE, "127.0.0.1", 10_000 + i)
               for i in range(1, dispatchers)]  # fmt: skip
-    together.endpoint.members.on_message(others[0], wire.Ack(0), others, edge.now)
+    together.endpoint.membership.on_message(others[0], wire.Ack(0), others, edge.now)
     return together
 
 
--- a/benchmarks/scale/roles/control_gossip.py
+++ b/benchmarks/scale/roles/control_gossip.py
@@ -66,7 +66,7 @@
         settings = FleetSettings(fleet=FLEET, port=7_000)
         self.endpoint = GossipEndpoint(self.ground, settings, "dispatcher-99999", "zone-a", BOOT, seed, seed)
         self.endpoint.transport = self
-        process_id = self.endpoint.members.me.process_id
+        process_id = self.endpoint.membership.me.process_id
         self.admission = controller(others + 1, process_id, CounterSettings(), seed, self.clock.now)
         self.endpoint.counters, self.endpoint.verdicts = (
             self.admission.counters,
@@ -82,11 +82,11 @@
 
     def know_all(self) -> None:
         """As after a long calm: all known, no news left, some rows of each."""
-        members, digests, now = self.endpoint.members, self.admission.counters, self.clock.now
+        members, digests, now = self.endpoint.membership, self.admission.counters, self.clock.now
         members.start(now)
         members.on_message(self.records[0], wire.Ack(0), self.records, now)
-        members.table.news.clear()
-        members.sync.reading = None
+        members.table.dissemination_buffer.clear()
+        members.sync.table_read = None
         for back in range(HEARD_ROWS, 0, -1):
             for number in range(len(self.records)):
                 digests.accept(self.row(number, now - back * SECOND, 0), now)
@@ -175,7 +175,7 @@
         self.clock.run(start + SECOND)
 
     def update(self) -> None:
-        members = self.endpoint.members
+        members = self.endpoint.membership
         self.meter.run(self.admission.update, self.endpoint.is_present, members.size, self.clock.now)
 
     def own_calls(self) -> None:
@@ -187,9 +187,9 @@
             self.second(index)
 
     def start(self) -> "LoneMember":
-        self.endpoint.wake()
+        self.endpoint.schedule()
         self.run(3)
-        assert self.endpoint.members.state is LocalState.MEMBER and not self.ground.passed
+        assert self.endpoint.membership.state is LocalState.MEMBER and not self.ground.passed
         return self
 
 
@@ -224,7 +224,7 @@
 
 def refill_seconds(member: LoneMember) -> float:
     """Processor time of drawing the order of one whole round of probes; due once in as many periods."""
-    members = member.endpoint.members
+    members = member.endpoint.membership
     live = members.live()
     began = time.process_time()
     members.random.sample(live, len(live))
@@ -233,7 +233,7 @@
 
 def page_seconds(member: LoneMember, times: int = 5) -> float:
     """Processor time of answering one ask for a page of the table."""
-    members = member.endpoint.members
+    members = member.endpoint.membership
     asker = next(iter(members.members.values()))
     began = time.process_time()
     for _ in range(times):
@@ -371,16 +371,16 @@
         self.watch(self.endpoints[0])
 
     def fit(self, endpoint: GossipEndpoint, size: int, told: CounterSettings) -> AdmissionController:
-        process_id, now = endpoint.members.me.process_id, endpoint.runtime.clock()
+        process_id, now = endpoint.membership.me.process_id, endpoint.runtime.clock()
         admission = controller(size, process_id, told, endpoint.seed, now)
-        endpoint.counters, endpoint.verdicts = admission.counters, WorkerVerdicts(endpoint.members.me.name)
+        endpoint.counters, endpoint.verdicts = admission.counters, WorkerVerdicts(endpoint.membership.me.name)
         count_calls(admission, UP)
-        endpoint.wake()
+        endpoint.schedule()
         return admission
 
     def watch(self, endpoint: GossipEndpoint) -> None:
         """Meter this member's own work, and count what it hears."""
-        received, turn = endpoint.datagramReceived, endpoint.turn
+        received, turn = endpoint.datagramReceived, endpoint.run_due
 
         def hear(data: bytes, address: Any) -> None:
             self.traffic.received(data)
@@ -390,7 +390,7 @@
             self.meter.run(turn, argument)
 
         endpoint.datagramReceived = hear  # type: ignore[method-assign, assignment]
-        endpoint.turn = fire  # type: ignore[method-assign, assignment]
+        endpoint.run_due = fire  # type: ignore[method-assign, assignment]
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
@@ -402,7 +402,9 @@
 
     def update(self) -> None:
         endpoint, admission = self.endpoints[0], self.controllers[0]
-        self.meter.run(admission.update, endpoint.is_present, endpoint.members.size, endpoint.runtime.clock())
+        self.meter.run(
+            admission.update, endpoint.is_present, endpoint.membership.size, endpoint.runtime.clock()
+        )
 
     def coverage(self) -> tuple[float, float]:
         """Of the fleet, the part that one member's figures count; and the age of the oldest, in seconds. The
@@ -410,7 +412,7 @@
         shares, ages = [], []
         for endpoint, admission in list(zip(self.endpoints, self.controllers, strict=True))[:20]:
             figures = admission.counters.statistics(
-                endpoint.runtime.clock(), endpoint.is_present, endpoint.members.size
+                endpoint.runtime.clock(), endpoint.is_present, endpoint.membership.size
             )
             shares.append(figures.counted / figures.size)
             ages.append(figures.age / SECOND)
@@ -423,12 +425,12 @@
     fleet.run(15)
     endpoint = fleet.endpoints[0]
     fleet.meter.seconds, fleet.traffic = 0.0, Traffic()
-    sent, sent_bytes = endpoint.sent, endpoint.sent_bytes
+    sent, sent_bytes = endpoint.datagrams_sent, endpoint.bytes_sent
     fleet.run(seconds)
     counted, age = fleet.coverage()
-    sent_all, cores = endpoint.sent - sent, fleet.meter.seconds / seconds
+    sent_all, cores = endpoint.datagrams_sent - sent, fleet.meter.seconds / seconds
     messages_in, bytes_in = fleet.traffic.messages_in, fleet.traffic.bytes_in
-    sent_bytes = endpoint.sent_bytes - sent_bytes
+    sent_bytes = endpoint.bytes_sent - sent_bytes
     fleet.meter.counts_steps = True
     fleet.run(QUICK_SPAN)
     return Sample(
@@ -444,15 +446,15 @@
     """Seconds from a suspicion to its end, with enough accusers and with a single one."""
     made = []
     for size in (assumptions.target.dispatchers_per_region, assumptions.target.dispatchers):
-        for suspecters in (1, MAX_CONFIRMATIONS + 1):
-            members = LoneMember(size - 1, seed).start().endpoint.members
+        for accusers in (1, MAX_CONFIRMATIONS + 1):
+            members = LoneMember(size - 1, seed).start().endpoint.membership
             victim = members.live()[0]
-            for accuser in members.live()[1 : 1 + suspecters]:
+            for accuser in members.live()[1 : 1 + accusers]:
                 members.apply(
                     wire.replace(victim.record, status=MemberStatus.SUSPECT, suspected_by=accuser.name)
                 )
-            lasts = (members.suspicion_ends(victim) - members.now) / SECOND
-            made.append(Figure(f"a suspicion lasts, {suspecters} accusers, fleet of {size}", lasts, "s"))
+            lasts = (members.suspicion_deadline(victim) - members.now) / SECOND
+            made.append(Figure(f"a suspicion lasts, {accusers} accusers, fleet of {size}", lasts, "s"))
     return made
 
 
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -31,7 +31,7 @@
         )
         self.endpoint = GossipEndpoint(edge, settings, place.name, place.zone, boot, nonce, place.seed)
         digest_settings = CounterSettings(send_interval=int(fleet.tell), refresh_interval=2 * int(fleet.tell))
-        process_id = self.endpoint.members.me.process_id
+        process_id = self.endpoint.membership.me.process_id
         self.admission = AdmissionController(
             AdmissionSettings.of(edge.facts),
             process_id,
@@ -82,11 +82,11 @@
         if self.edge.stopping:
             return
         if self.endpoint.quota_leasing is not None:
-            live = [member.record for member in self.endpoint.members.live()]
-            member = self.endpoint.members.state in ACTIVE_STATES
+            live = [member.record for member in self.endpoint.membership.live()]
+            member = self.endpoint.membership.state in ACTIVE_STATES
             self.endpoint.quota_leasing.update(live, member, self.edge.clock())
         if self.fleet.shed:
-            self.admission.update(self.endpoint.is_present, self.endpoint.members.size, self.edge.clock())
+            self.admission.update(self.endpoint.is_present, self.endpoint.membership.size, self.edge.clock())
             self.edge.facts["shedding"] = self.admission.is_shedding  # the module's map is the edge's
             self.edge.facts["further"] = self.admission.retry_rate
             self.share_trials()
@@ -95,7 +95,7 @@
     def share_trials(self) -> None:
         """Tell others what the module found of workers, and the module what others found."""
         now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.findings
-        members = self.endpoint.members
+        members = self.endpoint.membership
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
             self.drawn_from, self.probers_of = members_by_name, {}
@@ -135,17 +135,18 @@
 
     def show(self) -> dict[str, Any]:
         """For operators (`lapistrestle fleet show --json`)."""
-        endpoint, members, now = self.endpoint, self.endpoint.members, self.edge.clock()
+        endpoint, members, now = self.endpoint, self.endpoint.membership, self.edge.clock()
         return {
             "name": members.me.name, "fleet": self.fleet.name, "standing": members.state.name.lower(),
             "doubt": members.health.score, "size": members.size, "door": self.admission.show(),
             "loads": self.loads_shown(now),
-            "datagrams": {"sent": endpoint.sent, "bytes": endpoint.sent_bytes, "came": endpoint.received,
-                          "refused": endpoint.rejected + self.admission.counters.rejected},
+            "datagrams": {"sent": endpoint.datagrams_sent, "bytes": endpoint.bytes_sent,
+                          "came": endpoint.datagrams_received,
+                          "refused": endpoint.datagrams_rejected + self.admission.counters.rejected},
             "members": [
                 {"name": m.name, "zone": m.record.zone, "port": m.record.port, "is": m.status.name.lower(),
-                 "for ms": (now - m.since) / 10, "incarnation": m.record.incarnation,
-                 "accused by": sorted(m.suspecters),
+                 "for ms": (now - m.status_since) / 10, "incarnation": m.record.incarnation,
+                 "accused by": sorted(m.suspected_by),
                  "heard ms ago": (now - m.last_heard_at) / 10 if m.last_heard_at >= 0 else None}
                 for _, m in sorted(members.members.items())
             ],
--- a/lapistrestle/fleet/__init__.py
+++ b/lapistrestle/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatchers among themselves: who is there, what they tell one another, allowances within a whole."""
+"""Dispatchers among themselves: SWIM membership, gossiped counters, and leases of shared quotas."""
--- a/lapistrestle/fleet/failure_detector.py
+++ b/lapistrestle/fleet/failure_detector.py
@@ -1,9 +1,8 @@
-"""SWIM's failure detector: one member probed a period, directly, then through others. Free of I/O."""
+"""SWIM's failure detector (section 3.1), free of I/O: one member is probed a period, first directly."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
 
 from lapistrestle.fleet.dissemination import Outbox
 from lapistrestle.fleet.member_table import Member, MemberTable
@@ -13,24 +12,37 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-MOST_RELAYED = 64  # pings for others that may be open: guards against one that asks without end
+MAX_RELAYED_PINGS = 64  # open at once on behalf of others: guards against one that requests without end
 
-ProbePhase = Enum("ProbePhase", "IDLE DIRECT INDIRECT ANSWERED")  # of the probe under way
-ProbeEvent = Enum("ProbeEvent", "PERIOD LATE ANSWER")
+
+class ProbePhase(Enum):
+    """How far the probe of this period is."""
+
+    IDLE = 1
+    DIRECT = 2  # the target was pinged
+    INDIRECT = 3  # other members were asked to ping it
+    ACKNOWLEDGED = 4
+
+
+class ProbeEvent(Enum):
+    """What moves a probe on."""
+
+    PERIOD_BEGAN = 1
+    PING_TIMED_OUT = 2
+    ACK_RECEIVED = 3
 
 
 @dataclass(frozen=True)
 class RelayedPing:
-    """A ping that another asked us for."""
+    """A ping on behalf of another member."""
 
-    asker: MemberRecord
-    number: int  # the asker's
-    until: int
+    requester: MemberRecord
+    number: int  # of the requester's own ping
+    deadline: int  # when a nack is due, in ticks
 
 
 class FailureDetector:
-    """Probes, and pings relayed for others. `suspect` takes up a claim; `nobody_left` is called where there
-    is nobody to probe."""
+    """Probes other members, and relays pings on behalf of others."""
 
     def __init__(
         self,
@@ -39,20 +51,26 @@
         outbox: Outbox,
         health: LocalHealth,
         random: SeededRandom,
-        suspect: Callable[[MemberRecord], None],
-        nobody_left: Callable[[], None],
+        apply: Callable[[MemberRecord], None],
+        on_no_members: Callable[[], None],
         now: int,
     ) -> None:
-        self.settings, self.table, self.outbox = settings, table, outbox
-        self.health, self.random = health, random
-        self.suspect, self.nobody_left = suspect, nobody_left
+        """`apply` takes up a suspicion; `on_no_members` is called where there is nobody to probe."""
+        self.settings = settings
+        self.table = table
+        self.outbox = outbox
+        self.health = health
+        self.random = random
+        self.apply = apply
+        self.on_no_members = on_no_members
         self.now = now
         self.phase = ProbePhase.IDLE
         self.target: Member | None = None
-        self.ping = -1  # number of the one that was sent to the target
-        self.pinged_at, self.late_at = now, -1
-        self.round: list[Member] = []  # yet to be probed in this round
-        self.relayed: dict[int, RelayedPing] = {}
+        self.ping_number = -1  # of the ping that was sent to the target
+        self.pinged_at = now
+        self.ping_deadline = -1
+        self.probe_order: list[Member] = []  # yet to be probed in this round, the next one last
+        self.relayed_pings: dict[int, RelayedPing] = {}  # by number of our ping
 
     def handle(self, event: ProbeEvent, now: int) -> None:
         """Move the probe under way."""
@@ -61,105 +79,108 @@
         effect(self)
 
     def interrupt(self) -> bool:
-        """After a standstill of our own what was not heard says nothing of others. Returns whether a probe
-        was open."""
-        waiting = self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
-        if waiting:
+        """Give up an open probe after a standstill of our own, whose silence says nothing of others.
+
+        Returns whether a probe was open.
+        """
+        was_open = self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
+        if was_open:
             self.phase = ProbePhase.IDLE
-        return waiting
+        return was_open
 
     def deadlines(self) -> list[int]:
-        """When a probe or a relayed ping is late."""
-        probe = [self.late_at] if self.phase is ProbePhase.DIRECT else []
-        return probe + [relayed.until for relayed in self.relayed.values()]
+        """When the ping under way or a relayed one times out."""
+        own = [self.ping_deadline] if self.phase is ProbePhase.DIRECT else []
+        return own + [relayed.deadline for relayed in self.relayed_pings.values()]
 
     # effects of the transitions
 
     def ping_next(self) -> None:
-        """Ping the next of the round: each once, in an order drawn anew each time."""
-        while self.round and not (self.round[-1].known and self.round[-1].live):
-            self.round.pop()
-        if not self.round:
+        """Ping the next member, round-robin in a random order drawn anew each round (SWIM, section 4.3)."""
+        while self.probe_order and not (self.probe_order[-1].is_known and self.probe_order[-1].is_live):
+            self.probe_order.pop()
+        if not self.probe_order:
             live = self.table.live()
-            self.round = self.random.sample(live, len(live))
-        if not self.round:
+            self.probe_order = self.random.sample(live, len(live))
+        if not self.probe_order:
             self.phase = ProbePhase.IDLE
-            return self.nobody_left()
-        self.target = self.round.pop()
+            self.on_no_members()
+            return
+        self.target = self.probe_order.pop()
         self.pinged_at = self.now
-        self.late_at = self.now + self.health.stretch(self.settings.ping_timeout)
+        self.ping_deadline = self.now + self.health.scale(self.settings.ping_timeout)
         record = self.target.record
-        self.ping = self.outbox.ping(record.host, record.port, self.target)
+        self.ping_number = self.outbox.ping(record.host, record.port, self.target)
 
     def ping_indirectly(self) -> None:
-        """Have others ping the target, who has not answered us."""
+        """Have other members ping the target, which has not answered us."""
         target = self.target
         assert target is not None
-        others = [m for m in self.table.live() if m is not target]
+        others = [member for member in self.table.live() if member is not target]
         relays = self.random.sample(others, self.settings.indirect_probes)
+        record = target.record
         for relay in relays:
-            self.outbox.send(
-                relay, wire.PingRequest(self.ping, target.name, target.record.host, target.record.port)
-            )
+            request = wire.PingRequest(self.ping_number, target.name, record.host, record.port)
+            self.outbox.send(relay, request)
         if relays:
-            self.health.worsen()  # until one of them says that it hears us
+            self.health.worsen()  # until one of them sends a nack: then it hears us
 
-    def accuse(self) -> None:
-        """Nobody has had an answer from the target: suspect it, and probe the next."""
+    def suspect_target(self) -> None:
+        """Suspect the target, from which nobody has had an ack, and probe the next."""
         target = self.target
         assert target is not None
-        if target.known and target.status is MemberStatus.ALIVE:
+        if target.is_known and target.status is MemberStatus.ALIVE:
             waited = self.now - self.pinged_at
             self.outbox.transport.log(f"{target.name} suspect: no answer in {waited}")
-        if target.known and target.live:
-            self.suspect(
-                wire.replace(target.record, status=MemberStatus.SUSPECT, suspected_by=self.table.me.name)
-            )
+        if target.is_known and target.is_live:
+            me = self.table.me.name
+            self.apply(wire.replace(target.record, status=MemberStatus.SUSPECT, suspected_by=me))
         self.ping_next()
 
-    def recover(self) -> None:
-        """The target has answered."""
+    def on_target_acknowledged(self) -> None:
+        """The target has answered, so our own links work."""
         self.health.improve()
 
-    # what comes in
-
-    def ack_received(self, member: Member, number: int, now: int) -> None:
-        """An answer to a ping: to our own, or to one relayed, which is passed on with the target's claim."""
-        if (
-            number == self.ping
-            and self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
-            and member is self.target
-        ):
-            self.handle(ProbeEvent.ANSWER, now)
-        relayed = self.relayed.pop(number, None)
+    # messages
+
+    def on_ack(self, member: Member, number: int, now: int) -> None:
+        """An ack of our own ping, or of a relayed one, which is passed on with the target's record."""
+        is_open = self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
+        if number == self.ping_number and is_open and member is self.target:
+            self.handle(ProbeEvent.ACK_RECEIVED, now)
+        relayed = self.relayed_pings.pop(number, None)
         if relayed is not None:
-            self.outbox.reply(relayed.asker, wire.Ack(relayed.number), (member.record,))
+            self.outbox.reply(relayed.requester, wire.Ack(relayed.number), (member.record,))
 
-    def nack_received(self, number: int) -> None:
-        """A relay hears us, though not the target: silence is not ours."""
-        if number == self.ping and self.phase is ProbePhase.INDIRECT:
+    def on_nack(self, number: int) -> None:
+        """A relay hears us, though not the target: the silence is not ours."""
+        if number == self.ping_number and self.phase is ProbePhase.INDIRECT:
             self.health.improve()
 
-    def relay(self, asker: MemberRecord, ask: wire.PingRequest, now: int) -> None:
-        """Ping a member for another."""
-        if len(self.relayed) < MOST_RELAYED:
-            number = self.outbox.ping(ask.host, ask.port)
-            self.relayed[number] = RelayedPing(asker, ask.seq, now + self.settings.ping_timeout)
+    def on_ping_request(self, requester: MemberRecord, request: wire.PingRequest, now: int) -> None:
+        """Ping a member on behalf of another."""
+        if len(self.relayed_pings) < MAX_RELAYED_PINGS:
+            number = self.outbox.ping(request.host, request.port)
+            deadline = now + self.settings.ping_timeout
+            self.relayed_pings[number] = RelayedPing(requester, request.seq, deadline)
 
-    def give_up_relayed(self, now: int) -> None:
-        """Tell those who asked that the target has not answered us either."""
-        for number in [n for n, relayed in self.relayed.items() if now >= relayed.until]:
-            relayed = self.relayed.pop(number)
-            self.outbox.reply(relayed.asker, wire.Nack(relayed.number))
+    def expire_relayed_pings(self, now: int) -> None:
+        """Send a nack for each relayed ping that was not answered in time."""
+        expired = [n for n, relayed in self.relayed_pings.items() if now >= relayed.deadline]
+        for number in expired:
+            relayed = self.relayed_pings.pop(number)
+            self.outbox.reply(relayed.requester, wire.Nack(relayed.number))
 
 
-Effect = Callable[[FailureDetector], Any]
+Effect = Callable[[FailureDetector], None]
 TRANSITIONS: dict[tuple[ProbePhase, ProbeEvent], tuple[ProbePhase, Effect]] = {
-    (ProbePhase.IDLE, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.ping_next),
-    (ProbePhase.DIRECT, ProbeEvent.ANSWER): (ProbePhase.ANSWERED, FailureDetector.recover),
-    (ProbePhase.DIRECT, ProbeEvent.LATE): (ProbePhase.INDIRECT, FailureDetector.ping_indirectly),
-    (ProbePhase.DIRECT, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.accuse),
-    (ProbePhase.INDIRECT, ProbeEvent.ANSWER): (ProbePhase.ANSWERED, FailureDetector.recover),
-    (ProbePhase.INDIRECT, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.accuse),
-    (ProbePhase.ANSWERED, ProbeEvent.PERIOD): (ProbePhase.DIRECT, FailureDetector.ping_next),
-}
+    (ProbePhase.IDLE, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.ping_next),
+    (ProbePhase.DIRECT, ProbeEvent.ACK_RECEIVED): (
+        ProbePhase.ACKNOWLEDGED, FailureDetector.on_target_acknowledged),
+    (ProbePhase.DIRECT, ProbeEvent.PING_TIMED_OUT): (ProbePhase.INDIRECT, FailureDetector.ping_indirectly),
+    (ProbePhase.DIRECT, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.suspect_target),
+    (ProbePhase.INDIRECT, ProbeEvent.ACK_RECEIVED): (
+        ProbePhase.ACKNOWLEDGED, FailureDetector.on_target_acknowledged),
+    (ProbePhase.INDIRECT, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.suspect_target),
+    (ProbePhase.ACKNOWLEDGED, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.ping_next),
+}  # fmt: skip
--- a/lapistrestle/fleet/gossip_counters.py
+++ b/lapistrestle/fleet/gossip_counters.py
@@ -1,9 +1,9 @@
-"""Counters that dispatchers gossip: they only grow, and are kept by process. Free of I/O (docs/fleet.md).
+"""Counters that dispatchers gossip: they only grow, and are held by process. Free of I/O (docs/fleet.md).
 
-A row is one process's counters as of a moment on its own clock. The newest row of a process holds, so a lost,
-doubled, late or reordered datagram changes nothing but ages. Rates come from two rows of the same process, by
-its own clock. What a row counts for is bounded three ways: by its age, by what one dispatcher can do at all,
-and by what the others do.
+This is the grow-only counter of Shapiro et al., "Conflict-Free Replicated Data Types" (SSS 2011): the newest
+snapshot of a process holds, so a lost, doubled, late or reordered datagram changes nothing but ages. Rates
+come from two snapshots of one process, by its own clock. What a process counts for is bounded three ways: by
+the snapshot's age, by what one dispatcher can do at all, and by what the others do.
 """
 
 from collections import deque
@@ -11,96 +11,125 @@
 from dataclasses import dataclass, field
 from heapq import nsmallest
 from operator import add
+from typing import NamedTuple
 from zlib import crc32
 
 import numpy as np
+import numpy.typing as npt
 
 from lapistrestle.wire import fleet as wire
-from lapistrestle.wire.fleet import CounterSnapshot
+from lapistrestle.wire.fleet import CounterSnapshot, ProcessId
 
-SECOND = 10_000  # in tenths of a millisecond
+SECOND = 10_000  # in ticks of 0.1 ms
 MAX_OVER_MEDIAN = 100.0  # bound of one process's rate over the median: fifty times is known to happen
-MIN_REPORTERS = 3  # under which there is no median to hold one against
-TRANSMISSIONS = 3  # of a row by each that holds it: one in twenty misses it, and gets the next
-SAMPLES = 8  # kept of each process
-CANDIDATES = 40  # rows of others weighed for one datagram
+MIN_REPORTERS = 3  # under which there is no median to hold a rate against
+TRANSMISSIONS = 3  # of a snapshot by each that holds it: one in twenty misses it, and gets the next
+MAX_SAMPLES = 8  # kept of each process
+SAMPLES_IN_WINDOW = MAX_SAMPLES - 3  # kept ones are at least this part of the rate window apart
+CANDIDATES = 40  # snapshots of others weighed for one datagram: bounds the work of each
+
+Rates = npt.NDArray[np.float64]  # by counter, a second
 
 
 @dataclass(frozen=True)
 class CounterSettings:
-    """When rows are sent and what they are worth. Spans are whole tenths of a millisecond."""
+    """When snapshots are sent, and for how long they count. Durations are whole ticks of 0.1 ms."""
 
     send_interval: int = SECOND // 2
-    refresh_interval: int = SECOND  # between two rows of one's own
-    full_weight_age: int = 3 * SECOND  # a row counts whole until it is so old
-    expiry_age: int = 10 * SECOND  # and nothing from then on
-    rate_window: int = 2 * SECOND  # rates are taken over at least so long, by the reporter's clock
-    max_rate: float = 100_000.0  # of any column a second: what one dispatcher can do at all
-    max_datagrams: int = 10  # at one sending
+    refresh_interval: int = SECOND  # between two snapshots of one's own counters
+    full_weight_age: int = 3 * SECOND  # up to which a snapshot counts in full
+    expiry_age: int = 10 * SECOND  # from which on it counts for nothing
+    rate_window: int = 2 * SECOND  # over which rates are taken at the least, by the reporter's clock
+    max_rate: float = 100_000.0  # of any counter, a second: what one dispatcher can do at all
+    max_datagrams: int = 10  # of one round of gossip
+
+
+class Sample(NamedTuple):
+    """Counters at one moment of the reporter's clock."""
+
+    at: int
+    counts: tuple[int, ...]
 
 
 @dataclass(eq=False)
 class Reporter:
-    """One process, as far as its rows are known."""
-
-    process_id: tuple[str, int, int]
-    snapshot: CounterSnapshot
-    valid_at: int  # on our clock: when the newest row was true, at the latest
-    transmissions: int = 0  # of the newest row, by us
-    samples: deque[tuple[int, tuple[int, ...]]] = field(default_factory=lambda: deque(maxlen=SAMPLES))
-    rates: np.ndarray | None = None  # for each column, a second of its own clock; None while there is one row
+    """One process, as far as its counters are known."""
+
+    process_id: ProcessId
+    snapshot: CounterSnapshot  # the newest
+    valid_at: int  # on our clock: when the newest snapshot was taken, at the latest
+    transmissions: int = 0  # of the newest snapshot, by us
+    samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    rates: Rates | None = None  # by its own clock; None while there is one snapshot
+
+    def add_snapshot(self, snapshot: CounterSnapshot, now: int, rate_window: int) -> None:
+        """Take up a newer snapshot of the same process."""
+        self.snapshot = snapshot
+        self.valid_at = now - snapshot.age
+        self.transmissions = 0
+        shortest = rate_window // SAMPLES_IN_WINDOW
+        if len(self.samples) > 1 and self.samples[-1].at - self.samples[-2].at < shortest:
+            self.samples.pop()  # so that the kept ones span the window however often it reports
+        self.samples.append(Sample(snapshot.at, snapshot.counts))
+        self.update_rates(rate_window)
 
     def update_rates(self, rate_window: int) -> None:
-        """The rates anew, from the newest row and one a window before it."""
-        newest_at, newest = self.samples[-1]
-        then = next((s for s in reversed(self.samples) if newest_at - s[0] >= rate_window), self.samples[0])
-        lasts = newest_at - then[0]
-        if lasts > 0:
-            self.rates = (np.array(newest, float) - np.array(then[1], float)) * (SECOND / lasts)
+        """Compute the rates from the newest sample and one a window before it."""
+        newest = self.samples[-1]
+        earlier = (s for s in reversed(self.samples) if newest.at - s.at >= rate_window)
+        first = next(earlier, self.samples[0])
+        duration = newest.at - first.at
+        if duration > 0:
+            growth = np.array(newest.counts, float) - np.array(first.counts, float)
+            self.rates = growth * (SECOND / duration)
 
 
 @dataclass(frozen=True)
 class FleetStatistics:
-    """What the fleet does, a second, and the counters themselves added up. `counted` of `size` are in them,
-    the others are too old or unheard of; `age` is that of the oldest counted, in tenths of a millisecond."""
+    """What the fleet does, and how far that is known."""
 
-    rates: Mapping[str, float]
-    totals: Mapping[str, int]
-    counted: int
-    size: int
-    age: int
+    rates: Mapping[str, float]  # by counter, a second
+    totals: Mapping[str, int]  # the counters added up
+    counted: int  # members that are in them; the others are too old or never heard
+    size: int  # of the fleet
+    age: int  # of the oldest snapshot counted, in ticks
 
 
 class GossipCounters:
-    """`columns`: names of the counters, the same and in the same order at every dispatcher of a layout."""
+    """The counters of this process, and the newest that is known of the others'."""
 
     def __init__(
-        self, columns: Sequence[str], process_id: tuple[str, int, int], settings: CounterSettings, now: int
+        self, columns: Sequence[str], process_id: ProcessId, settings: CounterSettings, now: int
     ) -> None:
-        self.columns, self.settings = {name: i for i, name in enumerate(columns)}, settings
+        """`columns` names the counters, the same and in the same order at every dispatcher of a layout."""
+        self.columns = {name: i for i, name in enumerate(columns)}
+        self.settings = settings
         self.layout = crc32("\n".join(columns).encode())
-        self.process_id, self.counts = process_id, [0] * len(columns)
-        self.seq, self.made_at = 0, now
-        self.reporters: dict[str, Reporter] = {}  # others, and oneself
-        self.rejected = 0
+        self.process_id = process_id
+        self.counts = [0] * len(columns)
+        self.seq = 0
+        self.refreshed_at = now
+        self.reporters: dict[str, Reporter] = {}  # by name, oneself among them
+        self.rejected = 0  # snapshots and datagrams that can not be right
         self.refresh_own(now)
 
     def add(self, column: str, amount: int = 1) -> None:
-        """Count something of one's own; amounts are never negative."""
+        """Add to a counter of one's own; a negative amount counts as none."""
         self.counts[self.columns[column]] += max(0, amount)
 
-    # one's own rows, and others' to pass on
+    # snapshots to send
 
     def refresh_own(self, now: int) -> None:
-        """A new row of one's own."""
-        self.seq, self.made_at = self.seq + 1, now
+        """Take a new snapshot of one's own counters."""
+        self.seq += 1
+        self.refreshed_at = now
         snapshot = CounterSnapshot(*self.process_id, self.seq, now, 0, tuple(self.counts))
         own = self.reporters.setdefault(self.process_id[0], Reporter(self.process_id, snapshot, now))
-        self.append(own, snapshot, now)
+        own.add_snapshot(snapshot, now, self.settings.rate_window)
 
-    def snapshots_to_send(self, now: int, room: int) -> list[CounterSnapshot]:
-        """One's own row and those of others that were passed on least, as many as fit into `room` bytes."""
-        if now - self.made_at >= self.settings.refresh_interval:
+    def snapshots_to_send(self, now: int, free_bytes: int) -> list[CounterSnapshot]:
+        """One's own snapshot, and of the others' those least transmitted, as many as fit."""
+        if now - self.refreshed_at >= self.settings.refresh_interval:
             self.refresh_own(now)
         others = [
             reporter
@@ -109,33 +138,33 @@
             and reporter.transmissions < TRANSMISSIONS
             and now - reporter.valid_at < self.settings.expiry_age
         ]
-        chosen = [self.reporters[self.process_id[0]], *nsmallest(CANDIDATES, others, key=self.send_order)]
+        own = self.reporters[self.process_id[0]]
         snapshots = list[CounterSnapshot]()
-        for reporter in chosen:
+        for reporter in [own, *nsmallest(CANDIDATES, others, key=least_transmitted)]:
             snapshot = wire.with_age(reporter.snapshot, max(0, now - reporter.valid_at))
-            room -= wire.encoded_size(snapshot)
-            if room < 0:
+            free_bytes -= wire.encoded_size(snapshot)
+            if free_bytes < 0:
                 break
             snapshots.append(snapshot)
             reporter.transmissions += 1
         return snapshots
 
-    @staticmethod
-    def send_order(reporter: Reporter) -> tuple[int, int]:
-        """Least passed on first, then the youngest."""
-        return reporter.transmissions, -reporter.valid_at
+    def datagrams_per_round(self, size: int, snapshot_bytes: int) -> int:
+        """How many datagrams to send in one round of gossip.
 
-    def datagrams_per_round(self, size: int, row_bytes: int) -> int:
-        """How many to send at one time, so that all rows get round within two refreshes of a fleet of that
-        size, and no more than the bound: beyond it figures are older, not dearer."""
-        fit = max(1, (wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES) // max(1, row_bytes))
-        wanted = (
-            size * TRANSMISSIONS * self.settings.send_interval / (fit * 2 * self.settings.refresh_interval)
-        )
-        return int(max(1, min(self.settings.max_datagrams, wanted)))
+        So many that all snapshots get round within two refreshes of a fleet of that size, and no more than
+        the bound: beyond it statistics get older, not dearer.
+        """
+        per_datagram = max(1, (wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES) // max(1, snapshot_bytes))
+        settings = self.settings
+        sendings = size * TRANSMISSIONS * settings.send_interval
+        wanted = sendings / (per_datagram * 2 * settings.refresh_interval)
+        return int(max(1, min(settings.max_datagrams, wanted)))
+
+    # snapshots received
 
     def on_snapshots(self, layout: int, snapshots: Collection[CounterSnapshot], now: int) -> None:
-        """Rows came, the sender's own and others that it passes on."""
+        """Snapshots arrived, the sender's own and others that it passes on."""
         if layout != self.layout:
             self.rejected += 1
             return
@@ -144,85 +173,88 @@
                 self.accept(snapshot, now)
 
     def accept(self, snapshot: CounterSnapshot, now: int) -> None:
-        """Take a row up if it is newer than what is held of its process."""
+        """Take a snapshot up if it is newer than the one held of its process."""
         process_id = (snapshot.name, snapshot.boot, snapshot.nonce)
         reporter = self.reporters.get(snapshot.name)
-        if len(snapshot.counts) != len(self.columns) or (reporter and process_id < reporter.process_id):
+        is_old_process = reporter is not None and process_id < reporter.process_id
+        if len(snapshot.counts) != len(self.columns) or is_old_process:
             return
-        if reporter is None or process_id > reporter.process_id:  # a restart counts from nothing again
-            reporter = self.reporters[snapshot.name] = Reporter(process_id, snapshot, now - snapshot.age)
-            reporter.samples.append((snapshot.at, snapshot.counts))
+        if reporter is None or process_id > reporter.process_id:  # a restart counts from zero again
+            reporter = Reporter(process_id, snapshot, now - snapshot.age)
+            reporter.samples.append(Sample(snapshot.at, snapshot.counts))
+            self.reporters[snapshot.name] = reporter
             return
-        if snapshot.seq == reporter.snapshot.seq:
-            reporter.valid_at = max(reporter.valid_at, min(now, now - snapshot.age))  # by a shorter way
+        held = reporter.snapshot
+        if snapshot.seq == held.seq:  # by a shorter way it is known to be younger
+            reporter.valid_at = max(reporter.valid_at, min(now, now - snapshot.age))
             return
-        if snapshot.seq < reporter.snapshot.seq:
+        if snapshot.seq < held.seq:
             return  # late
-        shrunk = any(b < a for a, b in zip(reporter.snapshot.counts, snapshot.counts, strict=True))
-        if (
-            shrunk or snapshot.at <= reporter.snapshot.at
-        ):  # guards against one that tells nonsense; it counts nothing
+        has_shrunk = any(new < old for old, new in zip(held.counts, snapshot.counts, strict=True))
+        if has_shrunk or snapshot.at <= held.at:  # guards against a faulty reporter
             self.rejected += 1
             return
-        self.append(reporter, snapshot, now)
-
-    def append(self, reporter: Reporter, snapshot: CounterSnapshot, now: int) -> None:
-        """A newer row of the same process."""
-        reporter.snapshot, reporter.valid_at, reporter.transmissions = snapshot, now - snapshot.age, 0
-        samples = reporter.samples
-        if len(samples) > 1 and samples[-1][0] - samples[-2][0] < self.settings.rate_window // (SAMPLES - 3):
-            samples.pop()  # so that the kept ones span the window however often it tells
-        samples.append((snapshot.at, snapshot.counts))
-        reporter.update_rates(self.settings.rate_window)
+        reporter.add_snapshot(snapshot, now, self.settings.rate_window)
 
     def forget(self, name: str) -> None:
-        """That process is known no more."""
+        """Drop what is known of a member that is forgotten."""
         self.reporters.pop(name, None)
 
-    # what follows
-
-    def weight(self, reporter: Reporter, now: int) -> float:
-        """Whole while fresh, then less, and nothing once old."""
-        full_weight_age, old, age = (
-            self.settings.full_weight_age,
-            self.settings.expiry_age,
-            now - reporter.valid_at,
-        )
-        return min(1.0, max(0.0, (old - age) / (old - full_weight_age)))
-
-    def statistics(self, now: int, present: Callable[[str], bool], size: int) -> FleetStatistics:
-        """Of oneself and all that are `present`, each within its bounds; one's own figures as they are."""
-        own, age, totals = self.own_rates(), 0, list(self.counts)
-        weights, parts = list[float](), [own]
+    # statistics
+
+    def age_weight(self, reporter: Reporter, now: int) -> float:
+        """What a reporter counts for: 1 up to `full_weight_age`, falling to 0 at `expiry_age`."""
+        full, expiry = self.settings.full_weight_age, self.settings.expiry_age
+        age = now - reporter.valid_at
+        return min(1.0, max(0.0, (expiry - age) / (expiry - full)))
+
+    def statistics(self, now: int, is_present: Callable[[str], bool], size: int) -> FleetStatistics:
+        """Those of oneself, as they are, and of all others that are present, each within its bounds."""
+        own = self.own_rates()
+        reported = [own]
+        weights = list[float]()
+        totals = list(self.counts)
+        oldest = 0
         for name, reporter in self.reporters.items():
-            if name == self.process_id[0] or reporter.rates is None or not present(name):
+            if name == self.process_id[0] or reporter.rates is None or not is_present(name):
                 continue
-            if (weight := self.weight(reporter, now)) > 0:
+            if (weight := self.age_weight(reporter, now)) > 0:
                 weights.append(weight)
-                parts.append(reporter.rates)
+                reported.append(reporter.rates)
                 totals = list(map(add, totals, reporter.snapshot.counts))
-                age = max(age, now - reporter.valid_at)
+                oldest = max(oldest, now - reporter.valid_at)
         rates = own
         if weights:
-            said = np.array(parts)
-            cap = np.full(len(own), float(self.settings.max_rate))
-            if len(parts) >= MIN_REPORTERS:
-                cap = np.minimum(cap, MAX_OVER_MEDIAN * np.maximum(1.0, np.median(said, axis=0)))
-            rates = own + np.array(weights) @ np.minimum(said[1:], cap)
-        return self.named(rates, totals, 1 + len(weights), size, age)
+            by_reporter = np.array(reported)
+            rates = own + np.array(weights) @ np.minimum(by_reporter[1:], self.rate_bounds(by_reporter))
+        return self.by_column(rates, totals, 1 + len(weights), size, oldest)
+
+    def rate_bounds(self, by_reporter: Rates) -> Rates:
+        """The greatest rate of each counter that one reporter counts for."""
+        bounds = np.full(by_reporter.shape[1], float(self.settings.max_rate))
+        if len(by_reporter) >= MIN_REPORTERS:
+            median = np.median(by_reporter, axis=0)
+            bounds = np.minimum(bounds, MAX_OVER_MEDIAN * np.maximum(1.0, median))
+        return bounds
 
     def own_statistics(self) -> FleetStatistics:
-        """Of oneself only."""
-        return self.named(self.own_rates(), self.counts, 1, 1, 0)
+        """Those of oneself only."""
+        return self.by_column(self.own_rates(), self.counts, 1, 1, 0)
 
-    def own_rates(self) -> np.ndarray:
-        """Of oneself; 0 while there is one row."""
+    def own_rates(self) -> Rates:
+        """Rates of oneself; 0 while there is one snapshot."""
         rates = self.reporters[self.process_id[0]].rates
         return np.zeros(len(self.columns)) if rates is None else rates
 
-    def named(
-        self, rates: np.ndarray, totals: Sequence[int], counted: int, size: int, age: int
+    def by_column(
+        self, rates: Rates, totals: Sequence[int], counted: int, size: int, age: int
     ) -> FleetStatistics:
-        """Figures by the names of columns."""
-        by_name = dict(zip(self.columns, rates.tolist(), strict=True))
-        return FleetStatistics(by_name, dict(zip(self.columns, totals, strict=True)), counted, size, age)
+        """Statistics under the names of the counters."""
+        rates_by_name = dict(zip(self.columns, rates.tolist(), strict=True))
+        totals_by_name = dict(zip(self.columns, totals, strict=True))
+        return FleetStatistics(rates_by_name, totals_by_name, counted, size, age)
+
+
+def least_transmitted(reporter: Reporter) -> tuple[int, int]:
+    """Order of sending: the least transmitted first, of these the youngest."""
+    return reporter.transmissions, -reporter.valid_at
--- a/lapistrestle/fleet/member_table.py
+++ b/lapistrestle/fleet/member_table.py
@@ -1,5 +1,8 @@
-"""What is believed of each member, free of I/O. What is said of a member is a claim, and of two claims the
-greater holds whatever came first, so lost, doubled and late datagrams lead to the same belief."""
+"""What one member believes of all others, free of I/O.
+
+Of two records of one member the one with the greater precedence overrides, whichever came first (SWIM,
+section 4.2). So lost, doubled and late datagrams lead to the same table.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -7,27 +10,36 @@
 
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-MAX_CONFIRMATIONS = 3  # further accusers after whom the least suspicion is enough
-OLD_NEWS = 4  # transmissions that the claim of one counts as having had who was dead before we heard of it
+MAX_CONFIRMATIONS = 3  # independent suspicions after which the shortest timeout holds (Lifeguard's K)
+INITIAL_TRANSMISSIONS_OF_DEAD = 4  # of one that was dead before we heard of it: hardly worth passing on
+
+
+class LocalState(Enum):
+    """What this member itself is in its fleet."""
+
+    JOINING = 1  # no other member has answered yet
+    MEMBER = 2
+    DISPLACED = 3  # another process has this member's name
+    LEFT = 4
+
 
-LocalState = Enum("LocalState", "JOINING MEMBER DISPLACED LEFT")  # of oneself
 ACTIVE_STATES = (LocalState.JOINING, LocalState.MEMBER)
 
 
 @dataclass(eq=False)
 class Member:
-    """Another dispatcher, as far as it is known."""
+    """Another member, as far as it is known."""
 
     record: MemberRecord
-    since: int  # when its rank last changed
-    last_heard_at: int = -1  # when it last spoke to us itself
-    transmissions: int = 0  # how often this claim was passed on
-    suspecters: set[str] = field(default_factory=set)
-    known: bool = True
+    status_since: int  # when its status last changed, in ticks on our clock
+    last_heard_at: int = -1  # when it last sent us a datagram itself; -1: never
+    transmissions: int = 0  # how often this record was piggybacked
+    suspected_by: set[str] = field(default_factory=set)  # members that suspect it independently
+    is_known: bool = True  # False once it was forgotten
 
     @property
     def name(self) -> str:
-        """The same in all its lives."""
+        """The member's name, the same after a restart."""
         return self.record.name
 
     @property
@@ -36,84 +48,93 @@
         return self.record.status
 
     @property
-    def live(self) -> bool:
-        """Whether it counts as there: a suspect still does."""
+    def is_live(self) -> bool:
+        """Whether it counts as present: a suspect still does."""
         return self.record.status <= MemberStatus.SUSPECT
 
 
 class MemberTable:
-    """One dispatcher's beliefs of all. `me` is its own claim, `changed` is called with each member of whom
-    another claim holds, or who is forgotten."""
+    """One member's beliefs of all others, and its own record and state."""
 
-    def __init__(self, me: MemberRecord, changed: Callable[[Member], None]) -> None:
-        self.me, self.changed = me, changed
+    def __init__(self, me: MemberRecord, on_member_changed: Callable[[Member], None]) -> None:
+        """`me` is one's own record; `on_member_changed` is called when a record overrides or is forgotten."""
+        self.me = me
+        self.on_member_changed = on_member_changed
         self.state = LocalState.JOINING
         self.members: dict[str, Member] = {}
-        self.news: dict[Member, None] = {}  # whose claims are still to be passed on
+        self.dissemination_buffer: dict[Member, None] = {}  # whose records are still to be piggybacked
         self.suspected: dict[Member, None] = {}
-        self.live_by_name: list[Member] | None = []  # None: to be made anew
+        self.sorted_live: list[Member] | None = []  # None: to be computed anew
 
     def live(self) -> list[Member]:
-        """Others that count as there, by name."""
-        if self.live_by_name is None:
-            self.live_by_name = [m for _, m in sorted(self.members.items()) if m.live]
-        return self.live_by_name
+        """Other members that count as present, by name."""
+        if self.sorted_live is None:
+            self.sorted_live = [member for _, member in sorted(self.members.items()) if member.is_live]
+        return self.sorted_live
 
     @property
     def size(self) -> int:
-        """How many count as there, oneself included; a displaced or left one is alone and no member."""
+        """How many count as present, oneself included; 0 for one that is displaced or has left."""
         return 1 + len(self.live()) if self.state in ACTIVE_STATES else 0
 
     def apply(self, record: MemberRecord, now: int) -> None:
-        """Take up a claim about another if it is greater than what is held."""
+        """Take up a record of another member if it overrides the one held."""
         member = self.members.get(record.name)
         if member is None:
             member = self.insert(record, now)
         elif record.precedence > member.record.precedence:
-            self.replace(member, record, now)
+            self.override(member, record, now)
         else:
-            return self.confirm(member, record)
+            self.confirm_suspicion(member, record)
+            return
         if record.status is MemberStatus.SUSPECT:
-            member.suspecters |= {record.suspected_by} if record.suspected_by else set()
+            if record.suspected_by:
+                member.suspected_by.add(record.suspected_by)
             self.suspected[member] = None
         else:
             self.suspected.pop(member, None)
-        self.news[member] = None
-        self.changed(member)
+        self.dissemination_buffer[member] = None
+        self.on_member_changed(member)
 
     def insert(self, record: MemberRecord, now: int) -> Member:
-        """One of whom nothing was known."""
-        member = self.members[record.name] = Member(record, now)
-        self.live_by_name = None
+        """Add a member of which nothing was known."""
+        member = Member(record, now)
+        self.members[record.name] = member
+        self.sorted_live = None
         if record.status >= MemberStatus.DEAD:
-            member.transmissions = OLD_NEWS
+            member.transmissions = INITIAL_TRANSMISSIONS_OF_DEAD
         return member
 
-    def replace(self, member: Member, record: MemberRecord, now: int) -> None:
-        """A greater claim holds."""
+    def override(self, member: Member, record: MemberRecord, now: int) -> None:
+        """Replace a member's record by one with greater precedence."""
         held = member.record
-        if record.status != held.status or record.process_id != held.process_id:
-            member.since, self.live_by_name = now, None
-        if record.process_id != held.process_id or record.incarnation != held.incarnation:
-            member.suspecters.clear()
-        member.record, member.transmissions = record, 0
-
-    def confirm(self, member: Member, record: MemberRecord) -> None:
-        """A further accuser of the same suspicion is news; who says that a member is there accuses nobody."""
+        same_process = record.process_id == held.process_id
+        if record.status != held.status or not same_process:
+            member.status_since = now
+            self.sorted_live = None
+        if not same_process or record.incarnation != held.incarnation:
+            member.suspected_by.clear()
+        member.record = record
+        member.transmissions = 0
+
+    def confirm_suspicion(self, member: Member, record: MemberRecord) -> None:
+        """Count an independent suspicion of the same incarnation (Lifeguard's LHA-Suspicion)."""
         if record.status is MemberStatus.ALIVE or record.precedence != member.record.precedence:
             return
-        if not record.suspected_by or record.suspected_by in member.suspecters:
+        if not record.suspected_by or record.suspected_by in member.suspected_by:
             return
-        member.suspecters.add(record.suspected_by)
-        if len(member.suspecters) <= MAX_CONFIRMATIONS + 1:
-            member.record, member.transmissions = record, 0
-        self.news[member] = None
+        member.suspected_by.add(record.suspected_by)
+        if len(member.suspected_by) <= MAX_CONFIRMATIONS + 1:
+            member.record = record
+            member.transmissions = 0
+        self.dissemination_buffer[member] = None
 
     def forget(self, before: int) -> None:
-        """Drop those that have been dead or gone since before that moment."""
-        for member in [m for m in self.members.values() if not m.live and m.since < before]:
+        """Drop members that have been dead or gone since before that moment."""
+        expired = [m for m in self.members.values() if not m.is_live and m.status_since < before]
+        for member in expired:
             del self.members[member.name]
-            self.news.pop(member, None)
+            self.dissemination_buffer.pop(member, None)
             self.suspected.pop(member, None)
-            member.known = False
-            self.changed(member)
+            member.is_known = False
+            self.on_member_changed(member)
--- a/lapistrestle/fleet/membership.py
+++ b/lapistrestle/fleet/membership.py
@@ -1,8 +1,8 @@
-"""SWIM membership with Lifeguard's local health, free of I/O (sources: docs/fleet.md).
+"""SWIM membership with Lifeguard's local health, free of I/O (sources and cases: docs/fleet.md).
 
-A driver hands in datagrams (`heard`) and calls `tick` when `due`; what is to be done goes to a
-`MembershipTransport`. Only a member itself raises its incarnation. What is believed of others is in `table`,
-probes are in `probing`, their time to refute in `suspicion`, and how claims spread in `dissemination`.
+A driver hands in datagrams (`on_message`) and calls `tick` at `next_deadline`; what is to be done goes to a
+`MembershipTransport`. Only a member itself raises its incarnation. Beliefs of others are in `member_table`,
+probes in `failure_detector`, their timeouts in `suspicion`, and how updates spread in `dissemination`.
 """
 
 from collections.abc import Iterable
@@ -12,15 +12,15 @@
 from lapistrestle.fleet.member_table import ACTIVE_STATES, LocalState, Member, MemberTable
 from lapistrestle.fleet.seeded_random import SeededRandom
 from lapistrestle.fleet.settings import Address, MembershipSettings
-from lapistrestle.fleet.suspicion import MAX_SUSPICION, LocalHealth, suspicion_ends
+from lapistrestle.fleet.suspicion import MAX_SUSPICION_FACTOR, LocalHealth, suspicion_deadline
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-MOST_SEEDS = 5  # spoken to at the start
+MAX_SEEDS_AT_START = 5  # pinged at once
 
 
 class Membership:
-    """One dispatcher's part in its fleet. `me` says its name, boot, nonce, address and zone."""
+    """One dispatcher's part in its fleet."""
 
     def __init__(
         self,
@@ -30,247 +30,265 @@
         seed: int,
         now: int,
     ) -> None:
-        self.transport, self.settings, self.now = transport, settings, now
-        self.health, self.random = LocalHealth(), SeededRandom(seed)
-        self.table = MemberTable(me, transport.changed)
+        """`me` gives this member's name, boot, nonce, address and zone."""
+        self.transport = transport
+        self.settings = settings
+        self.now = now
+        self.health = LocalHealth()
+        self.random = SeededRandom(seed)
+        self.table = MemberTable(me, transport.on_member_changed)
         self.outbox = Outbox(transport, self.table)
         self.sync = TableSync(self.outbox, self.table)
         self.detector = FailureDetector(
-            settings, self.table, self.outbox, self.health, self.random, self.apply, self.nobody_left, now
+            settings,
+            self.table,
+            self.outbox,
+            self.health,
+            self.random,
+            self.apply,
+            self.on_no_members,
+            now,
         )
         self.next_period = now
-        self.periods = self.retries = 0
-        self.rival: MemberRecord | None = None  # another process under our name, whose claim is greater
-        self.rival_heard = now
+        self.periods = 0
+        self.reconnects = 0
+        self.name_holder: MemberRecord | None = None  # another process that has taken our name
+        self.name_holder_heard_at = now
 
     # what others read
 
     @property
     def me(self) -> MemberRecord:
-        """What this member says of itself."""
+        """The record that this member gives of itself."""
         return self.table.me
 
     @property
     def state(self) -> LocalState:
-        """Whether oneself is a member."""
+        """What this member itself is in its fleet."""
         return self.table.state
 
     @property
     def members(self) -> dict[str, Member]:
-        """Others that are known, by name."""
+        """Other members that are known, by name."""
         return self.table.members
 
     @property
     def size(self) -> int:
-        """How many count as there, oneself included; 0: we are no member."""
+        """How many count as present, oneself included; 0 for one that is displaced or has left."""
         return self.table.size
 
     def live(self) -> list[Member]:
-        """Others that count as there, by name."""
+        """Other members that count as present, by name."""
         return self.table.live()
 
     @property
-    def due(self) -> int:
+    def next_deadline(self) -> int:
         """When `tick` is to be called next."""
-        suspicions = [self.suspicion_ends(m) for m in self.table.suspected]
+        suspicions = [self.suspicion_deadline(member) for member in self.table.suspected]
         return min([self.next_period, *self.detector.deadlines(), *suspicions])
 
-    def suspicion_ends(self, member: Member) -> int:
+    def suspicion_deadline(self, member: Member) -> int:
         """When a suspect counts as dead."""
-        return suspicion_ends(member, self.size, self.settings, self.health)
+        return suspicion_deadline(member, self.size, self.settings, self.health)
 
-    # begin and end
+    # start and leave
 
     def start(self, now: int) -> None:
-        """Speak to the seeds."""
+        """Ping the seeds."""
         self.now = now
-        for host, port in self.settings.seeds[:MOST_SEEDS]:
+        for host, port in self.settings.seeds[:MAX_SEEDS_AT_START]:
             self.outbox.ping(host, port)
         self.next_period = now + self.settings.protocol_period // 4
 
     def leave(self, now: int) -> None:
-        """Say that this boot is over, to some directly; it is not taken back."""
+        """Tell some members directly that this process leaves; it is not taken back."""
         if self.state in ACTIVE_STATES:
             self.now = now
             self.table.me = wire.replace(self.me, status=MemberStatus.LEFT)
             for member in self.random.sample(self.live(), retransmit_limit(self.size)):
                 self.outbox.send(member, wire.Ack(0))
-            self.enter(LocalState.LEFT, "left in order")
+            self.set_state(LocalState.LEFT, "left in order")
 
-    def enter(self, state: LocalState, why: str) -> None:
-        """Change the state of oneself, with a log line."""
+    def set_state(self, state: LocalState, reason: str) -> None:
+        """Change this member's state, with a log line."""
         if state is not self.state:
             self.table.state = state
             figures = f"{self.size} there, doubt {self.health.score}"
-            self.transport.log(f"fleet {state.name.lower()}: {why}, {figures}")
+            self.transport.log(f"fleet {state.name.lower()}: {reason}, {figures}")
 
-    def nobody_left(self) -> None:
+    def on_no_members(self) -> None:
         """There is nobody to probe: join anew."""
         if self.state is LocalState.MEMBER:
-            self.enter(LocalState.JOINING, "nobody else is there")
+            self.set_state(LocalState.JOINING, "nobody else is there")
 
-    # what is heard
+    # messages
 
     def on_message(
         self, sender: MemberRecord, message: wire.Message, records: Iterable[MemberRecord], now: int
     ) -> None:
-        """A datagram of this fleet came."""
+        """A datagram of this fleet arrived."""
         self.now = now
         if self.state is LocalState.LEFT or sender.process_id == self.me.process_id:
             return
         if sender.name == self.me.name:
-            return self.met_namesake(sender, message)
+            self.on_name_conflict(sender, message)
+            return
         before = self.members.get(sender.name)
-        returns = before is not None and before.status is MemberStatus.DEAD
+        was_dead = before is not None and before.status is MemberStatus.DEAD
         for record in (sender, *records):
             self.apply(record)
         member = self.members.get(sender.name)
         if self.state is LocalState.DISPLACED or member is None:
             return
-        if (
-            member.record.process_id != sender.process_id
-        ):  # another has taken its place, and it has to hear of that
+        if member.record.process_id != sender.process_id:  # another has its name, and it has to hear of that
             if isinstance(message, wire.Ping):
                 self.outbox.reply(sender, wire.Ack(0), (member.record,))
             return
         member.last_heard_at = now
-        if self.state is LocalState.JOINING and member.live:
-            self.enter(LocalState.MEMBER, f"{member.name} answers")
-            returns = True
-        if returns and member.live:  # it may know of many that we don't, or hold dead
-            self.sync.read_whole(sender)
-        self.handle(member, sender, message, records)
-
-    def handle(
+        joins = self.state is LocalState.JOINING and member.is_live
+        if joins:
+            self.set_state(LocalState.MEMBER, f"{member.name} answers")
+        if (joins or was_dead) and member.is_live:  # it may know of many that we don't, or hold dead
+            self.sync.read_table(sender)
+        self.dispatch(member, sender, message, records)
+
+    def dispatch(
         self, member: Member, sender: MemberRecord, message: wire.Message, records: Iterable[MemberRecord]
     ) -> None:
-        """A word from a member."""
+        """Handle a message by its type; those of counters and leases concern others."""
         match message:
             case wire.Ping(number):
                 self.outbox.send(member, wire.Ack(number))
             case wire.Ack(number):
-                self.detector.ack_received(member, number, self.now)
+                self.detector.on_ack(member, number, self.now)
             case wire.PingRequest():
-                self.detector.relay(sender, message, self.now)
+                self.detector.on_ping_request(sender, message, self.now)
             case wire.Nack(number):
-                self.detector.nack_received(number)
+                self.detector.on_nack(number)
             case wire.PageRequest(after):
                 self.sync.send_page(member, after)
             case wire.TablePage():
-                self.sync.received(message, records)
+                self.sync.on_page(message, records)
 
     def apply(self, record: MemberRecord) -> None:
-        """Take up a claim if it is greater than what is held."""
+        """Take up a record if it overrides the one held."""
         if record.name == self.me.name:
             self.apply_to_self(record)
         else:
             self.table.apply(record, self.now)
 
     def apply_to_self(self, record: MemberRecord) -> None:
-        """What others say of us: refuted by a higher incarnation, or told by a namesake's friends."""
+        """Refute what others believe of us with a higher incarnation, or find that our name is taken."""
         if record.process_id == self.me.process_id:
-            wrong = record.status > MemberStatus.ALIVE and record.incarnation >= self.me.incarnation
-            if wrong and self.state in ACTIVE_STATES:
+            is_wrong = record.status > MemberStatus.ALIVE and record.incarnation >= self.me.incarnation
+            if is_wrong and self.state in ACTIVE_STATES:
                 self.table.me = wire.replace(self.me, incarnation=record.incarnation + 1)
                 self.health.worsen()
         elif record.precedence > self.me.precedence:
             if record.status <= MemberStatus.SUSPECT:
-                self.displaced(record)
+                self.yield_name(record)
             elif self.state is not LocalState.LEFT:  # that process is gone; our clock was set back
                 self.table.me = wire.replace(self.me, boot=record.boot + 1)
 
     # another process under our name
 
-    def met_namesake(self, sender: MemberRecord, message: wire.Message) -> None:
-        """Another process speaks under our name. The greater claim keeps it."""
-        if self.rival is not None and sender.process_id == self.rival.process_id:
-            self.rival_heard = self.now
+    def on_name_conflict(self, sender: MemberRecord, message: wire.Message) -> None:
+        """Another process sends under our name, which the record with the greater precedence keeps."""
+        if self.name_holder is not None and sender.process_id == self.name_holder.process_id:
+            self.name_holder_heard_at = self.now
         if sender.precedence > self.me.precedence:
-            self.displaced(sender)
+            self.yield_name(sender)
         elif isinstance(message, wire.Ping):  # it has to hear of us
             self.outbox.reply(sender, wire.Ack(message.seq))
 
-    def displaced(self, rival: MemberRecord) -> None:
-        """Another process keeps our name."""
-        if self.rival is None or rival.precedence > self.rival.precedence:
-            self.rival, self.rival_heard = rival, self.now
+    def yield_name(self, holder: MemberRecord) -> None:
+        """Leave our name to another process."""
+        if self.name_holder is None or holder.precedence > self.name_holder.precedence:
+            self.name_holder = holder
+            self.name_holder_heard_at = self.now
         if self.state in ACTIVE_STATES:
-            self.enter(LocalState.DISPLACED, f"another process is {rival.name}, at port {rival.port}")
+            reason = f"another process is {holder.name}, at port {holder.port}"
+            self.set_state(LocalState.DISPLACED, reason)
             for member in self.members.values():
-                self.transport.changed(member)
-
-    def ping_rival(self) -> None:
-        """Whether the process that took our name still lives; a name that nobody answers to is ours again."""
-        rival = self.rival
-        assert rival is not None
-        patience = self.settings.suspicion_multiplier * MAX_SUSPICION * self.settings.protocol_period
-        if self.now - self.rival_heard > patience:
-            self.table.me, self.rival = wire.replace(self.me, boot=rival.boot + 1), None
+                self.transport.on_member_changed(member)
+
+    def ping_name_holder(self) -> None:
+        """Ping the process that took our name; a name that nobody answers to is ours again."""
+        holder = self.name_holder
+        assert holder is not None
+        longest = self.settings.suspicion_multiplier * MAX_SUSPICION_FACTOR * self.settings.protocol_period
+        if self.now - self.name_holder_heard_at > longest:
+            self.table.me = wire.replace(self.me, boot=holder.boot + 1)
+            self.name_holder = None
             self.table.state = LocalState.JOINING
-            self.transport.log(f"fleet joining: nobody answers as {rival.name} at port {rival.port}")
-            self.contact_absent()
+            self.transport.log(f"fleet joining: nobody answers as {holder.name} at port {holder.port}")
+            self.ping_absent()
         else:
-            self.outbox.ping(rival.host, rival.port)
+            self.outbox.ping(holder.host, holder.port)
 
     # time
 
     def tick(self, now: int) -> None:
         """Do what is due."""
-        before, self.now = self.now, now
+        before = self.now
+        self.now = now
         if self.state is LocalState.LEFT:
             self.next_period = now + self.settings.retention
             return
-        stood = now - self.next_period > self.settings.protocol_period // 2
-        if stood and self.detector.interrupt():
+        stood_still = now - self.next_period > self.settings.protocol_period // 2
+        if stood_still and self.detector.interrupt():
             self.health.worsen()
             for member in self.table.suspected:
-                member.since += now - before
-        self.detector.give_up_relayed(now)
+                member.status_since += now - before
+        self.detector.expire_relayed_pings(now)
         self.end_suspicions()
-        if self.detector.phase is ProbePhase.DIRECT and now >= self.detector.late_at:
-            self.detector.handle(ProbeEvent.LATE, now)
+        if self.detector.phase is ProbePhase.DIRECT and now >= self.detector.ping_deadline:
+            self.detector.handle(ProbeEvent.PING_TIMED_OUT, now)
         if now >= self.next_period:
             self.begin_period()
 
     def end_suspicions(self) -> None:
-        """Suspects whose time to refute is over are dead."""
+        """Declare suspects dead that have not refuted in time."""
         for member in list(self.table.suspected):
-            if self.now >= self.suspicion_ends(member):
-                suspecters, score = len(member.suspecters), self.health.score
-                silent = f"silent for {self.now - member.since}"
-                self.transport.log(f"{member.name} dead: {silent}, {suspecters} accuse it, doubt {score}")
+            if self.now >= self.suspicion_deadline(member):
+                silent = f"silent for {self.now - member.status_since}"
+                doubt = f"{len(member.suspected_by)} accuse it, doubt {self.health.score}"
+                self.transport.log(f"{member.name} dead: {silent}, {doubt}")
                 self.apply(wire.replace(member.record, status=MemberStatus.DEAD, suspected_by=""))
 
     def begin_period(self) -> None:
-        """Probe the next; now and then speak to one that is not there, and read a page of another's table."""
+        """Probe the next member; every few periods ping an absent one, and read a page of another's table."""
         self.periods += 1
-        self.next_period = self.now + self.health.stretch(self.settings.protocol_period)
+        self.next_period = self.now + self.health.scale(self.settings.protocol_period)
         if self.state is LocalState.DISPLACED:
-            return self.ping_rival()
-        self.detector.handle(ProbeEvent.PERIOD, self.now)
+            self.ping_name_holder()
+            return
+        self.detector.handle(ProbeEvent.PERIOD_BEGAN, self.now)
         if self.state is LocalState.JOINING or self.periods % self.settings.reconnect_periods == 0:
-            self.contact_absent()
-        if self.sync.reading is not None:
-            self.sync.read_on()
+            self.ping_absent()
+        if self.sync.table_read is not None:
+            self.sync.request_next_page()
         elif self.periods % self.settings.sync_periods == 0:
             for member in self.random.sample(self.live(), 1):
-                self.sync.read_page(member.record)
+                self.sync.request_page(member.record)
         self.table.forget(self.now - self.settings.retention)
 
-    def contact_absent(self) -> None:
-        """A word to one that is not there: a seed, or a dead one. Without it the halves of a partition that
-        each hold the other dead would never meet again."""
+    def ping_absent(self) -> None:
+        """Ping a seed or dead member, each in turn.
+
+        Without it the halves of a partition that each hold the other dead would never meet again.
+        """
         addresses = self.absent_addresses()
         if addresses:
-            self.retries += 1
-            host, port = addresses[self.retries % len(addresses)]
+            self.reconnects += 1
+            host, port = addresses[self.reconnects % len(addresses)]
             member = next((m for m in self.members.values() if m.record.port == port), None)
             self.outbox.ping(host, port, member)
 
     def absent_addresses(self) -> list[Address]:
-        """Seeds and dead members at whose address nobody counts as there, each once."""
+        """Seeds and dead members at whose address nobody counts as present, each once."""
         members = self.members.values()
-        taken = {(m.record.host, m.record.port) for m in members if m.live}
-        taken.add((self.me.host, self.me.port))
+        occupied = {(m.record.host, m.record.port) for m in members if m.is_live}
+        occupied.add((self.me.host, self.me.port))
         dead = [(m.record.host, m.record.port) for m in members if m.status is MemberStatus.DEAD]
-        return [a for a in dict.fromkeys([*self.settings.seeds, *dead]) if a not in taken]
+        return [a for a in dict.fromkeys([*self.settings.seeds, *dead]) if a not in occupied]
--- a/lapistrestle/fleet/quota_leasing.py
+++ b/lapistrestle/fleet/quota_leasing.py
@@ -1,68 +1,77 @@
-"""Which member is asked for units of an allowance, and when: between `share` and the datagrams.
+"""Which member is asked for units of a quota, and when: between `quota_share` and the datagrams.
 
-A dispatcher that uses all of its part asks one of the others, another each time; the one asked lends half
-of what it does not need. What was borrowed goes back as soon as it is not needed. No word is waited for: a
-lost request is made again elsewhere, a lost answer ends by itself. Free of I/O.
+A dispatcher that uses its whole share requests units from another member, drawn anew each time; that one
+leases out half of what it does not need. What was borrowed goes back as soon as it is not needed. No message
+is waited for: a lost request is made again elsewhere, the lease of a lost grant ends by itself. Free of I/O.
 """
 
 from collections.abc import Callable, Sequence
-from zlib import crc32
 
-from lapistrestle.fleet.quota_share import ProcessId, QuotaShare
+from lapistrestle.fleet.quota_share import QuotaShare
+from lapistrestle.fleet.seeded_random import SeededRandom
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord
 
-Send = Callable[[MemberRecord, wire.Message], None]
-REQUESTED_PART = 4  # a request is for one's part over this, one unit at the least
+SendLeaseMessage = Callable[[MemberRecord, wire.LeaseMessage], None]  # to whom, and what
+REQUESTED_PART = 4  # a request is for the share over this, one unit at the least
 
 
 class QuotaLeasing:
-    """One dispatcher's part in lending. `send` takes the claim of whom to tell, and the word; `in_use` gives
-    the units in use now: since the last update they may be more, and what is in use is not lent."""
+    """One dispatcher's share of a quota, with its leases to and from other members."""
 
-    def __init__(self, share: QuotaShare, in_use: Callable[[], int], send: Send, seed: int) -> None:
-        self.share, self.units_in_use, self.send, self.seed, self.draws = share, in_use, send, seed, 0
+    def __init__(
+        self, share: QuotaShare, units_in_use: Callable[[], int], send: SendLeaseMessage, seed: int
+    ) -> None:
+        """`units_in_use` counts at the moment of a request: what is in use by then is not leased out."""
+        self.share = share
+        self.units_in_use = units_in_use
+        self.send = send
+        self.random = SeededRandom(seed, "lend")
         self.shortage = 0  # units that could not be had since the last update
 
     def available(self, now: int) -> int:
-        """Units that may be in use at this moment; ask at each use."""
+        """Units that may be in use now; to be asked at each use."""
         return self.share.available(now)
 
     def record_shortage(self) -> None:
-        """One more was wanted than may be used."""
+        """Record that one more unit was wanted than may be used."""
         self.shortage += 1
 
-    def update(self, live: Sequence[MemberRecord], member: bool, now: int) -> None:
-        """`live` are the others that count as there; one that is no `member` of its fleet uses nothing, since
-        another may have its name and number."""
-        share, in_use = self.share, self.units_in_use()
-        share.suspended = not member
+    def update(self, live: Sequence[MemberRecord], is_member: bool, now: int) -> None:
+        """Request units that are short, and return unneeded ones.
+
+        `live` are the other members that count as present. One that is itself no member of its fleet uses
+        nothing, since another process may have its name and number.
+        """
+        share = self.share
+        in_use = self.units_in_use()
+        share.is_suspended = not is_member
         share.record_use(in_use, now)
-        part = share.available(now)
-        short = in_use >= part and self.shortage > 0
-        share.demand = in_use + max(1, part // REQUESTED_PART) if short else in_use
+        available = share.available(now)
+        is_short = in_use >= available and self.shortage > 0
+        requested = max(1, available // REQUESTED_PART)
+        share.demand = in_use + requested if is_short else in_use
         self.shortage = 0
-        if short and live:
-            self.draws += 1
-            lender = live[crc32(f"{self.seed}:lend:{self.draws}".encode()) % len(live)]
-            if (
-                message := share.request_lease(lender.process_id, max(1, part // REQUESTED_PART), now)
-            ) is not None:
-                self.send(lender, message)
-        holders = {record.process_id: record for record in live}
-        for process_id, returned in share.return_unneeded(now):
-            if process_id in holders:
-                self.send(holders[process_id], returned)
+        if is_short and live:
+            lender = live[self.random.below(len(live))]
+            request = share.request_lease(lender.process_id, requested, now)
+            if request is not None:
+                self.send(lender, request)
+        live_by_id = {record.process_id: record for record in live}
+        for process_id, message in share.return_unneeded(now):
+            if process_id in live_by_id:
+                self.send(live_by_id[process_id], message)
 
-    def on_message(self, sender: MemberRecord, message: wire.Message, now: int) -> None:
-        """A word of lending came."""
-        process_id: ProcessId = sender.process_id
+    def on_message(self, sender: MemberRecord, message: wire.LeaseMessage, now: int) -> None:
+        """A lease message arrived."""
+        process_id = sender.process_id
         self.share.record_use(self.units_in_use(), now)
         match message:
             case wire.LeaseRequest():
-                if (lent := self.share.grant_lease(process_id, message, now)) is not None:
-                    self.send(sender, lent)
+                grant = self.share.grant_lease(process_id, message, now)
+                if grant is not None:
+                    self.send(sender, grant)
             case wire.LeaseGrant():
                 self.share.on_grant(process_id, message, now)
             case wire.LeaseReturn():
-                self.share.on_return(process_id, message, now)
+                self.share.on_return(process_id, message)
--- a/lapistrestle/fleet/quota_share.py
+++ b/lapistrestle/fleet/quota_share.py
@@ -1,169 +1,191 @@
-"""Parts of one whole whose sum never passes it, at any moment, free of I/O (docs/fleet.md).
+"""Shares of a quota whose sum never exceeds it, at any moment, free of I/O (docs/fleet.md).
 
-The whole is cut by number: each dispatcher owns its cut, and no other ever counts on it. A cut follows
-need by loans. The lender uses less before it says that it lends, and more again only when the loan is over by
-its own clock, counted from when it was asked; the borrower counts the loan from when *it* asked, and both
-leave room for clocks that run wrong. So nothing that is lost, late or doubled, no death and no standstill
-makes two use the same unit. What dies with a dispatcher is the use of its cut, until it is back.
+The quota is divided by number: each dispatcher owns its units, and no other ever counts on them. Units follow
+demand by leases (Gray, Cheriton, SOSP 1989). The lender uses less before it sends the grant, and more again
+only when the lease is over by its own clock, counted from when the request came; the borrower counts the
+lease from when it *sent* the request, and both allow for clock drift. So nothing that is lost, late or
+doubled, no crash and no standstill makes two use the same unit. While a dispatcher is down, its own units
+are unused.
 
-A process that starts does not know what the one before it has lent. It keeps part of its cut that is never
-lent, and has the rest when the longest loan is over.
+A process that starts does not know what the one before it has leased out. It has only the reserved part of
+its units, which is never leased, until the longest lease is over.
 """
 
 from collections import deque
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest, LeaseReturn
+from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest, LeaseReturn, ProcessId
 
-SECOND = 10_000  # in tenths of a millisecond
-MOST_OPEN = 8  # own requests that may be open at once
-MOST_LOANS = 256  # given at once: guards against one that asks without end
+SECOND = 10_000  # in ticks of 0.1 ms
+MAX_OPEN_REQUESTS = 8  # of one's own
+MAX_LEASES = 256  # granted at once: guards against one that requests without end
 
-ProcessId = tuple[str, int, int]  # name, boot and nonce: one start of one process
+LeaseKey = tuple[ProcessId, int]  # the other side, and the number of the borrower's request
 
 
 @dataclass(frozen=True)
 class QuotaSettings:
-    """Spans are whole tenths of a millisecond."""
+    """How long leases last. Durations are whole ticks of 0.1 ms."""
 
-    lease_duration: int = 4 * SECOND  # a loan
-    settling_time: int = SECOND  # use counts for so long after it: a window of the limit, or work under way
+    lease_duration: int = 4 * SECOND
+    settling_time: int = SECOND  # use counts for so long after it: a rate's window, or work in flight
     clock_drift: float = 0.1  # no clock is wrong by more than this part
-    reserved: float = 0.5  # part of one's cut which is never lent
+    reserved_part: float = 0.5  # of one's own units: never leased out
 
 
 @dataclass(frozen=True)
 class Lease:
-    """Units lent or borrowed, until a moment."""
+    """Units leased out or borrowed, until a moment of the clock of whoever holds this record."""
 
     units: int
-    until: int  # by the clock of whoever holds this record
+    until: int
+
+
+class OpenRequest(NamedTuple):
+    """A request of one's own that was not answered yet."""
+
+    lender: ProcessId
+    requested_at: int
+
+
+class UseSample(NamedTuple):
+    """Units in use at one moment."""
+
+    at: int
+    units: int
 
 
 class QuotaShare:
-    """One dispatcher's part of `total_units`, divided over `members` of which it is number `member_index`."""
+    """One dispatcher's share of a quota."""
 
     def __init__(
         self, name: str, total_units: int, members: int, member_index: int, settings: QuotaSettings, now: int
     ) -> None:
-        self.name, self.settings = name, settings
-        self.own_units = (
-            total_units * (member_index + 1) // members - total_units * member_index // members
-            if 0 <= member_index < members
-            else 0
-        )
-        self.reserved = int(self.own_units * self.settings.reserved)
-        self.full_from = now + self.longest_lease()
-        self.leased_out: dict[tuple[ProcessId, int], Lease] = {}
-        self.borrowed: dict[tuple[ProcessId, int], Lease] = {}
-        self.open_requests: dict[int, tuple[ProcessId, int]] = {}  # own asks by number: of whom, and when
-        self.uses: deque[tuple[int, int]] = deque()  # when, how many units
-        self.last_number, self.demand = now, 0  # so that no number of the process before comes again
-        self.suspended = False  # displaced or left: nothing may be used
+        """`total_units` are divided over `members`; an index outside them owns none."""
+        self.name = name
+        self.settings = settings
+        self.own_units = 0
+        if 0 <= member_index < members:
+            next_start = total_units * (member_index + 1) // members
+            self.own_units = next_start - total_units * member_index // members
+        self.reserved = int(self.own_units * settings.reserved_part)
+        self.full_from = now + self.longest_lease()  # before it, the process before us may have leases out
+        self.leased_out: dict[LeaseKey, Lease] = {}
+        self.borrowed: dict[LeaseKey, Lease] = {}
+        self.open_requests: dict[int, OpenRequest] = {}  # by number
+        self.uses: deque[UseSample] = deque()  # units falling, so that the first is the peak
+        self.last_number = now  # so that no number of the process before comes again
+        self.demand = 0  # units wanted
+        self.is_suspended = False  # displaced or left: nothing may be used
 
     def longest_lease(self) -> int:
-        """After so long by one's own clock no loan that was asked for before is used by anybody."""
+        """After so long by one's own clock no lease that was requested before is used by anybody."""
         return int(self.settings.lease_duration * (1 + self.settings.clock_drift)) + 1
 
     def available(self, now: int) -> int:
-        """Units that may be in use at this moment. Ask at each use: a process that stood still has less."""
-        if self.suspended:
+        """Units that may be in use now. To be asked at each use: after a standstill there are fewer."""
+        if self.is_suspended:
             return 0
         own = self.own_units if now >= self.full_from else self.reserved
-        self.leased_out = {key: loan for key, loan in self.leased_out.items() if now < loan.until}
-        self.borrowed = {key: loan for key, loan in self.borrowed.items() if now < loan.until}
-        return own - self.leased_out_units() + sum(loan.units for loan in self.borrowed.values())
+        self.leased_out = {key: lease for key, lease in self.leased_out.items() if now < lease.until}
+        self.borrowed = {key: lease for key, lease in self.borrowed.items() if now < lease.until}
+        return own - self.leased_out_units() + self.borrowed_units()
 
     def leased_out_units(self) -> int:
-        """Units lent to others."""
-        return sum(loan.units for loan in self.leased_out.values())
+        """Units leased to others."""
+        return sum(lease.units for lease in self.leased_out.values())
+
+    def borrowed_units(self) -> int:
+        """Units leased from others."""
+        return sum(lease.units for lease in self.borrowed.values())
 
-    def record_use(self, used: int, now: int) -> None:
-        """So many units are in use now."""
-        while self.uses and self.uses[-1][1] <= used:
+    def record_use(self, units: int, now: int) -> None:
+        """Record that so many units are in use now."""
+        while self.uses and self.uses[-1].units <= units:
             self.uses.pop()
-        self.uses.append((now, used))
+        self.uses.append(UseSample(now, units))
 
     def peak_use(self, now: int) -> int:
-        """The most in use within the time that use settles in."""
-        while len(self.uses) > 1 and self.uses[1][0] <= now - self.settings.settling_time:
+        """The most units in use within the settling time."""
+        while len(self.uses) > 1 and self.uses[1].at <= now - self.settings.settling_time:
             self.uses.popleft()
-        return max((used for _, used in self.uses), default=0)
+        return max((sample.units for sample in self.uses), default=0)
 
     def headroom(self, now: int) -> int:
-        """Units that were not in use of late."""
+        """Units available that were not in use within the settling time."""
         return max(0, self.available(now) - self.peak_use(now))
 
     # as a borrower
 
     def request_lease(self, lender: ProcessId, units: int, now: int) -> LeaseRequest | None:
-        """Ask for units; None where too many asks are open."""
+        """A request for units; None where too many requests are open."""
+        duration = self.settings.lease_duration
         self.open_requests = {
-            n: (who, at)
-            for n, (who, at) in self.open_requests.items()
-            if now < at + self.settings.lease_duration
+            number: request
+            for number, request in self.open_requests.items()
+            if now < request.requested_at + duration
         }
-        if units <= 0 or len(self.open_requests) >= MOST_OPEN or self.suspended:
+        if units <= 0 or len(self.open_requests) >= MAX_OPEN_REQUESTS or self.is_suspended:
             return None
         self.last_number += 1
-        self.open_requests[self.last_number] = (lender, now)
+        self.open_requests[self.last_number] = OpenRequest(lender, now)
         return LeaseRequest(self.name, self.last_number, now, units)
 
-    def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
-        """An answer. It counts once, and from when we asked. One to the process before us, under a number of
-        ours, is told apart by when that one asked."""
-        waited = self.open_requests.get(message.number)
-        if waited != (lender, message.requested_at) or message.quota != self.name:
+    def on_grant(self, lender: ProcessId, grant: LeaseGrant, now: int) -> None:
+        """Borrow the units of a grant, once, and counted from when they were requested.
+
+        A grant to the process before us, under a number of ours, is told apart by when that one requested it.
+        """
+        request = self.open_requests.get(grant.number)
+        if request != (lender, grant.requested_at) or grant.quota != self.name:
             return
-        del self.open_requests[message.number]
-        lease_duration = (
-            min(message.duration, self.settings.lease_duration) * (1 - self.settings.clock_drift)
-            - self.settings.settling_time
-        )
-        until = waited[1] + int(lease_duration)
+        del self.open_requests[grant.number]
+        settings = self.settings
+        longest = min(grant.duration, settings.lease_duration) * (1 - settings.clock_drift)
+        until = grant.requested_at + int(longest - settings.settling_time)
         if now < until:
-            self.borrowed[lender, message.number] = Lease(message.units, until)
+            self.borrowed[lender, grant.number] = Lease(grant.units, until)
 
     def return_unneeded(self, now: int) -> list[tuple[ProcessId, LeaseReturn]]:
-        """Loans that are not needed, and were not in use of late; they are given up before this is said."""
-        spare, ends = self.headroom(now), list[tuple[ProcessId, LeaseReturn]]()
-        for (lender, number), loan in list(self.borrowed.items()):
-            if loan.units <= spare and self.demand <= self.available(now) - loan.units:
-                spare -= loan.units
+        """Give up leases that are neither needed nor were in use of late; returns what to send to whom."""
+        headroom = self.headroom(now)
+        returns = list[tuple[ProcessId, LeaseReturn]]()
+        for (lender, number), lease in list(self.borrowed.items()):
+            if lease.units <= headroom and self.demand <= self.available(now) - lease.units:
+                headroom -= lease.units
                 del self.borrowed[lender, number]
-                ends.append((lender, LeaseReturn(self.name, number)))
-        return ends
+                returns.append((lender, LeaseReturn(self.name, number)))
+        return returns
 
     # as a lender
 
-    def grant_lease(self, borrower: ProcessId, message: LeaseRequest, now: int) -> LeaseGrant | None:
-        """Lend half of what is spare and not kept; None: nothing. Asked twice, it is lent once."""
-        known = self.leased_out.get((borrower, message.number))
+    def grant_lease(self, borrower: ProcessId, request: LeaseRequest, now: int) -> LeaseGrant | None:
+        """Lease out half of what is neither needed nor reserved; None: nothing.
+
+        A request that comes twice is granted once.
+        """
+        known = self.leased_out.get((borrower, request.number))
         if known is not None and now < known.until:
-            return LeaseGrant(
-                self.name, message.number, message.requested_at, known.units, self.settings.lease_duration
-            )
-        if (
-            message.quota != self.name
-            or now < self.full_from
-            or len(self.leased_out) >= MOST_LOANS
-            or self.suspended
-        ):
+            return self.grant(request, known.units)
+        if request.quota != self.name or now < self.full_from or self.is_suspended:
+            return None
+        if len(self.leased_out) >= MAX_LEASES:
             return None
-        part = self.available(now)
-        own = min(
-            self.own_units - self.reserved - self.leased_out_units(),
-            part - max(self.peak_use(now), self.demand),
-        )
-        units = min(message.units, (own + 1) // 2)
+        unneeded = self.available(now) - max(self.peak_use(now), self.demand)
+        leasable = min(self.own_units - self.reserved - self.leased_out_units(), unneeded)
+        units = min(request.units, (leasable + 1) // 2)
         if units <= 0:
             return None
-        self.leased_out[borrower, message.number] = Lease(units, now + self.longest_lease())
-        return LeaseGrant(
-            self.name, message.number, message.requested_at, units, self.settings.lease_duration
-        )
+        self.leased_out[borrower, request.number] = Lease(units, now + self.longest_lease())
+        return self.grant(request, units)
+
+    def grant(self, request: LeaseRequest, units: int) -> LeaseGrant:
+        """The answer to a request that leases out so many units."""
+        duration = self.settings.lease_duration
+        return LeaseGrant(self.name, request.number, request.requested_at, units, duration)
 
-    def on_return(self, borrower: ProcessId, message: LeaseReturn, now: int) -> None:
-        """A loan is over before its time."""
+    def on_return(self, borrower: ProcessId, message: LeaseReturn) -> None:
+        """A lease is over before its time."""
         if message.quota == self.name:
             self.leased_out.pop((borrower, message.number), None)
--- a/lapistrestle/fleet/suspicion.py
+++ b/lapistrestle/fleet/suspicion.py
@@ -1,40 +1,43 @@
-"""How long a suspect has to refute, after SWIM and Lifeguard (sources: docs/fleet.md)."""
+"""How long a suspect has to refute, after SWIM and Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018)."""
 
 from math import log, log10
 
 from lapistrestle.fleet.member_table import MAX_CONFIRMATIONS, Member
 from lapistrestle.fleet.settings import MembershipSettings
 
-MAX_SCORE = 4  # worst health of oneself: everything takes so many times longer, and once more
-MAX_SUSPICION = 4  # the longest suspicion, of an accuser that nobody confirms, over the least
+MAX_LOCAL_HEALTH = 4  # worst score: every timeout is then so many times longer, and once more
+MAX_SUSPICION_FACTOR = 4  # the longest suspicion, confirmed by nobody, over the shortest
 
 
 class LocalHealth:
-    """Lifeguard's doubt of oneself: 0 while all is well, higher the more speaks for a fault of our own."""
+    """Lifeguard's local health multiplier: 0 is healthy, more the more speaks for a fault of our own."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def improve(self) -> None:
-        """Something speaks for us."""
+        """A probe was acknowledged, or a nack came in time."""
         self.score = max(0, self.score - 1)
 
     def worsen(self) -> None:
-        """Something speaks for a fault of our own."""
-        self.score = min(MAX_SCORE, self.score + 1)
+        """A probe failed, a suspicion of us had to be refuted, or this process stood still."""
+        self.score = min(MAX_LOCAL_HEALTH, self.score + 1)
 
-    def stretch(self, span: int) -> int:
-        """A span as long as this health demands."""
-        return span * (1 + self.score)
+    def scale(self, duration: int) -> int:
+        """A timeout of that duration as long as this health demands."""
+        return duration * (1 + self.score)
 
 
-def suspicion_ends(member: Member, size: int, settings: MembershipSettings, health: LocalHealth) -> int:
-    """When a suspect counts as dead: sooner the more accuse it, later the worse our own health. `size` is
-    that of the fleet, oneself included."""
+def suspicion_deadline(member: Member, size: int, settings: MembershipSettings, health: LocalHealth) -> int:
+    """When a suspect counts as dead, in ticks; `size` is that of the fleet, oneself included.
+
+    Lifeguard's timeout: max - (max - min) * log(C + 1) / log(K + 1) for C confirmations of K, so it is
+    shorter the more members suspect independently, and longer the worse our own health.
+    """
     others = max(0, size - 2)
-    least = settings.suspicion_multiplier * max(1.0, log10(others + 2)) * settings.protocol_period
-    wanted = min(MAX_CONFIRMATIONS, others)
-    confirmed = min(wanted, max(0, len(member.suspecters) - 1))
-    part = log(confirmed + 1) / log(wanted + 1) if wanted else 1.0
-    lasts = least * (MAX_SUSPICION - (MAX_SUSPICION - 1) * part)
-    return member.since + int(lasts * (1 + health.score))
+    shortest = settings.suspicion_multiplier * max(1.0, log10(others + 2)) * settings.protocol_period
+    expected = min(MAX_CONFIRMATIONS, others)
+    confirmations = min(expected, max(0, len(member.suspected_by) - 1))
+    progress = log(confirmations + 1) / log(expected + 1) if expected else 1.0
+    timeout = shortest * (MAX_SUSPICION_FACTOR - (MAX_SUSPICION_FACTOR - 1) * progress)
+    return member.status_since + int(timeout * (1 + health.score))
--- a/lapistrestle/standins/fleet.py
+++ b/lapistrestle/standins/fleet.py
@@ -145,7 +145,7 @@
 
     def view(self, name: str) -> set[str]:
         """Who counts as there, in that one's eyes."""
-        return {m.name for m in self.endpoints[name].members.live()}
+        return {m.name for m in self.endpoints[name].membership.live()}
 
     def agreed(self) -> bool:
         """Whether each sees all the others that run, and nobody else."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from lapistrestle.fleet.member_table import LocalState
 from lapistrestle.fleet.membership import Membership
 from lapistrestle.fleet.settings import MembershipSettings
-from lapistrestle.fleet.suspicion import MAX_SCORE
+from lapistrestle.fleet.suspicion import MAX_LOCAL_HEALTH
 from lapistrestle.standins.fleet import Cluster
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
@@ -26,7 +26,7 @@
     def send(self, host, port, message, records):
         self.sent.append((port, message, records))
 
-    def changed(self, member): ...
+    def on_member_changed(self, member): ...
 
     def log(self, text):
         self.logs.append(text)
@@ -67,7 +67,7 @@
     members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
     for status, by in ((MemberStatus.ALIVE, "x"), (MemberStatus.ALIVE, "x"), (MemberStatus.SUSPECT, "y")):
         members.apply(MemberRecord("b", 1, 1, 1, status, "127.0.0.1", 9, "", by))
-    assert members.members["b"].status is MemberStatus.SUSPECT and members.members["b"].suspecters == {"y"}
+    assert members.members["b"].status is MemberStatus.SUSPECT and members.members["b"].suspected_by == {"y"}
 
 
 @given(st.lists(records, max_size=12), st.randoms())
@@ -81,7 +81,7 @@
             members.apply(each)
         known = members.members.values()
         held = {
-            m.name: (m.record.precedence, m.status is MemberStatus.SUSPECT and m.suspecters) for m in known
+            m.name: (m.record.precedence, m.status is MemberStatus.SUSPECT and m.suspected_by) for m in known
         }
         beliefs.append((held, {m.name for m in members.table.suspected}, [m.name for m in members.live()]))
     assert beliefs[0] == beliefs[1]
@@ -115,24 +115,24 @@
     meet(members, "b", "c", "d", "e", "f")
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="c"))
     suspect = members.members["b"]
-    alone = members.suspicion_ends(suspect)
+    alone = members.suspicion_deadline(suspect)
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="d"))
-    two = members.suspicion_ends(suspect)
+    two = members.suspicion_deadline(suspect)
     for by in "ef":
         members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by=by))
-    assert members.suspicion_ends(suspect) < two < alone
-    certain = members.suspicion_ends(suspect)
+    assert members.suspicion_deadline(suspect) < two < alone
+    certain = members.suspicion_deadline(suspect)
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="e"))
-    assert members.suspicion_ends(suspect) == certain  # said twice by one is said once
+    assert members.suspicion_deadline(suspect) == certain  # said twice by one is said once
     members.health.score = 1
-    assert members.suspicion_ends(suspect) - suspect.since == 2 * (certain - suspect.since)
+    assert members.suspicion_deadline(suspect) - suspect.status_since == 2 * (certain - suspect.status_since)
 
 
 def probing(members):
     """The first ping of a period, answered by nobody, and the clock at its time-out."""
     members.tick(members.next_period)
     assert members.detector.target is not None
-    return members.detector.target, members.detector.late_at
+    return members.detector.target, members.detector.ping_deadline
 
 
 def test_others_are_asked_before_one_is_accused(made):
@@ -144,7 +144,7 @@
     assert len(asks) == 2 and {message.name for _, message in asks} == {target.name}
     assert target.status is MemberStatus.ALIVE
     members.tick(members.next_period)
-    assert target.status is MemberStatus.SUSPECT and target.suspecters == {"a"}
+    assert target.status is MemberStatus.SUSPECT and target.suspected_by == {"a"}
 
 
 def test_an_answer_through_another_saves_it(made):
@@ -153,7 +153,7 @@
     target, late = probing(members)
     members.tick(late)
     doubt = members.health.score
-    members.on_message(record(target.name), wire.Ack(members.detector.ping), (), late + 100)
+    members.on_message(record(target.name), wire.Ack(members.detector.ping_number), (), late + 100)
     assert members.health.score == doubt - 1
     members.tick(members.next_period)
     assert target.status is MemberStatus.ALIVE
@@ -163,7 +163,7 @@
     members, _ = made
     meet(members, "b", "c")
     target, late = probing(members)
-    members.on_message(record(target.name), wire.Ack(members.detector.ping - 1), (), late - 1)
+    members.on_message(record(target.name), wire.Ack(members.detector.ping_number - 1), (), late - 1)
     members.tick(late)
     members.tick(members.next_period)
     assert target.status is MemberStatus.SUSPECT
@@ -176,14 +176,14 @@
     probing(members)
     members.tick(members.next_period + 60 * SECOND)
     assert {m.status for m in members.members.values()} == {MemberStatus.ALIVE, MemberStatus.SUSPECT}
-    assert members.health.score >= 1 and "a" not in members.members["c"].suspecters
+    assert members.health.score >= 1 and "a" not in members.members["c"].suspected_by
 
 
 def test_doubt_is_bounded(made):
     members, _ = made
     for _ in range(20):
         members.health.worsen()
-    assert members.health.score == MAX_SCORE
+    assert members.health.score == MAX_LOCAL_HEALTH
 
 
 def test_a_relay_pings_for_another_and_says_so_when_nobody_answers(made):
@@ -266,7 +266,7 @@
     cluster = twelve
     cluster.add("e-12", ("e-7",))
     assert cluster.until(cluster.agreed, 30) < 10
-    assert {m.record.zone for m in cluster.endpoints["e-12"].members.live()} == {"z0", "z1", "z2"}
+    assert {m.record.zone for m in cluster.endpoints["e-12"].membership.live()} == {"z0", "z1", "z2"}
 
 
 def test_a_dead_one_is_missed_by_all_within_the_stated_time(twelve):
@@ -300,8 +300,8 @@
     cluster.kill("e-5")
     cluster.add("e-5", ("e-0",))
     cluster.run(15)
-    boots = {t.members.members["e-5"].record.boot for n, t in cluster.endpoints.items() if n != "e-5"}
-    assert cluster.agreed() and boots == {cluster.endpoints["e-5"].members.me.boot}
+    boots = {t.membership.members["e-5"].record.boot for n, t in cluster.endpoints.items() if n != "e-5"}
+    assert cluster.agreed() and boots == {cluster.endpoints["e-5"].membership.me.boot}
 
 
 def test_so_does_one_whose_clock_was_set_back(twelve):
@@ -316,7 +316,7 @@
     old = cluster.endpoints["e-8"]
     new = cluster.add("e-8", ("e-0",), port=41_000)
     cluster.run(30)
-    assert old.members.state is LocalState.DISPLACED and new.members.state is LocalState.MEMBER
+    assert old.membership.state is LocalState.DISPLACED and new.membership.state is LocalState.MEMBER
     assert cluster.agreed() and not any("dead" in line for line in new.runtime.logs)
     new.runtime.reactor.kill()
     cluster.endpoints["e-8"] = old
@@ -378,10 +378,10 @@
     endpoints = cluster.many(count)
     assert cluster.until(cluster.agreed, 60) < 30
     cluster.run(30)
-    before: list[Any] = [(t.sent, t.sent_bytes) for t in endpoints]
+    before: list[Any] = [(t.datagrams_sent, t.bytes_sent) for t in endpoints]
     cluster.run(30)
-    sent = max(t.sent - b for t, (b, _) in zip(endpoints, before, strict=True)) / 30
-    return sent, max(t.sent_bytes - b for t, (_, b) in zip(endpoints, before, strict=True)) / 30
+    sent = max(t.datagrams_sent - b for t, (b, _) in zip(endpoints, before, strict=True)) / 30
+    return sent, max(t.bytes_sent - b for t, (_, b) in zip(endpoints, before, strict=True)) / 30
 
 
 def test_what_a_member_spends_does_not_grow_with_the_fleet():
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.fleet.quota_share import Lease, QuotaSettings, QuotaShare
+from lapistrestle.fleet.quota_share import Lease, OpenRequest, QuotaSettings, QuotaShare
 from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest
 
 WHOLE, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
@@ -97,7 +97,7 @@
             elif hasattr(message, "duration"):
                 there.on_grant(sender, message, clock)
             else:
-                there.on_return(sender, message, clock)
+                there.on_return(sender, message)
 
     def total(self):
         """What may be used or is used by all together, at this true moment."""
@@ -127,7 +127,7 @@
 
     def on_grant(self, lender, message, now):
         if self.open_requests.get(message.number) == (lender, message.requested_at):
-            self.open_requests[message.number] = (lender, now)
+            self.open_requests[message.number] = OpenRequest(lender, now)
             super().on_grant(
                 lender, LeaseGrant(message.quota, message.number, now, message.units, message.duration), now
             )
@@ -158,7 +158,7 @@
 
     def on_grant(self, lender, message, now):
         if message.number in self.open_requests:
-            asked = self.open_requests[message.number][1]
+            asked = self.open_requests[message.number].requested_at
             super().on_grant(
                 lender,
                 LeaseGrant(message.quota, message.number, asked, message.units, message.duration),
@@ -193,7 +193,7 @@
     b.demand = 0
     [(lender, back)] = b.return_unneeded(now + 1_000)
     assert b.available(now + 1_000) == 50 and lender == ("a", 0, 0)
-    a.on_return(("b", 0, 0), back, now + 1_100)
+    a.on_return(("b", 0, 0), back)
     assert a.available(now + 1_100) == 50
 
 
