--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -22,7 +22,7 @@
 from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.overload.admission import UPDATE_EVERY
 from lapistrestle.overload.worker_verdicts import select_probers
-from lapistrestle.state import Srv
+from lapistrestle.policy.state import Worker
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import Datagram, MemberRecord, MemberStatus
 
@@ -144,8 +144,8 @@
         self.now = 1_000 * SECOND
         self.stopping = False
         self.reactor = self
-        workers = [Srv(f"runner-{i:06d}") for i in range(instances)]
-        module = SimpleNamespace(srvs=workers, serving=workers)
+        workers = [Worker(f"runner-{i:06d}") for i in range(instances)]
+        module = SimpleNamespace(workers=workers, serving=workers)
         self.host = SimpleNamespace(module=module, vouched=lambda worker, at: None)
 
     def clock(self) -> int:
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -12,13 +12,13 @@
 from zlib import crc32
 
 from lapistrestle.fleet.gossip_counters import CounterSettings, FleetStatistics, GossipCounters
-from lapistrestle.interface import Facts
 from lapistrestle.overload.level_controller import LevelController, Traffic
 from lapistrestle.overload.priorities import AdmissionLevel, PriorityLevels, hash_fraction
 from lapistrestle.overload.retry_after import RetryReservations
 from lapistrestle.overload.retry_budget import retry_rate
 from lapistrestle.overload.statistics_source import NAMES, SourceSelector, StatisticsSource
 from lapistrestle.overload.unused_capacity import UnusedCapacityBucket
+from lapistrestle.policy.interface import Facts
 
 SECOND = 10_000  # in tenths of a millisecond
 UPDATE_EVERY = SECOND // 2  # between two readings of the figures, which are sent no sooner
