--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -9,7 +9,12 @@
 from lapistrestle.fleet.quota_leasing import QuotaLeasing
 from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.fleet.settings import FleetSettings
-from lapistrestle.overload.admission import UPDATE_EVERY, AdmissionController, AdmissionSettings
+from lapistrestle.overload.admission import (
+    UPDATE_EVERY,
+    AdmissionController,
+    AdmissionSettings,
+    RequestOutcome,
+)
 from lapistrestle.overload.worker_verdicts import WorkerVerdicts, select_probers
 from lapistrestle.policy.state import Worker
 
@@ -94,7 +99,7 @@
 
     def share_trials(self) -> None:
         """Tell others what the module found of workers, and the module what others found."""
-        now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.findings
+        now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
         members = self.endpoint.membership
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
@@ -124,6 +129,12 @@
             return None
         return self.admission.admit(method, customer, repeat, key, self.edge.clock())
 
+    def on_request_finished(
+        self, outcome: str, is_late: bool, reached_worker: bool, is_worker_fault: bool
+    ) -> None:
+        """As `AdmissionController.on_request_finished`, with the host's word for the outcome."""
+        self.admission.on_request_finished(RequestOutcome(outcome), is_late, reached_worker, is_worker_fault)
+
     def loads_shown(self, now: int) -> dict[str, int] | None:
         """For operators; None where the fleet shares no loads."""
         if self.endpoint.quota_leasing is None:
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -189,9 +189,7 @@
             late = self.late(pending)
             if how in (DENIED, ABORTED) and cost_before(pending) and not late:
                 self.fleet_member.admission.count_retry()
-            self.fleet_member.admission.on_request_finished(
-                how, late, bool(pending.attempts), faulty(pending)
-            )
+            self.fleet_member.on_request_finished(how, late, bool(pending.attempts), faulty(pending))
         if pending.route is not None and pending.route.candidate and how != "moved":
             if how != "ok" and (waited or self.barred(pending.function.name)):
                 return
--- a/lapistrestle/overload/__init__.py
+++ b/lapistrestle/overload/__init__.py
@@ -1,1 +1,1 @@
-"""Who sheds what, budgets of repeats, who probes whom: decisions over the fleet's figures, free of I/O."""
+"""Overload control over the fleet's statistics, free of I/O: load shedding, retry budgets, shared probing."""
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -1,40 +1,64 @@
-"""The admission controller of one dispatcher in a fleet: what it counts, lets in, and asks to retry later.
+"""The admission controller of one dispatcher in a fleet: what it counts, admits, and asks to retry later.
 
-Free of I/O: counts and figures in, a verdict out. The level in force is the fleet's, one's own, or none, as
-far as the figures can be relied on (`fallback`). Both levels are worked out all the time, so that a change
-between them begins from what is true and not from nothing.
+Free of I/O: counts and statistics in, a decision out. The level in force is the fleet's, one's own, or none,
+as far as the statistics can be relied on (`statistics_source`). Both levels are computed all the time, so
+that a change between them begins from what is true and not from nothing.
 """
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from math import inf
 from typing import Any
-from zlib import crc32
 
 from lapistrestle.fleet.gossip_counters import CounterSettings, FleetStatistics, GossipCounters
+from lapistrestle.fleet.seeded_random import SeededRandom
 from lapistrestle.overload.level_controller import LevelController, Traffic
 from lapistrestle.overload.priorities import AdmissionLevel, PriorityLevels, hash_fraction
 from lapistrestle.overload.retry_after import RetryReservations
-from lapistrestle.overload.retry_budget import retry_rate
-from lapistrestle.overload.statistics_source import NAMES, SourceSelector, StatisticsSource
+from lapistrestle.overload.retry_budget import RetryTraffic, retry_rate
+from lapistrestle.overload.statistics_source import DISPLAY_NAMES, SourceSelector, StatisticsSource
 from lapistrestle.overload.unused_capacity import UnusedCapacityBucket
 from lapistrestle.policy.interface import Facts
+from lapistrestle.wire.fleet import ProcessId
 
-SECOND = 10_000  # in tenths of a millisecond
-UPDATE_EVERY = SECOND // 2  # between two readings of the figures, which are sent no sooner
-MIN_RETRY_AFTER = SECOND // 2  # no sooner: the figures could not show what came of it
-CUSTOMERS = 24  # counted by name; further ones are never beyond a share
+SECOND = 10_000  # in ticks of 0.1 ms
+UPDATE_EVERY = SECOND // 2  # between two readings of the statistics, which are sent no sooner
+MIN_RETRY_AFTER = SECOND // 2  # no sooner: the statistics could not show what came of it
+MAX_CUSTOMERS = 24  # counted by name; further ones are never beyond their quota
+
+
+class Counter(StrEnum):
+    """Counters of requests; their names and order are part of the layout that the fleet agrees on."""
+
+    ADMITTED = "let"
+    GOOD = "good"  # finished in time
+    BAD = "bad"  # finished late or not at all
+    EXCLUDED = "gone"  # finished without a sign of how strained the workers are
+    FAULT = "fault"  # finished soon, by a worker's fault
+    RETRIES = "again"  # attempts after the first, made or not
+    CLIENT_RETRIES = "repeat"  # admitted requests that their clients had sent before
+
+
+class RequestOutcome(StrEnum):
+    """How an admitted request finished; the values are the host's."""
+
+    OK = "ok"
+    REJECTED = "denied"
+    ABORTED = "aborted"
+    CLIENT_GONE = "left"
+    MOVED = "moved"  # taken back, to be placed anew under another version
 
 
 @dataclass(frozen=True)
 class AdmissionSettings:
-    """What admission goes by, of a deployment. Spans are whole tenths of a millisecond."""
+    """What admission goes by, of a deployment. Durations are whole ticks of 0.1 ms."""
 
     gains: tuple[float, ...]  # of each method
-    over_share_gain: float  # part of a gain that counts beyond a customer's share
+    over_share_gain: float  # part of a gain that counts beyond a customer's quota
     soft_deadline: int  # the usual one
-    quotas: tuple[float, ...]  # of each customer, RPCs a second; 0: none
-    longest_retry_after: int  # 0: clients are told no time
+    quotas: tuple[float, ...]  # of each customer, requests a second; 0: none
+    longest_retry_after: int  # 0: clients are given no time
 
     @classmethod
     def of(cls, facts: Facts) -> "AdmissionSettings":
@@ -50,145 +74,185 @@
 
 
 class AdmissionController:
-    """Counts of this dispatcher go out as `digests`; what others sent comes back by `update`."""
+    """Counts of this dispatcher go out as `counters`; what others sent comes back by `update`."""
 
     def __init__(
         self,
         settings: AdmissionSettings,
-        process_id: tuple[str, int, int],
+        process_id: ProcessId,
         counter_settings: CounterSettings,
         seed: int,
-        log: Callable[[str], None],
+        log_line: Callable[[str], None],
         now: int,
     ) -> None:
-        self.settings, self.seed, self.draws = settings, seed, 0
+        self.settings = settings
+        self.random = SeededRandom(seed)
         self.priorities = PriorityLevels(settings.gains, settings.over_share_gain)
-        count, soft = self.priorities.count, settings.soft_deadline
-        self.demand = [f"asked {priority}" for priority in range(count)]
-        self.customers = [f"customer {i}" for i in range(min(CUSTOMERS, len(settings.quotas)))]
-        columns = [*self.demand, "let", "good", "bad", "gone", "fault", "again", "repeat", *self.customers]
+        count = self.priorities.count
+        soft_deadline = settings.soft_deadline
+        self.demand_counters = [f"asked {priority}" for priority in range(count)]
+        counted_customers = min(MAX_CUSTOMERS, len(settings.quotas))
+        self.customer_counters = [f"customer {i}" for i in range(counted_customers)]
+        columns = [*self.demand_counters, *(counter.value for counter in Counter), *self.customer_counters]
         self.counters = GossipCounters(columns, process_id, counter_settings, now)
-        self.fleet = LevelController(count, soft, lambda text: log(f"fleet {text}"), now)
-        self.own = LevelController(count, soft, lambda text: None, now)
-        self.fallback = SourceSelector(log, now)
-        self.calendar = RetryReservations(settings.longest_retry_after, now)
-        self.level = AdmissionLevel(count)
-        self.room = 0.0  # RPCs a second for those that retry, of one's own part
-        self.shares = dict[int, float]()  # of a customer's RPCs, the part within its share
-        self.size = 1  # of the fleet as last known
-        self.denied = 0
-        self.unused = UnusedCapacityBucket(now)
-        self.retry_rate = inf  # attempts a second, of the fleet's budget
-        self.figures: FleetStatistics | None = None
-
-    # an RPC
-
-    def admit(self, method: int, customer: int, repeat: bool, key: str, now: int) -> int | None:
-        """None: let in. Else it is denied, and may retry after so long; 0: no time can be named."""
-        beyond = hash_fraction(f"share {key}") >= self.shares.get(customer, 1.0)
-        priority = self.priorities.priority(method, beyond, repeat)
-        self.counters.add(self.demand[priority])
-        if customer < len(self.customers):
-            self.counters.add(self.customers[customer])
-        admitted = self.level.admits(priority, key)
-        if admitted:
-            self.unused.charge(now)
-        if admitted or self.unused.try_take(now):
-            self.counters.add("let")
-            self.counters.add("repeat", int(repeat))
+        self.fleet_level = LevelController(count, soft_deadline, lambda text: log_line(f"fleet {text}"), now)
+        self.own_level = LevelController(count, soft_deadline, lambda _text: None, now)
+        self.source_selector = SourceSelector(log_line, now)
+        self.reservations = RetryReservations(settings.longest_retry_after, now)
+        self.unused_capacity = UnusedCapacityBucket(now)
+        self.level = AdmissionLevel(count)  # in force
+        self.retry_capacity = 0.0  # requests a second for clients that retry, of one's own part
+        self.quota_fractions = dict[int, float]()  # by customer: the part of its requests within its quota
+        self.fleet_size = 1  # as last known
+        self.rejected = 0
+        self.retry_rate = inf  # retries a second, of the fleet's budget
+        self.statistics: FleetStatistics | None = None  # the fleet's as last read
+
+    # a request
+
+    def admit(self, method: int, customer: int, is_retry: bool, key: str, now: int) -> int | None:
+        """None: admitted. Else rejected, with the Retry-After in ticks; 0: no time can be named."""
+        is_beyond_quota = hash_fraction(f"share {key}") >= self.quota_fractions.get(customer, 1.0)
+        priority = self.priorities.priority_of(method, is_beyond_quota, is_retry)
+        self.counters.add(self.demand_counters[priority])
+        if customer < len(self.customer_counters):
+            self.counters.add(self.customer_counters[customer])
+        is_admitted = self.level.admits(priority, key)
+        if is_admitted:
+            self.unused_capacity.charge(now)
+        if is_admitted or self.unused_capacity.try_take(now):
+            self.counters.add(Counter.ADMITTED)
+            self.counters.add(Counter.CLIENT_RETRIES, int(is_retry))
             return None
-        self.denied += 1
-        self.draws += 1
-        chance = crc32(f"{self.seed}:{self.draws}".encode()) / 2**32
-        return self.calendar.reserve(now, MIN_RETRY_AFTER, self.room, chance)
+        self.rejected += 1
+        spread = self.random.fraction()
+        return self.reservations.reserve(now, MIN_RETRY_AFTER, self.retry_capacity, spread)
 
     def count_restart(self) -> None:
-        """One that was let in begins once more, under another version."""
-        self.counters.add("let")
+        """An admitted request begins once more, under another version."""
+        self.counters.add(Counter.ADMITTED)
 
     def count_retry(self) -> None:
-        """A further attempt goes out, or would have where the module had been let."""
-        self.counters.add("again")
-
-    def on_request_finished(self, how: str, late: bool, cost: bool, fault: bool = False) -> None:
-        """One that was let in has ended: `ok`, `denied`, `aborted`, or its client `left`, or it `moved`. What
-        cost no worker anything is no sign of strain, however it ended: the module sheds by itself, and a
-        level that took that for strain would deny ever more. Nor is a soon end by a `fault` of a worker: it
-        took its place there like one done, and fewer let in would only make fewer done."""
-        good = how == "ok" and not late
-        gone = not cost or (how in ("left", "moved") and not late)
-        self.counters.add("good" if good else "gone" if gone else "fault" if fault and not late else "bad")
-
-    # the figures
-
-    def update(self, present: Callable[[str], bool], size: int, now: int) -> None:
-        """Work the level out anew. `size`: of the fleet, oneself included; 0: one is no member."""
-        figures = self.figures = self.counters.statistics(now, present, max(1, size))
+        """An attempt after the first goes out, or would have where the policy had been allowed one."""
+        self.counters.add(Counter.RETRIES)
+
+    def on_request_finished(
+        self, outcome: RequestOutcome, is_late: bool, reached_worker: bool, is_worker_fault: bool = False
+    ) -> None:
+        """An admitted request has finished.
+
+        What reached no worker is no sign of strain, however it finished: the policy sheds by itself, and a
+        level that took that for strain would reject ever more. Nor is a soon end by a worker's fault: it
+        took its place there like one served, and admitting fewer would only serve fewer.
+        """
+        is_abandoned = outcome in (RequestOutcome.CLIENT_GONE, RequestOutcome.MOVED)
+        if outcome is RequestOutcome.OK and not is_late:
+            counter = Counter.GOOD
+        elif not reached_worker or (is_abandoned and not is_late):
+            counter = Counter.EXCLUDED
+        elif is_worker_fault and not is_late:
+            counter = Counter.FAULT
+        else:
+            counter = Counter.BAD
+        self.counters.add(counter)
+
+    # the statistics
+
+    def update(self, is_present: Callable[[str], bool], size: int, now: int) -> None:
+        """Compute the level anew. `size` is the fleet's, oneself included; 0: one is no member."""
+        fleet = self.counters.statistics(now, is_present, max(1, size))
         own = self.counters.own_statistics()
+        self.statistics = fleet
         if size > 1:
-            self.size = size
-        fleet_traffic, own_traffic = self.traffic(figures), self.traffic(own)
-        basis = self.fallback.update(figures.counted, size, own_traffic.admitted, now)
+            self.fleet_size = size
+        fleet_traffic = self.traffic(fleet)
+        own_traffic = self.traffic(own)
+        source = self.source_selector.update(fleet.counted, size, own_traffic.admitted, now)
         levels = {
-            StatisticsSource.FLEET: self.fleet.update(fleet_traffic, now),
-            StatisticsSource.OWN: self.own.update(own_traffic, now),
+            StatisticsSource.FLEET: self.fleet_level.update(fleet_traffic, now),
+            StatisticsSource.OWN: self.own_level.update(own_traffic, now),
             StatisticsSource.NONE: AdmissionLevel(self.priorities.count),
         }
-        self.level = levels[basis]
-        by_fleet = basis is StatisticsSource.FLEET
-        traffic, shedding = (fleet_traffic, self.fleet) if by_fleet else (own_traffic, self.own)
-        part = self.unused.own_part(sum(own_traffic.demand), sum(traffic.demand), traffic.age, now)
-        self.unused.set_rate(shedding.room * part if self.is_shedding else inf, now)
-        rates = figures.rates if by_fleet else own.rates
-        self.retry_rate = retry_rate(rates, own.rates, basis is not StatisticsSource.NONE)
-        self.room = self.room_for_retries(own_traffic, shedding.room, part)
-        self.update_shares(rates, basis)
-
-    def room_for_retries(self, own: Traffic, room: float, part: float) -> float:
-        """What one's own part of the room leaves beyond first tries."""
-        if room == inf:
+        self.level = levels[source]
+        if source is StatisticsSource.FLEET:
+            self.update_capacity(self.fleet_level.capacity, fleet_traffic, own_traffic, now)
+            self.update_budgets(fleet.rates, own.rates, source)
+        else:
+            self.update_capacity(self.own_level.capacity, own_traffic, own_traffic, now)
+            self.update_budgets(own.rates, own.rates, source)
+
+    def update_capacity(self, capacity: float, traffic: Traffic, own: Traffic, now: int) -> None:
+        """Take one's own part of the capacity, for what the level rejects and for clients that retry."""
+        bucket = self.unused_capacity
+        part = bucket.own_part(sum(own.demand), sum(traffic.demand), traffic.age, now)
+        bucket.set_rate(capacity * part if self.is_shedding else inf, now)
+        self.retry_capacity = self.capacity_for_retries(own, capacity, part)
+
+    def capacity_for_retries(self, own: Traffic, capacity: float, part: float) -> float:
+        """What one's own part of the capacity leaves beyond first requests, in requests a second."""
+        if capacity == inf:
             return 0.0
         by_priority = zip(own.demand, self.priorities.priorities, strict=False)
-        firsts = sum(rate for rate, priority in by_priority if not priority.repeat)
-        return max(0.0, room * part - firsts)
+        first_requests = sum(rate for rate, priority in by_priority if not priority.is_retry)
+        return max(0.0, capacity * part - first_requests)
 
-    def update_shares(self, rates: Mapping[str, float], basis: StatisticsSource) -> None:
-        """Which part of each customer's RPCs lies within its quota; alone, within one's part of it."""
-        self.shares.clear()
-        if basis is StatisticsSource.NONE:
+    def update_budgets(
+        self, rates: Mapping[str, float], own: Mapping[str, float], source: StatisticsSource
+    ) -> None:
+        """Take one's part of the retry budget, and which part of each customer's requests is within quota."""
+        is_known = source is not StatisticsSource.NONE
+        self.retry_rate = retry_rate(retry_traffic(rates), retry_traffic(own), is_known)
+        self.quota_fractions.clear()
+        if not is_known:
             return
-        for i, name in enumerate(self.customers):
-            quota = self.settings.quotas[i] / (1 if basis is StatisticsSource.FLEET else self.size)
+        divisor = 1 if source is StatisticsSource.FLEET else self.fleet_size  # alone, one's part of the quota
+        for i, name in enumerate(self.customer_counters):
+            quota = self.settings.quotas[i] / divisor
             rate = rates[name]
             if 0 < quota < rate:
-                self.shares[i] = quota / rate
+                self.quota_fractions[i] = quota / rate
 
     @property
     def is_shedding(self) -> bool:
-        """Whether the level in force denies anything."""
+        """Whether the level in force rejects anything."""
         return self.level.priority < self.priorities.count
 
-    def traffic(self, figures: FleetStatistics) -> Traffic:
-        """The counters read as traffic. What ended at no cost was never let in, for the level's sake."""
-        rates, totals = figures.rates, figures.totals
-        in_flight = totals["let"] - totals["good"] - totals["bad"] - totals["gone"] - totals["fault"]
+    def traffic(self, statistics: FleetStatistics) -> Traffic:
+        """The counters read as traffic; what was excluded was never admitted, for the level's sake."""
+        rates = statistics.rates
+        totals = statistics.totals
+        finished = (Counter.GOOD, Counter.BAD, Counter.EXCLUDED, Counter.FAULT)
+        in_flight = totals[Counter.ADMITTED] - sum(totals[counter] for counter in finished)
         return Traffic(
-            demand=tuple(rates[name] for name in self.demand),
-            admitted=max(0.0, rates["let"] - rates["gone"]),
-            good=rates["good"] + rates["fault"],
-            bad=rates["bad"],
+            demand=tuple(rates[name] for name in self.demand_counters),
+            admitted=max(0.0, rates[Counter.ADMITTED] - rates[Counter.EXCLUDED]),
+            good=rates[Counter.GOOD] + rates[Counter.FAULT],
+            bad=rates[Counter.BAD],
             in_flight=max(0.0, in_flight),
-            age=figures.age,
+            age=statistics.age,
         )
 
     def show(self) -> dict[str, Any]:
-        """For operators (`lapistrestle fleet show --json`)."""
-        figures = self.figures
+        """What operators are shown, under the names of `lapistrestle fleet show --json`."""
+        statistics = self.statistics
         return {
-            "step": NAMES[self.fallback.basis], "shedding": self.fleet.mode.name.lower(),
-            "level": round(self.level.value, 3), "rungs": self.priorities.count, "denied": self.denied,
+            "step": DISPLAY_NAMES[self.source_selector.source],
+            "shedding": self.fleet_level.state.value,
+            "level": round(self.level.value, 3),
+            "rungs": self.priorities.count,
+            "denied": self.rejected,
             "further": None if self.retry_rate == inf else round(self.retry_rate, 1),
-            "told": figures.counted if figures else 1, "age ms": figures.age / 10 if figures else 0.0,
-            "rates": {k: round(v, 1) for k, v in figures.rates.items()} if figures else {},
-            "beyond": {str(i): round(1 - part, 3) for i, part in self.shares.items()},
-        }  # fmt: skip
+            "told": statistics.counted if statistics else 1,
+            "age ms": statistics.age / 10 if statistics else 0.0,
+            "rates": {k: round(v, 1) for k, v in statistics.rates.items()} if statistics else {},
+            "beyond": {str(i): round(1 - part, 3) for i, part in self.quota_fractions.items()},
+        }
+
+
+def retry_traffic(rates: Mapping[str, float]) -> RetryTraffic:
+    """The part of the rates that a retry budget follows from."""
+    return RetryTraffic(
+        good=rates[Counter.GOOD],
+        retries=rates[Counter.RETRIES],
+        client_retries=rates[Counter.CLIENT_RETRIES],
+    )
--- a/lapistrestle/overload/retry_after.py
+++ b/lapistrestle/overload/retry_after.py
@@ -1,50 +1,57 @@
-"""Retry-after times, reserved in room that will be there: no moment is named to more than fit in it."""
+"""Retry-After times, reserved in future capacity: no moment is named to more clients than it can serve."""
 
 from collections import deque
 from math import ceil
 
-SECOND = 10_000  # in tenths of a millisecond
-SLOT = 1_000  # tenths of a millisecond: reservations are kept by slots of this width
-HEADROOM = 0.8  # of the room is reserved; the rest is for those that were named no time
-LONG_AGO = -(10**9)  # a slot
+SECOND = 10_000  # in ticks of 0.1 ms
+SLOT = 1_000  # ticks: reservations are counted by slots of this width
+HEADROOM = 0.8  # part of the capacity that is reserved; the rest is for those that were given no time
+NO_SLOT = -(10**9)  # long before any
 
 
 class RetryReservations:
-    """What one dispatcher has reserved. It reserves out of its own part of the fleet's room only, so that the
-    reservations of all add up to no more than the whole. `longest` is the furthest time that may be named."""
+    """The reservations of one dispatcher.
+
+    It reserves from its own part of the fleet's capacity only, so that those of all add up to no more than
+    the capacity.
+    """
 
     def __init__(self, longest: int, now: int) -> None:
-        self.slots = longest // SLOT  # of the horizon
-        self.first = now // SLOT
-        self.booked: deque[float] = deque()
-        self.last = LONG_AGO  # the last slot reserved, where less than one fits each
-
-    def reserve(self, now: int, least: int, room: float, chance: float) -> int:
-        """After how long to retry, in tenths of a millisecond, at least `least`; 0: no time can be named.
-        `room`: RPCs a second that can be served beyond first tries, `chance` in [0, 1) spreads those of a
-        slot over it."""
+        """`longest` is the longest Retry-After that may be named, in ticks."""
+        self.horizon = longest // SLOT  # in slots
+        self.first_slot = now // SLOT  # of `reserved`
+        self.reserved: deque[float] = deque()  # by slot
+        self.last_slot = NO_SLOT  # the last one reserved, where less than one request fits each
+
+    def reserve(self, now: int, shortest: int, capacity: float, spread: float) -> int:
+        """A Retry-After of at least `shortest` ticks; 0: no time can be named.
+
+        `capacity` is in requests a second beyond first requests; `spread` in [0, 1) says where in its slot
+        the request is to come.
+        """
         self.drop_past(now)
-        each = HEADROOM * room * SLOT / SECOND
-        if each <= 0:
+        per_slot = HEADROOM * capacity * SLOT / SECOND
+        if per_slot <= 0:
             return 0
-        for slot in range(max(1, ceil(least / SLOT)), self.slots):
-            while len(self.booked) <= slot:
-                self.booked.append(0.0)
-            if each >= 1 and self.booked[slot] + 1 <= each:
-                self.booked[slot] += 1
-                return self.span(now, slot, chance)
-            if each < 1 and self.first + slot >= self.last + ceil(1 / each):
-                self.booked[slot], self.last = self.booked[slot] + 1, self.first + slot
-                return self.span(now, slot, chance)
+        for slot in range(max(1, ceil(shortest / SLOT)), self.horizon):
+            while len(self.reserved) <= slot:
+                self.reserved.append(0.0)
+            if per_slot >= 1 and self.reserved[slot] + 1 <= per_slot:
+                self.reserved[slot] += 1
+                return self.delay_until(slot, spread, now)
+            if per_slot < 1 and self.first_slot + slot >= self.last_slot + ceil(1 / per_slot):
+                self.reserved[slot] += 1
+                self.last_slot = self.first_slot + slot
+                return self.delay_until(slot, spread, now)
         return 0
 
     def drop_past(self, now: int) -> None:
-        """Slots that are over."""
-        while self.first < now // SLOT:
-            if self.booked:
-                self.booked.popleft()
-            self.first += 1
-
-    def span(self, now: int, slot: int, chance: float) -> int:
-        """From now to that part of a slot."""
-        return max(1, (self.first + slot) * SLOT + int(chance * SLOT) - now)
+        """Drop slots that are over."""
+        while self.first_slot < now // SLOT:
+            if self.reserved:
+                self.reserved.popleft()
+            self.first_slot += 1
+
+    def delay_until(self, slot: int, spread: float, now: int) -> int:
+        """Ticks from now to that part of a slot."""
+        return max(1, (self.first_slot + slot) * SLOT + int(spread * SLOT) - now)
--- a/lapistrestle/overload/statistics_source.py
+++ b/lapistrestle/overload/statistics_source.py
@@ -1,59 +1,62 @@
-"""Whose figures admission goes by, as far as they can be relied on: the fleet's, one's own, or none.
+"""Whose statistics admission goes by, as far as they can be relied on: graceful degradation in two steps.
 
-FLEET: the fleet's figures. OWN: one's own figures alone, which say the same of one's own part of a last known
-fleet, as the level is worked out from shares. NONE: no level at all, the module's own judgement, as where no
-fleet is set. A step down is taken at once, a step up only after a while without a step down, so that links
-that flap do not move the level with every gap.
+A step down is taken at once, a step up only after a while without a change, so that links that flap do not
+move the level with every gap.
 """
 
 from collections.abc import Callable
-from enum import Enum, IntEnum
+from enum import IntEnum
 
-SECOND = 10_000  # in tenths of a millisecond
-SETTLED = 3 * SECOND  # without a worse reading before one step up
-MIN_HEARD = 0.5  # of those that count as there must be heard of, for the fleet's figures to say something
-MIN_OWN = 5.0  # RPCs a second of one's own, under which one's own figures are chance
+SECOND = 10_000  # in ticks of 0.1 ms
+SETTLING_TIME = 3 * SECOND  # without a change before one step up
+MIN_COUNTED_PART = 0.5  # of the members present must have reported, for the fleet's statistics to mean much
+MIN_OWN_RATE = 5.0  # requests a second of one's own, under which one's own statistics are chance
 
-StatisticsSource = IntEnum("StatisticsSource", "FLEET OWN NONE")  # each further down than the one before
-Reading = Enum("Reading", "FLEET OWN NONE")  # what the figures allow at this moment
 
-NAMES = {
+class StatisticsSource(IntEnum):
+    """Whose statistics are used; each is a step down from the one before."""
+
+    FLEET = 1  # the fleet's
+    OWN = 2  # one's own alone, which say the same of one's own part of the last known fleet
+    NONE = 3  # nobody's: no level at all, as where no fleet is set
+
+
+# in log lines and in what operators are shown
+DISPLAY_NAMES = {
     StatisticsSource.FLEET: "together",
     StatisticsSource.OWN: "part",
     StatisticsSource.NONE: "alone",
-}  # in log lines and shown
-
-TRANSITIONS: dict[tuple[StatisticsSource, Reading], StatisticsSource] = {
-    (StatisticsSource.FLEET, Reading.FLEET): StatisticsSource.FLEET,
-    (StatisticsSource.FLEET, Reading.OWN): StatisticsSource.OWN,
-    (StatisticsSource.FLEET, Reading.NONE): StatisticsSource.NONE,
-    (StatisticsSource.OWN, Reading.FLEET): StatisticsSource.FLEET,
-    (StatisticsSource.OWN, Reading.OWN): StatisticsSource.OWN,
-    (StatisticsSource.OWN, Reading.NONE): StatisticsSource.NONE,
-    (StatisticsSource.NONE, Reading.FLEET): StatisticsSource.OWN,
-    (StatisticsSource.NONE, Reading.OWN): StatisticsSource.OWN,
-    (StatisticsSource.NONE, Reading.NONE): StatisticsSource.NONE,
 }
 
 
 class SourceSelector:
-    """Steps down and up between the bases, one log line for each."""
-
-    def __init__(self, log: Callable[[str], None], now: int) -> None:
-        self.basis, self.log, self.stepped_down = StatisticsSource.NONE, log, now
-
-    def update(self, counted: int, size: int, own: float, now: int) -> StatisticsSource:
-        """`counted` of `size` dispatchers have young figures, oneself among them; `own`: in RPCs a second."""
-        basis = TRANSITIONS[self.basis, read(counted, size, own)]
-        settled = now - self.stepped_down >= SETTLED
-        if basis > self.basis or (basis < self.basis and settled):
-            self.basis, self.stepped_down = basis, now
-            self.log(f"fleet figures {NAMES[basis]}: {counted} of {size} heard, {own:.1f} own a second")
-        return self.basis
-
-
-def read(counted: int, size: int, own: float) -> Reading:
-    """What figures of that many allow."""
-    if size > 1 and counted > 1 and counted >= MIN_HEARD * size:
-        return Reading.FLEET
-    return Reading.OWN if own >= MIN_OWN else Reading.NONE
+    """Steps down and up between the sources, with one log line for each step."""
+
+    def __init__(self, log_line: Callable[[str], None], now: int) -> None:
+        self.source = StatisticsSource.NONE
+        self.log_line = log_line
+        self.changed_at = now
+
+    def update(self, counted: int, size: int, own_rate: float, now: int) -> StatisticsSource:
+        """The source from now on.
+
+        `counted` of `size` members have young statistics, oneself among them; `own_rate` is one's own traffic
+        in requests a second.
+        """
+        reliable = reliable_source(counted, size, own_rate)
+        is_two_up = self.source is StatisticsSource.NONE and reliable is StatisticsSource.FLEET
+        source = StatisticsSource.OWN if is_two_up else reliable
+        is_settled = now - self.changed_at >= SETTLING_TIME
+        if source > self.source or (source < self.source and is_settled):
+            self.source = source
+            self.changed_at = now
+            name = DISPLAY_NAMES[source]
+            self.log_line(f"fleet figures {name}: {counted} of {size} heard, {own_rate:.1f} own a second")
+        return self.source
+
+
+def reliable_source(counted: int, size: int, own_rate: float) -> StatisticsSource:
+    """The best source that can be relied on at this moment."""
+    if size > 1 and counted > 1 and counted >= MIN_COUNTED_PART * size:
+        return StatisticsSource.FLEET
+    return StatisticsSource.OWN if own_rate >= MIN_OWN_RATE else StatisticsSource.NONE
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,18 +1,31 @@
 """Who sheds what: decisions over the fleet's figures, and the loop they make in a fluid model."""
 
+from dataclasses import replace
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from lapistrestle.model.overload import AloneByLevel, ByLevel, Day, Open, RetryBudget, play
 from lapistrestle.overload import level_controller
-from lapistrestle.overload.level_controller import TRANSITIONS, Condition, LevelController, Mode, Traffic
+from lapistrestle.overload.level_controller import (
+    TRANSITIONS,
+    Condition,
+    LevelController,
+    SheddingState,
+    Traffic,
+)
 from lapistrestle.overload.priorities import AdmissionLevel, PriorityLevels, hash_fraction, level_for
 from lapistrestle.overload.retry_after import HEADROOM, SLOT, RetryReservations
-from lapistrestle.overload.retry_budget import MIN_RATE, RETRY_RATIO, retry_rate
+from lapistrestle.overload.retry_budget import MIN_RATE, RETRY_RATIO, RetryTraffic, retry_rate
 from lapistrestle.overload.statistics_source import SourceSelector, StatisticsSource
 from lapistrestle.overload.unused_capacity import UnusedCapacityBucket
-from lapistrestle.overload.worker_verdicts import PROBERS_PER_WORKER, STALE, WorkerVerdicts, select_probers
+from lapistrestle.overload.worker_verdicts import (
+    EXPIRY_AGE,
+    PROBERS_PER_WORKER,
+    WorkerVerdicts,
+    select_probers,
+)
 from lapistrestle.wire.fleet import WorkerVerdict
 
 SECOND = 10_000
@@ -41,7 +54,7 @@
 
 def test_what_earns_more_is_denied_later_and_a_repeat_before_a_first_try_of_its_worth():
     made = levels([1.0, 4.0])
-    order = [made.priority(m, beyond, repeat) for m, beyond, repeat in
+    order = [made.priority_of(m, beyond, repeat) for m, beyond, repeat in
              [(1, False, False), (1, False, True), (1, True, False), (0, False, False), (0, False, True),
               (0, True, False), (0, True, True)]]  # fmt: skip
     assert order == sorted(set(order)) and order[0] == 0
@@ -49,7 +62,7 @@
 
 def test_many_worths_share_the_last_rung():
     made = levels([float(i) for i in range(1, 40)])
-    assert made.count == 16 and made.priority(0, True, True) == 15
+    assert made.count == 16 and made.priority_of(0, True, True) == 15
 
 
 @given(st.lists(st.floats(0, 1e4), min_size=1, max_size=8), st.floats(0, 1e5))
@@ -72,29 +85,29 @@
 
 
 def test_every_mode_answers_every_sign():
-    assert set(TRANSITIONS) == {(mode, sign) for mode in Mode for sign in Condition}
+    assert set(TRANSITIONS) == {(mode, sign) for mode in SheddingState for sign in Condition}
 
 
 def test_strain_cuts_under_what_is_done_and_the_best_of_late_is_its_floor(one):
     one.update(seen(good=1_000, let=1_000), 0)
     one.update(strained(500, 500), SECOND)
-    assert one.mode is Mode.SHEDDING and one.room == level_controller.CUT * 500
+    assert one.state is SheddingState.SHEDDING and one.capacity == level_controller.CUT_FACTOR * 500
     one.update(strained(10, 990), 2 * SECOND)
-    assert one.room == level_controller.FLOOR * 1_000
+    assert one.capacity == level_controller.FLOOR_FACTOR * 1_000
     one.update(strained(10, 990), 20 * SECOND)
-    assert one.room == level_controller.CUT * 10  # what was done long ago says nothing
+    assert one.capacity == level_controller.CUT_FACTOR * 10  # what was done long ago says nothing
 
 
 def test_few_ends_are_no_strain(one):
     one.update(seen(good=4, bad=4), SECOND)
-    assert one.mode is Mode.CALM
+    assert one.state is SheddingState.NORMAL
 
 
 def test_bad_ends_without_long_stays_shut_no_door(one):
     """Workers or loads that fail: fewer let in would mend nothing."""
     for now in range(0, 20 * SECOND, SECOND):
         one.update(seen((2_000.0, 1_000.0), let=900, good=500, bad=400, out=90), now)
-    assert one.mode is Mode.CALM and one.level == AdmissionLevel(2)
+    assert one.state is SheddingState.NORMAL and one.level == AdmissionLevel(2)
 
 
 def test_the_room_goes_back_to_the_best_of_late_once_but_not_after_a_relapse(one):
@@ -102,12 +115,12 @@
     jam, fine = strained(300, 700), seen((3_000, 0), 300, 300, 0)
     one.update(jam, SECOND)
     one.update(fine, 2 * SECOND)
-    assert one.room == level_controller.BACK * 1_000
+    assert one.capacity == level_controller.RECOVERY_FACTOR * 1_000
     one.update(jam, 3 * SECOND)
-    assert one.room == pytest.approx(level_controller.CUT * 300)
+    assert one.capacity == pytest.approx(level_controller.CUT_FACTOR * 300)
     one.update(fine, 4 * SECOND)
-    assert one.room == pytest.approx(
-        level_controller.BACK * level_controller.BACK * 1_000
+    assert one.capacity == pytest.approx(
+        level_controller.RECOVERY_FACTOR * level_controller.RECOVERY_FACTOR * 1_000
     )  # less with every relapse
 
 
@@ -115,10 +128,10 @@
     one.update(strained(500, 500), 0)
     fine = seen((3_000, 0), 600, 600, 0, age=2 * SECOND)
     one.update(fine, 10)
-    before = one.room
+    before = one.capacity
     for now in range(20, 4 * SECOND, 1_000):  # one lag: the window of two seconds and the age of two
         one.update(fine, now)
-    assert before < one.room <= before * (1 + level_controller.EASE) * 1.05
+    assert before < one.capacity <= before * (1 + level_controller.GROWTH_PER_LAG) * 1.05
     hasty, slow = (
         LevelController(2, SECOND, lambda text: None, 0),
         LevelController(2, SECOND, lambda text: None, 0),
@@ -126,15 +139,17 @@
     for made, age in ((hasty, 0), (slow, 8 * SECOND)):
         made.update(strained(500, 500), 0)
         for now in range(10, 6 * SECOND, 1_000):
-            made.update(seen((3_000, 0), made.room, made.room, 0, age=age), now)
-    assert slow.room < hasty.room
+            made.update(seen((3_000, 0), made.capacity, made.capacity, 0, age=age), now)
+    assert slow.capacity < hasty.capacity
 
 
 def test_what_piles_up_is_seen_before_anything_is_late(one):
     one.update(strained(500, 500), 0)
     one.update(seen((3_000, 0), 1_000, 1_000, 0), SECOND)
     one.update(seen((3_000, 0), 1_000, 900, 0, out=0.5 * 900), 2 * SECOND)
-    assert one.mode is Mode.EASING and one.room == pytest.approx(level_controller.DRAIN * 900)
+    assert one.state is SheddingState.RECOVERING and one.capacity == pytest.approx(
+        level_controller.DRAIN_FACTOR * 900
+    )
 
 
 def over(t):
@@ -164,11 +179,11 @@
     """Planted: steps as if each look at the figures were news."""
 
     def hasty(self, now_seen, now):
-        self.room = max(self.room, now_seen.admitted) * (1 + level_controller.EASE)
+        self.capacity = max(self.capacity, now_seen.admitted) * (1 + level_controller.GROWTH_PER_LAG)
 
     good = play(day(12, age=3.0), ByLevel).part(35, 75)
     table = {
-        key: (mode, hasty if do is LevelController.ease else do) for key, (mode, do) in TRANSITIONS.items()
+        key: (mode, hasty if do is LevelController.grow else do) for key, (mode, do) in TRANSITIONS.items()
     }
     monkeypatch.setattr(level_controller, "TRANSITIONS", table)
     assert play(day(12, age=3.0), ByLevel).part(35, 75) < good - 0.15
@@ -198,11 +213,11 @@
     one.update(seen(good=1_000, let=1_000), 0)
     one.update(strained(500, 500), SECOND)
     one.update(seen((2_000.0, 1_000.0), let=400, good=400), 2 * SECOND)
-    assert one.mode is Mode.EASING
+    assert one.state is SheddingState.RECOVERING
     for step in range(1, 20):  # ten seconds in which half of what is let in ends, and stays long
-        let = one.room
+        let = one.capacity
         one.update(seen((2_000.0, 1_000.0), let=let, good=let / 2, out=let), 2 * SECOND + step * SECOND // 2)
-        assert one.room >= level_controller.FLOOR * 1_000  # the best of the last 15 s
+        assert one.capacity >= level_controller.FLOOR_FACTOR * 1_000  # the best of the last 15 s
 
 
 # room that the level leaves unused
@@ -268,29 +283,29 @@
 @given(st.lists(st.tuples(rates, rates, rates), min_size=1, max_size=60))
 def test_budgets_of_all_stay_within_the_whole_whoever_wishes_more(members):
     """Beyond what each may make at the least; and where all wishes fit, each may make what it wishes."""
-    rows = [dict(zip(("good", "again", "repeat"), row, strict=True)) for row in members]
-    fleet = {name: sum(row[name] for row in rows) for name in rows[0]}
-    whole = max(0.0, RETRY_RATIO * fleet["good"] - fleet["repeat"])
+    rows = [RetryTraffic(*row) for row in members]
+    fleet = RetryTraffic(*(sum(column) for column in zip(*members, strict=True)))
+    whole = max(0.0, RETRY_RATIO * fleet.good - fleet.client_retries)
     parts = [retry_rate(fleet, row, True) for row in rows]
     assert all(part >= MIN_RATE for part in parts)
-    if fleet["again"] > whole:
+    if fleet.retries > whole:
         assert sum(part for part in parts if part > MIN_RATE) <= whole * (1 + 1e-9)
     else:
-        assert all(part >= row["again"] * (1 - 1e-9) for part, row in zip(parts, rows, strict=True))
+        assert all(part >= row.retries * (1 - 1e-9) for part, row in zip(parts, rows, strict=True))
 
 
 def test_a_budget_follows_need_and_without_figures_there_is_none():
-    fleet = {"good": 1_000.0, "again": 400.0, "repeat": 0.0}
-    parts = [retry_rate(fleet, {"good": 333.0, "again": x}, True) for x in (300.0, 80.0, 20.0)]
+    fleet = RetryTraffic(1_000.0, 400.0, 0.0)
+    parts = [retry_rate(fleet, RetryTraffic(333.0, x), True) for x in (300.0, 80.0, 20.0)]
     assert sum(parts) == pytest.approx(RETRY_RATIO * 1_000) and parts == sorted(parts, reverse=True)
-    assert retry_rate(fleet, {"good": 333.0, "again": 300.0}, False) == float("inf")
+    assert retry_rate(fleet, RetryTraffic(333.0, 300.0), False) == float("inf")
 
 
 def test_what_clients_repeat_by_themselves_leaves_less_to_try_again():
-    own = {"good": 500.0, "again": 100.0}
-    fleet = {"good": 1_000.0, "again": 200.0}
-    assert retry_rate({**fleet, "repeat": 150.0}, own, True) == pytest.approx(25.0)
-    assert retry_rate({**fleet, "repeat": 900.0}, own, True) == MIN_RATE
+    own = RetryTraffic(500.0, 100.0)
+    fleet = RetryTraffic(1_000.0, 200.0)
+    assert retry_rate(replace(fleet, client_retries=150.0), own, True) == pytest.approx(25.0)
+    assert retry_rate(replace(fleet, client_retries=900.0), own, True) == MIN_RATE
 
 
 def test_few_probe_each_worker_and_little_changes_hands():
@@ -322,7 +337,7 @@
     made.on_verdicts([WorkerVerdict("w", False, 1_000, "b")], SECOND)
     assert made.is_unhealthy("w", SECOND)
     made.on_verdicts([WorkerVerdict("w", True, 9_900, "c")], SECOND)  # older than b's
-    assert made.is_unhealthy("w", SECOND) and not made.is_unhealthy("w", 1_000 + 9_000 + STALE)
-    made.on_verdicts([WorkerVerdict("w", False, STALE, "d")], 10 * SECOND)
+    assert made.is_unhealthy("w", SECOND) and not made.is_unhealthy("w", 1_000 + 9_000 + EXPIRY_AGE)
+    made.on_verdicts([WorkerVerdict("w", False, EXPIRY_AGE, "d")], 10 * SECOND)
     assert not made.is_unhealthy("w", 10 * SECOND)
     assert [v.worker for v in made.to_send(SECOND, 5)] == ["w"]
