--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,56 +1,79 @@
 """Membership among dispatchers: claims by property, single decisions, and many in virtual time."""
 
-from typing import Any
+from random import Random
+from typing import Any, TypeVar
 
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapistrestle.fleet.member_table import LocalState
+from lapistrestle.fleet.gossip_endpoint import GossipEndpoint
+from lapistrestle.fleet.member_table import LocalState, Member
 from lapistrestle.fleet.membership import Membership
 from lapistrestle.fleet.settings import MembershipSettings
 from lapistrestle.fleet.suspicion import MAX_LOCAL_HEALTH
-from lapistrestle.standins.fleet import Cluster
+from lapistrestle.standins.fleet import Cluster, VirtualRuntime
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
 SECOND = 10_000
 
 
+M = TypeVar("M", bound=wire.Message)
+Sent = tuple[int, wire.Message, tuple[MemberRecord, ...]]  # to which port, what, and what was piggybacked
+
+
+def runtime_of(endpoint: GossipEndpoint) -> VirtualRuntime:
+    assert isinstance(endpoint.runtime, VirtualRuntime)
+    return endpoint.runtime
+
+
 class Written:
     """A transport that writes down."""
 
-    def __init__(self):
-        self.sent, self.logs = [], []
+    def __init__(self) -> None:
+        self.sent: list[Sent] = []
+        self.logs: list[str] = []
 
-    def send(self, host, port, message, records):
+    def send(self, host: str, port: int, message: wire.Message, records: tuple[MemberRecord, ...]) -> None:
         self.sent.append((port, message, records))
 
-    def on_member_changed(self, member): ...
+    def on_member_changed(self, member: Member) -> None: ...
 
-    def log(self, text):
+    def log(self, text: str) -> None:
         self.logs.append(text)
 
-    def messages(self, kind):
+    def messages(self, kind: type[M]) -> list[tuple[int, M]]:
         return [(port, message) for port, message, _ in self.sent if isinstance(message, kind)]
 
 
-def record(name="b", incarnation=0, status=MemberStatus.ALIVE, boot=1, nonce=1, port=0, suspected_by=""):
+def record(
+    name: str = "b",
+    incarnation: int = 0,
+    status: MemberStatus = MemberStatus.ALIVE,
+    boot: int = 1,
+    nonce: int = 1,
+    port: int = 0,
+    suspected_by: str = "",
+) -> MemberRecord:
     number = int(name[1:] or 0) if name[1:].isdigit() else ord(name[0])
     return MemberRecord(
         name, boot, nonce, incarnation, status, "127.0.0.1", port or 1_000 + number, "", suspected_by
     )
 
 
+Made = tuple[Membership, Written]
+
+
 @pytest.fixture
-def made():
+def made() -> Made:
     transport = Written()
     members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     members.start(0)
     return members, transport
 
 
-def meet(members, *names):
+def meet(members: Membership, *names: str) -> None:
     for name in names:
         members.on_message(record(name), wire.Ack(0), (), members.now)
 
@@ -62,7 +85,7 @@
 )  # fmt: skip
 
 
-def test_who_says_that_a_member_is_there_accuses_it_of_nothing():
+def test_who_says_that_a_member_is_there_accuses_it_of_nothing() -> None:
     """Said twice, with a name beside it, it had counted as an accuser of the suspicion that followed."""
     members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
     for status, by in ((MemberStatus.ALIVE, "x"), (MemberStatus.ALIVE, "x"), (MemberStatus.SUSPECT, "y")):
@@ -71,7 +94,7 @@
 
 
 @given(st.lists(records, max_size=12), st.randoms())
-def test_claims_lead_to_one_belief_in_any_order_and_doubled(told, random):
+def test_claims_lead_to_one_belief_in_any_order_and_doubled(told: list[MemberRecord], random: Random) -> None:
     other = [*told, *random.sample(told, len(told) // 2)]
     random.shuffle(other)
     beliefs = []
@@ -88,7 +111,9 @@
 
 
 @given(st.lists(records, max_size=12))
-def test_leaving_is_not_taken_back_within_a_boot_and_nobody_else_raises_an_incarnation(told):
+def test_leaving_is_not_taken_back_within_a_boot_and_nobody_else_raises_an_incarnation(
+    told: list[MemberRecord],
+) -> None:
     members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
     left = set()
     for each in told:
@@ -99,7 +124,7 @@
         assert held.incarnation in {c.incarnation for c in told if c.process_id == held.process_id}
 
 
-def test_the_suspected_refutes_and_doubts_itself(made):
+def test_the_suspected_refutes_and_doubts_itself(made: Made) -> None:
     members, _ = made
     meet(members, "b")
     members.on_message(
@@ -110,7 +135,7 @@
     assert members.me.incarnation == 1  # refuted already
 
 
-def test_further_accusers_shorten_a_suspicion_and_doubt_lengthens_it(made):
+def test_further_accusers_shorten_a_suspicion_and_doubt_lengthens_it(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c", "d", "e", "f")
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="c"))
@@ -128,14 +153,14 @@
     assert members.suspicion_deadline(suspect) - suspect.status_since == 2 * (certain - suspect.status_since)
 
 
-def probing(members):
+def probing(members: Membership) -> tuple[Member, int]:
     """The first ping of a period, answered by nobody, and the clock at its time-out."""
     members.tick(members.next_period)
     assert members.detector.target is not None
     return members.detector.target, members.detector.ping_deadline
 
 
-def test_others_are_asked_before_one_is_accused(made):
+def test_others_are_asked_before_one_is_accused(made: Made) -> None:
     members, transport = made
     meet(members, "b", "c", "d")
     target, late = probing(members)
@@ -144,10 +169,10 @@
     assert len(asks) == 2 and {message.name for _, message in asks} == {target.name}
     assert target.status is MemberStatus.ALIVE
     members.tick(members.next_period)
-    assert target.status is MemberStatus.SUSPECT and target.suspected_by == {"a"}
+    assert target.record.status is MemberStatus.SUSPECT and target.suspected_by == {"a"}
 
 
-def test_an_answer_through_another_saves_it(made):
+def test_an_answer_through_another_saves_it(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c", "d")
     target, late = probing(members)
@@ -159,7 +184,7 @@
     assert target.status is MemberStatus.ALIVE
 
 
-def test_an_old_answer_saves_nobody(made):
+def test_an_old_answer_saves_nobody(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c")
     target, late = probing(members)
@@ -169,7 +194,7 @@
     assert target.status is MemberStatus.SUSPECT
 
 
-def test_who_stood_still_accuses_nobody_and_gives_suspects_their_time(made):
+def test_who_stood_still_accuses_nobody_and_gives_suspects_their_time(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c")
     members.apply(record("c", 0, MemberStatus.SUSPECT, suspected_by="b"))
@@ -179,14 +204,14 @@
     assert members.health.score >= 1 and "a" not in members.members["c"].suspected_by
 
 
-def test_doubt_is_bounded(made):
+def test_doubt_is_bounded(made: Made) -> None:
     members, _ = made
     for _ in range(20):
         members.health.worsen()
     assert members.health.score == MAX_LOCAL_HEALTH
 
 
-def test_a_relay_pings_for_another_and_says_so_when_nobody_answers(made):
+def test_a_relay_pings_for_another_and_says_so_when_nobody_answers(made: Made) -> None:
     members, transport = made
     meet(members, "b", "c")
     members.on_message(record("b"), wire.PingRequest(77, "c", "127.0.0.1", 1_099), (), 10)
@@ -199,17 +224,17 @@
     assert (record("b").port, wire.Nack(78)) in transport.messages(wire.Nack)
 
 
-def test_the_answer_through_a_relay_counts_as_the_target_s():
+def test_the_answer_through_a_relay_counts_as_the_target_s() -> None:
     """The relay speaks in its own name, with the target's claim beside it."""
     cluster = Cluster(3)
     a, b, c = cluster.many(3)
     assert cluster.until(cluster.agreed, 10) < 10
     cluster.links.sever([a.settings.port], [b.settings.port])
     cluster.run(60)
-    assert cluster.agreed() and not any("dead" in line for t in (a, b, c) for line in t.runtime.logs)
+    assert cluster.agreed() and not any("dead" in line for t in (a, b, c) for line in runtime_of(t).logs)
 
 
-def test_a_page_stays_within_a_datagram_and_goes_on():
+def test_a_page_stays_within_a_datagram_and_goes_on() -> None:
     transport = Written()
     members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     names = [f"{i:03d}" + "x" * 60 for i in range(60)]
@@ -217,10 +242,11 @@
         long = ("127.127.127.127", 65_535, "z" * 32, "y" * 64)
         members.apply(MemberRecord(name, 2**61, 2**61, 0, MemberStatus.ALIVE, *long))
     meet(members, "b")
-    read, after, more = [], "", True
+    read, after, more = list[str](), "", True
     while more:
         members.on_message(record("b"), wire.PageRequest(after), (), 10)
         _, page, told = transport.sent[-1]
+        assert isinstance(page, wire.TablePage)
         data = wire.encode(wire.Datagram("f" * 64, 1, members.me, page, told))
         assert len(data) <= wire.MAX_DATAGRAM_BYTES and told
         read += [c.name for c in told]
@@ -228,7 +254,7 @@
     assert read == names
 
 
-def test_a_namesake_with_the_greater_start_keeps_the_name(made):
+def test_a_namesake_with_the_greater_start_keeps_the_name(made: Made) -> None:
     members, transport = made
     meet(members, "b")
     members.on_message(record("a", boot=2, nonce=9), wire.Ping(1), (), 10)
@@ -242,7 +268,7 @@
     assert later.state is LocalState.JOINING and transport2.messages(wire.Ack)  # the other hears of us
 
 
-def test_a_name_whose_holder_is_dead_is_taken_up_though_the_clock_went_back(made):
+def test_a_name_whose_holder_is_dead_is_taken_up_though_the_clock_went_back(made: Made) -> None:
     members, _ = made
     meet(members, "b")
     members.on_message(
@@ -255,27 +281,27 @@
 
 
 @pytest.fixture
-def twelve():
+def twelve() -> Cluster:
     cluster = Cluster(5)
     cluster.many(12, zones=3)
     assert cluster.until(cluster.agreed, 20) < 10
     return cluster
 
 
-def test_joining_from_any_seed(twelve):
+def test_joining_from_any_seed(twelve: Cluster) -> None:
     cluster = twelve
     cluster.add("e-12", ("e-7",))
     assert cluster.until(cluster.agreed, 30) < 10
     assert {m.record.zone for m in cluster.endpoints["e-12"].membership.live()} == {"z0", "z1", "z2"}
 
 
-def test_a_dead_one_is_missed_by_all_within_the_stated_time(twelve):
+def test_a_dead_one_is_missed_by_all_within_the_stated_time(twelve: Cluster) -> None:
     cluster = twelve
     cluster.kill("e-3")
     assert cluster.until(cluster.agreed, 60) < 25  # docs/operate/fleet.md
 
 
-def test_leaving_is_known_at_once(twelve):
+def test_leaving_is_known_at_once(twelve: Cluster) -> None:
     cluster = twelve
     cluster.endpoints["e-4"].leave()
     cluster.run(0.1)
@@ -283,7 +309,7 @@
     assert cluster.until(cluster.agreed, 30, 0.25) < 4
 
 
-def test_halves_of_a_partition_meet_again(twelve):
+def test_halves_of_a_partition_meet_again(twelve: Cluster) -> None:
     cluster = twelve
     names = list(cluster.endpoints)
     ports = [cluster.endpoints[n].settings.port for n in names]
@@ -295,7 +321,7 @@
     assert cluster.until(cluster.agreed, 60) < 20
 
 
-def test_a_restart_under_the_same_name_takes_its_own_place(twelve):
+def test_a_restart_under_the_same_name_takes_its_own_place(twelve: Cluster) -> None:
     cluster = twelve
     cluster.kill("e-5")
     cluster.add("e-5", ("e-0",))
@@ -304,35 +330,35 @@
     assert cluster.agreed() and boots == {cluster.endpoints["e-5"].membership.me.boot}
 
 
-def test_so_does_one_whose_clock_was_set_back(twelve):
+def test_so_does_one_whose_clock_was_set_back(twelve: Cluster) -> None:
     cluster = twelve
     cluster.kill("e-6")
     cluster.add("e-6", ("e-0",), boot=5)
     assert cluster.until(cluster.agreed, 120) < 60  # displaced by its own shadow, until nobody answers for it
 
 
-def test_two_processes_under_one_name_leave_one_member(twelve):
+def test_two_processes_under_one_name_leave_one_member(twelve: Cluster) -> None:
     cluster = twelve
     old = cluster.endpoints["e-8"]
     new = cluster.add("e-8", ("e-0",), port=41_000)
     cluster.run(30)
     assert old.membership.state is LocalState.DISPLACED and new.membership.state is LocalState.MEMBER
-    assert cluster.agreed() and not any("dead" in line for line in new.runtime.logs)
+    assert cluster.agreed() and not any("dead" in line for line in runtime_of(new).logs)
     new.runtime.reactor.kill()
     cluster.endpoints["e-8"] = old
     assert cluster.until(cluster.agreed, 120) < 90  # the name falls back to the one that still runs
 
 
-def test_twenty_percent_lost_doubled_and_late_kill_nobody():
+def test_twenty_percent_lost_doubled_and_late_kill_nobody() -> None:
     cluster = Cluster(7)
     cluster.links.lost, cluster.links.doubled, cluster.links.delays = 0.2, 0.2, (100, 60_000)
     cluster.many(8)
     assert cluster.until(cluster.agreed, 60) < 30
     cluster.run(120)
-    assert not any(" dead" in line for t in cluster.endpoints.values() for line in t.runtime.logs)
+    assert not any(" dead" in line for t in cluster.endpoints.values() for line in runtime_of(t).logs)
 
 
-def test_one_that_stands_still_two_seconds_in_four_kills_nobody_and_is_back_soon():
+def test_one_that_stands_still_two_seconds_in_four_kills_nobody_and_is_back_soon() -> None:
     cluster = Cluster(9)
     cluster.many(8)
     cluster.run(10)
@@ -343,12 +369,12 @@
         process.resume()
         cluster.run(2)
         away += "e-3" not in cluster.view("e-0")
-    assert not any(" dead" in line for line in cluster.endpoints["e-3"].runtime.logs)
+    assert not any(" dead" in line for line in runtime_of(cluster.endpoints["e-3"]).logs)
     assert cluster.until(cluster.agreed, 30) < 10
     assert away <= 3
 
 
-def test_one_whose_datagrams_do_not_get_out_is_dead_and_the_rest_agree():
+def test_one_whose_datagrams_do_not_get_out_is_dead_and_the_rest_agree() -> None:
     cluster = Cluster(11)
     cluster.many(6)
     cluster.run(10)
@@ -361,16 +387,16 @@
     assert cluster.until(cluster.agreed, 60) < 20
 
 
-def test_another_fleet_or_version_is_refused_by_name():
+def test_another_fleet_or_version_is_refused_by_name() -> None:
     cluster = Cluster(13)
     a = cluster.add("e-0")
     cluster.add("e-1", ("e-0",), fleet="other")
     cluster.run(5)
-    assert cluster.view("e-0") == set() and 'of the fleet "other"' in a.runtime.over[0]
+    assert cluster.view("e-0") == set() and 'of the fleet "other"' in runtime_of(a).over[0]
     newer = wire.encode(wire.Datagram("f", 2, record("b"), wire.Ping(1)))
     a.datagramReceived(newer, ("127.0.0.1", 9))
     a.datagramReceived(b"\xc1", ("127.0.0.1", 9))
-    assert "of version 2" in a.runtime.over[-2] and "can't be read" in a.runtime.over[-1]
+    assert "of version 2" in runtime_of(a).over[-2] and "can't be read" in runtime_of(a).over[-1]
 
 
 def cost(count: int) -> tuple[float, float]:
@@ -384,7 +410,7 @@
     return sent, max(t.bytes_sent - b for t, (_, b) in zip(endpoints, before, strict=True)) / 30
 
 
-def test_what_a_member_spends_does_not_grow_with_the_fleet():
+def test_what_a_member_spends_does_not_grow_with_the_fleet() -> None:
     small, large = cost(6), cost(48)
     assert large[0] < 1.5 * small[0] < 6
     assert large[1] < 1_200
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -3,6 +3,9 @@
 import json
 import socket
 import time
+from collections.abc import Callable, Iterator
+from pathlib import Path
+from typing import Any
 
 import json5
 import pytest
@@ -18,18 +21,18 @@
 from lapistrestle.wire.messages import CLIENT, VERSION
 
 
-def deployment(**fleet):
+def deployment(**fleet: Any) -> dict[str, Any]:
     made = json5.loads((EXAMPLES / "slots.json5").read_text())
     return made | {"fleet": {"name": "harbour", "port": 1, **fleet}}
 
 
-def fleet_day(troubles, **more):
+def fleet_day(troubles: Any, **more: Any) -> dict[str, Any]:
     script = day("slots", troubles, **more)
     script["deployment"] = deployment()
     return script
 
 
-def look(port):
+def look(port: int) -> Any:
     """What `lapistrestle fleet show --json` prints, without a process for each look."""
     hello = {"is": "hello", "protocol": CLIENT, "version": VERSION}
     said = "".join(json.dumps(message) + "\n" for message in (hello, {"is": "look", "what": "fleet"}))
@@ -44,9 +47,9 @@
 class Edges:
     """Some edges as processes, each with its own port for the others."""
 
-    def __init__(self, folder, count):
+    def __init__(self, folder: Path, count: int) -> None:
         self.folder, self.ports = folder, free_ports(count)
-        self.children = {}
+        self.children: dict[int, Child] = {}
         (folder / "w.json5").write_text("[]")
         self.roster = Child(folder, "roster", "roster", str(folder / "w.json5"))
         self.roster.start()
@@ -54,7 +57,7 @@
         for number in range(count):
             self.start(number)
 
-    def start(self, number):
+    def start(self, number: int) -> None:
         times = {"period": "300 ms", "tell": "200 ms"}
         made = deployment(port=self.ports[number], seeds=self.ports[:2], loads=10, **times)
         place = {"name": f"edge-{number}", "number": number, "of": len(self.ports), "zone": "north"}
@@ -67,13 +70,13 @@
         child.start()
         self.children[number] = child
 
-    def show(self, number):
+    def show(self, number: int) -> Any:
         return look(self.children[number].wait_port())
 
-    def view(self, number):
+    def view(self, number: int) -> dict[str, str]:
         return {m["name"]: m["is"] for m in self.show(number)["members"]}
 
-    def until(self, holds, seconds=40.0):
+    def until(self, holds: Callable[[], bool], seconds: float = 40.0) -> None:
         """Wait for it, within a bound."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -82,24 +85,24 @@
             time.sleep(0.1)
         raise AssertionError([self.view(n) for n in self.children])
 
-    def end(self):
+    def end(self) -> None:
         for child in [*self.children.values(), self.roster]:
             child.resume()
             child.kill()
 
 
 @pytest.fixture
-def edges(tmp_path):
+def edges(tmp_path: Path) -> Iterator[Edges]:
     made = Edges(tmp_path, 4)
     yield made
     made.end()
 
 
-def there(view, name):
+def there(view: dict[str, str], name: str) -> bool:
     return view.get(name) in ("alive", "suspect")
 
 
-def test_edges_that_are_killed_stopped_and_started_anew(edges):
+def test_edges_that_are_killed_stopped_and_started_anew(edges: Edges) -> None:
     names = {n: f"edge-{n}" for n in range(4)}
     edges.until(lambda: all(sum(there(edges.view(n), name) for name in names.values()) == 3 for n in names))
     edges.children[3].kill()  # SIGKILL
@@ -123,7 +126,7 @@
     assert not any("Traceback" in line for line in lines)
 
 
-def test_two_processes_under_one_name_leave_one_member(edges):
+def test_two_processes_under_one_name_leave_one_member(edges: Edges) -> None:
     edges.until(lambda: len(edges.view(0)) == 3)
     old, edges.ports = edges.children[3], [*edges.ports[:3], *free_ports(1)]
     edges.start(3)
@@ -131,7 +134,7 @@
         edges.until(lambda: edges.show(3)["standing"] == "member" and there(edges.view(0), "edge-3"))
         port = old.wait_port()
 
-        def displaced():
+        def displaced() -> bool:
             shown = look(port)
             return shown["standing"] == "displaced" and shown["size"] == 0 == shown["loads"]["may"]
 
@@ -140,7 +143,7 @@
         old.kill()
 
 
-def test_the_look_of_an_edge_without_a_fleet_says_so(tmp_path):
+def test_the_look_of_an_edge_without_a_fleet_says_so(tmp_path: Path) -> None:
     made = json5.loads((EXAMPLES / "slots.json5").read_text())
     made["listen"] = {"port": 0}
     (tmp_path / "d.json5").write_text(json.dumps(made))
@@ -159,7 +162,7 @@
                 child.kill()
 
 
-def test_a_wrong_fleet_is_named(tmp_path):
+def test_a_wrong_fleet_is_named(tmp_path: Path) -> None:
     from lapistrestle.command.main import main
 
     file = tmp_path / "d.json5"
@@ -180,7 +183,7 @@
 ]
 
 
-def test_a_day_of_processes_with_what_they_say_broken_keeps_the_rules(tmp_path):
+def test_a_day_of_processes_with_what_they_say_broken_keeps_the_rules(tmp_path: Path) -> None:
     script = fleet_day(TROUBLES, length="6 s", edges=4, traffic={"rate": 30, "functions": 8})
     script["deployment"]["listen"] = {"port": 7100, "margin": "300 ms"}  # this machine may be busy
     script["deployment"]["fleet"]["loads"] = 40
@@ -194,14 +197,14 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_same_in_virtual_time_twice_byte_for_byte(seed):
+def test_the_same_in_virtual_time_twice_byte_for_byte(seed: int) -> None:
     script = fleet_day(TROUBLES, length="12 s", edges=8, seed=seed)
     first, second = Played(script), Played(script)
     assert first.breaches() == [] and first.tape == second.tape
     assert [m for m in first.logs if m[0] == "fleet"] == [m for m in second.logs if m[0] == "fleet"]
 
 
-def trials(fleet):
+def trials(fleet: bool) -> int:
     """Call-outs that eight edges send in six seconds to runners that answer with errors all the time."""
     wrong = [{"kind": "fast_errors", "at": "3 s", "lasts": "9 s", "share": 0.3}]
     script = fleet_day(wrong, length="12 s", edges=8, seed=4, traffic={"rate": 160, "functions": 12})
@@ -213,11 +216,11 @@
     return sum(any(outcome == "error" for _, _, outcome in run.ends) for run in late)
 
 
-def test_few_edges_try_what_fails_and_the_others_take_their_word():
+def test_few_edges_try_what_fails_and_the_others_take_their_word() -> None:
     assert 0 < trials(fleet=True) < 0.6 * trials(fleet=False)
 
 
-def test_after_a_burst_far_over_capacity_the_fleet_is_back_and_keeps_the_rules():
+def test_after_a_burst_far_over_capacity_the_fleet_is_back_and_keeps_the_rules() -> None:
     burst = [{"kind": "burst", "at": "8 s", "lasts": "10 s", "factor": 16}]
     played = Played(fleet_day(burst, length="36 s", edges=3, seed=3, traffic={"rate": 60, "functions": 20}))
     calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.repeat]
@@ -230,7 +233,7 @@
 
 
 @pytest.mark.parametrize(("factor", "also"), [(12, []), (6, [ERRORS])])
-def test_the_door_opens_again_at_once_when_a_burst_is_over(factor, also):
+def test_the_door_opens_again_at_once_when_a_burst_is_over(factor: int, also: list[dict[str, Any]]) -> None:
     """As it was: a level from figures of the burst let in 7 a second of the 160 that came after it, what was
     done fell, and errors of half the runners passed for a capacity that shrank with each step."""
     burst = {"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": factor}
@@ -246,7 +249,9 @@
 
 
 @pytest.mark.parametrize("second", [STILL, KILLED])
-def test_an_edge_that_stands_still_twice_or_is_killed_meanwhile_is_read_rightly(second):
+def test_an_edge_that_stands_still_twice_or_is_killed_meanwhile_is_read_rightly(
+    second: dict[str, Any],
+) -> None:
     """As it was: the tape held an edge for still that had gone on, and rule 5 for broken."""
     first = {"kind": "balancer_stall", "at": "1.5 s", "lasts": "3 s", "share": 1.0}
     script = fleet_day([first, second | {"share": 1.0}], length="12 s", edges=2, traffic={"rate": 200})
--- a/tests/test_gossip_counters.py
+++ b/tests/test_gossip_counters.py
@@ -1,5 +1,8 @@
 """What dispatchers tell one another: counters by property, and their bounds."""
 
+from random import Random
+from typing import Any
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,19 +15,29 @@
 COLUMNS = ("asked", "ok")
 
 
-def everyone(name):
+def everyone(name: str) -> bool:
     return True
 
 
-def digests(name="a", boot=1, now=0, **settings):
+def digests(name: str = "a", boot: int = 1, now: int = 0, **settings: Any) -> GossipCounters:
     return GossipCounters(COLUMNS, (name, boot, 1), CounterSettings(**settings), now)
 
 
-def snapshot(name="b", boot=1, seq=1, at=0, age=0, counts=(0, 0), nonce=1):
+def snapshot(
+    name: str = "b",
+    boot: int = 1,
+    seq: int = 1,
+    at: int = 0,
+    age: int = 0,
+    counts: tuple[int, ...] = (0, 0),
+    nonce: int = 1,
+) -> CounterSnapshot:
     return CounterSnapshot(name, boot, nonce, seq, at, age, counts)
 
 
-def steady(made, name, rate, until, seed=0, boot=1, drift=1.0):
+def steady(
+    made: GossipCounters, name: str, rate: int, until: int, seed: int = 0, boot: int = 1, drift: float = 1.0
+) -> None:
     """Rows of one that counts `rate` a second, told each second."""
     for second in range(until + 1):
         at = 10**6 + int(second * SECOND * drift)
@@ -37,7 +50,9 @@
 
 
 @given(st.lists(ways, min_size=1, max_size=40), st.randoms())
-def test_lost_doubled_late_and_reordered_rows_count_nothing_twice(ways, random):
+def test_lost_doubled_late_and_reordered_rows_count_nothing_twice(
+    ways: list[tuple[int, int]], random: Random
+) -> None:
     """Whatever reaches us of a process that counts 50 a second, in whatever order: 50, or unknown."""
     made = digests()
     told = [(seq, seq * SECOND + delay) for seq, delay in ways]
@@ -51,7 +66,7 @@
     assert figures.counted == 1 + (figures.rates["asked"] > 0)
 
 
-def test_rates_follow_the_teller_s_own_clock():
+def test_rates_follow_the_teller_s_own_clock() -> None:
     made = digests()
     steady(made, "b", 100, 8)
     steady(made, "c", 100, 8, drift=1.05)
@@ -59,7 +74,7 @@
     assert rates["asked"] == pytest.approx(100 + 100 / 1.05)
 
 
-def test_a_restart_counts_from_nothing_and_the_one_before_no_more():
+def test_a_restart_counts_from_nothing_and_the_one_before_no_more() -> None:
     made = digests()
     steady(made, "b", 100, 8)
     made.on_snapshots(made.layout, [snapshot("b", 2, 1, 5, 0, (7, 0))], 8 * SECOND)
@@ -70,7 +85,7 @@
     assert made.statistics(9 * SECOND, everyone, 2).rates["asked"] == pytest.approx(10)
 
 
-def test_figures_age_out_and_absent_ones_count_nothing():
+def test_figures_age_out_and_absent_ones_count_nothing() -> None:
     made = digests()
     steady(made, "b", 100, 8)
     seen = [made.statistics((8 + s) * SECOND, everyone, 2).rates["asked"] for s in (0, 3, 6, 9, 10)]
@@ -78,7 +93,7 @@
     assert made.statistics(8 * SECOND, lambda name: False, 2).rates["asked"] == 0
 
 
-def test_age_grows_on_the_way_and_a_shorter_way_makes_younger():
+def test_age_grows_on_the_way_and_a_shorter_way_makes_younger() -> None:
     made = digests()
     made.on_snapshots(made.layout, [snapshot(seq=1, at=1, age=4 * SECOND)], 10 * SECOND)
     assert made.reporters["b"].valid_at == 6 * SECOND
@@ -88,14 +103,14 @@
 
 
 @pytest.mark.parametrize(("at", "counts"), [(10**7, (3, 0)), (1, (10**6, 10**6)), (10**7, (10**6,))])
-def test_what_can_not_be_is_refused(at, counts):
+def test_what_can_not_be_is_refused(at: int, counts: tuple[int, ...]) -> None:
     made = digests()
     steady(made, "b", 100, 6)
     made.on_snapshots(made.layout, [snapshot(seq=9, at=at, counts=counts)], 6 * SECOND)
     assert made.statistics(6 * SECOND, everyone, 2).rates["asked"] == pytest.approx(100)
 
 
-def test_one_that_tells_nonsense_moves_the_figure_by_its_own_part_only():
+def test_one_that_tells_nonsense_moves_the_figure_by_its_own_part_only() -> None:
     made = digests(max_rate=5_000.0)
     for name in "bcdefg":
         steady(made, name, 10, 8)
@@ -108,7 +123,7 @@
     assert small.statistics(8 * SECOND, everyone, 2).rates["asked"] == 5_000
 
 
-def test_fifty_times_the_traffic_of_the_others_counts_in_full():
+def test_fifty_times_the_traffic_of_the_others_counts_in_full() -> None:
     made = digests()
     for name in "bcdefg":
         steady(made, name, 10, 8)
@@ -116,13 +131,13 @@
     assert made.statistics(8 * SECOND, everyone, 8).rates["asked"] == pytest.approx(560)
 
 
-def test_another_layout_is_refused():
+def test_another_layout_is_refused() -> None:
     made = digests()
     made.on_snapshots(made.layout + 1, [snapshot(seq=1)], 0)
     assert made.rejected == 1 and "b" not in made.reporters
 
 
-def test_a_telling_fits_its_room_and_passes_on_what_was_told_least():
+def test_a_telling_fits_its_room_and_passes_on_what_was_told_least() -> None:
     made = digests()
     for i in range(100):
         made.on_snapshots(made.layout, [snapshot(f"m{i:02d}", seq=1, at=1, counts=(2**60, 2**60))], 0)
@@ -134,6 +149,6 @@
     assert max(map(seen.count, seen)) == min(map(seen.count, seen)) and len(set(seen)) == 100
 
 
-def test_the_count_of_datagrams_is_bounded_whatever_the_size():
+def test_the_count_of_datagrams_is_bounded_whatever_the_size() -> None:
     made = digests()
     assert [made.datagrams_per_round(n, 150) for n in (2, 40, 200, 500, 5_000)] == [1, 5, 10, 10, 10]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,6 +1,8 @@
 """Who sheds what: decisions over the fleet's figures, and the loop they make in a fluid model."""
 
+from collections.abc import Sequence
 from dataclasses import replace
+from typing import Any
 
 import pytest
 from hypothesis import given
@@ -31,28 +33,35 @@
 SECOND = 10_000
 
 
-def seen(asked=(100.0, 100.0), let=100.0, good=100.0, bad=0.0, age=0, out=0.0):
+def seen(
+    asked: Sequence[float] = (100.0, 100.0),
+    let: float = 100.0,
+    good: float = 100.0,
+    bad: float = 0.0,
+    age: int = 0,
+    out: float = 0.0,
+) -> Traffic:
     return Traffic(tuple(asked), let, good, bad, out, age)
 
 
-def strained(good, bad, asked=(2_000.0, 1_000.0)):
+def strained(good: float, bad: float, asked: Sequence[float] = (2_000.0, 1_000.0)) -> Traffic:
     """Late ends, and a second of work ahead of each new one."""
     return seen(asked, let=good + bad, good=good, bad=bad, out=1.2 * (good + bad))
 
 
 @pytest.fixture
-def one():
+def one() -> LevelController:
     return LevelController(2, SECOND, lambda text: None, 0)
 
 
 # priorities
 
 
-def levels(gains, over=0.5):
+def levels(gains: list[float], over: float = 0.5) -> PriorityLevels:
     return PriorityLevels(gains, over)
 
 
-def test_what_earns_more_is_denied_later_and_a_repeat_before_a_first_try_of_its_worth():
+def test_what_earns_more_is_denied_later_and_a_repeat_before_a_first_try_of_its_worth() -> None:
     made = levels([1.0, 4.0])
     order = [made.priority_of(m, beyond, repeat) for m, beyond, repeat in
              [(1, False, False), (1, False, True), (1, True, False), (0, False, False), (0, False, True),
@@ -60,13 +69,13 @@
     assert order == sorted(set(order)) and order[0] == 0
 
 
-def test_many_worths_share_the_last_rung():
+def test_many_worths_share_the_last_rung() -> None:
     made = levels([float(i) for i in range(1, 40)])
     assert made.count == 16 and made.priority_of(0, True, True) == 15
 
 
 @given(st.lists(st.floats(0, 1e4), min_size=1, max_size=8), st.floats(0, 1e5))
-def test_the_level_fits_the_room(asked, room):
+def test_the_level_fits_the_room(asked: Sequence[float], room: float) -> None:
     level = level_for(asked, room)
     let = sum(asked[: level.priority]) + (
         level.fraction * asked[level.priority] if level.priority < len(asked) else 0
@@ -74,7 +83,7 @@
     assert let <= room + 1e-6 and (let >= min(room, sum(asked)) - 1e-6)
 
 
-def test_a_key_lies_alike_everywhere_and_keys_are_spread():
+def test_a_key_lies_alike_everywhere_and_keys_are_spread() -> None:
     level = AdmissionLevel(1, 0.3)
     assert level.admits(0, "x") and not level.admits(2, "x")
     assert 250 < sum(level.admits(1, f"rpc-{i}") for i in range(1_000)) < 350
@@ -84,11 +93,11 @@
 # shedding
 
 
-def test_every_mode_answers_every_sign():
+def test_every_mode_answers_every_sign() -> None:
     assert set(TRANSITIONS) == {(mode, sign) for mode in SheddingState for sign in Condition}
 
 
-def test_strain_cuts_under_what_is_done_and_the_best_of_late_is_its_floor(one):
+def test_strain_cuts_under_what_is_done_and_the_best_of_late_is_its_floor(one: LevelController) -> None:
     one.update(seen(good=1_000, let=1_000), 0)
     one.update(strained(500, 500), SECOND)
     assert one.state is SheddingState.SHEDDING and one.capacity == level_controller.CUT_FACTOR * 500
@@ -98,19 +107,19 @@
     assert one.capacity == level_controller.CUT_FACTOR * 10  # what was done long ago says nothing
 
 
-def test_few_ends_are_no_strain(one):
+def test_few_ends_are_no_strain(one: LevelController) -> None:
     one.update(seen(good=4, bad=4), SECOND)
     assert one.state is SheddingState.NORMAL
 
 
-def test_bad_ends_without_long_stays_shut_no_door(one):
+def test_bad_ends_without_long_stays_shut_no_door(one: LevelController) -> None:
     """Workers or loads that fail: fewer let in would mend nothing."""
     for now in range(0, 20 * SECOND, SECOND):
         one.update(seen((2_000.0, 1_000.0), let=900, good=500, bad=400, out=90), now)
     assert one.state is SheddingState.NORMAL and one.level == AdmissionLevel(2)
 
 
-def test_the_room_goes_back_to_the_best_of_late_once_but_not_after_a_relapse(one):
+def test_the_room_goes_back_to_the_best_of_late_once_but_not_after_a_relapse(one: LevelController) -> None:
     one.update(seen(good=1_000), 0)
     jam, fine = strained(300, 700), seen((3_000, 0), 300, 300, 0)
     one.update(jam, SECOND)
@@ -124,7 +133,7 @@
     )  # less with every relapse
 
 
-def test_a_step_is_not_made_again_until_the_figures_can_show_it(one):
+def test_a_step_is_not_made_again_until_the_figures_can_show_it(one: LevelController) -> None:
     one.update(strained(500, 500), 0)
     fine = seen((3_000, 0), 600, 600, 0, age=2 * SECOND)
     one.update(fine, 10)
@@ -143,7 +152,7 @@
     assert slow.capacity < hasty.capacity
 
 
-def test_what_piles_up_is_seen_before_anything_is_late(one):
+def test_what_piles_up_is_seen_before_anything_is_late(one: LevelController) -> None:
     one.update(strained(500, 500), 0)
     one.update(seen((3_000, 0), 1_000, 1_000, 0), SECOND)
     one.update(seen((3_000, 0), 1_000, 900, 0, out=0.5 * 900), 2 * SECOND)
@@ -152,16 +161,16 @@
     )
 
 
-def over(t):
+def over(t: float) -> float:
     return 0.7 if t < 15 else 3.0 if t < 75 else 0.5
 
 
-def day(count, **more):
+def day(count: int, **more: Any) -> Day:
     return Day(**{"dispatchers": count, "seconds": 95, "load": over, **more})
 
 
 @pytest.mark.parametrize(("count", "age"), [(3, 1.0), (12, 2.0), (40, 3.0)])
-def test_three_times_the_capacity_is_shed_without_swinging_and_left_behind(count, age):
+def test_three_times_the_capacity_is_shed_without_swinging_and_left_behind(count: int, age: float) -> None:
     story = play(day(count, age=age), ByLevel)
     assert story.part(5, 15) > 0.995  # nothing lost on calm days
     assert story.part(35, 75) > 0.9
@@ -170,15 +179,15 @@
     assert story.part(80, 90) > 0.95  # five seconds after
 
 
-def test_doing_nothing_at_the_door_or_budgets_of_repeats_alone_serve_next_to_nothing():
+def test_doing_nothing_at_the_door_or_budgets_of_repeats_alone_serve_next_to_nothing() -> None:
     for policy in (Open, RetryBudget):
         assert play(day(12), policy).part(35, 75) < 0.1
 
 
-def test_a_level_that_ignores_the_age_of_its_figures_swings(monkeypatch):
+def test_a_level_that_ignores_the_age_of_its_figures_swings(monkeypatch: pytest.MonkeyPatch) -> None:
     """Planted: steps as if each look at the figures were news."""
 
-    def hasty(self, now_seen, now):
+    def hasty(self: LevelController, now_seen: Traffic, now: int) -> None:
         self.capacity = max(self.capacity, now_seen.admitted) * (1 + level_controller.GROWTH_PER_LAG)
 
     good = play(day(12, age=3.0), ByLevel).part(35, 75)
@@ -189,7 +198,7 @@
     assert play(day(12, age=3.0), ByLevel).part(35, 75) < good - 0.15
 
 
-def test_half_of_the_capacity_lost_and_an_uneven_fleet():
+def test_half_of_the_capacity_lost_and_an_uneven_fleet() -> None:
     story = play(day(12, up=lambda t: 0.5 if 30 < t < 60 else 1.0, uneven=50.0), ByLevel)
     assert story.part(42, 60) > 0.8 and story.part(70, 75) > 0.85
     alone = play(day(12, uneven=50.0), AloneByLevel)
@@ -199,7 +208,7 @@
 # steps down
 
 
-def test_figures_that_age_lead_down_at_once_and_up_in_steps():
+def test_figures_that_age_lead_down_at_once_and_up_in_steps() -> None:
     made = SourceSelector(lambda text: None, 0)
     assert made.update(12, 12, 50.0, SECOND) is StatisticsSource.NONE
     assert made.update(12, 12, 50.0, 4 * SECOND) is StatisticsSource.OWN
@@ -209,7 +218,7 @@
     assert made.update(1, 1, 0.5, 9 * SECOND + 1) is StatisticsSource.NONE
 
 
-def test_what_ends_falls_with_what_is_let_in_and_that_shuts_nothing(one):
+def test_what_ends_falls_with_what_is_let_in_and_that_shuts_nothing(one: LevelController) -> None:
     one.update(seen(good=1_000, let=1_000), 0)
     one.update(strained(500, 500), SECOND)
     one.update(seen((2_000.0, 1_000.0), let=400, good=400), 2 * SECOND)
@@ -224,7 +233,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=300), st.floats(1, 500))
-def test_no_more_is_filled_in_than_there_is_room_for(asks, rate):
+def test_no_more_is_filled_in_than_there_is_room_for(asks: list[tuple[int, bool]], rate: float) -> None:
     """However the level and what it denies take turns."""
     made, now, taken = UnusedCapacityBucket(0), 0, 0
     made.set_rate(rate, 0)
@@ -236,7 +245,7 @@
         assert taken <= max(1.0, rate / 2) + rate * now / SECOND + 1e-6
 
 
-def test_room_that_the_level_leaves_unused_is_filled_and_what_it_uses_is_not():
+def test_room_that_the_level_leaves_unused_is_filled_and_what_it_uses_is_not() -> None:
     made = UnusedCapacityBucket(0)
     made.set_rate(10.0, 0)
     assert sum(made.try_take(now) for now in range(0, 10 * SECOND, 100)) in (99, 100)
@@ -247,7 +256,7 @@
     assert not made.try_take(30 * SECOND)
 
 
-def test_ones_part_is_taken_of_figures_of_one_moment():
+def test_ones_part_is_taken_of_figures_of_one_moment() -> None:
     made = UnusedCapacityBucket(0)
     for second in range(10):  # a burst that ended three seconds ago, which the fleet's figures don't show yet
         part = made.own_part(120.0 if second < 7 else 10.0, 960.0, 4 * SECOND, second * SECOND)
@@ -258,8 +267,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.floats(0, 0.999)), max_size=200), st.floats(0.1, 200))
-def test_no_moment_is_promised_to_more_than_fit_in_it(denials, room):
-    calendar, now, promised = RetryReservations(5 * SECOND, 0), 0, {}
+def test_no_moment_is_promised_to_more_than_fit_in_it(denials: list[tuple[int, float]], room: float) -> None:
+    calendar, now = RetryReservations(5 * SECOND, 0), 0
+    promised: dict[int, int] = {}
     for gap, chance in denials:
         now += gap
         stay = calendar.reserve(now, 500, room, chance)
@@ -273,7 +283,7 @@
         assert together <= max(1, HEADROOM * room * SLOT / SECOND * span + 1e-9)
 
 
-def test_nothing_is_promised_without_room():
+def test_nothing_is_promised_without_room() -> None:
     assert RetryReservations(5 * SECOND, 0).reserve(0, 0, 0.0, 0.5) == 0
 
 
@@ -281,7 +291,9 @@
 
 
 @given(st.lists(st.tuples(rates, rates, rates), min_size=1, max_size=60))
-def test_budgets_of_all_stay_within_the_whole_whoever_wishes_more(members):
+def test_budgets_of_all_stay_within_the_whole_whoever_wishes_more(
+    members: list[tuple[float, float, float]],
+) -> None:
     """Beyond what each may make at the least; and where all wishes fit, each may make what it wishes."""
     rows = [RetryTraffic(*row) for row in members]
     fleet = RetryTraffic(*(sum(column) for column in zip(*members, strict=True)))
@@ -294,21 +306,21 @@
         assert all(part >= row.retries * (1 - 1e-9) for part, row in zip(parts, rows, strict=True))
 
 
-def test_a_budget_follows_need_and_without_figures_there_is_none():
+def test_a_budget_follows_need_and_without_figures_there_is_none() -> None:
     fleet = RetryTraffic(1_000.0, 400.0, 0.0)
     parts = [retry_rate(fleet, RetryTraffic(333.0, x), True) for x in (300.0, 80.0, 20.0)]
     assert sum(parts) == pytest.approx(RETRY_RATIO * 1_000) and parts == sorted(parts, reverse=True)
     assert retry_rate(fleet, RetryTraffic(333.0, 300.0), False) == float("inf")
 
 
-def test_what_clients_repeat_by_themselves_leaves_less_to_try_again():
+def test_what_clients_repeat_by_themselves_leaves_less_to_try_again() -> None:
     own = RetryTraffic(500.0, 100.0)
     fleet = RetryTraffic(1_000.0, 200.0)
     assert retry_rate(replace(fleet, client_retries=150.0), own, True) == pytest.approx(25.0)
     assert retry_rate(replace(fleet, client_retries=900.0), own, True) == MIN_RATE
 
 
-def test_few_probe_each_worker_and_little_changes_hands():
+def test_few_probe_each_worker_and_little_changes_hands() -> None:
     members = [f"e-{i}" for i in range(50)]
     workers = [f"w-{i}" for i in range(200)]
     before = {w: select_probers(w, members) for w in workers}
@@ -318,7 +330,7 @@
     assert moved and all("e-7" in before[w] for w in moved)
 
 
-def test_a_worker_gets_a_bounded_count_of_probes_and_twice_that_in_a_split():
+def test_a_worker_gets_a_bounded_count_of_probes_and_twice_that_in_a_split() -> None:
     members = [f"e-{i}" for i in range(30)]
     held = {m: WorkerVerdicts(m) for m in members}
     for views, most in (
@@ -331,7 +343,7 @@
             assert 0 < count <= most
 
 
-def test_the_newest_verdict_holds_and_an_old_one_says_nothing():
+def test_the_newest_verdict_holds_and_an_old_one_says_nothing() -> None:
     made = WorkerVerdicts("a")
     made.record("w", True, 0)
     made.on_verdicts([WorkerVerdict("w", False, 1_000, "b")], SECOND)
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -1,6 +1,7 @@
 """Loads that all edges of a fleet share: who borrows of whom, and that their sum stays within the whole."""
 
 from functools import partial
+from typing import Any, ClassVar
 
 import pytest
 from days import Played
@@ -12,7 +13,8 @@
 from lapistrestle.fleet.quota_leasing import QuotaLeasing
 from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.wire.fleet import LeaseRequest, MemberRecord, MemberStatus
+from lapistrestle.policy.state import FunctionReplica, Input, Request
+from lapistrestle.wire.fleet import LeaseMessage, LeaseRequest, MemberRecord, MemberStatus
 
 SECOND = 10_000
 WHOLE = 8
@@ -21,8 +23,9 @@
 class Ring:
     """Some dispatchers with one clock and links that lose what they are told to."""
 
-    def __init__(self, count):
-        self.now, self.lost, self.messages, self.use = 0, False, [], [0] * count
+    def __init__(self, count: int) -> None:
+        self.now, self.lost, self.use = 0, False, [0] * count
+        self.messages: list[tuple[int, int, LeaseMessage]] = []
         self.records = [
             MemberRecord(f"e-{i}", 1, i, 0, MemberStatus.ALIVE, "127.0.0.1", 7000 + i) for i in range(count)
         ]
@@ -32,14 +35,14 @@
         ]
 
     @staticmethod
-    def cut(number, count):
+    def cut(number: int, count: int) -> QuotaShare:
         return QuotaShare("loads", WHOLE, count, number, QuotaSettings(), 0)
 
-    def say(self, sender, to, message):
+    def say(self, sender: int, to: MemberRecord, message: LeaseMessage) -> None:
         if not self.lost:
             self.messages.append((sender, int(to.name[2:]), message))
 
-    def step(self, wants):
+    def step(self, wants: list[int]) -> None:
         """Half a second: each wants so many, uses what it may, and looks; then the words arrive."""
         self.now += SECOND // 2
         for i, (made, want) in enumerate(zip(self.made, wants, strict=True)):
@@ -55,7 +58,7 @@
         assert sum(min(u, m.available(self.now)) for u, m in zip(self.use, self.made, strict=True)) <= WHOLE
 
 
-def test_one_that_needs_more_borrows_and_what_is_not_needed_goes_back():
+def test_one_that_needs_more_borrows_and_what_is_not_needed_goes_back() -> None:
     ring = Ring(4)
     most = 0
     for _ in range(40):
@@ -69,14 +72,14 @@
 
 
 @given(st.lists(st.tuples(st.lists(st.integers(0, 9), min_size=4, max_size=4), st.booleans()), max_size=60))
-def test_whoever_wants_what_the_sum_stays_within_the_whole(steps):
+def test_whoever_wants_what_the_sum_stays_within_the_whole(steps: list[tuple[list[int], bool]]) -> None:
     ring = Ring(4)
     for wants, lost in steps:
         ring.lost = lost
         ring.step(wants)
 
 
-def test_what_was_put_to_use_since_the_last_look_is_not_lent():
+def test_what_was_put_to_use_since_the_last_look_is_not_lent() -> None:
     ring = Ring(2)
     for _ in range(12):
         ring.step([0, 0])
@@ -85,13 +88,13 @@
     assert ring.messages == [] and ring.made[1].available(ring.now) == 4
 
 
-def test_one_that_is_no_member_uses_nothing():
+def test_one_that_is_no_member_uses_nothing() -> None:
     ring = Ring(2)
     ring.made[0].update([], False, SECOND)
     assert ring.made[0].available(SECOND) == 0
 
 
-def test_a_word_for_another_allowance_changes_nothing():
+def test_a_word_for_another_allowance_changes_nothing() -> None:
     ring = Ring(2)
     for _ in range(20):
         ring.step([8, 0])
@@ -108,23 +111,23 @@
 class Watched(Dispatcher):
     """Writes down the most loads that all instances of a day had under way at one moment."""
 
-    living = ()
-    most = 0
+    living: ClassVar[tuple["Watched", ...]] = ()
+    most: ClassVar[int] = 0
 
-    def __init__(self, *args):
+    def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         others = [d for d in Watched.living if d.facts["me"] != self.facts["me"]]
         Watched.living = (*others, self)
 
-    def note_loads(self):
+    def note_loads(self) -> None:
         Watched.most = max(Watched.most, sum(worker.loads for d in Watched.living for worker in d.workers))
 
-    def send(self, request, replica):
+    def send(self, request: Request, replica: FunctionReplica) -> Input:
         sent = super().send(request, replica)
         self.note_loads()
         return sent
 
-    def order(self, replica, count, part=1.0):
+    def order(self, replica: FunctionReplica, count: int, part: float = 1.0) -> bool:
         ordered = super().order(replica, count, part)
         self.note_loads()
         return ordered
@@ -140,7 +143,7 @@
 
 
 @pytest.mark.parametrize(("loads", "within"), [(WHOLE, True), (0, False)])
-def test_loads_under_way_of_all_edges_stay_within_the_whole_whatever_breaks(loads, within):
+def test_loads_under_way_of_all_edges_stay_within_the_whole_whatever_breaks(loads: int, within: bool) -> None:
     """Without the bound the same day has more under way, so that the day shows something."""
     Watched.living, Watched.most = (), 0
     script = fleet_day(TROUBLES, length="26 s", edges=4, seed=3, traffic={"rate": 80, "functions": 60})
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -1,44 +1,49 @@
 """Parts of a whole: their sum never passes it, under any schedule; and faults planted in them are caught."""
 
 import random
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from lapistrestle.fleet.quota_share import Lease, OpenRequest, QuotaSettings, QuotaShare
-from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest
+from lapistrestle.wire.fleet import LeaseGrant, LeaseMessage, LeaseRequest, ProcessId
 
 WHOLE, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
 
+Datagram = tuple[int, ProcessId, int, ProcessId, LeaseMessage]  # to whom, from whom, what
+Use = tuple[float, int]  # what one has begun to use: until when (true time), units
+
 
 class Schedule:
     """Some dispatchers, each with a clock that runs wrong, and datagrams that come when chance says."""
 
-    def __init__(self, seed, count=4, kind=QuotaShare):
+    def __init__(self, seed: int, count: int = 4, kind: type[QuotaShare] = QuotaShare) -> None:
         self.random, self.kind, self.now = random.Random(seed), kind, 0
         self.rates = [self.random.uniform(0.92, 1.08) for _ in range(count)]
         self.boots = [0] * count
         self.all = [self.make(i) for i in range(count)]
-        self.dead, self.still = set(), set()
-        self.way = []  # datagrams: to whom, from whom, word
+        self.dead = set[int]()
+        self.still = set[int]()
+        self.way: list[Datagram] = []
         self.worst = 0
-        self.holds = [[] for _ in range(count)]  # what each has begun to use: until when (true time), units
+        self.holds: list[list[Use]] = [[] for _ in range(count)]
 
-    def make(self, i):
+    def make(self, i: int) -> QuotaShare:
         return self.kind("loads", WHOLE, len(self.rates), i, SETTINGS, self.clock(i))
 
-    def clock(self, i):
+    def clock(self, i: int) -> int:
         return 10_000 * i + int(self.now * self.rates[i])
 
-    def process_id(self, i):
+    def process_id(self, i: int) -> ProcessId:
         return (f"e{i}", self.boots[i], 0)
 
-    def send(self, target, source, message):
+    def send(self, target: int, source: int, message: LeaseMessage) -> None:
         sent = (target, self.process_id(target), source, self.process_id(source), message)
         self.way += [sent] * self.random.choice((0, 1, 1, 2))
 
-    def step(self):
+    def step(self) -> int:
         chance, count = self.random, len(self.all)
         self.now += chance.choice((0, 5, 20, 100, 700))
         i = chance.randrange(count)
@@ -58,13 +63,13 @@
             self.act(act, i)
         return self.total()
 
-    def run(self, steps):
+    def run(self, steps: int) -> int:
         """The most that all together had, at any step."""
         for _ in range(steps):
             self.step()
         return self.worst
 
-    def act(self, act, i):
+    def act(self, act: str, i: int) -> None:
         one, now, chance = self.all[i], self.clock(i), self.random
         self.holds[i] = [(until, units) for until, units in self.holds[i] if until > self.now]
         in_use = sum(units for _, units in self.holds[i])
@@ -72,19 +77,18 @@
         if act == "ask":
             one.demand = chance.choice((0, 10, 60))
             other = chance.randrange(len(self.all))
-            message = (
-                one.request_lease(self.process_id(other), chance.randint(1, 60), now) if other != i else None
-            )
-            if message:
-                self.send(other, i, message)
+            if other != i:
+                request = one.request_lease(self.process_id(other), chance.randint(1, 60), now)
+                if request:
+                    self.send(other, i, request)
         elif act == "use" and (room := one.available(now) - in_use) > 0:
             units = chance.randint(1, room)
             self.holds[i].append((self.now + SETTINGS.settling_time / 1.1, units))
             one.record_use(in_use + units, now)
         elif act == "back":
             one.demand = 0
-            for lender, message in one.return_unneeded(now):
-                self.send(int(lender[0][1:]), i, message)
+            for lender, returned in one.return_unneeded(now):
+                self.send(int(lender[0][1:]), i, returned)
         elif act == "take" and self.way:
             target, process_id, source, sender, message = self.way.pop(chance.randrange(len(self.way)))
             if target in self.dead | self.still or self.process_id(target) != process_id:
@@ -94,12 +98,12 @@
                 answer = there.grant_lease(sender, message, clock)
                 if answer:
                     self.send(source, target, answer)
-            elif hasattr(message, "duration"):
+            elif isinstance(message, LeaseGrant):
                 there.on_grant(sender, message, clock)
             else:
                 there.on_return(sender, message)
 
-    def total(self):
+    def total(self) -> int:
         """What may be used or is used by all together, at this true moment."""
         parts = 0
         for i, one in enumerate(self.all):
@@ -111,21 +115,21 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.integers(2, 6))
-def test_the_sum_never_passes_the_whole(seed, count):
+def test_the_sum_never_passes_the_whole(seed: int, count: int) -> None:
     assert Schedule(seed, count).run(400) <= WHOLE
 
 
 class OutBeforeBack(QuotaShare):
     """Planted: what is given back is handed out again though the borrower may still use it."""
 
-    def longest_lease(self):
+    def longest_lease(self) -> int:
         return int(self.settings.lease_duration * 0.7)
 
 
 class CountsFromAnswer(QuotaShare):
     """Planted: the borrower counts from when the answer came, not from when it asked."""
 
-    def on_grant(self, lender, message, now):
+    def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         if self.open_requests.get(message.number) == (lender, message.requested_at):
             self.open_requests[message.number] = OpenRequest(lender, now)
             super().on_grant(
@@ -136,14 +140,14 @@
 class LendsWhatIsInUse(QuotaShare):
     """Planted: what was in use a moment ago counts as spare."""
 
-    def peak_use(self, now):
+    def peak_use(self, now: int) -> int:
         return 0
 
 
 class TakesTwice(QuotaShare):
     """Planted: a doubled answer counts twice."""
 
-    def on_grant(self, lender, message, now):
+    def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         self.borrowed[lender, message.number * 1_000 + len(self.borrowed)] = Lease(
             message.units, now + message.duration // 2
         )
@@ -152,11 +156,11 @@
 class MixesUpItsLives(QuotaShare):
     """Planted: an answer to the process before, under the same number, is taken for one's own."""
 
-    def __init__(self, *args):
+    def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.last_number = 0
 
-    def on_grant(self, lender, message, now):
+    def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         if message.number in self.open_requests:
             asked = self.open_requests[message.number].requested_at
             super().on_grant(
@@ -169,7 +173,7 @@
 class ForgetsAtStart(QuotaShare):
     """Planted: a process that starts takes its whole cut at once, whatever the one before it had lent."""
 
-    def __init__(self, *args):
+    def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.full_from = 0
 
@@ -178,17 +182,20 @@
 
 
 @pytest.mark.parametrize("planted", PLANTED)
-def test_a_planted_fault_passes_the_whole(planted):
+def test_a_planted_fault_passes_the_whole(planted: type[QuotaShare]) -> None:
     assert any(Schedule(seed, 4, planted).run(400) > WHOLE for seed in range(400))
 
 
-def test_need_moves_units_and_they_come_back():
+def test_need_moves_units_and_they_come_back() -> None:
     a, b = (QuotaShare("loads", 100, 2, i, SETTINGS, 0) for i in (0, 1))
     now = 10_000
     assert (a.available(now), b.available(now)) == (50, 50)
     b.demand = 60
     message = b.request_lease(("a", 0, 0), 10, now)
-    b.on_grant(("a", 0, 0), a.grant_lease(("b", 0, 0), message, now), now)
+    assert message is not None
+    grant = a.grant_lease(("b", 0, 0), message, now)
+    assert grant is not None
+    b.on_grant(("a", 0, 0), grant, now)
     assert (a.available(now), b.available(now)) == (40, 60)
     b.demand = 0
     [(lender, back)] = b.return_unneeded(now + 1_000)
@@ -197,7 +204,7 @@
     assert a.available(now + 1_100) == 50
 
 
-def test_what_is_kept_is_never_lent_and_a_start_has_it_at_once():
+def test_what_is_kept_is_never_lent_and_a_start_has_it_at_once() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     assert a.available(0) == 25 and a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 50), 0) is None
     now = a.full_from
@@ -205,7 +212,7 @@
     assert sum(g.units for g in given if g) == 25 and a.available(now) == 25
 
 
-def test_a_loan_that_nobody_returns_comes_back_by_the_clock():
+def test_a_loan_that_nobody_returns_comes_back_by_the_clock() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     now = a.full_from
     lent = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
@@ -213,7 +220,7 @@
     assert a.available(now + a.longest_lease() - 1) == 40 and a.available(now + a.longest_lease()) == 50
 
 
-def test_the_cuts_add_up_exactly_and_a_strange_number_has_none():
+def test_the_cuts_add_up_exactly_and_a_strange_number_has_none() -> None:
     for of in (1, 3, 7, 200, 333):
         assert sum(QuotaShare("x", WHOLE, of, i, SETTINGS, 0).own_units for i in range(of)) == WHOLE
     assert QuotaShare("x", WHOLE, 3, 5, SETTINGS, 0).available(10**9) == 0
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -5,6 +5,7 @@
 import os
 import subprocess
 import sys
+from typing import Any
 
 import msgspec
 import pytest
@@ -21,7 +22,7 @@
 }"""
 
 
-def command(*args, **more):
+def command(*args: object, **more: Any) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
         [sys.executable, "-m", "lapistrestle", *map(str, args)],
         capture_output=True,
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -1,5 +1,8 @@
 """Kinds of growth of the control roles: messages, bytes and steps at small sizes, never a clock."""
 
+from collections.abc import Callable, Sequence
+from typing import Any
+
 import pytest
 
 from benchmarks.scale import assumptions, fitting
@@ -13,29 +16,31 @@
     control_rollout,
     control_roster,
 )
-from benchmarks.scale.samples import Dimension
+from benchmarks.scale.samples import Dimension, Sample
+from lapistrestle.agreement.messages import LogEntry
 from lapistrestle.agreement.raft import RaftNode
 from lapistrestle.edge.following import KnownWorkers
 from lapistrestle.fleet.member_table import MemberTable
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.state import Request, Worker
 from lapistrestle.wire.lines import LineBounds
 
 GIVEN = assumptions.load()
 NO_WORSE = (Kind.FLAT, Kind.LOG, Kind.LINEAR)
 
 
-def kind(sizes, of):
+def kind(sizes: Sequence[int], of: Callable[[int], float]) -> Kind:
     return fitting.kind_of(sizes, [of(size) for size in sizes])
 
 
 # membership and digests
 
 
-def gossip(size):
+def gossip(size: int) -> Sample:
     return control_gossip.measure_member(size, 1, spans=1, seconds=4)
 
 
-def test_what_a_member_sends_is_bounded_however_large_its_fleet():
+def test_what_a_member_sends_is_bounded_however_large_its_fleet() -> None:
     """Ten datagrams at each telling, two pings or answers a second, and a page now and then."""
     small, large = gossip(200), gossip(400)
     assert small.messages_out == large.messages_out < 25
@@ -46,18 +51,18 @@
 GOSSIP_SIZES = (20, 40, 80, 160)
 
 
-def gossip_steps(size):
+def gossip_steps(size: int) -> float:
     return control_gossip.steps_of(control_gossip.LoneMember(size - 1, 1).start())
 
 
-def test_what_a_member_does_grows_no_worse_than_its_fleet():
+def test_what_a_member_does_grows_no_worse_than_its_fleet() -> None:
     assert kind(GOSSIP_SIZES, gossip_steps) in NO_WORSE
 
 
-def test_a_planted_scan_for_each_member_is_caught(monkeypatch):
+def test_a_planted_scan_for_each_member_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     live = MemberTable.live
 
-    def scanned(table):
+    def scanned(table: MemberTable) -> Any:
         for member in table.members.values():
             assert all(other is member or other.name != member.name for other in table.members.values())
         return live(table)
@@ -66,7 +71,7 @@
     assert kind((8, 16, 32, 64), gossip_steps) is Kind.WORSE
 
 
-def test_a_synthetic_fleet_costs_a_member_what_a_whole_one_does():
+def test_a_synthetic_fleet_costs_a_member_what_a_whole_one_does() -> None:
     lone = control_gossip.measure_member(40, 1, spans=1, seconds=20)
     whole = control_gossip.measure_in_fleet(40, 1)
     assert abs(lone.steps / whole.steps - 1) < 0.15
@@ -76,16 +81,16 @@
 # allowances and trials
 
 
-def test_what_a_borrower_sends_does_not_grow_with_its_fleet():
+def test_what_a_borrower_sends_does_not_grow_with_its_fleet() -> None:
     role = control_allowance.LendingRole()
     sent = [role.measure(Dimension.DISPATCHERS, size, 1, GIVEN).messages_out for size in (25, 50, 100, 200)]
     assert max(sent) <= 4  # an ask and a word back at each of two looks a second
 
 
-def test_the_look_at_trials_grows_with_the_list_and_no_worse():
+def test_the_look_at_trials_grows_with_the_list_and_no_worse() -> None:
     """The page tells it: twice a second, every instance that the edge lists."""
 
-    def steps(size):
+    def steps(size: int) -> float:
         return count_steps(control_allowance.together_of(size, 10).share_trials).instructions
 
     assert kind((200, 400, 800, 1_600), steps) is Kind.LINEAR
@@ -94,7 +99,7 @@
 # the agreed log
 
 
-def change_steps(log):
+def change_steps(log: int) -> float:
     agreed = control_agreement.Agreed(3, log, control_agreement.DELAY, 1)
     meter = agreed.meters[agreed.leader]
     meter.steps, meter.counts_steps = 0, True
@@ -106,14 +111,14 @@
 LOGS = (200, 400, 800, 1_600)
 
 
-def test_a_change_costs_a_leader_the_same_however_long_its_log():
+def test_a_change_costs_a_leader_the_same_however_long_its_log() -> None:
     assert kind(LOGS, change_steps) is Kind.FLAT
 
 
-def test_a_planted_scan_of_the_log_is_caught(monkeypatch):
+def test_a_planted_scan_of_the_log_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     append = RaftNode.append
 
-    def scanned(member, entries):
+    def scanned(member: RaftNode, entries: Sequence[LogEntry]) -> Any:
         assert all(entry.term >= 0 for entry in member.entries)
         append(member, entries)
 
@@ -122,7 +127,7 @@
 
 
 @pytest.mark.parametrize("members", [3, 5])
-def test_every_change_is_agreed_in_one_round_and_sent_once_to_each_other(members):
+def test_every_change_is_agreed_in_one_round_and_sent_once_to_each_other(members: int) -> None:
     sample = control_agreement.by_changes(members, 16, control_agreement.DELAY, 1)
     figures = sample.figures
     assert figures["agreed of proposed"] == 1
@@ -134,7 +139,7 @@
 # configuration
 
 
-def test_a_change_is_one_word_to_each_edge_and_grows_no_worse_than_they():
+def test_a_change_is_one_word_to_each_edge_and_grows_no_worse_than_they() -> None:
     sizes = (5, 10, 20, 40)
     samples = [control_rollout.planner_sample(size, 20) for size in sizes]
     for size, sample in zip(sizes, samples, strict=True):
@@ -142,15 +147,15 @@
     assert fitting.kind_of(sizes, [sample.steps for sample in samples]) in NO_WORSE
 
 
-def test_an_entry_and_a_change_grow_no_worse_than_the_functions_with_a_rollout():
+def test_an_entry_and_a_change_grow_no_worse_than_the_functions_with_a_rollout() -> None:
     """The page tells that they grow at all: every entry looks at every rollout."""
 
-    def entry(functions):
+    def entry(functions: int) -> float:
         state = control_rollout.keeper_of(functions)
         command = control_rollout.start_of(0, 1, "v3")
         return count_steps(lambda: state.apply(state.number + 1, command)).instructions
 
-    def change(functions):
+    def change(functions: int) -> float:
         source = control_rollout.source_with(functions)
         return count_steps(lambda: control_rollout.change_told(source, 1)).instructions
 
@@ -158,7 +163,7 @@
     assert kind((100, 200, 400, 800), change) in NO_WORSE
 
 
-def test_a_whole_plan_ends_at_the_longest_line():
+def test_a_whole_plan_ends_at_the_longest_line() -> None:
     """The page tells it: the default bound of a line is what breaks first for plans."""
     figures = {f.name: f.value for f in control_rollout.longest_line(1, GIVEN, True)}
     most = int(figures["most functions in a whole plan that an edge takes"])
@@ -172,19 +177,19 @@
 CHANGED = (100, 200, 400, 800)
 
 
-def list_change_steps(instances):
+def list_change_steps(instances: int) -> float:
     following, line = control_roster.following_of(instances), control_roster.change_line(2, 1)
     return count_steps(lambda: control_roster.heard_change(following, line)).instructions
 
 
-def test_one_change_of_the_list_costs_its_follower_the_same_at_any_length():
+def test_one_change_of_the_list_costs_its_follower_the_same_at_any_length() -> None:
     assert kind(CHANGED, list_change_steps) is Kind.FLAT
 
 
-def test_a_planted_scan_of_the_list_is_caught(monkeypatch):
+def test_a_planted_scan_of_the_list_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     facts = KnownWorkers.facts
 
-    def scanned(following, known):
+    def scanned(following: KnownWorkers, known: Any) -> Any:
         assert sum(other is known for other in following.known.values()) == 1
         return facts(following, known)
 
@@ -192,7 +197,7 @@
     assert kind(CHANGED, list_change_steps) is Kind.LINEAR
 
 
-def test_a_change_is_told_to_every_follower_and_a_whole_list_ends_at_the_longest_line():
+def test_a_change_is_told_to_every_follower_and_a_whole_list_ends_at_the_longest_line() -> None:
     hollow = control_roster.HollowRoster(50, 20)
     hollow.traffic.messages_out = 0
     hollow.change(1)
@@ -207,7 +212,7 @@
 
 
 @pytest.mark.parametrize("dispatchers", [1, 8, 50, 200])
-def test_the_budget_of_a_cold_instance_holds_for_all_and_is_one_turn_each(dispatchers):
+def test_the_budget_of_a_cold_instance_holds_for_all_and_is_one_turn_each(dispatchers: int) -> None:
     calls = GIVEN.target.calls_per_second / GIVEN.target.instances
     sums, turns = control_cold.windows_of(dispatchers, calls)
     assert min(sums) >= 1
@@ -215,18 +220,18 @@
     assert sum(turns) <= control_cold.WINDOWS * 2
 
 
-def room_steps(dispatchers):
+def room_steps(dispatchers: int) -> float:
     made, cold = control_cold.dispatcher_of(0, dispatchers, 1.0)
-    request = control_cold.Request("r", control_cold.FUNCTION, 0, 0, control_cold.NOW + 30_000)
+    request = Request("r", control_cold.FUNCTION, 0, 0, control_cold.NOW + 30_000)
     return count_steps(lambda: made.cold_room(cold, request)).instructions
 
 
-def test_a_question_of_room_costs_the_same_however_many_dispatchers(monkeypatch):
+def test_a_question_of_room_costs_the_same_however_many_dispatchers(monkeypatch: pytest.MonkeyPatch) -> None:
     sizes = (50, 100, 200, 400)
     assert kind(sizes, room_steps) is Kind.FLAT
     room = Dispatcher.cold_room
 
-    def scanned(made, worker, request):
+    def scanned(made: Dispatcher, worker: Worker, request: Request) -> Any:
         assert sum(1 for _ in range(made.facts["dispatchers"]))
         return room(made, worker, request)
 
