--- a/benchmarks/scale/roles/control_gossip.py
+++ b/benchmarks/scale/roles/control_gossip.py
@@ -23,7 +23,7 @@
     Ground,
     Meter,
     Traffic,
-    module_facts,
+    module_settings,
 )
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.fleet.gossip_counters import CounterSettings
@@ -197,7 +197,7 @@
     size: int, process_id: tuple[str, int, int], told: CounterSettings, seed: int, now: int
 ) -> AdmissionController:
     """The admission controller of one dispatcher of so many."""
-    settings = AdmissionSettings.of(module_facts(size))
+    settings = AdmissionSettings.of(module_settings(size))
     return AdmissionController(settings, process_id, told, seed, lambda text: None, now)
 
 
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -38,7 +38,7 @@
         digest_settings = CounterSettings(send_interval=int(fleet.tell), refresh_interval=2 * int(fleet.tell))
         process_id = self.endpoint.membership.me.process_id
         self.admission = AdmissionController(
-            AdmissionSettings.of(edge.facts),
+            AdmissionSettings.of(edge.settings),
             process_id,
             digest_settings,
             place.seed,
@@ -53,16 +53,15 @@
             self.endpoint.counters, self.endpoint.verdicts = self.admission.counters, self.verdicts
 
         if fleet.loads:
-            longest = max(m["deadline"] for m in edge.facts["methods"])  # that one counts as under way
-            settle = max(longest, edge.facts["order_time_out"])
-            lends = QuotaSettings(
-                lease_duration=3 * settle, settling_time=settle
-            )  # what began on a loan ends within it
+            longest = max(m.deadline for m in edge.settings.methods)  # that one counts as under way
+            settle = max(longest, edge.settings.preload_timeout)
+            # what began on a lease ends within it
+            lends = QuotaSettings(lease_duration=3 * settle, settling_time=settle)
             loads = QuotaShare("loads", fleet.loads, place.of, place.number, lends, edge.clock())
             self.endpoint.quota_leasing = QuotaLeasing(
                 loads, self.loading, self.endpoint.send_lease_message, place.seed
             )
-            edge.facts["loads"] = self.loads
+            edge.fleet.loads_allowed = self.loads
 
     def loads(self, now: int) -> bool:
         """Whether one more load of this edge may begin at this moment."""
@@ -92,8 +91,8 @@
             self.endpoint.quota_leasing.update(live, member, self.edge.clock())
         if self.fleet.shed:
             self.admission.update(self.endpoint.is_present, self.endpoint.membership.size, self.edge.clock())
-            self.edge.facts["shedding"] = self.admission.is_shedding  # the module's map is the edge's
-            self.edge.facts["further"] = self.admission.retry_rate
+            self.edge.fleet.shedding = self.admission.is_shedding
+            self.edge.fleet.retries_per_second = self.admission.retry_rate
             self.share_trials()
         self.edge.after(UPDATE_EVERY, self.update, None)
 
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -19,7 +19,7 @@
 from lapistrestle.overload.retry_budget import RetryTraffic, retry_rate
 from lapistrestle.overload.statistics_source import DISPLAY_NAMES, SourceSelector, StatisticsSource
 from lapistrestle.overload.unused_capacity import UnusedCapacityBucket
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import Settings
 from lapistrestle.wire.fleet import ProcessId
 
 SECOND = 10_000  # in ticks of 0.1 ms
@@ -61,15 +61,15 @@
     longest_retry_after: int  # 0: clients are given no time
 
     @classmethod
-    def of(cls, facts: Facts) -> "AdmissionSettings":
+    def of(cls, settings: Settings) -> "AdmissionSettings":
         """From the module's settings."""
-        methods = facts["methods"]
+        methods = settings.methods
         return cls(
-            gains=tuple(method["gain"] for method in methods),
-            over_share_gain=facts["over_share_gain"],
-            soft_deadline=sum(method["soft_deadline"] for method in methods) // max(1, len(methods)),
-            quotas=tuple(customer["quota"] for customer in facts["customers"]),
-            longest_retry_after=facts["longest_come_back"] if facts["may_come_back"] else 0,
+            gains=tuple(method.gain for method in methods),
+            over_share_gain=settings.over_share_gain,
+            soft_deadline=sum(method.soft_deadline for method in methods) // max(1, len(methods)),
+            quotas=tuple(customer.quota for customer in settings.customers),
+            longest_retry_after=settings.max_retry_after if settings.may_retry_after else 0,
         )
 
 
