--- /dev/null
+++ b/lapistrestle/planner/server.py
@@ -0,0 +1,177 @@
+"""The planner's program: takes operators' commands and edges' counts, journals them, and sends plans.
+
+All decisions are in `planner/state.py`; here are the journal, the clock and the connections.
+"""
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from lapistrestle.planner.connection import PlannerConnection, PlannerConnectionFactory
+from lapistrestle.planner.entries import (
+    TICKS_PER_SECOND,
+    JournalEntry,
+    TickEntry,
+    decode_entry,
+    encode_entry,
+)
+from lapistrestle.planner.state import CommandResult, PlannerState
+from lapistrestle.planner.status import rollout_status
+from lapistrestle.rollout.readiness import Readiness
+from lapistrestle.rollout.state_machine import FINAL_STATES, Rollout, RolloutState
+from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
+from lapistrestle.wire import plans
+
+TICK_INTERVAL = 1.0
+"""Seconds between two evaluations of the active rollouts."""
+
+ROUNDING = 0.001
+"""Part of a tick added before truncation, so that a time that stands for a whole tick counts as it."""
+
+Log = Callable[..., None]
+
+
+class PlannerReactor(Protocol):
+    """What the planner uses of Twisted's reactor."""
+
+    def seconds(self) -> float:
+        """Return the monotonic time in seconds."""
+
+    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:
+        """Call back after that many seconds."""
+
+    def listenTCP(self, port: int, factory: Any, *, interface: str) -> Any:
+        """Listen; return a port object as of Twisted."""
+
+
+class Planner:
+    """One planner on one reactor and one journal. A newer one on the same journal ends this one.
+
+    `on_stopped` is called once it has ended by itself. Raises what `Journal.entries` and `decode_entry`
+    raise where the journal can't be read.
+    """
+
+    def __init__(self, reactor: PlannerReactor, journal: Journal, log: Log) -> None:
+        self.reactor = reactor
+        self.journal = journal
+        self.log = log
+        self.state = PlannerState()
+        self.journal_time = 0  # ticks: the latest time in the journal
+        for number, line in journal.entries():
+            entry = decode_entry(line)
+            self.state.apply(number, entry)
+            self.journal_time = max(self.journal_time, entry.at)
+        self.started_at = reactor.seconds()
+        self.edge_connections: dict[PlannerConnection, None] = {}
+        self.readiness = Readiness()
+        self.on_stopped: Callable[[], object] | None = None
+        self.is_stopped = False
+        log("journal read", entries=self.state.number, epoch=journal.epoch)
+
+    def now(self) -> int:
+        """Return the time in ticks, on from where the journal ends: pauses between planners do not count."""
+        elapsed = (self.reactor.seconds() - self.started_at) * TICKS_PER_SECOND
+        return self.journal_time + int(elapsed + ROUNDING)
+
+    def start(self, port: int = 0) -> int:
+        """Listen on the loopback interface and begin to tick. Return the port."""
+        factory = PlannerConnectionFactory(self)
+        listening = self.reactor.listenTCP(port, factory, interface="127.0.0.1")
+        self.reactor.callLater(TICK_INTERVAL, self.tick)
+        actual_port: int = listening.getHost().port
+        self.log("listening", port=actual_port)
+        return actual_port
+
+    def append(self, entry: JournalEntry) -> CommandResult | None:
+        """Write an entry to disk, apply it, then send edges what changed.
+
+        Return a command's result; None where another planner writes the journal or the disk fails, which
+        ends this planner.
+        """
+        if self.is_stopped:
+            return None
+        try:
+            number = self.journal.append([encode_entry(entry)])
+        except (StaleEpochError, JournalError) as error:
+            self.stop(str(error))
+            return None
+        changed_before = dict(self.state.changed_at)
+        result = self.state.apply(number, entry)
+        if self.state.changed_at != changed_before:
+            self._announce_changes(number)
+        return result
+
+    def stop(self, reason: str) -> None:
+        """Write nothing more, and cut all connections."""
+        self.is_stopped = True
+        self.log("ends", why=reason)
+        for connection in list(self.edge_connections):
+            connection.cut("another planner writes the journal")
+        if self.on_stopped is not None:
+            self.on_stopped()
+
+    def tick(self) -> None:
+        """Evaluate the active rollouts, and again after TICK_INTERVAL."""
+        if self.is_stopped:
+            return
+        self.reactor.callLater(TICK_INTERVAL, self.tick)
+        if self.state.active_rollouts():
+            self.append(TickEntry(at=self.now(), functions_ready=self.functions_ready()))
+
+    def functions_ready(self) -> tuple[str, ...]:
+        """Return the functions whose next weight has its replicas at every connected edge."""
+        edges = {connection.name for connection in self.edge_connections}
+        now = self.now()
+        return tuple(
+            function
+            for function, rollout in self.state.rollouts.items()
+            if self.readiness.is_ready(function, rollout.candidate, rollout.next_weight, edges, now)
+        )
+
+    def verify_newest(self) -> bool:
+        """Return whether no newer planner writes the journal; stop where one does.
+
+        One that did not ask would go on renewing leases on weights that another has taken back.
+        """
+        if not self.is_stopped and not self.journal.is_newest():
+            self.stop("a newer planner writes the journal")
+        return not self.is_stopped
+
+    def plan(self, after: int) -> plans.Plan:
+        """Return what changed after that entry; the complete plan where `after` is negative."""
+        splits = [plans.to_message(split) for split in self.state.splits_changed_after(after).values()]
+        return plans.Plan(self.state.number, self.journal.epoch, splits, complete=after < 0)
+
+    def status(self) -> plans.PlannerStatus:
+        """Return how all rollouts and edges stand, for operators."""
+        rollouts = [self.state.rollouts[function] for function in sorted(self.state.rollouts)]
+        return plans.PlannerStatus(
+            number=self.state.number,
+            epoch=self.journal.epoch,
+            rollouts=[rollout_status(rollout, self._shortages(rollout)) for rollout in rollouts],
+            plan_by_edge={
+                connection.name: connection.acknowledged_plan for connection in self.edge_connections
+            },
+        )
+
+    def _shortages(self, rollout: Rollout) -> dict[str, str]:
+        """Return by edge what it lacks for the rollout's next step."""
+        if rollout.state in FINAL_STATES or rollout.state is RolloutState.WITHDRAWING:
+            return {}
+        edges = [connection.name for connection in self.edge_connections]
+        now = self.now()
+        return self.readiness.shortages(rollout.function, rollout.candidate, rollout.next_weight, edges, now)
+
+    def _announce_changes(self, number: int) -> None:
+        """Log the rollouts that entry `number` changed, and send every edge its plan."""
+        for function, rollout in self.state.rollouts.items():
+            if self.state.changed_at.get(function) == number:
+                state = rollout.state.value
+                self.log(
+                    "rollout",
+                    function=function,
+                    candidate=rollout.candidate,
+                    state=state,
+                    share=rollout.weight,
+                )
+        for connection in list(self.edge_connections):
+            connection.send_changes()
--- a/lapistrestle/policy/fleet_guidance.py
+++ b/lapistrestle/policy/fleet_guidance.py
@@ -22,7 +22,7 @@
         """How many workers there are."""
 
 
-def always(now: int) -> bool:
+def always(_now: int) -> bool:
     """A dispatcher alone has all loads to itself."""
     return True
 
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -5,6 +5,7 @@
 
 from twisted.internet.protocol import ClientFactory
 
+from lapistrestle.rollout_types import CommandOutcome
 from lapistrestle.standins.tape import Tape
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -28,9 +29,9 @@
 
     def heard(self, message: Any) -> None:
         match message:
-            case plans.Reply():
+            case plans.CommandReply():
                 self.operator.replied(message)
-            case plans.Status():
+            case plans.PlannerStatus():
                 self.operator.told(message)
 
     def lost(self) -> None:
@@ -44,9 +45,9 @@
 
     def __init__(self, reactor: Any, port: Any, tape: Tape) -> None:
         self.reactor, self.port, self.tape = reactor, port, tape
-        self.open: dict[str, plans.Order] = {}
+        self.open: dict[str, plans.RolloutCommand] = {}
         self.up: OperatorSpeaker | None = None
-        self.replies: list[plans.Reply] = []
+        self.replies: list[plans.CommandReply] = []
         self.shares: dict[str, float] = {}  # by version
         self.seen = 0.0  # when the planner told last how things stand, in seconds
         self.dial()
@@ -70,31 +71,31 @@
 
     def ask(self) -> None:
         if self.up is not None:
-            self.up.say(plans.Ask())
+            self.up.say(plans.StatusRequest())
         self.reactor.callLater(ASK, self.ask)
 
-    def told(self, status: plans.Status) -> None:
+    def told(self, status: plans.PlannerStatus) -> None:
         """A share that changed did so since the status before this one."""
         for one in status.rollouts:
             version = f"{one.function}@{one.candidate}"
-            if self.shares.get(version, 0.0) != one.share:
-                self.shares[version] = one.share
+            if self.shares.get(version, 0.0) != one.weight:
+                self.shares[version] = one.weight
                 since = self.tape.moment(self.seen)
-                self.tape.put("planner", "share", version=version, share=one.share, since=since)
+                self.tape.put("planner", "share", version=version, share=one.weight, since=since)
         self.seen = self.reactor.seconds()
 
-    def give(self, order: plans.Order) -> None:
+    def give(self, order: plans.RolloutCommand) -> None:
         self.open[order.id] = order
         if self.up is not None:
             self.up.say(order)
 
-    def replied(self, reply: plans.Reply) -> None:
+    def replied(self, reply: plans.CommandReply) -> None:
         """It is accepted from now on; the tape says so, for the checker."""
         order = self.open.pop(reply.id, None)
         if order is None:
             return
         self.replies.append(reply)
         version = f"{order.function}@{order.candidate}"
-        if order.what == "back" and reply.outcome == "done":
+        if order.action == "back" and reply.outcome == CommandOutcome.DONE.value:
             self.tape.put("planner", "back", version=version)
-        self.tape.put("planner", "order", said=order.what, version=version, outcome=reply.outcome)
+        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome)
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -9,7 +9,7 @@
 from test_rollout_days import script as rollout_script
 
 from lapistrestle.checks.service import serve
-from lapistrestle.rollout.life import State
+from lapistrestle.rollout.state_machine import RolloutInput, RolloutState
 from lapistrestle.wire import messages as wire
 
 HOLDERS = ("holder_stall", "holder_kill", "directory_cut")
@@ -137,7 +137,8 @@
 @pytest.mark.parametrize("like", ["thumbs", "slots", "archive"])
 def test_a_calm_day_loses_nothing(like):
     """At a size where the whole list fits too. Over 20 days of 40 s each the mean difference was measured as
-    -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these are few and short."""
+    -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these are few and short.
+    """
     days = [day(like, seed=seed) for seed in (1, 2, 3)]
     whole, told = [Played(script) for script in days], [Played(with_directory(script)) for script in days]
     for played in told:
@@ -158,7 +159,7 @@
 
 def test_a_version_is_loaded_first_and_settles_where_its_prefix_was_looked_up(tmp_path):
     played = Rolled(with_directory(rollout_script(length="80 s")), tmp_path / "j")
-    assert played.breaches() == [] and played.rollout.state is State.SETTLED
+    assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
     assert orders and min(orders) < min(run.at for run in played.runs())
     ok = sum(c.answers[0][2].verdict == "ok" for c in played.story.calls if c.answers)
@@ -170,5 +171,5 @@
     troubles = [{"kind": "holder_kill", "at": "1.9 s", "lasts": "8 s", "share": 1.0}]
     played = Rolled(with_directory(rollout_script(troubles, length="16 s")), tmp_path / "j")
     assert played.breaches() == []
-    assert not [given for _, _, _, given, _ in played.rollout.history if given == "bad"]
-    assert played.rollout.state not in (State.WITHDRAWING, State.WITHDRAWN)
+    assert not [entry for entry in played.rollout.history if entry.input is RolloutInput.HARM_FOUND]
+    assert played.rollout.state not in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
