--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -3,14 +3,19 @@
 from typing import Any
 
 from lapistrestle.deployment.shape import Fleet
-from lapistrestle.fleet.allowance import Allowance, AllowanceSettings
-from lapistrestle.fleet.digests import DigestSettings
-from lapistrestle.fleet.endpoint import FleetEndpoint
-from lapistrestle.fleet.lending import Lending
+from lapistrestle.fleet.gossip_counters import CounterSettings
+from lapistrestle.fleet.gossip_endpoint import GossipEndpoint
+from lapistrestle.fleet.member_table import ACTIVE_STATES
+from lapistrestle.fleet.quota_leasing import QuotaLeasing
+from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.fleet.settings import FleetSettings
-from lapistrestle.fleet.table import ACTIVE
-from lapistrestle.overload.admission import UPDATE_EVERY, AdmissionController, AdmissionSettings
-from lapistrestle.overload.probers import Verdicts, probers
+from lapistrestle.overload.admission import (
+    UPDATE_EVERY,
+    AdmissionController,
+    AdmissionSettings,
+    RequestOutcome,
+)
+from lapistrestle.overload.worker_verdicts import WorkerVerdicts, select_probers
 from lapistrestle.policy.state import Worker
 
 
@@ -25,43 +30,46 @@
             fleet=fleet.name,
             port=fleet.port,
             advertised_port=fleet.told_port,
-            period=int(fleet.period),
-            direct=int(fleet.period) * 3 // 10,
+            protocol_period=int(fleet.period),
+            ping_timeout=int(fleet.period) * 3 // 10,
             seeds=tuple(("127.0.0.1", port) for port in fleet.seeds),
         )
-        self.endpoint = FleetEndpoint(edge, settings, place.name, place.zone, boot, nonce, place.seed)
-        digest_settings = DigestSettings(send_every=int(fleet.tell), refresh=2 * int(fleet.tell))
-        life = self.endpoint.members.me.life
+        self.endpoint = GossipEndpoint(edge, settings, place.name, place.zone, boot, nonce, place.seed)
+        digest_settings = CounterSettings(send_interval=int(fleet.tell), refresh_interval=2 * int(fleet.tell))
+        process_id = self.endpoint.membership.me.process_id
         self.admission = AdmissionController(
             AdmissionSettings.of(edge.settings),
-            life,
+            process_id,
             digest_settings,
             place.seed,
             self.endpoint.log,
             edge.clock(),
         )
-        self.verdicts = Verdicts(place.name)
+        self.verdicts = WorkerVerdicts(place.name)
         self.probers_of: dict[str, list[str]] = {}  # by worker: who probes it while it is suspect
         self.drawn_from: list[str] = []  # the members from whom they were drawn
         self.announced: set[Worker] = set()  # those of whom others were told that they are suspect
         if fleet.shed:
-            self.endpoint.digests, self.endpoint.verdicts = self.admission.digests, self.verdicts
+            self.endpoint.counters, self.endpoint.verdicts = self.admission.counters, self.verdicts
 
         if fleet.loads:
             longest = max(m.deadline for m in edge.settings.methods)  # that one counts as under way
             settle = max(longest, edge.settings.preload_timeout)
-            lends = AllowanceSettings(lasts=3 * settle, settle=settle)  # what began on a loan ends within it
-            loads = Allowance("loads", fleet.loads, place.of, place.number, lends, edge.clock())
-            self.endpoint.lending = Lending(loads, self.loading, self.endpoint.lend, place.seed)
+            # what began on a lease ends within it
+            lends = QuotaSettings(lease_duration=3 * settle, settling_time=settle)
+            loads = QuotaShare("loads", fleet.loads, place.of, place.number, lends, edge.clock())
+            self.endpoint.quota_leasing = QuotaLeasing(
+                loads, self.loading, self.endpoint.send_lease_message, place.seed
+            )
             edge.fleet.loads_allowed = self.loads
 
     def loads(self, now: int) -> bool:
         """Whether one more load of this edge may begin at this moment."""
-        lending = self.endpoint.lending
+        lending = self.endpoint.quota_leasing
         assert lending is not None
-        if self.loading() < lending.part(now):
+        if self.loading() < lending.available(now):
             return True
-        lending.wish()
+        lending.record_shortage()
         return False
 
     def loading(self) -> int:
@@ -77,39 +85,39 @@
         """Read the fleet's figures, and hand the module what follows, now and again."""
         if self.edge.stopping:
             return
-        if self.endpoint.lending is not None:
-            live = [member.claim for member in self.endpoint.members.live()]
-            member = self.endpoint.members.state in ACTIVE
-            self.endpoint.lending.update(live, member, self.edge.clock())
+        if self.endpoint.quota_leasing is not None:
+            live = [member.record for member in self.endpoint.membership.live()]
+            member = self.endpoint.membership.state in ACTIVE_STATES
+            self.endpoint.quota_leasing.update(live, member, self.edge.clock())
         if self.fleet.shed:
-            self.admission.update(self.endpoint.present, self.endpoint.members.size, self.edge.clock())
-            self.edge.fleet.shedding = self.admission.sheds
-            self.edge.fleet.retries_per_second = self.admission.further
+            self.admission.update(self.endpoint.is_present, self.endpoint.membership.size, self.edge.clock())
+            self.edge.fleet.shedding = self.admission.is_shedding
+            self.edge.fleet.retries_per_second = self.admission.retry_rate
             self.share_trials()
         self.edge.after(UPDATE_EVERY, self.update, None)
 
     def share_trials(self) -> None:
         """Tell others what the module found of workers, and the module what others found."""
-        now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.findings
-        members = self.endpoint.members
+        now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
+        members = self.endpoint.membership
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
             self.drawn_from, self.probers_of = members_by_name, {}
         workers = self.edge.host.module.serving
-        self.verdicts.keep(worker.name for worker in workers)
+        self.verdicts.retain(worker.name for worker in workers)
         for worker in workers:
             told = found.get(worker.name)
-            if worker.suspect and told is not None and told.fit and told.by != me:
+            if worker.suspect and told is not None and told.healthy and told.prober != me:
                 self.edge.host.vouched(worker, told.at)
             if worker.suspect and worker not in self.announced:
                 self.verdicts.record(worker.name, False, now)
                 self.announced.add(worker)
             elif not worker.suspect and worker in self.announced:
                 self.announced.discard(worker)
-                if told is not None and told.by == me:  # else it was others that found it fit
+                if told is not None and told.prober == me:  # else it was others that found it fit
                     self.verdicts.record(worker.name, True, now)
             if worker.suspect:
-                names = self.probers_of.get(worker.name) or probers(worker.name, members_by_name)
+                names = self.probers_of.get(worker.name) or select_probers(worker.name, members_by_name)
                 self.probers_of[worker.name] = names
                 worker.trial = me in names
         self.announced &= set(workers)
@@ -120,29 +128,36 @@
             return None
         return self.admission.admit(method, customer, repeat, key, self.edge.clock())
 
+    def on_request_finished(
+        self, outcome: str, is_late: bool, reached_worker: bool, is_worker_fault: bool
+    ) -> None:
+        """As `AdmissionController.on_request_finished`, with the host's word for the outcome."""
+        self.admission.on_request_finished(RequestOutcome(outcome), is_late, reached_worker, is_worker_fault)
+
     def loads_shown(self, now: int) -> dict[str, int] | None:
         """For operators; None where the fleet shares no loads."""
-        if self.endpoint.lending is None:
+        if self.endpoint.quota_leasing is None:
             return None
-        of = self.endpoint.lending.allowance
-        lent, had = of.lent_units(), sum(loan.units for loan in of.borrowed.values())
-        return {"may": of.part(now), "cut": of.cut, "lent": lent, "borrowed": had,
+        of = self.endpoint.quota_leasing.share
+        lent, had = of.leased_out_units(), sum(loan.units for loan in of.borrowed.values())
+        return {"may": of.available(now), "cut": of.own_units, "lent": lent, "borrowed": had,
                 "under way": self.loading()}  # fmt: skip
 
     def show(self) -> dict[str, Any]:
         """For operators (`lapistrestle fleet show --json`)."""
-        endpoint, members, now = self.endpoint, self.endpoint.members, self.edge.clock()
+        endpoint, members, now = self.endpoint, self.endpoint.membership, self.edge.clock()
         return {
             "name": members.me.name, "fleet": self.fleet.name, "standing": members.state.name.lower(),
             "doubt": members.health.score, "size": members.size, "door": self.admission.show(),
             "loads": self.loads_shown(now),
-            "datagrams": {"sent": endpoint.sent, "bytes": endpoint.sent_bytes, "came": endpoint.came,
-                          "refused": endpoint.refused + self.admission.digests.refused},
+            "datagrams": {"sent": endpoint.datagrams_sent, "bytes": endpoint.bytes_sent,
+                          "came": endpoint.datagrams_received,
+                          "refused": endpoint.datagrams_rejected + self.admission.counters.rejected},
             "members": [
-                {"name": m.name, "zone": m.claim.zone, "port": m.claim.port, "is": m.rank.name.lower(),
-                 "for ms": (now - m.since) / 10, "incarnation": m.claim.incarnation,
-                 "accused by": sorted(m.accusers),
-                 "heard ms ago": (now - m.heard) / 10 if m.heard >= 0 else None}
+                {"name": m.name, "zone": m.record.zone, "port": m.record.port, "is": m.status.name.lower(),
+                 "for ms": (now - m.status_since) / 10, "incarnation": m.record.incarnation,
+                 "accused by": sorted(m.suspected_by),
+                 "heard ms ago": (now - m.last_heard_at) / 10 if m.last_heard_at >= 0 else None}
                 for _, m in sorted(members.members.items())
             ],
         }  # fmt: skip
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -194,8 +194,8 @@
         if self.fleet_member is not None:
             late = self.late(pending)
             if how in (DENIED, ABORTED) and cost_before(pending) and not late:
-                self.fleet_member.admission.count_further_attempt()
-            self.fleet_member.admission.ended(how, late, bool(pending.attempts), faulty(pending))
+                self.fleet_member.admission.count_retry()
+            self.fleet_member.on_request_finished(how, late, bool(pending.attempts), faulty(pending))
         if pending.route is not None and pending.route.candidate and how != "moved":
             if how != "ok" and (waited or self.barred(pending.function.name)):
                 return
@@ -228,7 +228,7 @@
         if self.barred(worker_call.pending.function.name):
             return self.host.ended(worker_call.number, Outcome.NOT_SENT)
         if self.fleet_member is not None and cost_before(worker_call.pending):
-            self.fleet_member.admission.count_further_attempt()
+            self.fleet_member.admission.count_retry()
         if self.directory is not None:
             self.directory.used(worker_call)
         super().run(worker_call)
--- /dev/null
+++ b/lapistrestle/fleet/gossip_counters.py
@@ -0,0 +1,260 @@
+"""Counters that dispatchers gossip: they only grow, and are held by process. Free of I/O (docs/fleet.md).
+
+This is the grow-only counter of Shapiro et al., "Conflict-Free Replicated Data Types" (SSS 2011): the newest
+snapshot of a process holds, so a lost, doubled, late or reordered datagram changes nothing but ages. Rates
+come from two snapshots of one process, by its own clock. What a process counts for is bounded three ways: by
+the snapshot's age, by what one dispatcher can do at all, and by what the others do.
+"""
+
+from collections import deque
+from collections.abc import Callable, Collection, Mapping, Sequence
+from dataclasses import dataclass, field
+from heapq import nsmallest
+from operator import add
+from typing import NamedTuple
+from zlib import crc32
+
+import numpy as np
+import numpy.typing as npt
+
+from lapistrestle.wire import fleet as wire
+from lapistrestle.wire.fleet import CounterSnapshot, ProcessId
+
+SECOND = 10_000  # in ticks of 0.1 ms
+MAX_OVER_MEDIAN = 100.0  # bound of one process's rate over the median: fifty times is known to happen
+MIN_REPORTERS = 3  # under which there is no median to hold a rate against
+TRANSMISSIONS = 3  # of a snapshot by each that holds it: one in twenty misses it, and gets the next
+MAX_SAMPLES = 8  # kept of each process
+SAMPLES_IN_WINDOW = MAX_SAMPLES - 3  # kept ones are at least this part of the rate window apart
+CANDIDATES = 40  # snapshots of others weighed for one datagram: bounds the work of each
+
+Rates = npt.NDArray[np.float64]  # by counter, a second
+
+
+@dataclass(frozen=True)
+class CounterSettings:
+    """When snapshots are sent, and for how long they count. Durations are whole ticks of 0.1 ms."""
+
+    send_interval: int = SECOND // 2
+    refresh_interval: int = SECOND  # between two snapshots of one's own counters
+    full_weight_age: int = 3 * SECOND  # up to which a snapshot counts in full
+    expiry_age: int = 10 * SECOND  # from which on it counts for nothing
+    rate_window: int = 2 * SECOND  # over which rates are taken at the least, by the reporter's clock
+    max_rate: float = 100_000.0  # of any counter, a second: what one dispatcher can do at all
+    max_datagrams: int = 10  # of one round of gossip
+
+
+class Sample(NamedTuple):
+    """Counters at one moment of the reporter's clock."""
+
+    at: int
+    counts: tuple[int, ...]
+
+
+@dataclass(eq=False)
+class Reporter:
+    """One process, as far as its counters are known."""
+
+    process_id: ProcessId
+    snapshot: CounterSnapshot  # the newest
+    valid_at: int  # on our clock: when the newest snapshot was taken, at the latest
+    transmissions: int = 0  # of the newest snapshot, by us
+    samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
+    rates: Rates | None = None  # by its own clock; None while there is one snapshot
+
+    def add_snapshot(self, snapshot: CounterSnapshot, now: int, rate_window: int) -> None:
+        """Take up a newer snapshot of the same process."""
+        self.snapshot = snapshot
+        self.valid_at = now - snapshot.age
+        self.transmissions = 0
+        shortest = rate_window // SAMPLES_IN_WINDOW
+        if len(self.samples) > 1 and self.samples[-1].at - self.samples[-2].at < shortest:
+            self.samples.pop()  # so that the kept ones span the window however often it reports
+        self.samples.append(Sample(snapshot.at, snapshot.counts))
+        self.update_rates(rate_window)
+
+    def update_rates(self, rate_window: int) -> None:
+        """Compute the rates from the newest sample and one a window before it."""
+        newest = self.samples[-1]
+        earlier = (s for s in reversed(self.samples) if newest.at - s.at >= rate_window)
+        first = next(earlier, self.samples[0])
+        duration = newest.at - first.at
+        if duration > 0:
+            growth = np.array(newest.counts, float) - np.array(first.counts, float)
+            self.rates = growth * (SECOND / duration)
+
+
+@dataclass(frozen=True)
+class FleetStatistics:
+    """What the fleet does, and how far that is known."""
+
+    rates: Mapping[str, float]  # by counter, a second
+    totals: Mapping[str, int]  # the counters added up
+    counted: int  # members that are in them; the others are too old or never heard
+    size: int  # of the fleet
+    age: int  # of the oldest snapshot counted, in ticks
+
+
+class GossipCounters:
+    """The counters of this process, and the newest that is known of the others'."""
+
+    def __init__(
+        self, columns: Sequence[str], process_id: ProcessId, settings: CounterSettings, now: int
+    ) -> None:
+        """`columns` names the counters, the same and in the same order at every dispatcher of a layout."""
+        self.columns = {name: i for i, name in enumerate(columns)}
+        self.settings = settings
+        self.layout = crc32("\n".join(columns).encode())
+        self.process_id = process_id
+        self.counts = [0] * len(columns)
+        self.seq = 0
+        self.refreshed_at = now
+        self.reporters: dict[str, Reporter] = {}  # by name, oneself among them
+        self.rejected = 0  # snapshots and datagrams that can not be right
+        self.refresh_own(now)
+
+    def add(self, column: str, amount: int = 1) -> None:
+        """Add to a counter of one's own; a negative amount counts as none."""
+        self.counts[self.columns[column]] += max(0, amount)
+
+    # snapshots to send
+
+    def refresh_own(self, now: int) -> None:
+        """Take a new snapshot of one's own counters."""
+        self.seq += 1
+        self.refreshed_at = now
+        snapshot = CounterSnapshot(*self.process_id, self.seq, now, 0, tuple(self.counts))
+        own = self.reporters.setdefault(self.process_id[0], Reporter(self.process_id, snapshot, now))
+        own.add_snapshot(snapshot, now, self.settings.rate_window)
+
+    def snapshots_to_send(self, now: int, free_bytes: int) -> list[CounterSnapshot]:
+        """One's own snapshot, and of the others' those least transmitted, as many as fit."""
+        if now - self.refreshed_at >= self.settings.refresh_interval:
+            self.refresh_own(now)
+        others = [
+            reporter
+            for name, reporter in self.reporters.items()
+            if name != self.process_id[0]
+            and reporter.transmissions < TRANSMISSIONS
+            and now - reporter.valid_at < self.settings.expiry_age
+        ]
+        own = self.reporters[self.process_id[0]]
+        snapshots = list[CounterSnapshot]()
+        for reporter in [own, *nsmallest(CANDIDATES, others, key=least_transmitted)]:
+            snapshot = wire.with_age(reporter.snapshot, max(0, now - reporter.valid_at))
+            free_bytes -= wire.encoded_size(snapshot)
+            if free_bytes < 0:
+                break
+            snapshots.append(snapshot)
+            reporter.transmissions += 1
+        return snapshots
+
+    def datagrams_per_round(self, size: int, snapshot_bytes: int) -> int:
+        """How many datagrams to send in one round of gossip.
+
+        So many that all snapshots get round within two refreshes of a fleet of that size, and no more than
+        the bound: beyond it statistics get older, not dearer.
+        """
+        per_datagram = max(1, (wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES) // max(1, snapshot_bytes))
+        settings = self.settings
+        sendings = size * TRANSMISSIONS * settings.send_interval
+        wanted = sendings / (per_datagram * 2 * settings.refresh_interval)
+        return int(max(1, min(settings.max_datagrams, wanted)))
+
+    # snapshots received
+
+    def on_snapshots(self, layout: int, snapshots: Collection[CounterSnapshot], now: int) -> None:
+        """Snapshots arrived, the sender's own and others that it passes on."""
+        if layout != self.layout:
+            self.rejected += 1
+            return
+        for snapshot in snapshots:
+            if snapshot.name != self.process_id[0]:
+                self.accept(snapshot, now)
+
+    def accept(self, snapshot: CounterSnapshot, now: int) -> None:
+        """Take a snapshot up if it is newer than the one held of its process."""
+        process_id = (snapshot.name, snapshot.boot, snapshot.nonce)
+        reporter = self.reporters.get(snapshot.name)
+        is_old_process = reporter is not None and process_id < reporter.process_id
+        if len(snapshot.counts) != len(self.columns) or is_old_process:
+            return
+        if reporter is None or process_id > reporter.process_id:  # a restart counts from zero again
+            reporter = Reporter(process_id, snapshot, now - snapshot.age)
+            reporter.samples.append(Sample(snapshot.at, snapshot.counts))
+            self.reporters[snapshot.name] = reporter
+            return
+        held = reporter.snapshot
+        if snapshot.seq == held.seq:  # by a shorter way it is known to be younger
+            reporter.valid_at = max(reporter.valid_at, min(now, now - snapshot.age))
+            return
+        if snapshot.seq < held.seq:
+            return  # late
+        has_shrunk = any(new < old for old, new in zip(held.counts, snapshot.counts, strict=True))
+        if has_shrunk or snapshot.at <= held.at:  # guards against a faulty reporter
+            self.rejected += 1
+            return
+        reporter.add_snapshot(snapshot, now, self.settings.rate_window)
+
+    def forget(self, name: str) -> None:
+        """Drop what is known of a member that is forgotten."""
+        self.reporters.pop(name, None)
+
+    # statistics
+
+    def age_weight(self, reporter: Reporter, now: int) -> float:
+        """What a reporter counts for: 1 up to `full_weight_age`, falling to 0 at `expiry_age`."""
+        full, expiry = self.settings.full_weight_age, self.settings.expiry_age
+        age = now - reporter.valid_at
+        return min(1.0, max(0.0, (expiry - age) / (expiry - full)))
+
+    def statistics(self, now: int, is_present: Callable[[str], bool], size: int) -> FleetStatistics:
+        """Those of oneself, as they are, and of all others that are present, each within its bounds."""
+        own = self.own_rates()
+        reported = [own]
+        weights = list[float]()
+        totals = list(self.counts)
+        oldest = 0
+        for name, reporter in self.reporters.items():
+            if name == self.process_id[0] or reporter.rates is None or not is_present(name):
+                continue
+            if (weight := self.age_weight(reporter, now)) > 0:
+                weights.append(weight)
+                reported.append(reporter.rates)
+                totals = list(map(add, totals, reporter.snapshot.counts))
+                oldest = max(oldest, now - reporter.valid_at)
+        rates = own
+        if weights:
+            by_reporter = np.array(reported)
+            rates = own + np.array(weights) @ np.minimum(by_reporter[1:], self.rate_bounds(by_reporter))
+        return self.by_column(rates, totals, 1 + len(weights), size, oldest)
+
+    def rate_bounds(self, by_reporter: Rates) -> Rates:
+        """The greatest rate of each counter that one reporter counts for."""
+        bounds = np.full(by_reporter.shape[1], float(self.settings.max_rate))
+        if len(by_reporter) >= MIN_REPORTERS:
+            median = np.median(by_reporter, axis=0)
+            bounds = np.minimum(bounds, MAX_OVER_MEDIAN * np.maximum(1.0, median))
+        return bounds
+
+    def own_statistics(self) -> FleetStatistics:
+        """Those of oneself only."""
+        return self.by_column(self.own_rates(), self.counts, 1, 1, 0)
+
+    def own_rates(self) -> Rates:
+        """Rates of oneself; 0 while there is one snapshot."""
+        rates = self.reporters[self.process_id[0]].rates
+        return np.zeros(len(self.columns)) if rates is None else rates
+
+    def by_column(
+        self, rates: Rates, totals: Sequence[int], counted: int, size: int, age: int
+    ) -> FleetStatistics:
+        """Statistics under the names of the counters."""
+        rates_by_name = dict(zip(self.columns, rates.tolist(), strict=True))
+        totals_by_name = dict(zip(self.columns, totals, strict=True))
+        return FleetStatistics(rates_by_name, totals_by_name, counted, size, age)
+
+
+def least_transmitted(reporter: Reporter) -> tuple[int, int]:
+    """Order of sending: the least transmitted first, of these the youngest."""
+    return reporter.transmissions, -reporter.valid_at
--- /dev/null
+++ b/lapistrestle/fleet/member_table.py
@@ -0,0 +1,140 @@
+"""What one member believes of all others, free of I/O.
+
+Of two records of one member the one with the greater precedence overrides, whichever came first (SWIM,
+section 4.2). So lost, doubled and late datagrams lead to the same table.
+"""
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum
+
+from lapistrestle.wire.fleet import MemberRecord, MemberStatus
+
+MAX_CONFIRMATIONS = 3  # independent suspicions after which the shortest timeout holds (Lifeguard's K)
+INITIAL_TRANSMISSIONS_OF_DEAD = 4  # of one that was dead before we heard of it: hardly worth passing on
+
+
+class LocalState(Enum):
+    """What this member itself is in its fleet."""
+
+    JOINING = 1  # no other member has answered yet
+    MEMBER = 2
+    DISPLACED = 3  # another process has this member's name
+    LEFT = 4
+
+
+ACTIVE_STATES = (LocalState.JOINING, LocalState.MEMBER)
+
+
+@dataclass(eq=False)
+class Member:
+    """Another member, as far as it is known."""
+
+    record: MemberRecord
+    status_since: int  # when its status last changed, in ticks on our clock
+    last_heard_at: int = -1  # when it last sent us a datagram itself; -1: never
+    transmissions: int = 0  # how often this record was piggybacked
+    suspected_by: set[str] = field(default_factory=set)  # members that suspect it independently
+    is_known: bool = True  # False once it was forgotten
+
+    @property
+    def name(self) -> str:
+        """The member's name, the same after a restart."""
+        return self.record.name
+
+    @property
+    def status(self) -> MemberStatus:
+        """What is believed of it."""
+        return self.record.status
+
+    @property
+    def is_live(self) -> bool:
+        """Whether it counts as present: a suspect still does."""
+        return self.record.status <= MemberStatus.SUSPECT
+
+
+class MemberTable:
+    """One member's beliefs of all others, and its own record and state."""
+
+    def __init__(self, me: MemberRecord, on_member_changed: Callable[[Member], None]) -> None:
+        """`me` is one's own record; `on_member_changed` is called when a record overrides or is forgotten."""
+        self.me = me
+        self.on_member_changed = on_member_changed
+        self.state = LocalState.JOINING
+        self.members: dict[str, Member] = {}
+        self.dissemination_buffer: dict[Member, None] = {}  # whose records are still to be piggybacked
+        self.suspected: dict[Member, None] = {}
+        self.sorted_live: list[Member] | None = []  # None: to be computed anew
+
+    def live(self) -> list[Member]:
+        """Other members that count as present, by name."""
+        if self.sorted_live is None:
+            self.sorted_live = [member for _, member in sorted(self.members.items()) if member.is_live]
+        return self.sorted_live
+
+    @property
+    def size(self) -> int:
+        """How many count as present, oneself included; 0 for one that is displaced or has left."""
+        return 1 + len(self.live()) if self.state in ACTIVE_STATES else 0
+
+    def apply(self, record: MemberRecord, now: int) -> None:
+        """Take up a record of another member if it overrides the one held."""
+        member = self.members.get(record.name)
+        if member is None:
+            member = self.insert(record, now)
+        elif record.precedence > member.record.precedence:
+            self.override(member, record, now)
+        else:
+            self.confirm_suspicion(member, record)
+            return
+        if record.status is MemberStatus.SUSPECT:
+            if record.suspected_by:
+                member.suspected_by.add(record.suspected_by)
+            self.suspected[member] = None
+        else:
+            self.suspected.pop(member, None)
+        self.dissemination_buffer[member] = None
+        self.on_member_changed(member)
+
+    def insert(self, record: MemberRecord, now: int) -> Member:
+        """Add a member of which nothing was known."""
+        member = Member(record, now)
+        self.members[record.name] = member
+        self.sorted_live = None
+        if record.status >= MemberStatus.DEAD:
+            member.transmissions = INITIAL_TRANSMISSIONS_OF_DEAD
+        return member
+
+    def override(self, member: Member, record: MemberRecord, now: int) -> None:
+        """Replace a member's record by one with greater precedence."""
+        held = member.record
+        same_process = record.process_id == held.process_id
+        if record.status != held.status or not same_process:
+            member.status_since = now
+            self.sorted_live = None
+        if not same_process or record.incarnation != held.incarnation:
+            member.suspected_by.clear()
+        member.record = record
+        member.transmissions = 0
+
+    def confirm_suspicion(self, member: Member, record: MemberRecord) -> None:
+        """Count an independent suspicion of the same incarnation (Lifeguard's LHA-Suspicion)."""
+        if record.status is MemberStatus.ALIVE or record.precedence != member.record.precedence:
+            return
+        if not record.suspected_by or record.suspected_by in member.suspected_by:
+            return
+        member.suspected_by.add(record.suspected_by)
+        if len(member.suspected_by) <= MAX_CONFIRMATIONS + 1:
+            member.record = record
+            member.transmissions = 0
+        self.dissemination_buffer[member] = None
+
+    def forget(self, before: int) -> None:
+        """Drop members that have been dead or gone since before that moment."""
+        expired = [m for m in self.members.values() if not m.is_live and m.status_since < before]
+        for member in expired:
+            del self.members[member.name]
+            self.dissemination_buffer.pop(member, None)
+            self.suspected.pop(member, None)
+            member.is_known = False
+            self.on_member_changed(member)
--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -24,7 +24,7 @@
     "planner": {"from planner": plans.FromPlanner, "to planner": plans.ToPlanner},
     "directory": {"from watcher": directory.FromWatcher, "from holder": directory.FromHolder},
 }
-FLEET_UNION = fleet.AnyWord
+FLEET_UNION = fleet.Message
 FLEET_DATAGRAM = fleet.Datagram
 CONSTANTS: dict[str, Any] = {
     "client protocol": messages.CLIENT,
@@ -34,7 +34,7 @@
     "directory protocol": directory.DIRECTORY,
     "version of lines": messages.VERSION,
     "version of datagrams": fleet.VERSION,
-    "bytes of a datagram": fleet.MOST,
+    "bytes of a datagram": fleet.MAX_DATAGRAM_BYTES,
 }
 SETTINGS: dict[str, Any] = {
     "deployment": Deployment,
@@ -47,8 +47,8 @@
     "platform runner's reply": RunnerReply,
 }
 encode_line: Callable[[Any], bytes] = messages.encode
-decode_datagram: Callable[[bytes, str], Any] = fleet.unpack
-encode_datagram: Callable[[Any], bytes] = fleet.pack
+decode_datagram: Callable[[bytes, str], Any] = fleet.decode
+encode_datagram: Callable[[Any], bytes] = fleet.encode
 
 
 def line_decoder(union: Any) -> Callable[[bytes], Any]:
