--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -23,6 +23,7 @@
 from lapistrestle.planner.entries import CommandEntry, OutcomeEntry
 from lapistrestle.planner.server import Planner
 from lapistrestle.planner.state import CommandResult, PlannerState
+from lapistrestle.policy.settings import Settings
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout.state_machine import Rollout, RolloutInput
 from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
@@ -300,7 +301,8 @@
         self.name = "dispatcher-00001"
         self.deployment = deployment(3_900)
         self.deployment.planner.keep = keep
-        self.facts = {"dial_time_out": SECOND, "may_order": True, "memory_by_kind": [], "idle_life": SECOND}
+        self.connect_timeout = SECOND
+        self.settings = Settings(connect_timeout=SECOND, may_preload=True, idle_timeout=SECOND)
         self.bounds = LineBounds()
         self.routing = Routing()
         self.now = 1_000 * SECOND
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -156,7 +156,7 @@
             for name in (*versions, "")
             if (function := registry.functions.get(versioned_name(split.function, name))) is not None
         ]
-        if not known or not self.edge.facts["may_order"]:
+        if not known or not self.edge.settings.may_preload:
             return split.next_weight, ""
         model = known[-1]
         busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
@@ -191,7 +191,7 @@
             edge.directory.act()
             # its prefix is being looked up
             return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
-        memory, idle_life = edge.facts["memory_by_kind"], edge.facts["idle_life"]
+        memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
         for worker in module.walk(function):
             if worker.listing.name != "SERVING" or not module.fit(worker):
@@ -212,7 +212,7 @@
             )
             return ordered
 
-        required = replicas.required_replicas(busy, weight, function.lanes, edge.facts["dispatchers"])
+        required = replicas.required_replicas(busy, weight, function.lanes, edge.settings.dispatcher_count)
         target = self.targets.setdefault(name, replicas.ReplicaTarget()).update(required)
         stand = replicas.maintain_replicas(
             list(capacities), target, module.load_limit - module.loading, preload
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -12,7 +12,9 @@
 from typing import Any
 from zlib import crc32
 
-from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Facts, Host, Outcome, WorkerInfo
+from lapistrestle.policy.fleet_guidance import FleetGuidance
+from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Host, Outcome, WorkerInfo
+from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.state import Function, Request, Worker
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
@@ -25,9 +27,16 @@
     """The module's place taken by one of `POLICIES`."""
 
     def __init__(
-        self, host: Host, facts: Facts, seed: int, now: int, policy: str, sees: Sight | None = None
+        self,
+        host: Host,
+        settings: Settings,
+        seed: int,
+        now: int,
+        fleet: FleetGuidance | None,
+        policy: str,
+        sees: Sight | None = None,
     ) -> None:
-        self.host, self.facts, self.seed, self.now, self.sees = host, facts, seed, now, sees
+        self.host, self.settings, self.seed, self.now, self.sees = host, settings, seed, now, sees
         self.choose = POLICIES[policy]
         self.serving: list[Worker] = []
         self.known: dict[Worker, None] = {}
@@ -36,8 +45,8 @@
         self.waiting: dict[tuple[Worker, Function], list[Request]] = {}
         self.orders: deque[int] = deque()
         self.taken: deque[int] = deque()
-        if facts["list_asked"]:
-            host.follow_list()
+        if settings.endpoints_polled:
+            host.watch_endpoints()
 
     def chance(self, below: int) -> int:
         self.draws += 1
@@ -45,7 +54,7 @@
 
     # what the host tells
 
-    def listed(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
+    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
         for worker in self.known if whole else ():
             worker.listing = EndpointState.REMOVED
         for worker, told in workers:
@@ -55,11 +64,11 @@
             (s for s in self.known if s.listing is EndpointState.SERVING), key=lambda s: s.name
         )
 
-    def arrived(self, request: Request) -> None:
+    def on_request(self, request: Request) -> None:
         self.taken.append(self.now)
         self.place(request)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
         request, worker = attempt.request, attempt.worker
         attempt.outcome = outcome
         self.out[worker] = self.out.get(worker, 1) - 1
@@ -67,37 +76,41 @@
             request.over = True
         elif outcome is Outcome.NOT_LOADED and self.order(worker, request):
             pass
-        elif outcome in NEVER_RAN or self.facts["methods"][request.method]["kind"] == "idempotent":
+        elif outcome in NEVER_RAN or self.settings.methods[request.method].kind == "idempotent":
             self.place(request)
         else:
             request.over = True
             self.host.abort(request)
 
-    def ordered(self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int) -> None:
+    def on_preload_finished(
+        self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int
+    ) -> None:
         for request in self.waiting.pop((worker, function), []):
             if not request.over and outcome is Outcome.OK:
                 self.send(request, worker)
             elif not request.over:
                 self.place(request)
 
-    def left(self, request: Request) -> None:
+    def on_client_gone(self, request: Request) -> None:
         request.over = True
 
-    def begun(self, attempt: Attempt) -> None: ...
-    def list_failed(self) -> None: ...
-    def woken(self, token: object) -> None: ...
-    def probed(self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]) -> None: ...
-    def told(self, peer: int, text: str) -> None: ...
+    def on_attempt_started(self, attempt: Attempt) -> None: ...
+    def on_endpoints_failed(self) -> None: ...
+    def on_timer(self, token: object) -> None: ...
+    def on_health_check(
+        self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]
+    ) -> None: ...
+    def on_gossip(self, peer: int, text: str) -> None: ...
 
     # what it does
 
     def place(self, request: Request) -> None:
         tried = {attempt.worker for attempt in request.attempts}
         able = [worker for worker in self.serving if worker not in tried]
-        if not able or len(request.attempts) >= self.facts["try_limit"] or request.deadline <= self.now:
+        if not able or len(request.attempts) >= self.settings.attempt_limit or request.deadline <= self.now:
             request.over = True
             may_have = [c for c in request.attempts if c.outcome not in NEVER_RAN]
-            return self.host.abort(request) if may_have else self.host.deny(request, 0)
+            return self.host.abort(request) if may_have else self.host.reject(request, 0)
         self.send(request, self.choose(self, request, able))
 
     def send(self, request: Request, worker: Worker) -> None:
@@ -112,17 +125,17 @@
         if waiting is not None:
             waiting.append(request)
             return True
-        window = self.facts["order_window"]
+        window = self.settings.preload_window
         for times in (self.orders, self.taken):
             while times and times[0] <= self.now - window:
                 times.popleft()
-        most = self.facts["orders_free"] + self.facts["orders_share"] * len(self.taken)
-        room = self.facts["may_order"] and (not window or len(self.orders) + 1 <= most)
+        most = self.settings.preload_free + self.settings.preload_share * len(self.taken)
+        room = self.settings.may_preload and (not window or len(self.orders) + 1 <= most)
         if not room or worker.listing is not EndpointState.SERVING:
             return False
         self.orders.append(self.now)
         self.waiting[worker, request.function] = [request]
-        self.host.order(worker, request.function, 1)
+        self.host.preload(worker, request.function, 1)
         return True
 
     # how it chooses
