--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -95,8 +95,8 @@
         else:
             late = f"; not there yet: {', '.join(reply.edges_behind)}" if reply.edges_behind else ""
             stands = f"{function} is {reply.state} at {reply.weight:.0%}"
-            click.echo(f"{reply.outcome.value}: {reply.message}; {stands}{late}")
-        raise SystemExit(1 if reply.outcome is CommandOutcome.REFUSED else 0)
+            click.echo(f"{reply.outcome}: {reply.message}; {stands}{late}")
+        raise SystemExit(1 if reply.outcome == CommandOutcome.REFUSED.value else 0)
 
     made: Callable[..., None] = command
     if what == "start":
--- a/lapistrestle/planner/connection.py
+++ b/lapistrestle/planner/connection.py
@@ -116,7 +116,7 @@
         ]
         reply = plans.CommandReply(
             id=command.id,
-            outcome=result.outcome,
+            outcome=result.outcome.value,
             message=result.message,
             state=result.state,
             weight=result.weight,
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -96,6 +96,6 @@
             return
         self.replies.append(reply)
         version = f"{order.function}@{order.candidate}"
-        if order.action == "back" and reply.outcome is CommandOutcome.DONE:
+        if order.action == "back" and reply.outcome == CommandOutcome.DONE.value:
             self.tape.put("planner", "back", version=version)
-        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome.value)
+        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome)
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -262,7 +262,7 @@
     assert rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN, RolloutState.WARMING), (
         rollout.evidence.verdict()
     )
-    assert world.operator.replies[0].outcome is CommandOutcome.DONE
+    assert world.operator.replies[0].outcome == CommandOutcome.DONE.value
 
 
 def test_a_scripted_rollback_is_judged_and_the_tape_is_the_same_each_time() -> None:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -83,7 +83,7 @@
         b'"steps":[0.5,1.0],"remembered":5.0}',
     ),
     (
-        plans.CommandReply("1", CommandOutcome.DONE, "v1 to v2", "warming", 0.5, 7, ["e"]),
+        plans.CommandReply("1", CommandOutcome.DONE.value, "v1 to v2", "warming", 0.5, 7, ["e"]),
         b'{"is":"reply","id":"1","outcome":"done","says":"v1 to v2","state":"warming","share":0.5,'
         b'"number":7,"behind":["e"]}',
     ),
