--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -21,8 +21,8 @@
 from lapistrestle.fleet.lending import Lending
 from lapistrestle.overload.admission import UPDATE_EVERY
 from lapistrestle.overload.probers import probers
+from lapistrestle.policy.entities import Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.state import Worker
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import Claim, Datagram, Rank
 
--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -14,8 +14,8 @@
 from benchmarks.scale.roles.control_hollow import SECOND, module_settings
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.policy.interface import WorkerInfo
-from lapistrestle.policy.state import Function, Request, Worker
+from lapistrestle.policy.entities import Function, Request, Worker
+from lapistrestle.policy.types import WorkerInfo
 
 WARM = 8  # instances that each knows as warm
 WINDOWS = 20
@@ -38,20 +38,20 @@
     listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted=0)) for i in range(WARM)]
     made.on_endpoints([*listed, (cold, WorkerInfo("cold", booted=NOW))], whole=True)
     pace = calls_an_instance / dispatchers / SECOND  # of one dispatcher's calls, at each unit of size
-    made.ok_weight.add(NOW, pace * made.weight(0) * made.ok_weight.life)
+    made.slow_start.ok_work.add(NOW, pace * made.latency.typical(0) * made.slow_start.ok_work.time_constant)
     return made, cold
 
 
 def sent_in(made: Dispatcher, cold: Worker, now: int) -> int:
     """Call-outs that it may send to the cold instance at this moment, if all its calls went there."""
     made.now = now
-    made.ok_weight.at = now  # steady: what is answered goes on
+    made.slow_start.ok_work.updated_at = now  # steady: what is answered goes on
     cold.booted = now  # still as cold as on its first day
-    cold.sends.clear()
+    cold.sent_in_slow_start.clear()
     count = 0
     request = Request("r", FUNCTION, 0, 0, now + 3 * SECOND)
-    while count < MOST and made.cold_room(cold, request):
-        cold.sends.append((now, made.heft(request)))
+    while count < MOST and made.slow_start.has_capacity(cold, request):
+        cold.sent_in_slow_start.append((now, made.slow_start.weight(request)))
         count += 1
     return count
 
@@ -91,8 +91,10 @@
         calls = assumptions.target.calls_per_second / assumptions.target.instances
         (made, cold), held = build_measured(lambda: dispatcher_of(0, size, calls))
         request = Request("r", FUNCTION, 0, 0, NOW + 3 * SECOND)
-        asked = processor_seconds(lambda: [made.cold_room(cold, request) for _ in range(1_000)], 3)
-        steps = count_steps(lambda: made.cold_room(cold, request)).instructions
+        asked = processor_seconds(
+            lambda: [made.slow_start.has_capacity(cold, request) for _ in range(1_000)], 3
+        )
+        steps = count_steps(lambda: made.slow_start.has_capacity(cold, request)).instructions
         sums, turns = windows_of(size, calls)
         return Sample(
             state_bytes=held, steps=steps, figures={
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -9,15 +9,8 @@
 from lapistrestle.deployment import translation
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.policy.interface import (
-    Answer,
-    Attempt,
-    EndpointState,
-    FunctionInfo,
-    RequestInfo,
-    WorkerInfo,
-)
-from lapistrestle.policy.state import Request
+from lapistrestle.policy.entities import Request
+from lapistrestle.policy.types import Answer, Attempt, EndpointState, FunctionInfo, RequestInfo, WorkerInfo
 
 Fields = Mapping[str, Any]
 
--- a/lapistrestle/deployment/translation.py
+++ b/lapistrestle/deployment/translation.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from lapistrestle.policy.interface import EndpointState, LoadState, Outcome
 from lapistrestle.policy.settings import CustomerSettings, MethodKind, MethodSettings, Settings
+from lapistrestle.policy.types import EndpointState, LoadState, Outcome
 
 Group = Mapping[str, Any]  # one group of the platform's settings, as JSON has it
 
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -16,8 +16,8 @@
 from lapistrestle.hosting.turns import Turns
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.interface import EndpointState, FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.types import EndpointState, FunctionInfo, Outcome, WorkerInfo
 
 Log = Callable[..., None]
 TENTHS = 10_000  # of a millisecond in a second
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -30,7 +30,7 @@
 from lapistrestle.edge.waiting import WaitingRequests
 from lapistrestle.hosting.requests import PendingRequest, WorkerCall
 from lapistrestle.hosting.timers import Timer
-from lapistrestle.policy.state import Function
+from lapistrestle.policy.entities import Function
 from lapistrestle.wire.directory import Renewed
 
 RENEWALS = 3  # within the silence after which a holder is left
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -11,7 +11,7 @@
 from lapistrestle.fleet.table import ACTIVE
 from lapistrestle.overload.admission import UPDATE_EVERY, AdmissionController, AdmissionSettings
 from lapistrestle.overload.probers import Verdicts, probers
-from lapistrestle.policy.state import Worker
+from lapistrestle.policy.entities import Worker
 
 
 class FleetMember:
@@ -66,7 +66,7 @@
 
     def loading(self) -> int:
         """Loads of this edge under way: functions on workers, however many wait for each."""
-        return sum(worker.loads for worker in self.edge.host.module.workers)
+        return sum(worker.functions_loading for worker in self.edge.host.module.endpoints.workers)
 
     def start(self) -> None:
         """Join the fleet."""
@@ -95,23 +95,23 @@
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
             self.drawn_from, self.probers_of = members_by_name, {}
-        workers = self.edge.host.module.serving
+        workers = list(self.edge.host.module.endpoints.serving)
         self.verdicts.keep(worker.name for worker in workers)
         for worker in workers:
             told = found.get(worker.name)
-            if worker.suspect and told is not None and told.fit and told.by != me:
+            if worker.ejected and told is not None and told.fit and told.by != me:
                 self.edge.host.vouched(worker, told.at)
-            if worker.suspect and worker not in self.announced:
+            if worker.ejected and worker not in self.announced:
                 self.verdicts.record(worker.name, False, now)
                 self.announced.add(worker)
-            elif not worker.suspect and worker in self.announced:
+            elif not worker.ejected and worker in self.announced:
                 self.announced.discard(worker)
                 if told is not None and told.by == me:  # else it was others that found it fit
                     self.verdicts.record(worker.name, True, now)
-            if worker.suspect:
+            if worker.ejected:
                 names = self.probers_of.get(worker.name) or probers(worker.name, members_by_name)
                 self.probers_of[worker.name] = names
-                worker.trial = me in names
+                worker.tried_here = me in names
         self.announced &= set(workers)
 
     def admit(self, method: int, customer: int, repeat: bool, key: str) -> int | None:
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lapistrestle.policy.interface import EndpointState, WorkerInfo
+from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.wire.messages import Change, Entry, Whole
 
 STATES = {  # as the wire names them
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -9,8 +9,8 @@
 
 from lapistrestle.directory.region import Region
 from lapistrestle.edge.following import Address, Known
-from lapistrestle.policy.interface import EndpointState, WorkerInfo
-from lapistrestle.policy.state import Function
+from lapistrestle.policy.entities import Function
+from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.wire.messages import Entry
 
 
--- a/lapistrestle/edge/keeping.py
+++ b/lapistrestle/edge/keeping.py
@@ -33,7 +33,7 @@
                 had = none
             same += [name] if had.alone or had.hint else []
             figures.append((had.alone, had.hint))
-        self.edge.host.module.recall(figures)
+        self.edge.host.module.latency.restore(figures)
         self.edge.log("kept figures", carried=same, afresh=[m for m in self.edge.methods if m not in same])
 
     def set_aside(self) -> None:
@@ -49,7 +49,12 @@
             self.edge.after(EACH, self.step, None)
 
     def write(self) -> None:
-        rows = zip(self.edge.methods, self.edge.settings.methods, self.edge.host.module.learnt(), strict=True)
+        rows = zip(
+            self.edge.methods,
+            self.edge.settings.methods,
+            self.edge.host.module.latency.learned(),
+            strict=True,
+        )
         methods = {name: Learnt(m.soft_deadline, m.deadline, *figures) for name, m, figures in rows}
         try:
             learnt.write(self.path, methods)
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from lapistrestle.edge.sources import Source
-from lapistrestle.policy.state import Function, Worker
+from lapistrestle.policy.entities import Function, Worker
 from lapistrestle.rollout import stock
 from lapistrestle.rollout.routing import Routing, named
 from lapistrestle.rollout.versions import Split
@@ -118,7 +118,7 @@
         function = self.edge.host.registry.functions.get(name)
         for seat in list(self.edge.seats):
             for pending in list(seat.open.values()):
-                if pending.function is function and not pending.in_flight and pending.ran_on is None:
+                if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
                     self.edge.host.retract(pending)
                     self.edge.move(pending)
         for replica in list(function.replicas.values()) if function is not None else ():
@@ -156,8 +156,11 @@
         if not known or not self.edge.settings.may_preload:
             return split.next, ""
         model = known[-1]
-        busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
-        busy *= stock.heavier(module.iso(model), module.weight(model.method))
+        busy = sum(
+            function.demand.read(module.now) / function.demand.time_constant
+            for function in dict.fromkeys(known)
+        )
+        busy *= stock.heavier(module.latency.isolated(model), module.latency.typical(model.method))
         shares = [split.next if part is None else part for part in stock.WANTED[stock.phase(split)]]
         stands = [
             self.keep_version(named(split.function, version), model, busy, share)
@@ -166,7 +169,9 @@
         lacking = next((stand for stand in stands if not stand.enough), None)
         if lacking is None:
             alone = [
-                function.iso if (function := registry.functions.get(named(split.function, name))) else None
+                function.isolated_latency
+                if (function := registry.functions.get(named(split.function, name)))
+                else None
                 for name in versions
             ]
             slower = stock.slower(*alone)
@@ -185,23 +190,32 @@
             return stock.Stand(stock.APART, 0, stock.Lack.WORKERS)  # its prefix is being looked up
         memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         shelves: dict[stock.Shelf, Worker] = {}
-        for worker in module.walk(function):
-            if worker.listing.name != "SERVING" or not module.fit(worker):
+        for worker in module.orders.function_order(function):
+            if worker.listing.name != "SERVING" or not module.health.healthy(worker):
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
-            shelf = stock.Shelf(0, stock.room(size, function.memory), cold=module.warmth_of(worker) < 1)
+            shelf = stock.Shelf(
+                0, stock.room(size, function.memory), cold=module.slow_start.share(worker) < 1
+            )
             if (replica := function.replicas.get(worker)) is not None:
-                shelf.standing, shelf.waiting = module.believed(replica), bool(replica.ordered)
-                shelf.fresh = module.now - replica.seen <= idle_life // 3
+                shelf.standing, shelf.waiting = (
+                    module.copies.believed(replica),
+                    bool(replica.pending_preloads),
+                )
+                shelf.fresh = module.now - replica.confirmed_at <= idle_life // 3
             shelves[shelf] = worker
 
         def order(shelf: stock.Shelf, count: int) -> bool:
-            ordered: bool = module.order(function.replica(shelves[shelf]), count, stock.ORDER_PART)
+            ordered: bool = module.preloading.preload(
+                function.replica(shelves[shelf]), count, stock.ORDER_PART
+            )
             return ordered
 
         now = stock.needed(busy, share, function.lanes, edge.settings.dispatcher_count)
         wanted = self.wants.setdefault(name, stock.Want()).follow(now)
-        stand = stock.keep(list(shelves), wanted, module.load_limit - module.loading, order)
+        stand = stock.keep(
+            list(shelves), wanted, module.load_limit.limit - module.load_limit.in_progress, order
+        )
         if edge.directory is not None and not stand.enough:
             edge.directory.more(name)
         return stand
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -16,7 +16,7 @@
 from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
+from lapistrestle.policy.types import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.versions import Course, after_denial, key_of
 from lapistrestle.wire import messages as wire
@@ -208,7 +208,7 @@
         late = pending.deadline - self.clock() <= 0
         if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
-            if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
+            if after_denial(kind, pending.may_have_run_on is not None, span) is Course.SETTLED:
                 return self.move(pending)
             verdict, retry_after = ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -8,7 +8,7 @@
 from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
-from lapistrestle.policy.interface import LoadState, Outcome
+from lapistrestle.policy.types import LoadState, Outcome
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import LineBounds, Speaker, union
 
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
-from lapistrestle.policy.interface import EndpointState, WorkerInfo
+from lapistrestle.policy.types import EndpointState, WorkerInfo
 
 READ_AGAIN = 200  # after so long the lists are read again; the protocol page allows 500 on top of any grace
 NOT_BEGUN = "not begun"  # the log line and counter of what was refused here
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -28,8 +28,10 @@
 from lapistrestle.hosting.transport import Transport
 from lapistrestle.hosting.worker_calls import WorkerCalls
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.entities import Function, Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.interface import (
+from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.types import (
     Attempt,
     EndpointState,
     FunctionInfo,
@@ -38,8 +40,6 @@
     RequestInfo,
     WorkerInfo,
 )
-from lapistrestle.policy.settings import Settings
-from lapistrestle.policy.state import Function, Worker
 
 MOST_FUNCTIONS = 20_000  # kept by name
 PEER_TEXT = 256  # characters of one message to another dispatcher
@@ -224,7 +224,7 @@
         stay = {
             worker.name: None
             for worker in left
-            if worker.out or worker in held or worker.name in self.unheard or worker.sent_since(since)
+            if worker.in_flight or worker in held or worker.name in self.unheard or worker.sent_since(since)
         }
         for worker in left:
             if worker.name not in stay:
--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from lapistrestle.policy.state import Function, Worker
+from lapistrestle.policy.entities import Function, Worker
 
 
 class ObjectRegistry:
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -5,8 +5,8 @@
 from typing import Any, Final
 
 from lapistrestle.hosting.timers import Timer
-from lapistrestle.policy.interface import Attempt
-from lapistrestle.policy.state import Function, Request, Worker
+from lapistrestle.policy.entities import Function, Request, Worker
+from lapistrestle.policy.types import Attempt
 
 OK: Final = "ok"
 DENIED: Final = "denied"
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -5,8 +5,8 @@
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.requests import NO_REPORT, UNMATCHED, WorkerTask
-from lapistrestle.policy.interface import Outcome
-from lapistrestle.policy.state import Function, Worker
+from lapistrestle.policy.entities import Function, Worker
+from lapistrestle.policy.types import Outcome
 
 
 class WorkerTasks:
--- a/lapistrestle/hosting/transport.py
+++ b/lapistrestle/hosting/transport.py
@@ -3,7 +3,7 @@
 from typing import Any, Protocol
 
 from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
-from lapistrestle.policy.interface import FunctionInfo, WorkerInfo
+from lapistrestle.policy.types import FunctionInfo, WorkerInfo
 
 
 class Transport(Protocol):
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -7,7 +7,7 @@
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.requests import ABORTED, NO_REPORT, OK, UNMATCHED, PendingRequest, WorkerCall
-from lapistrestle.policy.interface import Answer, Attempt, LoadState, Outcome
+from lapistrestle.policy.types import Answer, Attempt, LoadState, Outcome
 
 
 class WorkerCalls:
@@ -50,8 +50,8 @@
         """Rule 2 binds at the socket: a repeat is dropped by its token only within its window, which may end
         while it waits for a connection."""
         method = self.context.settings.methods[pending.method]
-        repeat = pending.ran_on is not None and method.kind == "tokened"
-        return pending.ran_at + method.dedup_window if repeat else None
+        repeat = pending.may_have_run_on is not None and method.kind == "tokened"
+        return pending.may_have_run_at + method.dedup_window if repeat else None
 
     def begun(self, number: int) -> None:
         """The worker's answer has begun to stream. From then on the request has no deadline."""
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -12,10 +12,11 @@
 from typing import Any
 from zlib import crc32
 
+from lapistrestle.policy.entities import Function, Request, Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.interface import Answer, Attempt, EndpointState, Host, Outcome, WorkerInfo
+from lapistrestle.policy.ports import Host
 from lapistrestle.policy.settings import Settings
-from lapistrestle.policy.state import Function, Request, Worker
+from lapistrestle.policy.types import Answer, Attempt, EndpointState, Outcome, WorkerInfo
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
 BOUND = 1.25  # of the even share, for hashing with bounded loads
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -13,7 +13,7 @@
 from lapistrestle.edge.linking import Input
 from lapistrestle.edge.runners import hold_of, run_of, tell
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
-from lapistrestle.policy.interface import Outcome
+from lapistrestle.policy.types import Outcome
 from lapistrestle.standins.client import Crowd, Line, Wish
 from lapistrestle.standins.runner import RunnerStandIn
 from lapistrestle.standins.tape import Tape
--- a/lapistrestle/node/connection.py
+++ b/lapistrestle/node/connection.py
@@ -12,7 +12,7 @@
 from lapistrestle.node.configuration import split
 from lapistrestle.node.replies import ATTEMPTS, NO_ATTRS, ORDERS, PROBES, Attrs, Reply, reply_of, report_of
 from lapistrestle.node.streams import Stream, dial
-from lapistrestle.policy.interface import Outcome
+from lapistrestle.policy.types import Outcome
 
 if TYPE_CHECKING:
     from lapistrestle.node.runners import Runner
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -16,7 +16,7 @@
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import STATES, Frame, FrameDecoder, FrameError, FrameKind, Record
 from lapistrestle.node.streams import MOST_READS, Stream, dial
-from lapistrestle.policy.interface import EndpointState, WorkerInfo
+from lapistrestle.policy.types import EndpointState, WorkerInfo
 
 HEARTBEAT_TIME_OUT = 22_000  # two heartbeats have not come
 FIRST_FRAME_TIME_OUT = 12_000  # the board was asked, and not one heartbeat has come
--- a/lapistrestle/node/notices.py
+++ b/lapistrestle/node/notices.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 
 HEAD = struct.Struct(">IQB")  # length of all that follows it, revision, kind
 RECORD = struct.Struct(">IIHBBBHIQ")
--- a/lapistrestle/node/replies.py
+++ b/lapistrestle/node/replies.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from lapistrestle.policy.interface import Outcome
+from lapistrestle.policy.types import Outcome
 
 ATTEMPTS = {
     "200": Outcome.OK,
--- /dev/null
+++ b/lapistrestle/policy/admission.py
@@ -0,0 +1,110 @@
+"""Admission under overload: what is turned away at once, before any attempt.
+
+Pressure is the sojourn time by Little's law: requests under way over the pace at which they come back.
+Traffic beyond a customer's quota yields first (docs/design.md, "Denials").
+"""
+
+from math import sqrt
+from typing import Final
+
+from lapistrestle.policy.attempts import Attempts
+from lapistrestle.policy.clock import Clock
+from lapistrestle.policy.draws import Draws
+from lapistrestle.policy.entities import Request
+from lapistrestle.policy.estimates import LONG_MEMORY, SHORT_MEMORY, DecayingSum
+from lapistrestle.policy.latency_estimates import LatencyEstimates
+from lapistrestle.policy.ports import Host
+from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.throughput import Throughput
+from lapistrestle.policy.ticks import SECOND
+from lapistrestle.policy.types import EndpointState
+
+# Parts of the latency objective at which a sojourn time begins and ceases to be pressure. Apart, so that
+# it does not flap.
+PRESSURE_ON: Final = 1 / 2
+PRESSURE_OFF: Final = 1 / 4
+LEARNING: Final = SHORT_MEMORY  # ticks after the start in which no pace is known yet, and nothing is pressure
+THOUSANDTHS: Final = 1_000  # in which a customer's part beyond its quota is drawn
+
+
+class Admission:
+    """Pressure, and customers' shares under it."""
+
+    def __init__(
+        self,
+        host: Host,
+        settings: Settings,
+        clock: Clock,
+        draws: Draws,
+        latency: LatencyEstimates,
+        throughput: Throughput,
+        attempts: Attempts,
+    ) -> None:
+        self.host = host
+        self.settings = settings
+        self.clock = clock
+        self.draws = draws
+        self.latency = latency
+        self.throughput = throughput
+        self.attempts = attempts
+        self.under_pressure = False
+        self.demand_by_customer = [DecayingSum(LONG_MEMORY, clock.now) for _ in settings.customers]
+
+    def admits(self, request: Request) -> bool:
+        """Whether the request may be placed; harms as a jam dissolves, when the pace is still that of the
+        jam.
+        """
+        objective = self.latency.objective(request)
+        sojourn_time = self.sojourn_time(objective)
+        self.note_pressure(sojourn_time, objective)
+        most = objective * PRESSURE_ON if self.beyond_quota(request) else objective
+        return not (sojourn_time > most or self.hopeless(request))
+
+    def sojourn_time(self, objective: int) -> float:
+        """Return how long requests stay, in ticks, against a latency objective. What may be under way by
+        chance comes off: guards against a few requests at a slow pace that read as pressure.
+        """
+        rate = self.throughput.ok_rate()
+        if rate * objective > 1:
+            count = self.attempts.warm_count
+            sojourn_time = max(0, count - 2 * sqrt(count) - 1) / rate
+        else:
+            sojourn_time = self.oldest_age()
+        return sojourn_time if self.clock.now > self.clock.started + LEARNING else 0.0
+
+    def oldest_age(self) -> float:
+        """Return for how many ticks the oldest warm attempt has waited: where answers tell no pace. Guards
+        against a burst after a lull, which is no jam.
+        """
+        now = self.clock.now
+        serving = (a.sent for a in self.attempts.warm if a.worker.listing is EndpointState.SERVING)
+        return now - next(serving, now)
+
+    def note_pressure(self, sojourn_time: float, objective: int) -> None:
+        """Log when pressure begins and ends."""
+        if self.under_pressure:
+            changes = sojourn_time < objective * PRESSURE_OFF
+        else:
+            changes = sojourn_time > objective * PRESSURE_ON
+        if changes:
+            self.under_pressure = not self.under_pressure
+            turn = "on" if self.under_pressure else "off"
+            self.host.log(f"pressure {turn}: sojourn time {sojourn_time:.0f} of objective {objective}")
+
+    def hopeless(self, request: Request) -> bool:
+        """Whether it would come back too late even alone. Guards against impatient clients and heavy
+        requests; harms where hints mislead.
+        """
+        return request.deadline - self.clock.now < self.latency.isolated(request.function) * request.scale
+
+    def beyond_quota(self, request: Request) -> bool:
+        """Whether the request counts as beyond its customer's quota: drawn, by how far all are beyond."""
+        if request.customer >= len(self.demand_by_customer):
+            return False
+        demand = self.demand_by_customer[request.customer]
+        demand.add(self.clock.now, 1)
+        quota = self.settings.customers[request.customer].quota
+        share = quota / SECOND / self.settings.dispatcher_count
+        if share <= 0:
+            return False
+        return self.draws.below(THOUSANDTHS) > THOUSANDTHS * share / self.throughput.rate(demand)
--- /dev/null
+++ b/lapistrestle/policy/candidates.py
@@ -0,0 +1,112 @@
+"""Which workers a request may go to."""
+
+from collections.abc import Iterable, Iterator
+
+from lapistrestle.policy.clock import Clock
+from lapistrestle.policy.entities import FunctionReplica, Request, Worker
+from lapistrestle.policy.function_order import FunctionOrders
+from lapistrestle.policy.health import Health
+from lapistrestle.policy.latency_zones import LatencyZones
+from lapistrestle.policy.loaded_copies import LoadedCopies
+from lapistrestle.policy.ports import Host
+from lapistrestle.policy.settings import MethodKind, Settings
+from lapistrestle.policy.slow_start import SlowStart
+from lapistrestle.policy.types import EndpointState, Outcome, Zone
+
+
+class Candidates:
+    """The rules that hold for every attempt and every load that a request begins."""
+
+    def __init__(
+        self,
+        host: Host,
+        settings: Settings,
+        clock: Clock,
+        orders: FunctionOrders,
+        health: Health,
+        slow_start: SlowStart,
+        zones: LatencyZones,
+        copies: LoadedCopies,
+    ) -> None:
+        self.host = host
+        self.settings = settings
+        self.clock = clock
+        self.orders = orders
+        self.health = health
+        self.slow_start = slow_start
+        self.zones = zones
+        self.copies = copies
+
+    def usable(
+        self, request: Request, order: Iterable[Worker], not_loaded_too: bool = False
+    ) -> Iterator[Worker]:
+        """Return the workers of an order that the request may go to; those it has tried only where there
+        is no other. With `not_loaded_too`, one that has no copy does not count as tried.
+        """
+        tried = self.tried(request, not_loaded_too)
+        trusted = self.health.trusted()
+        if tried:
+            others = (
+                worker for worker in self.orders.function_order(request.function) if worker not in tried
+            )
+            if not any(self.may_use(request, worker, trusted) for worker in others):
+                tried.clear()
+        return (worker for worker in order if worker not in tried and self.may_use(request, worker, trusted))
+
+    def tried(self, request: Request, not_loaded_too: bool) -> set[Worker]:
+        """Return the workers that count as tried by the request."""
+        tried = set()
+        for attempt in request.attempts:
+            not_loaded = attempt.outcome is Outcome.NOT_LOADED
+            if not not_loaded or not (not_loaded_too or request.function.replica(attempt.worker).copies):
+                tried.add(attempt.worker)
+        return tried
+
+    def may_use(self, request: Request, worker: Worker, trusted: bool) -> bool:
+        """Whether the request may go to the worker now; `trusted`: verdicts on health count."""
+        if worker.listing is not EndpointState.SERVING:
+            return False
+        if worker.customer_barred_until.get(request.customer, 0) > self.clock.now:
+            return False
+        if trusted and not self.health.healthy(worker):
+            return False
+        return self.allows_repeat(request, worker) and self.slow_start.has_capacity(worker, request)
+
+    def allows_repeat(self, request: Request, worker: Worker) -> bool:
+        """Whether a repeat there of what may have run does no harm (operators' rule 2): the method is
+        idempotent, or the worker drops it.
+        """
+        method = self.settings.methods[request.method]
+        ran_on = request.may_have_run_on
+        if ran_on is None or method.kind is MethodKind.IDEMPOTENT:
+            return True
+        if method.kind is not MethodKind.DEDUPLICATED:
+            return False
+        if self.clock.now >= request.may_have_run_at + method.dedup_window:
+            return False
+        if method.dedup_scope == "zone":
+            return worker.zone == ran_on.zone
+        if method.dedup_scope == "cell":
+            return worker.cell == ran_on.cell
+        return method.dedup_scope == "all"
+
+    def first_without_copy(
+        self,
+        request: Request,
+        order: Iterable[Worker],
+        to_load: bool = True,
+        not_loaded_too: bool = False,
+    ) -> FunctionReplica | None:
+        """Return where a further copy would go: the first of the order without one that is not Unsafe and, if
+        it is `to_load` there, takes loads. None: the known order does not reach far enough.
+        """
+        function = request.function
+        for worker in self.usable(request, order, not_loaded_too):
+            # one only looked at is not one used before
+            replica = function.replicas.get(worker) or FunctionReplica(worker, function)
+            fit = not self.copies.believed(replica) and self.zones.zone(replica) is not Zone.UNSAFE
+            if fit and (not to_load or self.clock.now >= worker.loads_rejected_until):
+                return function.replica(worker)
+        if function.prefix is not None:
+            self.host.extend_prefix(function)
+        return None
--- /dev/null
+++ b/lapistrestle/policy/outcome_recording.py
@@ -0,0 +1,152 @@
+"""What the end of an attempt teaches each part of the module."""
+
+from typing import Final
+
+from lapistrestle.policy.clock import Clock
+from lapistrestle.policy.endpoints import Endpoints
+from lapistrestle.policy.entities import FunctionReplica, Request, Worker
+from lapistrestle.policy.estimates import SHORT_MEMORY
+from lapistrestle.policy.fleet_guidance import RegionCapacity
+from lapistrestle.policy.health import Health
+from lapistrestle.policy.latency_estimates import LatencyEstimates
+from lapistrestle.policy.latency_zones import BACKOFF, LatencyZones
+from lapistrestle.policy.load_limit import LoadLimit
+from lapistrestle.policy.loaded_copies import LoadedCopies
+from lapistrestle.policy.preloading import Preloading
+from lapistrestle.policy.retry_budget import RetryBudget
+from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.slow_start import SlowStart
+from lapistrestle.policy.throughput import Throughput
+from lapistrestle.policy.ticks import SECOND
+from lapistrestle.policy.types import Answer, Attempt, EndpointState, LoadState, Outcome, Zone
+
+# Ticks for which a worker whose queue was full is passed over, at most: queues turn over faster than zones.
+FULL_PAUSE: Final = SECOND // 2
+# A rejection within this part of a usual latency says that the queue is full, whatever the customer.
+AT_ONCE: Final = 1 / 4
+LEAST_RATE: Final = 1e-9  # answers a tick; guards against a division by none
+QUEUE_FIGURE: Final = "backlog"  # the figure of a load report that tells requests in wait there
+
+
+class OutcomeRecording:
+    """Hands each outcome on to the parts that keep figures of it."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        capacity: RegionCapacity | Endpoints,
+        latency: LatencyEstimates,
+        throughput: Throughput,
+        slow_start: SlowStart,
+        zones: LatencyZones,
+        copies: LoadedCopies,
+        load_limit: LoadLimit,
+        health: Health,
+        retry_budget: RetryBudget,
+        preloading: Preloading,
+    ) -> None:
+        self.settings = settings
+        self.clock = clock
+        self.capacity = capacity
+        self.latency = latency
+        self.throughput = throughput
+        self.slow_start = slow_start
+        self.zones = zones
+        self.copies = copies
+        self.load_limit = load_limit
+        self.health = health
+        self.retry_budget = retry_budget
+        self.preloading = preloading
+
+    def record(self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+        """Take in the end of an attempt."""
+        worker = replica.worker
+        request = attempt.request
+        worker.set_memory(int(SHORT_MEMORY * self.throughput.memory_factor))
+        loaded_first = attempt.cold
+        if self.settings.reports_warmth:
+            loaded_first = answer.warmth is not LoadState.LOADED
+        if outcome is Outcome.OK:
+            self.record_ok(replica, attempt, answer, loaded_first)
+        self.retry_budget.add_result(attempt, outcome)
+        if attempt.cold and outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMED_OUT):
+            self.record_load(replica, outcome, answer.took)
+        self.copies.note_restart(worker, outcome)
+        if outcome is Outcome.NOT_LOADED:
+            self.copies.refute(replica)
+        if outcome is Outcome.REJECTED:
+            self.record_rejection(worker, request, answer.took)
+        self.record_queue(replica, answer)
+        untimed = outcome in (Outcome.NOT_LOADED, Outcome.NOT_SENT) or (
+            outcome is Outcome.OK and loaded_first
+        )
+        if not untimed and answer.warmth is not LoadState.LOAD_FAILED:
+            self.record_latency(replica, attempt, outcome, answer.took)
+
+    def record_ok(
+        self, replica: FunctionReplica, attempt: Attempt, answer: Answer, loaded_first: bool
+    ) -> None:
+        """Count an ok answer, and add a copy where it was slow as others wait there too."""
+        now = self.clock.now
+        request = attempt.request
+        worker = replica.worker
+        latencies = self.latency.by_method[request.method]
+        self.copies.confirm(replica)
+        if not loaded_first and attempt.company <= 1:
+            latencies.add(now, answer.took)
+        if worker.listing is EndpointState.SERVING and latencies.count.value:  # else its work is a guess
+            self.slow_start.add_ok(request.method)
+        self.throughput.add_ok(answer.took)
+        worker.ok_answers.add(now, 1)
+        worker.rejecting_until = 0
+        if answer.company is not None and answer.took > self.latency.bound(replica.function) * request.scale:
+            self.preloading.scale_up(replica, request, answer.company)
+
+    def record_load(self, replica: FunctionReplica, outcome: Outcome, latency: int) -> None:
+        """Count an attempt that had a load before it; where answers do not tell loads, one on a crowded
+        worker is no witness, as its queue may be what was slow.
+        """
+        witnessed = self.settings.reports_warmth or self.settings.reports_not_loaded
+        if witnessed or self.zones.worker_zone(replica) < Zone.WARNING:
+            self.load_limit.record(replica.function, outcome is Outcome.OK, latency)
+
+    def record_rejection(self, worker: Worker, request: Request, latency: int) -> None:
+        """Pass the worker over: for all, if its queue is full; for this customer alone, if it took its
+        time and so has room, and there are others for whose sake it may hold this one back.
+        """
+        now = self.clock.now
+        only_customer = len(self.settings.customers) < 2
+        if only_customer or latency < self.latency.typical(request.method) * AT_ONCE:
+            worker.rejecting_until = now + FULL_PAUSE
+        else:
+            pause = int(BACKOFF * self.throughput.memory_factor)
+            worker.customer_barred_until[request.customer] = now + pause
+
+    def record_queue(self, replica: FunctionReplica, answer: Answer) -> None:
+        """Count a reported queue as a latency to come, where own samples are too few: others' requests there,
+        over the pace of a worker of its size.
+        """
+        if self.throughput.memory_factor <= 1 or QUEUE_FIGURE not in answer.report:
+            return
+        worker = replica.worker
+        all_answers = self.throughput.ok_rate() * self.settings.dispatcher_count
+        rate = all_answers * worker.size / (self.capacity.size or 1)
+        isolated = self.latency.isolated(replica.function)
+        worker.add_latency(
+            self.clock.now, isolated + answer.report[QUEUE_FIGURE] / max(rate, LEAST_RATE), isolated
+        )
+
+    def record_latency(
+        self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, latency: int
+    ) -> None:
+        """Count what the attempt took; one that failed counts as taking the bound at the least."""
+        scale = attempt.request.scale
+        bound = self.latency.bound(replica.function) * scale
+        if outcome is not Outcome.OK:
+            latency = max(latency, int(bound))
+        replica.worker.add_latency(self.clock.now, latency, self.latency.isolated(replica.function) * scale)
+        if outcome is not Outcome.REJECTED:
+            self.zones.add_latency(replica, int(latency / scale))
+            harm = outcome not in (Outcome.OK, Outcome.CANCELLED) or latency > bound
+            self.health.record(replica.worker, harm, attempt.sent)
--- /dev/null
+++ b/lapistrestle/policy/placement.py
@@ -0,0 +1,127 @@
+"""Placement: to which worker a request goes.
+
+Kept of the paper (FnSched) and of the design page: first fit along the function's order, within capacity
+by zones, and the worker with the fewest of ours as the last resort. Changed: docs/design.md, "Changed".
+"""
+
+from math import inf
+
+from lapistrestle.policy.attempts import Attempts
+from lapistrestle.policy.candidates import Candidates
+from lapistrestle.policy.clock import Clock
+from lapistrestle.policy.draws import Draws
+from lapistrestle.policy.entities import FunctionReplica, Request, Worker
+from lapistrestle.policy.function_order import FunctionOrders
+from lapistrestle.policy.latency_estimates import LatencyEstimates
+from lapistrestle.policy.latency_zones import LatencyZones
+from lapistrestle.policy.load_limit import LoadLimit
+from lapistrestle.policy.loaded_copies import LoadedCopies
+from lapistrestle.policy.preloading import Preloading
+from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.types import Outcome, Zone
+
+
+class Placement:
+    """The choice of a worker for one attempt."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        draws: Draws,
+        orders: FunctionOrders,
+        candidates: Candidates,
+        latency: LatencyEstimates,
+        zones: LatencyZones,
+        copies: LoadedCopies,
+        load_limit: LoadLimit,
+        preloading: Preloading,
+        attempts: Attempts,
+    ) -> None:
+        self.settings = settings
+        self.clock = clock
+        self.draws = draws
+        self.orders = orders
+        self.candidates = candidates
+        self.latency = latency
+        self.zones = zones
+        self.copies = copies
+        self.load_limit = load_limit
+        self.preloading = preloading
+        self.attempts = attempts
+
+    def place(self, request: Request, _: FunctionReplica | None = None) -> Input:
+        """Send the request to the first worker of the order with room; else load one further copy on the
+        first worker that can take it; else use the worker with the fewest of ours.
+        """
+        function = request.function
+        order = self.orders.order_from_own_part(function)
+        first = next(self.candidates.usable(request, order), None)
+        known = [worker for worker in order if worker is first or worker in function.replicas]
+        in_use: list[FunctionReplica] = []
+        for worker in self.candidates.usable(request, known):
+            replica = function.replica(worker)
+            in_use.append(replica)
+            if replica.in_flight < self.capacity(replica):
+                return self.send(request, replica)
+        return self.place_beyond_capacity(request, order, in_use)
+
+    def send(self, request: Request, replica: FunctionReplica) -> Input:
+        """Send the request to the function on a worker."""
+        self.attempts.send(request, replica)
+        return Input.SENT
+
+    def capacity(self, replica: FunctionReplica) -> int:
+        """Return how many own requests may be on the function there at once: a lane each, one in Warning."""
+        copies = self.copies.believed(replica) or int(self.copies.presumed(replica))
+        zone = self.zones.zone(replica) if copies else Zone.UNSAFE
+        if zone is Zone.UNSAFE:
+            return 0
+        return min(1, copies) if zone is Zone.WARNING else copies * replica.function.lanes
+
+    def place_beyond_capacity(
+        self, request: Request, order: list[Worker], in_use: list[FunctionReplica]
+    ) -> Input:
+        """No worker in use has room: load a further copy if all are near the bound, or share what there
+        is.
+        """
+        now = self.clock.now
+        warm = [r for r in in_use if self.copies.believed(r) and now >= r.worker.rejecting_until]
+        loading = [r for r in in_use if r.loading]
+        zones = [self.zones.zone(r) for r in warm]
+        below_unsafe = [r for r, zone in zip(warm, zones, strict=True) if zone is not Zone.UNSAFE]
+        below_warning = min(zones, default=Zone.UNSAFE) < Zone.WARNING
+        may_load = self.load_limit.allows(beside_copy=bool(warm))
+        if not loading and not below_warning and may_load:
+            cold = self.candidates.first_without_copy(request, order, to_load=bool(warm or request.attempts))
+            if cold and warm:
+                self.preloading.preload(cold, 1)  # rather than wait for a load that it can do without
+            elif cold and not found_no_copy(request):
+                return self.send(request, cold)
+        # after "not loaded" only what may load: of those sent on blindly one in twenty met a copy
+        blind = not request.attempts if self.settings.reports_not_loaded else may_load
+        return self.place_at_least_busy(request, below_unsafe or warm or loading or (in_use if blind else []))
+
+    def place_at_least_busy(self, request: Request, replicas: list[FunctionReplica]) -> Input:
+        """Use the worker where the wait is shortest, ties by chance; none where the request would wait past
+        what earns its gain, and make others do so.
+        """
+        now = self.clock.now
+        waits = [(self.zones.queueing_time(r.worker), r) for r in replicas if now >= r.worker.rejecting_until]
+        shortest = min((wait for wait, _ in waits), default=inf)
+        isolated = self.latency.isolated(request.function) * request.scale
+        due = min(request.began + self.latency.objective(request), request.deadline)
+        if shortest + isolated > due - now:
+            return Input.NOWHERE
+        ties = [replica for wait, replica in waits if wait == shortest]
+        replica = ties[self.draws.below(len(ties))]
+        if self.settings.reports_not_loaded and replica.loading and not self.copies.believed(replica):
+            replica.waiters.append(request)  # no use before the load has ended
+            return Input.WAITS
+        return self.send(request, replica)
+
+
+def found_no_copy(request: Request) -> bool:
+    """Whether an attempt of the request found its function not loaded."""
+    return any(attempt.outcome is Outcome.NOT_LOADED for attempt in request.attempts)
--- /dev/null
+++ b/lapistrestle/policy/preloading.py
@@ -0,0 +1,203 @@
+"""Preloading: copies that are loaded without a request behind them, to hold what is used and a part of
+the headroom.
+
+Kept of the paper (FnScale, section III-B 2): every period each function keeps the copies that were used
+and the square root of that more, here shared out over the dispatchers. Changed: docs/design.md,
+"Changed".
+"""
+
+from collections.abc import Sequence
+from math import ceil, sqrt
+from typing import Final
+
+from lapistrestle.policy.candidates import Candidates
+from lapistrestle.policy.clock import Clock
+from lapistrestle.policy.draws import Draws
+from lapistrestle.policy.entities import Function, FunctionReplica, PendingPreload, Request, Worker
+from lapistrestle.policy.function_order import FunctionOrders
+from lapistrestle.policy.health import Health
+from lapistrestle.policy.latency_estimates import LatencyEstimates
+from lapistrestle.policy.latency_zones import LatencyZones
+from lapistrestle.policy.load_limit import LoadLimit
+from lapistrestle.policy.loaded_copies import LoadedCopies
+from lapistrestle.policy.ports import Host
+from lapistrestle.policy.preload_budget import PreloadBudget
+from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.ticks import SECOND
+from lapistrestle.policy.types import EndpointState, Outcome, Zone
+
+PERIOD: Final = 5 * SECOND  # between two rounds of a function's upkeep; design page
+# Part of the preload budget that upkeep may use. Guards the rest, for what requests wait for: under a
+# release all dispatchers miss at once and spend theirs.
+UPKEEP_PART: Final = 0.25
+MOST_COPIES: Final = 16  # of a function that one preload asks for: guards against a count without end
+# Ticks for which a worker that turned a load away gets none. Guards the budget, and requests in wait;
+# short, as queues of loads turn over fast.
+FULL_QUEUE_PAUSE: Final = SECOND // 2
+
+
+class Preloading:
+    """Preloads under way, and the functions whose copies are kept."""
+
+    def __init__(
+        self,
+        host: Host,
+        settings: Settings,
+        clock: Clock,
+        draws: Draws,
+        orders: FunctionOrders,
+        latency: LatencyEstimates,
+        zones: LatencyZones,
+        copies: LoadedCopies,
+        health: Health,
+        candidates: Candidates,
+        budget: PreloadBudget,
+        load_limit: LoadLimit,
+    ) -> None:
+        self.host = host
+        self.settings = settings
+        self.clock = clock
+        self.draws = draws
+        self.orders = orders
+        self.latency = latency
+        self.zones = zones
+        self.copies = copies
+        self.health = health
+        self.candidates = candidates
+        self.budget = budget
+        self.load_limit = load_limit
+        self.functions: dict[Function, None] = {}  # those whose upkeep has a timer
+
+    def start_upkeep(self, function: Function) -> None:
+        """Begin the upkeep of a function that is called."""
+        if function not in self.functions:
+            self.functions[function] = None
+            self.host.set_timer(PERIOD, function)
+
+    def preload(self, replica: FunctionReplica, count: int, part: float = 1.0) -> bool:
+        """Ask for so many copies and return True; False where rule 3 (serving workers only), rule 5 (within
+        this part of the budget), or the worker's full queue of loads is against it.
+        """
+        allowed = self.budget.allows(part)
+        worker = replica.worker
+        load = count > self.copies.believed(replica)
+        full = load and (self.clock.now < worker.loads_rejected_until or not self.load_limit.fleet_allows())
+        if not allowed or worker.listing is not EndpointState.SERVING or full:
+            return False
+        self.budget.add_preload()
+        replica.pending_preloads.append(PendingPreload(self.clock.now, load))
+        if load:
+            replica.change_loading(1)
+            self.load_limit.in_progress += 1
+        self.host.preload(worker, replica.function, min(MOST_COPIES, count))
+        return True
+
+    def finish(self, replica: FunctionReplica, outcome: Outcome, count: int, duration: int) -> None:
+        """Take in the answer to the oldest preload of the replica: `count` copies stand, after `took`
+        ticks.
+        """
+        preload = replica.pending_preloads.popleft()
+        self.budget.finish(preload, duration)
+        if preload.load and outcome is Outcome.OK:
+            self.copies.load_time.add(self.clock.now, duration)
+        if preload.load:
+            replica.change_loading(-1)
+            self.load_limit.in_progress -= 1
+        self.load_limit.record(replica.function, outcome is not Outcome.ERROR, duration)
+        if preload.load:
+            rejected = outcome is Outcome.REJECTED
+            replica.worker.loads_rejected_until = self.clock.now + FULL_QUEUE_PAUSE if rejected else 0
+        self.believe(replica, outcome, count)
+
+    def believe(self, replica: FunctionReplica, outcome: Outcome, count: int) -> None:
+        """Set what stands there by the answer to a preload."""
+        if outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR):
+            self.copies.set_count(replica, count)
+        elif outcome in self.copies.restart_signs:
+            replica.worker.emptied_at = self.clock.now
+            self.health.record(replica.worker, True, self.clock.now)
+        elif outcome is Outcome.RESET:  # the preload itself stands
+            replica.copies = max(1, replica.copies)
+            replica.confirmed_at = self.clock.now
+
+    def scale_up(self, replica: FunctionReplica, request: Request, concurrency: int) -> None:
+        """Add a copy on the next worker of the order where requests of all dispatchers wait for a lane.
+        Guards against dispatchers that each see too little of a function to know it is hot; harms where
+        waits are short.
+        """
+        lanes = self.copies.believed(replica) * replica.function.lanes
+        if concurrency < lanes or self.load_limit.in_progress >= self.load_limit.limit:
+            return
+        order = self.orders.order_from_own_part(replica.function)
+        cold = self.candidates.first_without_copy(request, order)
+        if cold and not cold.loading:
+            self.preload(cold, 1)
+
+    def maintain_replicas(self, function: Function) -> None:
+        """Each period: keep what was used and a part of the headroom, unless loads that requests wait for
+        need the room; forget what is used no more.
+        """
+        used = {
+            r: ceil(r.peak_in_flight / function.lanes) for r in function.replicas.values() if r.peak_in_flight
+        }
+        self.drop_unused(function)
+        if not function.replicas:  # what it takes alone is kept, what stands where is learned anew
+            del self.functions[function]
+            function.marks = {}
+            function.order = []
+            function.order_version = -1
+            return
+        self.host.set_timer(PERIOD, function)
+        if used:
+            self.latency.renew_isolated(function)
+            self.preload_along_order(function, used, self.own_headroom(sum(used.values())))
+
+    def drop_unused(self, function: Function) -> None:
+        """Begin a new period, and forget replicas of which nothing is known that still counts."""
+        for replica in list(function.replicas.values()):
+            replica.peak_in_flight = replica.in_flight
+            in_use = (
+                replica.in_flight
+                or replica.pending_preloads
+                or replica.waiters
+                or self.copies.believed(replica)
+            )
+            counts_until = max(replica.backoff_until, replica.not_loaded_at + self.settings.idle_timeout)
+            if not in_use and self.clock.now > counts_until:
+                function.drop(replica.worker)
+
+    def own_headroom(self, used: int) -> int:
+        """Return this dispatcher's part of the square root of what is used; what is left over goes by
+        chance.
+        """
+        dispatchers = self.settings.dispatcher_count
+        headroom, remainder = divmod(ceil(sqrt(used)), dispatchers)
+        return headroom + (self.draws.below(dispatchers) < remainder)
+
+    def preload_along_order(
+        self, function: Function, used: dict[FunctionReplica, int], headroom: int
+    ) -> None:
+        """Preload along the order what was used, the headroom at the first worker that can take it. Copies in
+        steady use are passed over: all at once they began up to forty loads.
+        """
+        for worker in self.orders.function_order(function):
+            if worker.listing is not EndpointState.SERVING:
+                continue
+            if not (headroom or worker in function.replicas) or not self.health.healthy(worker):
+                continue
+            replica = function.replica(worker)
+            if self.zones.zone(replica) is Zone.UNSAFE:
+                continue
+            count = used.get(replica, 0) + headroom
+            headroom = 0
+            may_load = self.load_limit.in_progress < self.load_limit.limit and self.load_limit.fleet_allows(
+                beside_copy=True
+            )
+            loads = count > self.copies.believed(replica)
+            if may_load if loads else count > used.get(replica, 0):
+                self.preload(replica, count, UPKEEP_PART)
+
+    def forget(self, workers: Sequence[Worker]) -> None:
+        """Drop what the orders of kept functions hold of workers that are gone."""
+        if workers:
+            self.orders.forget(self.functions, workers)
--- /dev/null
+++ b/lapistrestle/policy/retries.py
@@ -0,0 +1,91 @@
+"""Further attempts of a request, and what follows where its function was not loaded.
+
+Kept of the design page: "not loaded" at the home leads to a preload, and the request goes there once that
+is answered. Changed: docs/design.md, "front ends of their own clients".
+"""
+
+from lapistrestle.policy.admission import Admission
+from lapistrestle.policy.candidates import Candidates
+from lapistrestle.policy.clock import Clock
+from lapistrestle.policy.entities import FunctionReplica, Request, Worker
+from lapistrestle.policy.function_order import FunctionOrders
+from lapistrestle.policy.latency_estimates import LatencyEstimates
+from lapistrestle.policy.loaded_copies import LoadedCopies
+from lapistrestle.policy.placement import Placement
+from lapistrestle.policy.preloading import Preloading
+from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.retry_budget import RetryBudget
+from lapistrestle.policy.settings import Settings
+
+
+class Retries:
+    """The second attempt of a request and all after it."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        clock: Clock,
+        orders: FunctionOrders,
+        candidates: Candidates,
+        latency: LatencyEstimates,
+        copies: LoadedCopies,
+        preloading: Preloading,
+        placement: Placement,
+        admission: Admission,
+        budget: RetryBudget,
+    ) -> None:
+        self.settings = settings
+        self.clock = clock
+        self.orders = orders
+        self.candidates = candidates
+        self.latency = latency
+        self.copies = copies
+        self.preloading = preloading
+        self.placement = placement
+        self.admission = admission
+        self.budget = budget
+
+    def retry(self, request: Request, _: FunctionReplica | None) -> Input:
+        """Place the request once more, if attempts, time and the retry budget are left."""
+        spent = self.attempts_spent(request) or self.admission.hopeless(request)
+        allowed = self.budget.allows(request)
+        if spent or not allowed:
+            return Input.NOWHERE
+        return self.placement.place(request)
+
+    def attempts_spent(self, request: Request) -> bool:
+        """Whether the request has had all its attempts."""
+        return len(request.attempts) >= self.settings.attempt_limit
+
+    def on_not_loaded(self, request: Request, replica: FunctionReplica | None) -> Input:
+        """Try the home, where all dispatchers meet, once; else preload there and have the request wait
+        for it, so that it can't overtake the preload, unless a load would come too late.
+        """
+        if replica is None or not self.settings.reports_not_loaded or self.attempts_spent(request):
+            return self.retry(request, replica)
+        order = self.orders.function_order(request.function)
+        # the first that may be used now, also one where nothing was loaded
+        home = next(self.candidates.usable(request, order, not_loaded_too=True), None)
+        if home and self.may_have_copy(request, home):
+            if not self.settings.reports_concurrency:  # else copies are added where requests are told to wait
+                self.preloading.preload(replica, 1)
+            return self.placement.send(request, request.function.replica(home))
+        late = self.load_comes_too_late(request)
+        if not late and not replica.loading:
+            replica = self.candidates.first_without_copy(request, order, not_loaded_too=True) or replica
+        if late or not (replica.loading or self.preloading.preload(replica, 1)):
+            return self.retry(request, replica)
+        replica.waiters.append(request)
+        return Input.WAITS
+
+    def may_have_copy(self, request: Request, home: Worker) -> bool:
+        """Whether the home may have a copy that others keep, and the request has not been there."""
+        if not self.copies.presumed(request.function.replica(home)):
+            return False
+        return not any(attempt.worker is home for attempt in request.attempts)
+
+    def load_comes_too_late(self, request: Request) -> bool:
+        """Whether the client leaves before a load could end and the request be run."""
+        load_time = request.function.load or 0
+        isolated = self.latency.isolated(request.function) * request.scale
+        return self.clock.now + load_time + isolated > request.deadline
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,11 +1,13 @@
 """What the tests share: settings, a host that writes down what it is asked, and a dispatcher on it."""
 
+from dataclasses import replace
 from typing import Any
 
 from lapistrestle.deployment import translation
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.policy.interface import WorkerInfo
-from lapistrestle.policy.state import Function, Request, Worker
+from lapistrestle.policy.entities import Function, Request, Worker
+from lapistrestle.policy.settings import Settings
+from lapistrestle.policy.types import WorkerInfo
 
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
@@ -47,3 +49,11 @@
 
 def request(made: Dispatcher, method: int = 0, name: str = "f") -> Request:
     return Request("r", Function(name, method, 100.0, 1), method, 0, made.now + 30_000)
+
+
+def change(made: Dispatcher, **changes: Any) -> None:
+    """Change settings of a dispatcher that is made: each of its parts holds them."""
+    made.settings = replace(made.settings, **changes)
+    for part in vars(made).values():
+        if isinstance(getattr(part, "settings", None), Settings):
+            part.settings = made.settings
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -6,7 +6,7 @@
 
 from lapistrestle.edge.program import Edge
 from lapistrestle.hosting.requests import ABORTED, DENIED
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.wire import messages as wire
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -8,7 +8,7 @@
 from test_node import Stage
 
 from lapistrestle.edge.linking import Link
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.platform import BoardEnd, WebServer, begin, frame, row
 
 
@@ -97,7 +97,7 @@
     closed.open()
     stage.hand.until(lambda: all(connection.linking.state is Link.OPEN for connection in connections(stage)))
     stage.hand.quiet()
-    assert stage.runs() == [] and not any(worker.out for worker in stage.module.workers)
+    assert stage.runs() == [] and not any(worker.in_flight for worker in stage.module.endpoints.workers)
 
 
 @pytest.mark.parametrize("how", ["aborts", "times out", "drains"])
@@ -225,7 +225,9 @@
     profiles = [{"name": "publish", "aim": 2500000, "deadline": 5000000, "idempotency": "deduplicated",
                  "dedup-scope": "cell", "repeat-window": 150000}]  # fmt: skip
     stage = stages(runners=2, profiles=profiles)
-    stage.module.walk = lambda function: sorted(stage.module.ring, key=lambda worker: worker.name)
+    stage.module.orders.function_order = lambda function: sorted(
+        stage.module.endpoints.ring, key=lambda worker: worker.name
+    )
     closed, client = Closed(stage, at=1), stage.client()
     stage.runners[0].on_run = lambda line, said: line.reset()
     number = client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a")
@@ -514,7 +516,9 @@
     line.say("200", said["rid"], slots_up=1)
     stage.hand.quiet()
     assert not any(
-        replica.copies for function in stage.module.functions for replica in function.replicas.values()
+        replica.copies
+        for function in stage.module.preloading.functions
+        for replica in function.replicas.values()
     )
 
 
@@ -538,7 +542,7 @@
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
     (worker,) = stage.workers().values()
-    assert worker.emptied == -1 and worker.bad.read(stage.module.now) == 0 and not worker.suspect
+    assert worker.emptied_at == -1 and worker.bad_outcomes.read(stage.module.now) == 0 and not worker.ejected
     stage.board.tell(3, 2, stage.row(0, state=0))
     stage.hand.addReader(line)
     stage.hand.until(lambda: worker.listing is EndpointState.SERVING)
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -11,7 +11,7 @@
 from lapistrestle.checks.rules import directory_prompt, drains_kept
 from lapistrestle.directory import server
 from lapistrestle.edge.program import Edge
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import Change, Entry, Hello, Run, Whole
 
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -125,7 +125,7 @@
     for edge in played.world.edges:
         functions = len(edge.edge.host.registry.functions)
         assert 0 < len(edge.edge.following.known) <= 8 * functions < 60
-        assert edge.edge.host.module.region.count == 60
+        assert edge.edge.host.module.fleet.region.count == 60
 
 
 def test_the_same_seed_gives_the_same_tape():
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -343,8 +343,10 @@
         assert old.closed
         stage.greet(name, "#1")
         stage.run()
-    assert {worker.booted is not None for worker in stage.edge.host.module.workers} == {True}
-    assert all(stage.edge.clock() - worker.booted < 1_000 for worker in stage.edge.host.module.workers)
+    assert {worker.booted is not None for worker in stage.edge.host.module.endpoints.workers} == {True}
+    assert all(
+        stage.edge.clock() - worker.booted < 1_000 for worker in stage.edge.host.module.endpoints.workers
+    )
 
 
 def test_a_port_at_which_another_runner_answers_is_not_used(stage):
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -10,7 +10,7 @@
 from lapistrestle.deployment.load import load
 from lapistrestle.deployment.shape import Directory, DirectoryCopy
 from lapistrestle.edge.program import Edge
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.virtual import Process, VirtualReactor
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import Entry, encode
@@ -295,7 +295,7 @@
     stage.snapshot(peer, watch, stage.entry("r0"), stage.entry("r1", up_for=10))
     stage.run(0.002)
     cold = stage.edge.host.registry.workers["r1"]
-    cold.sends.append((stage.edge.clock(), 5.0))
+    cold.sent_in_slow_start.append((stage.edge.clock(), 5.0))
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     stage.run(0.002)
     assert "r1" not in stage.edge.following.known and "r1" not in stage.edge.runners
@@ -305,7 +305,7 @@
     stage.run(0.002)
     assert (
         stage.edge.host.registry.workers["r1"] is cold
-        and cold.sends
+        and cold.sent_in_slow_start
         and cold.listing is EndpointState.SERVING
     )
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
@@ -395,8 +395,8 @@
     stage.renewed(peer, size=400.0, warm=300.0, serving=100, instances=110)
     stage.run(0.002)
     module = stage.edge.host.module
-    assert (module.region.size, module.region.count) == (400.0, 110)
-    assert 300.0 <= module.warm() < 310.0
+    assert (module.fleet.region.size, module.fleet.region.count) == (400.0, 110)
+    assert 300.0 <= module.slow_start.warm_size() < 310.0
 
 
 def test_an_operator_sees_what_the_edge_knows_of_its_directory(stage):
@@ -458,7 +458,7 @@
     """For its soft deadline, and in the budget of orders (rule 5), where one placed at once came later."""
     client, module = stage.client(), stage.edge.host.module
     stage.look_up(client, fn="known")
-    module.taken.clear()
+    module.preload_budget.requests.clear()
     came = stage.edge.clock()
     stage.call(client, id="2", fn="f")
     stage.run(0.2)
@@ -466,7 +466,7 @@
     peer, watch = stage.watches()[-1]
     stage.snapshot(peer, watch, stage.entry("r0"))
     stage.run(0.002)
-    first, second = module.taken
+    first, second = module.preload_budget.requests
     assert came <= first < came + 20 and second - first >= 1_900
     (waited,) = [p for p in stage.edge.front.open() if p.function.name == "f"]
     assert waited.began == first and waited.attempts
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lapistrestle.edge.following import FOLLOWING, Do, Following, Mode, News
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.wire.messages import Change, Entry, Whole
 
 A = Entry("a", 1000, "north", start="a#0", up_for=60_000.0)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -10,9 +10,9 @@
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.entities import Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
-from lapistrestle.policy.state import Worker
+from lapistrestle.policy.types import EndpointState, Outcome, WorkerInfo
 
 
 class Recorder:
@@ -123,22 +123,31 @@
 
     at = ""
 
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.record = self.outcomes.record
+        self.outcomes.record = self.record_or_raise
+
     def on_request(self, request):
         if self.at == "on_request":
             raise RuntimeError("in on_request")
         super().on_request(request)
 
-    def learn(self, *args):
-        if self.at == "learn":
-            raise RuntimeError("in learn")
-        super().learn(*args)
+    def record_or_raise(self, *args):
+        if self.at == "record":
+            raise RuntimeError("in record")
+        self.record(*args)
 
 
 class BrokenAtList(Dispatcher):
     """Raises before it has set up the workers that it hears of."""
 
-    def note(self, *args):
-        raise RuntimeError("in note")
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.endpoints.update = self.raise_it
+
+    def raise_it(self, *args):
+        raise RuntimeError("in update")
 
 
 def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock):
@@ -162,7 +171,7 @@
     assert len(described("x" * 500)) == 80
 
 
-@pytest.mark.parametrize("at", ["on_request", "learn"])
+@pytest.mark.parametrize("at", ["on_request", "record"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
     hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=Broken)
     hosting.listed([WorkerInfo("w")], whole=True)
@@ -198,7 +207,7 @@
     pending = ask(hosting)
     second = type(pending.attempts[0])(pending, hosting.registry.worker("w1"), hosting.clock())
     pending.attempts.append(second)
-    pending.function.replica(second.worker).begin(second)
+    pending.function.replica(second.worker).start(second)
     hosting.send_attempt(second, 100)
     assert len(hosting.transport.of("run")) == 1 and len(hosting.worker_calls) == 1
     assert second.outcome is Outcome.NOT_SENT
@@ -292,7 +301,7 @@
     with hosting.batched():
         hosting.listed([back], whole=False)
         hosting.ranked(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
-    (worker,) = (s for s in hosting.module.workers if s.name == "w1")
+    (worker,) = (s for s in hosting.module.endpoints.workers if s.name == "w1")
     assert worker is hosting.registry.worker("w1") and worker.listing is EndpointState.SERVING
     assert hosting.registry.functions["f"].prefix == [worker]
     ask(hosting)
@@ -305,7 +314,9 @@
         hosting.listed([WorkerInfo("w1", booted=7)], whole=False)
         hosting.listed([WorkerInfo("w9")], whole=False)
         hosting.ranked(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
-    (worker,) = (s for s in hosting.module.workers if s.name == "w1" and s.listing is EndpointState.SERVING)
+    (worker,) = (
+        s for s in hosting.module.endpoints.workers if s.name == "w1" and s.listing is EndpointState.SERVING
+    )
     assert hosting.registry.worker("w1") is worker
 
 
@@ -339,6 +350,6 @@
         made = with_region(clock, workers)
         left = [WorkerInfo("w7", listing=EndpointState.REMOVED)]
         counted.append(count_steps(lambda made=made, left=left: made.listed(left, whole=False)).instructions)
-        assert "w7" not in made.registry.workers and len(made.module.workers) == workers - 1
+        assert "w7" not in made.registry.workers and len(made.module.endpoints.workers) == workers - 1
         assert not made.registry.functions["f7"].replicas and made.registry.functions["f8"].replicas
     assert counted[1] < 1.1 * counted[0]
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.deployment import translation
 from lapistrestle.hosting.host import ModuleHost
-from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
+from lapistrestle.policy.types import EndpointState, Outcome, WorkerInfo
 
 NAMES = ("w0", "w1", "w2")
 listings = st.sampled_from(list(EndpointState))
@@ -82,7 +82,9 @@
         self.made.fire_timers()
 
     def serving(self):
-        return [worker for worker in self.made.module.workers if worker.listing is EndpointState.SERVING]
+        return [
+            worker for worker in self.made.module.endpoints.workers if worker.listing is EndpointState.SERVING
+        ]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -112,7 +114,7 @@
     booted = host.clock.now - 100
     host.change([WorkerInfo("w0", booted=booted)])
     (worker,) = host.serving()
-    worker.sends.append((host.clock.now, 800.0))
+    worker.sent_in_slow_start.append((host.clock.now, 800.0))
     host.change([WorkerInfo("w0", listing=EndpointState.REMOVED, booted=booted)])
     host.change([WorkerInfo("w0", booted=booted)])
     (again,) = host.serving()
@@ -122,7 +124,7 @@
 def test_what_a_worker_was_sent_is_forgotten_once_its_window_has_passed():
     host = Host()
     host.change([WorkerInfo("w0", booted=host.clock.now - 100)])
-    host.serving()[0].sends.append((host.clock.now, 800.0))
+    host.serving()[0].sent_in_slow_start.append((host.clock.now, 800.0))
     host.change([WorkerInfo("w0", listing=EndpointState.REMOVED)])
     assert "w0" in host.made.registry.workers
     host.clock.now += host.made.settings.overload_window + 1
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -34,18 +34,22 @@
 def test_the_first_seconds_after_a_switch_know_what_a_usual_rpc_takes(stage, path):
     learnt.write(path, book(stage))
     module = stage.edge.host.module
-    before = module.weight(0)
+    before = module.latency.typical(0)
     Keeping(stage.edge, str(path))
-    assert module.weight(0) == 900.0 != before
+    assert module.latency.typical(0) == 900.0 != before
     assert said(stage) == ("kept figures", {"carried": list(stage.edge.methods), "afresh": []})
-    assert not module.ok_count.read(module.now) and module.stretch == 1.0 and module.load_limit == 1.0
+    assert (
+        not module.throughput.ok_answers.read(module.now)
+        and module.throughput.memory_factor == 1.0
+        and module.load_limit.limit == 1.0
+    )
 
 
 def test_a_kept_figure_counts_as_one_sample():
     made = dispatcher()
-    made.recall([(900.0, 40.0)] + [(0.0, 0.0)] * 2)
-    made.light[0].add(made.now, 1_100)
-    assert made.weight(0) == 1_000.0 and made.learnt()[1] == (0.0, 0.0)
+    made.latency.restore([(900.0, 40.0)] + [(0.0, 0.0)] * 2)
+    made.latency.by_method[0].add(made.now, 1_100)
+    assert made.latency.typical(0) == 1_000.0 and made.latency.learned()[1] == (0.0, 0.0)
     heavy = request(made)
     heavy.work = 120
     made.on_request(heavy)
@@ -54,9 +58,9 @@
 
 def test_a_method_with_other_deadlines_starts_afresh(stage, path):
     learnt.write(path, book(stage, soft=1))
-    before = stage.edge.host.module.weight(0)
+    before = stage.edge.host.module.latency.typical(0)
     Keeping(stage.edge, str(path))
-    assert stage.edge.host.module.weight(0) == before and said(stage)[1]["carried"] == []
+    assert stage.edge.host.module.latency.typical(0) == before and said(stage)[1]["carried"] == []
 
 
 @pytest.mark.parametrize(
@@ -76,9 +80,9 @@
 def test_a_file_that_is_no_use_is_said_and_the_edge_starts_afresh(stage, path, data, why):
     if data is not None:
         path.write_bytes(data)
-    before = stage.edge.host.module.learnt()
+    before = stage.edge.host.module.latency.learned()
     keeping = Keeping(stage.edge, str(path))
-    assert why in said(stage)[0] and stage.edge.host.module.learnt() == before
+    assert why in said(stage)[0] and stage.edge.host.module.latency.learned() == before
     aside = path.with_name("edge.learnt.unread")
     assert aside.read_bytes() == data if data is not None else not aside.exists()
     keeping.write()
@@ -117,9 +121,9 @@
     stage.run(0.12)
     peer.say(**{"is": "ended", "call": run["call"], "outcome": "ok", "warmth": "stood"})
     stage.run()
-    learnt_ = stage.edge.host.module.learnt()
+    learnt_ = stage.edge.host.module.latency.learned()
     stage.edge.stop(lambda: None)
     stage.run(0.5)
     after = Stage()
     Keeping(after.edge, str(path))
-    assert learnt_[0][0] > 1_000 and after.edge.host.module.learnt() == learnt_
+    assert learnt_[0][0] > 1_000 and after.edge.host.module.latency.learned() == learnt_
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -111,21 +111,23 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        others = [d for d in Watched.living if d.settings.instance_index != self.settings.instance_index]
+        me = self.settings.instance_index
+        others = [d for d in Watched.living if d.settings.instance_index != me]
         Watched.living = (*others, self)
+        self.attempts.send = self.then_note(self.attempts.send)
+        self.preloading.preload = self.then_note(self.preloading.preload)
 
-    def note_loads(self):
-        Watched.most = max(Watched.most, sum(worker.loads for d in Watched.living for worker in d.workers))
+    def then_note(self, act):
+        def noted(*args):
+            done = act(*args)
+            self.note_loads()
+            return done
 
-    def send(self, request, replica):
-        sent = super().send(request, replica)
-        self.note_loads()
-        return sent
+        return noted
 
-    def order(self, replica, count, part=1.0):
-        ordered = super().order(replica, count, part)
-        self.note_loads()
-        return ordered
+    def note_loads(self):
+        workers = (worker for d in Watched.living for worker in d.endpoints.workers)
+        Watched.most = max(Watched.most, sum(worker.functions_loading for worker in workers))
 
 
 TROUBLES = [
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,8 +13,8 @@
 from lapistrestle.node.connection import RunnerConnection
 from lapistrestle.node.program import Node
 from lapistrestle.node.runners import Runner
-from lapistrestle.policy.interface import Attempt, EndpointState
-from lapistrestle.policy.state import Worker
+from lapistrestle.policy.entities import Worker
+from lapistrestle.policy.types import Attempt, EndpointState
 from lapistrestle.standins.platform import BoardEnd, Hand, RunnerEnd, WebServer, begin, frame, row
 
 FN = "7f3a9c21e0b4d655"
@@ -69,7 +69,7 @@
     def workers(self):
         return {
             worker.name: worker
-            for worker in self.module.workers
+            for worker in self.module.endpoints.workers
             if worker.listing is not EndpointState.REMOVED
         }
 
@@ -218,7 +218,7 @@
     number = client.ask(**fields)
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == status
-    assert not stage.runs() and stage.host.counts["taken"] == 0 and not stage.module.functions
+    assert not stage.runs() and stage.host.counts["taken"] == 0 and not stage.module.preloading.functions
     good = client.ask()
     stage.hand.until(lambda: client.status(good))
     assert client.status(good) == 200
@@ -276,11 +276,14 @@
     for _ in range(40):
         number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
         stage.hand.until(lambda number=number: client.status(number))
-    assert stage.host.counts["taken"] == 40 and len(stage.module.taken) == 1
+    assert stage.host.counts["taken"] == 40 and len(stage.module.preload_budget.requests) == 1
     stage.hand.run(5.1)
     number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
     stage.hand.until(lambda: client.status(number))
-    assert len(stage.module.taken) == 1 and stage.module.now - stage.module.taken[0] < 1_000
+    assert (
+        len(stage.module.preload_budget.requests) == 1
+        and stage.module.now - stage.module.preload_budget.requests[0] < 1_000
+    )
 
 
 def test_no_runner_is_dialled_before_it_is_needed(stages):
@@ -299,7 +302,7 @@
     number = client.ask()
     stage.hand.rightNow += 0.8
     stage.hand.until(lambda: client.status(number))
-    assert stage.module.now - 8_001 <= stage.module.taken[0] <= stage.module.now - 7_999
+    assert stage.module.now - 8_001 <= stage.module.preload_budget.requests[0] <= stage.module.now - 7_999
 
 
 @pytest.mark.parametrize(("still", "told", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
@@ -504,7 +507,7 @@
     request, worker = worker_call.pending, worker_call.worker
     second = Attempt(request, worker, stage.module.now, company=2)
     request.attempts.append(second)
-    request.function.replica(worker).begin(second)
+    request.function.replica(worker).start(second)
     stage.host.send_attempt(second, 10_000)
     stage.hand.until(lambda: len(got) == 2)
     assert got[0][0] is not got[1][0] and got[0][1]["rid"] == got[1][1]["rid"]
@@ -528,7 +531,9 @@
         connection.close()
     listener = stage.runners[0].listener
     client = stage.client()
-    stage.module.walk = lambda function: sorted(stage.module.ring, key=lambda s: s.name)
+    stage.module.orders.function_order = lambda function: sorted(
+        stage.module.endpoints.ring, key=lambda s: s.name
+    )
     number = client.ask(function="1" * 16)
     stage.hand.readers.pop(listener)  # it accepts nothing: the connection is made, though, by the machine
     made = runner.pick([])
@@ -642,7 +647,7 @@
     stage.hand.quiet()
 
     def agree():
-        believed = {worker.name: worker.out for worker in stage.module.workers}
+        believed = {worker.name: worker.in_flight for worker in stage.module.endpoints.workers}
         held = {f"s-{i + 1:08x}": runner.held() for i, runner in enumerate(stage.runners)}
         return believed == held
 
@@ -695,7 +700,13 @@
         core, module = stage.node.core, stage.module
         kinds = sum(isinstance(o, Worker | RunnerConnection | Runner | Linking) for o in gc.get_objects())
         connections = stage.node.pools.connections
-        return len(core.runners), len(module.workers), len(stage.host.registry.workers), connections, kinds
+        return (
+            len(core.runners),
+            len(module.endpoints.workers),
+            len(stage.host.registry.workers),
+            connections,
+            kinds,
+        )
 
     client, port, before = stage.client(), stage.runners[0].port, None
     gc.collect()
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -15,7 +15,7 @@
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import Record, decode_frame
 from lapistrestle.node.program import Node
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.platform import BoardEnd, frame, row
 
 SECOND = 10_000  # tenths of a millisecond
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -16,8 +16,8 @@
 
 from lapistrestle.deployment import translation
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.policy.interface import Answer, Outcome, WorkerInfo
-from lapistrestle.policy.state import Function, Request, State, Worker
+from lapistrestle.policy.entities import Function, Request, Worker
+from lapistrestle.policy.types import Answer, Outcome, State, WorkerInfo
 
 SECOND = 10_000
 BOOT = 30 * SECOND
@@ -132,13 +132,17 @@
         scales.append(scale)
         request = Request("r", function, 0, 0, now + 3 * SECOND, scale=scale, began=now, state=State.OUT)
         boot = max((b for b in boots if now >= b), default=None)
-        worker = dispatcher.workers[chance.randrange(WARM)]
-        if heard is not None and dispatcher.warmth_of(cold[i]) < 1 and dispatcher.cold_room(cold[i], request):
+        worker = dispatcher.endpoints.workers[chance.randrange(WARM)]
+        if (
+            heard is not None
+            and dispatcher.slow_start.share(cold[i]) < 1
+            and dispatcher.slow_start.has_capacity(cold[i], request)
+        ):
             worker = cold[i]
             sends.append(Sent(now, scale, boot, heard == boot))
         elif worker is cold[i]:
-            worker = next(s for s in dispatcher.workers if s is not cold[i])
-        dispatcher.send(request, function.replica(worker))
+            worker = next(s for s in dispatcher.endpoints.workers if s is not cold[i])
+        dispatcher.attempts.send(request, function.replica(worker))
         dispatcher.now = now + 1
         dispatcher.on_attempt_finished(request.attempts[-1], Outcome.OK, Answer(int(WORK * scale)))
     mean = sum(scales) / len(scales)
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -13,9 +13,9 @@
 from lapistrestle.deployment import translation
 from lapistrestle.directory.region import Region
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.entities import Function, Request, Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.interface import WorkerInfo
-from lapistrestle.policy.state import Function, Request, Worker
+from lapistrestle.policy.types import WorkerInfo
 from lapistrestle.wire.directory import RegionSums
 
 SECOND = 10_000
@@ -80,22 +80,24 @@
             restarted = True
             for dispatcher in all_:
                 dispatcher.now = now
-                again = [s for s in dispatcher.workers if fleet.booted(int(s.name[1:])) is not None]
+                again = [s for s in dispatcher.endpoints.workers if fleet.booted(int(s.name[1:])) is not None]
                 dispatcher.on_endpoints([(s, WorkerInfo(s.name, booted=BOOT)) for s in again], whole=False)
                 dispatcher.on_endpoints([(Worker("cold"), WorkerInfo("cold", booted=BOOT))], whole=False)
         dispatcher = chance.choice(all_)
         dispatcher.now = now
-        cold = next((worker for worker in dispatcher.workers if worker.name == "cold"), None)
+        cold = next((worker for worker in dispatcher.endpoints.workers if worker.name == "cold"), None)
         request = Request("r", function, 0, 0, now + 3 * SECOND)
-        if cold is not None and dispatcher.cold_room(cold, request):
-            cold.sends.append((now, dispatcher.heft(request)))
+        if cold is not None and dispatcher.slow_start.has_capacity(cold, request):
+            cold.sent_in_slow_start.append((now, dispatcher.slow_start.weight(request)))
             sends.append(now)
             continue
         if chance.random() > fleet.sums(now, dispatcher.settings).warm / workers:
             continue  # what restarted takes less
-        dispatcher.light[0].add(now, WORK)
-        dispatcher.ok_count.add(now, 1)
-        dispatcher.ok_weight.add(now, dispatcher.weight(0) / max(dispatcher.warm(), 1e-9))
+        dispatcher.latency.by_method[0].add(now, WORK)
+        dispatcher.throughput.ok_answers.add(now, 1)
+        dispatcher.slow_start.ok_work.add(
+            now, dispatcher.latency.typical(0) / max(dispatcher.slow_start.warm_size(), 1e-9)
+        )
     return all_[0].settings, sends
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -17,7 +17,7 @@
 from lapistrestle.agreement.raft import RaftNode
 from lapistrestle.edge.following import KnownWorkers
 from lapistrestle.fleet.table import MemberTable
-from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.wire.lines import LineBounds
 
 GIVEN = assumptions.load()
@@ -218,17 +218,17 @@
 def room_steps(dispatchers):
     made, cold = control_cold.dispatcher_of(0, dispatchers, 1.0)
     request = control_cold.Request("r", control_cold.FUNCTION, 0, 0, control_cold.NOW + 30_000)
-    return count_steps(lambda: made.cold_room(cold, request)).instructions
+    return count_steps(lambda: made.slow_start.has_capacity(cold, request)).instructions
 
 
 def test_a_question_of_room_costs_the_same_however_many_dispatchers(monkeypatch):
     sizes = (50, 100, 200, 400)
     assert kind(sizes, room_steps) is Kind.FLAT
-    room = Dispatcher.cold_room
+    room = SlowStart.has_capacity
 
-    def scanned(made, worker, request):
-        assert sum(1 for _ in range(made.settings.dispatcher_count))
-        return room(made, worker, request)
+    def scanned(slow_start, worker, request):
+        assert sum(1 for _ in range(slow_start.settings.dispatcher_count))
+        return room(slow_start, worker, request)
 
-    monkeypatch.setattr(Dispatcher, "cold_room", scanned)
+    monkeypatch.setattr(SlowStart, "has_capacity", scanned)
     assert kind(sizes, room_steps) is not Kind.FLAT
