--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -17,9 +17,10 @@
 from lapistrestle.deployment.load import Wrong, read_json5, shaped
 from lapistrestle.deployment.shape import Shape, Span
 from lapistrestle.edge.running import reactor_of_now
-from lapistrestle.planner.program import Planner
+from lapistrestle.planner.server import Planner
 from lapistrestle.records.logs import make_log
-from lapistrestle.store.journal import Journal, Unreadable
+from lapistrestle.rollout_types import CommandOutcome
+from lapistrestle.store.journal import Journal, JournalError
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
 
@@ -34,10 +35,10 @@
     reactor = reactor_of_now()
     try:
         kept = Journal(journal)
-    except Unreadable as trouble:
+    except JournalError as trouble:
         raise Wrong(str(trouble)) from None
     program = Planner(reactor, kept, make_log(json_))
-    program.stopped = reactor.stop
+    program.on_stopped = reactor.stop
     serve(reactor, lambda: program.start(port), tell_port, reactor.stop)
 
 
@@ -86,23 +87,22 @@
             value, text = read_json5(path)
             policy = shaped(value, Policy, text, str(path))
             more["steps"] = tuple(step / 100 for step in policy.steps)
-            more["remembered"] = policy.remembered / 10
-        made = plans.Order(id_ or uuid.uuid4().hex, what, function, who, why, candidate, **more)
+            more["retention"] = policy.remembered / 10
+        made = plans.RolloutCommand(id_ or uuid.uuid4().hex, what, function, who, why, candidate, **more)
         reply = asked(port, made)
         if json_:
             click.echo(msgspec.json.encode(reply))
         else:
-            late = f"; not there yet: {', '.join(reply.behind)}" if reply.behind else ""
-            click.echo(
-                f"{reply.outcome}: {reply.says}; {function} is {reply.state} at {reply.share:.0%}{late}"
-            )
-        raise SystemExit(1 if reply.outcome == "refused" else 0)
+            late = f"; not there yet: {', '.join(reply.edges_behind)}" if reply.edges_behind else ""
+            stands = f"{function} is {reply.state} at {reply.weight:.0%}"
+            click.echo(f"{reply.outcome}: {reply.message}; {stands}{late}")
+        raise SystemExit(1 if reply.outcome == CommandOutcome.REFUSED.value else 0)
 
     made: Callable[..., None] = command
     if what == "start":
         made = click.option("--steps", default="1,5,25,100", callback=shares, show_default=True)(made)
         made = click.option("--policy", type=click.Path(path_type=Path), help="JSON5 file.")(made)
-        made = click.option("--remembered", default=60_000.0, show_default=True,
+        made = click.option("--remembered", "retention", default=60_000.0, show_default=True,
                             help="Milliseconds in which clients may come back.")(made)  # fmt: skip
     rollout.command(what, help=help_)(made)
 
@@ -126,7 +126,7 @@
 @as_json
 def status(port: int, json_: bool) -> None:
     """How rollouts stand, and which plan each edge has."""
-    told: plans.Status = asked(port, plans.Ask())
+    told: plans.PlannerStatus = asked(port, plans.StatusRequest())
     if json_:
         return click.echo(msgspec.json.encode(told))
     table = Table(title=f"plan {told.number}, epoch {told.epoch}")
@@ -136,14 +136,15 @@
     for one in told.rollouts:
         old, old_bad, new, new_bad = one.counts
         table.add_row(
-            one.function, one.settled or "-", one.candidate, one.state, f"{one.share:.0%}", f"{one.next:.0%}",
-            f"{old_bad}/{old}", f"{new_bad}/{new}", f"{one.harm:.1f}", f"{one.good:.1f}",
+            one.function, one.settled or "-", one.candidate, one.state,
+            f"{one.weight:.0%}", f"{one.next_weight:.0%}",
+            f"{old_bad}/{old}", f"{new_bad}/{new}", f"{one.log_harm:.1f}", f"{one.log_safety:.1f}",
         )  # fmt: skip
     Console(width=140).print(table)
-    for edge, has in sorted(told.edges.items()):
+    for edge, has in sorted(told.plan_by_edge.items()):
         click.echo(f"{edge}: plan {has}")
     for one in told.rollouts:
-        for edge, why in sorted(one.waits.items()):
+        for edge, why in sorted(one.shortages.items()):
             click.echo(f"{one.function} at {edge}: {why}")
 
 
@@ -153,7 +154,7 @@
 @as_json
 def history(port: int, function: str, json_: bool) -> None:
     """What happened to a function's newest rollout, by whom and why."""
-    told: plans.Status = asked(port, plans.Ask())
+    told: plans.PlannerStatus = asked(port, plans.StatusRequest())
     found = [one for one in told.rollouts if one.function == function]
     if not found:
         raise click.ClickException(f"{function} has no rollout")
--- a/lapistrestle/policy/candidates.py
+++ b/lapistrestle/policy/candidates.py
@@ -1,6 +1,7 @@
 """Which workers a request may go to."""
 
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
 
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.entities import FunctionReplica, Request, Worker
@@ -14,28 +15,18 @@
 from lapistrestle.policy.types import EndpointState, Outcome, Zone
 
 
+@dataclass(eq=False)
 class Candidates:
     """The rules that hold for every attempt and every load that a request begins."""
 
-    def __init__(
-        self,
-        host: Host,
-        settings: Settings,
-        clock: Clock,
-        orders: FunctionOrders,
-        health: Health,
-        slow_start: SlowStart,
-        zones: LatencyZones,
-        copies: LoadedCopies,
-    ) -> None:
-        self.host = host
-        self.settings = settings
-        self.clock = clock
-        self.orders = orders
-        self.health = health
-        self.slow_start = slow_start
-        self.zones = zones
-        self.copies = copies
+    host: Host
+    settings: Settings
+    clock: Clock
+    orders: FunctionOrders
+    health: Health
+    slow_start: SlowStart
+    zones: LatencyZones
+    copies: LoadedCopies
 
     def usable(
         self, request: Request, order: Iterable[Worker], not_loaded_too: bool = False
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -56,6 +56,7 @@
         self.make_estimates()
         self.make_rules()
         self.make_decisions()
+        self.make_choices()
         handlers = {
             Effect.ADMIT: self.admit,
             Effect.PLACE: self.placement.place,
@@ -72,21 +73,20 @@
         """Make the parts that only measure."""
         settings, clock, region = self.settings, self.clock, self.fleet.region
         self.endpoints = Endpoints(partial=region is not None)
-        capacity = self.endpoints if region is None else region
+        self.capacity = self.endpoints if region is None else region
         self.latency = LatencyEstimates(settings, clock)
         self.throughput = Throughput(clock)
-        self.orders = FunctionOrders(settings, clock, self.endpoints, capacity, self.latency)
+        self.orders = FunctionOrders(settings, clock, self.endpoints, self.capacity, self.latency)
         self.copies = LoadedCopies(settings, clock, self.throughput)
 
     def make_rules(self) -> None:
         """Make the parts that hold for every worker or every load."""
-        settings, clock, region = self.settings, self.clock, self.fleet.region
+        settings, clock = self.settings, self.clock
         endpoints, latency, throughput = self.endpoints, self.latency, self.throughput
-        capacity = endpoints if region is None else region
-        self.slow_start = SlowStart(settings, clock, endpoints, region, latency, throughput)
+        self.slow_start = SlowStart(settings, clock, endpoints, self.fleet.region, latency, throughput)
         self.health = Health(self.host, clock, endpoints, latency)
         self.zones = LatencyZones(clock, endpoints, latency, throughput)
-        self.load_limit = LoadLimit(settings, clock, self.fleet, endpoints, capacity, latency)
+        self.load_limit = LoadLimit(settings, clock, self.fleet, endpoints, self.capacity, latency)
         self.preload_budget = PreloadBudget(settings, clock, self.copies)
         self.retry_budget = RetryBudget(clock, self.fleet, throughput)
         self.candidates = Candidates(
@@ -95,28 +95,76 @@
 
     def make_decisions(self) -> None:
         """Make the parts that act."""
-        host, settings, clock, draws = self.host, self.settings, self.clock, self.draws
-        latency, zones, copies, load_limit = self.latency, self.zones, self.copies, self.load_limit
-        throughput, health, slow_start = self.throughput, self.health, self.slow_start
-        region = self.fleet.region
+        settings, clock = self.settings, self.clock
         self.preloading = Preloading(
-            host, settings, clock, draws, self.orders, latency, zones, copies, health, self.candidates,
-            self.preload_budget, load_limit,
-        )  # fmt: skip
-        self.attempts = Attempts(host, settings, clock, latency, throughput, copies, load_limit, slow_start)
-        self.admission = Admission(host, settings, clock, draws, latency, throughput, self.attempts)
+            host=self.host,
+            settings=settings,
+            clock=clock,
+            draws=self.draws,
+            orders=self.orders,
+            latency=self.latency,
+            zones=self.zones,
+            copies=self.copies,
+            health=self.health,
+            candidates=self.candidates,
+            budget=self.preload_budget,
+            load_limit=self.load_limit,
+        )
+        self.attempts = Attempts(
+            self.host,
+            settings,
+            clock,
+            self.latency,
+            self.throughput,
+            self.copies,
+            self.load_limit,
+            self.slow_start,
+        )
+        self.admission = Admission(
+            self.host, settings, clock, self.draws, self.latency, self.throughput, self.attempts
+        )
+
+    def make_choices(self) -> None:
+        """Make the parts that choose for a request, and learn from its attempts."""
         self.placement = Placement(
-            settings, clock, draws, self.orders, self.candidates, latency, zones, copies, load_limit,
-            self.preloading, self.attempts,
-        )  # fmt: skip
+            settings=self.settings,
+            clock=self.clock,
+            draws=self.draws,
+            orders=self.orders,
+            candidates=self.candidates,
+            latency=self.latency,
+            zones=self.zones,
+            copies=self.copies,
+            load_limit=self.load_limit,
+            preloading=self.preloading,
+            attempts=self.attempts,
+        )
         self.retries = Retries(
-            settings, clock, self.orders, self.candidates, latency, copies, self.preloading, self.placement,
-            self.admission, self.retry_budget,
-        )  # fmt: skip
+            settings=self.settings,
+            clock=self.clock,
+            orders=self.orders,
+            candidates=self.candidates,
+            latency=self.latency,
+            copies=self.copies,
+            preloading=self.preloading,
+            placement=self.placement,
+            admission=self.admission,
+            budget=self.retry_budget,
+        )
         self.outcomes = OutcomeRecording(
-            settings, clock, self.endpoints if region is None else region, latency, throughput, slow_start,
-            zones, copies, load_limit, health, self.retry_budget, self.preloading,
-        )  # fmt: skip
+            settings=self.settings,
+            clock=self.clock,
+            capacity=self.capacity,
+            latency=self.latency,
+            throughput=self.throughput,
+            slow_start=self.slow_start,
+            zones=self.zones,
+            copies=self.copies,
+            load_limit=self.load_limit,
+            health=self.health,
+            retry_budget=self.retry_budget,
+            preloading=self.preloading,
+        )
 
     @property
     def now(self) -> int:
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -158,8 +158,7 @@
         worker.in_flight += 1
         if attempt.cold:
             self.change_loading(1)
-        if self.in_flight > self.peak_in_flight:
-            self.peak_in_flight = self.in_flight
+        self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def finish(self, attempt: Attempt) -> None:
         """Count an attempt that has ended."""
--- a/lapistrestle/policy/latency_estimates.py
+++ b/lapistrestle/policy/latency_estimates.py
@@ -73,7 +73,7 @@
     def renew_isolated(self, function: Function) -> None:
         """Move the function's isolated latency to the median window average at light own load."""
         replicas = function.replicas.values()
-        windows = (r.window for r in replicas if len(r.window) >= LEAST_SAMPLES and r.in_flight < 2)
+        windows = (r.window for r in replicas if len(r.window) >= LEAST_SAMPLES and r.in_flight <= 1)
         averages = sorted(sum(window) / len(window) for window in windows)
         if not averages:
             return
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -1,5 +1,6 @@
 """What the end of an attempt teaches each part of the module."""
 
+from dataclasses import dataclass
 from typing import Final
 
 from lapistrestle.policy.clock import Clock
@@ -28,36 +29,22 @@
 QUEUE_FIGURE: Final = "backlog"  # the figure of a load report that tells requests in wait there
 
 
+@dataclass(eq=False)
 class OutcomeRecording:
     """Hands each outcome on to the parts that keep figures of it."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        clock: Clock,
-        capacity: RegionCapacity | Endpoints,
-        latency: LatencyEstimates,
-        throughput: Throughput,
-        slow_start: SlowStart,
-        zones: LatencyZones,
-        copies: LoadedCopies,
-        load_limit: LoadLimit,
-        health: Health,
-        retry_budget: RetryBudget,
-        preloading: Preloading,
-    ) -> None:
-        self.settings = settings
-        self.clock = clock
-        self.capacity = capacity
-        self.latency = latency
-        self.throughput = throughput
-        self.slow_start = slow_start
-        self.zones = zones
-        self.copies = copies
-        self.load_limit = load_limit
-        self.health = health
-        self.retry_budget = retry_budget
-        self.preloading = preloading
+    settings: Settings
+    clock: Clock
+    capacity: RegionCapacity | Endpoints
+    latency: LatencyEstimates
+    throughput: Throughput
+    slow_start: SlowStart
+    zones: LatencyZones
+    copies: LoadedCopies
+    load_limit: LoadLimit
+    health: Health
+    retry_budget: RetryBudget
+    preloading: Preloading
 
     def record(self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
         """Take in the end of an attempt."""
@@ -116,7 +103,7 @@
         time and so has room, and there are others for whose sake it may hold this one back.
         """
         now = self.clock.now
-        only_customer = len(self.settings.customers) < 2
+        only_customer = len(self.settings.customers) <= 1
         if only_customer or latency < self.latency.typical(request.method) * AT_ONCE:
             worker.rejecting_until = now + FULL_PAUSE
         else:
--- a/lapistrestle/policy/placement.py
+++ b/lapistrestle/policy/placement.py
@@ -4,6 +4,7 @@
 by zones, and the worker with the fewest of ours as the last resort. Changed: docs/design.md, "Changed".
 """
 
+from dataclasses import dataclass
 from math import inf
 
 from lapistrestle.policy.attempts import Attempts
@@ -22,34 +23,21 @@
 from lapistrestle.policy.types import Outcome, Zone
 
 
+@dataclass(eq=False)
 class Placement:
     """The choice of a worker for one attempt."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        clock: Clock,
-        draws: Draws,
-        orders: FunctionOrders,
-        candidates: Candidates,
-        latency: LatencyEstimates,
-        zones: LatencyZones,
-        copies: LoadedCopies,
-        load_limit: LoadLimit,
-        preloading: Preloading,
-        attempts: Attempts,
-    ) -> None:
-        self.settings = settings
-        self.clock = clock
-        self.draws = draws
-        self.orders = orders
-        self.candidates = candidates
-        self.latency = latency
-        self.zones = zones
-        self.copies = copies
-        self.load_limit = load_limit
-        self.preloading = preloading
-        self.attempts = attempts
+    settings: Settings
+    clock: Clock
+    draws: Draws
+    orders: FunctionOrders
+    candidates: Candidates
+    latency: LatencyEstimates
+    zones: LatencyZones
+    copies: LoadedCopies
+    load_limit: LoadLimit
+    preloading: Preloading
+    attempts: Attempts
 
     def place(self, request: Request, _: FunctionReplica | None = None) -> Input:
         """Send the request to the first worker of the order with room; else load one further copy on the
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -7,6 +7,7 @@
 """
 
 from collections.abc import Sequence
+from dataclasses import dataclass, field
 from math import ceil, sqrt
 from typing import Final
 
@@ -36,37 +37,23 @@
 FULL_QUEUE_PAUSE: Final = SECOND // 2
 
 
+@dataclass(eq=False)
 class Preloading:
     """Preloads under way, and the functions whose copies are kept."""
 
-    def __init__(
-        self,
-        host: Host,
-        settings: Settings,
-        clock: Clock,
-        draws: Draws,
-        orders: FunctionOrders,
-        latency: LatencyEstimates,
-        zones: LatencyZones,
-        copies: LoadedCopies,
-        health: Health,
-        candidates: Candidates,
-        budget: PreloadBudget,
-        load_limit: LoadLimit,
-    ) -> None:
-        self.host = host
-        self.settings = settings
-        self.clock = clock
-        self.draws = draws
-        self.orders = orders
-        self.latency = latency
-        self.zones = zones
-        self.copies = copies
-        self.health = health
-        self.candidates = candidates
-        self.budget = budget
-        self.load_limit = load_limit
-        self.functions: dict[Function, None] = {}  # those whose upkeep has a timer
+    host: Host
+    settings: Settings
+    clock: Clock
+    draws: Draws
+    orders: FunctionOrders
+    latency: LatencyEstimates
+    zones: LatencyZones
+    copies: LoadedCopies
+    health: Health
+    candidates: Candidates
+    budget: PreloadBudget
+    load_limit: LoadLimit
+    functions: dict[Function, None] = field(default_factory=dict, init=False)  # whose upkeep has a timer
 
     def start_upkeep(self, function: Function) -> None:
         """Begin the upkeep of a function that is called."""
--- a/lapistrestle/policy/retries.py
+++ b/lapistrestle/policy/retries.py
@@ -4,6 +4,8 @@
 is answered. Changed: docs/design.md, "front ends of their own clients".
 """
 
+from dataclasses import dataclass
+
 from lapistrestle.policy.admission import Admission
 from lapistrestle.policy.candidates import Candidates
 from lapistrestle.policy.clock import Clock
@@ -18,32 +20,20 @@
 from lapistrestle.policy.settings import Settings
 
 
+@dataclass(eq=False)
 class Retries:
     """The second attempt of a request and all after it."""
 
-    def __init__(
-        self,
-        settings: Settings,
-        clock: Clock,
-        orders: FunctionOrders,
-        candidates: Candidates,
-        latency: LatencyEstimates,
-        copies: LoadedCopies,
-        preloading: Preloading,
-        placement: Placement,
-        admission: Admission,
-        budget: RetryBudget,
-    ) -> None:
-        self.settings = settings
-        self.clock = clock
-        self.orders = orders
-        self.candidates = candidates
-        self.latency = latency
-        self.copies = copies
-        self.preloading = preloading
-        self.placement = placement
-        self.admission = admission
-        self.budget = budget
+    settings: Settings
+    clock: Clock
+    orders: FunctionOrders
+    candidates: Candidates
+    latency: LatencyEstimates
+    copies: LoadedCopies
+    preloading: Preloading
+    placement: Placement
+    admission: Admission
+    budget: RetryBudget
 
     def retry(self, request: Request, _: FunctionReplica | None) -> Input:
         """Place the request once more, if attempts, time and the retry budget are left."""
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,8 +1,11 @@
 """Deployment files: what is wrong is named with line, path, what stands there and what would be right."""
 
 import json
+from collections.abc import Callable
 from dataclasses import fields
 from pathlib import Path
+from types import ModuleType
+from typing import Any
 
 import pytest
 
@@ -15,19 +18,21 @@
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
 
-def recording(kind, named):
+def recording(kind: Callable[..., Any], named: dict[str, set[str]]) -> Callable[..., Any]:
     """In place of a type of settings: made as ever, with the names of the fields that are given."""
 
-    def make(**given):
+    def make(**given: Any) -> Any:
         named[kind.__name__] = set(given)
         return kind(**given)
 
     return make
 
 
-def recorded(monkeypatch, module, make):
+def recorded(
+    monkeypatch: pytest.MonkeyPatch, module: ModuleType, make: Callable[[], Settings]
+) -> tuple[Settings, dict[str, set[str]]]:
     """What `make` gives, and the fields that it names of each type of settings; none is left to a default."""
-    named = {}
+    named: dict[str, set[str]] = {}
     for kind in (Settings, MethodSettings):
         monkeypatch.setattr(module, kind.__name__, recording(kind, named))
     return make(), named
@@ -37,7 +42,9 @@
 
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
-def test_the_examples_give_every_fact_that_the_module_is_handed(name, monkeypatch):
+def test_the_examples_give_every_fact_that_the_module_is_handed(
+    name: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     made, named = recorded(monkeypatch, load_module, lambda: to_settings(load(EXAMPLES / f"{name}.json5")))
     _, platform = recorded(monkeypatch, translation, lambda: translation.to_settings({"profiles": [{}]}))
     assert named["Settings"] == platform["Settings"] == {f.name for f in fields(Settings)}
@@ -78,7 +85,7 @@
         ("{methods: {}, methods: {}}", "is no JSON5"),
     ],
 )
-def test_what_is_wrong_is_said(tmp_path, text, says):
+def test_what_is_wrong_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(Wrong) as trouble:
@@ -112,7 +119,7 @@
         (directory()[:-1] + ', roster: {mode: "asked"}}', 'roster.mode: is "asked"; a dispatcher with a'),
     ],
 )
-def test_what_is_wrong_in_a_directory_is_said(tmp_path, text, says):
+def test_what_is_wrong_in_a_directory_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(Wrong) as trouble:
@@ -120,7 +127,7 @@
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
-def test_a_directory_is_off_unless_shards_are_named(tmp_path):
+def test_a_directory_is_off_unless_shards_are_named(tmp_path: Path) -> None:
     path = tmp_path / "a.json5"
     path.write_text("{" + METHODS + ', directory: {epoch: 4, lease: "1 ms"}}')
     assert load(path).directory.shards == []
@@ -151,7 +158,7 @@
         ("{directory: {shards: [[{port: 1}]]}, server: {}}", "server: no such name; did you mean serve?"),
     ],
 )
-def test_what_is_wrong_in_a_holders_settings_is_said(tmp_path, text, says):
+def test_what_is_wrong_in_a_holders_settings_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(Wrong) as trouble:
@@ -159,13 +166,13 @@
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
-def test_a_missing_file_is_said(tmp_path):
+def test_a_missing_file_is_said(tmp_path: Path) -> None:
     with pytest.raises(Wrong, match="can't be read"):
         load(tmp_path / "none.json5")
 
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
-def test_a_deployment_written_out_reads_the_same(tmp_path, name):
+def test_a_deployment_written_out_reads_the_same(tmp_path: Path, name: str) -> None:
     made = load(EXAMPLES / f"{name}.json5")
     path = tmp_path / "again.json5"
     path.write_text(json.dumps(plain(made)))
@@ -183,7 +190,7 @@
         ({"edges": 0}, "edges: is 0; expected a whole number >= 1"),
     ],
 )
-def test_what_is_wrong_in_a_day_is_said(tmp_path, change, says):
+def test_what_is_wrong_in_a_day_is_said(tmp_path: Path, change: dict[str, Any], says: str) -> None:
     path = tmp_path / "day.json5"
     deployment = json.loads(json.dumps(plain(load(EXAMPLES / "thumbs.json5"))))
     path.write_text(json.dumps({"name": "x", "deployment": deployment, **change}))
@@ -192,12 +199,12 @@
     assert says in str(trouble.value)
 
 
-def test_the_example_of_a_directory_is_one_assignment_told_alike():
+def test_the_example_of_a_directory_is_one_assignment_told_alike() -> None:
     folder = EXAMPLES / "directory"
     edge = load(folder / "edge.json5")
     holders = [load_holder(folder / f"holder-{number}.json5") for number in range(2)]
     assert all(holder.directory == edge.directory for holder in holders)
     ports = {copy.port for copies in edge.directory.shards for copy in copies}
     assert ports == {holder.serve.port for holder in holders}
-    ramps = {(made.workers.cold_share, made.workers.ramp) for made in (edge, *holders)}
+    ramps = {(made.cold_share, made.ramp) for made in (edge.workers, *(one.workers for one in holders))}
     assert len(ramps) == 1  # warm sums are the holders', and the budget of cold workers rests on them
