--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -22,8 +22,8 @@
 from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.overload.admission import UPDATE_EVERY
 from lapistrestle.overload.worker_verdicts import select_probers
+from lapistrestle.policy.entities import Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
-from lapistrestle.policy.state import Worker
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import Datagram, MemberRecord, MemberStatus
 
@@ -147,7 +147,8 @@
         self.stopping = False
         self.reactor = self
         workers = [Worker(f"runner-{i:06d}") for i in range(instances)]
-        module = SimpleNamespace(workers=workers, serving=workers)
+        endpoints = SimpleNamespace(workers=workers, serving=workers)
+        module = SimpleNamespace(endpoints=endpoints)
         self.host = SimpleNamespace(module=module, vouched=lambda worker, at: None)
 
     def clock(self) -> int:
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -16,7 +16,7 @@
     RequestOutcome,
 )
 from lapistrestle.overload.worker_verdicts import WorkerVerdicts, select_probers
-from lapistrestle.policy.state import Worker
+from lapistrestle.policy.entities import Worker
 
 
 class FleetMember:
@@ -74,7 +74,7 @@
 
     def loading(self) -> int:
         """Loads of this edge under way: functions on workers, however many wait for each."""
-        return sum(worker.loads for worker in self.edge.host.module.workers)
+        return sum(worker.functions_loading for worker in self.edge.host.module.endpoints.workers)
 
     def start(self) -> None:
         """Join the fleet."""
@@ -103,23 +103,23 @@
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
             self.drawn_from, self.probers_of = members_by_name, {}
-        workers = self.edge.host.module.serving
+        workers = list(self.edge.host.module.endpoints.serving)
         self.verdicts.retain(worker.name for worker in workers)
         for worker in workers:
             told = found.get(worker.name)
-            if worker.suspect and told is not None and told.healthy and told.prober != me:
+            if worker.ejected and told is not None and told.healthy and told.prober != me:
                 self.edge.host.vouched(worker, told.at)
-            if worker.suspect and worker not in self.announced:
+            if worker.ejected and worker not in self.announced:
                 self.verdicts.record(worker.name, False, now)
                 self.announced.add(worker)
-            elif not worker.suspect and worker in self.announced:
+            elif not worker.ejected and worker in self.announced:
                 self.announced.discard(worker)
                 if told is not None and told.prober == me:  # else it was others that found it fit
                     self.verdicts.record(worker.name, True, now)
-            if worker.suspect:
+            if worker.ejected:
                 names = self.probers_of.get(worker.name) or select_probers(worker.name, members_by_name)
                 self.probers_of[worker.name] = names
-                worker.trial = me in names
+                worker.tried_here = me in names
         self.announced &= set(workers)
 
     def admit(self, method: int, customer: int, repeat: bool, key: str) -> int | None:
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-from lapistrestle.policy.interface import EndpointState, WorkerInfo
+from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.sources.numbered_list import Do, NumberedList
 from lapistrestle.wire.messages import Change, Entry, Whole
 
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapistrestle.policy.state import Function, Worker
+from lapistrestle.policy.entities import Function, Worker
 from lapistrestle.rollout import replicas
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout_types import TrafficSplit, versioned_name
@@ -120,7 +120,7 @@
         function = self.edge.host.registry.functions.get(name)
         for seat in list(self.edge.seats):
             for pending in list(seat.open.values()):
-                if pending.function is function and not pending.in_flight and pending.ran_on is None:
+                if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
                     self.edge.host.retract(pending)
                     self.edge.move(pending)
         for replica in list(function.replicas.values()) if function is not None else ():
@@ -159,8 +159,11 @@
         if not known or not self.edge.settings.may_preload:
             return split.next_weight, ""
         model = known[-1]
-        busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
-        busy *= replicas.demand_factor(module.iso(model), module.weight(model.method))
+        busy = sum(
+            function.demand.read(module.now) / function.demand.time_constant
+            for function in dict.fromkeys(known)
+        )
+        busy *= replicas.demand_factor(module.latency.isolated(model), module.latency.typical(model.method))
         target = replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
         candidate_weight = split.next_weight if target.candidate is None else target.candidate
         weights = (candidate_weight, target.settled)
@@ -171,7 +174,7 @@
         lacking = next((stand for stand in stands if not stand.is_sufficient), None)
         if lacking is None:
             latencies = [
-                function.iso
+                function.isolated_latency
                 if (function := registry.functions.get(versioned_name(split.function, name)))
                 else None
                 for name in versions
@@ -193,21 +196,23 @@
             return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
         memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
-        for worker in module.walk(function):
-            if worker.listing.name != "SERVING" or not module.fit(worker):
+        for worker in module.orders.function_order(function):
+            if worker.listing.name != "SERVING" or not module.health.healthy(worker):
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
             capacity = replicas.WorkerCapacity(
-                0, replicas.replica_limit(size, function.memory), warming_up=module.warmth_of(worker) < 1
+                0,
+                replicas.replica_limit(size, function.memory),
+                warming_up=module.slow_start.share(worker) < 1,
             )
             if (replica := function.replicas.get(worker)) is not None:
-                capacity.loaded = module.believed(replica)
-                capacity.preload_pending = bool(replica.ordered)
-                capacity.recently_confirmed = module.now - replica.seen <= idle_life // 3
+                capacity.loaded = module.copies.believed(replica)
+                capacity.preload_pending = bool(replica.pending_preloads)
+                capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_life // 3
             capacities[capacity] = worker
 
         def preload(capacity: replicas.WorkerCapacity, count: int) -> bool:
-            ordered: bool = module.order(
+            ordered: bool = module.preloading.preload(
                 function.replica(capacities[capacity]), count, replicas.PRELOAD_BUDGET_FRACTION
             )
             return ordered
@@ -215,7 +220,7 @@
         required = replicas.required_replicas(busy, weight, function.lanes, edge.settings.dispatcher_count)
         target = self.targets.setdefault(name, replicas.ReplicaTarget()).update(required)
         stand = replicas.maintain_replicas(
-            list(capacities), target, module.load_limit - module.loading, preload
+            list(capacities), target, module.load_limit.limit - module.load_limit.in_progress, preload
         )
         if edge.directory is not None and not stand.is_sufficient:
             edge.directory.more(name)
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -12,7 +12,7 @@
 from lapistrestle.edge.linking import Input
 from lapistrestle.edge.runners import hold_of, run_of, tell
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
-from lapistrestle.policy.interface import Outcome
+from lapistrestle.policy.types import Outcome
 from lapistrestle.sources.numbered_list import Do
 from lapistrestle.standins.client import Crowd, Line, Wish
 from lapistrestle.standins.runner import RunnerStandIn
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lapistrestle.edge.following import Following
-from lapistrestle.policy.interface import EndpointState
+from lapistrestle.policy.types import EndpointState
 from lapistrestle.sources.numbered_list import FOLLOWING, Do, Mode, News
 from lapistrestle.wire.messages import Change, Entry, Whole
 
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -1,5 +1,6 @@
 """Loads that all edges of a fleet share: who borrows of whom, and that their sum stays within the whole."""
 
+from collections.abc import Callable
 from functools import partial
 from typing import Any, ClassVar
 
@@ -13,7 +14,6 @@
 from lapistrestle.fleet.quota_leasing import QuotaLeasing
 from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.policy.state import FunctionReplica, Input, Request
 from lapistrestle.wire.fleet import LeaseMessage, LeaseRequest, MemberRecord, MemberStatus
 
 SECOND = 10_000
@@ -116,21 +116,25 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        others = [d for d in Watched.living if d.settings.instance_index != self.settings.instance_index]
+        me = self.settings.instance_index
+        others = [d for d in Watched.living if d.settings.instance_index != me]
         Watched.living = (*others, self)
+        attempts: Any = self.attempts
+        attempts.send = self.then_note(attempts.send)
+        preloading: Any = self.preloading
+        preloading.preload = self.then_note(preloading.preload)
 
-    def note_loads(self) -> None:
-        Watched.most = max(Watched.most, sum(worker.loads for d in Watched.living for worker in d.workers))
+    def then_note(self, act: Callable[..., Any]) -> Callable[..., Any]:
+        def noted(*args: Any) -> Any:
+            done = act(*args)
+            self.note_loads()
+            return done
 
-    def send(self, request: Request, replica: FunctionReplica) -> Input:
-        sent = super().send(request, replica)
-        self.note_loads()
-        return sent
+        return noted
 
-    def order(self, replica: FunctionReplica, count: int, part: float = 1.0) -> bool:
-        ordered = super().order(replica, count, part)
-        self.note_loads()
-        return ordered
+    def note_loads(self) -> None:
+        workers = (worker for d in Watched.living for worker in d.endpoints.workers)
+        Watched.most = max(Watched.most, sum(worker.functions_loading for worker in workers))
 
 
 TROUBLES = [
