--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -51,7 +51,7 @@
             case wire.Leave():
                 pending = self.open.pop(message.id, None)
                 if pending is not None:
-                    self.edge.host.client_left(pending)
+                    self.edge.host.client_gone(pending)
             case wire.Look():
                 self.show(message.what)
             case _:
@@ -126,7 +126,7 @@
         self.edge.seats.pop(self, None)
         requests, self.open = list(self.open.values()), {}
         for pending in requests:
-            self.edge.host.client_left(pending)
+            self.edge.host.client_gone(pending)
 
 
 class Clients(ServerFactory):
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -43,8 +43,8 @@
     def named(self) -> None: ...  # it is on the list now
     def dropped(self) -> None: ...  # it is gone: what is out may still end
     def hold_back(self) -> None: ...  # it drains: what waits to be written is not sent
-    def run(self, worker_call: WorkerCall) -> None: ...
-    def hold(self, task: WorkerTask) -> None: ...
+    def send_call(self, worker_call: WorkerCall) -> None: ...
+    def send_preload(self, task: WorkerTask) -> None: ...
     def unload(self, function: str) -> None: ...
     def probe(self, task: WorkerTask) -> None: ...
     def end(self) -> None: ...  # leave it at once
@@ -129,10 +129,10 @@
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
         timer = self.host.timers.at(self.clock() + delay, call, arg)
-        self.wake()
+        self.timers_changed()
         return timer
 
-    def wake(self) -> None:
+    def timers_changed(self) -> None:
         """Have the reactor call `turn` when the next timer is due."""
         due = self.host.timers.next()
         if due is None or (self.next_turn is not None and self.turn_at <= due):
@@ -151,7 +151,7 @@
                 self.next_turn = self.reactor.callLater(0, self.turn)
                 return
             self.host.fire_timers()
-        self.wake()
+        self.timers_changed()
 
     # the list and the runners
 
@@ -159,7 +159,7 @@
         """A list or a change of it was read. Nothing new begins against it from now on, what waits to be
         written is taken back, and the module hears of it before whatever else waits to be told."""
         self.gate.listed(told, whole)
-        self.host.listed(told, whole)
+        self.host.endpoints_received(told, whole)
         for facts in told:
             if facts.listing is not EndpointState.SERVING and facts.name in self.runners:
                 self.runners[facts.name].hold_back()
@@ -190,21 +190,21 @@
 
     # what the host asks (hosting.transport)
 
-    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+    def send_answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
         pending.client.answer(pending, verdict, retry_after, body)
 
-    def closed(self, pending: PendingRequest, how: str) -> None: ...
+    def request_closed(self, pending: PendingRequest, how: str) -> None: ...
 
-    def stream(self, pending: PendingRequest) -> None: ...
+    def stream_started(self, pending: PendingRequest) -> None: ...
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         if not self.gate.serves(worker_call.worker.name):
             self.gate.refused(worker_call)
-            return self.host.ended(worker_call.number, Outcome.NOT_SENT)
+            return self.host.attempt_finished(worker_call.number, Outcome.NOT_SENT)
         runner = self.runner(worker_call.worker.name)
         if runner is None:
-            return self.host.ended(worker_call.number, Outcome.UNREACHABLE)
-        runner.run(worker_call)
+            return self.host.attempt_finished(worker_call.number, Outcome.UNREACHABLE)
+        runner.send_call(worker_call)
 
     def withdraw(self, task: WorkerCall | WorkerTask, tell: bool) -> bool:
         return task.connection is not None and task.connection.withdraw(task.number, tell)
@@ -212,14 +212,14 @@
     def cancel_unsent(self, worker_call: WorkerCall) -> bool:
         return worker_call.connection is not None and worker_call.connection.cancel_unsent(worker_call.number)
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         if task.count and not self.gate.serves(task.worker.name):
             self.gate.refused(task)
-            return self.host.ordered(task.number, Outcome.NOT_SENT, 0)
+            return self.host.preload_finished(task.number, Outcome.NOT_SENT, 0)
         runner = self.runner(task.worker.name)
         if runner is None:
-            return self.host.ordered(task.number, Outcome.UNREACHABLE, 0)
-        runner.hold(task)
+            return self.host.preload_finished(task.number, Outcome.UNREACHABLE, 0)
+        runner.send_preload(task)
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         if runner := self.runner(worker.name):
@@ -228,7 +228,7 @@
     def probe(self, task: WorkerTask) -> None:
         runner = self.runner(task.worker.name)
         if runner is None:
-            return self.host.probed(task.number, Outcome.UNREACHABLE, {})
+            return self.host.health_check_finished(task.number, Outcome.UNREACHABLE, {})
         runner.probe(task)
 
     def tell_peer(self, peer: int | None, text: str) -> None: ...
@@ -249,14 +249,14 @@
             self.answers_until = self.clock() + LAST if self.answers_until is None else self.answers_until
             return self.check_finished()
         self.stopping, self.stopped = True, stopped
-        self.log("stopping", open=self.host.open)
+        self.log("stopping", open=self.host.open_requests)
         self.front.close()
         self.check_finished()
 
     def check_finished(self, _: object = None) -> None:
         """Whether all is over: what came until now has its answer, and that has left."""
         late = self.answers_until is not None and self.clock() >= self.answers_until
-        if late or not (self.host.open or self.front.owes()):
+        if late or not (self.host.open_requests or self.front.owes()):
             return self.finish()
         self.after(100, self.check_finished, None)
 
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -100,7 +100,7 @@
         for worker in workers:
             told = found.get(worker.name)
             if worker.suspect and told is not None and told.fit and told.by != me:
-                self.edge.host.vouched(worker, told.at)
+                self.edge.host.peer_verdict_received(worker, told.at)
             if worker.suspect and worker not in self.announced:
                 self.verdicts.record(worker.name, False, now)
                 self.announced.add(worker)
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -73,4 +73,6 @@
 
     def rank(self, function: Function, names: tuple[str, ...]) -> None:
         """Tell the module the function's prefix, as far as its workers are known."""
-        self.edge.host.ranked(function, [name for name in names if name in self.edge.following.known])
+        self.edge.host.prefix_received(
+            function, [name for name in names if name in self.edge.following.known]
+        )
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -34,4 +34,4 @@
             self.edge.passed_over(f"peer at {addr[1]}", str(trouble))
             return
         self.edge.input()
-        self.edge.host.told(message.sender, message.text)
+        self.edge.host.gossip_received(message.sender, message.text)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -161,11 +161,11 @@
         if self.directory is not None:
             function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
             waits = not self.directory.ready(function, call.method)
-        pending = self.host.arrived(
+        pending = self.host.request_received(
             client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
-            customer=customer, left=left, memory=call.memory, lanes=call.lanes,
+            customer=customer, time_left=left, memory=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.repeat, route=route,
-            load=load, moved=moved, prior_attempts=prior_attempts, waits=waits,
+            load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
         )  # fmt: skip
         if waits:
             self.directory.wait(pending)
@@ -181,7 +181,7 @@
             self.fleet_member.admission.count_restart()
         self.take(pending.client, call, pending.method, pending.customer, left, route, True, attempts)
 
-    def closed(self, pending: PendingRequest, how: str) -> None:
+    def request_closed(self, pending: PendingRequest, how: str) -> None:
         """How an RPC ended is evidence for or against its version; not where this edge may not send there
         now, as what ends badly then is no fault of the version. It is a figure of the fleet's, too."""
         waited = self.directory is not None and self.directory.waiting.leave(pending)
@@ -203,7 +203,7 @@
 
     # what the host asks (hosting.transport)
 
-    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+    def send_answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
         late = pending.deadline - self.clock() <= 0
         if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
@@ -212,25 +212,25 @@
             verdict, retry_after = ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
 
-    def stream(self, pending: PendingRequest) -> None:
+    def stream_started(self, pending: PendingRequest) -> None:
         pending.client.say(wire.Begun(pending.message.id))
 
     def barred(self, name: str) -> bool:
         return "@" in name and self.routing.barred(name, self.clock())
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         if self.barred(worker_call.pending.function.name):
-            return self.host.ended(worker_call.number, Outcome.NOT_SENT)
+            return self.host.attempt_finished(worker_call.number, Outcome.NOT_SENT)
         if self.fleet_member is not None and cost_before(worker_call.pending):
             self.fleet_member.admission.count_further_attempt()
         if self.directory is not None:
             self.directory.used(worker_call)
-        super().run(worker_call)
+        super().send_call(worker_call)
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         if task.function is not None and task.count and self.barred(task.function.name):
-            return self.host.ordered(task.number, Outcome.REJECTED, 0)
-        super().hold(task)
+            return self.host.preload_finished(task.number, Outcome.REJECTED, 0)
+        super().send_preload(task)
 
     def more(self, function: FunctionInfo) -> None:
         if self.directory is not None:
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -47,14 +47,14 @@
     """How what the host asked for ended, as the runner says."""
     match said:
         case wire.Ended():
-            host.ended(
+            host.attempt_finished(
                 said.call, OUTCOMES[said.outcome], said.body, WARMTH[said.warmth], said.company,
                 said.report or NO_REPORT,
             )  # fmt: skip
         case wire.Held():
-            host.ordered(said.order, OUTCOMES[said.outcome], said.count)
+            host.preload_finished(said.order, OUTCOMES[said.outcome], said.count)
         case wire.Probed():
-            host.probed(said.probe, Outcome.OK, said.report or NO_REPORT)
+            host.health_check_finished(said.probe, Outcome.OK, said.report or NO_REPORT)
 
 
 class RunnerSpeaker(Speaker):
@@ -149,11 +149,11 @@
 
     # what the host asks
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         worker_call.connection = self
         number, until = worker_call.number, worker_call.begin_by
         if not self.linking.send(Line(number, lambda: self.run_line(worker_call), until, work=worker_call)):
-            self.host.ended(worker_call.number, Outcome.REJECTED)
+            self.host.attempt_finished(worker_call.number, Outcome.REJECTED)
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
         return encoded(run_of(worker_call, self.edge.clock()))
@@ -169,12 +169,12 @@
             self.write(wire.encode(wire.Cancel(number)) + b"\n")
         return False
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         task.connection = self
         work = task if task.count else None
         line = Line(task.number, lambda: encoded(hold_of(task)), work=work)
         if not self.linking.send(line, prompt=task.count > 0):
-            self.host.ordered(task.number, Outcome.REJECTED, 0)
+            self.host.preload_finished(task.number, Outcome.REJECTED, 0)
 
     def unload(self, function: str) -> None:
         self.linking.send(Line(0, lambda: encoded(wire.Unload(function))))
@@ -182,7 +182,7 @@
     def probe(self, task: WorkerTask) -> None:
         task.connection = self
         if not self.linking.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
-            self.host.probed(task.number, Outcome.REJECTED, NO_REPORT)
+            self.host.health_check_finished(task.number, Outcome.REJECTED, NO_REPORT)
 
     # what the runner says
 
@@ -211,7 +211,7 @@
                 self.tell_if(self.linking.ended(message.call), message)
             case wire.RunBegun():
                 if message.call in self.linking.out:
-                    self.host.begun(message.call)
+                    self.host.attempt_started(message.call)
                 else:
                     self.host.unmatched_reply()
             case wire.Held():
@@ -283,15 +283,15 @@
 
     def never_left(self, numbers: list[int]) -> None:
         for number in numbers:
-            self.host.ended_without_reply(number, Outcome.UNREACHABLE)
+            self.host.finished_without_reply(number, Outcome.UNREACHABLE)
 
     def not_sent(self, numbers: list[int]) -> None:
         for number in numbers:
-            self.host.ended_without_reply(number, Outcome.NOT_SENT)
+            self.host.finished_without_reply(number, Outcome.NOT_SENT)
 
     def broke(self, numbers: list[int]) -> None:
         for number in numbers:
-            self.host.ended_without_reply(number, Outcome.RESET)
+            self.host.finished_without_reply(number, Outcome.RESET)
 
 
 def bounds_of(listen: Any) -> LineBounds:
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -52,7 +52,7 @@
         self.counts["looked up"] += bool(waiting)
         for pending in waiting:
             self.leave(pending)
-            self.edge.host.looked_up(pending)
+            self.edge.host.lookup_finished(pending)
 
     def failed(self, function: str, retry_after: int) -> None:
         """The function's prefix can't be had now."""
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -14,36 +14,36 @@
 
     def __init__(self, context: HostContext, events: EventQueue, slack: int) -> None:
         self.context, self.events, self.slack = context, events, slack
-        self.open = 0  # requests taken and not yet finally answered
+        self.open_requests = 0  # requests taken and not yet finally answered
         self.cancel_unsent: Callable[[PendingRequest], None] = lambda pending: None
 
     def take(self, pending: PendingRequest) -> None:
         """A request has come; the module is told of it by whoever calls this."""
-        self.open += 1
+        self.open_requests += 1
         self.context.counts[TAKEN] += 1
-        pending.guard = self.context.timers.at(pending.deadline + self.slack, self.overdue, pending)
+        pending.deadline_guard = self.context.timers.at(pending.deadline + self.slack, self.overdue, pending)
 
     def finish(self, pending: PendingRequest, verdict: str, retry_after: int = 0, body: Any = None) -> None:
         """Answer, unless an answer is out already."""
         if pending.final:
             return
         self.close(pending, verdict)
-        self.context.transport.answer(pending, verdict, retry_after, body)
+        self.context.transport.send_answer(pending, verdict, retry_after, body)
 
     def close(self, pending: PendingRequest, how: str) -> None:
         """The request is over; its attempts may still be under way."""
         pending.final = True
-        self.open -= 1
+        self.open_requests -= 1
         self.context.counts[how] += 1
-        self.context.transport.closed(pending, how)
-        if pending.guard is not None:
-            pending.guard.stop()
+        self.context.transport.request_closed(pending, how)
+        if pending.deadline_guard is not None:
+            pending.deadline_guard.stop()
         if pending.in_flight:
             self.cancel_unsent(pending)
         if not pending.in_flight:
             self.events.finished.append(pending)
 
-    def client_left(self, pending: PendingRequest) -> None:
+    def client_gone(self, pending: PendingRequest) -> None:
         """The client has gone; what a worker has of the request goes on to its own end."""
         if not pending.final:
             self.close(pending, LEFT)
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -78,7 +78,7 @@
         self.finished.clear()
         if self.stopwatch:
             self.module_seconds += self.stopwatch() - began
-        self.context.transport.wake()
+        self.context.transport.timers_changed()
 
     def deliver_one(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
         """Call one method of the module."""
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -65,20 +65,20 @@
         self.registry, self.timers = ObjectRegistry(max_functions), Timers()
         self.counts = dict.fromkeys(COUNTERS, 0)
         context = HostContext(transport, facts, clock, self.timers, self.counts)
-        self.events = EventQueue(context, self.aborted_by_fault)
+        self.events = EventQueue(context, self.abort_after_fault)
         self.answers = FinalAnswers(context, self.events, slack)
         self.calls = WorkerCalls(context, self.events, self.answers)
         self.answers.cancel_unsent = self.calls.cancel_unsent
-        self.orders = WorkerTasks(context, self.events)
+        self.worker_tasks = WorkerTasks(context, self.events)
         self.last_number = 0
-        self.departing: dict[str, None] = {}  # that the list names no more, and that the registry may have
-        self.unheard: set[str] = set()  # named as there by lists that the module may not have heard yet
+        self.removed: dict[str, None] = {}  # that the list names no more, and that the registry may have
+        self.undelivered: set[str] = set()  # named as there by lists that the module may not have heard yet
         self.module = self.events.module = make(self, facts, seed, clock())
 
     @property
-    def open(self) -> int:
+    def open_requests(self) -> int:
         """Requests taken and not yet finally answered."""
-        return self.answers.open
+        return self.answers.open_requests
 
     @property
     def worker_calls(self) -> dict[int, WorkerCall]:
@@ -88,7 +88,7 @@
     @property
     def tasks(self) -> dict[int, WorkerTask]:
         """Orders and probes under way, by number."""
-        return self.orders.open
+        return self.worker_tasks.open
 
     def batched(self) -> AbstractContextManager[None]:
         """As `EventQueue.batched`."""
@@ -98,11 +98,11 @@
         """Fire the timers that are due."""
         while (timer := self.timers.pop(self.clock())) is not None:
             timer.call(timer.arg)
-        self.transport.wake()
+        self.transport.timers_changed()
 
     # what the transport reports: requests
 
-    def arrived(
+    def request_received(
         self,
         *,
         client: Any,
@@ -111,7 +111,7 @@
         function_name: str,
         method: int,
         customer: int,
-        left: int,
+        time_left: int,
         memory: float = 0.0,
         lanes: int = 1,
         work: int | None = None,
@@ -120,30 +120,33 @@
         moved: bool = False,
         prior_attempts: int = 0,
         load: int | None = None,
-        came: int | None = None,
-        waits: bool = False,
+        arrived_at: int | None = None,
+        awaits_prefix: bool = False,
     ) -> PendingRequest:
-        """A request has come; `left` is how long its client still waits, `came` the earliest that it came.
-        One that `waits` for its function's prefix reaches the module by `looked_up`."""
+        """A request has come; `time_left` is how long its client still waits, `arrived_at` the earliest that
+        it came. One that `awaits_prefix` reaches the module by `lookup_finished`, once its function's prefix
+        is known."""
         now, function = self.clock(), self.registry.function(function_name, method, memory, lanes, load)
-        pending = PendingRequest(tag, function, method, customer, now + left, work, repeat, moved, came)
+        pending = PendingRequest(
+            tag, function, method, customer, now + time_left, work, repeat, moved, arrived_at
+        )
         pending.client, pending.message, pending.route = client, message, route
         pending.prior_attempts = prior_attempts
         self.answers.take(pending)
-        if waits:
-            pending.began, pending.came = now, now if came is None else came
+        if awaits_prefix:
+            pending.began, pending.came = now, now if arrived_at is None else arrived_at
         else:
             self.events.post(pending, "arrived", pending)
         return pending
 
-    def looked_up(self, pending: PendingRequest) -> None:
+    def lookup_finished(self, pending: PendingRequest) -> None:
         """The prefix of the request's function is known, and the module was told it."""
         if not pending.final:
             self.events.post(pending, "arrived", pending)
 
-    def client_left(self, pending: PendingRequest) -> None:
+    def client_gone(self, pending: PendingRequest) -> None:
         """The client has gone; what a worker has of the request goes on to its own end."""
-        self.answers.client_left(pending)
+        self.answers.client_gone(pending)
 
     def retract(self, pending: PendingRequest) -> None:
         """The host takes a request back that has not run, to have it placed anew under another function."""
@@ -153,41 +156,41 @@
         """Answer these at once: the program ends."""
         self.answers.abort_all(requests)
 
-    def aborted_by_fault(self, pending: PendingRequest) -> None:
+    def abort_after_fault(self, pending: PendingRequest) -> None:
         """The module raised over it."""
         self.answers.finish(pending, ABORTED)
 
     # what the transport reports: workers
 
-    def begun(self, number: int) -> None:
+    def attempt_started(self, number: int) -> None:
         """The answer to an attempt has begun to stream."""
-        self.calls.begun(number)
+        self.calls.started(number)
 
-    def ended(
+    def attempt_finished(
         self, number: int, outcome: Outcome, body: Any = None, warmth: LoadState = LoadState.UNKNOWN,
         company: int | None = None, report: Mapping[str, float] = NO_REPORT,
     ) -> None:  # fmt: skip
         """An attempt has ended."""
-        self.calls.ended(number, outcome, body, warmth, company, report)
+        self.calls.finished(number, outcome, body, warmth, company, report)
 
-    def ordered(self, number: int, outcome: Outcome, count: int) -> None:
+    def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
         """An order has ended, with `count` copies held."""
-        self.orders.ordered(number, outcome, count)
+        self.worker_tasks.preload_finished(number, outcome, count)
 
-    def probed(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
+    def health_check_finished(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
         """A probe has ended."""
-        self.orders.probed(number, outcome, report)
+        self.worker_tasks.health_check_finished(number, outcome, report)
 
-    def task_ended(self, number: int, outcome: Outcome) -> None:
+    def task_finished_without_reply(self, number: int, outcome: Outcome) -> None:
         """An order or a probe has ended without a reply from the worker."""
-        self.orders.ended(number, outcome)
+        self.worker_tasks.finished_without_reply(number, outcome)
 
-    def ended_without_reply(self, number: int, outcome: Outcome) -> None:
+    def finished_without_reply(self, number: int, outcome: Outcome) -> None:
         """An attempt, an order or a probe has ended without a reply from the worker."""
         if number in self.calls.open:
-            self.calls.ended(number, outcome)
+            self.calls.finished(number, outcome)
         else:
-            self.orders.ended(number, outcome)
+            self.worker_tasks.finished_without_reply(number, outcome)
 
     def unmatched_reply(self) -> None:
         """A worker has answered what is not under way."""
@@ -195,19 +198,19 @@
 
     # what the transport reports: the list of workers and other dispatchers
 
-    def listed(self, entries: Sequence[WorkerInfo], whole: bool) -> None:
+    def endpoints_received(self, entries: Sequence[WorkerInfo], whole: bool) -> None:
         """Entries of the list of workers; `whole` if it names them all."""
         if not self.events.lists:
-            self.unheard.clear()
-        self.unheard.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
+            self.undelivered.clear()
+        self.undelivered.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
         self.events.post_list([(self.registry.worker(e.name), e) for e in entries], whole)
         if whole:
-            self.departing = dict.fromkeys(self.registry.workers)
-        self.departing.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
-        if self.departing:
-            self.drop_departed()
+            self.removed = dict.fromkeys(self.registry.workers)
+        self.removed.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
+        if self.removed:
+            self.forget_removed_workers()
 
-    def drop_departed(self) -> None:
+    def forget_removed_workers(self) -> None:
         """Without this a long life keeps every worker that ever served. One that is back, of which the module
         has not heard yet, still counts as gone there and stays. So does one that was sent something within
         the window of its slow start: back in it, it would be sent as much once more (rule 4)."""
@@ -215,22 +218,22 @@
         workers = self.registry.workers
         left = [
             workers[name]
-            for name in self.departing
+            for name in self.removed
             if name in workers and workers[name].listing is EndpointState.REMOVED
         ]
         since = self.clock() - self.facts["fall_time"]
         stay = {
             worker.name: None
             for worker in left
-            if worker.out or worker in held or worker.name in self.unheard or worker.sent_since(since)
+            if worker.out or worker in held or worker.name in self.undelivered or worker.sent_since(since)
         }
         for worker in left:
             if worker.name not in stay:
                 del workers[worker.name]
         if not self.events.busy:  # else the module may not have heard yet that they are gone
-            self.departing = stay
+            self.removed = stay
 
-    def ranked(self, function: Function, names: Sequence[str]) -> None:
+    def prefix_received(self, function: Function, names: Sequence[str]) -> None:
         """The first workers of a function's order; each was listed before."""
         self.events.post(None, "ranked", function, [self.registry.worker(name) for name in names])
 
@@ -238,11 +241,11 @@
         """The list of workers could not be read."""
         self.events.post(None, "list_failed")
 
-    def told(self, peer: int, text: str) -> None:
+    def gossip_received(self, peer: int, text: str) -> None:
         """Another dispatcher has sent text."""
         self.events.post(None, "told", peer, text)
 
-    def vouched(self, worker: Worker, at: int) -> None:
+    def peer_verdict_received(self, worker: Worker, at: int) -> None:
         """Another dispatcher has had an answer from a worker, at that time."""
         self.events.post(None, "vouched", worker, at)
 
@@ -258,7 +261,7 @@
         self.calls.send(self.next_number(), attempt, time_out)
 
     def deny(self, request: RequestInfo, retry_after: int) -> None:
-        """Answer that it did not run; `come_back` as in `Transport.answer`."""
+        """Answer that it did not run; `retry_after` as in `Transport.answer`."""
         assert isinstance(request, PendingRequest)
         self.answers.finish(request, DENIED, retry_after)
 
@@ -274,12 +277,12 @@
     def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
         """Have a worker hold copies."""
         assert isinstance(worker, Worker) and isinstance(function, Function)
-        self.orders.order(self.next_number(), worker, function, count)
+        self.worker_tasks.preload(self.next_number(), worker, function, count)
 
     def probe(self, worker: WorkerInfo) -> None:
         """Ask a worker for its report."""
         assert isinstance(worker, Worker)
-        self.orders.probe(self.next_number(), worker)
+        self.worker_tasks.health_check(self.next_number(), worker)
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         """Have a worker drop a function."""
@@ -291,10 +294,10 @@
             self.transport.tell_peer(peer, text[:PEER_TEXT])
 
     def wake_me(self, delay: int, token: object) -> None:
-        """Give the token back after so long, as `woken`."""
-        self.timers.at(self.clock() + max(1, delay), self.woken, token)
+        """Give the token back after so long, by its `woken`."""
+        self.timers.at(self.clock() + max(1, delay), self.timer_due, token)
 
-    def woken(self, token: object) -> None:
+    def timer_due(self, token: object) -> None:
         """A wake-up that the module asked for is due."""
         self.events.post(token if isinstance(token, PendingRequest) else None, "woken", token)
 
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -30,16 +30,16 @@
     message: Any = None  # the transport's own: what the client sent
     client: Any = None  # the transport's own: the connection that the answer goes to
     final: bool = False  # answered, or the client has left
-    stream: "WorkerCall | None" = None  # the attempt whose answer has begun to stream
-    guard: Timer | None = None  # due shortly after the deadline
+    streaming: "WorkerCall | None" = None  # the attempt whose answer has begun to stream
+    deadline_guard: Timer | None = None  # due shortly after the deadline
     in_flight: int = 0  # attempts under way
     route: Any = None  # the transport's own: which version of the function it goes to
     prior_attempts: int = 0  # made under another version; they count towards the limit
-    unsent: int = 0  # own attempts that the host did not send
+    unsent_attempts: int = 0  # own attempts that the host did not send
 
     def attempt_count(self) -> int:
         """Attempts that count towards the limit, under whichever version."""
-        return self.prior_attempts + len(self.attempts) - self.unsent
+        return self.prior_attempts + len(self.attempts) - self.unsent_attempts
 
 
 @dataclass(eq=False)
@@ -50,7 +50,7 @@
     attempt: Attempt
     pending: PendingRequest
     worker: Worker
-    sent: int
+    sent_at: int
     time_out: int  # a span
     begin_by: int | None = None  # not to be written to the connection later than this
     timer: Timer | None = None
@@ -59,17 +59,17 @@
     @property
     def ends_by(self) -> int:
         """When its time is up, however late it is written."""
-        return self.sent + self.time_out
+        return self.sent_at + self.time_out
 
 
 @dataclass(eq=False)
 class WorkerTask:
-    """An order to hold copies of a function, or a probe (`fn` is None), under way at a worker."""
+    """An order to hold copies of a function, or a probe (`function` is None), under way at a worker."""
 
     number: int
     worker: Worker
     function: Function | None
     count: int  # copies to hold
-    sent: int
+    sent_at: int
     timer: Timer | None = None
     connection: Any = None  # the transport's own: which connection carries it
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -16,13 +16,13 @@
         self.context, self.events = context, events
         self.open: dict[int, WorkerTask] = {}
 
-    def order(self, number: int, worker: Worker, function: Function, count: int) -> None:
+    def preload(self, number: int, worker: Worker, function: Function, count: int) -> None:
         """Have a worker hold `count` copies of a function."""
         task = WorkerTask(number, worker, function, count, self.context.clock())
         self.track(task, self.context.facts["order_time_out"])
-        self.context.transport.hold(task)
+        self.context.transport.send_preload(task)
 
-    def probe(self, number: int, worker: Worker) -> None:
+    def health_check(self, number: int, worker: Worker) -> None:
         """Ask a worker for its report."""
         task = WorkerTask(number, worker, None, 0, self.context.clock())
         self.track(task, self.context.facts["dial_time_out"])
@@ -31,9 +31,9 @@
     def track(self, task: WorkerTask, time_out: int) -> None:
         """Keep a task until it has ended, for `time_out` at the longest."""
         self.open[task.number] = task
-        task.timer = self.context.timers.at(task.sent + max(1, time_out), self.timed_out, task)
+        task.timer = self.context.timers.at(task.sent_at + max(1, time_out), self.timed_out, task)
 
-    def ordered(self, number: int, outcome: Outcome, count: int) -> None:
+    def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
         """An order has ended, with `count` copies held. One that is not under way is only counted."""
         task = self.open.pop(number, None)
         if task is None or task.function is None:
@@ -41,10 +41,10 @@
             return
         if task.timer is not None:
             task.timer.stop()
-        took = self.context.clock() - task.sent
+        took = self.context.clock() - task.sent_at
         self.events.post(None, "ordered", task.worker, task.function, outcome, count, took)
 
-    def probed(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
+    def health_check_finished(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
         """A probe has ended. One that is not under way is only counted."""
         task = self.open.pop(number, None)
         if task is None or task.function is not None:
@@ -52,18 +52,18 @@
             return
         if task.timer is not None:
             task.timer.stop()
-        self.events.post(None, "probed", task.worker, outcome, self.context.clock() - task.sent, report)
+        self.events.post(None, "probed", task.worker, outcome, self.context.clock() - task.sent_at, report)
 
     def timed_out(self, task: WorkerTask) -> None:
         """No reply in time. What still waited for a connection never left."""
         if task.number in self.open:
             unsent = self.context.transport.withdraw(task, False)
-            self.ended(task.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
+            self.finished_without_reply(task.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
 
-    def ended(self, number: int, outcome: Outcome) -> None:
+    def finished_without_reply(self, number: int, outcome: Outcome) -> None:
         """An order or a probe has ended without a reply from the worker."""
         task = self.open.get(number)
         if task is not None and task.function is not None:
-            self.ordered(number, outcome, 0)
+            self.preload_finished(number, outcome, 0)
         elif task is not None:
-            self.probed(number, outcome, NO_REPORT)
+            self.health_check_finished(number, outcome, NO_REPORT)
--- a/lapistrestle/hosting/transport.py
+++ b/lapistrestle/hosting/transport.py
@@ -10,16 +10,16 @@
     """Implemented by each protocol's front end. No method may raise, nor call the host back within the call
     other than to end the attempt or task that it was given."""
 
-    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
-        """Write the final answer; `come_back` is how long the client is asked to wait before it retries."""
+    def send_answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+        """Write the final answer; `retry_after` is how long the client is asked to wait before it retries."""
 
-    def closed(self, pending: PendingRequest, how: str) -> None:
+    def request_closed(self, pending: PendingRequest, how: str) -> None:
         """The request is over: answered, left or moved."""
 
-    def stream(self, pending: PendingRequest) -> None:
+    def stream_started(self, pending: PendingRequest) -> None:
         """The answer has begun to stream."""
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         """Send an attempt to its worker."""
 
     def cancel_unsent(self, worker_call: WorkerCall) -> bool:
@@ -28,8 +28,8 @@
     def withdraw(self, task: WorkerCall | WorkerTask, tell: bool) -> bool:
         """Wait for it no more, and with `tell` have the worker cancel it. True if it never left."""
 
-    def hold(self, task: WorkerTask) -> None:
-        """Send an order to hold `task.count` copies of `task.fn`."""
+    def send_preload(self, task: WorkerTask) -> None:
+        """Send an order to hold `task.count` copies of `task.function`."""
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         """Have a worker drop a function; nothing is waited for."""
@@ -46,7 +46,7 @@
     def more(self, function: FunctionInfo) -> None:
         """Ask for a longer prefix of the function's order than is known."""
 
-    def wake(self) -> None:
+    def timers_changed(self) -> None:
         """The next timer may have changed."""
 
     def log(self, what: str, **figures: Any) -> None:
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -11,7 +11,7 @@
 
 
 class WorkerCalls:
-    """Bookkeeping of attempts, by number and by the module's call-out. Numbers are shared with tasks."""
+    """Bookkeeping of attempts, by number and by the module's attempt. Numbers are shared with tasks."""
 
     def __init__(self, context: HostContext, events: EventQueue, answers: FinalAnswers) -> None:
         self.context, self.events, self.answers = context, events, answers
@@ -33,15 +33,15 @@
         if not allowed:
             tries, out = len(pending.attempts), pending.in_flight
             self.context.transport.log("not sent", request=pending.tag, tries=tries, out=out)
-            return self.ended(number, Outcome.NOT_SENT)
+            return self.finished(number, Outcome.NOT_SENT)
         if within <= 0:
-            return self.ended(number, Outcome.NOT_SENT)
+            return self.finished(number, Outcome.NOT_SENT)
         worker_call.timer = self.context.timers.at(now + within, self.timed_out, worker_call)
-        self.context.transport.run(worker_call)
+        self.context.transport.send_call(worker_call)
 
     def allowed(self, pending: PendingRequest) -> bool:
-        """Whether one more attempt may be sent; it is listed among the request's call-outs already."""
-        if pending.final or pending.stream:
+        """Whether one more attempt may be sent; it is listed among the request's attempts already."""
+        if pending.final or pending.streaming:
             return False
         parallel = self.context.facts["may_parallel"] or not pending.in_flight
         return bool(parallel and pending.attempt_count() <= self.context.facts["try_limit"])
@@ -53,23 +53,27 @@
         repeat = pending.ran_on is not None and method["kind"] == "tokened"
         return pending.ran_at + method["repeat_window"] if repeat else None
 
-    def begun(self, number: int) -> None:
+    def started(self, number: int) -> None:
         """The worker's answer has begun to stream. From then on the request has no deadline."""
         worker_call = self.open.get(number)
         if worker_call is None:
             self.context.counts[UNMATCHED] += 1
             return
         pending = worker_call.pending
-        if not self.context.facts["methods"][pending.method]["streamed"] or pending.final or pending.stream:
+        if (
+            not self.context.facts["methods"][pending.method]["streamed"]
+            or pending.final
+            or pending.streaming
+        ):
             return
-        pending.stream = worker_call
-        for timer in (worker_call.timer, pending.guard):
+        pending.streaming = worker_call
+        for timer in (worker_call.timer, pending.deadline_guard):
             if timer is not None:
                 timer.stop()
-        self.context.transport.stream(pending)
+        self.context.transport.stream_started(pending)
         self.events.post(pending, "begun", worker_call.attempt)
 
-    def ended(
+    def finished(
         self,
         number: int,
         outcome: Outcome,
@@ -86,14 +90,14 @@
         pending, now = worker_call.pending, self.context.clock()
         del self.by_attempt[worker_call.attempt]
         pending.in_flight -= 1
-        pending.unsent += outcome is Outcome.NOT_SENT
+        pending.unsent_attempts += outcome is Outcome.NOT_SENT
         if worker_call.timer is not None:
             worker_call.timer.stop()
-        if outcome is Outcome.OK and not pending.final and pending.stream in (None, worker_call):
+        if outcome is Outcome.OK and not pending.final and pending.streaming in (None, worker_call):
             self.answers.finish(pending, OK, body=body)
-        elif pending.stream is worker_call and not pending.final:
+        elif pending.streaming is worker_call and not pending.final:
             self.answers.finish(pending, ABORTED)  # a break in a begun stream ends it
-        answer = Answer(max(0, now - worker_call.sent), pending.final, warmth, company, report)
+        answer = Answer(max(0, now - worker_call.sent_at), pending.final, warmth, company, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
         self.events.post(pending, "ended", worker_call.attempt, outcome, answer)
@@ -102,14 +106,14 @@
         """No answer in time. What still waited for a connection never left, so it has not run."""
         if worker_call.number in self.open:
             unsent = self.context.transport.withdraw(worker_call, self.context.facts["may_cancel"])
-            self.ended(worker_call.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
+            self.finished(worker_call.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
 
     def cancel(self, attempt: Attempt) -> None:
         """The module wants no more of this attempt."""
         worker_call = self.by_attempt.get(attempt)
         if worker_call is not None and self.context.facts["may_cancel"]:
             unsent = self.context.transport.withdraw(worker_call, True)
-            self.ended(worker_call.number, Outcome.NOT_SENT if unsent else Outcome.CANCELLED)
+            self.finished(worker_call.number, Outcome.NOT_SENT if unsent else Outcome.CANCELLED)
 
     def cancel_unsent(self, pending: PendingRequest) -> None:
         """What waits for a connection when its request ends is never sent: guards a worker against work that
@@ -117,4 +121,4 @@
         for attempt in list(pending.attempts):
             worker_call = self.by_attempt.get(attempt)
             if worker_call is not None and self.context.transport.cancel_unsent(worker_call):
-                self.ended(worker_call.number, Outcome.NOT_SENT)
+                self.finished(worker_call.number, Outcome.NOT_SENT)
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -109,10 +109,10 @@
         self.put(">", said)
         self.later(self.way, self.back, said)
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         self.send(worker_call, run_of(worker_call, self.edge.clock()))
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         self.send(task, hold_of(task))
 
     def probe(self, task: WorkerTask) -> None:
@@ -159,7 +159,7 @@
 
     def end(self, number: int, outcome: Outcome) -> None:
         if self.out.pop(number, None) is not None:
-            self.edge.host.ended_without_reply(number, outcome)
+            self.edge.host.finished_without_reply(number, outcome)
 
     def say(self, message: Any) -> None:
         self.put(">", message)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -59,7 +59,7 @@
         me = self.facts["me"]
         for number, handle in enumerate(self.world.edges):
             if number != me and peer in (None, number):
-                told: Any = handle.edge.host.told  # type: ignore[attr-defined]
+                told: Any = handle.edge.host.gossip_received  # type: ignore[attr-defined]
                 self.reactor.callLater(self.world.ways.between, told, me, text)
 
     def address(self, name: str, address: Any, start: str = "") -> None:
--- a/lapistrestle/node/client.py
+++ b/lapistrestle/node/client.py
@@ -115,7 +115,7 @@
         """Drop an open request whose number came again: no answer could be told from the other's."""
         pending = self.requests.pop(number, None)
         if pending is not None:
-            self.front.core.host.client_left(pending)
+            self.front.core.host.client_gone(pending)
 
     def bound(self) -> None:
         """Keep within bounds what is held for this client."""
@@ -229,7 +229,7 @@
         self.reader.ended(number)
         self.send(records.end_record(number))
         if pending is not None:
-            self.front.core.host.client_left(pending)
+            self.front.core.host.client_gone(pending)
             self.rested()
         self.part()
 
@@ -271,4 +271,4 @@
         self.front.parting.pop(self, None)
         requests, self.requests = list(self.requests.values()), {}
         for pending in requests:
-            self.front.core.host.client_left(pending)
+            self.front.core.host.client_gone(pending)
--- a/lapistrestle/node/connection.py
+++ b/lapistrestle/node/connection.py
@@ -111,7 +111,7 @@
         loads is nothing that the module should believe of what follows, and nobody waits for it."""
         for number in [number for number in self.rids if number in self.core.host.tasks]:
             self.withdraw(number, False)
-            self.core.host.task_ended(number, Outcome.NOT_SENT)
+            self.core.host.task_finished_without_reply(number, Outcome.NOT_SENT)
 
     # what comes
 
@@ -169,7 +169,7 @@
         if outcome is Outcome.NOT_SENT:  # the runner had it, so it counts as a try
             self.core.host.worker_calls[number].pending.prior_attempts += 1
         self.end(number)
-        self.core.host.ended(number, outcome, body, company=company, report=report)
+        self.core.host.attempt_finished(number, outcome, body, company=company, report=report)
         return True
 
     def task_ended(self, number: int, reply: Reply, attrs: Attrs) -> bool:
@@ -177,11 +177,11 @@
         if reply.verb in PROBES:
             report = report_of(attrs.use, self.pools.report_names)
             self.end(number)
-            self.core.host.probed(number, PROBES[reply.verb], report)
+            self.core.host.health_check_finished(number, PROBES[reply.verb], report)
         elif reply.verb in ORDERS:
             count = int(attrs.slots_up)
             self.end(number)
-            self.core.host.ordered(number, ORDERS[reply.verb], count)
+            self.core.host.preload_finished(number, ORDERS[reply.verb], count)
         else:
             return False
         return True
@@ -261,4 +261,4 @@
     def lose(self, number: int, outcome: Outcome) -> None:
         """End an attempt or a task without a reply."""
         self.forget(number)
-        self.core.host.ended_without_reply(number, outcome)
+        self.core.host.finished_without_reply(number, outcome)
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -253,25 +253,25 @@
             raise Unfit(409, "X-Call-Id is in use")
         left = int(call.patience * 10) - MARGIN - connection.unread
         refused = self.core.stopping or connection.phase >= Phase.REFUSING
-        if refused or left <= 0 or self.core.host.open >= self.most_open or not self.ready():
+        if refused or left <= 0 or self.core.host.open_requests >= self.most_open or not self.ready():
             self.core.counts["turned away"] += 1
             return connection.reply(request.number, 503)
         self.idle.pop(connection, None)
-        pending = self.core.host.arrived(
+        pending = self.core.host.request_received(
             client=connection,
             message=RunRequest.of(call, request),
             tag=tag,
             function_name=call.function.decode(),
             method=call.method.number,
             customer=call.customer,
-            left=left,
+            time_left=left,
             memory=call.memory,
             lanes=call.lanes,
             repeat=call.repeat,
             work=None if call.work is None else max(1, int(call.work * 10)),
             load=None if call.load is None else int(call.load * 10),
             moved=self.taken_before(tag),
-            came=self.core.earliest_arrival(),
+            arrived_at=self.core.earliest_arrival(),
         )
         if not pending.final:
             connection.requests[request.number] = pending
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -72,7 +72,7 @@
         if self.leaving:
             return
         self.leaving = self.front.leaving = True
-        self.core.log("leaving", open=self.core.host.open)
+        self.core.log("leaving", open=self.core.host.open_requests)
         longest = max(method["deadline"] for method in self.core.facts["methods"])
         last = min(longest, COUNTED) + KILLED - SPARE
         self.core.after(min(LINGER, last), self.core.stop, stopped)
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -96,13 +96,13 @@
 
     # what the host asks
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         """Send an attempt."""
         pending, asked = worker_call.pending, worker_call.pending.message
         connection = worker_call.connection = self.pick(asked.used)
         line = Line(worker_call.number, lambda: self.run_line(worker_call), worker_call.begin_by, worker_call)
         if connection is None or not connection.send(pending.tag, line):
-            return self.core.host.ended(worker_call.number, Outcome.REJECTED)
+            return self.core.host.attempt_finished(worker_call.number, Outcome.REJECTED)
         asked.used.append(connection)
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
@@ -112,7 +112,7 @@
             asked.id, asked.head, max(1, left // TENTHS_IN_MS), asked.key, b64encode(asked.body),
         )  # fmt: skip
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         """Send an order to hold copies."""
         assert task.function is not None
         attrs = b'{"path":"%s","slots_up":%d}' % (task.function.name.encode(), task.count)
@@ -129,7 +129,7 @@
         line = b'{"verb":"%s","rid":"%s"%s}\n' % (verb, tag.encode(), attrs)
         work = task if task.count else None  # asking, and probing, begins nothing
         if connection is None or not connection.send(tag, Line(task.number, lambda: line, work=work), prompt):
-            self.core.host.task_ended(task.number, Outcome.REJECTED)
+            self.core.host.task_finished_without_reply(task.number, Outcome.REJECTED)
 
     def unload(self, function: str) -> None:
         """Have it drop a function; no reply is awaited."""
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -35,7 +35,7 @@
             answer(pending, verdict, retry_after, body)
             answer(pending, verdict, retry_after, body)
 
-        wrap(edge, "answer", twice)
+        wrap(edge, "send_answer", twice)
 
     rules, says = caught(change, day(length="4 s"))
     assert rules == {"1"} and "2 final answers" in says
@@ -47,7 +47,7 @@
             if not pending.tag.endswith("7.1"):
                 answer(pending, *rest)
 
-        wrap(edge, "answer", some)
+        wrap(edge, "send_answer", some)
 
     rules, says = caught(change, day(length="4 s"))
     assert rules == {"1"} and "never answered" in says
@@ -59,7 +59,7 @@
             delay = pending.deadline + 500 - edge.clock() if pending.tag.endswith("7.1") else 0
             edge.after(max(0, delay), lambda _: answer(pending, *rest), None)
 
-        wrap(edge, "answer", later)
+        wrap(edge, "send_answer", later)
 
     rules, says = caught(change, day(length="4 s", traffic={"rate": 60, "patience": [1, 1]}))
     assert "1" in rules and "late" in says
@@ -77,7 +77,7 @@
                 line = wire.encode(run) + b"\n"
                 edge.after(500, lambda _: edge.runners[attempt.worker.name].write(line), None)
 
-        wrap(edge, "answer", again)
+        wrap(edge, "send_answer", again)
 
     rules, says = caught(change, day("slots", length="4 s"))
     assert "1" in rules and "sent out after its end" in says
@@ -88,7 +88,7 @@
         def deny(answer, pending, verdict, *rest):
             answer(pending, DENIED if verdict == ABORTED else verdict, *rest)
 
-        wrap(edge, "answer", deny)
+        wrap(edge, "send_answer", deny)
 
     rules, says = caught(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
     assert rules == {"2"} and "denied though it may have run" in says
@@ -111,7 +111,7 @@
             for other in others[:1]:
                 other.write(wire.encode(message) + b"\n")
 
-        wrap(edge, "run", both)
+        wrap(edge, "send_call", both)
 
     rules, says = caught(change, day("slots", length="4 s"))
     assert "2" in rules and "two call-outs at once" in says
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -158,7 +158,7 @@
         client.drop("gone")
     still(stage, 0.3)
     stage.hand.quiet()
-    assert stage.runs() == [] and stage.host.counts["left"] == 1 and stage.host.open == 0
+    assert stage.runs() == [] and stage.host.counts["left"] == 1 and stage.host.open_requests == 0
 
 
 def test_no_further_attempt_begins_for_a_client_that_left_during_a_standstill(stages):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -26,8 +26,8 @@
     assert edges
     for edge in edges:
         host = edge.edge.host
-        assert (host.open, host.worker_calls) == (0, {}), edge.name
-        late = [e for e in host.tasks.values() if host.clock() - e.sent > host.facts["order_time_out"]]
+        assert (host.open_requests, host.worker_calls) == (0, {}), edge.name
+        late = [e for e in host.tasks.values() if host.clock() - e.sent_at > host.facts["order_time_out"]]
         assert not late, edge.name  # holds go on in a quiet fleet, but each ends in its time
 
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -113,7 +113,7 @@
         return [(peer, run) for peers in self.runners.values() for peer in peers for run in peer.heard("run")]
 
     def clean(self):
-        return (self.edge.host.open, self.edge.host.worker_calls) == (0, {})
+        return (self.edge.host.open_requests, self.edge.host.worker_calls) == (0, {})
 
 
 CALL = {"is": "call", "fn": "f", "method": "preview", "left": 2000, "customer": "news", "memory": 100}
@@ -201,7 +201,7 @@
     client.transport.loseConnection()
     stage.run()
     ((peer, run),) = stage.runs()
-    assert stage.edge.host.open == 0
+    assert stage.edge.host.open_requests == 0
     end(peer, run)
     stage.run()
     assert stage.clean() and stage.edge.host.counts["left"] == 1
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -150,7 +150,7 @@
         stage.call(client, id=str(number))
     stage.answer_watch()
     assert len(stage.watches()) == 1 and not stage.edge.directory.waiting
-    assert stage.edge.host.open == 20
+    assert stage.edge.host.open_requests == 20
     stage.call(client, id="again")
     assert len(stage.watches()) == 1
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -67,7 +67,7 @@
             if run["rpc"] == f"c1/{name}" and not peer.closed:
                 end(peer, run)
     assert [a["id"] for a in client.heard("answer")] == [name]
-    stage.run(90_000.0 if stage.edge.host.open else 5.0)
+    stage.run(90_000.0 if stage.edge.host.open_requests else 5.0)
     assert stage.clean()
     assert not [figures for what, figures in stage.logs if what == "module raised"]
 
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -48,25 +48,25 @@
 def hosting(clock):
     settings = {**SETTINGS, "limits": {"try-limit": 3, "cancel": True}}
     made = ModuleHost(Recorder(), words.facts(settings), 7, clock, slack=50)
-    made.listed([WorkerInfo(f"w{i}") for i in range(3)], whole=True)
+    made.endpoints_received([WorkerInfo(f"w{i}") for i in range(3)], whole=True)
     return made
 
 
 def ask(hosting, method=0, left=30_000, function="f"):
-    return hosting.arrived(
+    return hosting.request_received(
         client=None,
         message=None,
         tag="c1/r",
         function_name=function,
         method=method,
         customer=0,
-        left=left,
+        time_left=left,
         memory=100.0,
     )
 
 
 def answers(hosting):
-    return [(pending.tag, verdict) for pending, verdict, *_ in hosting.transport.of("answer")]
+    return [(pending.tag, verdict) for pending, verdict, *_ in hosting.transport.of("send_answer")]
 
 
 def out(hosting):
@@ -76,28 +76,28 @@
 def test_an_answer_is_final_once(hosting):
     pending = ask(hosting)
     (number,) = out(hosting)
-    hosting.ended(number, Outcome.OK, "body")
-    hosting.ended(number, Outcome.ERROR)
-    hosting.client_left(pending)
+    hosting.attempt_finished(number, Outcome.OK, "body")
+    hosting.attempt_finished(number, Outcome.ERROR)
+    hosting.client_gone(pending)
     assert answers(hosting) == [("c1/r", "ok")]
-    assert (hosting.open, hosting.counts["stray"], hosting.worker_calls) == (0, 1, {})
+    assert (hosting.open_requests, hosting.counts["stray"], hosting.worker_calls) == (0, 1, {})
 
 
 @pytest.mark.parametrize("method", [0, 1, 2])
 def test_a_runner_that_answers_what_was_never_asked_is_passed_over(hosting, method):
     ask(hosting, method)
-    hosting.ended(999, Outcome.OK)
-    hosting.begun(999)
-    hosting.ordered(999, Outcome.OK, 1)
-    hosting.probed(999, Outcome.OK, {})
-    assert hosting.counts["stray"] == 4 and answers(hosting) == [] and hosting.open == 1
+    hosting.attempt_finished(999, Outcome.OK)
+    hosting.attempt_started(999)
+    hosting.preload_finished(999, Outcome.OK, 1)
+    hosting.health_check_finished(999, Outcome.OK, {})
+    assert hosting.counts["stray"] == 4 and answers(hosting) == [] and hosting.open_requests == 1
 
 
 def test_nothing_follows_once_the_client_has_left(hosting):
     pending = ask(hosting)
     (number,) = out(hosting)
-    hosting.client_left(pending)
-    hosting.ended(number, Outcome.ERROR)
+    hosting.client_gone(pending)
+    hosting.attempt_finished(number, Outcome.ERROR)
     assert answers(hosting) == [] and out(hosting) == [] and hosting.counts["left"] == 1
 
 
@@ -143,7 +143,7 @@
 def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock):
     """As it was: the log line showed a worker whose sums were not set up yet, and that raised in turn."""
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=BrokenAtList)
-    hosting.listed([WorkerInfo(f"w{i}") for i in range(9)], whole=True)
+    hosting.endpoints_received([WorkerInfo(f"w{i}") for i in range(9)], whole=True)
     assert hosting.counts["faults"] == 1
     assert [act[0] for act in hosting.transport.of("log")] == ["module raised"]
     ask(hosting)
@@ -164,17 +164,17 @@
 @pytest.mark.parametrize("at", ["arrived", "learn"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=Broken)
-    hosting.listed([WorkerInfo("w")], whole=True)
+    hosting.endpoints_received([WorkerInfo("w")], whole=True)
     hosting.module.at = at
     ask(hosting)
     for number in out(hosting):
-        hosting.ended(number, Outcome.ERROR)
+        hosting.attempt_finished(number, Outcome.ERROR)
     assert answers(hosting) == [("c1/r", "aborted")]
     assert hosting.counts["faults"] == 1 and hosting.transport.of("log")
     hosting.module.at = ""
     ask(hosting)
     for number in out(hosting):
-        hosting.ended(number, Outcome.OK)
+        hosting.attempt_finished(number, Outcome.OK)
     assert answers(hosting)[-1] == ("c1/r", "ok")
 
 
@@ -199,50 +199,50 @@
     pending.attempts.append(second)
     pending.function.replica(second.worker).begin(second)
     hosting.send_attempt(second, 100)
-    assert len(hosting.transport.of("run")) == 1 and len(hosting.worker_calls) == 1
+    assert len(hosting.transport.of("send_call")) == 1 and len(hosting.worker_calls) == 1
     assert second.outcome is Outcome.NOT_SENT
 
 
 def test_tries_under_another_version_count_too(hosting):
     for before, sent in ((1, 2), (3, 0)):
         hosting.transport.acts.clear()
-        hosting.arrived(
+        hosting.request_received(
             client=None,
             message=None,
             tag="c1/r",
             function_name="f",
             method=0,
             customer=0,
-            left=30_000,
+            time_left=30_000,
             moved=True,
             prior_attempts=before,
         )
         while hosting.worker_calls:
-            hosting.ended(out(hosting)[0], Outcome.ERROR)
-        assert len(hosting.transport.of("run")) == sent and answers(hosting)[-1][1] == "denied"
+            hosting.attempt_finished(out(hosting)[0], Outcome.ERROR)
+        assert len(hosting.transport.of("send_call")) == sent and answers(hosting)[-1][1] == "denied"
 
 
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it(clock):
     settings = {**SETTINGS, "profiles": [{**SETTINGS["profiles"][0], "streamed": True}]}
     hosting = ModuleHost(Recorder(), words.facts(settings), 7, clock)
-    hosting.listed([WorkerInfo("w")], whole=True)
+    hosting.endpoints_received([WorkerInfo("w")], whole=True)
     ask(hosting)
     (number,) = out(hosting)
-    hosting.begun(number)
+    hosting.attempt_started(number)
     clock.now += 100_000
     hosting.fire_timers()
-    assert answers(hosting) == [] and len(hosting.transport.of("stream")) == 1
-    hosting.ended(number, Outcome.RESET)
+    assert answers(hosting) == [] and len(hosting.transport.of("stream_started")) == 1
+    hosting.attempt_finished(number, Outcome.RESET)
     assert answers(hosting) == [("c1/r", "aborted")]
 
 
 def test_an_order_without_word_ends_in_its_time(clock):
     info = {**SETTINGS["family-info"], "answer-within": 2_000_000}
     hosting = ModuleHost(Recorder(), words.facts({**SETTINGS, "family-info": info}), 7, clock)
-    hosting.listed([WorkerInfo("w")], whole=True)
+    hosting.endpoints_received([WorkerInfo("w")], whole=True)
     ask(hosting)
     (number,) = out(hosting)
-    hosting.ended(number, Outcome.NOT_LOADED)
+    hosting.attempt_finished(number, Outcome.NOT_LOADED)
     assert len(hosting.tasks) == 1
     clock.now += 20_000
     hosting.fire_timers()
@@ -262,7 +262,7 @@
     for _ in range(2_000):
         ask(hosting, function="g")
         for number in out(hosting):
-            hosting.ended(number, Outcome.OK)
+            hosting.attempt_finished(number, Outcome.OK)
     hosting.timers.next()
     hosting.clock.now += 31_000
     hosting.fire_timers()
@@ -287,10 +287,10 @@
     dropped by name, and what named it next met another object that the module had never heard of."""
     gone, back = WorkerInfo("w1", listing=EndpointState.REMOVED), WorkerInfo("w1", booted=7)
     with hosting.batched():
-        hosting.listed([gone], whole=False)
+        hosting.endpoints_received([gone], whole=False)
     with hosting.batched():
-        hosting.listed([back], whole=False)
-        hosting.ranked(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
+        hosting.endpoints_received([back], whole=False)
+        hosting.prefix_received(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
     (worker,) = (s for s in hosting.module.workers if s.name == "w1")
     assert worker is hosting.registry.worker("w1") and worker.listing is EndpointState.SERVING
     assert hosting.registry.functions["f"].prefix == [worker]
@@ -299,11 +299,11 @@
 
 
 def test_one_that_is_back_is_kept_also_where_a_second_list_follows_in_the_same_poll(hosting):
-    hosting.listed([WorkerInfo("w1", listing=EndpointState.REMOVED)], whole=False)
+    hosting.endpoints_received([WorkerInfo("w1", listing=EndpointState.REMOVED)], whole=False)
     with hosting.batched():
-        hosting.listed([WorkerInfo("w1", booted=7)], whole=False)
-        hosting.listed([WorkerInfo("w9")], whole=False)
-        hosting.ranked(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
+        hosting.endpoints_received([WorkerInfo("w1", booted=7)], whole=False)
+        hosting.endpoints_received([WorkerInfo("w9")], whole=False)
+        hosting.prefix_received(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
     (worker,) = (s for s in hosting.module.workers if s.name == "w1" and s.listing is EndpointState.SERVING)
     assert hosting.registry.worker("w1") is worker
 
@@ -311,9 +311,11 @@
 def test_who_left_is_dropped_also_where_every_list_comes_in_a_poll(hosting):
     for number in range(200):
         with hosting.batched():
-            hosting.listed([WorkerInfo(f"once-{number}")], whole=False)
+            hosting.endpoints_received([WorkerInfo(f"once-{number}")], whole=False)
         with hosting.batched():
-            hosting.listed([WorkerInfo(f"once-{number}", listing=EndpointState.REMOVED)], whole=False)
+            hosting.endpoints_received(
+                [WorkerInfo(f"once-{number}", listing=EndpointState.REMOVED)], whole=False
+            )
     assert len(hosting.registry.workers) <= 5  # the three there, and who left last
 
 
@@ -322,12 +324,12 @@
     facts = words.facts(SETTINGS)
     region = Region(clock, facts["cold_share"], facts["ramp_time"])
     made = ModuleHost(Recorder(), {**facts, "region": region}, 7, clock)
-    made.listed([WorkerInfo(f"w{i}") for i in range(workers)], whole=False)
+    made.endpoints_received([WorkerInfo(f"w{i}") for i in range(workers)], whole=False)
     for i in range(workers):
-        made.ranked(made.registry.function(f"f{i}", 0, 100.0, 1), [f"w{i}"])
+        made.prefix_received(made.registry.function(f"f{i}", 0, 100.0, 1), [f"w{i}"])
         ask(made, function=f"f{i}")
     for number in out(made):
-        made.ended(number, Outcome.OK)
+        made.attempt_finished(number, Outcome.OK)
     return made
 
 
@@ -337,7 +339,9 @@
     for workers in (100, 400):
         made = with_region(clock, workers)
         left = [WorkerInfo("w7", listing=EndpointState.REMOVED)]
-        counted.append(count_steps(lambda made=made, left=left: made.listed(left, whole=False)).instructions)
+        counted.append(
+            count_steps(lambda made=made, left=left: made.endpoints_received(left, whole=False)).instructions
+        )
         assert "w7" not in made.registry.workers and len(made.module.workers) == workers - 1
         assert not made.registry.functions["f7"].replicas and made.registry.functions["f8"].replicas
     assert counted[1] < 1.1 * counted[0]
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -38,10 +38,10 @@
         if count and self.told.get(work.worker.name) is not EndpointState.SERVING:
             self.broken.append(work.worker.name)
 
-    def run(self, worker_call):
+    def send_call(self, worker_call):
         self.begin(worker_call)
 
-    def hold(self, task):
+    def send_preload(self, task):
         self.begin(task, task.count)
 
 
@@ -58,22 +58,22 @@
 
     def change(self, entries):
         self.lists.told.update({entry.name: entry.listing for entry in entries})
-        self.made.listed(entries, whole=False)
+        self.made.endpoints_received(entries, whole=False)
 
     def whole(self, entries):
         self.lists.told = {entry.name: entry.listing for entry in entries}
-        self.made.listed(entries, whole=True)
+        self.made.endpoints_received(entries, whole=True)
 
     def ask(self, function):
         ask(self.made, function=function)
 
     def answer(self, outcome):
         for number in list(self.made.worker_calls)[:1]:
-            self.made.ended(number, outcome, "body")
+            self.made.attempt_finished(number, outcome, "body")
 
     def ordered(self, outcome):
         for number in list(self.made.tasks)[:1]:
-            self.made.ordered(number, outcome, 1)
+            self.made.preload_finished(number, outcome, 1)
 
     def wait(self, pause):
         self.clock.now += pause
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -414,7 +414,7 @@
     stage.hand.until(stage.runs)
     client.give_up(number)
     stage.hand.until(lambda: number in client.ends)
-    assert stage.host.counts["left"] == 1 and stage.host.open == 0
+    assert stage.host.counts["left"] == 1 and stage.host.open_requests == 0
     client.last = 0
     for runner in stage.runners:
         runner.on_run = None
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -103,7 +103,7 @@
     for _ in range(stage.node.front.most):
         crowd.append(stage.client())
         crowd[-1].ask(id=f"{len(crowd) + 1000:016x}", patience="4000")
-    stage.hand.until(lambda: stage.host.open == len(crowd))
+    stage.hand.until(lambda: stage.host.open_requests == len(crowd))
     return crowd
 
 
@@ -186,7 +186,7 @@
     stage.hand.until(lambda: stage.host.counts["left"])
     got[0][0].say("503", got[0][1]["rid"])
     stage.hand.run(0.5)
-    assert len(stage.runs()) == 1 and stage.host.open == 0
+    assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
 
 @pytest.mark.parametrize("bad", ["body", "fields"])
@@ -347,7 +347,7 @@
         client.ask(body=BODY)
     stage.hand.quiet()
     stage.hand.run(10.0)
-    assert connection.dead and stage.host.open == 0
+    assert connection.dead and stage.host.open_requests == 0
 
 
 def test_a_connection_with_an_answer_on_its_way_makes_no_room_for_others(stage: Any) -> None:
@@ -421,7 +421,7 @@
     assert len(front.connections) + len(front.parting) <= 64 * 9 // 20
     stage.hand.run(2.9)
     assert all(client.closed for client in crowd)
-    assert len(met) == len(kept) == stage.host.open and not any(client.closed for client in kept)
+    assert len(met) == len(kept) == stage.host.open_requests and not any(client.closed for client in kept)
     for request in met:
         stage.host.deny(request, 0)
     stage.hand.until(lambda: all(client.status(1) == 503 for client in kept))
@@ -513,7 +513,7 @@
     stage.hand.run(1.0)
     assert client.status(number) in (200, 500, 503)
     stage.hand.run(3.0)
-    assert client.ends == [number] and stage.host.open == 0
+    assert client.ends == [number] and stage.host.open_requests == 0
 
 
 @pytest.mark.parametrize("trouble", ["silent", "spoilt", "reset", "cut"])
@@ -542,7 +542,7 @@
     stage.hand.run(1.0)
     assert all(client.status(number) in (500, 503) for number in numbers)
     stage.hand.run(3.0)
-    assert sorted(client.ends) == numbers and stage.host.open == 0
+    assert sorted(client.ends) == numbers and stage.host.open_requests == 0
 
 
 def test_a_flood_beside_it_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
@@ -563,7 +563,7 @@
     stage.hand.quiet()
     assert not usual.closed and all(usual.status(number) in (500, 503) for number in numbers)
     stage.hand.run(3.0)
-    assert sorted(usual.ends) == numbers and stage.host.open == 0
+    assert sorted(usual.ends) == numbers and stage.host.open_requests == 0
 
 
 def test_parting_connections_do_not_outlive_their_time(stage: Any) -> None:
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -235,15 +235,15 @@
 
 def late_between_decision_and_write(stage, meanwhile):
     """The process stands still after the module has decided and before anything is written."""
-    sent = stage.node.core.run
+    sent = stage.node.core.send_call
 
     def run(worker_call):
-        stage.node.core.run = sent
+        stage.node.core.send_call = sent
         meanwhile()
         still(stage, 0.3)
         sent(worker_call)
 
-    stage.node.core.run = run
+    stage.node.core.send_call = run
 
 
 @pytest.mark.parametrize("state", [1, 2], ids=["drains", "is gone"])
@@ -286,7 +286,7 @@
     for connection in stage.node.front.connections:
         stage.hand.readers[connection] = None
     stage.hand.quiet()
-    assert len(stage.runs()) == 1 and stage.host.open == 0
+    assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
 
 def test_a_socket_that_eases_in_a_standstill_carries_nothing_to_one_that_drains(stage):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,12 +1,12 @@
 """Timers after a stand-still: late ones wait for the input that was there before them."""
 
 from lapistrestle.hosting.timers import Timers
-from lapistrestle.hosting.turns import GAP, MOST, Turns
+from lapistrestle.hosting.turns import MAX_WAITED_TURNS, STANDSTILL, Turns
 
 
 def test_timers_on_time_fire_at_once():
     turns = Turns()
-    assert turns.may_fire(1_000, 1_000, 0) and turns.may_fire(2_000 + GAP, 2_000, 9)
+    assert turns.may_fire(1_000, 1_000, 0) and turns.may_fire(2_000 + STANDSTILL, 2_000, 9)
 
 
 def test_late_timers_wait_until_nothing_more_is_heard():
@@ -17,8 +17,8 @@
 
 def test_input_without_end_does_not_hold_timers_for_ever():
     turns = Turns()
-    fired = [turns.may_fire(9_000, 1_000, heard) for heard in range(MOST + 2)]
-    assert fired.index(True) == MOST
+    fired = [turns.may_fire(9_000, 1_000, heard) for heard in range(MAX_WAITED_TURNS + 2)]
+    assert fired.index(True) == MAX_WAITED_TURNS
 
 
 def test_timers_come_in_order_and_stopped_ones_not_at_all():
