--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -5,16 +5,16 @@
 import sys
 
 from lapistrestle.edge.running import reactor_of_now, run
-from lapistrestle.node.configuration import ConfigurationError, configuration_of
+from lapistrestle.node.configuration import ConfigurationError, configuration_from_environment
 from lapistrestle.node.program import Node
 from lapistrestle.records.lean import make_log
 
 
 def main() -> int:
     try:
-        configuration = configuration_of(os.environ)
-    except ConfigurationError as trouble:
-        print(f"lapistrestle: {trouble}", file=sys.stderr)
+        configuration = configuration_from_environment(os.environ)
+    except ConfigurationError as error:
+        print(f"lapistrestle: {error}", file=sys.stderr)
         return 2
     reactor = reactor_of_now()
     node = Node(reactor, configuration, make_log(edge=configuration.file.name))
@@ -23,16 +23,16 @@
     def begin() -> None:
         try:
             node.start()
-        except OSError as trouble:
+        except OSError as error:
             print(
-                f"lapistrestle: can't listen at {configuration.file.listen}: {trouble.strerror}",
+                f"lapistrestle: can't listen at {configuration.file.listen}: {error.strerror}",
                 file=sys.stderr,
             )
             failed.append(1)
             reactor.stop()
 
     def reload() -> None:
-        node.reload(lambda: configuration_of(os.environ))
+        node.reload(lambda: configuration_from_environment(os.environ))
 
     def leave() -> None:
         node.leave(reactor.stop)
--- a/lapistrestle/node/client.py
+++ b/lapistrestle/node/client_connection.py
@@ -1,16 +1,15 @@
 """One connection of a web server that speaks FastCGI, and the requests that are open on it."""
 
 import socket
+from collections import OrderedDict
 from enum import IntEnum
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
+from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import ABORTED, DENIED, OK, PendingRequest
-from lapistrestle.node import records
+from lapistrestle.node import fastcgi
 from lapistrestle.node.streams import MOST_READS, READ, Stream
 
-if TYPE_CHECKING:
-    from lapistrestle.node.front import Front
-
 SECOND = 10_000  # in tenths of a millisecond
 MOST_UNSENT = 1_048_576  # bytes towards a client that does not read: more of it is not read meanwhile
 STALL_TRUSTED = 500  # tenths of a millisecond for which one that is not read from counts as waiting
@@ -40,12 +39,30 @@
     SHUT = 4  # nothing more is written; read on, as a close with bytes unread would reset what was written
 
 
+class ConnectionOwner(Protocol):
+    """What a client's connection needs of the front that accepted it."""
+
+    core: Core
+    connections: dict["ClientConnection", None]  # that are served
+    idle: OrderedDict["ClientConnection", None]  # without an open request, longest idle first
+    parting: OrderedDict["ClientConnection", int]  # being closed, with the time until which each is kept
+    lingering: dict[str, PendingRequest]  # by id, until the last attempt has ended
+    held: int  # bytes of requests that have not come whole, on all connections
+    most_held: float  # bytes that may be held so
+
+    def request(self, connection: "ClientConnection", request: fastcgi.Request) -> None:
+        """A whole request came."""
+
+    def shut(self, connection: "ClientConnection") -> None:
+        """A connection's sending side has been ended; it is read until its client closes."""
+
+
 class ClientConnection(Stream):
     """One connection of a client."""
 
-    def __init__(self, front: "Front", sock: socket.socket) -> None:
+    def __init__(self, front: ConnectionOwner, sock: socket.socket) -> None:
         super().__init__(front.core.reactor, sock)
-        self.front, self.reader = front, records.Reader()
+        self.front, self.reader = front, fastcgi.RecordReader()
         self.requests: dict[int, PendingRequest] = {}
         self.has_asked = False  # it has brought a whole request
         self.phase = Phase.SERVING
@@ -94,19 +111,19 @@
             if self.dead:
                 return
             match event:
-                case records.Request():
+                case fastcgi.Request():
                     self.has_asked = True
                     self.front.request(self, event)
-                case records.Aborted():
+                case fastcgi.RequestAborted():
                     self.aborted(event.number)
-                case records.Reply():
+                case fastcgi.ImmediateReply():
                     self.send(event.data)
-                case records.Bad():
+                case fastcgi.MalformedRequest():
                     self.front.core.counts["unreadable"] += 1
-                    self.reply(event.number, event.status, event.why.encode())
+                    self.reply(event.number, event.status, event.message.encode())
                     if event.status in TOO_LARGE:
                         self.leave(Phase.REFUSING)
-                case records.Broken():
+                case fastcgi.ConnectionBroken():
                     self.front.core.counts["unreadable"] += 1
                     self.withdraw(event.number)
                     self.leave(Phase.DISCARDING)
@@ -122,12 +139,12 @@
         if self.unsent_bytes > MOST_UNSENT and not self.stalled:
             self.stalled, self.stalled_since = True, self.front.core.clock()
             self.watch_reads(False)
-        held = self.reader.held()
+        held = self.reader.buffered_bytes()
         self.front.held, self.held = self.front.held + held - self.held, held
         if self.front.held > self.front.most_held and held > MOST_HELD:
             self.refuse_begun(503)
             self.leave(Phase.REFUSING)
-        half = next(iter(self.reader.begun), 0)
+        half = next(iter(self.reader.partial), 0)
         if half != self.half:
             self.half, self.half_since = half, self.front.core.clock()
         if self.discarded > (MOST_DISCARDED_OPEN if self.requests else MOST_DISCARDED):
@@ -154,9 +171,9 @@
 
     def refuse_begun(self, status: int) -> None:
         """Answer the requests that have not come whole; what still comes of them is passed over."""
-        for number in self.reader.refuse_begun():
-            self.send(records.answer(number, HEADS[status], b""))
-        held = self.reader.held()
+        for number in self.reader.reject_partial():
+            self.send(fastcgi.encode_response(number, HEADS[status], b""))
+        held = self.reader.buffered_bytes()
         self.front.held, self.held, self.half = self.front.held + held - self.held, held, 0
 
     # its end
@@ -201,8 +218,8 @@
         self.discarded = 0
         try:
             self.sock.shutdown(socket.SHUT_WR)
-        except OSError as trouble:
-            self.drop(trouble.strerror or "lost")
+        except OSError as error:
+            self.drop(error.strerror or "lost")
 
     def read_on(self) -> None:
         """Read what lies in the socket to its end, within bounds."""
@@ -226,8 +243,8 @@
     def aborted(self, number: int) -> None:
         """The client has aborted a request."""
         pending = self.requests.pop(number, None)
-        self.reader.ended(number)
-        self.send(records.end_record(number))
+        self.reader.request_finished(number)
+        self.send(fastcgi.encode_end(number))
         if pending is not None:
             self.front.core.host.client_gone(pending)
             self.rested()
@@ -238,8 +255,8 @@
         head = HEADS[status]
         if retry_after:
             head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // SECOND)) + head
-        self.send(records.answer(number, head, body))
-        self.reader.ended(number)
+        self.send(fastcgi.encode_response(number, head, body))
+        self.reader.request_finished(number)
         self.rested()
         self.part()
 
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -12,7 +12,7 @@
 
 from lapistrestle.deployment import words
 from lapistrestle.edge.core import TENTHS, Core
-from lapistrestle.node.configuration import Configuration, Known, Row, split
+from lapistrestle.node.configuration import Configuration, KnownEndpoints, RunnerEntry, split_address
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import STATES, Frame, FrameDecoder, FrameError, FrameKind, Record
 from lapistrestle.node.streams import MOST_READS, Stream, dial
@@ -68,18 +68,18 @@
     def received(self, data: bytes) -> None:
         """Bytes came: whole frames are handed on."""
         self.discovery.core.input()
-        error = ""
+        failure = ""
         try:
             self.decoder.feed(data)
-        except FrameError as trouble:
-            error = str(trouble)
+        except FrameError as error:
+            failure = str(error)
         frames = self.decoder.frames
         self.note_word(bool(frames), len(data))
         for frame in frames:
             if self.discovery.receive(frame) is FrameAction.RESUME:
                 return self.drop("a gap in the revisions")
-        if error:
-            self.drop(error)
+        if failure:
+            self.drop(failure)
 
     def note_word(self, is_whole: bool, size: int) -> None:
         """The board has said something. A few bytes are no word: half a frame may never end."""
@@ -148,7 +148,7 @@
         if self.watch is not None:
             self.watch.drop("the dispatcher ends")
 
-    def apply_known(self, known: Known) -> None:
+    def apply_known(self, known: KnownEndpoints) -> None:
         """Take the events of a configuration that are later than those told. One whole list, or the next
         change: what lies between must not be passed over."""
         for notice in known.notices:
@@ -177,7 +177,7 @@
         if self.stopped or self.watch is not None or self.address is None:
             return
         try:
-            self.watch = Watch(self, dial(*split(self.address)))
+            self.watch = Watch(self, dial(*split_address(self.address)))
         except OSError:
             self.core.after(RECONNECT_PAUSE, self.connect, None)
             return
@@ -240,9 +240,9 @@
             record.name, record.zone, record.cell, record.kind, record.weight / 1000, record.listing, booted
         )
 
-    def record(self, row: Row) -> Record:
+    def record(self, row: RunnerEntry) -> Record:
         """A row of the file, where places and kinds stand by name."""
-        host, port = split(row.addr)
+        host, port = split_address(row.addr)
         number = 0
         for part in host.split("."):
             number = number << 8 | int(part)
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -8,10 +8,10 @@
 
 from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import PendingRequest
-from lapistrestle.node import records
-from lapistrestle.node.client import DISCARDING_TIME, ClientConnection, Phase
-from lapistrestle.node.configuration import Configuration, split
-from lapistrestle.node.invocation import Invocation, Parser, Unfit
+from lapistrestle.node import fastcgi
+from lapistrestle.node.client_connection import DISCARDING_TIME, ClientConnection, Phase
+from lapistrestle.node.configuration import Configuration, split_address
+from lapistrestle.node.invocation import InvalidRequestError, Invocation, InvocationParser
 from lapistrestle.node.streams import Listener
 
 MARGIN = 60  # tenths of a millisecond for the way back and the turn of the loop
@@ -39,7 +39,7 @@
         self.used: list[Any] = []  # connections that it went by
 
     @classmethod
-    def of(cls, call: Invocation, request: records.Request) -> "RunRequest":
+    def of(cls, call: Invocation, request: fastcgi.Request) -> "RunRequest":
         """From a checked call; `key` is a part of the line's attributes."""
         head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.function)
         key = b',"uniq":"%s"' % call.key if call.key else b""
@@ -51,7 +51,7 @@
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
         self.core = core
-        self.host_port = split(configuration.file.listen)
+        self.host_port = split_address(configuration.file.listen)
         self.connections: dict[ClientConnection, None] = {}
         self.idle = OrderedDict[ClientConnection, None]()  # without an open request, longest idle first
         most = configuration.file.limits.sockets * SOCKETS_PART[0] // SOCKETS_PART[1]
@@ -62,14 +62,14 @@
         memory = configuration.file.limits.memory_mb * MB
         self.held, self.most_held = 0, memory / HELD_PART  # bytes of what has not come whole
         # if each brings the longest body
-        most = max(LEAST_OPEN, int(memory / BODIES_PART / records.MOST_BODY))
+        most = max(LEAST_OPEN, int(memory / BODIES_PART / fastcgi.MAX_BODY_BYTES))
         self.most_open = min(configuration.settings.limits.max_open, most)
         self.listener: Listener | None = None
         self.ready: Callable[[], bool] = lambda: False  # whether the list stands; the source knows
         self.leaving = False
         self.ids: OrderedDict[str, int] = OrderedDict()  # those taken in the last window of orders, and when
         self.lingering: dict[str, PendingRequest] = {}  # by id, until the last call-out has ended
-        self.parser = Parser(configuration, core.facts)
+        self.parser = InvocationParser(configuration, core.facts)
 
     # core.Front
 
@@ -171,7 +171,7 @@
         """Serve one connection less that carries nothing: one that never asked, else the longest idle. One
         that may be about to ask goes only where there is no other, and becomes a guest."""
         now = self.core.clock()
-        free = [connection for connection in self.idle if not connection.reader.begun]
+        free = [connection for connection in self.idle if not connection.reader.partial]
         old = [connection for connection in free if connection.has_asked or now - connection.since > FRESH]
         for connection in [s for s in old if not s.has_asked] or old or free or list(self.idle):
             if self.unused(connection):
@@ -232,7 +232,7 @@
 
     # requests
 
-    def request(self, connection: ClientConnection, request: records.Request) -> None:
+    def request(self, connection: ClientConnection, request: fastcgi.Request) -> None:
         """A whole request came: the health check, or a call."""
         if connection.is_guest:
             self.admit(connection)
@@ -241,16 +241,18 @@
             return connection.reply(request.number, 200 if self.ready() and not self.leaving else 503)
         try:
             self.arrived(connection, request, path)
-        except Unfit as trouble:
+        except InvalidRequestError as error:
             self.core.counts["unreadable"] += 1
-            connection.reply(request.number, trouble.status, str(trouble).encode())
+            connection.reply(request.number, error.status, error.message.encode())
 
-    def arrived(self, connection: ClientConnection, request: records.Request, path: bytes) -> None:
-        """Raises Unfit where the request can't be used."""
+    def arrived(self, connection: ClientConnection, request: fastcgi.Request, path: bytes) -> None:
+        """Raises InvalidRequestError where the request can't be used."""
         call = self.parser.parse(request, path)
         tag = call.id.decode()
         if tag in self.lingering:
-            raise Unfit(409, "X-Call-Id is in use")
+            raise InvalidRequestError(
+                409, "X-Call-Id is in use", "X-Call-Id", call.id, "an id of no open call"
+            )
         left = int(call.patience * 10) - MARGIN - connection.unread
         refused = self.core.stopping or connection.phase >= Phase.REFUSING
         if refused or left <= 0 or self.core.host.open_requests >= self.most_open or not self.ready():
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -5,9 +5,9 @@
 
 from lapistrestle.edge.core import Core, Log
 from lapistrestle.node.configuration import Configuration, ConfigurationError
-from lapistrestle.node.connection import PROMPT
 from lapistrestle.node.discovery import ServiceDiscovery
 from lapistrestle.node.front import Front
+from lapistrestle.node.runner_connection import PROMPT
 from lapistrestle.node.runners import RunnerPools
 from lapistrestle.policy.dispatcher import Dispatcher
 
@@ -60,9 +60,9 @@
             return
         try:
             self.renewed(read())
-        except ConfigurationError as trouble:
+        except ConfigurationError as error:
             if not tries:
-                self.core.log("configuration refused, the old one holds", why=str(trouble))
+                self.core.log("configuration refused, the old one holds", why=str(error))
             if tries < REREAD_FOR // REREAD:
                 self.core.after(REREAD, self.reread, (reading, tries + 1, read))
 
--- a/lapistrestle/node/connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -4,24 +4,44 @@
 import binascii
 import socket
 from base64 import b64decode
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from lapistrestle.edge.core import Core
 from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
-from lapistrestle.node.configuration import split
+from lapistrestle.node.configuration import split_address
 from lapistrestle.node.replies import ATTEMPTS, NO_ATTRS, ORDERS, PROBES, Attrs, Reply, reply_of, report_of
 from lapistrestle.node.streams import Stream, dial
 from lapistrestle.policy.interface import Outcome
 
-if TYPE_CHECKING:
-    from lapistrestle.node.runners import Runner
-
 LINE = 131_072  # bytes of the longest line taken: a body of 16 KiB in base64 several times over
 PROMPT = 300  # tenths of a millisecond that an order may wait for its connection; its window is seconds
 NO_CALLBACKS = LinkCallbacks()
 
 
+class ReplySettings(Protocol):
+    """What holds for the connections to all runners."""
+
+    idle: int  # tenths of a millisecond without use after which a connection is closed
+    report_names: dict[str, str]  # of a load report's figures, to the names that the module knows
+    tells_company: bool  # whether replies tell how many calls ran beside one
+
+
+class ConnectionPool(Protocol):
+    """What a connection needs of its pool: whose it is, and to be taken out when it is closed."""
+
+    core: Core
+    name: str
+    address: tuple[str, int]  # "host:port", and when the runner started, in Unix milliseconds
+
+    @property
+    def pools(self) -> ReplySettings:
+        """What holds for the connections to all runners."""
+
+    def remove(self, connection: "RunnerConnection") -> None:
+        """It is closed, or was lost."""
+
+
 class Socket(Stream):
     """The descriptor beneath a connection to a runner."""
 
@@ -53,7 +73,7 @@
 class RunnerConnection(LinkCallbacks):
     """One connection to a runner."""
 
-    def __init__(self, runner: "Runner") -> None:
+    def __init__(self, runner: ConnectionPool) -> None:
         self.runner, self.pools = runner, runner.pools
         self.core: Core = runner.core
         self.linking = Linking(runner.name, self, lambda _: None, self.core.clock, prompt=PROMPT)
@@ -207,7 +227,7 @@
     def dial(self) -> None:
         """Begin to connect."""
         try:
-            self.stream = Socket(self, dial(*split(self.runner.address[0])))
+            self.stream = Socket(self, dial(*split_address(self.runner.address[0])))
         except OSError:
             self.core.after(1, self.undialled, None)
             return
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -7,7 +7,7 @@
 from lapistrestle.edge.linking import Input, Line, Link
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.node.configuration import Configuration
-from lapistrestle.node.connection import RunnerConnection
+from lapistrestle.node.runner_connection import RunnerConnection
 from lapistrestle.policy.interface import Outcome
 
 EACH_MOST = 16  # connections to one runner: one bad answer ends all that its connection carries
--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -68,9 +68,9 @@
                 return
             try:
                 data = self.sock.recv(READ)
-            except OSError as trouble:
-                if trouble.errno not in AGAIN:
-                    return self.drop(trouble.strerror or "lost")
+            except OSError as error:
+                if error.errno not in AGAIN:
+                    return self.drop(error.strerror or "lost")
                 self.read_at = self.reactor.seconds()
                 return
             if not data:
@@ -88,9 +88,9 @@
         if self.dead:
             return
         if self.dialling:
-            trouble = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-            if trouble:
-                return self.drop(os.strerror(trouble))
+            error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+            if error:
+                return self.drop(os.strerror(error))
             self.dialling = False
             self.watch_writes(False)
             self.watch_reads(True)
@@ -135,10 +135,10 @@
             data = self.unsent[0][0]
             try:
                 sent = self.sock.send(data[self.offset :] if self.offset else data)
-            except OSError as trouble:
-                if trouble.errno in AGAIN:
+            except OSError as error:
+                if error.errno in AGAIN:
                     break
-                return self.drop(trouble.strerror or "lost")
+                return self.drop(error.strerror or "lost")
             self.offset, self.unsent_bytes = self.offset + sent, self.unsent_bytes - sent
             if self.offset < len(data):
                 break
@@ -243,16 +243,16 @@
         """Take one; False if there is none now."""
         try:
             sock, _addr = self.sock.accept()
-        except OSError as trouble:
-            if trouble.errno in AGAIN:
+        except OSError as error:
+            if error.errno in AGAIN:
                 self.full_since = None
-            if trouble.errno in FULL:
+            if error.errno in FULL:
                 if self.full_since is None:
                     self.full_since = self.reactor.seconds()
                 self.reactor.removeReader(self)
                 self.reactor.callLater(PAUSE, self.resume)
                 self.full()
-            return trouble.errno == errno.ECONNABORTED
+            return error.errno == errno.ECONNABORTED
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.taken(sock)
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -21,7 +21,7 @@
 import msgspec
 from twisted.internet.task import Clock
 
-from lapistrestle.node import records
+from lapistrestle.node import fastcgi
 from lapistrestle.node.streams import Listener, Stream, dial
 
 
@@ -134,28 +134,28 @@
             "HTTP_X_WEIGHT_MS": "8.2",
             "HTTP_X_ATTRS": "memory_mb:512;lanes:2",
         } | fields
-        params = b"".join(records.pair(k.encode(), v.encode()) for k, v in told.items() if v)
-        self.send(begin(self.last) + records.record(records.PARAMS, self.last, params))
-        self.send(records.record(records.PARAMS, self.last))
+        params = b"".join(fastcgi.encode_pair(k.encode(), v.encode()) for k, v in told.items() if v)
+        self.send(begin(self.last) + fastcgi.encode_record(fastcgi.PARAMS, self.last, params))
+        self.send(fastcgi.encode_record(fastcgi.PARAMS, self.last))
         if body:
-            self.send(records.record(records.STDIN, self.last, body))
+            self.send(fastcgi.encode_record(fastcgi.STDIN, self.last, body))
         if whole:
-            self.send(records.record(records.STDIN, self.last))
+            self.send(fastcgi.encode_record(fastcgi.STDIN, self.last))
         return self.last
 
     def give_up(self, number: int) -> None:
-        self.send(records.record(records.ABORT, number))
+        self.send(fastcgi.encode_record(fastcgi.ABORT, number))
 
     def received(self, data: bytes) -> None:
         self.rest += data
         while len(self.rest) >= 8:
-            _, kind, number, size, padding, _ = records.HEAD.unpack_from(self.rest)
+            _, kind, number, size, padding, _ = fastcgi.HEAD.unpack_from(self.rest)
             if len(self.rest) < 8 + size + padding:
                 return
             content, self.rest = self.rest[8 : 8 + size], self.rest[8 + size + padding :]
-            if kind == records.STDOUT:
+            if kind == fastcgi.STDOUT:
                 self.said[number] = self.said.get(number, b"") + content
-            elif kind == records.END:
+            elif kind == fastcgi.END:
                 self.ends.append(number)
                 self.codes[number] = content[4]
 
@@ -173,8 +173,8 @@
         self.closed = why
 
 
-def begin(number: int, role: int = records.RESPONDER, keep: int = records.KEEP_CONN) -> bytes:
-    return records.record(records.BEGIN, number, bytes((role >> 8, role & 255, keep, 0, 0, 0, 0, 0)))
+def begin(number: int, role: int = fastcgi.RESPONDER, keep: int = fastcgi.KEEP_CONN) -> bytes:
+    return fastcgi.encode_record(fastcgi.BEGIN, number, bytes((role >> 8, role & 255, keep, 0, 0, 0, 0, 0)))
 
 
 class Line(Stream):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -8,10 +8,10 @@
 import pytest
 
 from lapistrestle.edge.linking import Linking
-from lapistrestle.node import records
-from lapistrestle.node.configuration import ConfigurationError, parse
-from lapistrestle.node.connection import RunnerConnection
+from lapistrestle.node import fastcgi
+from lapistrestle.node.configuration import ConfigurationError, parse_configuration
 from lapistrestle.node.program import Node
+from lapistrestle.node.runner_connection import RunnerConnection
 from lapistrestle.node.runners import Runner
 from lapistrestle.policy.interface import Attempt, EndpointState
 from lapistrestle.policy.state import Worker
@@ -51,7 +51,7 @@
             "limits": {"sockets": sockets, "memory_mb": memory_mb}, "board": f"127.0.0.1:{self.board.port}",
             "settings": SETTINGS | settings,
         }  # fmt: skip
-        self.configuration = parse(msgspec.json.encode(file), "config.json")
+        self.configuration = parse_configuration(msgspec.json.encode(file), "config.json")
         self.node = Node(
             self.hand, self.configuration, lambda what, **figures: self.logs.append((what, figures))
         )
@@ -123,7 +123,7 @@
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
-    told = parse(raw, "config.json").settings
+    told = parse_configuration(raw, "config.json").settings
     assert (told.limits.conn_idle, told.limits.streams_per_conn) == (15_000_000, 32)
     assert told.limits.dial_timeout == 100_000
 
@@ -158,7 +158,7 @@
         changed = {group: SETTINGS.get(group, {}) | changed}
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS | changed}
     with pytest.raises(ConfigurationError, match=re.escape(key)):
-        parse(msgspec.json.encode(file), "config.json")
+        parse_configuration(msgspec.json.encode(file), "config.json")
 
 
 @pytest.mark.parametrize("group", ["limits", "rules", "family-info", "reporting", "tenants", "zones"])
@@ -170,7 +170,7 @@
     if how == "missing":
         del settings[group]
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
-    configuration = parse(msgspec.json.encode(file), "config.json")
+    configuration = parse_configuration(msgspec.json.encode(file), "config.json")
     assert configuration.settings.limits.try_limit >= 1 and configuration.facts["fall_multiple"] >= 1
     assert (
         configuration.facts["dial_time_out"] > 0 and configuration.facts["order_time_out"] > 0
@@ -348,7 +348,7 @@
     client = stage.client()
     number = client.ask(whole=False)
     for _ in range(8):
-        client.send(records.record(records.STDIN, number, b"x" * 60_000))
+        client.send(fastcgi.encode_record(fastcgi.STDIN, number, b"x" * 60_000))
     stage.hand.until(lambda: client.closed)
     assert not stage.runs() and not stage.node.front.connections
 
@@ -401,7 +401,7 @@
     client = stage.client()
     numbers = [client.ask() for _ in range(40)]
     stage.hand.until(lambda: client.status(numbers[-1]) is not None)
-    over = [n for n in numbers if client.codes.get(n) == records.OVERLOADED]
+    over = [n for n in numbers if client.codes.get(n) == fastcgi.OVERLOADED]
     assert over and len(over) + stage.host.counts["taken"] == 40
     assert len(stage.node.front.open()) <= 32
 
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -13,9 +13,9 @@
 import test_crossings
 from test_node import Stage
 
-from lapistrestle.node import client as client_connections
+from lapistrestle.node import client_connection as client_connections
+from lapistrestle.node import fastcgi
 from lapistrestle.node import front as fronts
-from lapistrestle.node import records
 from lapistrestle.standins.platform import WebServer, begin
 
 JUNK = b"GET / HTTP/1.1\r\n\r\n"
@@ -296,7 +296,7 @@
 
     connection.read = measured
     client.send(request(1).replace(begin(1), begin(1, keep=0)))
-    client.send(records.record(records.GET_VALUES, 0, bytes(40_000)) * 10)
+    client.send(fastcgi.encode_record(fastcgi.GET_VALUES, 0, bytes(40_000)) * 10)
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and max(depths) - min(depths) < 15
 
@@ -556,7 +556,7 @@
         crowd[0].send(JUNK + bytes(100_000))
         crowd[1].send(begin(1) * 2)
         crowd[2].ask(whole=False)
-        crowd[3].send(begin(1) + records.record(records.PARAMS, 1, b"\xff" * 60_000))
+        crowd[3].send(begin(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, b"\xff" * 60_000))
         for _ in range(40):
             crowd[4].give_up(crowd[4].ask(id=f"{turn + 1:08x}{crowd[4].last:08x}"))
         stage.hand.run(0.05)
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -11,7 +11,7 @@
 from test_node import SETTINGS
 
 from lapistrestle.edge.linking import Link
-from lapistrestle.node.configuration import ConfigurationError, read
+from lapistrestle.node.configuration import ConfigurationError, read_configuration
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import Record, decode_frame
 from lapistrestle.node.program import Node
@@ -147,7 +147,7 @@
 def test_a_file_that_is_whole_within_the_time_of_a_move_is_read_in_time(stage, tmp_path, whole_after):
     """It was read again after 0.1, 0.3, 0.7, 1.5, 3.1 and 6.3 s: the last is past 4 s and most graces."""
     began, second = stage.hand.rightNow, BoardEnd(stage.hand)
-    whole = read(str(written(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
+    whole = read_configuration(str(written(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
 
     def reading():
         if stage.hand.rightNow < began + whole_after:
@@ -165,7 +165,7 @@
     """They were passed over: a drain that stood in the file was waited for until the new board told it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
-    stage.node.renewed(read(str(path)))
+    stage.node.renewed(read_configuration(str(path)))
     assert (
         stage.workers()["s-00000001"].listing is EndpointState.DRAINING and discovery_of(stage).revision == 2
     )
@@ -173,7 +173,7 @@
 
 def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(stage, tmp_path):
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
-    stage.node.renewed(read(str(written(stage, tmp_path, known={"rev": 3, "notices": events}))))
+    stage.node.renewed(read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events}))))
     assert (
         discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
     )
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("behind, age", [(0.0, 0), (1.5, 15_000), (-1.0, None)])
 def test_the_age_of_the_list_is_that_of_its_file(stage, tmp_path, behind, age):
-    configuration = read(str(written(stage, tmp_path)))
+    configuration = read_configuration(str(written(stage, tmp_path)))
     assert configuration.age(configuration.written + behind) == age
 
 
@@ -196,13 +196,13 @@
 
     os.utime(path, (1_000, 1_000))
     monkeypatch.setattr(Path, "read_bytes", replaced)
-    assert read(str(path)).written == 1_000
+    assert read_configuration(str(path)).written == 1_000
 
 
 def test_without_a_board_the_list_of_the_file_holds(stage, tmp_path):
     """Nobody tells anything that it could miss."""
     known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(stage)]}}]}
-    configuration = read(str(written(stage, tmp_path, known=known)))
+    configuration = read_configuration(str(written(stage, tmp_path, known=known)))
     node = Node(stage.hand, configuration, lambda what, **figures: None)
     node.discovery.start()
     stage.hand.run(60.0)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapistrestle.node import records
-from lapistrestle.node.configuration import ConfigurationError, parse, read
+from lapistrestle.node import fastcgi
+from lapistrestle.node.configuration import ConfigurationError, parse_configuration, read_configuration
 from lapistrestle.node.notices import FrameDecoder, FrameError, Record
 from lapistrestle.standins.platform import begin, frame, row
 
@@ -14,18 +14,18 @@
 
 
 def request(number: int, fields: dict[bytes, bytes], body: bytes) -> bytes:
-    params = b"".join(records.pair(k, v) for k, v in fields.items())
+    params = b"".join(fastcgi.encode_pair(k, v) for k, v in fields.items())
     parts = [begin(number)]
-    for kind, content in ((records.PARAMS, params), (records.STDIN, body)):
+    for kind, content in ((fastcgi.PARAMS, params), (fastcgi.STDIN, body)):
         for at in range(0, len(content), 700):
             piece = content[at : at + 700]
-            parts.append(records.HEAD.pack(1, kind, number, len(piece), 3, 0) + piece + b"pad")
-        parts.append(records.record(kind, number))
+            parts.append(fastcgi.HEAD.pack(1, kind, number, len(piece), 3, 0) + piece + b"pad")
+        parts.append(fastcgi.encode_record(kind, number))
     return b"".join(parts)
 
 
-def events(data: bytes, cuts: list[int]) -> list[records.Event]:
-    reader, found, at = records.Reader(), list[records.Event](), 0
+def events(data: bytes, cuts: list[int]) -> list[fastcgi.Event]:
+    reader, found, at = fastcgi.RecordReader(), list[fastcgi.Event](), 0
     for cut in [*sorted(c % (len(data) + 1) for c in cuts), len(data)]:
         found += reader.feed(data[at:cut])
         at = cut
@@ -38,7 +38,7 @@
 @given(ASKED, st.lists(st.integers(0, 10**6), max_size=20))
 def test_any_split_gives_the_same_requests(asked, cuts):
     data = b"".join(request(i + 1, *one) for i, one in enumerate(asked))
-    wanted = [records.Request(i + 1, True, fields, body) for i, (fields, body) in enumerate(asked)]
+    wanted = [fastcgi.Request(i + 1, True, fields, body) for i, (fields, body) in enumerate(asked)]
     assert events(data, cuts) == events(data, []) == wanted
 
 
@@ -49,22 +49,22 @@
 
 @given(st.lists(st.tuples(st.integers(1, 11), st.integers(0, 3), st.binary(max_size=40)), max_size=30))
 def test_records_in_any_order_never_raise_nor_open_a_number_twice(said):
-    reader = records.Reader()
+    reader = fastcgi.RecordReader()
     for kind, number, content in said:
-        for event in reader.feed(records.record(kind, number, content)):
-            if isinstance(event, records.Request):
-                assert event.number in reader.open and event.number not in reader.begun
+        for event in reader.feed(fastcgi.encode_record(kind, number, content)):
+            if isinstance(event, fastcgi.Request):
+                assert event.number in reader.open_requests and event.number not in reader.partial
 
 
 def test_bounds_hold_before_anything_is_kept():
-    reader = records.Reader()
+    reader = fastcgi.RecordReader()
     reader.feed(begin(1))
     for _ in range(40):
-        reader.feed(records.record(records.PARAMS, 1, b"x" * 60_000))
-    assert not reader.begun and len(reader.rest) < 100
-    head = begin(2) + records.record(records.PARAMS, 2)
-    (over,) = events(head + records.record(records.STDIN, 2, b"x" * 20_000), [])
-    assert isinstance(over, records.Bad) and over.status == 413
+        reader.feed(fastcgi.encode_record(fastcgi.PARAMS, 1, b"x" * 60_000))
+    assert not reader.partial and len(reader.buffer) < 100
+    head = begin(2) + fastcgi.encode_record(fastcgi.PARAMS, 2)
+    (over,) = events(head + fastcgi.encode_record(fastcgi.STDIN, 2, b"x" * 20_000), [])
+    assert isinstance(over, fastcgi.MalformedRequest) and over.status == 413
 
 
 UNFIT = [b"\x05\x05abc", b"\xff\xff\xff\xff\x00", b"\x80", b"\x01\x01ab\x01\x01ac"]
@@ -72,25 +72,29 @@
 
 @pytest.mark.parametrize("params", UNFIT)
 def test_fields_whose_lengths_do_not_fit_are_refused(params):
-    data = begin(1) + records.record(records.PARAMS, 1, params) + records.record(records.PARAMS, 1)
-    assert [e.status for e in events(data, []) if isinstance(e, records.Bad)] == [400]
+    data = (
+        begin(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, params) + fastcgi.encode_record(fastcgi.PARAMS, 1)
+    )
+    assert [e.status for e in events(data, []) if isinstance(e, fastcgi.MalformedRequest)] == [400]
 
 
 def test_management_records_are_answered():
-    asked = records.pair(b"FCGI_MPXS_CONNS", b"") + records.pair(b"OTHER", b"")
-    (told,) = events(records.record(records.GET_VALUES, 0, asked), [])
-    assert isinstance(told, records.Reply) and told.data.endswith(records.pair(b"FCGI_MPXS_CONNS", b"1"))
-    (odd,) = events(records.record(77, 0), [])
-    assert isinstance(odd, records.Reply) and odd.data[1] == records.UNKNOWN
+    asked = fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"") + fastcgi.encode_pair(b"OTHER", b"")
+    (told,) = events(fastcgi.encode_record(fastcgi.GET_VALUES, 0, asked), [])
+    assert isinstance(told, fastcgi.ImmediateReply) and told.data.endswith(
+        fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"1")
+    )
+    (odd,) = events(fastcgi.encode_record(77, 0), [])
+    assert isinstance(odd, fastcgi.ImmediateReply) and odd.data[1] == fastcgi.UNKNOWN
 
 
 def test_an_answer_of_any_size_is_records_that_fit():
-    said = records.answer(7, b"Status: 200 OK\r\n\r\n", b"x" * 200_000)
+    said = fastcgi.encode_response(7, b"Status: 200 OK\r\n\r\n", b"x" * 200_000)
     at, body = 0, b""
     while at < len(said):
-        _, kind, number, size, padding, _ = records.HEAD.unpack_from(said, at)
+        _, kind, number, size, padding, _ = fastcgi.HEAD.unpack_from(said, at)
         assert number == 7
-        body += said[at + 8 : at + 8 + size] if kind == records.STDOUT else b""
+        body += said[at + 8 : at + 8 + size] if kind == fastcgi.STDOUT else b""
         at += 8 + size + padding
     assert body == b"Status: 200 OK\r\n\r\n" + b"x" * 200_000
 
@@ -131,14 +135,14 @@
 def test_a_configuration_that_cannot_be_used_says_what_is_wrong(change, says):
     settings = {"profiles": [{"name": "a", "deadline": 1}]}
     good = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
-    assert parse(msgspec.json.encode(good), "f.json").file.name == "n"
+    assert parse_configuration(msgspec.json.encode(good), "f.json").file.name == "n"
     with pytest.raises(ConfigurationError, match=r"f\.json") as trouble:
-        parse(msgspec.json.encode(good | change), "f.json")
+        parse_configuration(msgspec.json.encode(good | change), "f.json")
     assert says in str(trouble.value)
 
 
 def test_a_file_that_is_not_there_is_named():
     with pytest.raises(ConfigurationError, match=r"/nowhere/config\.json"):
-        read("/nowhere/config.json")
+        read_configuration("/nowhere/config.json")
     with pytest.raises(ConfigurationError, match="EDGE_CONFIG"):
-        read(None)
+        read_configuration(None)
