--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -1,12 +1,12 @@
 """Connections from clients: calls in, answers out."""
 
-from typing import Any
+from typing import Any, Literal
 
 import msgspec
 from twisted.internet.protocol import ServerFactory
 
 from lapistrestle.edge.work_gate import READ_AGAIN
-from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.rollout.versions import key_of
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import Speaker, union
@@ -19,6 +19,11 @@
 
 
 NAMED = msgspec.json.Decoder(Named)
+VERDICTS: dict[RequestEnd, Literal["ok", "denied", "aborted"]] = {
+    RequestEnd.OK: "ok",
+    RequestEnd.REJECTED: "denied",
+    RequestEnd.ABORTED: "aborted",
+}
 NOT_SHOWN = {
     "fleet": "this edge is in no fleet (fleet.name is not set)",
     "directory": "this edge has no directory (directory.shards is empty)",
@@ -79,18 +84,18 @@
         if full or edge.stopping or left <= 0 or (edge.planner is not None and edge.planner.unplanned()):
             edge.counts["turned away"] += 1
             retry_after = edge.facts["longest_come_back"] / 10 if left > 0 else 0.0
-            return self.say(wire.Answer(call.id, DENIED, retry_after))
+            return self.say(wire.Answer(call.id, RequestEnd.REJECTED.value, retry_after))
         route = edge.route(call, self, method)
         if not route.name:
             edge.counts["turned away"] += 1
-            return self.say(wire.Answer(call.id, ABORTED))
+            return self.say(wire.Answer(call.id, RequestEnd.ABORTED.value))
         stay = None
         if edge.fleet_member is not None:
             key = key_of(call.key, call.token, f"{self.name}/{call.id}")
             stay = edge.fleet_member.admit(method, customer, call.repeat, key)
         if stay is not None:  # nothing of it has left this edge
             edge.counts["turned away"] += 1
-            return self.say(wire.Answer(call.id, DENIED, stay / 10))
+            return self.say(wire.Answer(call.id, RequestEnd.REJECTED.value, stay / 10))
         edge.take(self, call, method, customer, left, route)
 
     def is_waiting(self) -> bool:
@@ -108,10 +113,10 @@
         if read() is not None:  # why the connection has ended; the reactor ends it in its turn
             self.lost()
 
-    def answer(self, pending: PendingRequest, verdict: Any, retry_after: int, body: Any) -> None:
+    def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         call = pending.message
         self.open.pop(call.id, None)
-        self.say(wire.Answer(call.id, verdict, retry_after / 10, body or wire.NO_BODY))
+        self.say(wire.Answer(call.id, VERDICTS[verdict], retry_after / 10, body or wire.NO_BODY))
 
     def unreadable(self, line: bytes, why: str) -> None:
         try:
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -10,7 +10,7 @@
 from lapistrestle.edge.linking import PROMPT
 from lapistrestle.edge.work_gate import NOT_BEGUN, READ_AGAIN, WorkGate
 from lapistrestle.hosting.host import ModuleHost
-from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.hosting.turns import Turns
 from lapistrestle.policy.dispatcher import Dispatcher
@@ -190,10 +190,10 @@
 
     # what the host asks (hosting.transport)
 
-    def send_answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+    def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         pending.client.answer(pending, verdict, retry_after, body)
 
-    def request_closed(self, pending: PendingRequest, how: str) -> None: ...
+    def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None: ...
 
     def stream_started(self, pending: PendingRequest) -> None: ...
 
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -13,7 +13,7 @@
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.edge.rosters import RosterSource
 from lapistrestle.edge.runners import Runner, bounds_of
-from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
@@ -181,19 +181,19 @@
             self.fleet_member.admission.count_restart()
         self.take(pending.client, call, pending.method, pending.customer, left, route, True, attempts)
 
-    def request_closed(self, pending: PendingRequest, how: str) -> None:
+    def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None:
         """How an RPC ended is evidence for or against its version; not where this edge may not send there
         now, as what ends badly then is no fault of the version. It is a figure of the fleet's, too."""
         waited = self.directory is not None and self.directory.waiting.leave(pending)
         if self.fleet_member is not None:
             late = self.late(pending)
-            if how in (DENIED, ABORTED) and cost_before(pending) and not late:
+            if how in (RequestEnd.REJECTED, RequestEnd.ABORTED) and cost_before(pending) and not late:
                 self.fleet_member.admission.count_further_attempt()
             self.fleet_member.admission.ended(how, late, bool(pending.attempts), faulty(pending))
-        if pending.route is not None and pending.route.candidate and how != "moved":
-            if how != "ok" and (waited or self.barred(pending.function.name)):
+        if pending.route is not None and pending.route.candidate and how is not RequestEnd.MIGRATED:
+            if how is not RequestEnd.OK and (waited or self.barred(pending.function.name)):
                 return
-            self.routing.note(pending.route, how != "ok" or self.late(pending), self.clock())
+            self.routing.note(pending.route, how is not RequestEnd.OK or self.late(pending), self.clock())
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
@@ -203,13 +203,18 @@
 
     # what the host asks (hosting.transport)
 
-    def send_answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+    def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         late = pending.deadline - self.clock() <= 0
-        if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
+        if (
+            verdict == RequestEnd.REJECTED
+            and not late
+            and not self.stopping
+            and self.barred(pending.function.name)
+        ):
             kind, span = self.kind(pending.method), self.span(pending.message)
             if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
                 return self.move(pending)
-            verdict, retry_after = ABORTED, 0
+            verdict, retry_after = RequestEnd.ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
 
     def stream_started(self, pending: PendingRequest) -> None:
--- a/lapistrestle/hosting/context.py
+++ b/lapistrestle/hosting/context.py
@@ -11,7 +11,8 @@
 @dataclass(frozen=True)
 class HostContext:
     """One host's surroundings. `facts` are the module's settings, which the host may change at run time;
-    `clock` gives tenths of a millisecond; `counts` are the counters of the log line at the end."""
+    `clock` gives tenths of a millisecond; `counts` are the counters of the log line at the end.
+    """
 
     transport: Transport
     facts: Facts
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -7,11 +7,12 @@
 from typing import Any
 
 from lapistrestle.hosting.context import HostContext
-from lapistrestle.hosting.requests import FAULTS, PendingRequest
+from lapistrestle.hosting.requests import Counter, PendingRequest
+from lapistrestle.policy.interface import Events
 
-SHOWN = 80  # characters of an argument in the log line of a fault
-LISTED = 3  # items of an argument that are shown there
-FRAMES = 4  # innermost frames of its traceback
+MAX_SHOWN_CHARACTERS = 80  # of an argument in the log line of a fault
+MAX_SHOWN_ITEMS = 3  # of an argument that is a list
+MAX_SHOWN_FRAMES = 4  # the innermost of its traceback
 
 
 class EventQueue:
@@ -22,36 +23,42 @@
     """
 
     def __init__(self, context: HostContext, on_fault: Callable[[PendingRequest], None]) -> None:
-        self.context, self.on_fault = context, on_fault
-        self.module: Any = None
-        self.queue: deque[tuple[PendingRequest | None, str, tuple[Any, ...]]] = deque()
-        self.lists: deque[tuple[Any, ...]] = deque()  # arguments of `listed`, which go before all else
-        self.busy = False
-        self.finished: list[PendingRequest] = []  # over, and none of their attempts under way
+        self.context = context
+        self.on_fault = on_fault
+        self.module: Events  # set by the host, which the module is made from
+        self.waiting: deque[tuple[PendingRequest | None, str, tuple[Any, ...]]] = deque()
+        self.waiting_lists: deque[tuple[Any, ...]] = (
+            deque()
+        )  # arguments of `listed`, which go before all else
+        self.is_delivering = False
+        self.finished: list[PendingRequest] = []  # over, and none of their attempts in flight
         self.module_seconds = 0.0
         self.stopwatch: Callable[[], float] | None = None
 
     def post(self, pending: PendingRequest | None, event: str, *args: Any) -> None:
         """Deliver an event (a method of `interface.Events`) after those that wait already."""
-        self.queue.append((pending, event, args))
-        if not self.busy:
-            self.busy = True
+        self.waiting.append((pending, event, args))
+        if not self.is_delivering:
+            self.is_delivering = True
             self.deliver()
 
     def post_list(self, *args: Any) -> None:
         """Deliver `listed` before whatever waits: what came in the same look is then placed by the newest
-        list (rule 3)."""
-        self.lists.append(args)
-        if not self.busy:
-            self.busy = True
+        list (rule 3).
+        """
+        self.waiting_lists.append(args)
+        if not self.is_delivering:
+            self.is_delivering = True
             self.deliver()
 
     @contextmanager
     def batched(self) -> Iterator[None]:
         """All that one poll of the sockets brings is queued before any of it is delivered: after a standstill
         a client's close may lie beside, or behind, what would have an attempt begin for it. Costs the time
-        that it takes to read the other sockets, once a poll."""
-        outer, self.busy = self.busy, True
+        that it takes to read the other sockets, once a poll.
+        """
+        outer = self.is_delivering
+        self.is_delivering = True
         try:
             yield
         finally:
@@ -60,18 +67,18 @@
 
     def deliver(self) -> None:
         """Deliver all that waits."""
-        if not self.queue and not self.lists:
-            self.busy = False
+        if not self.waiting and not self.waiting_lists:
+            self.is_delivering = False
             return
         began = self.stopwatch() if self.stopwatch else 0.0
         try:
-            while self.lists or self.queue:
-                if self.lists:
-                    self.deliver_one(None, "listed", self.lists.popleft())
+            while self.waiting_lists or self.waiting:
+                if self.waiting_lists:
+                    self.deliver_one(None, "listed", self.waiting_lists.popleft())
                 else:
-                    self.deliver_one(*self.queue.popleft())
+                    self.deliver_one(*self.waiting.popleft())
         finally:
-            self.busy = False
+            self.is_delivering = False
         for pending in self.finished:
             if not pending.in_flight:
                 pending.attempts.clear()  # they point to each other, and would wait for the collector
@@ -92,21 +99,25 @@
 
     def fault(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
         """The module raised: the request at hand is answered at once, and the program goes on."""
-        self.context.counts[FAULTS] += 1
-        told = " ".join(described(argument) for argument in args)
-        trace = traceback.format_exc(limit=-FRAMES)
-        self.context.transport.log("module raised", input=event, told=told, trace=trace)
+        self.context.counts[Counter.FAULTS] += 1
+        self.context.transport.log(
+            "module raised",
+            input=event,
+            arguments=" ".join(described(argument) for argument in args),
+            traceback=traceback.format_exc(limit=-MAX_SHOWN_FRAMES),
+        )
         if pending is not None and not pending.final:
-            pending.state, pending.over = type(pending.state).OVER, True
+            pending.state = type(pending.state).OVER
+            pending.over = True
             self.on_fault(pending)
 
 
 def described(argument: object) -> str:
     """An argument of the module for a log line, whatever state the fault has left it in; never raises."""
     if isinstance(argument, list | tuple):
-        more = " ..." if len(argument) > LISTED else ""
-        return f"({', '.join(described(item) for item in argument[:LISTED])}{more})"
+        more = " ..." if len(argument) > MAX_SHOWN_ITEMS else ""
+        return f"({', '.join(described(item) for item in argument[:MAX_SHOWN_ITEMS])}{more})"
     try:
-        return str(getattr(argument, "tag", getattr(argument, "name", argument)))[:SHOWN]
+        return str(getattr(argument, "tag", getattr(argument, "name", argument)))[:MAX_SHOWN_CHARACTERS]
     except Exception:
         return type(argument).__name__
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -14,12 +14,11 @@
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.hosting.requests import (
-    ABORTED,
     COUNTERS,
-    DENIED,
     NO_REPORT,
-    UNMATCHED,
+    Counter,
     PendingRequest,
+    RequestEnd,
     WorkerCall,
     WorkerTask,
 )
@@ -40,12 +39,12 @@
 )
 from lapistrestle.policy.state import Function, Worker
 
-MOST_FUNCTIONS = 20_000  # kept by name
-PEER_TEXT = 256  # characters of one message to another dispatcher
+MAX_FUNCTIONS = 20_000  # kept by name
+MAX_GOSSIP_LENGTH = 256  # characters of one message to another dispatcher
 
 
 class ModuleHost:
-    """Joins the module with its registry, timers, event queue and the bookkeeping of what is under way.
+    """Joins the module with its registry, timers, event queue and the bookkeeping of what is in flight.
 
     `slack` is how long past a request's deadline the guard waits for the module's own answer; `make` builds
     the module from this host, the settings, a seed and the time.
@@ -59,10 +58,13 @@
         clock: Callable[[], int],
         slack: int = 0,
         make: Callable[..., Any] = Dispatcher,
-        max_functions: int = MOST_FUNCTIONS,
+        max_functions: int = MAX_FUNCTIONS,
     ) -> None:
-        self.transport, self.facts, self.clock = transport, facts, clock
-        self.registry, self.timers = ObjectRegistry(max_functions), Timers()
+        self.transport = transport
+        self.facts = facts
+        self.clock = clock
+        self.registry = ObjectRegistry(max_functions)
+        self.timers = Timers()
         self.counts = dict.fromkeys(COUNTERS, 0)
         context = HostContext(transport, facts, clock, self.timers, self.counts)
         self.events = EventQueue(context, self.abort_after_fault)
@@ -82,12 +84,12 @@
 
     @property
     def worker_calls(self) -> dict[int, WorkerCall]:
-        """Attempts under way, by number."""
+        """Attempts in flight, by number."""
         return self.calls.open
 
     @property
     def tasks(self) -> dict[int, WorkerTask]:
-        """Orders and probes under way, by number."""
+        """Preloads and health checks in flight, by number."""
         return self.worker_tasks.open
 
     def batched(self) -> AbstractContextManager[None]:
@@ -125,7 +127,8 @@
     ) -> PendingRequest:
         """A request has come; `time_left` is how long its client still waits, `arrived_at` the earliest that
         it came. One that `awaits_prefix` reaches the module by `lookup_finished`, once its function's prefix
-        is known."""
+        is known.
+        """
         now, function = self.clock(), self.registry.function(function_name, method, memory, lanes, load)
         pending = PendingRequest(
             tag, function, method, customer, now + time_left, work, repeat, moved, arrived_at
@@ -140,7 +143,7 @@
         return pending
 
     def lookup_finished(self, pending: PendingRequest) -> None:
-        """The prefix of the request's function is known, and the module was told it."""
+        """The prefix of the request's function is known, and the module knows it."""
         if not pending.final:
             self.events.post(pending, "arrived", pending)
 
@@ -158,7 +161,7 @@
 
     def abort_after_fault(self, pending: PendingRequest) -> None:
         """The module raised over it."""
-        self.answers.finish(pending, ABORTED)
+        self.answers.finish(pending, RequestEnd.ABORTED)
 
     # what the transport reports: workers
 
@@ -168,43 +171,43 @@
 
     def attempt_finished(
         self, number: int, outcome: Outcome, body: Any = None, warmth: LoadState = LoadState.UNKNOWN,
-        company: int | None = None, report: Mapping[str, float] = NO_REPORT,
+        concurrent: int | None = None, report: Mapping[str, float] = NO_REPORT,
     ) -> None:  # fmt: skip
         """An attempt has ended."""
-        self.calls.finished(number, outcome, body, warmth, company, report)
+        self.calls.finished(number, outcome, body, warmth, concurrent, report)
 
     def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
-        """An order has ended, with `count` copies held."""
+        """A preload has ended, with `count` copies held."""
         self.worker_tasks.preload_finished(number, outcome, count)
 
     def health_check_finished(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
-        """A probe has ended."""
+        """A health check has ended."""
         self.worker_tasks.health_check_finished(number, outcome, report)
 
     def task_finished_without_reply(self, number: int, outcome: Outcome) -> None:
-        """An order or a probe has ended without a reply from the worker."""
+        """A preload or a health check has ended without a reply from the worker."""
         self.worker_tasks.finished_without_reply(number, outcome)
 
     def finished_without_reply(self, number: int, outcome: Outcome) -> None:
-        """An attempt, an order or a probe has ended without a reply from the worker."""
+        """An attempt, a preload or a health check has ended without a reply from the worker."""
         if number in self.calls.open:
             self.calls.finished(number, outcome)
         else:
             self.worker_tasks.finished_without_reply(number, outcome)
 
     def unmatched_reply(self) -> None:
-        """A worker has answered what is not under way."""
-        self.counts[UNMATCHED] += 1
+        """A worker has answered what is not in flight."""
+        self.counts[Counter.UNMATCHED] += 1
 
     # what the transport reports: the list of workers and other dispatchers
 
-    def endpoints_received(self, entries: Sequence[WorkerInfo], whole: bool) -> None:
-        """Entries of the list of workers; `whole` if it names them all."""
-        if not self.events.lists:
+    def endpoints_received(self, entries: Sequence[WorkerInfo], is_snapshot: bool) -> None:
+        """Entries of the list of workers; `is_snapshot` if it names them all."""
+        if not self.events.waiting_lists:
             self.undelivered.clear()
         self.undelivered.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
-        self.events.post_list([(self.registry.worker(e.name), e) for e in entries], whole)
-        if whole:
+        self.events.post_list([(self.registry.worker(e.name), e) for e in entries], is_snapshot)
+        if is_snapshot:
             self.removed = dict.fromkeys(self.registry.workers)
         self.removed.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
         if self.removed:
@@ -213,7 +216,8 @@
     def forget_removed_workers(self) -> None:
         """Without this a long life keeps every worker that ever served. One that is back, of which the module
         has not heard yet, still counts as gone there and stays. So does one that was sent something within
-        the window of its slow start: back in it, it would be sent as much once more (rule 4)."""
+        the window of its slow start: back in it, it would be sent as much once more (rule 4).
+        """
         held = {task.worker for task in self.tasks.values()}
         workers = self.registry.workers
         left = [
@@ -230,7 +234,7 @@
         for worker in left:
             if worker.name not in stay:
                 del workers[worker.name]
-        if not self.events.busy:  # else the module may not have heard yet that they are gone
+        if not self.events.is_delivering:  # else the module may not have heard yet that they are gone
             self.removed = stay
 
     def prefix_received(self, function: Function, names: Sequence[str]) -> None:
@@ -261,14 +265,14 @@
         self.calls.send(self.next_number(), attempt, time_out)
 
     def deny(self, request: RequestInfo, retry_after: int) -> None:
-        """Answer that it did not run; `retry_after` as in `Transport.answer`."""
+        """Answer that it did not run; `retry_after` as in `Transport.send_answer`."""
         assert isinstance(request, PendingRequest)
-        self.answers.finish(request, DENIED, retry_after)
+        self.answers.finish(request, RequestEnd.REJECTED, retry_after)
 
     def abort(self, request: RequestInfo) -> None:
         """Answer that it may have run."""
         assert isinstance(request, PendingRequest)
-        self.answers.finish(request, ABORTED)
+        self.answers.finish(request, RequestEnd.ABORTED)
 
     def cancel(self, attempt: Attempt) -> None:
         """Want no more of an attempt."""
@@ -276,7 +280,8 @@
 
     def order(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
         """Have a worker hold copies."""
-        assert isinstance(worker, Worker) and isinstance(function, Function)
+        assert isinstance(worker, Worker)
+        assert isinstance(function, Function)
         self.worker_tasks.preload(self.next_number(), worker, function, count)
 
     def probe(self, worker: WorkerInfo) -> None:
@@ -291,7 +296,7 @@
     def tell_peer(self, peer: int | None, text: str) -> None:
         """Send text to another dispatcher, where settings allow it."""
         if self.facts["may_tell_peers"]:
-            self.transport.tell_peer(peer, text[:PEER_TEXT])
+            self.transport.tell_peer(peer, text[:MAX_GOSSIP_LENGTH])
 
     def wake_me(self, delay: int, token: object) -> None:
         """Give the token back after so long, by its `woken`."""
--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -8,17 +8,18 @@
 class ObjectRegistry:
     """The workers and functions that one instance of the module knows, by name, and its wake-up tokens.
 
-    `most` bounds the functions kept: guards against clients that name a new one in every RPC. It could harm
-    where more than that many are in use at once: what was learnt of the least recently used is learnt anew.
+    `max_functions` bounds the functions kept: guards against clients that name a new one in every request. It
+    could harm where more than that many are in use at once: what was learnt of the least recently used is
+    learnt anew.
     Past `idle` of them the least recently used go as soon as the module holds nothing of them but a figure.
     """
 
-    idle = 1_000  # functions
+    idle = 1_000  # functions that are kept though nothing is held of them
 
-    def __init__(self, most: int | None = None) -> None:
+    def __init__(self, max_functions: int | None = None) -> None:
         self.workers: dict[str, Worker] = {}
         self.functions: OrderedDict[str, Function] = OrderedDict()
-        self.most = most
+        self.max_functions = max_functions
         self.tokens: dict[int, object] = {}
         self.last_token = 0
 
@@ -32,13 +33,14 @@
         self, name: str, method: int, memory: float, lanes: int, load: int | None = None
     ) -> Function:
         """The function of this name, made when it is first named. `memory` is in MB; `load`, the usual time
-        of a load in tenths of a millisecond, is as this RPC tells it: the last that was told stands."""
+        of a load in tenths of a millisecond, is as this request says: the last one stands.
+        """
         function = self.functions.get(name)
         if function is None:
             function = self.functions[name] = Function(name, method, memory, max(1, lanes))
-            if self.most:
-                self.trim(self.most)
-        elif self.most:
+            if self.max_functions:
+                self.trim(self.max_functions)
+        elif self.max_functions:
             self.functions.move_to_end(name)
         function.load = function.load if load is None else load
         return function
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -1,24 +1,53 @@
-"""What a host keeps of the work under way: client requests, their attempts on workers, and worker tasks."""
+"""What a host keeps of the work in flight: client requests, their attempts on workers, and worker tasks."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any, Final
+from enum import StrEnum
+from typing import Any, Protocol
 
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.policy.interface import Attempt
 from lapistrestle.policy.state import Function, Request, Worker
 
-OK: Final = "ok"
-DENIED: Final = "denied"
-ABORTED: Final = "aborted"
-LEFT: Final = "left"  # the client closed before its answer
-MOVED: Final = "moved"  # taken back, to be placed anew under another function
 
-TAKEN: Final = "taken"
-UNMATCHED: Final = "stray"  # replies to what is not under way; the name that log lines carry
-FAULTS: Final = "faults"
-GUARDED: Final = "guarded"
-COUNTERS = (TAKEN, OK, DENIED, ABORTED, LEFT, MOVED, UNMATCHED, FAULTS, GUARDED)
+class RequestEnd(StrEnum):
+    """How a request ended. The values are the verdicts on the wire and the counters of the last log line."""
+
+    OK = "ok"
+    REJECTED = "denied"  # it did not run
+    ABORTED = "aborted"  # it may have run
+    CLIENT_GONE = "left"  # the client closed before its answer
+    MIGRATED = "moved"  # taken back, to be placed anew under another function
+
+
+class Counter(StrEnum):
+    """What else the last log line counts, under these names."""
+
+    TAKEN = "taken"  # requests
+    UNMATCHED = "stray"  # replies to what is not in flight
+    FAULTS = "faults"  # errors that the module raised
+    GUARDED = "guarded"  # requests whose deadline the module let pass
+
+
+# in the order of the log line
+COUNTERS: tuple[str, ...] = (
+    Counter.TAKEN.value,
+    *(end.value for end in RequestEnd),
+    Counter.UNMATCHED.value,
+    Counter.FAULTS.value,
+    Counter.GUARDED.value,
+)
+
+
+class CallConnection(Protocol):
+    """The connection that carries an attempt or a task."""
+
+    def cancel_unsent(self, number: int) -> bool:
+        """Drop what was not written. True if it never left, and now never does."""
+
+    def withdraw(self, number: int, tell: bool) -> bool:
+        """Wait for it no more, and with `tell` have the worker cancel it. True if it never left."""
+
 
 NO_REPORT: Mapping[str, float] = {}
 
@@ -32,7 +61,7 @@
     final: bool = False  # answered, or the client has left
     streaming: "WorkerCall | None" = None  # the attempt whose answer has begun to stream
     deadline_guard: Timer | None = None  # due shortly after the deadline
-    in_flight: int = 0  # attempts under way
+    in_flight: int = 0  # attempts in flight
     route: Any = None  # the transport's own: which version of the function it goes to
     prior_attempts: int = 0  # made under another version; they count towards the limit
     unsent_attempts: int = 0  # own attempts that the host did not send
@@ -54,7 +83,7 @@
     time_out: int  # a span
     begin_by: int | None = None  # not to be written to the connection later than this
     timer: Timer | None = None
-    connection: Any = None  # the transport's own: which connection carries it
+    connection: CallConnection | None = None  # that carries it
 
     @property
     def ends_by(self) -> int:
@@ -64,7 +93,7 @@
 
 @dataclass(eq=False)
 class WorkerTask:
-    """An order to hold copies of a function, or a probe (`function` is None), under way at a worker."""
+    """A preload, or a health check (`function` is None), in flight at a worker."""
 
     number: int
     worker: Worker
@@ -72,4 +101,4 @@
     count: int  # copies to hold
     sent_at: int
     timer: Timer | None = None
-    connection: Any = None  # the transport's own: which connection carries it
+    connection: CallConnection | None = None  # that carries it
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -1,19 +1,20 @@
-"""Orders and probes under way at workers: sent, timed, and reported to the module once each."""
+"""Preloads and health checks in flight at workers: sent, timed, and reported to the module once each."""
 
 from collections.abc import Mapping
 
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
-from lapistrestle.hosting.requests import NO_REPORT, UNMATCHED, WorkerTask
+from lapistrestle.hosting.requests import NO_REPORT, Counter, WorkerTask
 from lapistrestle.policy.interface import Outcome
 from lapistrestle.policy.state import Function, Worker
 
 
 class WorkerTasks:
-    """Bookkeeping of orders and probes, by number. Numbers are shared with attempts."""
+    """Bookkeeping of preloads and health checks, by number. Numbers are shared with attempts."""
 
     def __init__(self, context: HostContext, events: EventQueue) -> None:
-        self.context, self.events = context, events
+        self.context = context
+        self.events = events
         self.open: dict[int, WorkerTask] = {}
 
     def preload(self, number: int, worker: Worker, function: Function, count: int) -> None:
@@ -34,10 +35,10 @@
         task.timer = self.context.timers.at(task.sent_at + max(1, time_out), self.timed_out, task)
 
     def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
-        """An order has ended, with `count` copies held. One that is not under way is only counted."""
+        """A preload has ended, with `count` copies held. One that is not in flight is only counted."""
         task = self.open.pop(number, None)
         if task is None or task.function is None:
-            self.context.counts[UNMATCHED] += 1
+            self.context.counts[Counter.UNMATCHED] += 1
             return
         if task.timer is not None:
             task.timer.stop()
@@ -45,10 +46,10 @@
         self.events.post(None, "ordered", task.worker, task.function, outcome, count, took)
 
     def health_check_finished(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
-        """A probe has ended. One that is not under way is only counted."""
+        """A health check has ended. One that is not in flight is only counted."""
         task = self.open.pop(number, None)
         if task is None or task.function is not None:
-            self.context.counts[UNMATCHED] += 1
+            self.context.counts[Counter.UNMATCHED] += 1
             return
         if task.timer is not None:
             task.timer.stop()
@@ -61,7 +62,7 @@
             self.finished_without_reply(task.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
 
     def finished_without_reply(self, number: int, outcome: Outcome) -> None:
-        """An order or a probe has ended without a reply from the worker."""
+        """A preload or a health check has ended without a reply from the worker."""
         task = self.open.get(number)
         if task is not None and task.function is not None:
             self.preload_finished(number, outcome, 0)
--- a/lapistrestle/hosting/timers.py
+++ b/lapistrestle/hosting/timers.py
@@ -14,6 +14,7 @@
         self.when, self.call, self.arg = when, call, arg
 
     def stop(self) -> None:
+        """Have it never fire."""
         self.call, self.arg = _nothing, None  # drops what it holds, though its place in the heap stays
 
 
@@ -28,6 +29,7 @@
         self.count = 0
 
     def at(self, when: int, call: Callable[[Any], None], arg: object) -> Timer:
+        """Set a timer: `call` is given `arg` at the moment `when`."""
         timer = Timer(when, call, arg)
         self.count += 1
         heappush(self.heap, (when, self.count, timer))
--- a/lapistrestle/hosting/transport.py
+++ b/lapistrestle/hosting/transport.py
@@ -2,18 +2,19 @@
 
 from typing import Any, Protocol
 
-from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.policy.interface import FunctionInfo, WorkerInfo
 
 
 class Transport(Protocol):
     """Implemented by each protocol's front end. No method may raise, nor call the host back within the call
-    other than to end the attempt or task that it was given."""
+    other than to end the attempt or task that it was given.
+    """
 
-    def send_answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+    def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         """Write the final answer; `retry_after` is how long the client is asked to wait before it retries."""
 
-    def request_closed(self, pending: PendingRequest, how: str) -> None:
+    def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None:
         """The request is over: answered, left or moved."""
 
     def stream_started(self, pending: PendingRequest) -> None:
@@ -29,7 +30,7 @@
         """Wait for it no more, and with `tell` have the worker cancel it. True if it never left."""
 
     def send_preload(self, task: WorkerTask) -> None:
-        """Send an order to hold `task.count` copies of `task.function`."""
+        """Send a preload: hold `task.count` copies of `task.function`."""
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         """Have a worker drop a function; nothing is waited for."""
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -1,4 +1,4 @@
-"""Attempts under way at workers: sent within the rules, timed, and reported to the module once each."""
+"""Attempts in flight at workers: sent within the rules, timed, and reported to the module once each."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -6,7 +6,7 @@
 from lapistrestle.hosting.answers import FinalAnswers
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
-from lapistrestle.hosting.requests import ABORTED, NO_REPORT, OK, UNMATCHED, PendingRequest, WorkerCall
+from lapistrestle.hosting.requests import NO_REPORT, Counter, PendingRequest, RequestEnd, WorkerCall
 from lapistrestle.policy.interface import Answer, Attempt, LoadState, Outcome
 
 
@@ -14,16 +14,20 @@
     """Bookkeeping of attempts, by number and by the module's attempt. Numbers are shared with tasks."""
 
     def __init__(self, context: HostContext, events: EventQueue, answers: FinalAnswers) -> None:
-        self.context, self.events, self.answers = context, events, answers
+        self.context = context
+        self.events = events
+        self.answers = answers
         self.open: dict[int, WorkerCall] = {}
         self.by_attempt: dict[Attempt, WorkerCall] = {}
 
     def send(self, number: int, attempt: Attempt, time_out: int) -> None:
-        """Send, unless the request is over, an attempt is under way already where only one may be, or the
-        limit of attempts is reached. A `time_out` of 0 stands for the request's deadline."""
-        pending, now = attempt.request, self.context.clock()
-        left = pending.deadline - now
-        within = min(time_out, left) if time_out else left
+        """Send, unless the request is over, an attempt is in flight already where only one may be, or the
+        limit of attempts is reached. A `time_out` of 0 stands for the request's deadline.
+        """
+        pending = attempt.request
+        now = self.context.clock()
+        time_left = pending.deadline - now
+        within = min(time_out, time_left) if time_out else time_left
         allowed = self.allowed(pending)
         worker_call = WorkerCall(
             number, attempt, pending, attempt.worker, now, within, self.begin_by(pending)
@@ -31,11 +35,16 @@
         self.open[number] = self.by_attempt[attempt] = worker_call
         pending.in_flight += 1
         if not allowed:
-            tries, out = len(pending.attempts), pending.in_flight
-            self.context.transport.log("not sent", request=pending.tag, tries=tries, out=out)
-            return self.finished(number, Outcome.NOT_SENT)
+            attempts = len(pending.attempts)
+            in_flight = pending.in_flight
+            self.context.transport.log(
+                "not sent", request=pending.tag, attempts=attempts, in_flight=in_flight
+            )
+            self.finished(number, Outcome.NOT_SENT)
+            return
         if within <= 0:
-            return self.finished(number, Outcome.NOT_SENT)
+            self.finished(number, Outcome.NOT_SENT)
+            return
         worker_call.timer = self.context.timers.at(now + within, self.timed_out, worker_call)
         self.context.transport.send_call(worker_call)
 
@@ -48,7 +57,8 @@
 
     def begin_by(self, pending: PendingRequest) -> int | None:
         """Rule 2 binds at the socket: a repeat is dropped by its token only within its window, which may end
-        while it waits for a connection."""
+        while it waits for a connection.
+        """
         method = self.context.facts["methods"][pending.method]
         repeat = pending.ran_on is not None and method["kind"] == "tokened"
         return pending.ran_at + method["repeat_window"] if repeat else None
@@ -57,7 +67,7 @@
         """The worker's answer has begun to stream. From then on the request has no deadline."""
         worker_call = self.open.get(number)
         if worker_call is None:
-            self.context.counts[UNMATCHED] += 1
+            self.context.counts[Counter.UNMATCHED] += 1
             return
         pending = worker_call.pending
         if (
@@ -79,13 +89,13 @@
         outcome: Outcome,
         body: Any = None,
         warmth: LoadState = LoadState.UNKNOWN,
-        company: int | None = None,
+        concurrent: int | None = None,
         report: Mapping[str, float] = NO_REPORT,
     ) -> None:
-        """An attempt has ended. One that is not under way is only counted: it was reported before."""
+        """An attempt has ended. One that is not in flight is only counted: it was reported before."""
         worker_call = self.open.pop(number, None)
         if worker_call is None:
-            self.context.counts[UNMATCHED] += 1
+            self.context.counts[Counter.UNMATCHED] += 1
             return
         pending, now = worker_call.pending, self.context.clock()
         del self.by_attempt[worker_call.attempt]
@@ -94,10 +104,10 @@
         if worker_call.timer is not None:
             worker_call.timer.stop()
         if outcome is Outcome.OK and not pending.final and pending.streaming in (None, worker_call):
-            self.answers.finish(pending, OK, body=body)
+            self.answers.finish(pending, RequestEnd.OK, body=body)
         elif pending.streaming is worker_call and not pending.final:
-            self.answers.finish(pending, ABORTED)  # a break in a begun stream ends it
-        answer = Answer(max(0, now - worker_call.sent_at), pending.final, warmth, company, report)
+            self.answers.finish(pending, RequestEnd.ABORTED)  # a break in a begun stream ends it
+        answer = Answer(max(0, now - worker_call.sent_at), pending.final, warmth, concurrent, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
         self.events.post(pending, "ended", worker_call.attempt, outcome, answer)
@@ -117,7 +127,8 @@
 
     def cancel_unsent(self, pending: PendingRequest) -> None:
         """What waits for a connection when its request ends is never sent: guards a worker against work that
-        nobody waits for, begun as long after as a dial lasts."""
+        nobody waits for, begun as long after as a dial lasts.
+        """
         for attempt in list(pending.attempts):
             worker_call = self.by_attempt.get(attempt)
             if worker_call is not None and self.context.transport.cancel_unsent(worker_call):
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -11,6 +11,7 @@
 
 
 def main() -> int:
+    """Run the dispatcher until it is told to end. Returns the exit status."""
     try:
         configuration = configuration_from_environment(os.environ)
     except ConfigurationError as error:
@@ -34,10 +35,10 @@
     def reload() -> None:
         node.reload(lambda: configuration_from_environment(os.environ))
 
-    def leave() -> None:
-        node.leave(reactor.stop)
+    def shut_down() -> None:
+        node.shut_down(reactor.stop)
 
-    run(reactor, begin, {signal.SIGHUP: reload, signal.SIGTERM: leave, signal.SIGINT: leave})
+    run(reactor, begin, {signal.SIGHUP: reload, signal.SIGTERM: shut_down, signal.SIGINT: shut_down})
     return failed[0] if failed else 0
 
 
--- a/lapistrestle/node/client_connection.py
+++ b/lapistrestle/node/client_connection.py
@@ -6,18 +6,18 @@
 from typing import Any, Protocol
 
 from lapistrestle.edge.core import Core
-from lapistrestle.hosting.requests import ABORTED, DENIED, OK, PendingRequest
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.node import fastcgi
 from lapistrestle.node.streams import MOST_READS, READ, Stream
 
-SECOND = 10_000  # in tenths of a millisecond
-MOST_UNSENT = 1_048_576  # bytes towards a client that does not read: more of it is not read meanwhile
-STALL_TRUSTED = 500  # tenths of a millisecond for which one that is not read from counts as waiting
-MOST_DISCARDED = 262_144  # bytes read of a connection that is to be closed, once nothing is owed on it
-MOST_DISCARDED_OPEN = 67_108_864  # and while requests are open on it: more than the longest body sent
-DISCARDING_TIME = 20_000  # for answers on a connection that can't be read, in tenths of a millisecond
-MOST_HELD = 65_536  # bytes of half requests that one connection may hold when memory runs short
-STATUS = {OK: 200, DENIED: 503, ABORTED: 500}  # of a final answer
+TICKS_PER_SECOND = 10_000  # in tenths of a millisecond
+MAX_UNSENT = 1_048_576  # bytes towards a client that does not read: more of it is not read meanwhile
+PAUSE_TRUSTED = 500  # tenths of a millisecond for which one that is not read from counts as waiting
+MAX_DISCARDED = 262_144  # bytes read of a connection that is to be closed, once nothing is owed on it
+MAX_DISCARDED_WHILE_OPEN = 67_108_864  # and while requests are open on it: more than the longest body sent
+DISCARDING_TIME_OUT = 20_000  # for answers on a connection that can't be read, in tenths of a millisecond
+MAX_BUFFERED = 65_536  # bytes of half requests that one connection may hold when memory runs short
+STATUS = {RequestEnd.OK: 200, RequestEnd.REJECTED: 503, RequestEnd.ABORTED: 500}  # of a final answer
 TOO_LARGE = (413, 431)  # after which the rest of a connection is not worth reading
 
 REASONS = {
@@ -33,10 +33,10 @@
     """How a connection comes to its end, in this order; some are left out."""
 
     SERVING = 0
-    LAST = 1  # it ends with the last of its open requests
-    REFUSING = 2  # as LAST, and what still comes is refused
-    DISCARDING = 3  # as LAST, and what still comes can't be read
-    SHUT = 4  # nothing more is written; read on, as a close with bytes unread would reset what was written
+    FINISHING = 1  # it ends with the last of its open requests
+    REJECTING = 2  # as FINISHING, and what still comes is rejected
+    DISCARDING = 3  # as FINISHING, and what still comes can't be read
+    HALF_CLOSED = 4  # nothing more is written; read on, as a close with bytes unread would reset the answers
 
 
 class ConnectionOwner(Protocol):
@@ -45,15 +45,15 @@
     core: Core
     connections: dict["ClientConnection", None]  # that are served
     idle: OrderedDict["ClientConnection", None]  # without an open request, longest idle first
-    parting: OrderedDict["ClientConnection", int]  # being closed, with the time until which each is kept
-    lingering: dict[str, PendingRequest]  # by id, until the last attempt has ended
-    held: int  # bytes of requests that have not come whole, on all connections
-    most_held: float  # bytes that may be held so
+    closing: OrderedDict["ClientConnection", int]  # being closed, with the time until which each is kept
+    unfinished: dict[str, PendingRequest]  # by id, until the last attempt has ended
+    buffered_bytes: int  # of requests that are not complete, on all connections
+    max_buffered_bytes: float
 
     def request(self, connection: "ClientConnection", request: fastcgi.Request) -> None:
-        """A whole request came."""
+        """A complete request came."""
 
-    def shut(self, connection: "ClientConnection") -> None:
+    def half_closed(self, connection: "ClientConnection") -> None:
         """A connection's sending side has been ended; it is read until its client closes."""
 
 
@@ -62,46 +62,51 @@
 
     def __init__(self, front: ConnectionOwner, sock: socket.socket) -> None:
         super().__init__(front.core.reactor, sock)
-        self.front, self.reader = front, fastcgi.RecordReader()
+        self.front = front
+        self.reader = fastcgi.RecordReader()
         self.requests: dict[int, PendingRequest] = {}
-        self.has_asked = False  # it has brought a whole request
+        self.has_sent_request = False  # it has brought a complete request
         self.phase = Phase.SERVING
         self.phase_since = 0
-        self.is_guest = False  # over the limit of connections; refused what it asks unless there is room then
+        self.is_over_limit = False  # of connections; what it asks is rejected unless there is room by then
         self.bytes_read = 0
         self.discarded = 0  # bytes read since it was to be closed
-        self.stalled = False  # not read from until the client has read what is unsent
-        self.stalled_since = 0
-        self.receiving = False  # what is read is being acted on: it parts only after that
-        self.unsent_seen, self.unsent_since = 0, 0  # bytes unsent at the last sweeps, and since when as many
+        self.reads_paused = False  # not read from until the client has read what is unsent
+        self.reads_paused_since = 0
+        self.receiving = False  # what is read is being acted on: it is closed only after that
+        self.unsent_seen = 0  # bytes unsent at the last sweep
+        self.unsent_since = 0  # since when as many were
         self.waited = 0  # tenths of a millisecond for which it may have waited for a descriptor
         self.since = front.core.clock()  # connected, or without an open request
-        self.held = 0  # bytes of what has not come whole
+        self.buffered_bytes = 0  # bytes of what is not complete
         self.unread = 0  # tenths of a millisecond for which what is read now lay in the socket
-        self.half, self.half_since = 0, 0  # the first request that has not come whole, and since when
+        self.oldest_partial = 0  # number of the first request that is not complete; 0: none
+        self.partial_since = 0  # since when that is
 
     def pieces(self) -> int:
         """How many reads are made of it at once."""
         return self.front.core.pieces()
 
     def received(self, data: bytes) -> None:
-        """Bytes came: whole requests go to the front."""
+        """Bytes came: complete requests go to the front."""
         self.front.core.input()
         self.bytes_read += len(data)
-        if self.phase >= Phase.REFUSING:
+        if self.phase >= Phase.REJECTING:
             self.discarded += len(data)
         if self.phase < Phase.DISCARDING:
-            outer, self.receiving = self.receiving, True
+            outer = self.receiving
+            self.receiving = True
             self.read_records(data)
             self.receiving = outer
         if self.dead:
             return
-        self.bound()
-        self.part()
+        self.enforce_bounds()
+        self.close_if_done()
 
     def read_records(self, data: bytes) -> None:
         """Hand on what the records say, in their order."""
-        longest, self.waited = max(self.front.core.since_look(), self.waited), 0
+        longest = max(self.front.core.since_look(), self.waited)
+        self.waited = 0
         unread = self.front.core.unread_for(self.sock, longest)
         events = self.reader.feed(data)
         for event in events:
@@ -112,7 +117,7 @@
                 return
             match event:
                 case fastcgi.Request():
-                    self.has_asked = True
+                    self.has_sent_request = True
                     self.front.request(self, event)
                 case fastcgi.RequestAborted():
                     self.aborted(event.number)
@@ -122,99 +127,107 @@
                     self.front.core.counts["unreadable"] += 1
                     self.reply(event.number, event.status, event.message.encode())
                     if event.status in TOO_LARGE:
-                        self.leave(Phase.REFUSING)
+                        self.begin_close(Phase.REJECTING)
                 case fastcgi.ConnectionBroken():
                     self.front.core.counts["unreadable"] += 1
                     self.withdraw(event.number)
-                    self.leave(Phase.DISCARDING)
+                    self.begin_close(Phase.DISCARDING)
 
     def withdraw(self, number: int) -> None:
-        """Drop an open request whose number came again: no answer could be told from the other's."""
+        """Drop an open request whose number came again: no answer could be told apart from the other's."""
         pending = self.requests.pop(number, None)
         if pending is not None:
             self.front.core.host.client_gone(pending)
 
-    def bound(self) -> None:
+    def enforce_bounds(self) -> None:
         """Keep within bounds what is held for this client."""
-        if self.unsent_bytes > MOST_UNSENT and not self.stalled:
-            self.stalled, self.stalled_since = True, self.front.core.clock()
+        if self.unsent_bytes > MAX_UNSENT and not self.reads_paused:
+            self.reads_paused = True
+            self.reads_paused_since = self.front.core.clock()
             self.watch_reads(False)
-        held = self.reader.buffered_bytes()
-        self.front.held, self.held = self.front.held + held - self.held, held
-        if self.front.held > self.front.most_held and held > MOST_HELD:
-            self.refuse_begun(503)
-            self.leave(Phase.REFUSING)
-        half = next(iter(self.reader.partial), 0)
-        if half != self.half:
-            self.half, self.half_since = half, self.front.core.clock()
-        if self.discarded > (MOST_DISCARDED_OPEN if self.requests else MOST_DISCARDED):
+        self.count_buffered()
+        is_memory_short = self.front.buffered_bytes > self.front.max_buffered_bytes
+        if is_memory_short and self.buffered_bytes > MAX_BUFFERED:
+            self.reject_partial(503)
+            self.begin_close(Phase.REJECTING)
+        oldest = next(iter(self.reader.partial), 0)
+        if oldest != self.oldest_partial:
+            self.oldest_partial = oldest
+            self.partial_since = self.front.core.clock()
+        if self.discarded > (MAX_DISCARDED_WHILE_OPEN if self.requests else MAX_DISCARDED):
             self.front.core.host.abort_all(list(self.requests.values()))
             self.drop("sends without end")
 
+    def count_buffered(self) -> None:
+        """Take this connection's part in what the front holds of partial requests from its reader."""
+        held = self.reader.buffered_bytes()
+        self.front.buffered_bytes += held - self.buffered_bytes
+        self.buffered_bytes = held
+
     def is_waiting(self) -> bool:
         """Whether the client is known to wait still. One that is not read from may have aborted meanwhile."""
         self.read_now()
-        return not self.stalled or self.front.core.clock() - self.stalled_since <= STALL_TRUSTED
+        return not self.reads_paused or self.front.core.clock() - self.reads_paused_since <= PAUSE_TRUSTED
 
     def drained(self) -> None:
         """All that was to be written has left."""
-        if self.stalled:
-            self.stalled = False
+        if self.reads_paused:
+            self.reads_paused = False
             self.watch_reads(True)
-        self.part()
+        self.close_if_done()
 
-    def stuck_for(self, now: int) -> int:
+    def unread_time(self, now: int) -> int:
         """How long the client has read nothing of what is unsent, in tenths of a millisecond."""
         if self.unsent_bytes != self.unsent_seen or not self.unsent_bytes:
-            self.unsent_seen, self.unsent_since = self.unsent_bytes, now
+            self.unsent_seen = self.unsent_bytes
+            self.unsent_since = now
         return now - self.unsent_since
 
-    def refuse_begun(self, status: int) -> None:
-        """Answer the requests that have not come whole; what still comes of them is passed over."""
+    def reject_partial(self, status: int) -> None:
+        """Answer the requests that are not complete; what still comes of them is passed over."""
         for number in self.reader.reject_partial():
             self.send(fastcgi.encode_response(number, HEADS[status], b""))
-        held = self.reader.buffered_bytes()
-        self.front.held, self.held, self.half = self.front.held + held - self.held, held, 0
-
-    # its end
+        self.count_buffered()
+        self.oldest_partial = 0
 
-    def leave(self, phase: Phase) -> None:
+    def begin_close(self, phase: Phase) -> None:
         """Close it once all that is open on it has been answered."""
         if phase <= self.phase or self.dead:
             return
-        self.phase, self.phase_since = phase, self.front.core.clock()
-        if phase >= Phase.REFUSING:
+        self.phase = phase
+        self.phase_since = self.front.core.clock()
+        if phase >= Phase.REJECTING:
             self.front.idle.pop(self, None)
-        self.part()
+        self.close_if_done()
 
-    def part(self) -> None:
+    def close_if_done(self) -> None:
         """Where nothing is owed any more, end the sending side: the client reads all, then closes."""
-        if self.phase in (Phase.SERVING, Phase.SHUT) or self.receiving:
+        if self.phase in (Phase.SERVING, Phase.HALF_CLOSED) or self.receiving:
             return
         if self.requests or self.unsent or self.dead:
             return
-        if self.is_guest and self.phase is Phase.REFUSING:
+        if self.is_over_limit and self.phase is Phase.REJECTING:
             return  # its first request may be on its way
         if self.phase < Phase.DISCARDING:
             self.receiving = True
             self.read_on()  # a request may have come meanwhile
             self.receiving = False
-            if self.requests or self.is_shut():
+            if self.requests or self.is_half_closed():
                 return
-            self.refuse_begun(503)
+            self.reject_partial(503)
         if self.unsent or self.dead:
             return
-        self.shut()
+        self.half_close()
         if not self.dead:
-            self.front.shut(self)
+            self.front.half_closed(self)
 
-    def is_shut(self) -> bool:
+    def is_half_closed(self) -> bool:
         """Whether nothing more can be written."""
-        return self.dead or self.phase is Phase.SHUT
+        return self.dead or self.phase is Phase.HALF_CLOSED
 
-    def shut(self) -> None:
+    def half_close(self) -> None:
         """End the sending side."""
-        self.leave(Phase.SHUT)
+        self.begin_close(Phase.HALF_CLOSED)
         self.discarded = 0
         try:
             self.sock.shutdown(socket.SHUT_WR)
@@ -225,20 +238,20 @@
         """Read what lies in the socket to its end, within bounds."""
         self.read(MOST_READS)
 
-    def dismiss(self, why: str) -> None:
+    def close_now(self, reason: str) -> None:
         """Close now, and lose as little as can be of what was written."""
         if self.dead:
             return
-        self.is_guest = False
-        self.leave(Phase.REFUSING)
+        self.is_over_limit = False
+        self.begin_close(Phase.REJECTING)
         if self.dead:
             return
         self.read_on()
-        self.refuse_begun(503)
-        if not self.is_shut():
-            self.shut()
+        self.reject_partial(503)
+        if not self.is_half_closed():
+            self.half_close()
         self.read_on()
-        self.drop(why)
+        self.drop(reason)
 
     def aborted(self, number: int) -> None:
         """The client has aborted a request."""
@@ -247,45 +260,47 @@
         self.send(fastcgi.encode_end(number))
         if pending is not None:
             self.front.core.host.client_gone(pending)
-            self.rested()
-        self.part()
+            self.note_idle()
+        self.close_if_done()
 
     def reply(self, number: int, status: int, body: bytes = b"", retry_after: int = 0) -> None:
-        """Write an answer. `come_back`: of Retry-After, in tenths of a millisecond; 0: none."""
+        """Write an answer. `retry_after` is in tenths of a millisecond; 0: without that header."""
         head = HEADS[status]
         if retry_after:
-            head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // SECOND)) + head
+            head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // TICKS_PER_SECOND)) + head
         self.send(fastcgi.encode_response(number, head, body))
         self.reader.request_finished(number)
-        self.rested()
-        self.part()
+        self.note_idle()
+        self.close_if_done()
 
-    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
-        """The final answer of an RPC."""
+    def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
+        """Write the final answer of a request."""
         message = pending.message
         message.body = b""
         self.requests.pop(message.number, None)
         if not pending.in_flight:
-            self.front.lingering.pop(pending.tag, None)
+            self.front.unfinished.pop(pending.tag, None)
         status = STATUS[verdict]
-        self.reply(message.number, status, body if verdict == OK else b"", retry_after)
+        self.reply(message.number, status, body if verdict == RequestEnd.OK else b"", retry_after)
         if not message.keep:
-            self.leave(Phase.LAST)
+            self.begin_close(Phase.FINISHING)
 
-    def rested(self) -> None:
+    def note_idle(self) -> None:
         """Without an open request it idles from now on."""
-        if not self.requests and not self.dead and self.phase < Phase.REFUSING:
+        if not self.requests and not self.dead and self.phase < Phase.REJECTING:
             self.since = self.front.core.clock()
             self.front.idle[self] = None
             self.front.idle.move_to_end(self)
 
-    def lost(self, why: str) -> None:
+    def lost(self, reason: str) -> None:
         """The connection is gone, and with it whoever waited."""
         self.front.core.input()
         self.front.connections.pop(self, None)
-        self.front.held, self.held = self.front.held - self.held, 0
+        self.front.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
         self.front.idle.pop(self, None)
-        self.front.parting.pop(self, None)
-        requests, self.requests = list(self.requests.values()), {}
+        self.front.closing.pop(self, None)
+        requests = list(self.requests.values())
+        self.requests = {}
         for pending in requests:
             self.front.core.host.client_gone(pending)
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -21,16 +21,18 @@
 
 
 class ProcessLimits(Struct):
+    """What the process may use: cores, memory in MB, sockets."""
+
     cores: Annotated[float, Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0)] = 192.0
     sockets: Annotated[int, Meta(ge=64)] = 256
 
 
-class RunnerEntry(Struct):
-    """A runner as the file's notices name it."""
+class RunnerEntry(Struct, kw_only=True):
+    """A runner as the file's notices name it; `started_ms` is Unix time, 0: long ago."""
 
     id: Annotated[str, Meta(pattern=r"^s-[0-9a-f]{8}$")]
-    addr: Address
+    address: Address = field(name="addr")
     zone: str
     kind: str
     cell: int
@@ -39,18 +41,24 @@
     started_ms: float = 0
 
 
-class EndpointPool(Struct):
-    full: bool
-    servers: list[RunnerEntry]
+class EndpointPool(Struct, kw_only=True):
+    """Runners that a notice names; complete where it names them all."""
+
+    is_complete: bool = field(name="full")
+    runners: list[RunnerEntry] = field(name="servers")
+
 
+class Notice(Struct, kw_only=True):
+    """An event of the notice board that the file has already."""
 
-class Notice(Struct):
-    rev: Annotated[int, Meta(ge=0)]
+    revision: Annotated[int, Meta(ge=0)] = field(name="rev")
     pool: EndpointPool
 
 
 class KnownEndpoints(Struct):
-    rev: Annotated[int, Meta(ge=0)] = 0
+    """The list of runners as it was when the file was written: events up to a revision."""
+
+    revision: Annotated[int, Meta(ge=0)] = field(default=0, name="rev")
     notices: list[Notice] = field(default_factory=list)
 
 
@@ -62,15 +70,19 @@
 
 
 class Profile(Struct, rename="kebab"):
+    """A class of calls. Times are microseconds."""
+
     name: Annotated[str, Meta(min_length=1)]
     deadline: Annotated[float, Meta(gt=0)]
-    aim: NonNegative = 0
+    latency_objective: NonNegative = field(default=0, name="aim")
     repeat_window: NonNegative = 0
     idempotency: str = ""
     dedup_scope: str = ""
 
 
 class Tenant(Struct, rename="kebab"):
+    """A customer, with its quota and share."""
+
     name: Annotated[str, Meta(min_length=1)]
     quota_rps: NonNegative = 0
     share: NonNegative = 0
@@ -92,6 +104,8 @@
 
 
 class RuleSettings(Struct, rename="kebab"):
+    """The rules' figures. Times are microseconds."""
+
     cold_from: Fraction = 1
     ramp_time: NonNegative = 0
     fall: NonNegative = 0
@@ -102,6 +116,8 @@
 
 
 class FamilyInfo(Struct, rename="kebab"):
+    """What the settings say of this family of deployments. Times are microseconds."""
+
     placement_calls: bool = False
     load_period: NonNegative = 0
     free_loads: NonNegative = 0
@@ -114,6 +130,8 @@
 
 
 class Reporting(Struct):
+    """The names of the figures in load reports."""
+
     names: list[str] = field(default_factory=list)
 
 
@@ -133,6 +151,8 @@
 
 
 class ConfigurationFile(Struct):
+    """The file as it is written."""
+
     name: str
     listen: Address
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{1,32}$")]
@@ -152,7 +172,8 @@
 
     def age(self, now: float) -> int | None:
         """How old the file's list of workers is at a Unix time, in tenths of a millisecond; None where that
-        is not known, as with a clock that was set back since."""
+        is not known, as with a clock that was set back since.
+        """
         if self.written is None or now < self.written:
             return None
         return int((now - self.written) * TICKS_PER_SECOND)
@@ -166,6 +187,7 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
+    """Host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
@@ -175,7 +197,8 @@
     if not path:
         raise ConfigurationError("EDGE_CONFIG is not set; it names the file of the configuration")
     try:
-        written = Path(path).stat().st_mtime  # first: of a file replaced meanwhile the older time counts
+        # the time first: of a file replaced meanwhile the older one counts
+        written = Path(path).stat().st_mtime
         raw = Path(path).read_bytes()
     except OSError as error:
         raise ConfigurationError(f"{path}: can't be read: {error.strerror}") from None
@@ -185,15 +208,16 @@
 
 
 def without_nulls(settings: Any) -> Any:
-    """Without what is null, which reads as missing."""
+    """The settings without what is null, which reads as missing."""
     if isinstance(settings, dict):
         return {name: without_nulls(value) for name, value in settings.items() if value is not None}
     return [without_nulls(value) for value in settings] if isinstance(settings, list) else settings
 
 
 def facts(file: ConfigurationFile, settings: PlatformSettings) -> Facts:
-    """The settings in the module's words. Without a time to connect, or to wait for an order's answer, none
-    would ever come: there the time is the platform's usual one, or the longest that a client waits."""
+    """The settings in the module's words. Without a time to connect, or to wait for a preload's answer, none
+    would ever come: there the time is the platform's usual one, or the longest that a client waits.
+    """
     longest = max(profile.deadline for profile in settings.profiles)
     waits = {
         "dial_time_out": words.span(settings.limits.dial_timeout),
@@ -203,6 +227,7 @@
 
 
 def parse_configuration(raw: bytes, path: str) -> Configuration:
+    """The configuration of a file's content. Raises ConfigurationError."""
     try:
         file = msgspec.json.decode(raw, type=ConfigurationFile)
         settings = msgspec.convert(without_nulls(file.settings), PlatformSettings)
@@ -215,8 +240,10 @@
 
 def configuration_from_environment(environ: Mapping[str, str]) -> Configuration:
     """As the file says that the environment names; where to listen and the name may stand there too. Raises
-    ConfigurationError."""
-    configuration, listen = read_configuration(environ.get("EDGE_CONFIG")), environ.get("EDGE_LISTEN", "")
+    ConfigurationError.
+    """
+    configuration = read_configuration(environ.get("EDGE_CONFIG"))
+    listen = environ.get("EDGE_LISTEN", "")
     if listen and not ADDRESS.fullmatch(listen):
         raise ConfigurationError(
             f"EDGE_LISTEN is {listen!r}; expected an address and a port, such as 10.0.0.4:10080"
--- a/lapistrestle/node/fastcgi.py
+++ b/lapistrestle/node/fastcgi.py
@@ -17,7 +17,7 @@
 VERSION = 1
 HEAD = Struct(">BBHHBB")  # version, kind, number, bytes of content, of padding, nothing
 MAX_OPEN_REQUESTS = 32  # requests of one connection
-MAX_REJECTED = 1_024  # requests of one connection that were rejected before they had come whole
+MAX_REJECTED = 1_024  # requests of one connection that were rejected before they were complete
 BEGIN_BYTES = 8  # content of a record that begins a request
 MAX_PARAMS_BYTES = 16_384  # bytes; the fields of a request take some hundreds
 MAX_BODY_BYTES = 16_384  # bytes
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class PartialRequest:
-    """A request that has not come whole."""
+    """A request that is not complete."""
 
     keep: bool
     params: bytearray = field(default_factory=bytearray)
@@ -99,7 +99,7 @@
 class RecordReader:
     """The requests of one connection, from its bytes.
 
-    `partial` holds those that have not come whole, `open_requests` those that have and are not finished yet
+    `partial` holds those that are not complete, `open_requests` those that have and are not finished yet
     (the host calls `request_finished`).
     """
 
@@ -107,7 +107,7 @@
         self.buffer = b""
         self.partial: dict[int, PartialRequest] = {}
         self.open_requests: set[int] = set()
-        self.rejected: set[int] = set()  # ended before they had come whole
+        self.rejected: set[int] = set()  # ended before they were complete
         self.broken = False
 
     def request_finished(self, number: int) -> None:
@@ -115,18 +115,18 @@
         self.open_requests.discard(number)
 
     def reject_partial(self) -> list[int]:
-        """Take nothing more of the requests that have not come whole; returns their numbers."""
+        """Take nothing more of the requests that are not complete; returns their numbers."""
         numbers = list(self.partial)
         self.rejected.update(numbers)
         self.partial.clear()
         return numbers
 
     def buffered_bytes(self) -> int:
-        """Bytes kept of what has not come whole."""
+        """Bytes kept of what is not complete."""
         return len(self.buffer) + sum(len(p.params) + len(p.body) for p in self.partial.values())
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events of the records that are whole now, in order; none once the connection is broken."""
+        """The events of the records that are complete now, in order; none once the connection is broken."""
         if self.broken:
             return []
         if self.buffer:
@@ -219,7 +219,7 @@
             raise MalformedRecordError(message, BEGIN, number, f"at most {MAX_REJECTED}")
 
     def reject(self, events: list[Event], event: Event, number: int) -> None:
-        """Take nothing more of a request that has not come whole."""
+        """Take nothing more of a request that is not complete."""
         self.partial.pop(number, None)
         self.rejected.add(number)
         events.append(event)
@@ -241,7 +241,7 @@
         partial.params = bytearray()
 
     def read_body(self, number: int, partial: PartialRequest, content: bytes, events: list[Event]) -> None:
-        """Part of a request's body; an empty one ends it, and the request has come whole."""
+        """Part of a request's body; an empty one ends it, and the request is complete."""
         if partial.fields is None:
             self.reject(events, MalformedRequest(number, 400, "a body before the end of the fields"), number)
         elif not content:
@@ -306,7 +306,7 @@
 
 
 def encode_response(number: int, head: bytes, body: bytes) -> bytes:
-    """A whole answer: its head and body in STDOUT records, their end, and the end of the request."""
+    """A complete answer: its head and body in STDOUT records, their end, and the end of the request."""
     output = head + body
     parts = list[bytes]()
     for at in range(0, len(output), MAX_RECORD_CONTENT):
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -1,46 +1,54 @@
 """The front of the platform: web servers that speak FastCGI. Requests are checked strictly (`invocation`):
-what can't be used gets its answer at once and meets neither the module nor a runner."""
+what can't be used gets its answer at once and meets neither the module nor a runner.
+"""
 
 import socket
 from collections import OrderedDict
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass, field
 
 from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import PendingRequest
 from lapistrestle.node import fastcgi
-from lapistrestle.node.client_connection import DISCARDING_TIME, ClientConnection, Phase
+from lapistrestle.node.client_connection import DISCARDING_TIME_OUT, ClientConnection, Phase
 from lapistrestle.node.configuration import Configuration, split_address
 from lapistrestle.node.invocation import InvalidRequestError, Invocation, InvocationParser
+from lapistrestle.node.runner_connection import RunnerConnection
 from lapistrestle.node.streams import Listener
 
-MARGIN = 60  # tenths of a millisecond for the way back and the turn of the loop
-FRESH = 5_000  # a connection's first request may be on its way for this long, in tenths of a millisecond
-SILENT = 20_000  # one that has not brought a whole request by then is closed
-IDLE = 60_000  # clients close theirs sooner; who keeps one for good loses it
-SWEEP = 2_500
-PARTING = 10_000  # how long one that is being closed may still be read, in tenths of a millisecond
-SOCKETS_PART = (9, 20)  # of the process's sockets may go to clients
-PARTING_PART = 8  # and one in so many of these to connections that are being closed
-MB = 1e6  # bytes
-HELD_PART = 8  # of the memory limit, one in so many may be held by requests that have not come whole
-SECOND = 10_000  # in tenths of a millisecond
-BODIES_PART = 4  # and one in so many by the bodies of open requests
-LEAST_OPEN = 256  # requests that may be open whatever the memory limit
-
-
+DEADLINE_MARGIN = 60  # tenths of a millisecond, for the way back and the turn of the loop
+TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
+TICKS_PER_MS = 10
+# Tenths of a millisecond:
+FIRST_REQUEST_TIME = 5_000  # a new connection's first request may be on its way for this long
+FIRST_REQUEST_TIME_OUT = 20_000  # a connection that has not brought a complete request by then is closed
+IDLE_TIME_OUT = 60_000  # clients close theirs sooner; who keeps one for good loses it
+SWEEP_INTERVAL = 2_500  # between two looks for connections to close
+CLOSING_TIME_OUT = 10_000  # how long a connection that is being closed may still be read
+
+CLIENT_SOCKETS_SHARE = (9, 20)  # of the process's sockets may go to clients
+CLOSING_DIVISOR = 8  # and one in so many of these to connections that are being closed
+BYTES_PER_MB = 1e6
+BUFFERED_DIVISOR = 8  # of the memory limit, one in so many may be held by requests that are not complete
+BODIES_DIVISOR = 4  # and one in so many by the bodies of open requests
+MIN_OPEN_REQUESTS = 256  # requests that may be open whatever the memory limit
+
+
+@dataclass(slots=True, eq=False)
 class RunRequest:
-    """A request as a runner is told of it: parts of its line, made once."""
+    """A request as it is sent to a runner: parts of its line, made once."""
 
-    __slots__ = ("body", "head", "id", "keep", "key", "number", "used")
-
-    def __init__(self, number: int, keep: bool, id: bytes, head: bytes, key: bytes, body: bytes) -> None:
-        self.number, self.keep, self.id, self.head, self.key, self.body = number, keep, id, head, key, body
-        self.used: list[Any] = []  # connections that it went by
+    number: int  # on its client's connection
+    keep: bool  # whether the client keeps its connection after the answer
+    id: bytes
+    head: bytes  # of the line's attributes
+    key: bytes  # of the line's attributes, empty without an idempotency key
+    body: bytes
+    used_connections: list[RunnerConnection] = field(default_factory=list)  # its attempts went by these
 
     @classmethod
     def of(cls, call: Invocation, request: fastcgi.Request) -> "RunRequest":
-        """From a checked call; `key` is a part of the line's attributes."""
+        """From a checked call."""
         head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.function)
         key = b',"uniq":"%s"' % call.key if call.key else b""
         return cls(request.number, request.keep, call.id, head, key, request.body)
@@ -54,37 +62,40 @@
         self.host_port = split_address(configuration.file.listen)
         self.connections: dict[ClientConnection, None] = {}
         self.idle = OrderedDict[ClientConnection, None]()  # without an open request, longest idle first
-        most = configuration.file.limits.sockets * SOCKETS_PART[0] // SOCKETS_PART[1]
-        self.most_parting = max(1, most // PARTING_PART)
-        self.most = max(1, most - self.most_parting)
-        # shut, or guests, each with the time until which it is kept; the oldest first
-        self.parting = OrderedDict[ClientConnection, int]()
-        memory = configuration.file.limits.memory_mb * MB
-        self.held, self.most_held = 0, memory / HELD_PART  # bytes of what has not come whole
-        # if each brings the longest body
-        most = max(LEAST_OPEN, int(memory / BODIES_PART / fastcgi.MAX_BODY_BYTES))
-        self.most_open = min(configuration.settings.limits.max_open, most)
+        sockets = configuration.file.limits.sockets * CLIENT_SOCKETS_SHARE[0] // CLIENT_SOCKETS_SHARE[1]
+        self.max_closing = max(1, sockets // CLOSING_DIVISOR)
+        self.max_connections = max(1, sockets - self.max_closing)
+        # half closed, or over the limit, each with the time until which it is kept; the oldest first
+        self.closing = OrderedDict[ClientConnection, int]()
+        memory = configuration.file.limits.memory_mb * BYTES_PER_MB
+        self.buffered_bytes = 0  # of requests that are not complete, on all connections
+        self.max_buffered_bytes = memory / BUFFERED_DIVISOR  # bytes of what is not complete
+        # as many as the memory holds if each brings the longest body
+        by_memory = max(MIN_OPEN_REQUESTS, int(memory / BODIES_DIVISOR / fastcgi.MAX_BODY_BYTES))
+        self.max_open_requests = min(configuration.settings.limits.max_open, by_memory)
         self.listener: Listener | None = None
         self.ready: Callable[[], bool] = lambda: False  # whether the list stands; the source knows
         self.leaving = False
-        self.ids: OrderedDict[str, int] = OrderedDict()  # those taken in the last window of orders, and when
-        self.lingering: dict[str, PendingRequest] = {}  # by id, until the last call-out has ended
+        self.recent_ids = OrderedDict[str, int]()  # taken in the last window of orders, and when
+        self.unfinished: dict[str, PendingRequest] = {}  # by id, until the last attempt has ended
         self.parser = InvocationParser(configuration, core.facts)
 
     # core.Front
 
     def listen(self) -> int:
         """Listen. Returns the port."""
-        self.listener = Listener(self.core.reactor, *self.host_port, self.taken, self.make_room)
-        self.core.after(SWEEP, self.sweep, None)
+        self.listener = Listener(
+            self.core.reactor, *self.host_port, self.client_connected, self.free_descriptor
+        )
+        self.core.after(SWEEP_INTERVAL, self.sweep, None)
         port: int = self.listener.sock.getsockname()[1]
         return port
 
     def close(self) -> None:
         """What the machine has accepted for us is ours to answer: closing the listener would reset it."""
-        self.empty_listener()
+        self.drain_listener()
 
-    def empty_listener(self) -> bool:
+    def drain_listener(self) -> bool:
         """Close the listener once nothing waits at it; False while the machine has no descriptor for that."""
         if self.listener is not None and not self.listener.closed and self.listener.empty():
             self.listener.close()
@@ -92,10 +103,10 @@
 
     def owes(self) -> bool:
         """Reads every connection once more: a request that lies unread at the end would be reset with it."""
-        emptied = self.empty_listener()
-        for connection in [*self.connections, *self.parting]:
+        emptied = self.drain_listener()
+        for connection in [*self.connections, *self.closing]:
             connection.read_on()
-        return not emptied or any(connection.unsent for connection in [*self.connections, *self.parting])
+        return not emptied or any(connection.unsent for connection in [*self.connections, *self.closing])
 
     def open(self) -> list[PendingRequest]:
         """All requests without a final answer."""
@@ -105,159 +116,180 @@
         """Close every connection at once."""
         if self.listener is not None:
             self.listener.close()
-        for connection in [*self.connections, *self.parting]:
-            connection.dismiss("the dispatcher ends")
+        for connection in [*self.connections, *self.closing]:
+            connection.close_now("the dispatcher ends")
 
     # connections
 
-    def taken(self, sock: socket.socket) -> None:
+    def client_connected(self, sock: socket.socket) -> None:
         """A client has connected."""
         assert self.listener is not None
         has_room = self.has_room()
         connection = ClientConnection(self, sock)
-        connection.waited = int(self.listener.waited() * SECOND)
+        connection.waited = int(self.listener.waited() * TICKS_PER_SECOND)
         if has_room:
             self.connections[connection] = self.idle[connection] = None
         else:
             self.core.counts["turned away"] += 1
-            self.receive_guest(connection)
+            self.answer_over_limit(connection)
         connection.begin()
         # in this look: it may have come, with all it brings and its end, during a standstill
         connection.doRead()
 
     def has_room(self) -> bool:
         """Whether one more connection may be served; one that carries nothing makes room."""
-        return len(self.connections) < self.most or self.shed()
+        return len(self.connections) < self.max_connections or self.evict_idle()
 
-    def receive_guest(self, connection: ClientConnection) -> None:
+    def answer_over_limit(self, connection: ClientConnection) -> None:
         """One for which there is no room: its first request, which may be on its way, is answered still."""
         self.connections.pop(connection, None)
         self.idle.pop(connection, None)
-        connection.is_guest = True
-        connection.phase, connection.phase_since = Phase.REFUSING, self.core.clock()
-        self.keep_parting(connection)
-
-    def admit(self, guest: ClientConnection) -> None:
-        """A guest asks for something: it is served if there is room by now."""
-        guest.is_guest = False
-        del self.parting[guest]
+        connection.is_over_limit = True
+        connection.phase = Phase.REJECTING
+        connection.phase_since = self.core.clock()
+        self.keep_closing(connection)
+
+    def admit(self, connection: ClientConnection) -> None:
+        """A connection over the limit has brought a request: it is served if there is room by now."""
+        connection.is_over_limit = False
+        del self.closing[connection]
         if self.has_room():
-            guest.phase = Phase.SERVING
-            self.connections[guest] = self.idle[guest] = None
+            connection.phase = Phase.SERVING
+            self.connections[connection] = self.idle[connection] = None
         else:
-            self.keep_parting(guest)
+            self.keep_closing(connection)
 
-    def shut(self, connection: ClientConnection) -> None:
-        """One has been shut, and is read until its client closes."""
+    def half_closed(self, connection: ClientConnection) -> None:
+        """One has been half closed, and is read until its client closes."""
         self.connections.pop(connection, None)
-        if connection not in self.parting:
-            self.keep_parting(connection)
+        if connection not in self.closing:
+            self.keep_closing(connection)
 
-    def keep_parting(self, connection: ClientConnection) -> None:
-        """For a while, and not too many."""
-        if len(self.parting) >= self.most_parting:
-            next(iter(self.parting)).dismiss("others need the room")
-        self.parting[connection] = self.core.clock() + PARTING
+    def keep_closing(self, connection: ClientConnection) -> None:
+        """Keep one that is being closed, for a while; not too many of them."""
+        if len(self.closing) >= self.max_closing:
+            next(iter(self.closing)).close_now("others need the room")
+        self.closing[connection] = self.core.clock() + CLOSING_TIME_OUT
 
-    def make_room(self) -> bool:
+    def free_descriptor(self) -> bool:
         """Free one descriptor."""
-        if not self.parting and not self.shed():
+        if not self.closing and not self.evict_idle():
             return False
-        if self.parting:
-            next(iter(self.parting)).dismiss("others need the room")
+        if self.closing:
+            next(iter(self.closing)).close_now("others need the room")
         return True
 
-    def shed(self) -> bool:
+    def evict_idle(self) -> bool:
         """Serve one connection less that carries nothing: one that never asked, else the longest idle. One
-        that may be about to ask goes only where there is no other, and becomes a guest."""
+        that may be about to ask goes only where there is no other, and counts as over the limit.
+        """
         now = self.core.clock()
         free = [connection for connection in self.idle if not connection.reader.partial]
-        old = [connection for connection in free if connection.has_asked or now - connection.since > FRESH]
-        for connection in [s for s in old if not s.has_asked] or old or free or list(self.idle):
-            if self.unused(connection):
-                if connection.has_asked or now - connection.since > FRESH:
+        old = [
+            connection
+            for connection in free
+            if connection.has_sent_request or now - connection.since > FIRST_REQUEST_TIME
+        ]
+        never_used = [connection for connection in old if not connection.has_sent_request]
+        for connection in never_used or old or free or list(self.idle):
+            if self.is_unused(connection):
+                if connection.has_sent_request or now - connection.since > FIRST_REQUEST_TIME:
                     connection.drop("others need the room")
                 else:
-                    self.receive_guest(connection)
+                    self.answer_over_limit(connection)
                 return True
             if connection.dead:
                 return True
         return False
 
-    def unused(self, connection: ClientConnection) -> bool:
+    def is_unused(self, connection: ClientConnection) -> bool:
         """Whether nothing has come on it meanwhile: guards what lies unread, which a close would reset
-        together with the answers before it."""
+        together with the answers before it.
+        """
         if connection.unsent:
             return False
-        before = connection.half, connection.has_asked
+        before = connection.oldest_partial, connection.has_sent_request
         connection.doRead()
-        after = connection.half, connection.has_asked
+        after = connection.oldest_partial, connection.has_sent_request
         return not connection.dead and not connection.requests and after == before
 
     def sweep(self, _: object) -> None:
         """Close what is silent or idles, now and again."""
         now = self.core.clock()
         for connection in list(self.connections):
-            if connection.stuck_for(now) > IDLE:
-                connection.drop("does not read")
-            elif connection.phase is Phase.DISCARDING and now - connection.phase_since > DISCARDING_TIME:
-                self.core.host.abort_all(list(connection.requests.values()))
-            elif connection.half and now - connection.half_since > SILENT:
-                connection.refuse_begun(408)
-                connection.leave(Phase.REFUSING)
-            elif connection.requests or connection.half:
-                continue
-            elif now - connection.since > self.patience(connection) and self.unused(connection):
-                connection.drop("idle" if connection.has_asked else "silence")
-        while self.parting and next(iter(self.parting.values())) <= now:
-            next(iter(self.parting)).dismiss("it stays open")
-        over = [tag for tag, pending in self.lingering.items() if pending.final and not pending.in_flight]
+            self.check_connection(connection, now)
+        while self.closing and next(iter(self.closing.values())) <= now:
+            next(iter(self.closing)).close_now("it stays open")
+        over = [tag for tag, pending in self.unfinished.items() if pending.final and not pending.in_flight]
         for tag in over:
-            self.lingering.pop(tag).attempts.clear()  # they point to each other
-        self.core.after(SWEEP, self.sweep, None)
-
-    def patience(self, connection: ClientConnection) -> int:
+            self.unfinished.pop(tag).attempts.clear()  # they point to each other
+        self.core.after(SWEEP_INTERVAL, self.sweep, None)
+
+    def check_connection(self, connection: ClientConnection, now: int) -> None:
+        """Close one that does not read, does not finish what it began, or idles."""
+        if connection.unread_time(now) > IDLE_TIME_OUT:
+            connection.drop("does not read")
+        elif connection.phase is Phase.DISCARDING and now - connection.phase_since > DISCARDING_TIME_OUT:
+            self.core.host.abort_all(list(connection.requests.values()))
+        elif connection.oldest_partial and now - connection.partial_since > FIRST_REQUEST_TIME_OUT:
+            connection.reject_partial(408)
+            connection.begin_close(Phase.REJECTING)
+        elif connection.requests or connection.oldest_partial:
+            return
+        elif now - connection.since > self.idle_limit(connection) and self.is_unused(connection):
+            connection.drop("idle" if connection.has_sent_request else "silence")
+
+    def idle_limit(self, connection: ClientConnection) -> int:
         """How long it may be without an open request."""
-        return IDLE if connection.has_asked else SILENT
+        return IDLE_TIME_OUT if connection.has_sent_request else FIRST_REQUEST_TIME_OUT
 
-    def taken_before(self, tag: str) -> bool:
-        """Whether an RPC of this id came within the window of orders, where an id counts once: guards the
-        ration against clients that send the same again as soon as it is turned away."""
+    def seen_recently(self, tag: str) -> bool:
+        """Whether a request of this id came within the window of orders, where an id counts once: guards the
+        ration against clients that send the same again as soon as it is turned away.
+        """
         now = self.core.clock()
-        while self.ids and next(iter(self.ids.values())) <= now - self.core.facts["order_window"]:
-            self.ids.popitem(last=False)
-        known = tag in self.ids
-        self.ids.setdefault(tag, now)
+        window_start = now - self.core.facts["order_window"]
+        while self.recent_ids and next(iter(self.recent_ids.values())) <= window_start:
+            self.recent_ids.popitem(last=False)
+        known = tag in self.recent_ids
+        self.recent_ids.setdefault(tag, now)
         return known
 
     # requests
 
     def request(self, connection: ClientConnection, request: fastcgi.Request) -> None:
-        """A whole request came: the health check, or a call."""
-        if connection.is_guest:
+        """A complete request came: the health check, or a call."""
+        if connection.is_over_limit:
             self.admit(connection)
         path = request.fields.get(b"SCRIPT_NAME", b"")
         if path == b"/_health":
-            return connection.reply(request.number, 200 if self.ready() and not self.leaving else 503)
+            connection.reply(request.number, 200 if self.ready() and not self.leaving else 503)
+            return
         try:
-            self.arrived(connection, request, path)
+            self.invoke(connection, request, path)
         except InvalidRequestError as error:
             self.core.counts["unreadable"] += 1
             connection.reply(request.number, error.status, error.message.encode())
 
-    def arrived(self, connection: ClientConnection, request: fastcgi.Request, path: bytes) -> None:
-        """Raises InvalidRequestError where the request can't be used."""
+    def takes_requests(self, connection: ClientConnection) -> bool:
+        """Whether a further request of a connection may be taken now."""
+        if self.core.stopping or connection.phase >= Phase.REJECTING:
+            return False
+        return self.core.host.open_requests < self.max_open_requests and self.ready()
+
+    def invoke(self, connection: ClientConnection, request: fastcgi.Request, path: bytes) -> None:
+        """Hand a call to the host. Raises InvalidRequestError where the request can't be used."""
         call = self.parser.parse(request, path)
         tag = call.id.decode()
-        if tag in self.lingering:
+        if tag in self.unfinished:
             raise InvalidRequestError(
                 409, "X-Call-Id is in use", "X-Call-Id", call.id, "an id of no open call"
             )
-        left = int(call.patience * 10) - MARGIN - connection.unread
-        refused = self.core.stopping or connection.phase >= Phase.REFUSING
-        if refused or left <= 0 or self.core.host.open_requests >= self.most_open or not self.ready():
+        time_left = int(call.patience * TICKS_PER_MS) - DEADLINE_MARGIN - connection.unread
+        if time_left <= 0 or not self.takes_requests(connection):
             self.core.counts["turned away"] += 1
-            return connection.reply(request.number, 503)
+            connection.reply(request.number, 503)
+            return
         self.idle.pop(connection, None)
         pending = self.core.host.request_received(
             client=connection,
@@ -266,16 +298,16 @@
             function_name=call.function.decode(),
             method=call.method.number,
             customer=call.customer,
-            time_left=left,
+            time_left=time_left,
             memory=call.memory,
             lanes=call.lanes,
             repeat=call.repeat,
-            work=None if call.work is None else max(1, int(call.work * 10)),
-            load=None if call.load is None else int(call.load * 10),
-            moved=self.taken_before(tag),
+            work=None if call.work is None else max(1, int(call.work * TICKS_PER_MS)),
+            load=None if call.load is None else int(call.load * TICKS_PER_MS),
+            moved=self.seen_recently(tag),
             arrived_at=self.core.earliest_arrival(),
         )
         if not pending.final:
             connection.requests[request.number] = pending
         if not pending.final or pending.in_flight:
-            self.lingering[tag] = pending
+            self.unfinished[tag] = pending
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -122,7 +122,7 @@
 
 
 def checked_lanes(lanes: float | None, attributes: dict[bytes, bytes]) -> int:
-    """How many calls one copy of the function serves at once: 1 unless told. Raises InvalidRequestError."""
+    """How many calls one copy of the function serves at once; by default 1. Raises InvalidRequestError."""
     if lanes is None:
         return 1
     if lanes < 1 or lanes != int(lanes):
@@ -190,7 +190,8 @@
 
     def customer(self, name: bytes) -> int:
         """The customer's number; whom the settings don't share out to has no share: one that names nobody
-        takes nobody's. Raises InvalidRequestError."""
+        takes nobody's. Raises InvalidRequestError.
+        """
         customer = self.customers.get(name, len(self.customers)) if self.customers else 0
         if name and self.customers and customer == len(self.customers):
             message = "X-Customer is none of the settings' tenants"
--- a/lapistrestle/node/notices.py
+++ b/lapistrestle/node/notices.py
@@ -48,7 +48,8 @@
     @property
     def listing(self) -> EndpointState:
         """What it says of the worker. A state that the page does not know, or a port that nobody can listen
-        at, never reads as ready: the rest of its event counts, and this one gets no new work."""
+        at, never reads as ready: the rest of its event counts, and this one gets no new work.
+        """
         listing = LISTINGS[self.state] if self.state < len(LISTINGS) else EndpointState.DRAINING
         return listing if self.port or listing is EndpointState.REMOVED else EndpointState.DRAINING
 
@@ -79,7 +80,7 @@
         self.frames: list[Frame] = []  # those of the last bytes
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are whole now. Raises FrameError, after which `frames` holds those before it."""
+        """The frames that are complete now. Raises FrameError, after which `frames` holds those before it."""
         data = self.buffer + data
         self.frames = []
         start = 0
--- a/lapistrestle/node/replies.py
+++ b/lapistrestle/node/replies.py
@@ -4,28 +4,28 @@
 
 from lapistrestle.policy.interface import Outcome
 
-ATTEMPTS = {
+ATTEMPT_OUTCOMES = {
     "200": Outcome.OK,
     "404": Outcome.NOT_LOADED,
     "503": Outcome.REJECTED,
     "500": Outcome.ERROR,
     "504": Outcome.NOT_SENT,
 }
-ORDERS = {"200": Outcome.OK, "503": Outcome.REJECTED, "500": Outcome.ERROR}
-PROBES = {"alive": Outcome.OK, "dead": Outcome.ERROR}
+PRELOAD_OUTCOMES = {"200": Outcome.OK, "503": Outcome.REJECTED, "500": Outcome.ERROR}
+HEALTH_CHECK_OUTCOMES = {"alive": Outcome.OK, "dead": Outcome.ERROR}
 
 Figure = int | float | str
 
 
-class Attrs(msgspec.Struct):
+class ReplyAttributes(msgspec.Struct):
     """What a reply says beside its content; figures may come as text."""
 
-    company: Figure = 0
-    slots_up: Figure = 0
-    use: str = ""
+    concurrent: Figure = msgspec.field(default=0, name="company")  # other calls that ran beside it
+    copies: Figure = msgspec.field(default=0, name="slots_up")  # of the function that it holds
+    load_report: str = msgspec.field(default="", name="use")  # "name:figure;..."
 
 
-NO_ATTRS = Attrs()
+NO_ATTRIBUTES = ReplyAttributes()
 
 
 class Reply(msgspec.Struct):
@@ -33,26 +33,26 @@
 
     verb: str
     rid: str
-    attrs: Attrs | None = None
+    attrs: ReplyAttributes | None = None
     content: str | None = None
 
 
 DECODER = msgspec.json.Decoder(Reply)
 
 
-def reply_of(line: bytes) -> Reply | None:
-    """None if the line is no reply."""
+def parse_reply(line: bytes) -> Reply | None:
+    """The reply of a line; None if it is none."""
     try:
         reply = DECODER.decode(line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         return None
-    return reply if reply.verb in ATTEMPTS or reply.verb in PROBES else None
+    return reply if reply.verb in ATTEMPT_OUTCOMES or reply.verb in HEALTH_CHECK_OUTCOMES else None
 
 
-def report_of(use: str, names: dict[str, str]) -> dict[str, float]:
+def parse_load_report(text: str, names: dict[str, str]) -> dict[str, float]:
     """The figures of a load report under the names that the module knows. Raises ValueError."""
     found: dict[str, float] = {}
-    for entry in use.split(";"):
+    for entry in text.split(";"):
         name, _, figure = entry.partition(":")
         if name in names:
             found[names[name]] = float(figure)
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -1,5 +1,6 @@
 """One connection to a runner of the platform: JSON lines over a socket. `edge.linking` decides what becomes
-of lines; placing, repeats and health are the module's."""
+of lines; placing, repeats and health are the module's.
+"""
 
 import binascii
 import socket
@@ -10,21 +11,32 @@
 from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
 from lapistrestle.node.configuration import split_address
-from lapistrestle.node.replies import ATTEMPTS, NO_ATTRS, ORDERS, PROBES, Attrs, Reply, reply_of, report_of
+from lapistrestle.node.replies import (
+    ATTEMPT_OUTCOMES,
+    HEALTH_CHECK_OUTCOMES,
+    NO_ATTRIBUTES,
+    PRELOAD_OUTCOMES,
+    Reply,
+    ReplyAttributes,
+    parse_load_report,
+    parse_reply,
+)
 from lapistrestle.node.streams import Stream, dial
 from lapistrestle.policy.interface import Outcome
 
-LINE = 131_072  # bytes of the longest line taken: a body of 16 KiB in base64 several times over
-PROMPT = 300  # tenths of a millisecond that an order may wait for its connection; its window is seconds
+MAX_LINE = 131_072  # bytes of the longest line taken: a body of 16 KiB in base64 several times over
+PRELOAD_WAIT = (
+    300  # tenths of a millisecond that a preload may wait for its connection; its window is seconds
+)
 NO_CALLBACKS = LinkCallbacks()
 
 
 class ReplySettings(Protocol):
     """What holds for the connections to all runners."""
 
-    idle: int  # tenths of a millisecond without use after which a connection is closed
+    idle_limit: int  # tenths of a millisecond without use after which a connection is closed
     report_names: dict[str, str]  # of a load report's figures, to the names that the module knows
-    tells_company: bool  # whether replies tell how many calls ran beside one
+    reports_concurrency: bool  # whether replies tell how many calls ran beside one
 
 
 class ConnectionPool(Protocol):
@@ -65,7 +77,7 @@
         """All that waited to be written is."""
         self.connection.linking.step(Input.EASED)
 
-    def lost(self, why: str) -> None:
+    def lost(self, reason: str) -> None:
         """It is gone."""
         self.connection.lost()
 
@@ -74,33 +86,37 @@
     """One connection to a runner."""
 
     def __init__(self, runner: ConnectionPool) -> None:
-        self.runner, self.pools = runner, runner.pools
+        self.runner = runner
+        self.pools = runner.pools
         self.core: Core = runner.core
-        self.linking = Linking(runner.name, self, lambda _: None, self.core.clock, prompt=PROMPT)
+        self.linking = Linking(runner.name, self, lambda _: None, self.core.clock, prompt=PRELOAD_WAIT)
         self.stream: Socket | None = None
-        self.rest = b""
+        self.buffer = b""
         self.by_rid: dict[str, int] = {}
         self.rids: dict[int, str] = {}
-        self.since = self.core.clock()  # of its last use
-        self.unsent = set[int]()  # once lost: what was not written whole
+        self.last_used = self.core.clock()  # of its last use
+        self.unsent_numbers = set[int]()  # once lost: what was not written whole
 
     def load(self) -> int:
         """Lines that wait here, and those whose end is awaited."""
         return len(self.linking.out) + len(self.linking.waiting)
 
     def send(self, rid: str, line: Line, prompt: bool = False) -> bool:
-        """Send a line as soon as the connection is up, with `prompt` within PROMPT; False if it can't be
-        taken."""
-        self.since = self.core.clock()
-        self.by_rid[rid], self.rids[line.number] = line.number, rid
+        """Send a line as soon as the connection is up, with `prompt` within PRELOAD_WAIT.
+
+        False if it can't be taken.
+        """
+        self.last_used = self.core.clock()
+        self.by_rid[rid] = line.number
+        self.rids[line.number] = rid
         if self.linking.send(line, prompt):
             return True
         self.forget(line.number)
         return False
 
-    def stale(self) -> bool:
+    def is_stale(self) -> bool:
         """Unused for so long that the runner is about to close it."""
-        idle = self.core.clock() - self.since > self.pools.idle
+        idle = self.core.clock() - self.last_used > self.pools.idle_limit
         return idle and self.linking.state is Link.OPEN and not self.load()
 
     def forget(self, number: int) -> None:
@@ -128,80 +144,82 @@
 
     def end_tasks(self) -> None:
         """The runner is gone, or another process stands under its name: what this one may still say of its
-        loads is nothing that the module should believe of what follows, and nobody waits for it."""
+        loads is nothing that the module should believe of what follows, and nobody waits for it.
+        """
         for number in [number for number in self.rids if number in self.core.host.tasks]:
             self.withdraw(number, False)
             self.core.host.task_finished_without_reply(number, Outcome.NOT_SENT)
 
-    # what comes
-
     def received(self, data: bytes) -> None:
-        """Bytes came: whole lines are handled, the rest is kept."""
+        """Bytes came: complete lines are handled, the rest is kept."""
         self.core.input()
-        lines = (self.rest + data if self.rest else data).split(b"\n")
-        self.rest = lines.pop()
+        lines = (self.buffer + data if self.buffer else data).split(b"\n")
+        self.buffer = lines.pop()
         for line in lines:
             if self.stream is None:
                 return
-            if not self.heard(line):
-                return self.protocol_error("a line that can't be read")
-        if len(self.rest) > LINE:
+            if not self.handle_line(line):
+                self.protocol_error("a line that can't be read")
+                return
+        if len(self.buffer) > MAX_LINE:
             self.protocol_error("a line without end")
 
-    def protocol_error(self, why: str) -> None:
+    def protocol_error(self, reason: str) -> None:
         """What follows a bad line can't be trusted: everything on this connection may have run."""
-        self.core.passed_over(self.runner.name, why)
+        self.core.passed_over(self.runner.name, reason)
         if self.stream is not None:
-            self.stream.drop(why)
+            self.stream.drop(reason)
 
-    def heard(self, line: bytes) -> bool:
+    def handle_line(self, line: bytes) -> bool:
         """False if the line is no reply."""
-        reply = reply_of(line)
+        reply = parse_reply(line)
         if reply is None:
             return False
         number = self.by_rid.get(reply.rid)
         if number is None:
             self.core.host.unmatched_reply()
             return True
-        attrs = reply.attrs or NO_ATTRS
+        attrs = reply.attrs or NO_ATTRIBUTES
         try:
             if number in self.core.host.worker_calls:
-                return self.attempt_ended(number, reply, attrs)
-            return self.task_ended(number, reply, attrs)
+                return self.attempt_replied(number, reply, attrs)
+            return self.task_replied(number, reply, attrs)
         except (ValueError, OverflowError, binascii.Error):
             return False
 
-    def end(self, number: int) -> None:
+    def reply_received(self, number: int) -> None:
         """A reply has come: nothing more is awaited under this number."""
-        self.since = self.core.clock()
+        self.last_used = self.core.clock()
         self.forget(number)
         self.linking.ended(number)
 
-    def attempt_ended(self, number: int, reply: Reply, attrs: Attrs) -> bool:
+    def attempt_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
         """The reply to an attempt; False if it is none. Raises ValueError, OverflowError, binascii.Error."""
-        outcome = ATTEMPTS.get(reply.verb)
+        outcome = ATTEMPT_OUTCOMES.get(reply.verb)
         if outcome is None:
             return False
         body = b64decode(reply.content or "", validate=True) if outcome is Outcome.OK else b""
-        told = self.pools.tells_company and outcome in (Outcome.OK, Outcome.REJECTED)
-        company = int(attrs.company) if told else None
-        report = report_of(attrs.use, self.pools.report_names) if attrs.use else NO_REPORT
+        is_reported = self.pools.reports_concurrency and outcome in (Outcome.OK, Outcome.REJECTED)
+        concurrent = int(attrs.concurrent) if is_reported else None
+        report = (
+            parse_load_report(attrs.load_report, self.pools.report_names) if attrs.load_report else NO_REPORT
+        )
         if outcome is Outcome.NOT_SENT:  # the runner had it, so it counts as a try
             self.core.host.worker_calls[number].pending.prior_attempts += 1
-        self.end(number)
-        self.core.host.attempt_finished(number, outcome, body, company=company, report=report)
+        self.reply_received(number)
+        self.core.host.attempt_finished(number, outcome, body, concurrent=concurrent, report=report)
         return True
 
-    def task_ended(self, number: int, reply: Reply, attrs: Attrs) -> bool:
-        """The reply to an order or a probe; False if it is none. Raises ValueError, OverflowError."""
-        if reply.verb in PROBES:
-            report = report_of(attrs.use, self.pools.report_names)
-            self.end(number)
-            self.core.host.health_check_finished(number, PROBES[reply.verb], report)
-        elif reply.verb in ORDERS:
-            count = int(attrs.slots_up)
-            self.end(number)
-            self.core.host.preload_finished(number, ORDERS[reply.verb], count)
+    def task_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
+        """The reply to a preload or a health check; False if it is none. Raises ValueError, OverflowError."""
+        if reply.verb in HEALTH_CHECK_OUTCOMES:
+            report = parse_load_report(attrs.load_report, self.pools.report_names)
+            self.reply_received(number)
+            self.core.host.health_check_finished(number, HEALTH_CHECK_OUTCOMES[reply.verb], report)
+        elif reply.verb in PRELOAD_OUTCOMES:
+            count = int(attrs.copies)
+            self.reply_received(number)
+            self.core.host.preload_finished(number, PRELOAD_OUTCOMES[reply.verb], count)
         else:
             return False
         return True
@@ -209,21 +227,22 @@
     def lost(self) -> None:
         """The connection is gone."""
         self.core.input()
-        stream, self.stream, self.rest = self.stream, None, b""
+        stream = self.stream
+        self.stream = None
+        self.buffer = b""
         if stream is None:
             return
         self.runner.remove(self)
-        self.unsent = {mark for _, mark in stream.unsent if mark}
+        self.unsent_numbers = {mark for _, mark in stream.unsent if mark}
         self.linking.step(Input.FAILED if self.linking.state is Link.DIALING else Input.BROKE)
         self.release()
 
     def release(self) -> None:
         """It and its linking point to each other, and the collector hardly ever runs: guards a long life
-        against growth with every connection."""
+        against growth with every connection.
+        """
         self.linking.callbacks = NO_CALLBACKS
 
-    # what the linking asks (LinkCallbacks)
-
     def dial(self) -> None:
         """Begin to connect."""
         try:
@@ -261,24 +280,27 @@
             stream.drop("no longer needed")
         self.release()
 
-    def ask(self, delay: int) -> None: ...  # a lost connection is not dialled anew: another is, when needed
+    def ask(self, delay: int) -> None:
+        """Nothing: a lost connection is not dialled anew; another is, when one is needed."""
 
     def never_left(self, numbers: list[int]) -> None:
         """The connection did not come up."""
         for number in numbers:
-            self.lose(number, Outcome.UNREACHABLE)
+            self.end_without_reply(number, Outcome.UNREACHABLE)
 
     def not_sent(self, numbers: list[int]) -> None:
         """Held back: the runner serves no more, or nobody waits for it. It says nothing of the runner."""
         for number in numbers:
-            self.lose(number, Outcome.NOT_SENT)
+            self.end_without_reply(number, Outcome.NOT_SENT)
 
     def broke(self, numbers: list[int]) -> None:
         """What was not written whole never ran, what was may have."""
         for number in numbers:
-            self.lose(number, Outcome.UNREACHABLE if number in self.unsent else Outcome.RESET)
+            self.end_without_reply(
+                number, Outcome.UNREACHABLE if number in self.unsent_numbers else Outcome.RESET
+            )
 
-    def lose(self, number: int, outcome: Outcome) -> None:
+    def end_without_reply(self, number: int, outcome: Outcome) -> None:
         """End an attempt or a task without a reply."""
         self.forget(number)
         self.core.host.finished_without_reply(number, outcome)
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -1,6 +1,7 @@
 """The pool of connections to each runner of the platform, and all of them together."""
 
 from base64 import b64encode
+from collections.abc import Collection
 from typing import Any
 
 from lapistrestle.edge.core import Core
@@ -10,13 +11,13 @@
 from lapistrestle.node.runner_connection import RunnerConnection
 from lapistrestle.policy.interface import Outcome
 
-EACH_MOST = 16  # connections to one runner: one bad answer ends all that its connection carries
-SECOND = 10_000  # in tenths of a millisecond
-SWEEP = SECOND  # between two looks for idle connections
-MICROSECONDS = 100  # in a tenth of a millisecond
-TENTHS_IN_MS = 10
-SOCKETS_PART = (2, 5)  # of the process's sockets may go to runners
-WAITS_LONGER = 16  # lines that a connection which is not open counts as having more
+MAX_CONNECTIONS_PER_RUNNER = 16  # more than one: a bad answer ends all that its connection carries
+TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
+SWEEP_INTERVAL = TICKS_PER_SECOND  # between two looks for idle connections
+MICROSECONDS_PER_TICK = 100
+TICKS_PER_MS = 10
+RUNNER_SOCKETS_SHARE = (2, 5)  # of the process's sockets may go to runners
+NOT_OPEN_PENALTY = 16  # lines that a connection which is not open counts as having more
 USABLE = (Link.OPEN, Link.DIALING, Link.SLOW)
 
 
@@ -24,15 +25,19 @@
     """One start of a runner at one address, and the pool of connections to it."""
 
     def __init__(self, pools: "RunnerPools", name: str, address: tuple[str, int]) -> None:
-        self.pools, self.core, self.name, self.address = pools, pools.core, name, address
+        self.pools = pools
+        self.core = pools.core
+        self.name = name
+        self.address = address
         self.connections: list[RunnerConnection] = []
 
     # what the core tells
 
-    def named(self) -> None: ...  # dialled when first needed: most runners are never met by most dispatchers
+    def named(self) -> None:
+        """Nothing: it is dialled when first needed; most dispatchers never meet most runners."""
 
     def dropped(self) -> None:
-        """It is gone from the list: what is out may still end, orders and probes are given up."""
+        """It is gone from the list: what is out may still end, preloads and health checks are given up."""
         for connection in list(self.connections):
             connection.end_tasks()
             connection.linking.step(Input.DROPPED)
@@ -57,7 +62,7 @@
 
     def open_one(self) -> RunnerConnection | None:
         """One more connection, unless there are as many as may be."""
-        if len(self.connections) >= EACH_MOST or not self.pools.room():
+        if len(self.connections) >= MAX_CONNECTIONS_PER_RUNNER or not self.pools.may_open():
             return None
         connection = RunnerConnection(self)
         self.connections.append(connection)
@@ -65,14 +70,15 @@
         connection.linking.step(Input.WANTED)
         return connection
 
-    def pick(self, used: list[Any]) -> RunnerConnection | None:
+    def pick(self, used: Collection[RunnerConnection]) -> RunnerConnection | None:
         """The connection with the least on it, made or about to be; where that one is busy a further one is
-        opened beside it, so that a bad answer ends little else."""
+        opened beside it, so that a bad answer ends little else.
+        """
         best: RunnerConnection | None = None
-        least, dialling = self.pools.streams, False
+        least, dialling = self.pools.max_calls, False
         for connection in list(self.connections):
             linking = connection.linking
-            if connection.stale():  # its runner may be closing it: a call that crosses that may have run
+            if connection.is_stale():  # its runner may be closing it: a call that crosses that may have run
                 connection.close()
                 continue
             state, held = linking.state, len(linking.out)
@@ -81,7 +87,7 @@
                     return connection
             elif state in USABLE:
                 dialling = dialling or state is Link.DIALING
-                held += len(linking.waiting) + WAITS_LONGER
+                held += len(linking.waiting) + NOT_OPEN_PENALTY
             else:
                 continue
             if connection in used:
@@ -98,22 +104,23 @@
 
     def send_call(self, worker_call: WorkerCall) -> None:
         """Send an attempt."""
-        pending, asked = worker_call.pending, worker_call.pending.message
-        connection = worker_call.connection = self.pick(asked.used)
+        pending, message = worker_call.pending, worker_call.pending.message
+        connection = worker_call.connection = self.pick(message.used_connections)
         line = Line(worker_call.number, lambda: self.run_line(worker_call), worker_call.begin_by, worker_call)
         if connection is None or not connection.send(pending.tag, line):
-            return self.core.host.attempt_finished(worker_call.number, Outcome.REJECTED)
-        asked.used.append(connection)
+            self.core.host.attempt_finished(worker_call.number, Outcome.REJECTED)
+            return
+        message.used_connections.append(connection)
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
-        """An attempt as the runner is told of it, with the time that is left as it is written."""
-        asked, left = worker_call.pending.message, worker_call.ends_by - self.core.clock()
+        """An attempt as it is sent to the runner, with the time that is left as it is written."""
+        message, left = worker_call.pending.message, worker_call.ends_by - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
-            asked.id, asked.head, max(1, left // TENTHS_IN_MS), asked.key, b64encode(asked.body),
+            message.id, message.head, max(1, left // TICKS_PER_MS), message.key, b64encode(message.body),
         )  # fmt: skip
 
     def send_preload(self, task: WorkerTask) -> None:
-        """Send an order to hold copies."""
+        """Send a preload."""
         assert task.function is not None
         attrs = b'{"path":"%s","slots_up":%d}' % (task.function.name.encode(), task.count)
         self.send_task(task, b"HOLD", b',"attrs":' + attrs, task.count > 0)
@@ -123,7 +130,7 @@
         self.send_task(task, b"INFO", b"", False)
 
     def send_task(self, task: WorkerTask, verb: bytes, attrs: bytes, prompt: bool) -> None:
-        """Send an order or a probe; `attrs` is the rest of the JSON object."""
+        """Send a preload or a health check; `attrs` is the rest of the JSON object."""
         connection, tag = self.pick([]), f"t{task.number}"
         task.connection = connection
         line = b'{"verb":"%s","rid":"%s"%s}\n' % (verb, tag.encode(), attrs)
@@ -142,32 +149,35 @@
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
         limits = configuration.settings.limits
-        self.core, self.streams = core, limits.streams_per_conn
+        self.core, self.max_calls = core, limits.streams_per_conn
         self.report_names = configuration.report_names
-        self.tells_company = bool(core.facts["tells_company"])
-        idle = limits.conn_idle // MICROSECONDS
-        self.idle = max(idle * 6 // 10, idle - 2 * SECOND)  # before the runner would
-        self.most = configuration.file.limits.sockets * SOCKETS_PART[0] // SOCKETS_PART[1]
+        self.reports_concurrency = bool(core.facts["tells_company"])
+        idle = limits.conn_idle // MICROSECONDS_PER_TICK
+        self.idle_limit = max(idle * 6 // 10, idle - 2 * TICKS_PER_SECOND)  # before the runner would
+        self.max_connections = (
+            configuration.file.limits.sockets * RUNNER_SOCKETS_SHARE[0] // RUNNER_SOCKETS_SHARE[1]
+        )
         self.connections = 0
 
     def __call__(self, name: str, address: Any, start: str = "") -> Runner:
+        """The pool of one start of a runner."""
         return Runner(self, name, address)
 
     def start(self) -> None:
         """Begin to close connections that idle."""
-        self.core.after(SWEEP, self.sweep, None)
+        self.core.after(SWEEP_INTERVAL, self.sweep, None)
 
     def sweep(self, _: object) -> None:
         """Close what its runner is about to close."""
         for runner in self.core.runners.values():
             for connection in list(runner.connections):
-                if connection.stale():
+                if connection.is_stale():
                     connection.close()
-        self.core.after(SWEEP, self.sweep, None)
+        self.core.after(SWEEP_INTERVAL, self.sweep, None)
 
-    def room(self) -> bool:
+    def may_open(self) -> bool:
         """Whether one more may be opened; where none may, one that idles elsewhere makes room."""
-        if self.connections < self.most:
+        if self.connections < self.max_connections:
             return True
         idle = [
             connection
@@ -178,5 +188,5 @@
         ]
         if not idle:
             return False
-        min(idle, key=lambda connection: connection.since).close()
+        min(idle, key=lambda connection: connection.last_used).close()
         return True
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -3,7 +3,7 @@
 from days import Played, day
 
 from lapistrestle.edge.program import Edge
-from lapistrestle.hosting.requests import ABORTED, DENIED
+from lapistrestle.hosting.requests import RequestEnd
 from lapistrestle.policy.interface import EndpointState
 from lapistrestle.wire import messages as wire
 
@@ -86,7 +86,7 @@
 def test_rule_2_a_denial_that_may_have_run():
     def change(edge):
         def deny(answer, pending, verdict, *rest):
-            answer(pending, DENIED if verdict == ABORTED else verdict, *rest)
+            answer(pending, RequestEnd.REJECTED if verdict == RequestEnd.ABORTED else verdict, *rest)
 
         wrap(edge, "send_answer", deny)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -274,7 +274,7 @@
 def leaving(stage):
     """SIGTERM has come; what is returned holds something once the program has ended."""
     stopped = []
-    stage.node.leave(lambda: stopped.append(stage.hand.rightNow))
+    stage.node.shut_down(lambda: stopped.append(stage.hand.rightNow))
     return stopped
 
 
@@ -372,7 +372,7 @@
     if who == "the sweep":
         stage.node.front.sweep(None)
     else:
-        assert not stage.node.front.shed()
+        assert not stage.node.front.evict_idle()
     stage.hand.until(lambda: client.status(second) is not None or client.closed)
     assert client.status(second) == 200
 
@@ -447,7 +447,7 @@
     stage.hand.removeReader(first.listener)
     for board in (first, second):
         stage.configuration.file.board = f"127.0.0.1:{board.port}"
-        stage.node.renewed(stage.configuration)
+        stage.node.apply_configuration(stage.configuration)
     stage.hand.run(0.2)
     stage.hand.until(lambda: second.asked)
     stage.hand.addReader(first.listener)
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -48,7 +48,7 @@
 def hosting(clock):
     settings = {**SETTINGS, "limits": {"try-limit": 3, "cancel": True}}
     made = ModuleHost(Recorder(), words.facts(settings), 7, clock, slack=50)
-    made.endpoints_received([WorkerInfo(f"w{i}") for i in range(3)], whole=True)
+    made.endpoints_received([WorkerInfo(f"w{i}") for i in range(3)], is_snapshot=True)
     return made
 
 
@@ -143,7 +143,7 @@
 def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock):
     """As it was: the log line showed a worker whose sums were not set up yet, and that raised in turn."""
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=BrokenAtList)
-    hosting.endpoints_received([WorkerInfo(f"w{i}") for i in range(9)], whole=True)
+    hosting.endpoints_received([WorkerInfo(f"w{i}") for i in range(9)], is_snapshot=True)
     assert hosting.counts["faults"] == 1
     assert [act[0] for act in hosting.transport.of("log")] == ["module raised"]
     ask(hosting)
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize("at", ["arrived", "learn"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
     hosting = ModuleHost(Recorder(), words.facts(SETTINGS), 7, clock, make=Broken)
-    hosting.endpoints_received([WorkerInfo("w")], whole=True)
+    hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
     hosting.module.at = at
     ask(hosting)
     for number in out(hosting):
@@ -225,7 +225,7 @@
 def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it(clock):
     settings = {**SETTINGS, "profiles": [{**SETTINGS["profiles"][0], "streamed": True}]}
     hosting = ModuleHost(Recorder(), words.facts(settings), 7, clock)
-    hosting.endpoints_received([WorkerInfo("w")], whole=True)
+    hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
     ask(hosting)
     (number,) = out(hosting)
     hosting.attempt_started(number)
@@ -239,7 +239,7 @@
 def test_an_order_without_word_ends_in_its_time(clock):
     info = {**SETTINGS["family-info"], "answer-within": 2_000_000}
     hosting = ModuleHost(Recorder(), words.facts({**SETTINGS, "family-info": info}), 7, clock)
-    hosting.endpoints_received([WorkerInfo("w")], whole=True)
+    hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
     ask(hosting)
     (number,) = out(hosting)
     hosting.attempt_finished(number, Outcome.NOT_LOADED)
@@ -250,7 +250,7 @@
 
 
 def test_the_registry_forgets_the_longest_unused_function():
-    registry = ObjectRegistry(most=2)
+    registry = ObjectRegistry(max_functions=2)
     first = registry.function("a", 0, 1.0, 1)
     registry.function("b", 0, 1.0, 1)
     assert registry.function("a", 0, 1.0, 1) is first
@@ -287,9 +287,9 @@
     dropped by name, and what named it next met another object that the module had never heard of."""
     gone, back = WorkerInfo("w1", listing=EndpointState.REMOVED), WorkerInfo("w1", booted=7)
     with hosting.batched():
-        hosting.endpoints_received([gone], whole=False)
+        hosting.endpoints_received([gone], is_snapshot=False)
     with hosting.batched():
-        hosting.endpoints_received([back], whole=False)
+        hosting.endpoints_received([back], is_snapshot=False)
         hosting.prefix_received(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
     (worker,) = (s for s in hosting.module.workers if s.name == "w1")
     assert worker is hosting.registry.worker("w1") and worker.listing is EndpointState.SERVING
@@ -299,10 +299,10 @@
 
 
 def test_one_that_is_back_is_kept_also_where_a_second_list_follows_in_the_same_poll(hosting):
-    hosting.endpoints_received([WorkerInfo("w1", listing=EndpointState.REMOVED)], whole=False)
+    hosting.endpoints_received([WorkerInfo("w1", listing=EndpointState.REMOVED)], is_snapshot=False)
     with hosting.batched():
-        hosting.endpoints_received([WorkerInfo("w1", booted=7)], whole=False)
-        hosting.endpoints_received([WorkerInfo("w9")], whole=False)
+        hosting.endpoints_received([WorkerInfo("w1", booted=7)], is_snapshot=False)
+        hosting.endpoints_received([WorkerInfo("w9")], is_snapshot=False)
         hosting.prefix_received(hosting.registry.function("f", 0, 100.0, 1), ["w1"])
     (worker,) = (s for s in hosting.module.workers if s.name == "w1" and s.listing is EndpointState.SERVING)
     assert hosting.registry.worker("w1") is worker
@@ -311,10 +311,10 @@
 def test_who_left_is_dropped_also_where_every_list_comes_in_a_poll(hosting):
     for number in range(200):
         with hosting.batched():
-            hosting.endpoints_received([WorkerInfo(f"once-{number}")], whole=False)
+            hosting.endpoints_received([WorkerInfo(f"once-{number}")], is_snapshot=False)
         with hosting.batched():
             hosting.endpoints_received(
-                [WorkerInfo(f"once-{number}", listing=EndpointState.REMOVED)], whole=False
+                [WorkerInfo(f"once-{number}", listing=EndpointState.REMOVED)], is_snapshot=False
             )
     assert len(hosting.registry.workers) <= 5  # the three there, and who left last
 
@@ -324,7 +324,7 @@
     facts = words.facts(SETTINGS)
     region = Region(clock, facts["cold_share"], facts["ramp_time"])
     made = ModuleHost(Recorder(), {**facts, "region": region}, 7, clock)
-    made.endpoints_received([WorkerInfo(f"w{i}") for i in range(workers)], whole=False)
+    made.endpoints_received([WorkerInfo(f"w{i}") for i in range(workers)], is_snapshot=False)
     for i in range(workers):
         made.prefix_received(made.registry.function(f"f{i}", 0, 100.0, 1), [f"w{i}"])
         ask(made, function=f"f{i}")
@@ -340,7 +340,9 @@
         made = with_region(clock, workers)
         left = [WorkerInfo("w7", listing=EndpointState.REMOVED)]
         counted.append(
-            count_steps(lambda made=made, left=left: made.endpoints_received(left, whole=False)).instructions
+            count_steps(
+                lambda made=made, left=left: made.endpoints_received(left, is_snapshot=False)
+            ).instructions
         )
         assert "w7" not in made.registry.workers and len(made.module.workers) == workers - 1
         assert not made.registry.functions["f7"].replicas and made.registry.functions["f8"].replicas
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -58,11 +58,11 @@
 
     def change(self, entries):
         self.lists.told.update({entry.name: entry.listing for entry in entries})
-        self.made.endpoints_received(entries, whole=False)
+        self.made.endpoints_received(entries, is_snapshot=False)
 
     def whole(self, entries):
         self.lists.told = {entry.name: entry.listing for entry in entries}
-        self.made.endpoints_received(entries, whole=True)
+        self.made.endpoints_received(entries, is_snapshot=True)
 
     def ask(self, function):
         ask(self.made, function=function)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -360,7 +360,7 @@
         for _ in range(16):
             client.ask(body=b"x" * 16_000, whole=False)
         stage.hand.quiet()
-        assert stage.node.front.held <= 500_000 + 65_536 + 262_144
+        assert stage.node.front.buffered_bytes <= 500_000 + 65_536 + 262_144
     assert any(client.closed for client in crowd)
     good = stage.client()
     number = good.ask(id="9b1f03aa5c7e2d41")
@@ -369,7 +369,7 @@
     for client in crowd:
         client.drop("over")
     stage.hand.quiet()
-    assert stage.node.front.held == 0
+    assert stage.node.front.buffered_bytes == 0
 
 
 def test_half_a_request_and_silent_connections_are_closed_within_three_seconds(stage):
@@ -387,7 +387,7 @@
     stage.hand.run(0.6)
     crowd = [stage.client() for _ in range(60)]
     stage.hand.run(0.1)
-    assert len(stage.node.front.connections) <= stage.node.front.most
+    assert len(stage.node.front.connections) <= stage.node.front.max_connections
     if usual.closed:  # an idle one may be closed: it comes again
         usual = stage.client()
     number = usual.ask(id="9b1f03aa5c7e2d41")
@@ -466,7 +466,7 @@
     number = client.ask(method="bill")
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == 500
-    assert all(len(w.rest) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
+    assert all(len(w.buffer) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
 
 
 def test_a_reset_after_the_whole_line_is_no_proof_and_a_side_effect_is_not_sent_again(stage):
@@ -599,7 +599,7 @@
 def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_numbers(stage):
     other = BoardEnd(stage.hand)
     stage.configuration.file.board = f"127.0.0.1:{other.port}"
-    stage.node.renewed(stage.configuration)
+    stage.node.apply_configuration(stage.configuration)
     stage.hand.run(0.01)
     stage.hand.until(lambda: other.asked)
     assert other.asked == [1]
@@ -612,7 +612,7 @@
 
 def test_at_the_end_new_connections_are_served_for_a_while_and_open_calls_are_finished(stage):
     kept, stopped = [], []
-    stage.node.leave(lambda: stopped.append(1))
+    stage.node.shut_down(lambda: stopped.append(1))
     stage.hand.run(0.4)
     late = stage.client()
     number = late.ask()
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -100,7 +100,7 @@
 def fill(stage: Any) -> list[WebServer]:
     """As many connections as may be, each with an open request."""
     crowd: list[WebServer] = []
-    for _ in range(stage.node.front.most):
+    for _ in range(stage.node.front.max_connections):
         crowd.append(stage.client())
         crowd[-1].ask(id=f"{len(crowd) + 1000:016x}", patience="4000")
     stage.hand.until(lambda: stage.host.open_requests == len(crowd))
@@ -279,8 +279,8 @@
                 break
             stage.hand.serve()
     assert connection.dead and sent < 16_000_000
-    assert connection.bytes_read <= client_connections.MOST_DISCARDED + 65_536
-    assert stage.node.front.held == 0 and not stage.node.front.parting
+    assert connection.bytes_read <= client_connections.MAX_DISCARDED + 65_536
+    assert stage.node.front.buffered_bytes == 0 and not stage.node.front.closing
 
 
 def test_a_connection_that_parts_reads_a_flood_without_recursion(stage: Any) -> None:
@@ -311,7 +311,7 @@
     for _ in range(120):
         asked.append(client.ask(body=BODY))
         stage.hand.quiet()
-        assert connection.unsent_bytes <= 2 * client_connections.MOST_UNSENT
+        assert connection.unsent_bytes <= 2 * client_connections.MAX_UNSENT
     read_on(stage, client)
     stage.hand.until(lambda: len(client.ends) == len(asked) or client.closed)
     assert [client.status(number) for number in asked] == [200] * 120
@@ -328,7 +328,7 @@
     line, said = held[0]
     for runner in stage.runners:
         runner.on_run = None
-    while not connection.stalled:
+    while not connection.reads_paused:
         client.ask(body=BODY)
         stage.hand.quiet()
     client.give_up(waits)
@@ -355,7 +355,7 @@
     numbers = ask_in_turn(stage, client, 20)
     assert connection.unsent
     stage.hand.run(0.6)
-    assert not stage.node.front.shed()
+    assert not stage.node.front.evict_idle()
     read_on(stage, client)
     stage.hand.until(lambda: len(client.ends) == 20 or client.closed)
     assert [client.status(number) for number in numbers] == [200] * 20
@@ -402,14 +402,14 @@
     """Of a crowd that was all new the oldest was closed, though its request was on its way."""
     stage = stages(runners=1, sockets=64)
     first = stage.client()
-    crowd = [stage.client() for _ in range(stage.node.front.most)]
+    crowd = [stage.client() for _ in range(stage.node.front.max_connections)]
     if new == "one that asks":
         crowd[-1].ask(id="9b1f03aa5c7e2d41")
         stage.hand.until(lambda: crowd[-1].ends)
     first.ask(id="9b1f03aa5c7e2d42")
     stage.hand.until(lambda: first.ends or first.closed)
     assert first.status(1) == 200
-    assert len(stage.node.front.connections) <= stage.node.front.most
+    assert len(stage.node.front.connections) <= stage.node.front.max_connections
 
 
 def test_a_crowd_over_the_limit_is_bounded_and_told(stages: Any) -> None:
@@ -418,7 +418,7 @@
     kept = fill(stage)
     crowd = [stage.client() for _ in range(100)]
     front = stage.node.front
-    assert len(front.connections) + len(front.parting) <= 64 * 9 // 20
+    assert len(front.connections) + len(front.closing) <= 64 * 9 // 20
     stage.hand.run(2.9)
     assert all(client.closed for client in crowd)
     assert len(met) == len(kept) == stage.host.open_requests and not any(client.closed for client in kept)
@@ -572,5 +572,5 @@
     client.ask(body=BODY)
     client.send(JUNK)
     stage.hand.quiet()
-    stage.hand.run(1.0 + 2 * fronts.SWEEP / 10_000)
-    assert connection.dead and not stage.node.front.parting
+    stage.hand.run(1.0 + 2 * fronts.SWEEP_INTERVAL / 10_000)
+    assert connection.dead and not stage.node.front.closing
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -20,7 +20,12 @@
 
 SECOND = 10_000  # tenths of a millisecond
 SILENT, BROKEN, MOVED = 4.0, 2.0, 4.0  # seconds after which what the board would have told counts as told
-SHORTENED = {"broke": BROKEN, "moved": MOVED, "asked": 0, "fell_behind": 0}  # seconds, by what happened
+SHORTENED = {
+    "watch_broke": BROKEN,
+    "board_moved": MOVED,
+    "watch_started": 0,
+    "event_missed": 0,
+}  # seconds, by what happened
 GRACE = 2.0  # seconds, as the settings of `Stage` have it
 DRAINING = 1
 
@@ -47,7 +52,7 @@
 @given(
     grace=st.integers(0, 3 * SECOND),
     words=st.lists(
-        st.tuples(st.sampled_from(["heard", *SHORTENED]), st.integers(0, 2 * SECOND)), max_size=12
+        st.tuples(st.sampled_from(["frame_received", *SHORTENED]), st.integers(0, 2 * SECOND)), max_size=12
     ),
 )
 def test_whatever_happened_the_list_is_never_used_past_what_counts_as_told_and_the_grace(grace, words):
@@ -56,7 +61,7 @@
     for word, pause in words:
         now += pause
         getattr(freshness, word)(now)
-        if word == "heard":
+        if word == "frame_received":
             told = now + int(SILENT * SECOND)
         else:
             told = min(told, now + int(SHORTENED[word] * SECOND))
@@ -85,7 +90,7 @@
     """It took the new connection and told nothing: what is in it counts as told from then on."""
     stage.board.beats = False
     taken = []
-    stage.board.listener.taken = taken.append
+    stage.board.listener.on_connection = taken.append
     lasted = usable_for(stage)
     assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked anew after 2.2 to 2.5 s
     assert asked(stage, script="/_health") == 503
@@ -165,7 +170,7 @@
     """They were passed over: a drain that stood in the file was waited for until the new board told it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
-    stage.node.renewed(read_configuration(str(path)))
+    stage.node.apply_configuration(read_configuration(str(path)))
     assert (
         stage.workers()["s-00000001"].listing is EndpointState.DRAINING and discovery_of(stage).revision == 2
     )
@@ -173,7 +178,7 @@
 
 def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(stage, tmp_path):
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
-    stage.node.renewed(read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events}))))
+    stage.node.apply_configuration(read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events}))))
     assert (
         discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
     )
