--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -27,9 +27,8 @@
         self.on_fault = on_fault
         self.module: Events  # set by the host, which the module is made from
         self.waiting: deque[tuple[PendingRequest | None, str, tuple[Any, ...]]] = deque()
-        self.waiting_lists: deque[tuple[Any, ...]] = (
-            deque()
-        )  # arguments of `listed`, which go before all else
+        # arguments of `on_endpoints`, which go before all else
+        self.waiting_lists: deque[tuple[Any, ...]] = deque()
         self.is_delivering = False
         self.finished: list[PendingRequest] = []  # over, and none of their attempts in flight
         self.module_seconds = 0.0
@@ -43,7 +42,7 @@
             self.deliver()
 
     def post_list(self, *args: Any) -> None:
-        """Deliver `listed` before whatever waits: what came in the same look is then placed by the newest
+        """Deliver `on_endpoints` before whatever waits: what came in the same look is then placed by the newest
         list (rule 3).
         """
         self.waiting_lists.append(args)
@@ -74,7 +73,7 @@
         try:
             while self.waiting_lists or self.waiting:
                 if self.waiting_lists:
-                    self.deliver_one(None, "listed", self.waiting_lists.popleft())
+                    self.deliver_one(None, "on_endpoints", self.waiting_lists.popleft())
                 else:
                     self.deliver_one(*self.waiting.popleft())
         finally:
@@ -89,7 +88,7 @@
 
     def deliver_one(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
         """Call one method of the module."""
-        if event == "arrived" and pending is not None and pending.final:
+        if event == "on_request" and pending is not None and pending.final:
             return  # its client left before anything was begun for it
         self.module.now = self.context.clock()
         try:
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -20,13 +20,13 @@
     def preload(self, number: int, worker: Worker, function: Function, count: int) -> None:
         """Have a worker hold `count` copies of a function."""
         task = WorkerTask(number, worker, function, count, self.context.clock())
-        self.track(task, self.context.facts["order_time_out"])
+        self.track(task, self.context.settings.preload_timeout)
         self.context.transport.send_preload(task)
 
     def health_check(self, number: int, worker: Worker) -> None:
         """Ask a worker for its report."""
         task = WorkerTask(number, worker, None, 0, self.context.clock())
-        self.track(task, self.context.facts["dial_time_out"])
+        self.track(task, self.context.settings.connect_timeout)
         self.context.transport.probe(task)
 
     def track(self, task: WorkerTask, time_out: int) -> None:
@@ -43,7 +43,7 @@
         if task.timer is not None:
             task.timer.stop()
         took = self.context.clock() - task.sent_at
-        self.events.post(None, "ordered", task.worker, task.function, outcome, count, took)
+        self.events.post(None, "on_preload_finished", task.worker, task.function, outcome, count, took)
 
     def health_check_finished(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
         """A health check has ended. One that is not in flight is only counted."""
@@ -53,7 +53,9 @@
             return
         if task.timer is not None:
             task.timer.stop()
-        self.events.post(None, "probed", task.worker, outcome, self.context.clock() - task.sent_at, report)
+        self.events.post(
+            None, "on_health_check", task.worker, outcome, self.context.clock() - task.sent_at, report
+        )
 
     def timed_out(self, task: WorkerTask) -> None:
         """No reply in time. What still waited for a connection never left."""
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import Any
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.edge.core import TENTHS, Core
 from lapistrestle.node.configuration import Configuration, KnownEndpoints, RunnerEntry, split_address
 from lapistrestle.node.freshness import ListFreshness
@@ -108,15 +108,15 @@
         self.revision = 0  # of the last event applied
         now = core.clock()
         age = configuration.age(time.time())
-        grace = core.facts["drain_grace"]
+        grace = core.settings.drain_grace
         self.freshness = ListFreshness(grace, now - 1 if age is None else now - age + grace)
         self.was_usable = False  # whether new work might begin by the list, as last asked
         self.watch: Watch | None = None
         self.stopped = False
         self.reconnects_at_once = True
         self.unix_offset = int(time.time() * TENTHS) - core.clock()  # of the Unix clock to ours
-        self.zones = {name: i for i, name in enumerate(configuration.settings.zones)}
-        self.kinds = {name: i for i, name in enumerate(configuration.settings.models)}
+        self.zones = {name: i for i, name in enumerate(configuration.platform.zones)}
+        self.kinds = {name: i for i, name in enumerate(configuration.platform.models)}
 
     def ready(self) -> bool:
         """Whether there is a list, and new work may begin by it."""
@@ -227,9 +227,9 @@
 
     def apply(self, records: Sequence[Record], whole: bool) -> None:
         """In one turn the module hears it, lines that wait for what drains are taken back, and ways open."""
-        facts = tuple(self.worker_info(record) for record in records)
+        workers = tuple(self.worker_info(record) for record in records)
         named = {record.name for record in records}
-        self.core.listed(facts, whole)
+        self.core.listed(workers, whole)
         for name in [name for name in self.core.runners if name not in named] if whole else ():
             self.core.address(name, None)
         at = {runner.address[0]: name for name, runner in self.core.runners.items()}
@@ -253,7 +253,7 @@
         number = 0
         for part in host.split("."):
             number = number << 8 | int(part)
-        state = STATES[words.LISTINGS.get(entry.state, EndpointState.DRAINING)]
+        state = STATES[translation.LISTINGS.get(entry.state, EndpointState.DRAINING)]
         zone, kind = self.zones.get(entry.zone, 0), self.kinds.get(entry.kind, 0)
         weight, started = round(entry.weight * 1000), int(entry.started_ms)
         return Record(int(entry.id[2:], 16), number, port, state, zone, kind, entry.cell, weight, started)
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -72,13 +72,13 @@
         self.max_buffered_bytes = memory / BUFFERED_DIVISOR  # bytes of what is not complete
         # as many as the memory holds if each brings the longest body
         by_memory = max(MIN_OPEN_REQUESTS, int(memory / BODIES_DIVISOR / fastcgi.MAX_BODY_BYTES))
-        self.max_open_requests = min(configuration.settings.limits.max_open, by_memory)
+        self.max_open_requests = min(configuration.platform.limits.max_open, by_memory)
         self.listener: Listener | None = None
         self.ready: Callable[[], bool] = lambda: False  # whether the list stands; the source knows
         self.leaving = False
         self.recent_ids = OrderedDict[str, int]()  # taken in the last window of orders, and when
         self.unfinished: dict[str, PendingRequest] = {}  # by id, until the last attempt has ended
-        self.parser = InvocationParser(configuration, core.facts)
+        self.parser = InvocationParser(configuration, core.settings)
 
     # core.Front
 
@@ -248,7 +248,7 @@
         ration against clients that send the same again as soon as it is turned away.
         """
         now = self.core.clock()
-        window_start = now - self.core.facts["order_window"]
+        window_start = now - self.core.settings.preload_window
         while self.recent_ids and next(iter(self.recent_ids.values())) <= window_start:
             self.recent_ids.popitem(last=False)
         known = tag in self.recent_ids
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.node import fastcgi
 from lapistrestle.node.configuration import Configuration
-from lapistrestle.policy.interface import Facts
+from lapistrestle.policy.settings import Settings
 
 MAX_WORK = 600_000.0  # milliseconds
 MAX_MEMORY = 1e6  # MB
@@ -131,23 +131,23 @@
     return int(lanes)
 
 
-def methods_by_path(configuration: Configuration, facts: Facts) -> dict[bytes, Method]:
+def methods_by_path(configuration: Configuration, settings: Settings) -> dict[bytes, Method]:
     """The classes of calls, by the path that invokes them."""
     methods = {}
-    for number, profile in enumerate(configuration.settings.profiles):
-        name, method = profile.name.encode(), facts["methods"][number]
+    for number, profile in enumerate(configuration.platform.profiles):
+        name, method = profile.name.encode(), settings.methods[number]
         quoted = name.replace(b"\\", b"\\\\").replace(b'"', b'\\"')
-        has_key = method["kind"] == "tokened"
-        methods[b"/invoke/" + name] = Method(number, quoted, method["deadline"] / 10, has_key)
+        has_key = method.kind == "tokened"
+        methods[b"/invoke/" + name] = Method(number, quoted, method.deadline / 10, has_key)
     return methods
 
 
 class InvocationParser:
     """Requests to invocations, by the settings of one dispatcher."""
 
-    def __init__(self, configuration: Configuration, facts: Facts) -> None:
-        self.methods = methods_by_path(configuration, facts)
-        tenants = configuration.settings.tenants
+    def __init__(self, configuration: Configuration, settings: Settings) -> None:
+        self.methods = methods_by_path(configuration, settings)
+        tenants = configuration.platform.tenants
         self.customers = {tenant.name.encode(): number for number, tenant in enumerate(tenants)}
 
     def parse(self, request: fastcgi.Request, path: bytes) -> Invocation:
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -39,7 +39,14 @@
     ) -> None:
         seed = int(configuration.file.seed, 16)
         self.core = Core(
-            reactor, configuration.file.name, configuration.facts, log, seed, GUARD_SLACK, make, PRELOAD_WAIT
+            reactor,
+            configuration.file.name,
+            configuration.settings,
+            log,
+            seed,
+            GUARD_SLACK,
+            make,
+            PRELOAD_WAIT,
         )
         self.pools = RunnerPools(self.core, configuration)
         self.discovery = ServiceDiscovery(self.core, configuration)
@@ -88,7 +95,7 @@
             return
         self.leaving = self.front.leaving = True
         self.core.log("leaving", open=self.core.host.open_requests)
-        longest = max(method["deadline"] for method in self.core.facts["methods"])
+        longest = max(method.deadline for method in self.core.settings.methods)
         last = min(longest, MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE - KILL_MARGIN
         self.core.after(min(ACCEPT_AFTER_SIGTERM, last), self.core.stop, stopped)
         self.core.after(last, self.cut_short, stopped)
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -148,10 +148,10 @@
     """All connections to runners. Calling it makes the `Runner` of a name and address."""
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
-        limits = configuration.settings.limits
+        limits = configuration.platform.limits
         self.core, self.max_calls = core, limits.streams_per_conn
         self.report_names = configuration.report_names
-        self.reports_concurrency = bool(core.facts["tells_company"])
+        self.reports_concurrency = core.settings.reports_concurrency
         idle = limits.conn_idle // MICROSECONDS_PER_TICK
         self.idle_limit = max(idle * 6 // 10, idle - 2 * TICKS_PER_SECOND)  # before the runner would
         self.max_connections = (
