--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -49,7 +49,7 @@
     def send_call(self, worker_call: WorkerCall) -> None: ...
     def send_preload(self, task: WorkerTask) -> None: ...
     def unload(self, function: str) -> None: ...
-    def probe(self, task: WorkerTask) -> None: ...
+    def send_health_check(self, task: WorkerTask) -> None: ...
     def end(self) -> None: ...  # leave it at once
 
 
@@ -212,8 +212,8 @@
             return self.host.attempt_finished(worker_call.number, Outcome.UNREACHABLE)
         runner.send_call(worker_call)
 
-    def withdraw(self, task: WorkerCall | WorkerTask, tell: bool) -> bool:
-        return task.connection is not None and task.connection.withdraw(task.number, tell)
+    def withdraw(self, task: WorkerCall | WorkerTask, notify: bool) -> bool:
+        return task.connection is not None and task.connection.withdraw(task.number, notify)
 
     def cancel_unsent(self, worker_call: WorkerCall) -> bool:
         return worker_call.connection is not None and worker_call.connection.cancel_unsent(worker_call.number)
@@ -231,19 +231,19 @@
         if runner := self.runner(worker.name):
             runner.unload(function.name)
 
-    def probe(self, task: WorkerTask) -> None:
+    def send_health_check(self, task: WorkerTask) -> None:
         runner = self.runner(task.worker.name)
         if runner is None:
             return self.host.health_check_finished(task.number, Outcome.UNREACHABLE, {})
-        runner.probe(task)
+        runner.send_health_check(task)
 
-    def tell_peer(self, peer: int | None, text: str) -> None: ...
+    def send_gossip(self, peer: int | None, text: str) -> None: ...
 
-    def follow_list(self) -> None:
+    def watch_endpoints(self) -> None:
         for source in self.sources:
             source.follow()
 
-    def more(self, function: FunctionInfo) -> None: ...
+    def extend_prefix(self, function: FunctionInfo) -> None: ...
 
     # the end
 
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -238,11 +238,11 @@
             return self.host.preload_finished(task.number, Outcome.REJECTED, 0)
         super().send_preload(task)
 
-    def more(self, function: FunctionInfo) -> None:
+    def extend_prefix(self, function: FunctionInfo) -> None:
         if self.directory is not None:
             self.directory.more(function.name)
 
-    def tell_peer(self, peer: int | None, text: str) -> None:
+    def send_gossip(self, peer: int | None, text: str) -> None:
         if self.peers is not None:
             self.peers.tell(peer, text)
 
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -161,11 +161,11 @@
     def cancel_unsent(self, number: int) -> bool:
         return self.linking.cancel_unsent(number)
 
-    def withdraw(self, number: int, tell: bool) -> bool:
-        """Wait no longer for this number; True if its line never left. `tell` the runner otherwise."""
+    def withdraw(self, number: int, notify: bool) -> bool:
+        """Wait no longer for this number; True if its line never left. `notify` the runner otherwise."""
         if self.linking.withdraw(number):
             return True
-        if tell and self.linking.state in (Link.OPEN, Link.ENDING):
+        if notify and self.linking.state in (Link.OPEN, Link.ENDING):
             self.write(wire.encode(wire.Cancel(number)) + b"\n")
         return False
 
@@ -179,7 +179,7 @@
     def unload(self, function: str) -> None:
         self.linking.send(Line(0, lambda: encoded(wire.Unload(function))))
 
-    def probe(self, task: WorkerTask) -> None:
+    def send_health_check(self, task: WorkerTask) -> None:
         task.connection = self
         if not self.linking.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
             self.host.health_check_finished(task.number, Outcome.REJECTED, NO_REPORT)
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -42,8 +42,8 @@
             self.deliver()
 
     def post_list(self, *args: Any) -> None:
-        """Deliver `on_endpoints` before whatever waits: what came in the same look is then placed by the newest
-        list (rule 3).
+        """Deliver `on_endpoints` before whatever waits: what came in the same look is then placed by the
+        newest list (rule 3).
         """
         self.waiting_lists.append(args)
         if not self.is_delivering:
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -298,7 +298,7 @@
     def send_gossip(self, peer: int | None, text: str) -> None:
         """Send text to another dispatcher, where settings allow it."""
         if self.settings.may_gossip:
-            self.transport.tell_peer(peer, text[:MAX_GOSSIP_LENGTH])
+            self.transport.send_gossip(peer, text[:MAX_GOSSIP_LENGTH])
 
     def set_timer(self, delay: int, token: object) -> None:
         """Give the token back after so long, by its `on_timer`."""
@@ -310,11 +310,11 @@
 
     def watch_endpoints(self) -> None:
         """Ask for updates of the list of workers."""
-        self.transport.follow_list()
+        self.transport.watch_endpoints()
 
     def extend_prefix(self, function: FunctionInfo) -> None:
         """Ask for a longer prefix of a function's order."""
-        self.transport.more(function)
+        self.transport.extend_prefix(function)
 
     def log(self, text: str) -> None:
         """One log line of a change of mode."""
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -45,8 +45,8 @@
     def cancel_unsent(self, number: int) -> bool:
         """Drop what was not written. True if it never left, and now never does."""
 
-    def withdraw(self, number: int, tell: bool) -> bool:
-        """Wait for it no more, and with `tell` have the worker cancel it. True if it never left."""
+    def withdraw(self, number: int, notify: bool) -> bool:
+        """Wait for it no more, and with `notify` have the worker cancel it. True if it never left."""
 
 
 NO_REPORT: Mapping[str, float] = {}
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -27,7 +27,7 @@
         """Ask a worker for its report."""
         task = WorkerTask(number, worker, None, 0, self.context.clock())
         self.track(task, self.context.settings.connect_timeout)
-        self.context.transport.probe(task)
+        self.context.transport.send_health_check(task)
 
     def track(self, task: WorkerTask, time_out: int) -> None:
         """Keep a task until it has ended, for `time_out` at the longest."""
--- a/lapistrestle/hosting/transport.py
+++ b/lapistrestle/hosting/transport.py
@@ -26,8 +26,8 @@
     def cancel_unsent(self, worker_call: WorkerCall) -> bool:
         """Drop it if it was not written yet. True if it never left, and now never does."""
 
-    def withdraw(self, task: WorkerCall | WorkerTask, tell: bool) -> bool:
-        """Wait for it no more, and with `tell` have the worker cancel it. True if it never left."""
+    def withdraw(self, task: WorkerCall | WorkerTask, notify: bool) -> bool:
+        """Wait for it no more, and with `notify` have the worker cancel it. True if it never left."""
 
     def send_preload(self, task: WorkerTask) -> None:
         """Send a preload: hold `task.count` copies of `task.function`."""
@@ -35,16 +35,16 @@
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
         """Have a worker drop a function; nothing is waited for."""
 
-    def probe(self, task: WorkerTask) -> None:
+    def send_health_check(self, task: WorkerTask) -> None:
         """Ask a worker for its report."""
 
-    def tell_peer(self, peer: int | None, text: str) -> None:
+    def send_gossip(self, peer: int | None, text: str) -> None:
         """Send text to a dispatcher by its index, or to all where it is None."""
 
-    def follow_list(self) -> None:
+    def watch_endpoints(self) -> None:
         """Ask the sources of the worker list for updates."""
 
-    def more(self, function: FunctionInfo) -> None:
+    def extend_prefix(self, function: FunctionInfo) -> None:
         """Ask for a longer prefix of the function's order than is known."""
 
     def timers_changed(self) -> None:
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -115,7 +115,7 @@
     def send_preload(self, task: WorkerTask) -> None:
         self.send(task, hold_of(task))
 
-    def probe(self, task: WorkerTask) -> None:
+    def send_health_check(self, task: WorkerTask) -> None:
         self.send(task, wire.Probe(task.number))
 
     def unload(self, function: str) -> None:
@@ -126,8 +126,8 @@
     def cancel_unsent(self, number: int) -> bool:
         return False  # a message is on its way as soon as it is sent
 
-    def withdraw(self, number: int, tell: bool) -> bool:
-        if tell and self.reached():
+    def withdraw(self, number: int, notify: bool) -> bool:
+        if notify and self.reached():
             assert self.runner is not None
             self.later(self.way, self.cancelled, number)
         self.out.pop(number, None)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -50,12 +50,12 @@
     wanted = False
     dials = 0  # links so far
 
-    def follow_list(self) -> None:
+    def watch_endpoints(self) -> None:
         self.wanted = True
         if self.subscription is not None:
             self.subscription.start()
 
-    def tell_peer(self, peer: int | None, text: str) -> None:
+    def send_gossip(self, peer: int | None, text: str) -> None:
         me = self.settings.instance_index
         for number, handle in enumerate(self.world.edges):
             if number != me and peer in (None, number):
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -22,6 +22,7 @@
     failed: list[int] = []
 
     def begin() -> None:
+        """Start; an address that can't be listened at ends the program."""
         try:
             node.start()
         except OSError as error:
@@ -33,9 +34,11 @@
             reactor.stop()
 
     def reload() -> None:
+        """SIGHUP."""
         node.reload(lambda: configuration_from_environment(os.environ))
 
     def shut_down() -> None:
+        """SIGTERM and SIGINT."""
         node.shut_down(reactor.stop)
 
     run(reactor, begin, {signal.SIGHUP: reload, signal.SIGTERM: shut_down, signal.SIGINT: shut_down})
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -132,13 +132,13 @@
             return True
         return False
 
-    def withdraw(self, number: int, tell: bool) -> bool:
-        """Wait no longer for this number; True if its line never left. `tell` the runner otherwise."""
+    def withdraw(self, number: int, notify: bool) -> bool:
+        """Wait no longer for this number; True if its line never left. `notify` the runner otherwise."""
         rid = self.rids.get(number)
         self.forget(number)
         if self.linking.withdraw(number):
             return True
-        if tell and rid is not None and self.stream is not None:
+        if notify and rid is not None and self.stream is not None:
             self.stream.send(b'{"verb":"STOP","rid":"%s"}\n' % rid.encode())
         return False
 
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -125,7 +125,7 @@
         attrs = b'{"path":"%s","slots_up":%d}' % (task.function.name.encode(), task.count)
         self.send_task(task, b"HOLD", b',"attrs":' + attrs, task.count > 0)
 
-    def probe(self, task: WorkerTask) -> None:
+    def send_health_check(self, task: WorkerTask) -> None:
         """Ask for a report."""
         self.send_task(task, b"INFO", b"", False)
 
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -320,7 +320,7 @@
     stage.call(client)
     stage.answer_watch("r0", complete=False)
     function = stage.edge.host.registry.functions["f"]
-    stage.edge.more(function)
+    stage.edge.extend_prefix(function)
     stage.run(0.01)
     counts = [watch["count"] for _, watch in stage.watches()]
     assert len(counts) == 2 and counts[1] > counts[0]
@@ -371,7 +371,7 @@
     function = stage.edge.host.registry.functions["f"]
 
     def ask_for_more():
-        stage.edge.more(function)
+        stage.edge.extend_prefix(function)
         stage.run(0.01)
         peer, watch = stage.watches()[-1]
         return peer, watch
