--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -1,6 +1,7 @@
 """The edge of the line protocol: its clients, runners, roster and planner, and which version an RPC meets."""
 
 from collections.abc import Callable, Sequence
+from dataclasses import replace
 from typing import Any
 
 from lapistrestle.deployment.load import to_settings
@@ -9,6 +10,7 @@
 from lapistrestle.edge.core import Core, Log
 from lapistrestle.edge.following import Address, Do, Following, News
 from lapistrestle.edge.keeping import Keeping
+from lapistrestle.edge.linking import PROMPT
 from lapistrestle.edge.peers import Peers
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.edge.rosters import RosterSource
@@ -52,7 +54,8 @@
         self.planner: PlannerSource | None = None
         self.routing = Routing()
         seed = place.seed if seed is None else seed
-        settings, guidance = to_settings(deployment), FleetGuidance()
+        settings = replace(to_settings(deployment), preload_delay=PROMPT)
+        guidance = FleetGuidance()
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
             from lapistrestle.directory.region import Region
