--- a/lapistrestle/node/fastcgi.py
+++ b/lapistrestle/node/fastcgi.py
@@ -18,6 +18,7 @@
 HEAD = Struct(">BBHHBB")  # version, kind, number, bytes of content, of padding, nothing
 MAX_OPEN_REQUESTS = 32  # requests of one connection
 MAX_REJECTED = 1_024  # requests of one connection that were rejected before they were complete
+LONG_LENGTH = 128  # a length from here on takes four bytes, the first with its highest bit set
 BEGIN_BYTES = 8  # content of a record that begins a request
 MAX_PARAMS_BYTES = 16_384  # bytes; the fields of a request take some hundreds
 MAX_BODY_BYTES = 16_384  # bytes
@@ -137,10 +138,7 @@
             stop = at + HEAD.size + size + data[at + 6]
             kind, number = data[at + 1], (data[at + 2] << 8) | data[at + 3]
             try:
-                if data[at] != VERSION:
-                    raise MalformedRecordError(
-                        f"version {data[at]} of a record", kind, number, f"version {VERSION}"
-                    )
+                check_version(data[at], kind, number)
                 if stop > end:
                     break
                 self.read_record(kind, number, data[at + HEAD.size : at + HEAD.size + size], events)
@@ -254,11 +252,17 @@
             partial.body += content
 
 
+def check_version(version: int, kind: int, number: int) -> None:
+    """Raises MalformedRecordError for a record of another version than 1."""
+    if version != VERSION:
+        raise MalformedRecordError(f"version {version} of a record", kind, number, f"version {VERSION}")
+
+
 def decode_length(data: bytes, at: int) -> tuple[int, int]:
     """A length of one byte or four, and where it ends; -1 where the bytes run out."""
     if at >= len(data):
         return -1, at
-    if data[at] < 128:
+    if data[at] < LONG_LENGTH:
         return data[at], at + 1
     if at + 4 > len(data):
         return -1, at
@@ -269,7 +273,7 @@
     """Names and values; None if the lengths don't fit, or a name comes twice."""
     found, at, end = dict[bytes, bytes](), 0, len(data)
     while at < end:
-        if data[at] < 128 and at + 1 < end and data[at + 1] < 128:  # the usual
+        if data[at] < LONG_LENGTH and at + 1 < end and data[at + 1] < LONG_LENGTH:  # the usual
             name_size, value_size, at = data[at], data[at + 1], at + 2
         else:
             name_size, at = decode_length(data, at)
@@ -287,7 +291,7 @@
 
 def encode_length(length: int) -> bytes:
     """A length in one byte, or from 128 on in four."""
-    return bytes((length,)) if length < 128 else (length | 0x80000000).to_bytes(4, "big")
+    return bytes((length,)) if length < LONG_LENGTH else (length | 0x80000000).to_bytes(4, "big")
 
 
 def encode_pair(name: bytes, value: bytes) -> bytes:
--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -241,15 +241,20 @@
     try:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        code = sock.connect_ex((host, port))
-        if code not in (0, errno.EINPROGRESS):
-            raise OSError(code, os.strerror(code))
+        begin_connecting(sock, host, port)
     except OSError:
         sock.close()
         raise
     return sock
 
 
+def begin_connecting(sock: socket.socket, host: str, port: int) -> None:
+    """Connect without waiting for it. Raises OSError where that fails at once."""
+    code = sock.connect_ex((host, port))
+    if code not in (0, errno.EINPROGRESS):
+        raise OSError(code, os.strerror(code))
+
+
 class Listener:
     """Accepts connections, some a turn."""
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -3,6 +3,8 @@
 import contextlib
 import errno
 import socket
+from collections.abc import Iterator
+from typing import Any
 
 import pytest
 from test_node import Stage
@@ -13,10 +15,10 @@
 
 
 @pytest.fixture
-def stages():
+def stages() -> Iterator[Any]:
     made = []
 
-    def make(*args, **more):
+    def make(*args: Any, **more: Any) -> Any:
         made.append(Stage(*args, **more))
         return made[-1]
 
@@ -26,7 +28,7 @@
 
 
 @pytest.fixture
-def stage(stages):
+def stage(stages: Any) -> Any:
     """One runner: whatever is asked goes there."""
     return stages(runners=1)
 
@@ -34,7 +36,7 @@
 class Closed:
     """The runner's machine takes no connection: dials stay without answer until it is opened again."""
 
-    def __init__(self, stage, at=0):
+    def __init__(self, stage: Any, at: int = 0) -> None:
         self.hand, self.runner = stage.hand, stage.runners[at]
         self.listener, self.fill = self.runner.listener, []
         self.hand.removeReader(self.listener)
@@ -46,25 +48,25 @@
             self.fill.append(end)
         stage.ends += [self]
 
-    def open(self):
+    def open(self) -> None:
         self.listener.sock.listen(1024)
         self.hand.addReader(self.listener)
 
-    def drop(self, why):
+    def drop(self, why: Any) -> None:
         for end in self.fill:
             end.close()
 
 
-def connections(stage):
+def connections(stage: Any) -> Any:
     return [connection for runner in stage.node.core.runners.values() for connection in runner.connections]
 
 
-def held(stage):
+def held(stage: Any) -> Any:
     """Lines that wait for a connection."""
     return [line for connection in connections(stage) for line in connection.linking.waiting]
 
 
-def slow(stage):
+def slow(stage: Any) -> Any:
     """The runner reads nothing until its connection is full."""
     client = stage.client()
     first = client.ask()
@@ -83,7 +85,7 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
-def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_gone(stage, how):
+def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_gone(stage: Any, how: Any) -> None:
     """It had gone out when the connection came up, up to a dial's time later."""
     closed, client = Closed(stage), stage.client()
     number = client.ask(method="bill")
@@ -101,7 +103,7 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "times out", "drains"])
-def test_what_a_full_socket_has_not_begun_to_take_is_not_sent_later(stage, how):
+def test_what_a_full_socket_has_not_begun_to_take_is_not_sent_later(stage: Any, how: Any) -> None:
     """The connection had kept the line, where only its own end could reach it."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
@@ -125,21 +127,23 @@
     assert len(stage.runs()) == before
 
 
-def connected(stage):
+def connected(stage: Any) -> None:
     """Every runner has a connection that waits for use."""
     for runner in stage.node.core.runners.values():
         runner.open_one()
     stage.hand.until(lambda: all(connection.linking.state is Link.OPEN for connection in connections(stage)))
 
 
-def still(stage, seconds):
+def still(stage: Any, seconds: Any) -> None:
     """The program stands still while what is under way arrives."""
     stage.hand.rightNow += seconds
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
 @pytest.mark.parametrize("known", [True, False], ids=["an old connection", "a new one"])
-def test_a_request_whose_client_left_during_a_standstill_is_never_begun(stage, how, known):
+def test_a_request_whose_client_left_during_a_standstill_is_never_begun(
+    stage: Any, how: Any, known: Any
+) -> None:
     """Request and close lay in the socket together; the request was acted on before the close was read."""
     connected(stage)
     listener = stage.node.front.listener
@@ -161,7 +165,7 @@
     assert stage.runs() == [] and stage.host.counts["left"] == 1 and stage.host.open_requests == 0
 
 
-def test_no_further_attempt_begins_for_a_client_that_left_during_a_standstill(stages):
+def test_no_further_attempt_begins_for_a_client_that_left_during_a_standstill(stages: Any) -> None:
     """The runner's refusal was read, and answered by another attempt, before the client's close."""
     stage, got = stages(runners=2), []
     connected(stage)
@@ -182,7 +186,7 @@
     assert len(stage.runs()) == 1 and stage.host.counts["left"] == 1
 
 
-def test_a_connection_that_ended_during_a_standstill_is_not_used_again(stages):
+def test_a_connection_that_ended_during_a_standstill_is_not_used_again(stages: Any) -> None:
     """Its answer was read, its end was not: the next call went there and counted as may have run."""
     stage, got = stages(runners=1), []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
@@ -199,7 +203,7 @@
     assert client.status(first) == 200 and client.status(second) == 200
 
 
-def test_what_waits_for_a_load_is_not_sent_once_its_client_has_gone(stage):
+def test_what_waits_for_a_load_is_not_sent_once_its_client_has_gone(stage: Any) -> None:
     stage.runners[0].loaded, orders = {}, []
     stage.runners[0].heard = lambda line, said, heard=stage.runners[0].heard: (
         orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
@@ -220,7 +224,7 @@
 # repeats
 
 
-def test_a_repeat_is_not_sent_after_its_window_though_it_was_decided_within(stages):
+def test_a_repeat_is_not_sent_after_its_window_though_it_was_decided_within(stages: Any) -> None:
     """It had waited for its connection and gone out when that came up, whatever the time."""
     profiles = [{"name": "publish", "aim": 2500000, "deadline": 5000000, "idempotency": "deduplicated",
                  "dedup-scope": "cell", "repeat-window": 150000}]  # fmt: skip
@@ -238,7 +242,9 @@
 
 
 @pytest.mark.parametrize("last", ["reset", "more"])
-def test_an_answer_that_came_before_its_time_out_counts_whatever_else_came_by_then(stage, last):
+def test_an_answer_that_came_before_its_time_out_counts_whatever_else_came_by_then(
+    stage: Any, last: Any
+) -> None:
     """After a standstill all lie together: the answer, what follows it, and the time-out that is due."""
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
@@ -256,7 +262,7 @@
     assert client.status(number) == 200 and client.ends == [number] and len(stage.runs()) == 1
 
 
-def test_a_connection_that_comes_up_after_its_dial_was_given_up_carries_nothing(stage):
+def test_a_connection_that_comes_up_after_its_dial_was_given_up_carries_nothing(stage: Any) -> None:
     closed, client = Closed(stage), stage.client()
     number = client.ask(method="bill")
     stage.hand.until(lambda: held(stage))
@@ -271,14 +277,14 @@
 # the end of the program
 
 
-def leaving(stage):
+def leaving(stage: Any) -> Any:
     """SIGTERM has come; what is returned holds something once the program has ended."""
     stopped = []
     stage.node.shut_down(lambda: stopped.append(stage.hand.rightNow))
     return stopped
 
 
-def test_an_answer_that_has_not_left_is_whole_before_the_program_ends(stage):
+def test_an_answer_that_has_not_left_is_whole_before_the_program_ends(stage: Any) -> None:
     """It ended as soon as no call was open, with answers still in its hands."""
     client = stage.client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -300,34 +306,44 @@
     assert stopped and all(client.body(number) == body for number in range(1, 21))
 
 
-def request(number=1):
+def request(number: int = 1) -> Any:
     """The bytes of a request."""
-    said = []
-    client = WebServer.__new__(WebServer)
+    said: list[bytes] = []
+    client: Any = WebServer.__new__(WebServer)
     client.last, client.send = number - 1, said.append
     client.ask()
     return b"".join(said)
 
 
 @pytest.mark.parametrize("how", ["an open connection", "a new one"])
-def test_a_request_that_crosses_the_last_look_is_answered(stage, how):
+def test_a_request_that_crosses_the_last_look_is_answered(stage: Any, how: Any) -> None:
     """It lay unread, or in the listener's line, when all was closed: the close reset it."""
-    end = socket.create_connection(("127.0.0.1", stage.port))
+    end: Any = socket.create_connection(("127.0.0.1", stage.port))
     if how == "a new one":
         end.close()
         end = None
     stage.hand.quiet()
     stopped = leaving(stage)
 
-    def cross():
+    def cross() -> None:
         nonlocal end
         end = end or socket.create_connection(("127.0.0.1", stage.port))
         end.sendall(request())
 
     core, check = stage.node.core, stage.node.core.check_finished
-    core.check_finished = lambda _=None: (setattr(core, "check_finished", check), check())[1]
+
+    def check_again(_: object = None) -> None:
+        core.check_finished = check
+        check()
+
+    core.check_finished = check_again
     close = stage.node.front.close
-    stage.node.front.close = lambda: (cross(), close())
+
+    def close_across() -> None:
+        cross()
+        close()
+
+    stage.node.front.close = close_across
     stage.hand.run(1.0)
     assert stopped
     end.settimeout(5)
@@ -341,7 +357,9 @@
 @pytest.mark.parametrize(
     ("deadline", "ends"), [(60.0, 3.7), (5.0, 3.7), (2.0, 2.7), (0.2, 0.9), (0.05, 0.75)]
 )
-def test_the_program_has_ended_before_it_may_be_killed_whatever_the_deadlines(stages, deadline, ends):
+def test_the_program_has_ended_before_it_may_be_killed_whatever_the_deadlines(
+    stages: Any, deadline: Any, ends: Any
+) -> None:
     """The page counts longer deadlines as 3 s; all that is open gets its answer before."""
     micros = int(deadline * 1e6)
     stage = stages(
@@ -364,7 +382,7 @@
 
 
 @pytest.mark.parametrize("who", ["the sweep", "one that needs the room"])
-def test_a_connection_on_which_a_request_lies_unread_is_not_idle(stage, who):
+def test_a_connection_on_which_a_request_lies_unread_is_not_idle(stage: Any, who: Any) -> None:
     client = stage.client()
     first = client.ask()
     stage.hand.until(lambda: client.status(first))
@@ -379,12 +397,20 @@
     assert client.status(second) == 200
 
 
-def test_a_runner_that_closes_after_a_second_is_not_met_on_a_connection_it_may_be_closing(stages):
+def test_a_runner_that_closes_after_a_second_is_not_met_on_a_connection_it_may_be_closing(
+    stages: Any,
+) -> None:
     """Connections were looked at once a second, so one idle for most of a second was still used."""
     limits = {"try-limit": 6, "conn-idle": 1_000_000, "dial-timeout": 250_000, "streams-per-conn": 32}
-    stage, lines = stages(runners=1, limits=limits), []
+    stage = stages(runners=1, limits=limits)
+    lines: list[Any] = []
     client = stage.client()
-    stage.runners[0].on_run = lambda line, said: (lines.append(line), stage.runners[0].answer(line, said))
+
+    def on_run(line: Any, said: Any) -> None:
+        lines.append(line)
+        stage.runners[0].answer(line, said)
+
+    stage.runners[0].on_run = on_run
     first = client.ask(method="bill")
     stage.hand.until(lambda: client.status(first))
     (old,) = stage.runners[0].lines
@@ -400,7 +426,7 @@
     assert client.status(second) == 200 and lines[1] is not old
 
 
-def test_a_connection_to_be_closed_after_one_answer_is_kept_for_the_others_open_on_it(stage):
+def test_a_connection_to_be_closed_after_one_answer_is_kept_for_the_others_open_on_it(stage: Any) -> None:
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client.send(request(1).replace(begin(1), begin(1, keep=0)))
@@ -417,7 +443,7 @@
 # the list
 
 
-def test_half_an_event_and_then_bytes_that_end_nothing_are_asked_anew(stage):
+def test_half_an_event_and_then_bytes_that_end_nothing_are_asked_anew(stage: Any) -> None:
     """Any byte had counted as word of the board, though no frame came whole any more."""
     event = frame(2, 2, *[stage.row(0, state=1)] * 400)
     stage.board.events[2] = event
@@ -433,7 +459,7 @@
     assert stage.board.asked == [0, 1]
 
 
-def test_an_old_list_that_names_nobody_takes_nobody_away(stage):
+def test_an_old_list_that_names_nobody_takes_nobody_away(stage: Any) -> None:
     """A board that was asked anew and answers from before: what it says was known."""
     stage.board.raw(frame(1, 1))
     stage.hand.quiet()
@@ -444,7 +470,7 @@
     assert client.status(number) == 200
 
 
-def test_a_list_that_moves_while_it_is_dialled_is_met_at_its_new_address_alone(stage):
+def test_a_list_that_moves_while_it_is_dialled_is_met_at_its_new_address_alone(stage: Any) -> None:
     first, second = BoardEnd(stage.hand), BoardEnd(stage.hand)
     stage.hand.removeReader(first.listener)
     for board in (first, second):
@@ -462,7 +488,7 @@
         board.cut()
 
 
-def test_a_watch_that_falls_silent_over_a_replacement_at_the_same_address_catches_up(stage):
+def test_a_watch_that_falls_silent_over_a_replacement_at_the_same_address_catches_up(stage: Any) -> None:
     stage.board.beats, old = False, stage.node.core.runners["s-00000001"]
     stage.board.events[2] = frame(2, 2, stage.row(0, state=2), row(9, stage.runners[0].port))  # never sent
     stage.hand.run(2.6)
@@ -474,12 +500,12 @@
 # descriptors
 
 
-def test_where_no_descriptor_is_left_the_listener_pauses_and_an_idle_one_makes_room(stage):
+def test_where_no_descriptor_is_left_the_listener_pauses_and_an_idle_one_makes_room(stage: Any) -> None:
     """It had stayed readable, and the program had turned around it for nothing."""
     client, listener, tries = stage.client(), stage.node.front.listener, []
 
     class Full:
-        def accept(self):
+        def accept(self) -> None:
             tries.append(1)
             raise OSError(errno.EMFILE, "too many open files")
 
@@ -498,7 +524,7 @@
 # hand-over
 
 
-def test_an_old_process_that_ends_an_order_tells_nothing_of_the_one_in_its_place(stage):
+def test_an_old_process_that_ends_an_order_tells_nothing_of_the_one_in_its_place(stage: Any) -> None:
     """Its answer had counted as copies that stand at the new one, and what waited had waited for it."""
     runner, orders = stage.runners[0], []
     runner.loaded = {}
@@ -520,7 +546,7 @@
     )
 
 
-def test_an_address_that_another_runner_has_taken_is_its_alone(stages):
+def test_an_address_that_another_runner_has_taken_is_its_alone(stages: Any) -> None:
     """Calls for the old one had gone to the new one, past all that is known of either."""
     stage = stages(runners=2)
     stage.board.tell(2, 2, row(9, stage.runners[0].port))
@@ -532,7 +558,7 @@
     assert {client.status(n) for n in numbers} <= {200, 503}
 
 
-def test_a_runner_that_drains_and_serves_again_was_never_dead(stage):
+def test_a_runner_that_drains_and_serves_again_was_never_dead(stage: Any) -> None:
     """Lines held back for the drain had ended as unreachable: all that stood there counted as gone."""
     client, line, connection = slow(stage)
     numbers = [client.ask(method="bill") for _ in range(3)]
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -1,5 +1,8 @@
 """The host around the module, without any transport."""
 
+from functools import partial
+from typing import Any
+
 import pytest
 from helpers import SETTINGS
 
@@ -9,51 +12,53 @@
 from lapistrestle.hosting.events import described
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
+from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
-from lapistrestle.policy.state import Worker
+from lapistrestle.policy.state import Request, Worker
 
 
 class Recorder:
     """A transport that only writes down; `unsent` is what it says of a line that is withdrawn."""
 
-    def __init__(self):
-        self.acts, self.unsent = [], False
+    def __init__(self) -> None:
+        self.acts: list[tuple[Any, ...]] = []
+        self.unsent = False
 
-    def __getattr__(self, word):
+    def __getattr__(self, word: str) -> Any:
         return lambda *args, **more: self.acts.append((word, *args))
 
-    def withdraw(self, task, tell):
-        self.acts.append(("withdraw", task, tell))
+    def withdraw(self, task: WorkerCall | WorkerTask, notify: bool) -> bool:
+        self.acts.append(("withdraw", task, notify))
         return self.unsent
 
-    def of(self, word):
+    def of(self, word: str) -> list[tuple[Any, ...]]:
         return [act[1:] for act in self.acts if act[0] == word]
 
 
 class Clock:
-    def __init__(self):
+    def __init__(self) -> None:
         self.now = 50_000
 
-    def __call__(self):
+    def __call__(self) -> int:
         return self.now
 
 
 @pytest.fixture
-def clock():
+def clock() -> Clock:
     return Clock()
 
 
 @pytest.fixture
-def hosting(clock):
+def hosting(clock: Clock) -> ModuleHost:
     settings = {**SETTINGS, "limits": {"try-limit": 3, "cancel": True}}
     made = ModuleHost(Recorder(), translation.to_settings(settings), 7, clock, slack=50)
     made.endpoints_received([WorkerInfo(f"w{i}") for i in range(3)], is_snapshot=True)
     return made
 
 
-def ask(hosting, method=0, left=30_000, function="f"):
+def ask(hosting: ModuleHost, method: int = 0, left: int = 30_000, function: str = "f") -> PendingRequest:
     return hosting.request_received(
         client=None,
         message=None,
@@ -66,15 +71,21 @@
     )
 
 
-def answers(hosting):
-    return [(pending.tag, verdict) for pending, verdict, *_ in hosting.transport.of("send_answer")]
+def recorded(hosting: ModuleHost) -> Recorder:
+    transport: Any = hosting.transport
+    assert isinstance(transport, Recorder)
+    return transport
+
 
+def answers(hosting: ModuleHost) -> list[tuple[str, str]]:
+    return [(pending.tag, verdict) for pending, verdict, *_ in recorded(hosting).of("send_answer")]
 
-def out(hosting):
+
+def out(hosting: ModuleHost) -> list[int]:
     return list(hosting.worker_calls)
 
 
-def test_an_answer_is_final_once(hosting):
+def test_an_answer_is_final_once(hosting: ModuleHost) -> None:
     pending = ask(hosting)
     (number,) = out(hosting)
     hosting.attempt_finished(number, Outcome.OK, "body")
@@ -85,7 +96,7 @@
 
 
 @pytest.mark.parametrize("method", [0, 1, 2])
-def test_a_runner_that_answers_what_was_never_asked_is_passed_over(hosting, method):
+def test_a_runner_that_answers_what_was_never_asked_is_passed_over(hosting: ModuleHost, method: int) -> None:
     ask(hosting, method)
     hosting.attempt_finished(999, Outcome.OK)
     hosting.attempt_started(999)
@@ -94,7 +105,7 @@
     assert hosting.counts["stray"] == 4 and answers(hosting) == [] and hosting.open_requests == 1
 
 
-def test_nothing_follows_once_the_client_has_left(hosting):
+def test_nothing_follows_once_the_client_has_left(hosting: ModuleHost) -> None:
     pending = ask(hosting)
     (number,) = out(hosting)
     hosting.client_gone(pending)
@@ -102,20 +113,22 @@
     assert answers(hosting) == [] and out(hosting) == [] and hosting.counts["left"] == 1
 
 
-def test_a_time_out_of_what_never_left_proves_that_it_did_not_run(hosting, clock):
+def test_a_time_out_of_what_never_left_proves_that_it_did_not_run(hosting: ModuleHost, clock: Clock) -> None:
     ask(hosting, method=2)
-    hosting.transport.unsent = True
+    recorded(hosting).unsent = True
     clock.now += 30_000
     hosting.fire_timers()
     assert answers(hosting) == [("c1/r", "denied")]
 
 
-def test_a_time_out_of_what_may_have_run_aborts_a_side_effecting_rpc(hosting, clock):
+def test_a_time_out_of_what_may_have_run_aborts_a_side_effecting_rpc(
+    hosting: ModuleHost, clock: Clock
+) -> None:
     ask(hosting, method=2)
     clock.now += 30_000
     hosting.fire_timers()
     assert answers(hosting) == [("c1/r", "aborted")]
-    assert hosting.transport.of("withdraw")
+    assert recorded(hosting).of("withdraw")
 
 
 class Broken(Dispatcher):
@@ -123,12 +136,12 @@
 
     at = ""
 
-    def on_request(self, request):
+    def on_request(self, request: Request) -> None:
         if self.at == "on_request":
             raise RuntimeError("in on_request")
         super().on_request(request)
 
-    def learn(self, *args):
+    def learn(self, *args: Any) -> None:
         if self.at == "learn":
             raise RuntimeError("in learn")
         super().learn(*args)
@@ -137,33 +150,33 @@
 class BrokenAtList(Dispatcher):
     """Raises before it has set up the workers that it hears of."""
 
-    def note(self, *args):
+    def note(self, *args: Any) -> None:
         raise RuntimeError("in note")
 
 
-def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock):
+def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock: Clock) -> None:
     """As it was: the log line showed a worker whose sums were not set up yet, and that raised in turn."""
     hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=BrokenAtList)
     hosting.endpoints_received([WorkerInfo(f"w{i}") for i in range(9)], is_snapshot=True)
     assert hosting.counts["faults"] == 1
-    assert [act[0] for act in hosting.transport.of("log")] == ["module raised"]
+    assert [act[0] for act in recorded(hosting).of("log")] == ["module raised"]
     ask(hosting)
     assert answers(hosting) == [("c1/r", "denied")]
 
 
 class Unshowable:
-    def __str__(self):
+    def __str__(self) -> str:
         raise AttributeError("not set up yet")
 
 
-def test_an_argument_is_described_in_any_state():
+def test_an_argument_is_described_in_any_state() -> None:
     assert described(Unshowable()) == "Unshowable"
     assert described([(Worker("w1"), WorkerInfo("w1"))] * 4) == "((w1, w1), (w1, w1), (w1, w1) ...)"
     assert len(described("x" * 500)) == 80
 
 
 @pytest.mark.parametrize("at", ["on_request", "learn"])
-def test_a_module_that_raises_costs_its_rpc_alone(clock, at):
+def test_a_module_that_raises_costs_its_rpc_alone(clock: Clock, at: str) -> None:
     hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=Broken)
     hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
     hosting.module.at = at
@@ -171,7 +184,7 @@
     for number in out(hosting):
         hosting.attempt_finished(number, Outcome.ERROR)
     assert answers(hosting) == [("c1/r", "aborted")]
-    assert hosting.counts["faults"] == 1 and hosting.transport.of("log")
+    assert hosting.counts["faults"] == 1 and recorded(hosting).of("log")
     hosting.module.at = ""
     ask(hosting)
     for number in out(hosting):
@@ -179,9 +192,9 @@
     assert answers(hosting)[-1] == ("c1/r", "ok")
 
 
-def test_a_deadline_that_the_module_lets_pass_is_guarded(clock):
+def test_a_deadline_that_the_module_lets_pass_is_guarded(clock: Clock) -> None:
     class Asleep(Dispatcher):
-        def on_request(self, request):
+        def on_request(self, request: Request) -> None:
             pass
 
     hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, slack=50, make=Asleep)
@@ -194,19 +207,19 @@
     assert answers(hosting) == [("c1/r", "aborted")] and hosting.counts["guarded"] == 1
 
 
-def test_never_two_call_outs_at_once_whatever_the_module_asks(hosting):
+def test_never_two_call_outs_at_once_whatever_the_module_asks(hosting: ModuleHost) -> None:
     pending = ask(hosting)
     second = type(pending.attempts[0])(pending, hosting.registry.worker("w1"), hosting.clock())
     pending.attempts.append(second)
     pending.function.replica(second.worker).begin(second)
     hosting.send_attempt(second, 100)
-    assert len(hosting.transport.of("send_call")) == 1 and len(hosting.worker_calls) == 1
+    assert len(recorded(hosting).of("send_call")) == 1 and len(hosting.worker_calls) == 1
     assert second.outcome is Outcome.NOT_SENT
 
 
-def test_tries_under_another_version_count_too(hosting):
+def test_tries_under_another_version_count_too(hosting: ModuleHost) -> None:
     for before, sent in ((1, 2), (3, 0)):
-        hosting.transport.acts.clear()
+        recorded(hosting).acts.clear()
         hosting.request_received(
             client=None,
             message=None,
@@ -220,10 +233,10 @@
         )
         while hosting.worker_calls:
             hosting.attempt_finished(out(hosting)[0], Outcome.ERROR)
-        assert len(hosting.transport.of("send_call")) == sent and answers(hosting)[-1][1] == "denied"
+        assert len(recorded(hosting).of("send_call")) == sent and answers(hosting)[-1][1] == "denied"
 
 
-def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it(clock):
+def test_a_streamed_answer_has_no_deadline_and_a_break_ends_it(clock: Clock) -> None:
     settings = {**SETTINGS, "profiles": [{**SETTINGS["profiles"][0], "streamed": True}]}
     hosting = ModuleHost(Recorder(), translation.to_settings(settings), 7, clock)
     hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
@@ -232,12 +245,12 @@
     hosting.attempt_started(number)
     clock.now += 100_000
     hosting.fire_timers()
-    assert answers(hosting) == [] and len(hosting.transport.of("stream_started")) == 1
+    assert answers(hosting) == [] and len(recorded(hosting).of("stream_started")) == 1
     hosting.attempt_finished(number, Outcome.RESET)
     assert answers(hosting) == [("c1/r", "aborted")]
 
 
-def test_an_order_without_word_ends_in_its_time(clock):
+def test_an_order_without_word_ends_in_its_time(clock: Clock) -> None:
     info = {**SETTINGS["family-info"], "answer-within": 2_000_000}
     hosting = ModuleHost(Recorder(), translation.to_settings({**SETTINGS, "family-info": info}), 7, clock)
     hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
@@ -247,10 +260,10 @@
     assert len(hosting.tasks) == 1
     clock.now += 20_000
     hosting.fire_timers()
-    assert hosting.tasks == {} and len(hosting.transport.of("withdraw")) == 1
+    assert hosting.tasks == {} and len(recorded(hosting).of("withdraw")) == 1
 
 
-def test_the_registry_forgets_the_longest_unused_function():
+def test_the_registry_forgets_the_longest_unused_function() -> None:
     registry = ObjectRegistry(max_functions=2)
     first = registry.function("a", 0, 1.0, 1)
     registry.function("b", 0, 1.0, 1)
@@ -259,18 +272,18 @@
     assert list(registry.functions) == ["a", "c"]
 
 
-def test_timers_of_answered_rpcs_go_when_they_would_have_been_due(hosting):
+def test_timers_of_answered_rpcs_go_when_they_would_have_been_due(hosting: ModuleHost, clock: Clock) -> None:
     for _ in range(2_000):
         ask(hosting, function="g")
         for number in out(hosting):
             hosting.attempt_finished(number, Outcome.OK)
     hosting.timers.next()
-    hosting.clock.now += 31_000
+    clock.now += 31_000
     hosting.fire_timers()
     assert len(hosting.timers.heap) < 10
 
 
-def test_the_registry_lets_go_of_functions_of_which_nothing_is_held():
+def test_the_registry_lets_go_of_functions_of_which_nothing_is_held() -> None:
     registry = ObjectRegistry(20_000)
     kept = registry.function("kept", 0, 1.0, 1)
     kept.marks[registry.worker("w")] = 1.0
@@ -283,7 +296,7 @@
     assert "kept" not in registry.functions and len(registry.functions) < 1_100
 
 
-def test_a_worker_that_is_back_is_one_object_also_while_its_event_waits(hosting):
+def test_a_worker_that_is_back_is_one_object_also_while_its_event_waits(hosting: ModuleHost) -> None:
     """As it was: in a poll of the sockets `listed` waits, the one that is back still counted as gone, was
     dropped by name, and what named it next met another object that the module had never heard of.
     """
@@ -297,10 +310,12 @@
     assert worker is hosting.registry.worker("w1") and worker.listing is EndpointState.SERVING
     assert hosting.registry.functions["f"].prefix == [worker]
     ask(hosting)
-    assert not [act for act in hosting.transport.of("log") if act[0] == "module raised"]
+    assert not [act for act in recorded(hosting).of("log") if act[0] == "module raised"]
 
 
-def test_one_that_is_back_is_kept_also_where_a_second_list_follows_in_the_same_poll(hosting):
+def test_one_that_is_back_is_kept_also_where_a_second_list_follows_in_the_same_poll(
+    hosting: ModuleHost,
+) -> None:
     hosting.endpoints_received([WorkerInfo("w1", listing=EndpointState.REMOVED)], is_snapshot=False)
     with hosting.batched():
         hosting.endpoints_received([WorkerInfo("w1", booted=7)], is_snapshot=False)
@@ -310,7 +325,7 @@
     assert hosting.registry.worker("w1") is worker
 
 
-def test_who_left_is_dropped_also_where_every_list_comes_in_a_poll(hosting):
+def test_who_left_is_dropped_also_where_every_list_comes_in_a_poll(hosting: ModuleHost) -> None:
     for number in range(200):
         with hosting.batched():
             hosting.endpoints_received([WorkerInfo(f"once-{number}")], is_snapshot=False)
@@ -321,7 +336,7 @@
     assert len(hosting.registry.workers) <= 5  # the three there, and who left last
 
 
-def with_region(clock, workers):
+def with_region(clock: Clock, workers: int) -> ModuleHost:
     """A host that is told a part of the region, with as many functions in use as workers."""
     settings = translation.to_settings(SETTINGS)
     region = Region(clock, settings.slow_start_share, settings.slow_start_duration)
@@ -335,17 +350,14 @@
     return made
 
 
-def test_a_departure_costs_the_same_however_many_workers_and_functions_are_known(clock):
+def test_a_departure_costs_the_same_however_many_workers_and_functions_are_known(clock: Clock) -> None:
     """As it was: all workers and all functions were looked at for each worker that left."""
     counted = []
     for workers in (100, 400):
         made = with_region(clock, workers)
         left = [WorkerInfo("w7", listing=EndpointState.REMOVED)]
-        counted.append(
-            count_steps(
-                lambda made=made, left=left: made.endpoints_received(left, is_snapshot=False)
-            ).instructions
-        )
+        steps = count_steps(partial(made.endpoints_received, left, is_snapshot=False))
+        counted.append(steps.instructions)
         assert "w7" not in made.registry.workers and len(made.module.workers) == workers - 1
         assert not made.registry.functions["f7"].replicas and made.registry.functions["f8"].replicas
     assert counted[1] < 1.1 * counted[0]
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -1,5 +1,7 @@
 """Lists in any order beside attempts and orders: one object a worker, and no new work past a drain."""
 
+from typing import Any
+
 from helpers import SETTINGS
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,7 +9,9 @@
 
 from lapistrestle.deployment import translation
 from lapistrestle.hosting.host import ModuleHost
+from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.interface import EndpointState, Outcome, WorkerInfo
+from lapistrestle.policy.state import Worker
 
 NAMES = ("w0", "w1", "w2")
 listings = st.sampled_from(list(EndpointState))
@@ -30,64 +34,67 @@
 class Lists(Recorder):
     """What the lists say, and what was begun against it."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         super().__init__()
-        self.told, self.broken = {}, []
+        self.told: dict[str, EndpointState] = {}
+        self.broken: list[str] = []
 
-    def begin(self, work, count=1):
+    def begin(self, work: WorkerCall | WorkerTask, count: int = 1) -> None:
         if count and self.told.get(work.worker.name) is not EndpointState.SERVING:
             self.broken.append(work.worker.name)
 
-    def send_call(self, worker_call):
+    def send_call(self, worker_call: WorkerCall) -> None:
         self.begin(worker_call)
 
-    def send_preload(self, task):
+    def send_preload(self, task: WorkerTask) -> None:
         self.begin(task, task.count)
 
 
 class Host:
     """A host that hears lists, and the steps that are played on it."""
 
-    def __init__(self):
+    def __init__(self) -> None:
         self.clock, self.lists = Clock(), Lists()
         facts = translation.to_settings(
             {**SETTINGS, "limits": {"try-limit": 3, "cancel": True, "parallel-tries": True}}
         )
         self.made = ModuleHost(self.lists, facts, 7, self.clock, slack=50)
 
-    def play(self, what, arg):
+    def play(self, what: str, arg: Any) -> None:
         getattr(self, what)(arg)
 
-    def change(self, entries):
+    def change(self, entries: list[WorkerInfo]) -> None:
         self.lists.told.update({entry.name: entry.listing for entry in entries})
         self.made.endpoints_received(entries, is_snapshot=False)
 
-    def whole(self, entries):
+    def whole(self, entries: list[WorkerInfo]) -> None:
         self.lists.told = {entry.name: entry.listing for entry in entries}
         self.made.endpoints_received(entries, is_snapshot=True)
 
-    def ask(self, function):
+    def ask(self, function: str) -> None:
         ask(self.made, function=function)
 
-    def answer(self, outcome):
+    def answer(self, outcome: Outcome) -> None:
         for number in list(self.made.worker_calls)[:1]:
             self.made.attempt_finished(number, outcome, "body")
 
-    def ordered(self, outcome):
+    def ordered(self, outcome: Outcome) -> None:
         for number in list(self.made.tasks)[:1]:
             self.made.preload_finished(number, outcome, 1)
 
-    def wait(self, pause):
+    def wait(self, pause: int) -> None:
         self.clock.now += pause
         self.made.fire_timers()
 
-    def serving(self):
+    def serving(self) -> list[Worker]:
         return [worker for worker in self.made.module.workers if worker.listing is EndpointState.SERVING]
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(looks=looks, batched=st.booleans())
-def test_no_interleaving_leaves_the_module_a_worker_that_the_list_does_not_call_serving(looks, batched):
+def test_no_interleaving_leaves_the_module_a_worker_that_the_list_does_not_call_serving(
+    looks: list[list[tuple[str, Any]]], batched: bool
+) -> None:
     """A second object under one name would hear of a drain in place of the one that is sent to."""
     host = Host()
     for look in looks:
@@ -106,7 +113,7 @@
         assert host.lists.broken == []
 
 
-def test_a_cold_worker_that_is_gone_and_back_keeps_what_it_was_sent():
+def test_a_cold_worker_that_is_gone_and_back_keeps_what_it_was_sent() -> None:
     """Its object was dropped with what it had been sent: the window of its slow start began anew (rule 4)."""
     host = Host()
     booted = host.clock.now - 100
@@ -119,7 +126,7 @@
     assert again.sent_since(host.clock.now - 1) == 800.0
 
 
-def test_what_a_worker_was_sent_is_forgotten_once_its_window_has_passed():
+def test_what_a_worker_was_sent_is_forgotten_once_its_window_has_passed() -> None:
     host = Host()
     host.change([WorkerInfo("w0", booted=host.clock.now - 100)])
     host.serving()[0].sends.append((host.clock.now, 800.0))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -3,6 +3,8 @@
 import gc
 import re
 import weakref
+from collections.abc import Iterator
+from typing import Any
 
 import msgspec
 import pytest
@@ -42,8 +44,9 @@
 class Stage:
     """A dispatcher that knows its runners, and everyone it talks to."""
 
-    def __init__(self, runners=2, sockets=256, memory_mb=192, **settings):
-        self.hand, self.logs = Hand(), []
+    def __init__(self, runners: int = 2, sockets: int = 256, memory_mb: int = 192, **settings: Any) -> None:
+        self.hand = Hand()
+        self.logs: list[Any] = []
         self.board = BoardEnd(self.hand)
         self.runners = [RunnerEnd(self.hand) for _ in range(runners)]
         file = {
@@ -57,45 +60,46 @@
         )
         self.port = self.node.start()
         self.host, self.module = self.node.core.host, self.node.core.host.module
-        self.ends = []
+        self.ends: list[Any] = []
         if runners:
             self.board.tell(1, 1, *(self.row(i) for i in range(runners)))
             self.hand.until(lambda: len(self.workers()) == runners)
         self.hand.run(0.01)
 
-    def row(self, i, **more):
+    def row(self, i: Any, **more: Any) -> Any:
         return row(i + 1, self.runners[i].port, **more)
 
-    def workers(self):
+    def workers(self) -> Any:
         return {
             worker.name: worker
             for worker in self.module.workers
             if worker.listing is not EndpointState.REMOVED
         }
 
-    def client(self):
+    def client(self) -> Any:
         self.ends.append(WebServer(self.hand, self.port))
         self.hand.quiet()
         return self.ends[-1]
 
-    def runs(self):
+    def runs(self) -> Any:
         return [said for runner in self.runners for said in runner.runs]
 
-    def close(self):
+    def close(self) -> None:
         self.node.core.front.end()
         self.node.core.stop(lambda: None)
         self.hand.run(0.1)
-        for end in [self.board, *self.runners]:
+        listening: list[Any] = [self.board, *self.runners]
+        for end in listening:
             end.listener.close()
         for end in [*self.board.followers, *(line for r in self.runners for line in r.lines), *self.ends]:
             end.drop("over")
 
 
 @pytest.fixture
-def stages():
+def stages() -> Iterator[Any]:
     made = []
 
-    def make(*args, **more):
+    def make(*args: Any, **more: Any) -> Any:
         made.append(Stage(*args, **more))
         return made[-1]
 
@@ -105,11 +109,11 @@
 
 
 @pytest.fixture
-def stage(stages):
+def stage(stages: Any) -> Any:
     return stages()
 
 
-def test_a_call_is_run_and_its_body_comes_back_unchanged(stage):
+def test_a_call_is_run_and_its_body_comes_back_unchanged(stage: Any) -> None:
     client = stage.client()
     number = client.ask(method="bill", body=bytes(range(256)) * 64)
     stage.hand.until(lambda: client.status(number))
@@ -119,7 +123,7 @@
     assert said["attrs"]["queue"] == "bill" and 1900 < said["attrs"]["budget"] < 2000
 
 
-def test_a_limit_that_is_null_reads_as_missing():
+def test_a_limit_that_is_null_reads_as_missing() -> None:
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
@@ -149,13 +153,16 @@
         ("", "me", -1),
     ],
 )
-def test_a_setting_out_of_range_is_refused_by_its_name_before_listening(group, key, value):
+def test_a_setting_out_of_range_is_refused_by_its_name_before_listening(
+    group: Any, key: Any, value: Any
+) -> None:
     """Some had passed and met the module, others had ended in an error that named nothing."""
     changed = {key: value}
     if group in ("profiles", "tenants"):
         changed = {group: [{"name": "search", "deadline": 1_000_000} | changed]}
     elif group:
-        changed = {group: SETTINGS.get(group, {}) | changed}
+        usual: Any = SETTINGS.get(group, {})
+        changed = {group: usual | changed}
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS | changed}
     with pytest.raises(ConfigurationError, match=re.escape(key)):
         parse_configuration(msgspec.json.encode(file), "config.json")
@@ -163,10 +170,11 @@
 
 @pytest.mark.parametrize("group", ["limits", "rules", "family-info", "reporting", "tenants", "zones"])
 @pytest.mark.parametrize("how", ["missing", "null", "all null"])
-def test_what_the_settings_leave_out_or_null_has_its_meaning(group, how):
-    settings = {**SETTINGS, group: None}
-    if how == "all null" and isinstance(SETTINGS.get(group), dict):
-        settings[group] = dict.fromkeys(SETTINGS[group])
+def test_what_the_settings_leave_out_or_null_has_its_meaning(group: Any, how: Any) -> None:
+    settings: dict[str, Any] = {**SETTINGS, group: None}
+    usual: Any = SETTINGS.get(group)
+    if how == "all null" and isinstance(usual, dict):
+        settings[group] = dict.fromkeys(usual)
     if how == "missing":
         del settings[group]
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
@@ -178,7 +186,7 @@
     Node(Hand(), configuration, lambda what, **figures: None)
 
 
-def test_health_is_told_only_once_the_list_stands(stages):
+def test_health_is_told_only_once_the_list_stands(stages: Any) -> None:
     stage = stages(runners=0)
     client = stage.client()
     first, early = client.ask(script="/_health"), client.ask()
@@ -213,7 +221,9 @@
         ({"HTTP_X_REPEAT": "yes"}, 400),
     ],
 )
-def test_what_cannot_be_used_is_answered_at_once_and_meets_no_runner(stage, fields, status):
+def test_what_cannot_be_used_is_answered_at_once_and_meets_no_runner(
+    stage: Any, fields: Any, status: Any
+) -> None:
     client = stage.client()
     number = client.ask(**fields)
     stage.hand.until(lambda: client.status(number))
@@ -225,7 +235,9 @@
 
 
 @pytest.mark.parametrize(("over", "status"), [(0, 503), (2, 503), (7, 503), (50, 503), (51, 400)])
-def test_a_patience_some_milliseconds_over_the_deadline_reads_as_the_deadline(stage, over, status):
+def test_a_patience_some_milliseconds_over_the_deadline_reads_as_the_deadline(
+    stage: Any, over: Any, status: Any
+) -> None:
     """Usual clients were seen with up to 7 ms more; the page gives every time limit 50 ms."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
@@ -241,20 +253,26 @@
         assert all(said["attrs"]["budget"] <= deadline for said in stage.runs()) and stage.runs()
 
 
-def test_a_request_counts_towards_the_share_of_its_own_tenant(stages):
+def test_a_request_counts_towards_the_share_of_its_own_tenant(stages: Any) -> None:
     """All had counted as the first tenant's, whose share then cut off the others (ledger-hall)."""
     tenants = [{"name": "orchard", "quota-rps": 5.0}, {"name": "mill & sons", "quota-rps": 50.0}]
     stage = stages(tenants=tenants)
-    client, met = stage.client(), []
+    client = stage.client()
+    met: list[int] = []
     arrived = stage.module.on_request
-    stage.module.on_request = lambda request: (met.append(request.customer), arrived(request))
+
+    def note(request: Any) -> None:
+        met.append(request.customer)
+        arrived(request)
+
+    stage.module.on_request = note
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
     assert met == [1, 0, 2]  # who names nobody has no share of anybody's
 
 
-def test_the_id_of_an_open_request_is_refused_and_the_first_goes_on(stage):
+def test_the_id_of_an_open_request_is_refused_and_the_first_goes_on(stage: Any) -> None:
     kept = []
     for runner in stage.runners:
         runner.on_run = lambda line, said: kept.append((line, said))
@@ -270,7 +288,7 @@
     assert first.body(one) == b"done" and len(kept) == 1
 
 
-def test_an_id_that_comes_again_at_once_counts_once_towards_the_ration_of_orders(stage):
+def test_an_id_that_comes_again_at_once_counts_once_towards_the_ration_of_orders(stage: Any) -> None:
     """A client that sends the same again as soon as it is turned away had filled the ration (join+mass)."""
     client = stage.client()
     for _ in range(40):
@@ -283,7 +301,7 @@
     assert len(stage.module.taken) == 1 and stage.module.now - stage.module.taken[0] < 1_000
 
 
-def test_no_runner_is_dialled_before_it_is_needed(stages):
+def test_no_runner_is_dialled_before_it_is_needed(stages: Any) -> None:
     """Dialled as soon as they were named, 15,145 connections were made where 10,470 do (herd+mass)."""
     stage = stages(runners=4)
     stage.hand.run(2)
@@ -294,7 +312,7 @@
     assert sum(len(runner.lines) for runner in stage.runners) == 1
 
 
-def test_what_was_read_after_a_standstill_may_have_come_during_it(stage):
+def test_what_was_read_after_a_standstill_may_have_come_during_it(stage: Any) -> None:
     client = stage.client()
     number = client.ask()
     stage.hand.rightNow += 0.8
@@ -303,7 +321,9 @@
 
 
 @pytest.mark.parametrize(("still", "told", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
-def test_the_time_for_which_a_request_lay_unread_counts_towards_its_patience(stage, still, told, left):
+def test_the_time_for_which_a_request_lay_unread_counts_towards_its_patience(
+    stage: Any, still: Any, told: Any, left: Any
+) -> None:
     """Bounded by how long the program did not look, and not asked for where it has only just looked."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
@@ -319,7 +339,7 @@
     assert left - 0.02 <= stage.hand.rightNow - read <= left + 0.01
 
 
-def test_two_requests_under_one_number_end_that_connection_alone(stage):
+def test_two_requests_under_one_number_end_that_connection_alone(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     bad, good = stage.client(), stage.client()
@@ -337,14 +357,14 @@
 
 
 @pytest.mark.parametrize("junk", JUNK)
-def test_junk_is_closed_at_once(stage, junk):
+def test_junk_is_closed_at_once(stage: Any, junk: Any) -> None:
     client = stage.client()
     client.send(junk)
     stage.hand.until(lambda: client.closed)
     assert not stage.node.front.connections
 
 
-def test_a_body_too_long_is_refused_without_reading_it_all(stage):
+def test_a_body_too_long_is_refused_without_reading_it_all(stage: Any) -> None:
     client = stage.client()
     number = client.ask(whole=False)
     for _ in range(8):
@@ -353,7 +373,7 @@
     assert not stage.runs() and not stage.node.front.connections
 
 
-def test_half_requests_of_a_crowd_are_bounded_together(stages):
+def test_half_requests_of_a_crowd_are_bounded_together(stages: Any) -> None:
     stage = stages(memory_mb=4)
     crowd = [stage.client() for _ in range(6)]
     for client in crowd:
@@ -372,7 +392,7 @@
     assert stage.node.front.buffered_bytes == 0
 
 
-def test_half_a_request_and_silent_connections_are_closed_within_three_seconds(stage):
+def test_half_a_request_and_silent_connections_are_closed_within_three_seconds(stage: Any) -> None:
     silent, half, good = stage.client(), stage.client(), stage.client()
     half.ask(whole=False)
     done = good.ask()
@@ -380,7 +400,7 @@
     assert silent.closed and half.closed and good.status(done) == 200 and not good.closed
 
 
-def test_hundreds_of_silent_connections_leave_the_usual_clients_theirs(stages):
+def test_hundreds_of_silent_connections_leave_the_usual_clients_theirs(stages: Any) -> None:
     stage = stages(sockets=64)
     usual = stage.client()
     usual.ask()
@@ -395,7 +415,7 @@
     assert usual.status(number) == 200 and sum(bool(c.closed) for c in crowd) > 20
 
 
-def test_more_than_are_allowed_at_once_are_refused_as_harmless_to_repeat(stage):
+def test_more_than_are_allowed_at_once_are_refused_as_harmless_to_repeat(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -406,7 +426,7 @@
     assert len(stage.node.front.open()) <= 32
 
 
-def test_a_request_taken_back_ends_and_its_number_is_free(stage):
+def test_a_request_taken_back_ends_and_its_number_is_free(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -426,7 +446,7 @@
 # what runners say
 
 
-def test_a_spoilt_answer_ends_its_connection_as_may_have_run_and_is_never_served(stage):
+def test_a_spoilt_answer_ends_its_connection_as_may_have_run_and_is_never_served(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
     client = stage.client()
@@ -440,8 +460,8 @@
 
 
 @pytest.mark.parametrize("ahead", [b'{"verb":"200","rid":"ffffffffffffffff","content":"AAAA"}\n', b""])
-def test_a_stray_answer_and_a_second_copy_are_passed_over(stage, ahead):
-    def play(line, said):
+def test_a_stray_answer_and_a_second_copy_are_passed_over(stage: Any, ahead: Any) -> None:
+    def play(line: Any, said: Any) -> None:
         line.send(ahead)
         line.say("200", said["rid"], b"mine")
         line.say("200", said["rid"], b"again")
@@ -456,8 +476,8 @@
     assert stage.host.counts["stray"] >= 1
 
 
-def test_an_endless_line_is_cut_within_bounds(stage):
-    def play(line, said):
+def test_an_endless_line_is_cut_within_bounds(stage: Any) -> None:
+    def play(line: Any, said: Any) -> None:
         line.send(b'{"verb":"200","rid":"%s","content":"' % said["rid"].encode() + b"A" * 3_000_000)
 
     for runner in stage.runners:
@@ -469,7 +489,7 @@
     assert all(len(w.buffer) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
 
 
-def test_a_reset_after_the_whole_line_is_no_proof_and_a_side_effect_is_not_sent_again(stage):
+def test_a_reset_after_the_whole_line_is_no_proof_and_a_side_effect_is_not_sent_again(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: line.reset()
     client = stage.client()
@@ -478,7 +498,7 @@
     assert client.status(number) == 500 and len(stage.runs()) == 1
 
 
-def test_a_refused_connection_proves_that_nothing_ran(stage):
+def test_a_refused_connection_proves_that_nothing_ran(stage: Any) -> None:
     stage.runners[0].stop()
     stage.hand.quiet()
     client = stage.client()
@@ -487,14 +507,14 @@
     assert {client.status(n) for n in numbers} <= {200, 503} and client.status(numbers[0]) == 200
 
 
-def test_a_tokened_call_carries_its_key(stage):
+def test_a_tokened_call_carries_its_key(stage: Any) -> None:
     client = stage.client()
     client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     stage.hand.until(stage.runs)
     assert stage.runs()[0]["attrs"]["uniq"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def test_two_call_outs_of_one_rpc_to_one_runner_never_share_a_connection(stages):
+def test_two_call_outs_of_one_rpc_to_one_runner_never_share_a_connection(stages: Any) -> None:
     stage, got = stages(runners=1), []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client = stage.client()
@@ -513,7 +533,7 @@
     assert client.body(1) == b"first"
 
 
-def test_a_probe_names_its_figures_as_the_settings_do(stage):
+def test_a_probe_names_its_figures_as_the_settings_do(stage: Any) -> None:
     told = []
     stage.module.on_health_check = lambda worker, outcome, took, report: told.append(report)
     stage.host.health_check(next(iter(stage.workers().values())))
@@ -521,7 +541,7 @@
     assert told == [{"outstanding": 7.0, "utilization": 0.61}]
 
 
-def test_what_waits_for_a_connection_is_taken_back_when_the_runner_drains(stage):
+def test_what_waits_for_a_connection_is_taken_back_when_the_runner_drains(stage: Any) -> None:
     """Rule 3 at the socket: the line had not left, so the RPC goes elsewhere in the same turn."""
     runner = stage.node.core.runners["s-00000001"]
     for connection in list(runner.connections):
@@ -545,7 +565,7 @@
 # the board
 
 
-def test_a_runner_named_again_at_its_address_keeps_its_connections(stage):
+def test_a_runner_named_again_at_its_address_keeps_its_connections(stage: Any) -> None:
     """Each mention of a runner had replaced its pool, so that a drain dialled it anew."""
     runner, client = stage.node.core.runners["s-00000001"], stage.client()
     numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
@@ -560,7 +580,7 @@
     assert stage.node.core.runners["s-00000001"] is not runner
 
 
-def test_events_count_once_and_a_gap_asks_anew_with_the_last_whole_number(stage):
+def test_events_count_once_and_a_gap_asks_anew_with_the_last_whole_number(stage: Any) -> None:
     stage.board.raw(frame(1, 2, stage.row(0, state=2)))  # told before
     stage.hand.quiet()
     assert len(stage.workers()) == 2
@@ -573,13 +593,13 @@
 
 
 @pytest.mark.parametrize("bad", [b"\xff" * 20, frame(2, 9), frame(2, 2, b"x" * 26), frame(7, 0)])
-def test_a_bad_frame_asks_anew(stage, bad):
+def test_a_bad_frame_asks_anew(stage: Any, bad: Any) -> None:
     stage.board.raw(bad)
     stage.hand.run(0.01)
     assert stage.board.asked == [0, 1]
 
 
-def test_half_an_event_and_a_break_lose_nothing(stage):
+def test_half_an_event_and_a_break_lose_nothing(stage: Any) -> None:
     event = frame(2, 2, stage.row(0, state=1))
     stage.board.events[2] = event
     stage.board.raw(event[:20])
@@ -590,13 +610,13 @@
     assert stage.board.asked[-1] == 1
 
 
-def test_a_silent_board_is_asked_anew(stage):
+def test_a_silent_board_is_asked_anew(stage: Any) -> None:
     stage.board.beats = False
     stage.hand.run(3.6)
     assert len(stage.board.asked) >= 2
 
 
-def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_numbers(stage):
+def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_numbers(stage: Any) -> None:
     other = BoardEnd(stage.hand)
     stage.configuration.file.board = f"127.0.0.1:{other.port}"
     stage.node.apply_configuration(stage.configuration)
@@ -610,7 +630,7 @@
         follower.drop("over")
 
 
-def test_at_the_end_new_connections_are_served_for_a_while_and_open_calls_are_finished(stage):
+def test_at_the_end_new_connections_are_served_for_a_while_and_open_calls_are_finished(stage: Any) -> None:
     kept, stopped = [], []
     stage.node.shut_down(lambda: stopped.append(1))
     stage.hand.run(0.4)
@@ -631,7 +651,7 @@
     assert late.body(slow) == b"late" and stopped == [1]
 
 
-def test_beliefs_of_load_agree_with_the_sockets_at_quiet_moments(stage):
+def test_beliefs_of_load_agree_with_the_sockets_at_quiet_moments(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -641,7 +661,7 @@
     client.give_up(numbers[0])
     stage.hand.quiet()
 
-    def agree():
+    def agree() -> Any:
         believed = {worker.name: worker.out for worker in stage.module.workers}
         held = {f"s-{i + 1:08x}": runner.held() for i, runner in enumerate(stage.runners)}
         return believed == held
@@ -658,7 +678,7 @@
 
 
 @pytest.mark.parametrize("end", ["served", "denied after a miss", "left"])
-def test_an_rpc_that_has_ended_waits_for_no_collector(stages, end):
+def test_an_rpc_that_has_ended_waits_for_no_collector(stages: Any, end: Any) -> None:
     """An RPC and its call-outs point to each other, and the collector is rare: a long life would grow."""
     stage, orders = stages(runners=1), []
     runner, client = stage.runners[0], stage.client()
@@ -668,8 +688,14 @@
         runner.heard = lambda line, said: (
             orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
         )
-    taken, arrived = [], stage.module.on_request
-    stage.module.on_request = lambda request: (taken.append(weakref.ref(request)), arrived(request))
+    taken: list[Any] = []
+    arrived = stage.module.on_request
+
+    def note(request: Any) -> None:
+        taken.append(weakref.ref(request))
+        arrived(request)
+
+    stage.module.on_request = note
     gc.collect()
     gc.disable()
     try:
@@ -688,16 +714,17 @@
         gc.enable()
 
 
-def test_thousands_of_replaced_runners_leave_nothing_behind(stage):
+def test_thousands_of_replaced_runners_leave_nothing_behind(stage: Any) -> None:
     """New ids at the address of one that went: what grows with them is let go."""
 
-    def held():
+    def held() -> Any:
         core, module = stage.node.core, stage.module
         kinds = sum(isinstance(o, Worker | RunnerConnection | Runner | Linking) for o in gc.get_objects())
         connections = stage.node.pools.connections
         return len(core.runners), len(module.workers), len(stage.host.registry.workers), connections, kinds
 
-    client, port, before = stage.client(), stage.runners[0].port, None
+    client, port = stage.client(), stage.runners[0].port
+    before: Any = None
     gc.collect()
     gc.disable()  # as good as off in service
     for i in range(1500):
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -12,8 +12,10 @@
 import subprocess
 import sys
 import time
+from collections.abc import Iterator
 from contextlib import suppress
 from dataclasses import dataclass
+from typing import Any
 
 import pytest
 
@@ -61,7 +63,7 @@
 
     began = 0.0
 
-    def received(self, data):
+    def received(self, data: Any) -> None:
         now = time.monotonic()
         self.began = self.began if self.rest else now
         super().received(data)
@@ -71,15 +73,16 @@
 class StampedRunner(RunnerEnd):
     """Keeps when each RUN and each HOLD of copies began to come."""
 
-    def __init__(self, hand, number):
+    def __init__(self, hand: Any, number: Any) -> None:
         super().__init__(hand)
-        self.number, self.started = number, []
+        self.number = number
+        self.started: list[Any] = []
 
-    def taken(self, sock):
+    def taken(self, sock: Any) -> None:
         self.lines.append(StampedLine(self, sock))
         self.lines[-1].begin()
 
-    def heard(self, line, said):
+    def heard(self, line: Any, said: Any) -> None:
         attrs = said.get("attrs") or {}
         if said["verb"] == "RUN" or (said["verb"] == "HOLD" and int(attrs["slots_up"]) > 0):
             self.started.append(Started(self.number, said["verb"], line.began))
@@ -89,11 +92,12 @@
 class StampedBoard(BoardEnd):
     """Keeps when each event entered it."""
 
-    def __init__(self, hand):
+    def __init__(self, hand: Any) -> None:
         super().__init__(hand)
-        self.told, self.answers = [], True
+        self.told: list[Told] = []
+        self.answers = True
 
-    def enter(self, number, kind, workers, before=b""):
+    def enter(self, number: Any, kind: Any, workers: Any, before: bytes = b"") -> None:
         """An event about some workers: their numbers, states and ports. `before` is written ahead of it."""
         now = time.monotonic()
         self.told += [Told(worker, state, now) for worker, state, _ in workers]
@@ -101,14 +105,14 @@
             self.raw(before)
         self.tell(number, kind, *(row(worker, port, state=state) for worker, state, port in workers))
 
-    def taken(self, sock):
+    def taken(self, sock: Any) -> None:
         if self.answers:
             super().taken(sock)
         else:  # connected, and told nothing
             self.unanswered = [*getattr(self, "unanswered", []), sock]
 
 
-def late_starts(told, started):
+def late_starts(told: Any, started: Any) -> Any:
     """What began at a worker past the grace after an event said that it drains or is gone, by the stamps."""
     late = []
     for start in started:
@@ -124,10 +128,14 @@
 class Node:
     """One dispatcher in a process of its own, its board and its workers."""
 
-    def __init__(self, hand, folder, number, workers, known=None, **limits):
+    def __init__(
+        self, hand: Any, folder: Any, number: Any, workers: Any, known: Any = None, **limits: Any
+    ) -> None:
         self.hand, self.board = hand, StampedBoard(hand)
         self.workers = [StampedRunner(hand, i + 1) for i in range(workers)]
-        self.last, self.asked, self.process = 1, [], None
+        self.last = 1
+        self.asked: list[Any] = []
+        self.process: Any = None
         self.host, self.port = own_host(), PORT + number
         rows = [(worker.number, SERVING, worker.port) for worker in self.workers]
         self.board.enter(1, WHOLE, rows)
@@ -142,14 +150,14 @@
         self.path = folder / f"{number}.json"
         self.path.write_text(json.dumps(told))
 
-    def start(self):
+    def start(self) -> None:
         env = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
         self.process = subprocess.Popen(
             [sys.executable, "-m", "lapistrestle.node"], env=env | {"EDGE_CONFIG": str(self.path)},
             stderr=subprocess.DEVNULL,
         )  # fmt: skip
 
-    def known(self):
+    def known(self) -> Any:
         """The list as the file of the configuration has it."""
         servers = [
             {"id": f"s-{worker.number:08x}", "addr": f"127.0.0.1:{worker.port}", "zone": "here",
@@ -158,7 +166,7 @@
         ]  # fmt: skip
         return {"rev": 1, "notices": [{"rev": 1, "pool": {"version": 1, "full": True, "servers": servers}}]}
 
-    def ready(self):
+    def ready(self) -> Any:
         """Whether it answers that it is."""
         with suppress(OSError):
             client = WebServer(self.hand, self.port, self.host)
@@ -169,45 +177,46 @@
             return ready
         return False
 
-    def ask(self, client=None, **fields):
+    def ask(self, client: Any = None, **fields: Any) -> Any:
         client = client or WebServer(self.hand, self.port, self.host)
         number = client.ask(id=os.urandom(8).hex(), patience="9000", **fields)
         self.asked.append((client, number))
         return client
 
-    def connected(self):
+    def connected(self) -> Any:
         """A client's connection that the dispatcher has taken."""
         client = WebServer(self.hand, self.port, self.host)
         health = client.ask(script="/_health")
         assert self.hand.follow(lambda: client.status(health) is not None)
         return client
 
-    def answered(self):
+    def answered(self) -> Any:
         return all(client.status(number) is not None for client, number in self.asked)
 
-    def tell(self, worker, state, before=b""):
+    def tell(self, worker: Any, state: Any, before: bytes = b"") -> None:
         self.last += 1
         self.board.enter(self.last, CHANGES, [(worker.number, state, worker.port)], before)
 
-    def stop(self):
+    def stop(self) -> None:
         os.kill(self.process.pid, signal.SIGSTOP)
         assert self.hand.follow(lambda: state_of(self.process.pid) == "T")
 
-    def go_on(self):
+    def go_on(self) -> None:
         os.kill(self.process.pid, signal.SIGCONT)
 
-    def late(self):
+    def late(self) -> Any:
         return late_starts(self.board.told, [start for worker in self.workers for start in worker.started])
 
-    def end(self):
+    def end(self) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait()
-        for end in (self.board, *self.workers):
+        ends: list[Any] = [self.board, *self.workers]
+        for end in ends:
             end.listener.close()
 
 
-def own_host():
+def own_host() -> Any:
     """An address of this process alone on loopback: a port found free on one that all use may be taken by the
     time that the dispatcher listens.
     """
@@ -215,12 +224,12 @@
     return f"127.{64 + (pid >> 16 & 63)}.{pid >> 8 & 255}.{pid & 255}"
 
 
-def state_of(pid):
+def state_of(pid: Any) -> Any:
     with open(f"/proc/{pid}/stat") as told:
         return told.read().rpartition(")")[2].split()[0]
 
 
-def dialling(port):
+def dialling(port: Any) -> Any:
     """How many connections to a port of this machine have been begun and not been answered."""
     with open("/proc/net/tcp") as table:
         rows = [line.split() for line in table.readlines()[1:]]
@@ -228,10 +237,11 @@
 
 
 @pytest.fixture
-def side_by_side(tmp_path):
-    hand, nodes = Hand(), []
+def side_by_side(tmp_path: Any) -> Iterator[Any]:
+    hand = Hand()
+    nodes: list[Any] = []
 
-    def make(workers=2, started=True, **more):
+    def make(workers: int = 2, started: bool = True, **more: Any) -> Any:
         nodes.extend(Node(hand, tmp_path, i, workers, **more) for i in range(DISPATCHERS))
         for node in nodes if started else ():
             node.start()
@@ -244,7 +254,7 @@
         node.end()
 
 
-def stopped(hand, nodes, write):
+def stopped(hand: Any, nodes: Any, write: Any) -> Any:
     """Stop all dispatchers, write to each, and let them go on once what was told is past its grace."""
     for node in nodes:
         node.stop()
@@ -259,7 +269,7 @@
     return [late for node in nodes for late in node.late()]
 
 
-def home_of(hand, node):
+def home_of(hand: Any, node: Any) -> Any:
     """The worker that serves the function of the tests; the others have a connection each as well."""
     node.ask()
     assert hand.follow(node.answered)
@@ -272,13 +282,15 @@
 
 @pytest.mark.parametrize("state", [DRAINING, GONE], ids=["drains", "is gone"])
 @pytest.mark.parametrize("backlog", [b"", FILLER], ids=["at once", "behind a backlog"])
-def test_requests_that_came_before_the_drain_in_a_standstill_go_elsewhere(side_by_side, state, backlog):
+def test_requests_that_came_before_the_drain_in_a_standstill_go_elsewhere(
+    side_by_side: Any, state: Any, backlog: Any
+) -> None:
     """Requests and the event lay in their sockets together; the requests were read, and placed, first."""
     hand, nodes = side_by_side()
     homes = {node: home_of(hand, node) for node in nodes}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
-    def write(node):
+    def write(node: Any) -> None:
         for client in clients[node]:
             node.ask(client)
         hand.quiet()
@@ -288,17 +300,20 @@
 
 
 @pytest.mark.parametrize("verb", ["503", "404"])
-def test_what_a_worker_turned_away_in_a_standstill_does_not_go_to_one_that_drains(side_by_side, verb):
+def test_what_a_worker_turned_away_in_a_standstill_does_not_go_to_one_that_drains(
+    side_by_side: Any, verb: Any
+) -> None:
     """The answer was read, and a further attempt or an order to load begun, before the event was read."""
     hand, nodes = side_by_side()
-    homes, held = {node: home_of(hand, node) for node in nodes}, {}
+    homes = {node: home_of(hand, node) for node in nodes}
+    held: dict[Any, Any] = {}
     for node in nodes:
         for worker in node.workers:
             worker.on_run = lambda line, said, node=node: held.setdefault(node, (line, said))
         node.ask()
     assert hand.follow(lambda: len(held) == len(nodes))
 
-    def write(node):
+    def write(node: Any) -> None:
         line, said = held[node]
         for worker in node.workers:
             worker.on_run = None
@@ -310,7 +325,9 @@
     assert stopped(hand, nodes, write) == []
 
 
-def test_a_connection_that_came_up_in_a_standstill_carries_nothing_to_one_that_drains(side_by_side):
+def test_a_connection_that_came_up_in_a_standstill_carries_nothing_to_one_that_drains(
+    side_by_side: Any,
+) -> None:
     """What waited for the connection left as soon as that was seen to be up, before the event was read."""
     hand, nodes = side_by_side(workers=1, **{"dial-timeout": 5_000_000})
     crowds = [machine_full(hand, node.workers[0]) for node in nodes]
@@ -319,7 +336,7 @@
         node.ask()
     assert hand.follow(lambda: all(dialling(node.workers[0].port) > before[node] for node in nodes))
 
-    def write(node):
+    def write(node: Any) -> None:
         worker = node.workers[0]
         worker.listener.sock.listen(1024)
         hand.addReader(worker.listener)
@@ -334,7 +351,7 @@
 CROWD = 2  # connections that fill a listener's line
 
 
-def machine_full(hand, worker):
+def machine_full(hand: Any, worker: Any) -> Any:
     """Its machine takes no further connection."""
     hand.removeReader(worker.listener)
     worker.listener.sock.listen(0)
@@ -345,7 +362,9 @@
     return crowd
 
 
-def test_a_start_with_an_old_list_sends_nothing_before_the_board_has_told_what_is_newer(side_by_side):
+def test_a_start_with_an_old_list_sends_nothing_before_the_board_has_told_what_is_newer(
+    side_by_side: Any,
+) -> None:
     """The file was written before the worker drained; the board takes the connection and tells nothing."""
     hand, nodes = side_by_side(workers=1, started=False, known=Node.known)
     for node in nodes:
@@ -362,7 +381,7 @@
     assert [late for node in nodes for late in node.late()] == []
 
 
-def reachable(node):
+def reachable(node: Any) -> Any:
     """It listens, ready or not."""
     with suppress(OSError), socket.create_connection((node.host, node.port)):
         return True
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -3,6 +3,7 @@
 import json
 import os
 from pathlib import Path
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
@@ -33,7 +34,7 @@
 __all__ = ["stage", "stages"]  # the fixtures
 
 
-def asked(stage, client=None, **fields):
+def asked(stage: Any, client: Any = None, **fields: Any) -> Any:
     """The status of one more request."""
     client = client or stage.client()
     number = client.ask(id=os.urandom(8).hex(), **fields)
@@ -41,7 +42,7 @@
     return client.status(number)
 
 
-def discovery_of(stage):
+def discovery_of(stage: Any) -> Any:
     return stage.node.discovery
 
 
@@ -55,7 +56,9 @@
         st.tuples(st.sampled_from(["frame_received", *SHORTENED]), st.integers(0, 2 * SECOND)), max_size=12
     ),
 )
-def test_whatever_happened_the_list_is_never_used_past_what_counts_as_told_and_the_grace(grace, words):
+def test_whatever_happened_the_list_is_never_used_past_what_counts_as_told_and_the_grace(
+    grace: Any, words: Any
+) -> None:
     """Told at the latest: 4 s after the last frame, 2 s after a break, at once where asked since then."""
     freshness, now, told = ListFreshness(grace, usable_until=grace), 0, 0
     for word, pause in words:
@@ -72,7 +75,7 @@
 # the board and its silences
 
 
-def usable_for(stage, most=12.0):
+def usable_for(stage: Any, most: float = 12.0) -> Any:
     """When from now on a request was served last, in seconds, asked every tenth of one; None: always."""
     began = last = stage.hand.rightNow
     while stage.hand.rightNow < began + most:
@@ -86,24 +89,24 @@
     return None
 
 
-def test_a_board_that_is_silent_again_when_asked_anew_ends_new_work_a_grace_later(stage):
+def test_a_board_that_is_silent_again_when_asked_anew_ends_new_work_a_grace_later(stage: Any) -> None:
     """It took the new connection and told nothing: what is in it counts as told from then on."""
     stage.board.beats = False
-    taken = []
+    taken: list[Any] = []
     stage.board.listener.on_connection = taken.append
     lasted = usable_for(stage)
     assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked anew after 2.2 to 2.5 s
     assert asked(stage, script="/_health") == 503
 
 
-def test_a_board_that_is_gone_ends_new_work_within_the_time_of_a_break_and_a_grace(stage):
+def test_a_board_that_is_gone_ends_new_work_within_the_time_of_a_break_and_a_grace(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
     lasted = usable_for(stage)
     assert lasted is not None and BROKEN + GRACE - 0.3 < lasted < BROKEN + GRACE + 0.001
 
 
-def test_work_goes_on_with_the_first_word_of_a_board_that_is_back(stage):
+def test_work_goes_on_with_the_first_word_of_a_board_that_is_back(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
     assert usable_for(stage) is not None
@@ -118,14 +121,14 @@
     back.cut()
 
 
-def test_a_break_that_is_mended_at_once_costs_no_request(stage):
+def test_a_break_that_is_mended_at_once_costs_no_request(stage: Any) -> None:
     for _ in range(3):
         stage.board.cut()
         stage.hand.run(0.01)
         assert usable_for(stage, most=1.5) is None
 
 
-def test_a_calm_board_is_always_recent_enough(stage):
+def test_a_calm_board_is_always_recent_enough(stage: Any) -> None:
     assert usable_for(stage, most=15.0) is None
     assert stage.board.asked == [0]
 
@@ -133,7 +136,7 @@
 # configurations
 
 
-def written(stage, tmp_path, **more):
+def written(stage: Any, tmp_path: Any, **more: Any) -> Any:
     """The file of the configuration."""
     path = tmp_path / "config.json"
     file = {"name": "n3", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS} | more
@@ -141,7 +144,7 @@
     return path
 
 
-def server(stage, state="SERVING", number=1):
+def server(stage: Any, state: str = "SERVING", number: int = 1) -> Any:
     return {
         "id": f"s-{number:08x}", "addr": f"127.0.0.1:{stage.runners[0].port}", "zone": "east", "kind": "std",
         "cell": 0, "state": state,
@@ -149,12 +152,14 @@
 
 
 @pytest.mark.parametrize("whole_after", [0.05, 0.65, 3.3, 3.9])
-def test_a_file_that_is_whole_within_the_time_of_a_move_is_read_in_time(stage, tmp_path, whole_after):
+def test_a_file_that_is_whole_within_the_time_of_a_move_is_read_in_time(
+    stage: Any, tmp_path: Any, whole_after: Any
+) -> None:
     """It was read again after 0.1, 0.3, 0.7, 1.5, 3.1 and 6.3 s: the last is past 4 s and most graces."""
     began, second = stage.hand.rightNow, BoardEnd(stage.hand)
     whole = read_configuration(str(written(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
 
-    def reading():
+    def reading() -> Any:
         if stage.hand.rightNow < began + whole_after:
             raise ConfigurationError("half of it")
         return whole
@@ -166,7 +171,7 @@
     second.cut()
 
 
-def test_a_new_configuration_brings_the_later_events_that_it_holds(stage, tmp_path):
+def test_a_new_configuration_brings_the_later_events_that_it_holds(stage: Any, tmp_path: Any) -> None:
     """They were passed over: a drain that stood in the file was waited for until the new board told it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
@@ -176,25 +181,31 @@
     )
 
 
-def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(stage, tmp_path):
+def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(
+    stage: Any, tmp_path: Any
+) -> None:
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
-    stage.node.apply_configuration(read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events}))))
+    stage.node.apply_configuration(
+        read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events})))
+    )
     assert (
         discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
     )
 
 
 @pytest.mark.parametrize(("behind", "age"), [(0.0, 0), (1.5, 15_000), (-1.0, None)])
-def test_the_age_of_the_list_is_that_of_its_file(stage, tmp_path, behind, age):
+def test_the_age_of_the_list_is_that_of_its_file(stage: Any, tmp_path: Any, behind: Any, age: Any) -> None:
     configuration = read_configuration(str(written(stage, tmp_path)))
     assert configuration.age(configuration.written + behind) == age
 
 
-def test_a_file_replaced_while_it_is_read_is_as_old_as_the_one_before(stage, tmp_path, monkeypatch):
+def test_a_file_replaced_while_it_is_read_is_as_old_as_the_one_before(
+    stage: Any, tmp_path: Any, monkeypatch: Any
+) -> None:
     """Its age was taken after it was read: of an older list the newer file's."""
     path, read_bytes = written(stage, tmp_path), Path.read_bytes
 
-    def replaced(self):
+    def replaced(self: Path) -> bytes:
         raw = read_bytes(self)
         os.utime(path, (2_000, 2_000))
         return raw
@@ -204,7 +215,7 @@
     assert read_configuration(str(path)).written == 1_000
 
 
-def test_without_a_board_the_list_of_the_file_holds(stage, tmp_path):
+def test_without_a_board_the_list_of_the_file_holds(stage: Any, tmp_path: Any) -> None:
     """Nobody tells anything that it could miss."""
     known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(stage)]}}]}
     configuration = read_configuration(str(written(stage, tmp_path, known=known)))
@@ -217,7 +228,7 @@
 # what a frame may hold
 
 
-def test_a_record_that_cannot_be_used_costs_the_others_of_its_event_nothing(stages):
+def test_a_record_that_cannot_be_used_costs_the_others_of_its_event_nothing(stages: Any) -> None:
     """One out of range, and the event was asked for again for ever: no later drain was heard."""
     stage = stages()
     stage.board.tell(2, 2, stage.row(0, state=7), row(9, 0), stage.row(1, state=DRAINING))
@@ -229,7 +240,7 @@
 
 
 @given(state=st.integers(0, 255), port=st.integers(0, 65_535))
-def test_only_the_state_zero_with_a_port_reads_as_ready(state, port):
+def test_only_the_state_zero_with_a_port_reads_as_ready(state: Any, port: Any) -> None:
     (record,) = decode_frame(frame(1, 1, row(1, port, state=state))).records
     assert isinstance(record, Record)
     assert (record.listing is EndpointState.SERVING) == (state == 0 and port > 0)
@@ -238,11 +249,11 @@
 # just before the first byte
 
 
-def late_between_decision_and_write(stage, meanwhile):
+def late_between_decision_and_write(stage: Any, meanwhile: Any) -> None:
     """The process stands still after the module has decided and before anything is written."""
     sent = stage.node.core.send_call
 
-    def run(worker_call):
+    def run(worker_call: Any) -> None:
         stage.node.core.send_call = sent
         meanwhile()
         still(stage, 0.3)
@@ -252,7 +263,9 @@
 
 
 @pytest.mark.parametrize("state", [1, 2], ids=["drains", "is gone"])
-def test_a_standstill_between_the_decision_and_the_write_sends_nothing_to_one_that_drains(stage, state):
+def test_a_standstill_between_the_decision_and_the_write_sends_nothing_to_one_that_drains(
+    stage: Any, state: Any
+) -> None:
     assert asked(stage) == 200
     late_between_decision_and_write(stage, lambda: stage.board.tell(2, 2, stage.row(0, state=state)))
     assert asked(stage) == 503 and len(stage.runs()) == 1
@@ -261,11 +274,13 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
-def test_a_standstill_between_the_decision_and_the_write_begins_nothing_for_a_client_that_left(stage, how):
+def test_a_standstill_between_the_decision_and_the_write_begins_nothing_for_a_client_that_left(
+    stage: Any, how: Any
+) -> None:
     assert asked(stage) == 200
     client = stage.client()
 
-    def leaves():
+    def leaves() -> None:
         if how == "aborts":
             client.give_up(1)
         else:
@@ -278,7 +293,7 @@
     assert len(stage.runs()) == 1 and not stage.host.worker_calls
 
 
-def test_the_last_of_many_requests_is_not_begun_for_a_client_that_closed_behind_them(stage):
+def test_the_last_of_many_requests_is_not_begun_for_a_client_that_closed_behind_them(stage: Any) -> None:
     """After a standstill 64 KiB were read at once: what lay behind them, the close too, some looks later."""
     client = stage.client()
     assert asked(stage, client) == 200
@@ -294,7 +309,7 @@
     assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
 
-def test_a_socket_that_eases_in_a_standstill_carries_nothing_to_one_that_drains(stage):
+def test_a_socket_that_eases_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
     """What waited for room left as soon as there was some, before the event of the same look was read."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
@@ -311,7 +326,7 @@
     assert len(stage.runs()) == before and not stage.host.worker_calls
 
 
-def test_a_connection_that_comes_up_in_a_standstill_carries_nothing_to_one_that_drains(stage):
+def test_a_connection_that_comes_up_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
     closed, client = Closed(stage), stage.client()
     client.ask(method="bill", patience="3000")
     stage.hand.until(lambda: held(stage))
@@ -326,7 +341,7 @@
     assert stage.runs() == [] and not stage.host.worker_calls
 
 
-def test_an_order_is_not_sent_to_one_that_drains_behind_a_standstill(stage):
+def test_an_order_is_not_sent_to_one_that_drains_behind_a_standstill(stage: Any) -> None:
     """A miss was read first, and the order that followed it left before the event was read."""
     stage.runners[0].loaded, got = {}, []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
@@ -347,7 +362,7 @@
 # the time that is passed on
 
 
-def test_the_time_passed_on_is_what_is_left_as_the_line_is_written(stage):
+def test_the_time_passed_on_is_what_is_left_as_the_line_is_written(stage: Any) -> None:
     """It was written into the line before the connection was up: 0.2 s of them were gone by then."""
     closed, client = Closed(stage), stage.client()
     client.ask(patience="1000")
@@ -359,8 +374,9 @@
     assert 0 < said["attrs"]["budget"] <= 800
 
 
-def test_what_has_no_time_left_as_the_connection_comes_up_is_not_sent(stages):
-    stage = stages(runners=1, limits=SETTINGS["limits"] | {"dial-timeout": 5_000_000})
+def test_what_has_no_time_left_as_the_connection_comes_up_is_not_sent(stages: Any) -> None:
+    usual: Any = SETTINGS["limits"]
+    stage = stages(runners=1, limits=usual | {"dial-timeout": 5_000_000})
     closed, client = Closed(stage), stage.client()
     number = client.ask(patience="400")
     stage.hand.until(lambda: held(stage))
@@ -371,7 +387,7 @@
     assert stage.runs() == []
 
 
-def test_many_requests_on_one_connection_each_have_what_their_client_has_left(stage):
+def test_many_requests_on_one_connection_each_have_what_their_client_has_left(stage: Any) -> None:
     """Of several that lay unread the older ones had counted as new as the last."""
     client = stage.client()
     assert asked(stage, client) == 200
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,5 +1,6 @@
 """The dispatcher as the platform starts it: a process, its environment, its signals."""
 
+import gc
 import json
 import os
 import signal
@@ -7,6 +8,8 @@
 import subprocess
 import sys
 import time
+from collections.abc import Iterator
+from typing import Any
 
 import pytest
 
@@ -19,18 +22,19 @@
 class World:
     """A board, a runner and a dispatcher in a process of its own."""
 
-    def __init__(self, folder):
+    def __init__(self, folder: Any) -> None:
         self.hand = Hand()
         self.board, self.runner = BoardEnd(self.hand), RunnerEnd(self.hand)
         self.board.tell(1, 1, row(1, self.runner.port))
-        self.port, self.path, self.processes = free_port(), folder / "config.json", []
+        self.port, self.path = free_port(), folder / "config.json"
+        self.processes: list[Any] = []
         self.told = configuration(f"127.0.0.1:{self.port}", f"127.0.0.1:{self.board.port}")
         self.write(self.told)
 
-    def write(self, told):
+    def write(self, told: Any) -> None:
         self.path.write_text(told if isinstance(told, str) else json.dumps(told))
 
-    def start(self, words=("-m", "lapistrestle.node"), **more):
+    def start(self, words: Any = ("-m", "lapistrestle.node"), **more: Any) -> Any:
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
         made = subprocess.Popen(
             [sys.executable, *words], env=env | {"EDGE_CONFIG": str(self.path)} | more,
@@ -39,16 +43,16 @@
         self.processes.append(made)
         return made
 
-    def until(self, done):
+    def until(self, done: Any) -> None:
         assert self.hand.follow(done), "it never came"
 
-    def call(self, id):
+    def call(self, id: Any) -> Any:
         client = WebServer(self.hand, self.port)
         number = client.ask(id=id)
         self.until(lambda: client.status(number) is not None)
         return client.status(number), client
 
-    def end(self):
+    def end(self) -> None:
         for made in self.processes:
             if made.poll() is None:
                 made.kill()
@@ -59,13 +63,13 @@
 
 
 @pytest.fixture
-def world(tmp_path):
+def world(tmp_path: Any) -> Iterator[Any]:
     made = World(tmp_path)
     yield made
     made.end()
 
 
-def test_it_serves_moves_to_a_new_board_and_ends_with_zero(world):
+def test_it_serves_moves_to_a_new_board_and_ends_with_zero(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
     status, client = world.call("9b1f03aa5c7e2d41")
@@ -85,7 +89,7 @@
     other.listener.close()
 
 
-def test_a_configuration_caught_half_written_is_read_again_without_another_signal(world):
+def test_a_configuration_caught_half_written_is_read_again_without_another_signal(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
     other = BoardEnd(world.hand)
@@ -99,7 +103,9 @@
     other.listener.close()
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_the_board_the_runners_and_others_theirs(world):
+def test_idle_clients_that_fill_the_descriptors_leave_the_board_the_runners_and_others_theirs(
+    world: Any,
+) -> None:
     """Discovery is down at the start, the limit is the process's own, and more come than fit."""
     world.told["limits"] = {"sockets": 64}
     world.told["known"] = {"rev": 0, "notices": []}
@@ -115,7 +121,7 @@
     board.tell(1, 1, row(1, world.runner.port))
     world.until(lambda: board.asked)
 
-    def served():
+    def served() -> Any:
         client = WebServer(world.hand, world.port)
         health = client.ask(script="/_health")
         return world.hand.follow(lambda: client.status(health) is not None) and client.status(health) == 200
@@ -126,22 +132,23 @@
     board.listener.close()
 
 
-def test_restarts_in_turn_under_load_lose_no_request(world):
+def test_restarts_in_turn_under_load_lose_no_request(world: Any) -> None:
     """As the platform does it: new connections for 0.3 s after SIGTERM, requests on open ones 0.2 s more."""
-    ports, hand, asked = [free_port() for _ in range(3)], world.hand, []
+    ports, hand = [free_port() for _ in range(3)], world.hand
+    asked: list[Any] = []
     world.runner.on_run = lambda line, said: hand.callLater(0.05, world.runner.answer, line, said)
 
-    def start(port):
+    def start(port: Any) -> Any:
         node = world.start(EDGE_LISTEN=f"127.0.0.1:{port}", EDGE_NAME=f"n{port}")
         world.until(lambda: "listening" in node.stderr.readline())
         return node
 
-    def ask(port=0, client=None):
+    def ask(port: int = 0, client: Any = None) -> Any:
         client = client or WebServer(hand, port)
         asked.append((client, client.ask(id=f"{len(asked) + 1:016x}")))
         return client
 
-    def again(clients):
+    def again(clients: Any) -> None:
         """On each connection whose last request has its answer."""
         for client in clients:
             if client.status(client.last) is not None:
@@ -174,7 +181,7 @@
 
 @pytest.mark.parametrize("list_stands", [True, False])
 @pytest.mark.parametrize("signals", ["TERM", "INT", "TERM TERM", "TERM INT", "HUP TERM", "TERM HUP"])
-def test_it_ends_with_zero_whatever_signals_come_together(world, list_stands, signals):
+def test_it_ends_with_zero_whatever_signals_come_together(world: Any, list_stands: Any, signals: Any) -> None:
     """Also before it is ready, while the board that should make it so is dialled in vain."""
     if not list_stands:
         world.board.listener.close()
@@ -186,19 +193,20 @@
     assert node.returncode == 0
 
 
-def test_it_listens_only_after_the_reactors_first_turn(monkeypatch):
+def test_it_listens_only_after_the_reactors_first_turn(monkeypatch: Any) -> None:
     """Killed dispatchers that came back held what came meanwhile for most of a second (herd+mass)."""
 
     class Turning(Hand):
-        def callWhenRunning(self, call, *args):
+        def callWhenRunning(self, call: Any, *args: Any) -> None:
             call(*args)
 
-        def run(self, installSignalHandlers=True):
+        def run(self, installSignalHandlers: Any = True) -> None:
             self.quiet()
 
     for word in ("freeze", "set_threshold"):
-        monkeypatch.setattr(running.gc, word, lambda *args: None)
-    reactor, begun = Turning(), []
+        monkeypatch.setattr(gc, word, lambda *args: None)
+    reactor = Turning()
+    begun: list[float] = []
     running.run(reactor, lambda: begun.append(reactor.seconds()), {})
     assert not begun
     reactor.advance(0.03)
@@ -215,7 +223,9 @@
         (None, {"EDGE_LISTEN": "nowhere"}, 2, "EDGE_LISTEN"),
     ],
 )
-def test_what_it_cannot_start_with_is_told_in_one_line(world, told, more, code, says):
+def test_what_it_cannot_start_with_is_told_in_one_line(
+    world: Any, told: Any, more: Any, code: Any, says: Any
+) -> None:
     if told:
         world.write(told)
     with socket.socket() as taken:
@@ -229,7 +239,7 @@
     assert len(lines) == 1 and says in lines[0]
 
 
-def test_what_is_switched_off_is_not_imported():
+def test_what_is_switched_off_is_not_imported() -> None:
     code = "import lapistrestle.node.__main__, sys; print(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     loaded = told.stdout.split()
@@ -239,7 +249,7 @@
     assert not [name for name in loaded if name.startswith(tuple(f"lapistrestle.{part}" for part in off))]
 
 
-def test_the_kernel_tells_how_long_bytes_lay_unread():
+def test_the_kernel_tells_how_long_bytes_lay_unread() -> None:
     listener = socket.create_server(("127.0.0.1", 0))
     sender = socket.create_connection(listener.getsockname())
     receiver, _ = listener.accept()
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -5,6 +5,7 @@
 
 import os
 import time
+from typing import Any
 
 import pytest
 from test_node_drains import PAST, home_of, side_by_side
@@ -19,17 +20,18 @@
 class Asked:
     """Requests of side-effecting calls, each with the moment at which its client sent it."""
 
-    def __init__(self, hand):
-        self.hand, self.sent = hand, {}
+    def __init__(self, hand: Any) -> None:
+        self.hand = hand
+        self.sent: dict[Any, Any] = {}
 
-    def ask(self, client, patience_ms=9_000):
+    def ask(self, client: Any, patience_ms: int = 9_000) -> Any:
         """Send one; returns its id."""
         id_ = os.urandom(8).hex()
         self.sent[id_] = time.monotonic(), patience_ms
         client.ask(id=id_, method="bill", patience=str(patience_ms))
         return id_
 
-    def over(self, runs):
+    def over(self, runs: Any) -> Any:
         """Runs that were told more time than their client had left as they began to come."""
         late = []
         for worker, said, began in runs:
@@ -41,7 +43,7 @@
         return late
 
 
-def runs_of(node):
+def runs_of(node: Any) -> Any:
     """What came at the workers, with the stamps of the first bytes."""
     runs = []
     for worker in node.workers:
@@ -50,7 +52,7 @@
     return runs
 
 
-def stand_still(hand, nodes, meanwhile):
+def stand_still(hand: Any, nodes: Any, meanwhile: Any) -> None:
     """Stop all, act, and let them go on after a while."""
     for node in nodes:
         node.stop()
@@ -62,20 +64,20 @@
         node.go_on()
 
 
-def alive(node):
+def alive(node: Any) -> Any:
     """It answers a request that comes behind all that is tested."""
     node.ask()
     return node.hand.follow(node.answered)
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
-def test_nothing_begins_for_clients_that_left_in_a_standstill(side_by_side, how):
+def test_nothing_begins_for_clients_that_left_in_a_standstill(side_by_side: Any, how: Any) -> None:
     """Several requests on one connection, the longest bodies among them; some are still wanted."""
     hand, nodes = side_by_side()
     asked, left, wanted = Asked(hand), set(), {}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
-    def leave(node):
+    def leave(node: Any) -> None:
         for client in clients[node][1:]:
             for _ in range(6):
                 left.add(asked.ask(client))
@@ -98,10 +100,11 @@
         assert wanted[node] in came and not came & left
 
 
-def test_no_further_attempt_begins_for_clients_that_left_in_a_standstill(side_by_side):
+def test_no_further_attempt_begins_for_clients_that_left_in_a_standstill(side_by_side: Any) -> None:
     """A worker turned the first one away; its answer lies before the client's close."""
     hand, nodes = side_by_side()
-    asked, held = Asked(hand), {}
+    asked = Asked(hand)
+    held: dict[Any, Any] = {}
     for node in nodes:
         home_of(hand, node)
         for worker in node.workers:
@@ -111,7 +114,7 @@
         asked.ask(clients[node])
     assert hand.follow(lambda: len(held) == len(nodes))
 
-    def leave(node):
+    def leave(node: Any) -> None:
         line, said = held[node]
         line.say("503", said["rid"])
         hand.quiet()
@@ -126,7 +129,7 @@
         assert runs.count(held[node][1]["rid"]) == 1
 
 
-def test_the_time_passed_on_is_at_most_what_the_client_has_left(side_by_side):
+def test_the_time_passed_on_is_at_most_what_the_client_has_left(side_by_side: Any) -> None:
     """Requests come all through a standstill, on one connection and on several, new ones among them."""
     hand, nodes = side_by_side()
     asked = Asked(hand)
@@ -134,7 +137,7 @@
         home_of(hand, node)
     clients = {node: [node.connected() for _ in range(3)] for node in nodes}
 
-    def ask(node):
+    def ask(node: Any) -> None:
         began = time.monotonic()
         for part in range(3):
             assert hand.follow(lambda part=part: time.monotonic() > began + part * PAST / 2)
@@ -149,11 +152,11 @@
         assert len(runs_of(node)) > 6 and asked.over(runs_of(node)) == []
 
 
-def test_the_judge_sees_too_much_time():
+def test_the_judge_sees_too_much_time() -> None:
     asked = Asked(None)
     asked.sent["a"] = 10.0, 1_000
 
-    def run(budget):
+    def run(budget: Any) -> Any:
         return [(1, {"rid": "a", "attrs": {"budget": budget}}, 10.5)]
 
     assert asked.over(run(650)) == [] and asked.over(run(651)) == [(1, 651, 500)]
