--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -5,10 +5,10 @@
 
 from lapistrestle.edge.sources import Source
 from lapistrestle.policy.state import Function, Worker
-from lapistrestle.rollout import stock
-from lapistrestle.rollout.routing import Routing, named
-from lapistrestle.rollout.versions import Split
-from lapistrestle.store.plans import Kept, PlanFile
+from lapistrestle.rollout import replicas
+from lapistrestle.rollout.routing import Routing
+from lapistrestle.rollout_types import TrafficSplit, versioned_name
+from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
 from lapistrestle.wire.lines import Speaker, union
@@ -38,9 +38,9 @@
         match message:
             case plans.Plan():
                 self.source.told(message)
-            case plans.Beat():
+            case plans.Heartbeat():
                 self.source.heard = self.source.edge.clock()
-                self.source.routing.lease.beat(message.asked, self.source.heard)
+                self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
     def unreadable(self, line: bytes, why: str) -> None:
         """It may have been a plan: dial anew and be told all."""
@@ -57,12 +57,12 @@
     def __init__(self, edge: Any, port: int) -> None:
         super().__init__(edge, port)
         self.routing: Routing = edge.routing
-        self.wants: dict[str, stock.Want] = {}  # by name of a version
+        self.targets: dict[str, replicas.ReplicaTarget] = {}  # by name of a version
         self.heard = 0  # when a beat was answered last
         self.start_name = f"{edge.name}-{edge.clock()}"
         self.began = edge.clock()
         keep = edge.deployment.planner.keep
-        self.file = PlanFile(Path(keep)) if keep else None
+        self.file = PersistedPlanFile(Path(keep)) if keep else None
         self.recall()
         edge.after(BEAT, self.beat, None)
         edge.after(TELL, self.tell, None)
@@ -73,23 +73,25 @@
         except (OSError, ValueError) as trouble:
             return self.edge.log("kept plan can't be read", why=str(trouble))
         if kept is not None:
-            splits = [plans.split_of(share) for share in kept.shares]
-            self.routing.recall(kept.epoch, kept.number, splits, kept.barred)
-            self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.shares))
+            splits = [plans.to_split(share) for share in kept.splits]
+            self.routing.restore_plan(kept.epoch, kept.number, splits, kept.barred)
+            self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
 
     def keep_plan(self) -> None:
         """An edge whose disk fails goes on from what it has in memory."""
         if self.file is None:
             return
         routing = self.routing
-        shares = [plans.shown(split) for split in routing.splits.values()]
+        shares = [plans.to_message(split) for split in routing.splits.values()]
         try:
-            self.file.write(Kept(routing.epoch, routing.number, shares, sorted(routing.barred_names)))
+            self.file.write(
+                PersistedPlan(routing.epoch, routing.number, shares, sorted(routing.barred_names))
+            )
         except OSError as trouble:
             self.edge.log("plan not kept", why=str(trouble))
 
     def unplanned(self) -> bool:
-        return self.routing.unplanned(self.edge.clock() - self.began)
+        return self.routing.awaits_first_plan(self.edge.clock() - self.began)
 
     def speak(self) -> PlannerSpeaker:
         return PlannerSpeaker(self)
@@ -97,20 +99,20 @@
     def beat(self, _: object, once: bool = False) -> None:
         if self.speaker is not None and self.speaker.greeted and self.edge.clock() - self.heard > UNHEARD:
             self.speaker.cut("no beat was answered")
-        self.say(plans.Beat(self.edge.clock(), self.routing.number))
+        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         if not once and not self.stopped:
             self.edge.after(BEAT, self.beat, None)
 
     def told(self, plan: plans.Plan) -> None:
-        splits = [plans.split_of(share) for share in plan.shares]
-        barred = self.routing.told(plan.epoch, plan.number, plan.whole, splits)
+        splits = [plans.to_split(share) for share in plan.splits]
+        barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
         if barred is None:
             self.edge.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
             return
         self.edge.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
         for name in barred:
             self.withdraw(name)
-        self.say(plans.Beat(self.edge.clock(), self.routing.number))
+        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         self.keep_plan()
 
     def withdraw(self, name: str) -> None:
@@ -127,20 +129,21 @@
     def tell(self, _: object) -> None:
         """How versions do, and keep both of an unsettled function loaded."""
         now = self.edge.clock()
-        for function, candidate, step, minute, tally in self.routing.tell(now):
-            self.say(plans.Counts(function, candidate, step, minute, tally))
+        for key, counts in self.routing.recent_counts(now).items():
+            self.say(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
-        names = {named(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
-        self.wants = {name: want for name, want in self.wants.items() if name in names}
+        names = {versioned_name(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
+        self.targets = {name: target for name, target in self.targets.items() if name in names}
         for split in open_:
-            share, lacks = self.keep(split)
-            if stock.phase(split) is stock.Phase.LOADING and self.routing.lease.usable(now):
-                self.say(plans.Warm(split.function, split.candidate, share, lacks))
+            weight, shortage = self.keep(split)
+            loading = replicas.rollout_phase(split) is replicas.RolloutPhase.LOADING
+            if loading and self.routing.lease.is_usable(now):
+                self.say(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
         if not self.stopped:
             self.edge.after(TELL, self.tell, None)
 
-    def keep(self, split: Split) -> tuple[float, str]:
-        """Have the copies that `rollout.stock` wants; the share that they stand for, and what is missing.
+    def keep(self, split: TrafficSplit) -> tuple[float, str]:
+        """Have the replicas that `rollout.replicas` wants; their weight, and what is missing for more.
 
         Orders go through the module, so that rules 3 and 5 are kept by the one that counts. Where they are
         not allowed only calls load; an edge that has met no RPC of the function needs nothing.
@@ -151,57 +154,69 @@
         known = [
             function
             for name in (*versions, "")
-            if (function := registry.functions.get(named(split.function, name))) is not None
+            if (function := registry.functions.get(versioned_name(split.function, name))) is not None
         ]
         if not known or not self.edge.settings.may_preload:
-            return split.next, ""
+            return split.next_weight, ""
         model = known[-1]
         busy = sum(function.asked.read(module.now) / function.asked.life for function in dict.fromkeys(known))
-        busy *= stock.heavier(module.iso(model), module.weight(model.method))
-        shares = [split.next if part is None else part for part in stock.WANTED[stock.phase(split)]]
+        busy *= replicas.demand_factor(module.iso(model), module.weight(model.method))
+        target = replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
+        candidate_weight = split.next_weight if target.candidate is None else target.candidate
+        weights = (candidate_weight, target.settled)
         stands = [
-            self.keep_version(named(split.function, version), model, busy, share)
-            for version, share in zip(versions, shares, strict=True)
+            self.keep_version(versioned_name(split.function, version), model, busy, weight)
+            for version, weight in zip(versions, weights, strict=True)
         ]
-        lacking = next((stand for stand in stands if not stand.enough), None)
+        lacking = next((stand for stand in stands if not stand.is_sufficient), None)
         if lacking is None:
-            alone = [
-                function.iso if (function := registry.functions.get(named(split.function, name))) else None
+            latencies = [
+                function.iso
+                if (function := registry.functions.get(versioned_name(split.function, name)))
+                else None
                 for name in versions
             ]
-            slower = stock.slower(*alone)
-            return (split.share, slower) if slower else (split.next, "")
+            reason = replicas.slowdown_reason(*latencies)
+            return (split.weight, reason) if reason else (split.next_weight, "")
         name = versions[stands.index(lacking)] or split.function
-        has = f"{name} has {lacking.standing} of {lacking.wanted} copies"
-        return split.share, f"{has}; {stock.SAYS[lacking.lacks]}"
+        has = f"{name} has {lacking.loaded} of {lacking.wanted} copies"
+        return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
-    def keep_version(self, name: str, model: Function, busy: float, share: float) -> stock.Stand:
+    def keep_version(self, name: str, model: Function, busy: float, weight: float) -> replicas.ReplicaStatus:
         edge, module = self.edge, self.edge.host.module
-        if self.edge.barred(name) or not share:
-            return stock.Stand(0, 0, stock.Lack.NOTHING)
+        if self.edge.barred(name) or not weight:
+            return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
         function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
         if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
-            return stock.Stand(stock.APART, 0, stock.Lack.WORKERS)  # its prefix is being looked up
+            # its prefix is being looked up
+            return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
         memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
-        shelves: dict[stock.Shelf, Worker] = {}
+        capacities: dict[replicas.WorkerCapacity, Worker] = {}
         for worker in module.walk(function):
             if worker.listing.name != "SERVING" or not module.fit(worker):
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
-            shelf = stock.Shelf(0, stock.room(size, function.memory), cold=module.warmth_of(worker) < 1)
+            capacity = replicas.WorkerCapacity(
+                0, replicas.replica_limit(size, function.memory), warming_up=module.warmth_of(worker) < 1
+            )
             if (replica := function.replicas.get(worker)) is not None:
-                shelf.standing, shelf.waiting = module.believed(replica), bool(replica.ordered)
-                shelf.fresh = module.now - replica.seen <= idle_life // 3
-            shelves[shelf] = worker
-
-        def order(shelf: stock.Shelf, count: int) -> bool:
-            ordered: bool = module.order(function.replica(shelves[shelf]), count, stock.ORDER_PART)
+                capacity.loaded = module.believed(replica)
+                capacity.preload_pending = bool(replica.ordered)
+                capacity.recently_confirmed = module.now - replica.seen <= idle_life // 3
+            capacities[capacity] = worker
+
+        def preload(capacity: replicas.WorkerCapacity, count: int) -> bool:
+            ordered: bool = module.order(
+                function.replica(capacities[capacity]), count, replicas.PRELOAD_BUDGET_FRACTION
+            )
             return ordered
 
-        now = stock.needed(busy, share, function.lanes, edge.settings.dispatcher_count)
-        wanted = self.wants.setdefault(name, stock.Want()).follow(now)
-        stand = stock.keep(list(shelves), wanted, module.load_limit - module.loading, order)
-        if edge.directory is not None and not stand.enough:
+        required = replicas.required_replicas(busy, weight, function.lanes, edge.settings.dispatcher_count)
+        target = self.targets.setdefault(name, replicas.ReplicaTarget()).update(required)
+        stand = replicas.maintain_replicas(
+            list(capacities), target, module.load_limit - module.loading, preload
+        )
+        if edge.directory is not None and not stand.is_sufficient:
             edge.directory.more(name)
         return stand
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -11,13 +11,14 @@
 
 STANDS_FOR = {"__main__": "command"}  # by a module beside the packages, the package that it counts as
 
-DECISIONS = {"policy", "rollout", "fleet", "overload", "directory", "store"}
+DECISIONS = {"policy", "rollout", "rollout_types", "fleet", "overload", "directory", "store"}
 PACKAGES = {path.parent.name for path in (ROOT / "lapistrestle").glob("*/__init__.py")}
 MAY_IMPORT: dict[str, set[str]] = {
     "policy": set(),
     "benchlink": {"policy"},
     "hosting": {"policy"},
-    "wire": set(),
+    "wire": {"rollout_types"},
+    "rollout_types": set(),  # types of rollouts that cross processes
     "deployment": set(),
     "records": set(),
     "edge": {"hosting", "wire", "deployment", "records"} | DECISIONS,
@@ -26,13 +27,13 @@
     "fleet": {"wire", "records"},
     "overload": {"fleet", "policy"},
     "agreement": {"store", "wire", "records"},
-    "rollout": {"wire", "records"},
+    "rollout": {"rollout_types", "wire", "records"},
     "store": {"wire", "records"},
     "directory": {"wire", "records", "agreement"},
-    "command": PACKAGES,
+    "command": PACKAGES | {"rollout_types"},
     "model": {"hosting"} | DECISIONS,
-    "standins": {"wire"},
-    "checks": {"wire"},
+    "standins": {"wire", "rollout_types"},
+    "checks": {"wire", "rollout_types"},
 }
 # Today's arrows against the layout. One that is gone is taken off; none is added.
 EXCEPTIONS: dict[str, set[str]] = {
@@ -54,7 +55,6 @@
         "planner",
         "store",
     },
-    "wire": {"rollout"},  # a split, which a share on the wire is made from
 }
 CIRCLES = [{"directory", "edge"}]  # the holder's program follows the roster with the edge's modules
 
