--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -108,7 +108,7 @@
         for worker in workers:
             told = found.get(worker.name)
             if worker.ejected and told is not None and told.healthy and told.prober != me:
-                self.edge.host.vouched(worker, told.at)
+                self.edge.host.peer_verdict_received(worker, told.at)
             if worker.ejected and worker not in self.announced:
                 self.verdicts.record(worker.name, False, now)
                 self.announced.add(worker)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -14,7 +14,7 @@
 from lapistrestle.edge.peers import Peers
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.edge.runners import Runner, bounds_of
-from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.types import FunctionInfo, Outcome, WorkerInfo
@@ -167,11 +167,11 @@
         if self.directory is not None:
             function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
             waits = not self.directory.ready(function, call.method)
-        pending = self.host.arrived(
+        pending = self.host.request_received(
             client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
-            customer=customer, left=left, memory=call.memory, lanes=call.lanes,
+            customer=customer, time_left=left, memory=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.repeat, route=route,
-            load=load, moved=moved, prior_attempts=prior_attempts, waits=waits,
+            load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
         )  # fmt: skip
         if waits:
             self.directory.wait(pending)
@@ -187,19 +187,21 @@
             self.fleet_member.admission.count_restart()
         self.take(pending.client, call, pending.method, pending.customer, left, route, True, attempts)
 
-    def closed(self, pending: PendingRequest, how: str) -> None:
+    def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None:
         """How an RPC ended is evidence for or against its version; not where this edge may not send there
         now, as what ends badly then is no fault of the version. It is a figure of the fleet's, too."""
         waited = self.directory is not None and self.directory.waiting.leave(pending)
         if self.fleet_member is not None:
             late = self.late(pending)
-            if how in (DENIED, ABORTED) and cost_before(pending) and not late:
+            if how in (RequestEnd.REJECTED, RequestEnd.ABORTED) and cost_before(pending) and not late:
                 self.fleet_member.admission.count_retry()
             self.fleet_member.on_request_finished(how, late, bool(pending.attempts), faulty(pending))
-        if pending.route is not None and pending.route.candidate and how != "moved":
-            if how != "ok" and (waited or self.barred(pending.function.name)):
+        if pending.route is not None and pending.route.candidate and how is not RequestEnd.MIGRATED:
+            if how is not RequestEnd.OK and (waited or self.barred(pending.function.name)):
                 return
-            self.routing.count_outcome(pending.route, how != "ok" or self.late(pending), self.clock())
+            self.routing.count_outcome(
+                pending.route, how is not RequestEnd.OK or self.late(pending), self.clock()
+            )
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
@@ -209,40 +211,45 @@
 
     # what the host asks (hosting.transport)
 
-    def answer(self, pending: PendingRequest, verdict: str, retry_after: int, body: Any) -> None:
+    def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         late = pending.deadline - self.clock() <= 0
-        if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
+        if (
+            verdict == RequestEnd.REJECTED
+            and not late
+            and not self.stopping
+            and self.barred(pending.function.name)
+        ):
             kind, span = self.kind(pending.method), self.span(pending.message)
             if choose_after_denial(kind, pending.may_have_run_on is not None, span) is VersionChoice.SETTLED:
                 return self.move(pending)
-            verdict, retry_after = ABORTED, 0
+            verdict, retry_after = RequestEnd.ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
 
-    def stream(self, pending: PendingRequest) -> None:
+    def stream_started(self, pending: PendingRequest) -> None:
         pending.client.say(wire.Begun(pending.message.id))
 
     def barred(self, name: str) -> bool:
         return "@" in name and self.routing.is_barred(name, self.clock())
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         if self.barred(worker_call.pending.function.name):
-            return self.host.ended(worker_call.number, Outcome.NOT_SENT)
+            return self.host.attempt_finished(worker_call.number, Outcome.NOT_SENT)
         if self.fleet_member is not None and cost_before(worker_call.pending):
             self.fleet_member.admission.count_retry()
         if self.directory is not None:
             self.directory.used(worker_call)
-        super().run(worker_call)
+        super().send_call(worker_call)
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         if task.function is not None and task.count and self.barred(task.function.name):
-            return self.host.ordered(task.number, Outcome.REJECTED, 0)
-        super().hold(task)
+            return self.host.preload_finished(task.number, Outcome.REJECTED, 0)
+        super().send_preload(task)
 
-    def more(self, function: FunctionInfo) -> None:
+    def extend_prefix(self, function: FunctionInfo) -> None:
         if self.directory is not None:
             self.directory.more(function.name)
 
-    def tell_peer(self, peer: int | None, text: str) -> None:
+    def send_gossip(self, peer: int | None, text: str) -> None:
         if self.peers is not None:
             self.peers.tell(peer, text)
 
--- a/lapistrestle/hosting/context.py
+++ b/lapistrestle/hosting/context.py
@@ -11,7 +11,8 @@
 @dataclass(frozen=True)
 class HostContext:
     """One host's surroundings. `settings` are the module's;
-    `clock` gives tenths of a millisecond; `counts` are the counters of the log line at the end."""
+    `clock` gives tenths of a millisecond; `counts` are the counters of the log line at the end.
+    """
 
     transport: Transport
     settings: Settings
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -109,13 +109,13 @@
         self.put(">", said)
         self.later(self.way, self.back, said)
 
-    def run(self, worker_call: WorkerCall) -> None:
+    def send_call(self, worker_call: WorkerCall) -> None:
         self.send(worker_call, run_of(worker_call, self.edge.clock()))
 
-    def hold(self, task: WorkerTask) -> None:
+    def send_preload(self, task: WorkerTask) -> None:
         self.send(task, hold_of(task))
 
-    def probe(self, task: WorkerTask) -> None:
+    def send_health_check(self, task: WorkerTask) -> None:
         self.send(task, wire.Probe(task.number))
 
     def unload(self, function: str) -> None:
@@ -126,8 +126,8 @@
     def cancel_unsent(self, number: int) -> bool:
         return False  # a message is on its way as soon as it is sent
 
-    def withdraw(self, number: int, tell: bool) -> bool:
-        if tell and self.reached():
+    def withdraw(self, number: int, notify: bool) -> bool:
+        if notify and self.reached():
             assert self.runner is not None
             self.later(self.way, self.cancelled, number)
         self.out.pop(number, None)
@@ -159,7 +159,7 @@
 
     def end(self, number: int, outcome: Outcome) -> None:
         if self.out.pop(number, None) is not None:
-            self.edge.host.ended_without_reply(number, outcome)
+            self.edge.host.finished_without_reply(number, outcome)
 
     def say(self, message: Any) -> None:
         self.put(">", message)
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -5,39 +5,43 @@
 import sys
 
 from lapistrestle.edge.running import reactor_of_now, run
-from lapistrestle.node.configuration import ConfigurationError, configuration_of
+from lapistrestle.node.configuration import ConfigurationError, configuration_from_environment
 from lapistrestle.node.program import Node
 from lapistrestle.records.lean import make_log
 
 
 def main() -> int:
+    """Run the dispatcher until it is told to end. Returns the exit status."""
     try:
-        configuration = configuration_of(os.environ)
-    except ConfigurationError as trouble:
-        print(f"lapistrestle: {trouble}", file=sys.stderr)
+        configuration = configuration_from_environment(os.environ)
+    except ConfigurationError as error:
+        print(f"lapistrestle: {error}", file=sys.stderr)
         return 2
     reactor = reactor_of_now()
     node = Node(reactor, configuration, make_log(edge=configuration.file.name))
     failed: list[int] = []
 
     def begin() -> None:
+        """Start; an address that can't be listened at ends the program."""
         try:
             node.start()
-        except OSError as trouble:
+        except OSError as error:
             print(
-                f"lapistrestle: can't listen at {configuration.file.listen}: {trouble.strerror}",
+                f"lapistrestle: can't listen at {configuration.file.listen}: {error.strerror}",
                 file=sys.stderr,
             )
             failed.append(1)
             reactor.stop()
 
     def reload() -> None:
-        node.reload(lambda: configuration_of(os.environ))
+        """SIGHUP."""
+        node.reload(lambda: configuration_from_environment(os.environ))
 
-    def leave() -> None:
-        node.leave(reactor.stop)
+    def shut_down() -> None:
+        """SIGTERM and SIGINT."""
+        node.shut_down(reactor.stop)
 
-    run(reactor, begin, {signal.SIGHUP: reload, signal.SIGTERM: leave, signal.SIGINT: leave})
+    run(reactor, begin, {signal.SIGHUP: reload, signal.SIGTERM: shut_down, signal.SIGINT: shut_down})
     return failed[0] if failed else 0
 
 
--- /dev/null
+++ b/lapistrestle/node/client_connection.py
@@ -0,0 +1,306 @@
+"""One connection of a web server that speaks FastCGI, and the requests that are open on it."""
+
+import socket
+from collections import OrderedDict
+from enum import IntEnum
+from typing import Any, Protocol
+
+from lapistrestle.edge.core import Core
+from lapistrestle.hosting.requests import PendingRequest, RequestEnd
+from lapistrestle.node import fastcgi
+from lapistrestle.node.streams import MOST_READS, READ, Stream
+
+TICKS_PER_SECOND = 10_000  # in tenths of a millisecond
+MAX_UNSENT = 1_048_576  # bytes towards a client that does not read: more of it is not read meanwhile
+PAUSE_TRUSTED = 500  # tenths of a millisecond for which one that is not read from counts as waiting
+MAX_DISCARDED = 262_144  # bytes read of a connection that is to be closed, once nothing is owed on it
+MAX_DISCARDED_WHILE_OPEN = 67_108_864  # and while requests are open on it: more than the longest body sent
+DISCARDING_TIME_OUT = 20_000  # for answers on a connection that can't be read, in tenths of a millisecond
+MAX_BUFFERED = 65_536  # bytes of half requests that one connection may hold when memory runs short
+STATUS = {RequestEnd.OK: 200, RequestEnd.REJECTED: 503, RequestEnd.ABORTED: 500}  # of a final answer
+TOO_LARGE = (413, 431)  # after which the rest of a connection is not worth reading
+
+REASONS = {
+    200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
+    413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+    503: "Service Unavailable",
+}  # fmt: skip
+TYPE = "Content-Type: application/octet-stream\r\n"
+HEADS = {code: f"Status: {code} {reason}\r\n{TYPE}\r\n".encode() for code, reason in REASONS.items()}
+
+
+class Phase(IntEnum):
+    """How a connection comes to its end, in this order; some are left out."""
+
+    SERVING = 0
+    FINISHING = 1  # it ends with the last of its open requests
+    REJECTING = 2  # as FINISHING, and what still comes is rejected
+    DISCARDING = 3  # as FINISHING, and what still comes can't be read
+    HALF_CLOSED = 4  # nothing more is written; read on, as a close with bytes unread would reset the answers
+
+
+class ConnectionOwner(Protocol):
+    """What a client's connection needs of the front that accepted it."""
+
+    core: Core
+    connections: dict["ClientConnection", None]  # that are served
+    idle: OrderedDict["ClientConnection", None]  # without an open request, longest idle first
+    closing: OrderedDict["ClientConnection", int]  # being closed, with the time until which each is kept
+    unfinished: dict[str, PendingRequest]  # by id, until the last attempt has ended
+    buffered_bytes: int  # of requests that are not complete, on all connections
+    max_buffered_bytes: float
+
+    def request(self, connection: "ClientConnection", request: fastcgi.Request) -> None:
+        """A complete request came."""
+
+    def half_closed(self, connection: "ClientConnection") -> None:
+        """A connection's sending side has been ended; it is read until its client closes."""
+
+
+class ClientConnection(Stream):
+    """One connection of a client."""
+
+    def __init__(self, front: ConnectionOwner, sock: socket.socket) -> None:
+        super().__init__(front.core.reactor, sock)
+        self.front = front
+        self.reader = fastcgi.RecordReader()
+        self.requests: dict[int, PendingRequest] = {}
+        self.has_sent_request = False  # it has brought a complete request
+        self.phase = Phase.SERVING
+        self.phase_since = 0
+        self.is_over_limit = False  # of connections; what it asks is rejected unless there is room by then
+        self.bytes_read = 0
+        self.discarded = 0  # bytes read since it was to be closed
+        self.reads_paused = False  # not read from until the client has read what is unsent
+        self.reads_paused_since = 0
+        self.receiving = False  # what is read is being acted on: it is closed only after that
+        self.unsent_seen = 0  # bytes unsent at the last sweep
+        self.unsent_since = 0  # since when as many were
+        self.waited = 0  # tenths of a millisecond for which it may have waited for a descriptor
+        self.since = front.core.clock()  # connected, or without an open request
+        self.buffered_bytes = 0  # bytes of what is not complete
+        self.unread = 0  # tenths of a millisecond for which what is read now lay in the socket
+        self.oldest_partial = 0  # number of the first request that is not complete; 0: none
+        self.partial_since = 0  # since when that is
+
+    def pieces(self) -> int:
+        """How many reads are made of it at once."""
+        return self.front.core.pieces()
+
+    def received(self, data: bytes) -> None:
+        """Bytes came: complete requests go to the front."""
+        self.front.core.input()
+        self.bytes_read += len(data)
+        if self.phase >= Phase.REJECTING:
+            self.discarded += len(data)
+        if self.phase < Phase.DISCARDING:
+            outer = self.receiving
+            self.receiving = True
+            self.read_records(data)
+            self.receiving = outer
+        if self.dead:
+            return
+        self.enforce_bounds()
+        self.close_if_done()
+
+    def read_records(self, data: bytes) -> None:
+        """Hand on what the records say, in their order."""
+        longest = max(self.front.core.since_look(), self.waited)
+        self.waited = 0
+        unread = self.front.core.unread_for(self.sock, longest)
+        events = self.reader.feed(data)
+        for event in events:
+            # the kernel tells of the last bytes alone: what came before those may be as old as the look
+            newest = event is events[-1] and len(data) < READ
+            self.unread = unread if newest else longest
+            if self.dead:
+                return
+            match event:
+                case fastcgi.Request():
+                    self.has_sent_request = True
+                    self.front.request(self, event)
+                case fastcgi.RequestAborted():
+                    self.aborted(event.number)
+                case fastcgi.ImmediateReply():
+                    self.send(event.data)
+                case fastcgi.MalformedRequest():
+                    self.front.core.counts["unreadable"] += 1
+                    self.reply(event.number, event.status, event.message.encode())
+                    if event.status in TOO_LARGE:
+                        self.begin_close(Phase.REJECTING)
+                case fastcgi.ConnectionBroken():
+                    self.front.core.counts["unreadable"] += 1
+                    self.withdraw(event.number)
+                    self.begin_close(Phase.DISCARDING)
+
+    def withdraw(self, number: int) -> None:
+        """Drop an open request whose number came again: no answer could be told apart from the other's."""
+        pending = self.requests.pop(number, None)
+        if pending is not None:
+            self.front.core.host.client_gone(pending)
+
+    def enforce_bounds(self) -> None:
+        """Keep within bounds what is held for this client."""
+        if self.unsent_bytes > MAX_UNSENT and not self.reads_paused:
+            self.reads_paused = True
+            self.reads_paused_since = self.front.core.clock()
+            self.watch_reads(False)
+        self.count_buffered()
+        is_memory_short = self.front.buffered_bytes > self.front.max_buffered_bytes
+        if is_memory_short and self.buffered_bytes > MAX_BUFFERED:
+            self.reject_partial(503)
+            self.begin_close(Phase.REJECTING)
+        oldest = next(iter(self.reader.partial), 0)
+        if oldest != self.oldest_partial:
+            self.oldest_partial = oldest
+            self.partial_since = self.front.core.clock()
+        if self.discarded > (MAX_DISCARDED_WHILE_OPEN if self.requests else MAX_DISCARDED):
+            self.front.core.host.abort_all(list(self.requests.values()))
+            self.drop("sends without end")
+
+    def count_buffered(self) -> None:
+        """Take this connection's part in what the front holds of partial requests from its reader."""
+        held = self.reader.buffered_bytes()
+        self.front.buffered_bytes += held - self.buffered_bytes
+        self.buffered_bytes = held
+
+    def is_waiting(self) -> bool:
+        """Whether the client is known to wait still. One that is not read from may have aborted meanwhile."""
+        self.read_now()
+        return not self.reads_paused or self.front.core.clock() - self.reads_paused_since <= PAUSE_TRUSTED
+
+    def drained(self) -> None:
+        """All that was to be written has left."""
+        if self.reads_paused:
+            self.reads_paused = False
+            self.watch_reads(True)
+        self.close_if_done()
+
+    def unread_time(self, now: int) -> int:
+        """How long the client has read nothing of what is unsent, in tenths of a millisecond."""
+        if self.unsent_bytes != self.unsent_seen or not self.unsent_bytes:
+            self.unsent_seen = self.unsent_bytes
+            self.unsent_since = now
+        return now - self.unsent_since
+
+    def reject_partial(self, status: int) -> None:
+        """Answer the requests that are not complete; what still comes of them is passed over."""
+        for number in self.reader.reject_partial():
+            self.send(fastcgi.encode_response(number, HEADS[status], b""))
+        self.count_buffered()
+        self.oldest_partial = 0
+
+    def begin_close(self, phase: Phase) -> None:
+        """Close it once all that is open on it has been answered."""
+        if phase <= self.phase or self.dead:
+            return
+        self.phase = phase
+        self.phase_since = self.front.core.clock()
+        if phase >= Phase.REJECTING:
+            self.front.idle.pop(self, None)
+        self.close_if_done()
+
+    def close_if_done(self) -> None:
+        """Where nothing is owed any more, end the sending side: the client reads all, then closes."""
+        if self.phase in (Phase.SERVING, Phase.HALF_CLOSED) or self.receiving:
+            return
+        if self.requests or self.unsent or self.dead:
+            return
+        if self.is_over_limit and self.phase is Phase.REJECTING:
+            return  # its first request may be on its way
+        if self.phase < Phase.DISCARDING:
+            self.receiving = True
+            self.read_on()  # a request may have come meanwhile
+            self.receiving = False
+            if self.requests or self.is_half_closed():
+                return
+            self.reject_partial(503)
+        if self.unsent or self.dead:
+            return
+        self.half_close()
+        if not self.dead:
+            self.front.half_closed(self)
+
+    def is_half_closed(self) -> bool:
+        """Whether nothing more can be written."""
+        return self.dead or self.phase is Phase.HALF_CLOSED
+
+    def half_close(self) -> None:
+        """End the sending side."""
+        self.begin_close(Phase.HALF_CLOSED)
+        self.discarded = 0
+        try:
+            self.sock.shutdown(socket.SHUT_WR)
+        except OSError as error:
+            self.drop(error.strerror or "lost")
+
+    def read_on(self) -> None:
+        """Read what lies in the socket to its end, within bounds."""
+        self.read(MOST_READS)
+
+    def close_now(self, reason: str) -> None:
+        """Close now, and lose as little as can be of what was written."""
+        if self.dead:
+            return
+        self.is_over_limit = False
+        self.begin_close(Phase.REJECTING)
+        if self.dead:
+            return
+        self.read_on()
+        self.reject_partial(503)
+        if not self.is_half_closed():
+            self.half_close()
+        self.read_on()
+        self.drop(reason)
+
+    def aborted(self, number: int) -> None:
+        """The client has aborted a request."""
+        pending = self.requests.pop(number, None)
+        self.reader.request_finished(number)
+        self.send(fastcgi.encode_end(number))
+        if pending is not None:
+            self.front.core.host.client_gone(pending)
+            self.note_idle()
+        self.close_if_done()
+
+    def reply(self, number: int, status: int, body: bytes = b"", retry_after: int = 0) -> None:
+        """Write an answer. `retry_after` is in tenths of a millisecond; 0: without that header."""
+        head = HEADS[status]
+        if retry_after:
+            head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // TICKS_PER_SECOND)) + head
+        self.send(fastcgi.encode_response(number, head, body))
+        self.reader.request_finished(number)
+        self.note_idle()
+        self.close_if_done()
+
+    def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
+        """Write the final answer of a request."""
+        message = pending.message
+        message.body = b""
+        self.requests.pop(message.number, None)
+        if not pending.in_flight:
+            self.front.unfinished.pop(pending.tag, None)
+        status = STATUS[verdict]
+        self.reply(message.number, status, body if verdict == RequestEnd.OK else b"", retry_after)
+        if not message.keep:
+            self.begin_close(Phase.FINISHING)
+
+    def note_idle(self) -> None:
+        """Without an open request it idles from now on."""
+        if not self.requests and not self.dead and self.phase < Phase.REJECTING:
+            self.since = self.front.core.clock()
+            self.front.idle[self] = None
+            self.front.idle.move_to_end(self)
+
+    def lost(self, reason: str) -> None:
+        """The connection is gone, and with it whoever waited."""
+        self.front.core.input()
+        self.front.connections.pop(self, None)
+        self.front.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
+        self.front.idle.pop(self, None)
+        self.front.closing.pop(self, None)
+        requests = list(self.requests.values())
+        self.requests = {}
+        for pending in requests:
+            self.front.core.host.client_gone(pending)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -5,7 +5,7 @@
 from days import Played, day
 
 from lapistrestle.edge.program import Edge
-from lapistrestle.hosting.requests import ABORTED, DENIED
+from lapistrestle.hosting.requests import RequestEnd
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.wire import messages as wire
 
@@ -37,7 +37,7 @@
             answer(pending, verdict, retry_after, body)
             answer(pending, verdict, retry_after, body)
 
-        wrap(edge, "answer", twice)
+        wrap(edge, "send_answer", twice)
 
     rules, says = caught(change, day(length="4 s"))
     assert rules == {"1"} and "2 final answers" in says
@@ -49,7 +49,7 @@
             if not pending.tag.endswith("7.1"):
                 answer(pending, *rest)
 
-        wrap(edge, "answer", some)
+        wrap(edge, "send_answer", some)
 
     rules, says = caught(change, day(length="4 s"))
     assert rules == {"1"} and "never answered" in says
@@ -61,7 +61,7 @@
             delay = pending.deadline + 500 - edge.clock() if pending.tag.endswith("7.1") else 0
             edge.after(max(0, delay), lambda _: answer(pending, *rest), None)
 
-        wrap(edge, "answer", later)
+        wrap(edge, "send_answer", later)
 
     rules, says = caught(change, day(length="4 s", traffic={"rate": 60, "patience": [1, 1]}))
     assert "1" in rules and "late" in says
@@ -79,7 +79,7 @@
                 line = wire.encode(run) + b"\n"
                 edge.after(500, lambda _: edge.runners[attempt.worker.name].write(line), None)
 
-        wrap(edge, "answer", again)
+        wrap(edge, "send_answer", again)
 
     rules, says = caught(change, day("slots", length="4 s"))
     assert "1" in rules and "sent out after its end" in says
@@ -88,9 +88,9 @@
 def test_rule_2_a_denial_that_may_have_run():
     def change(edge):
         def deny(answer, pending, verdict, *rest):
-            answer(pending, DENIED if verdict == ABORTED else verdict, *rest)
+            answer(pending, RequestEnd.REJECTED if verdict == RequestEnd.ABORTED else verdict, *rest)
 
-        wrap(edge, "answer", deny)
+        wrap(edge, "send_answer", deny)
 
     rules, says = caught(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
     assert rules == {"2"} and "denied though it may have run" in says
@@ -98,7 +98,7 @@
 
 def test_rule_2_a_repeat_that_may_have_run():
     def change(edge):
-        edge.host.module.allowed = lambda request, worker: True
+        edge.host.module.candidates.allows_repeat = lambda request, worker: True
 
     rules, says = caught(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
     assert rules == {"2"} and ("side-effecting RPC is sent again" in says or "outside its cell" in says)
@@ -113,7 +113,7 @@
             for other in others[:1]:
                 other.write(wire.encode(message) + b"\n")
 
-        wrap(edge, "run", both)
+        wrap(edge, "send_call", both)
 
     rules, says = caught(change, day("slots", length="4 s"))
     assert "2" in rules and "two call-outs at once" in says
@@ -139,7 +139,9 @@
 def test_rule_3_orders_to_a_drained_runner():
     def change(edge):
         serving_for_ever(edge)
-        edge.host.module.candidates = lambda request, order: iter(())  # only its holds go out
+        edge.host.module.candidates.usable = lambda request, order, not_loaded_too=False: iter(
+            ()
+        )  # only its holds go out
 
     rules, says = caught(
         change, day("slots", [{"kind": "deploy", "share": 0.9, "lasts": "1 s"}], roster_lag="100 ms")
@@ -168,7 +170,7 @@
 
 def test_rule_4_no_care_for_cold_runners():
     def change(edge):
-        edge.host.module.cold_room = lambda worker, request: True
+        edge.host.module.slow_start.has_capacity = lambda worker, request: True
 
     rules, says = caught(change, REPLACED)
     assert rules == {"4"} and "fell over" in says
@@ -190,7 +192,7 @@
 
 def test_rule_5_no_count_of_orders():
     def change(edge):
-        edge.host.module.settings = replace(edge.settings, preload_window=0)
+        edge.host.module.preload_budget.settings = replace(edge.settings, preload_window=0)
 
     rules, says = caught(change, day("archive"))
     assert rules == {"5"} and "allowed" in says
@@ -198,7 +200,9 @@
 
 def test_rule_5_a_budget_misread():
     def change(edge):
-        edge.host.module.settings = replace(edge.settings, preload_share=4 * edge.settings.preload_share)
+        edge.host.module.preload_budget.settings = replace(
+            edge.settings, preload_share=4 * edge.settings.preload_share
+        )
 
     assert caught(change, day("archive"))[0] == {"5"}
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -28,8 +28,8 @@
     assert edges
     for edge in edges:
         host = edge.edge.host
-        assert (host.open, host.worker_calls) == (0, {}), edge.name
-        late = [e for e in host.tasks.values() if host.clock() - e.sent > host.settings.preload_timeout]
+        assert (host.open_requests, host.worker_calls) == (0, {}), edge.name
+        late = [e for e in host.tasks.values() if host.clock() - e.sent_at > host.settings.preload_timeout]
         assert not late, edge.name  # holds go on in a quiet fleet, but each ends in its time
 
 
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -13,9 +13,9 @@
 import test_crossings
 from test_node import Stage
 
-from lapistrestle.node import client as client_connections
+from lapistrestle.node import client_connection as client_connections
+from lapistrestle.node import fastcgi
 from lapistrestle.node import front as fronts
-from lapistrestle.node import records
 from lapistrestle.standins.platform import WebServer, begin
 
 JUNK = b"GET / HTTP/1.1\r\n\r\n"
@@ -100,10 +100,10 @@
 def fill(stage: Any) -> list[WebServer]:
     """As many connections as may be, each with an open request."""
     crowd: list[WebServer] = []
-    for _ in range(stage.node.front.most):
+    for _ in range(stage.node.front.max_connections):
         crowd.append(stage.client())
         crowd[-1].ask(id=f"{len(crowd) + 1000:016x}", patience="4000")
-    stage.hand.until(lambda: stage.host.open == len(crowd))
+    stage.hand.until(lambda: stage.host.open_requests == len(crowd))
     return crowd
 
 
@@ -186,7 +186,7 @@
     stage.hand.until(lambda: stage.host.counts["left"])
     got[0][0].say("503", got[0][1]["rid"])
     stage.hand.run(0.5)
-    assert len(stage.runs()) == 1 and stage.host.open == 0
+    assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
 
 @pytest.mark.parametrize("bad", ["body", "fields"])
@@ -279,8 +279,8 @@
                 break
             stage.hand.serve()
     assert connection.dead and sent < 16_000_000
-    assert connection.bytes_read <= client_connections.MOST_DISCARDED + 65_536
-    assert stage.node.front.held == 0 and not stage.node.front.parting
+    assert connection.bytes_read <= client_connections.MAX_DISCARDED + 65_536
+    assert stage.node.front.buffered_bytes == 0 and not stage.node.front.closing
 
 
 def test_a_connection_that_parts_reads_a_flood_without_recursion(stage: Any) -> None:
@@ -296,7 +296,7 @@
 
     connection.read = measured
     client.send(request(1).replace(begin(1), begin(1, keep=0)))
-    client.send(records.record(records.GET_VALUES, 0, bytes(40_000)) * 10)
+    client.send(fastcgi.encode_record(fastcgi.GET_VALUES, 0, bytes(40_000)) * 10)
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and max(depths) - min(depths) < 15
 
@@ -311,7 +311,7 @@
     for _ in range(120):
         asked.append(client.ask(body=BODY))
         stage.hand.quiet()
-        assert connection.unsent_bytes <= 2 * client_connections.MOST_UNSENT
+        assert connection.unsent_bytes <= 2 * client_connections.MAX_UNSENT
     read_on(stage, client)
     stage.hand.until(lambda: len(client.ends) == len(asked) or client.closed)
     assert [client.status(number) for number in asked] == [200] * 120
@@ -328,7 +328,7 @@
     line, said = held[0]
     for runner in stage.runners:
         runner.on_run = None
-    while not connection.stalled:
+    while not connection.reads_paused:
         client.ask(body=BODY)
         stage.hand.quiet()
     client.give_up(waits)
@@ -347,7 +347,7 @@
         client.ask(body=BODY)
     stage.hand.quiet()
     stage.hand.run(10.0)
-    assert connection.dead and stage.host.open == 0
+    assert connection.dead and stage.host.open_requests == 0
 
 
 def test_a_connection_with_an_answer_on_its_way_makes_no_room_for_others(stage: Any) -> None:
@@ -355,7 +355,7 @@
     numbers = ask_in_turn(stage, client, 20)
     assert connection.unsent
     stage.hand.run(0.6)
-    assert not stage.node.front.shed()
+    assert not stage.node.front.evict_idle()
     read_on(stage, client)
     stage.hand.until(lambda: len(client.ends) == 20 or client.closed)
     assert [client.status(number) for number in numbers] == [200] * 20
@@ -402,14 +402,14 @@
     """Of a crowd that was all new the oldest was closed, though its request was on its way."""
     stage = stages(runners=1, sockets=64)
     first = stage.client()
-    crowd = [stage.client() for _ in range(stage.node.front.most)]
+    crowd = [stage.client() for _ in range(stage.node.front.max_connections)]
     if new == "one that asks":
         crowd[-1].ask(id="9b1f03aa5c7e2d41")
         stage.hand.until(lambda: crowd[-1].ends)
     first.ask(id="9b1f03aa5c7e2d42")
     stage.hand.until(lambda: first.ends or first.closed)
     assert first.status(1) == 200
-    assert len(stage.node.front.connections) <= stage.node.front.most
+    assert len(stage.node.front.connections) <= stage.node.front.max_connections
 
 
 def test_a_crowd_over_the_limit_is_bounded_and_told(stages: Any) -> None:
@@ -418,10 +418,10 @@
     kept = fill(stage)
     crowd = [stage.client() for _ in range(100)]
     front = stage.node.front
-    assert len(front.connections) + len(front.parting) <= 64 * 9 // 20
+    assert len(front.connections) + len(front.closing) <= 64 * 9 // 20
     stage.hand.run(2.9)
     assert all(client.closed for client in crowd)
-    assert len(met) == len(kept) == stage.host.open and not any(client.closed for client in kept)
+    assert len(met) == len(kept) == stage.host.open_requests and not any(client.closed for client in kept)
     for request in met:
         stage.host.reject(request, 0)
     stage.hand.until(lambda: all(client.status(1) == 503 for client in kept))
@@ -513,7 +513,7 @@
     stage.hand.run(1.0)
     assert client.status(number) in (200, 500, 503)
     stage.hand.run(3.0)
-    assert client.ends == [number] and stage.host.open == 0
+    assert client.ends == [number] and stage.host.open_requests == 0
 
 
 @pytest.mark.parametrize("trouble", ["silent", "spoilt", "reset", "cut"])
@@ -542,7 +542,7 @@
     stage.hand.run(1.0)
     assert all(client.status(number) in (500, 503) for number in numbers)
     stage.hand.run(3.0)
-    assert sorted(client.ends) == numbers and stage.host.open == 0
+    assert sorted(client.ends) == numbers and stage.host.open_requests == 0
 
 
 def test_a_flood_beside_it_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
@@ -556,14 +556,14 @@
         crowd[0].send(JUNK + bytes(100_000))
         crowd[1].send(begin(1) * 2)
         crowd[2].ask(whole=False)
-        crowd[3].send(begin(1) + records.record(records.PARAMS, 1, b"\xff" * 60_000))
+        crowd[3].send(begin(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, b"\xff" * 60_000))
         for _ in range(40):
             crowd[4].give_up(crowd[4].ask(id=f"{turn + 1:08x}{crowd[4].last:08x}"))
         stage.hand.run(0.05)
     stage.hand.quiet()
     assert not usual.closed and all(usual.status(number) in (500, 503) for number in numbers)
     stage.hand.run(3.0)
-    assert sorted(usual.ends) == numbers and stage.host.open == 0
+    assert sorted(usual.ends) == numbers and stage.host.open_requests == 0
 
 
 def test_parting_connections_do_not_outlive_their_time(stage: Any) -> None:
@@ -572,5 +572,5 @@
     client.ask(body=BODY)
     client.send(JUNK)
     stage.hand.quiet()
-    stage.hand.run(1.0 + 2 * fronts.SWEEP / 10_000)
-    assert connection.dead and not stage.node.front.parting
+    stage.hand.run(1.0 + 2 * fronts.SWEEP_INTERVAL / 10_000)
+    assert connection.dead and not stage.node.front.closing
