--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -36,7 +36,7 @@
     made.now = NOW
     cold = Worker("cold")
     listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted=0)) for i in range(WARM)]
-    made.on_endpoints([*listed, (cold, WorkerInfo("cold", booted=NOW))], whole=True)
+    made.on_endpoints([*listed, (cold, WorkerInfo("cold", booted=NOW))], snapshot=True)
     pace = calls_an_instance / dispatchers / SECOND  # of one dispatcher's calls, at each unit of size
     made.slow_start.ok_work.add(NOW, pace * made.latency.typical(0) * made.slow_start.ok_work.time_constant)
     return made, cold
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -10,7 +10,14 @@
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.entities import Request
-from lapistrestle.policy.types import Answer, Attempt, EndpointState, FunctionInfo, RequestInfo, WorkerInfo
+from lapistrestle.policy.types import (
+    Attempt,
+    AttemptResult,
+    EndpointState,
+    FunctionInfo,
+    RequestInfo,
+    WorkerInfo,
+)
 
 Fields = Mapping[str, Any]
 
@@ -91,7 +98,7 @@
         if kind == "failed":
             return self.module.on_endpoints_failed()
         rows = [(self.registry.worker(r["runner"]), entry(r)) for r in fields.get("records") or []]
-        self.module.on_endpoints(rows, whole=kind != "delta")
+        self.module.on_endpoints(rows, snapshot=kind != "delta")
 
     def demand(self, fields: Fields) -> None:
         name, method = fields.get("image") or "", fields.get("class") or 0
@@ -122,14 +129,14 @@
         if request is None:
             return
         detail = fields.get("detail") or 0
-        answer = Answer(
-            took=translation.span(fields.get("took") or 0),
+        answer = AttemptResult(
+            latency=translation.span(fields.get("took") or 0),
             over=bool(fields.get("no-more")),
-            warmth=translation.WARMTH[detail % 8]
+            load_state=translation.WARMTH[detail % 8]
             if detail % 8 < len(translation.WARMTH)
             else translation.WARMTH[0],
-            company=detail // 8 if self.says_company else None,
-            report=self.report(fields.get("telemetry")),
+            concurrency=detail // 8 if self.says_company else None,
+            load_report=self.report(fields.get("telemetry")),
         )
         self.module.on_attempt_finished(
             request.attempts[fields["round-no"]], translation.OUTCOMES[fields["reason"]], answer
@@ -234,7 +241,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each line until the input ends."""
+    """AttemptResult each line until the input ends."""
     links = Links()
     for line in source:
         sink.write(links.answer(line) + b"\n")
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -1,13 +1,13 @@
 """Attempts under way at workers: sent within the rules, timed, and reported to the module once each."""
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, cast
 
 from lapistrestle.hosting.answers import FinalAnswers
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.requests import ABORTED, NO_REPORT, OK, UNMATCHED, PendingRequest, WorkerCall
-from lapistrestle.policy.types import Answer, Attempt, LoadState, Outcome
+from lapistrestle.policy.types import Attempt, AttemptResult, LoadState, Outcome
 
 
 class WorkerCalls:
@@ -21,7 +21,8 @@
     def send(self, number: int, attempt: Attempt, time_out: int) -> None:
         """Send, unless the request is over, an attempt is under way already where only one may be, or the
         limit of attempts is reached. A `time_out` of 0 stands for the request's deadline."""
-        pending, now = attempt.request, self.context.clock()
+        pending = cast(PendingRequest, attempt.request)  # made by the host
+        now = self.context.clock()
         left = pending.deadline - now
         within = min(time_out, left) if time_out else left
         allowed = self.allowed(pending)
@@ -93,7 +94,7 @@
             self.answers.finish(pending, OK, body=body)
         elif pending.stream is worker_call and not pending.final:
             self.answers.finish(pending, ABORTED)  # a break in a begun stream ends it
-        answer = Answer(max(0, now - worker_call.sent), pending.final, warmth, company, report)
+        answer = AttemptResult(max(0, now - worker_call.sent), pending.final, warmth, company, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
         self.events.post(pending, "on_attempt_finished", worker_call.attempt, outcome, answer)
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -16,7 +16,7 @@
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.ports import Host
 from lapistrestle.policy.settings import Settings
-from lapistrestle.policy.types import Answer, Attempt, EndpointState, Outcome, WorkerInfo
+from lapistrestle.policy.types import Attempt, AttemptResult, EndpointState, Outcome, WorkerInfo
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
 BOUND = 1.25  # of the even share, for hashing with bounded loads
@@ -55,8 +55,8 @@
 
     # what the host tells
 
-    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
-        for worker in self.known if whole else ():
+    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
+        for worker in self.known if snapshot else ():
             worker.listing = EndpointState.REMOVED
         for worker, told in workers:
             self.known[worker] = None
@@ -69,7 +69,7 @@
         self.taken.append(self.now)
         self.place(request)
 
-    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: AttemptResult) -> None:
         request, worker = attempt.request, attempt.worker
         attempt.outcome = outcome
         self.out[worker] = self.out.get(worker, 1) - 1
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -35,7 +35,7 @@
 from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.policy.throughput import Throughput
 from lapistrestle.policy.ticks import SECOND
-from lapistrestle.policy.types import Answer, Attempt, Outcome, State, WorkerInfo
+from lapistrestle.policy.types import Attempt, AttemptResult, Outcome, State, WorkerInfo
 
 # Least ticks between two requests for the endpoint list, where it is polled; guards against a busy loop.
 LEAST_POLL_INTERVAL: Final = SECOND
@@ -47,7 +47,6 @@
     def __init__(
         self, host: Host, settings: Settings, seed: int, now: int, fleet: FleetGuidance | None = None
     ) -> None:
-
         self.host = host
         self.settings = settings
         self.fleet = FleetGuidance() if fleet is None else fleet
@@ -177,9 +176,9 @@
 
     # Events
 
-    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
+    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
         """As `Events.on_endpoints`."""
-        self.endpoints.update(workers, whole)
+        self.endpoints.update(workers, snapshot)
         self.health.endpoints_changed()
         self.slow_start.endpoints_changed()
         self.load_limit.endpoints_changed()
@@ -211,17 +210,17 @@
         """As `Events.on_attempt_started`: its worker is not silent."""
         attempt.worker.silent_since = None
 
-    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, result: AttemptResult) -> None:
         """As `Events.on_attempt_finished`."""
         request = attempt.request
         replica = request.function.replica(attempt.worker)
         given = INPUT_OF_OUTCOME[outcome]
         self.attempts.finish(attempt, replica, outcome)
-        self.outcomes.record(replica, attempt, outcome, answer)
+        self.outcomes.record(replica, attempt, outcome, result)
         if given is Input.MAY_HAVE_RUN and request.may_have_run_on is None:
             request.may_have_run_on = attempt.worker
             request.may_have_run_at = attempt.sent
-        if answer.over:
+        if result.over:
             self.on_client_gone(request)
         self.state_machine.drive(request, given, replica)
         if replica.waiters and not replica.pending_preloads and not replica.loading:
--- a/lapistrestle/policy/endpoints.py
+++ b/lapistrestle/policy/endpoints.py
@@ -39,9 +39,9 @@
         """How many are known."""
         return len(self.known)
 
-    def update(self, workers: Sequence[tuple[Worker, WorkerInfo]], whole: bool) -> None:
-        """Take over what the endpoint list says; `whole`: it names all that there are."""
-        if whole:
+    def update(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
+        """Take over what the endpoint list says; `snapshot`: it names all that there are."""
+        if snapshot:
             self.remove_all()
         for worker, info in workers:
             self.remove_from_serving(worker)
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -78,9 +78,9 @@
         latency = self.latency_sum.read(now)
         isolated = self.isolated_latency_sum.read(now)
         for attempt in islice(self.warm_attempts, most):  # the oldest first
-            if now - attempt.sent > attempt.usual:
+            if now - attempt.sent > attempt.expected_latency:
                 latency = latency + now - attempt.sent
-                isolated = isolated + attempt.usual
+                isolated = isolated + attempt.expected_latency
         return latency, isolated
 
     def sent_since(self, then: int) -> float:
@@ -151,7 +151,7 @@
         worker = self.worker
         if not attempt.cold:
             worker.warm_attempts[attempt] = True
-            worker.warm_work += attempt.usual
+            worker.warm_work += attempt.expected_latency
             if worker.silent_since is None:
                 worker.silent_since = attempt.sent
         self.in_flight += 1
@@ -164,7 +164,7 @@
         """Count an attempt that has ended."""
         worker = self.worker
         if worker.warm_attempts.pop(attempt, None):
-            worker.warm_work -= attempt.usual
+            worker.warm_work -= attempt.expected_latency
         self.in_flight -= 1
         worker.in_flight -= 1
         if attempt.cold:
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -19,7 +19,7 @@
 from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.policy.throughput import Throughput
 from lapistrestle.policy.ticks import SECOND
-from lapistrestle.policy.types import Answer, Attempt, EndpointState, LoadState, Outcome, Zone
+from lapistrestle.policy.types import Attempt, AttemptResult, EndpointState, LoadState, Outcome, Zone
 
 # Ticks for which a worker whose queue was full is passed over, at most: queues turn over faster than zones.
 FULL_PAUSE: Final = SECOND // 2
@@ -46,33 +46,35 @@
     retry_budget: RetryBudget
     preloading: Preloading
 
-    def record(self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def record(
+        self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, result: AttemptResult
+    ) -> None:
         """Take in the end of an attempt."""
         worker = replica.worker
         request = attempt.request
         worker.set_memory(int(SHORT_MEMORY * self.throughput.memory_factor))
         loaded_first = attempt.cold
         if self.settings.reports_warmth:
-            loaded_first = answer.warmth is not LoadState.LOADED
+            loaded_first = result.load_state is not LoadState.LOADED
         if outcome is Outcome.OK:
-            self.record_ok(replica, attempt, answer, loaded_first)
+            self.record_ok(replica, attempt, result, loaded_first)
         self.retry_budget.add_result(attempt, outcome)
         if attempt.cold and outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMED_OUT):
-            self.record_load(replica, outcome, answer.took)
+            self.record_load(replica, outcome, result.latency)
         self.copies.note_restart(worker, outcome)
         if outcome is Outcome.NOT_LOADED:
             self.copies.refute(replica)
         if outcome is Outcome.REJECTED:
-            self.record_rejection(worker, request, answer.took)
-        self.record_queue(replica, answer)
+            self.record_rejection(worker, request, result.latency)
+        self.record_queue(replica, result)
         untimed = outcome in (Outcome.NOT_LOADED, Outcome.NOT_SENT) or (
             outcome is Outcome.OK and loaded_first
         )
-        if not untimed and answer.warmth is not LoadState.LOAD_FAILED:
-            self.record_latency(replica, attempt, outcome, answer.took)
+        if not untimed and result.load_state is not LoadState.LOAD_FAILED:
+            self.record_latency(replica, attempt, outcome, result.latency)
 
     def record_ok(
-        self, replica: FunctionReplica, attempt: Attempt, answer: Answer, loaded_first: bool
+        self, replica: FunctionReplica, attempt: Attempt, result: AttemptResult, loaded_first: bool
     ) -> None:
         """Count an ok answer, and add a copy where it was slow as others wait there too."""
         now = self.clock.now
@@ -80,15 +82,18 @@
         worker = replica.worker
         latencies = self.latency.by_method[request.method]
         self.copies.confirm(replica)
-        if not loaded_first and attempt.company <= 1:
-            latencies.add(now, answer.took)
+        if not loaded_first and attempt.concurrency <= 1:
+            latencies.add(now, result.latency)
         if worker.listing is EndpointState.SERVING and latencies.count.value:  # else its work is a guess
             self.slow_start.add_ok(request.method)
-        self.throughput.add_ok(answer.took)
+        self.throughput.add_ok(result.latency)
         worker.ok_answers.add(now, 1)
         worker.rejecting_until = 0
-        if answer.company is not None and answer.took > self.latency.bound(replica.function) * request.scale:
-            self.preloading.scale_up(replica, request, answer.company)
+        if (
+            result.concurrency is not None
+            and result.latency > self.latency.bound(replica.function) * request.scale
+        ):
+            self.preloading.scale_up(replica, request, result.concurrency)
 
     def record_load(self, replica: FunctionReplica, outcome: Outcome, latency: int) -> None:
         """Count an attempt that had a load before it; where answers do not tell loads, one on a crowded
@@ -110,18 +115,18 @@
             pause = int(BACKOFF * self.throughput.memory_factor)
             worker.customer_barred_until[request.customer] = now + pause
 
-    def record_queue(self, replica: FunctionReplica, answer: Answer) -> None:
+    def record_queue(self, replica: FunctionReplica, result: AttemptResult) -> None:
         """Count a reported queue as a latency to come, where own samples are too few: others' requests there,
         over the pace of a worker of its size.
         """
-        if self.throughput.memory_factor <= 1 or QUEUE_FIGURE not in answer.report:
+        if self.throughput.memory_factor <= 1 or QUEUE_FIGURE not in result.load_report:
             return
         worker = replica.worker
         all_answers = self.throughput.ok_rate() * self.settings.dispatcher_count
         rate = all_answers * worker.size / (self.capacity.size or 1)
         isolated = self.latency.isolated(replica.function)
         worker.add_latency(
-            self.clock.now, isolated + answer.report[QUEUE_FIGURE] / max(rate, LEAST_RATE), isolated
+            self.clock.now, isolated + result.load_report[QUEUE_FIGURE] / max(rate, LEAST_RATE), isolated
         )
 
     def record_latency(
--- a/lapistrestle/policy/ports.py
+++ b/lapistrestle/policy/ports.py
@@ -4,9 +4,10 @@
 """
 
 from collections.abc import Mapping, Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
-from lapistrestle.policy.types import Answer, Attempt, FunctionInfo, Outcome, RequestInfo, WorkerInfo
+from lapistrestle.policy.entities import Function, Request, Worker
+from lapistrestle.policy.types import Attempt, AttemptResult, FunctionInfo, Outcome, RequestInfo, WorkerInfo
 
 
 class Host(Protocol):
@@ -54,42 +55,42 @@
 
     now: int
 
-    def on_endpoints(self, workers: Sequence[tuple[Any, WorkerInfo]], whole: bool) -> None:
-        """The endpoint list says this of these workers; `whole`: it names all that there are."""
+    def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
+        """The endpoint list says this of these workers; `snapshot`: it names all that there are."""
 
     def on_endpoints_failed(self) -> None:
         """The endpoint list could not be had."""
 
-    def on_prefix(self, function: Any, prefix: Any) -> None:
+    def on_prefix(self, function: Function, prefix: list[Worker]) -> None:
         """The first workers of the function's order, each of them reported before."""
 
-    def on_request(self, request: Any) -> None:
+    def on_request(self, request: Request) -> None:
         """A request came in."""
 
     def on_attempt_started(self, attempt: Attempt) -> None:
         """The worker has begun to answer."""
 
-    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: Answer) -> None:
+    def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, result: AttemptResult) -> None:
         """An attempt ended."""
 
-    def on_client_gone(self, request: Any) -> None:
+    def on_client_gone(self, request: Request) -> None:
         """The client has left, or the host has answered it."""
 
     def on_timer(self, token: object) -> None:
         """A timer that the module set is due."""
 
     def on_preload_finished(
-        self, worker: Any, function: Any, outcome: Outcome, count: int, duration: int
+        self, worker: Worker, function: Function, outcome: Outcome, count: int, duration: int
     ) -> None:
         """A preload was answered: so many copies stand there, after so many ticks."""
 
     def on_health_check(
-        self, worker: Any, outcome: Outcome, duration: int, report: Mapping[str, float]
+        self, worker: Worker, outcome: Outcome, duration: int, report: Mapping[str, float]
     ) -> None:
         """A health check was answered, after so many ticks."""
 
     def on_gossip(self, peer: int, text: str) -> None:
         """Another dispatcher sent a text."""
 
-    def on_peer_verdict(self, worker: Any, at: int) -> None:
+    def on_peer_verdict(self, worker: Worker, at: int) -> None:
         """Others of the fleet found the worker healthy, at that tick."""
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -177,11 +177,11 @@
                 continue
             count = used.get(replica, 0) + headroom
             headroom = 0
-            may_load = self.load_limit.in_progress < self.load_limit.limit and self.load_limit.fleet_allows(
-                beside_copy=True
-            )
+            below_limit = self.load_limit.in_progress < self.load_limit.limit
+            may_load = below_limit and self.load_limit.fleet_allows(beside_copy=True)
             loads = count > self.copies.believed(replica)
-            if may_load if loads else count > used.get(replica, 0):
+            wanted = may_load if loads else count > used.get(replica, 0)
+            if wanted:
                 self.preload(replica, count, UPKEEP_PART)
 
     def forget(self, workers: Sequence[Worker]) -> None:
--- a/lapistrestle/policy/types.py
+++ b/lapistrestle/policy/types.py
@@ -7,7 +7,10 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum, IntEnum, auto
-from typing import Any
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from lapistrestle.policy.entities import Function, Request, Worker
 
 
 class Outcome(Enum):
@@ -90,7 +93,7 @@
     """One request as it came in. `tag` belongs to the host; decisions never read it."""
 
     tag: str
-    function: Any  # an `entities.Function`, made by the host
+    function: "Function"
     method: int
     customer: int
     deadline: int  # when the client gives up on this try
@@ -106,21 +109,21 @@
 class Attempt:
     """One attempt of a request on a worker."""
 
-    request: Any  # an `entities.Request`
-    worker: Any  # an `entities.Worker`
+    request: "Request"
+    worker: "Worker"
     sent: int
     cold: bool = False  # a load is expected behind it
-    company: int = 0  # own requests of the function on the worker, this one included, when it was sent
-    usual: int = 0  # ticks that it would take alone
+    concurrency: int = 0  # own requests of the function on the worker, this one included, when it was sent
+    expected_latency: int = 0  # ticks that it would take alone
     outcome: Outcome | None = None
 
 
 @dataclass(frozen=True)
-class Answer:
+class AttemptResult:
     """What came back with the end of an attempt."""
 
-    took: int  # ticks
+    latency: int  # ticks
     over: bool = False  # the request is over, by this outcome or earlier
-    warmth: LoadState = LoadState.UNKNOWN
-    company: int | None = None  # requests of the function found there, where answers tell
-    report: Mapping[str, float] = field(default_factory=dict)  # load report: figures by name
+    load_state: LoadState = LoadState.UNKNOWN
+    concurrency: int | None = None  # requests of the function found there, where answers tell
+    load_report: Mapping[str, float] = field(default_factory=dict)  # figures by name
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -42,7 +42,7 @@
     settings = {**SETTINGS, "family-info": {**SETTINGS["family-info"], **info}}
     made = Dispatcher(Recorder(), translation.to_settings(settings), 7, 0)
     facts = [WorkerInfo(f"w{i}", cell=i // 2) for i in range(workers)]
-    made.on_endpoints([(Worker(f.name), f) for f in facts], whole=True)
+    made.on_endpoints([(Worker(f.name), f) for f in facts], snapshot=True)
     made.now = 50_000
     return made
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -14,8 +14,8 @@
 from lapistrestle.policy.settings import CustomerSettings
 from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import (
-    Answer,
     Attempt,
+    AttemptResult,
     EndpointState,
     LoadState,
     Outcome,
@@ -35,7 +35,7 @@
     a, b = dispatcher(8), dispatcher(8)
     functions = [Function(f"f{i}") for i in range(200)]
     homes = [a.orders.function_order(function)[0].name for function in functions]
-    b.on_endpoints([(Worker("new"), WorkerInfo("new"))], whole=False)
+    b.on_endpoints([(Worker("new"), WorkerInfo("new"))], snapshot=False)
     moved = [b.orders.function_order(Function(function.name))[0].name for function in functions]
     changed = [(old, new) for old, new in zip(homes, moved, strict=True) if old != new]
     assert 0 < len(changed) < 50 and {new for _, new in changed} == {"new"}
@@ -63,7 +63,7 @@
     made = dispatcher()
     one = request(made, method)
     made.on_request(one)
-    made.on_attempt_finished(one.attempts[0], outcome, Answer(5))
+    made.on_attempt_finished(one.attempts[0], outcome, AttemptResult(5))
     assert made.host.acts[-1][0] == word and one.over == (word == "abort")
 
 
@@ -82,7 +82,7 @@
 def test_nothing_goes_to_a_draining_worker_nor_is_ordered_there():
     made = dispatcher(1)
     one, worker = request(made), made.endpoints.workers[0]
-    made.on_endpoints([(worker, WorkerInfo(worker.name, listing=EndpointState.DRAINING))], whole=False)
+    made.on_endpoints([(worker, WorkerInfo(worker.name, listing=EndpointState.DRAINING))], snapshot=False)
     made.on_request(one)
     assert one.state is State.OVER and acts(made, "reject") and not acts(made, "send_attempt")
     assert not made.preloading.preload(one.function.replica(worker), 1) and not acts(made, "preload")
@@ -92,7 +92,7 @@
     """Drawn by a linear checksum, one worker in forty was home of 13 times as many functions as another."""
     made = dispatcher(0)
     facts = [WorkerInfo(f"s-{crc32(str(i).encode()):08x}") for i in range(40)]
-    made.on_endpoints([(Worker(f.name), f) for f in facts], whole=True)
+    made.on_endpoints([(Worker(f.name), f) for f in facts], snapshot=True)
     functions = [Function(f"000000{i:08x}01") for i in range(2_000)]
     homes = Counter(made.orders.function_order(function)[0] for function in functions)
     assert min(homes[worker] for worker in made.endpoints.workers) >= 25 and max(homes.values()) <= 80
@@ -250,18 +250,18 @@
     for _ in range(200):
         one = request(made)
         made.on_request(one)
-        made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(2_000))
+        made.on_attempt_finished(one.attempts[0], Outcome.OK, AttemptResult(2_000))
     before = room()
     stays = [(made.endpoints.workers[0], WorkerInfo("w0", booted=made.now))]
     leaver = made.endpoints.workers[5]
     made.on_endpoints(
-        stays + [(s, WorkerInfo(s.name, listing=left)) for s in made.endpoints.workers[1:]], whole=False
+        stays + [(s, WorkerInfo(s.name, listing=left)) for s in made.endpoints.workers[1:]], snapshot=False
     )
     late = request(made)
     late.state = State.OUT
     late.attempts.append(Attempt(late, leaver, made.now))
     late.function.replica(leaver).start(late.attempts[0])
-    made.on_attempt_finished(late.attempts[0], Outcome.OK, Answer(2_000))
+    made.on_attempt_finished(late.attempts[0], Outcome.OK, AttemptResult(2_000))
     assert 1 <= room() <= before
 
 
@@ -315,7 +315,7 @@
     made = dispatcher(1)
     one = request(made)
     made.on_request(one)
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(30))
     assert one.state is State.PARKED and acts(made, "preload")[0][3] == 1
     made.on_preload_finished(made.endpoints.workers[0], one.function, Outcome.OK, 1, 6_000)
     assert one.state is State.OUT and len(one.attempts) == 2
@@ -329,7 +329,7 @@
         two.function.replicas[made.endpoints.workers[0]].confirmed_at,
     ) = 1, made.now
     made.on_request(one)
-    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(5))
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, AttemptResult(5))
     made.on_request(two)
     assert two.over and not two.attempts
     made.endpoints.workers[0].rejecting_until = 0
@@ -346,7 +346,7 @@
     made.on_request(one)
     made.on_request(two)
     assert two.state is State.PARKED
-    made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(900, over=True))
+    made.on_attempt_finished(one.attempts[0], Outcome.OK, AttemptResult(900, over=True))
     assert two.state is State.OUT
 
 
@@ -358,7 +358,7 @@
         one = request(made)
         made.attempts.send(one, one.function.replica(worker))
         worker.latency_sum.add(made.now, 900_000 if crowded else -900_000)
-        made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(29_000, over=True))
+        made.on_attempt_finished(one.attempts[0], Outcome.OK, AttemptResult(29_000, over=True))
         assert (made.load_limit.limit == before) == crowded
 
 
@@ -366,7 +366,7 @@
     made = dispatcher(1)
     one = request(made)
     made.on_request(one)
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(30))
     made.on_timer(one)
     assert one.over and acts(made, "reject")
     made.on_preload_finished(made.endpoints.workers[0], one.function, Outcome.OK, 1, 6_000)
@@ -381,7 +381,7 @@
     one.attempts[:0] = one.attempts * (tries - 1)
     for _ in range(further):
         made.retry_budget.results.add(made.now, 0)
-    made.on_attempt_finished(one.attempts[-1], Outcome.REJECTED, Answer(5))
+    made.on_attempt_finished(one.attempts[-1], Outcome.REJECTED, AttemptResult(5))
     assert one.over != went_on
 
 
@@ -429,9 +429,9 @@
     one.state = State.PLACING
     made.attempts.send(one, one.function.replica(second))
     one.state = State.OUT
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
     assert [c.worker for c in one.attempts] == [second, home] and not acts(made, "preload")
-    made.on_attempt_finished(one.attempts[1], Outcome.NOT_LOADED, Answer(10))
+    made.on_attempt_finished(one.attempts[1], Outcome.NOT_LOADED, AttemptResult(10))
     assert acts(made, "preload") and one.function.replica(home).waiters == [one]
 
 
@@ -472,7 +472,7 @@
     made.throughput.ok_answers.add(made.now, 100)
     for _ in range(made_lately):
         made.retry_budget.results.add(made.now, 1)
-    made.on_attempt_finished(one.attempts[0], Outcome.ERROR, Answer(5))
+    made.on_attempt_finished(one.attempts[0], Outcome.ERROR, AttemptResult(5))
     assert made.host.acts[-1][0] == word
 
 
@@ -480,8 +480,8 @@
     made = dispatcher(1)
     one = request(made)
     made.on_request(one)
-    made.on_endpoints([], whole=True)
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    made.on_endpoints([], snapshot=True)
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
     assert one.over and len(acts(made, "reject")) == 1 and not acts(made, "preload")
 
 
@@ -505,7 +505,9 @@
     one = request(made)
     made.on_request(one)
     home = one.attempts[0].worker
-    made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(took, True, LoadState.LOADED, company))
+    made.on_attempt_finished(
+        one.attempts[0], Outcome.OK, AttemptResult(took, True, LoadState.LOADED, company)
+    )
     loads = acts(made, "preload")
     assert len(loads) == orders and all(
         o[1] is made.orders.function_order(one.function)[1] and home is not o[1] for o in loads
@@ -529,7 +531,7 @@
     one = request(made)
     made.on_request(one)
     worker = one.attempts[0].worker
-    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(5))
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, AttemptResult(5))
     assert made.now < worker.rejecting_until <= made.now + SECOND // 2
 
 
@@ -564,7 +566,7 @@
     home = made.orders.function_order(one.function)[0]
     made.attempts.send(one, one.function.replica(home))
     one.state = State.OUT
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
     assert not acts(made, "preload") and not one.function.replica(home).waiters
 
 
@@ -593,15 +595,15 @@
     made.preloading.functions[one.function] = None
     one.attempts.append(Attempt(one, busy, made.now))
     one.function.replica(busy).start(one.attempts[0])
-    made.on_endpoints([(busy, WorkerInfo("w1", listing=EndpointState.REMOVED))], whole=False)
+    made.on_endpoints([(busy, WorkerInfo("w1", listing=EndpointState.REMOVED))], snapshot=False)
     assert made.endpoints.workers == [stays, busy]
     one.function.replica(busy).finish(one.attempts[0])
     for i in range(2_000):
         new = Worker(f"n{i}")
-        made.on_endpoints([(new, WorkerInfo(new.name))], whole=False)
+        made.on_endpoints([(new, WorkerInfo(new.name))], snapshot=False)
         made.orders.function_order(one.function)
         one.function.replica(new)
-        made.on_endpoints([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], whole=False)
+        made.on_endpoints([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], snapshot=False)
     assert (
         made.endpoints.workers == [stays] and len(one.function.marks) < 3 and len(one.function.replicas) < 3
     )
@@ -619,7 +621,7 @@
     one.state = State.OUT
     made.attempts.send(one, one.function.replica(home))
     made.now += 1_600
-    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(1_600))
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, AttemptResult(1_600))
     assert (home.customer_barred_until.get(0, 0) > made.now) is closed
     made.now += SECOND // 2
     assert (home in made.candidates.usable(request(made), made.endpoints.ring)) is not closed
@@ -634,7 +636,7 @@
     made.attempts.send(one, one.function.replica(home))
     made.now += 30_000
     assert not made.health.healthy(home)
-    made.on_attempt_finished(one.attempts[0], Outcome.TIMED_OUT, Answer(30_000))
+    made.on_attempt_finished(one.attempts[0], Outcome.TIMED_OUT, AttemptResult(30_000))
     home.ejected = False
     assert not made.health.healthy(home)
     made.now += 100_000
@@ -669,7 +671,7 @@
     stands.copies, stands.confirmed_at = 1, made.now - 1
     one.state = State.OUT
     made.attempts.send(one, one.function.replica(home))
-    made.on_attempt_finished(one.attempts[0], outcome, Answer(10))
+    made.on_attempt_finished(one.attempts[0], outcome, AttemptResult(10))
     assert (made.copies.believed(stands) == 0) is emptied
 
 
@@ -686,7 +688,7 @@
     )  # the ration is kept for those that may
     one.state = State.OUT
     made.attempts.send(one, replica)
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(10))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
     assert one in one.function.replica(next_).waiters and acts(made, "preload")[-1][1] is next_
     home.loads_rejected_until = made.now + 1
     second.pending_preloads.append(PendingPreload(made.now, True))
@@ -731,7 +733,9 @@
         one = request(made)
         made.on_request(one)
         made.throughput.memory_factor = stretch
-        made.on_attempt_finished(one.attempts[0], Outcome.OK, Answer(900, over=True, report={"backlog": 20}))
+        made.on_attempt_finished(
+            one.attempts[0], Outcome.OK, AttemptResult(900, over=True, load_report={"backlog": 20})
+        )
         assert (
             made.zones.worker_zone(one.function.replica(made.endpoints.workers[0])) is Zone.UNSAFE
         ) == crowded
@@ -744,7 +748,7 @@
     one, same, other = request(made), request(made), request(made)
     other.customer = 1
     made.on_request(one)
-    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, Answer(2_000))
+    made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, AttemptResult(2_000))
     for late in (same, other):
         made.on_request(late)
     assert same.over and not same.attempts and other.attempts
@@ -771,7 +775,7 @@
     last = one.function.replica(made.orders.function_order(one.function)[2])
     made.on_request(one)
     last.copies, last.confirmed_at = int(stands), made.now
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, Answer(30))
+    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(30))
     assert [c.worker for c in one.attempts[1:]] == [last.worker] * stands
     assert one.over is not stands and len(acts(made, "reject")) == int(not stands)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -505,7 +505,7 @@
     stage.hand.until(lambda: got)
     (worker_call,) = stage.host.worker_calls.values()
     request, worker = worker_call.pending, worker_call.worker
-    second = Attempt(request, worker, stage.module.now, company=2)
+    second = Attempt(request, worker, stage.module.now, concurrency=2)
     request.attempts.append(second)
     request.function.replica(worker).start(second)
     stage.host.send_attempt(second, 10_000)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -17,7 +17,7 @@
 from lapistrestle.deployment import translation
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.entities import Function, Request, Worker
-from lapistrestle.policy.types import Answer, Outcome, State, WorkerInfo
+from lapistrestle.policy.types import AttemptResult, Outcome, State, WorkerInfo
 
 SECOND = 10_000
 BOOT = 30 * SECOND
@@ -81,7 +81,7 @@
         rules = {**SETTINGS["rules"], **self.rules.settings()}
         facts = translation.to_settings({**SETTINGS, "balancers": self.of, "me": number, "rules": rules})
         dispatcher = Dispatcher(Silent(), facts, self.seed * 1000 + number, now)
-        dispatcher.on_endpoints([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in range(WARM)], whole=True)
+        dispatcher.on_endpoints([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in range(WARM)], snapshot=True)
         return dispatcher
 
     def boots(self):
@@ -126,7 +126,7 @@
         dispatcher.now = now
         heard = max((b for b, hear in zip(boots, hears[i], strict=True) if now >= hear), default=None)
         if heard is not None and cold[i].booted != heard:
-            dispatcher.on_endpoints([(cold[i], WorkerInfo("cold", booted=heard))], whole=False)
+            dispatcher.on_endpoints([(cold[i], WorkerInfo("cold", booted=heard))], snapshot=False)
         scale = chance.gammavariate(play.uneven**-2, play.uneven**2) if play.uneven else 1.0
         scale = max(0.2, scale)
         scales.append(scale)
@@ -144,7 +144,7 @@
             worker = next(s for s in dispatcher.endpoints.workers if s is not cold[i])
         dispatcher.attempts.send(request, function.replica(worker))
         dispatcher.now = now + 1
-        dispatcher.on_attempt_finished(request.attempts[-1], Outcome.OK, Answer(int(WORK * scale)))
+        dispatcher.on_attempt_finished(request.attempts[-1], Outcome.OK, AttemptResult(int(WORK * scale)))
     mean = sum(scales) / len(scales)
     return [replace(s, work=s.work / mean) for s in sends]
 
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -67,7 +67,7 @@
     all_ = [made(i, of, seed, clock, told, rules) for i in range(of)]
     parts = [chance.sample(range(workers), seen) for _ in range(of)]
     for dispatcher, part in zip(all_, parts, strict=True):
-        dispatcher.on_endpoints([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in part], whole=True)
+        dispatcher.on_endpoints([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in part], snapshot=True)
     function, next_sums, restarted = Function("f", 0, 100.0, 1), 0, False
     watched = min(6 * SECOND, int(rules.ramp * SECOND))  # then it is warm, and nothing binds
     while at < BOOT + watched:
@@ -82,8 +82,8 @@
             for dispatcher in all_:
                 dispatcher.now = now
                 again = [s for s in dispatcher.endpoints.workers if fleet.booted(int(s.name[1:])) is not None]
-                dispatcher.on_endpoints([(s, WorkerInfo(s.name, booted=BOOT)) for s in again], whole=False)
-                dispatcher.on_endpoints([(Worker("cold"), WorkerInfo("cold", booted=BOOT))], whole=False)
+                dispatcher.on_endpoints([(s, WorkerInfo(s.name, booted=BOOT)) for s in again], snapshot=False)
+                dispatcher.on_endpoints([(Worker("cold"), WorkerInfo("cold", booted=BOOT))], snapshot=False)
         dispatcher = chance.choice(all_)
         dispatcher.now = now
         cold = next((worker for worker in dispatcher.endpoints.workers if worker.name == "cold"), None)
