--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.entities import Function, Request, Worker
 from lapistrestle.policy.settings import Settings
-from lapistrestle.policy.types import WorkerInfo
+from lapistrestle.policy.types import State, WorkerInfo
 
 SETTINGS: dict[str, Any] = {
     "balancers": 2,
@@ -57,3 +57,29 @@
     for part in vars(made).values():
         if isinstance(getattr(part, "settings", None), Settings):
             part.settings = made.settings
+
+
+def acts(made: Dispatcher, command: str) -> list[tuple[Any, ...]]:
+    """What a dispatcher asked of its host by that command."""
+    host = made.host
+    assert isinstance(host, Recorder)
+    return host.of(command)
+
+
+def last_act(made: Dispatcher) -> str:
+    """The command that a dispatcher gave its host last."""
+    host = made.host
+    assert isinstance(host, Recorder)
+    return str(host.acts[-1][0])
+
+
+def state(one: Request) -> State:
+    """Where a request stands now: it changes between two looks."""
+    return one.state
+
+
+def front_end_of_many(**info: Any) -> Dispatcher:
+    """A dispatcher that meets each worker seldom."""
+    made = dispatcher(6, **info)
+    made.now, made.throughput.memory_factor = 500_000, 3.0
+    return made
