--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -1,13 +1,13 @@
 """Attempts in flight at workers: sent within the rules, timed, and reported to the module once each."""
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, cast
 
 from lapistrestle.hosting.answers import FinalAnswers
 from lapistrestle.hosting.context import HostContext
 from lapistrestle.hosting.events import EventQueue
 from lapistrestle.hosting.requests import NO_REPORT, Counter, PendingRequest, RequestEnd, WorkerCall
-from lapistrestle.policy.types import Answer, Attempt, LoadState, Outcome
+from lapistrestle.policy.types import Attempt, AttemptResult, LoadState, Outcome
 
 
 class WorkerCalls:
@@ -24,7 +24,7 @@
         """Send, unless the request is over, an attempt is in flight already where only one may be, or the
         limit of attempts is reached. A `time_out` of 0 stands for the request's deadline.
         """
-        pending = attempt.request
+        pending = cast(PendingRequest, attempt.request)  # made by the host
         now = self.context.clock()
         time_left = pending.deadline - now
         within = min(time_out, time_left) if time_out else time_left
@@ -103,7 +103,7 @@
             self.answers.finish(pending, RequestEnd.OK, body=body)
         elif pending.streaming is worker_call and not pending.final:
             self.answers.finish(pending, RequestEnd.ABORTED)  # a break in a begun stream ends it
-        answer = Answer(max(0, now - worker_call.sent_at), pending.final, warmth, concurrent, report)
+        answer = AttemptResult(max(0, now - worker_call.sent_at), pending.final, warmth, concurrent, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
         self.events.post(pending, "on_attempt_finished", worker_call.attempt, outcome, answer)
