--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -125,7 +125,7 @@
         case ast.Constant(value=str(text)):
             return [text]
         case ast.JoinedStr(values=values):
-            return ["".join(str(v.value) if isinstance(v, ast.Constant) else "{}" for v in values)]
+            return ["".join(part(call, value) for value in values)]
         case ast.IfExp(body=body, orelse=orelse):
             either = texts(call, body), texts(call, orelse)
             return None if None in either else [t for each in either for t in each or ()]
@@ -134,6 +134,17 @@
     return None
 
 
+def part(call: LogCall, value: ast.expr) -> str:
+    """A part of an f-string: its text, also where a local name stands for just one, else {}."""
+    match value:
+        case ast.Constant(value=text):
+            return str(text)
+        case ast.FormattedValue(value=ast.Name(id=name), format_spec=None):
+            named = None if is_passed_on(call, ast.Name(name)) else values_of(call, name)
+            return named[0] if named and len(named) == 1 else "{}"
+    return "{}"
+
+
 def values_of(call: LogCall, name: str) -> list[str] | None:
     """The literal values of a name: of the function around the call, of its module, or imported."""
     values = [
