--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -1,6 +1,6 @@
 """The planner, its journal, its plans at a dispatcher, and what one change costs each of them.
 
-`planner`: the program's own `Planner` on a real journal, its edges real `PlannerSpeaker` ends whose
+`planner`: the program's own `Planner` on a real journal, its edges real `PlannerConnection` ends whose
 transports only count. `keeper`: the planner's state alone, by functions that have had a rollout. `plans`:
 the edge's `PlannerSource` and `Routing`, by functions that the plan names.
 """
@@ -19,11 +19,14 @@
 from benchmarks.scale.roles.control_hollow import SECOND, Traffic, deployment
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.edge.planning import PlannerSource
-from lapistrestle.planner.program import Planner, PlannerSpeaker
-from lapistrestle.planner.state import Command, PlannerState, Reply, Report
-from lapistrestle.rollout.life import Input, Rollout
+from lapistrestle.planner.connection import PlannerConnection
+from lapistrestle.planner.entries import CommandEntry, OutcomeEntry
+from lapistrestle.planner.server import Planner
+from lapistrestle.planner.state import CommandResult, PlannerState
+from lapistrestle.policy.settings import Settings
 from lapistrestle.rollout.routing import Routing
-from lapistrestle.rollout.versions import Split
+from lapistrestle.rollout.state_machine import Rollout, RolloutInput
+from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 from lapistrestle.standins.virtual import BUFFER
 from lapistrestle.store.journal import Journal
 from lapistrestle.wire import messages as wire
@@ -40,10 +43,10 @@
     return f"function-{number:06d}"
 
 
-def start_of(number: int, at: int, version: str = "v2") -> Command:
-    return Command(
-        at=at, id=f"order-{number}-{version}", what="start", function=function(number), who="operator",
-        why="release of the day", candidate=f"version-{version}", remembered=REMEMBERED,
+def start_of(number: int, at: int, version: str = "v2") -> CommandEntry:
+    return CommandEntry(
+        at=at, id=f"order-{number}-{version}", action="start", function=function(number), operator="operator",
+        reason="release of the day", candidate=f"version-{version}", retention=REMEMBERED,
     )  # fmt: skip
 
 
@@ -54,13 +57,15 @@
     for number in range(functions):
         command = start_of(number, 0)
         state.number += 1
-        rollout = Rollout(command.function, "", command.candidate, command.steps, command.remembered)
-        rollout.tell(Input.START, 0, command.who, command.why)
-        rollout.tell(Input.BACK, 0, command.who)
-        rollout.tell(Input.FORGOTTEN, 0)
+        rollout = Rollout(command.function, "", command.candidate, command.steps, command.retention)
+        rollout.handle(RolloutInput.START, 0, command.operator, command.reason)
+        rollout.handle(RolloutInput.ROLL_BACK, 0, command.operator)
+        rollout.handle(RolloutInput.RETENTION_ENDED, 0)
         state.rollouts[command.function] = rollout
-        state.changed[command.function] = state.number
-        state.replies[command.id] = Reply("done", "none to v2", "warming", 0.0, state.number)
+        state.changed_at[command.function] = state.number
+        state.results[command.id] = CommandResult(
+            CommandOutcome.DONE, "none to v2", "warming", 0.0, state.number
+        )
     return state
 
 
@@ -119,6 +124,8 @@
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> None: ...
 
+    def listenTCP(self, port: int, factory: Any, *, interface: str) -> None: ...
+
 
 class HollowPlanner:
     """A planner with that many edges connected and that many functions behind it."""
@@ -130,32 +137,32 @@
         self.planner.journal.append([b"{}"] * self.planner.state.number)
         self.speakers = [self.connect(number) for number in range(edges)]
 
-    def connect(self, number: int) -> PlannerSpeaker:
-        speaker = PlannerSpeaker(self.planner)
+    def connect(self, number: int) -> PlannerConnection:
+        speaker = PlannerConnection(self.planner)
         speaker.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
         speaker.paused = False
         hello = wire.Hello(plans.PLANNER, wire.VERSION, f"dispatcher-{number:05d}", start=f"start-{number}")
         self.hear(speaker, hello)
         return speaker
 
-    def hear(self, speaker: PlannerSpeaker, message: wire.Message) -> None:
+    def hear(self, speaker: PlannerConnection, message: wire.Message) -> None:
         speaker.dataReceived(wire.encode(message) + b"\n")
 
     def order(self, number: int, candidate: str = "v3") -> None:
-        order = plans.Order(
-            id=f"burst-{candidate}-{number}", what="start", function=function(number), who="operator",
-            why="release of the day", candidate=f"version-{candidate}", remembered=0.0,
+        order = plans.RolloutCommand(
+            id=f"burst-{candidate}-{number}", action="start", function=function(number), operator="operator",
+            reason="release of the day", candidate=f"version-{candidate}", retention=0.0,
         )  # fmt: skip
-        self.planner.state.replies.pop(order.id, None)
+        self.planner.state.results.pop(order.id, None)
         self.hear(self.speakers[-1], order)
 
     def counts(self, number: int) -> None:
         """One edge's running counts of one function's rollout."""
-        count = plans.Counts(function(number), "version-v3", -1, 1, (10, 0, 1, 0))
+        count = plans.OutcomeReport(function(number), "version-v3", -1, 1, (10, 0, 1, 0))
         self.hear(self.speakers[0], count)
 
     def beat(self, number: int) -> None:
-        self.hear(self.speakers[number % len(self.speakers)], plans.Beat(1, 1))
+        self.hear(self.speakers[number % len(self.speakers)], plans.Heartbeat(1, 1))
 
     def close(self) -> None:
         self.planner.journal.close()
@@ -237,12 +244,12 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         state, held = build_measured(lambda: keeper_of(size))
-        report = Report(
+        report = OutcomeEntry(
             at=SECOND, edge="dispatcher-00001", start="start-1", function=function(0), candidate="version-v2",
             step=-1, minute=1, counts=(10, 0, 1, 0),
         )  # fmt: skip
         entry = processor_seconds(lambda: state.apply(state.number + 1, report), 3)
-        whole = processor_seconds(lambda: state.plan(), 3)
+        whole = processor_seconds(lambda: state.splits_changed_after(), 3)
         steps = count_steps(lambda: state.apply(state.number + 1, report)).instructions
         return Sample(
             state_bytes=held, processor=entry.median * BURST_CHANGES, processor_low=entry.low * BURST_CHANGES,
@@ -256,8 +263,8 @@
         functions = target.functions // (10 if quick else 1)
         state, held = build_measured(lambda: keeper_of(functions))
         entry = processor_seconds(lambda: state.apply(state.number + 1, start_of(0, 1, "v2")), 3).median
-        plan = processor_seconds(lambda: state.plan(state.number), 3).median
-        whole = processor_seconds(lambda: state.plan(), 3).median
+        plan = processor_seconds(lambda: state.splits_changed_after(state.number), 3).median
+        whole = processor_seconds(lambda: state.splits_changed_after(), 3).median
         return [
             Figure(f"state of {functions} rollouts", held, "bytes"),
             Figure(f"one entry, {functions} rollouts", entry, "s", 1 / BURST_CHANGES),
@@ -294,7 +301,8 @@
         self.name = "dispatcher-00001"
         self.deployment = deployment(3_900)
         self.deployment.planner.keep = keep
-        self.facts = {"dial_time_out": SECOND, "may_order": True, "memory_by_kind": [], "idle_life": SECOND}
+        self.connect_timeout = SECOND
+        self.settings = Settings(connect_timeout=SECOND, may_preload=True, idle_timeout=SECOND)
         self.bounds = LineBounds()
         self.routing = Routing()
         self.now = 1_000 * SECOND
@@ -311,18 +319,18 @@
     def log(self, what: str, **figures: Any) -> None: ...
 
 
-def split_at(number: int, share: float = 0.25) -> Split:
+def split_at(number: int, share: float = 0.25) -> TrafficSplit:
     """What the planner tells of a function under way."""
-    return Split(function(number), "version-v1", "version-v2", share, share, False, 1, 1.0)
+    return TrafficSplit(function(number), "version-v1", "version-v2", share, share, False, 1, 1.0)
 
 
-def settled_split(number: int) -> Split:
-    return Split(function(number), "version-v2")
+def settled_split(number: int) -> TrafficSplit:
+    return TrafficSplit(function(number), "version-v2")
 
 
 def whole_plan(functions: int) -> plans.Plan:
-    shares = [plans.shown(settled_split(number)) for number in range(functions)]
-    return plans.Plan(functions, 1, shares, True)
+    splits = [plans.to_message(settled_split(number)) for number in range(functions)]
+    return plans.Plan(functions, 1, splits, True)
 
 
 def whole_line(functions: int) -> bytes:
@@ -388,8 +396,8 @@
 def change_told(source: PlannerSource, number: int) -> None:
     """One change, as its line arrives."""
     routing = source.routing
-    plan = plans.Plan(routing.number + 1, routing.epoch, [plans.shown(split_at(number))])
-    source.told(plans.Plan(plan.number, plan.epoch, plan.shares))
+    plan = plans.Plan(routing.number + 1, routing.epoch, [plans.to_message(split_at(number))])
+    source.told(plans.Plan(plan.number, plan.epoch, plan.splits))
 
 
 def source_heard(line: bytes) -> None:
@@ -447,7 +455,7 @@
 
 def is_sent(functions: int, each: float) -> bool:
     """Whether a planner's end goes on after a line of that many functions of `each` bytes."""
-    speaker = PlannerSpeaker(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
+    speaker = PlannerConnection(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
     speaker.makeConnection(PausingTransport(Traffic()))  # type: ignore[no-untyped-call]
     speaker.paused = False
     speaker.say_line(bytes(int(functions * each)))
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -1,23 +1,26 @@
 """The edge of the line protocol: its clients, runners, roster and planner, and which version an RPC meets."""
 
 from collections.abc import Callable, Sequence
+from dataclasses import replace
 from typing import Any
 
-from lapistrestle.deployment.load import facts
+from lapistrestle.deployment.load import to_settings
 from lapistrestle.deployment.shape import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
 from lapistrestle.edge.core import Core, Log
 from lapistrestle.edge.following import Address, Do, Following, News
 from lapistrestle.edge.keeping import Keeping
+from lapistrestle.edge.linking import PROMPT
 from lapistrestle.edge.peers import Peers
 from lapistrestle.edge.planning import PlannerSource
 from lapistrestle.edge.rosters import RosterSource
 from lapistrestle.edge.runners import Runner, bounds_of
 from lapistrestle.hosting.requests import ABORTED, DENIED, PendingRequest, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
+from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
-from lapistrestle.rollout.versions import Course, after_denial, key_of
+from lapistrestle.rollout.version_choice import VersionChoice, attempt_key, choose_after_denial
 from lapistrestle.wire import messages as wire
 
 
@@ -51,13 +54,14 @@
         self.planner: PlannerSource | None = None
         self.routing = Routing()
         seed = place.seed if seed is None else seed
-        told = dict(facts(deployment))
+        settings = replace(to_settings(deployment), preload_delay=PROMPT)
+        guidance = FleetGuidance()
         self.directory: Any = None
         if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
             from lapistrestle.directory.region import Region
 
-            told["region"] = Region(self.clock, told["cold_share"], told["ramp_time"])
-        super().__init__(reactor, place.name, told, log, seed, self.margin // 2, make)
+            guidance.region = Region(self.clock, settings.slow_start_share, settings.slow_start_duration)
+        super().__init__(reactor, place.name, settings, log, seed, self.margin // 2, make, fleet=guidance)
         clients = Clients(self)
         self.front, self.seats = clients, clients.seats
         self.make_runner = lambda name, port, start: Runner(self, name, port, start)
@@ -69,12 +73,12 @@
             self.sources.append(self.directory)
         elif deployment.roster.port:
             self.source = RosterSource(self, deployment.roster.port)
-            self.source.wanted = self.facts["list_asked"]
+            self.source.wanted = self.settings.endpoints_polled
             self.sources.append(self.source)
         if deployment.planner.port:
             self.planner = PlannerSource(self, deployment.planner.port)
             self.sources.append(self.planner)
-        self.peers = Peers(self) if self.facts["may_tell_peers"] else None
+        self.peers = Peers(self) if self.settings.may_gossip else None
         self.keeping = Keeping(self, place.keep) if place.keep else None
         fleet = deployment.fleet
         boot = round(reactor.seconds() * 1000) if boot is None else boot
@@ -137,13 +141,13 @@
     # versions
 
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
-        key = key_of(call.key, call.token, f"{seat.name}/{call.id}")
+        key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(
             call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
         )
 
     def kind(self, method: int) -> str:
-        kind: str = self.facts["methods"][method]["kind"]
+        kind: str = self.settings.methods[method].kind
         return kind
 
     def span(self, call: wire.Call) -> bool:
@@ -175,7 +179,7 @@
     def move(self, pending: PendingRequest) -> None:
         """An RPC that has not run on a version that is barred now goes to the settled one, in its time."""
         call, attempts = pending.message, pending.attempt_count()
-        route = self.routing.moved(pending.function.name, key_of(call.key, call.token, pending.tag))
+        route = self.routing.reroute(pending.function.name, attempt_key(call.key, call.token, pending.tag))
         left = pending.deadline - self.clock()
         if self.fleet_member is not None:
             self.fleet_member.admission.count_restart()
@@ -193,13 +197,13 @@
         if pending.route is not None and pending.route.candidate and how != "moved":
             if how != "ok" and (waited or self.barred(pending.function.name)):
                 return
-            self.routing.note(pending.route, how != "ok" or self.late(pending), self.clock())
+            self.routing.count_outcome(pending.route, how != "ok" or self.late(pending), self.clock())
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
-        method = self.facts["methods"][pending.method]
-        stretched = method["soft_deadline"] + method["soft_stretch"] * (pending.work or 0)
-        return bool(self.clock() - pending.began > min(method["deadline"], stretched))
+        method = self.settings.methods[pending.method]
+        stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
+        return bool(self.clock() - pending.began > min(method.deadline, stretched))
 
     # what the host asks (hosting.transport)
 
@@ -207,7 +211,7 @@
         late = pending.deadline - self.clock() <= 0
         if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
-            if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
+            if choose_after_denial(kind, pending.ran_on is not None, span) is VersionChoice.SETTLED:
                 return self.move(pending)
             verdict, retry_after = ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
@@ -216,7 +220,7 @@
         pending.client.say(wire.Begun(pending.message.id))
 
     def barred(self, name: str) -> bool:
-        return "@" in name and self.routing.barred(name, self.clock())
+        return "@" in name and self.routing.is_barred(name, self.clock())
 
     def run(self, worker_call: WorkerCall) -> None:
         if self.barred(worker_call.pending.function.name):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -123,13 +123,13 @@
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
-    told = parse(raw, "config.json").settings
+    told = parse(raw, "config.json").platform
     assert (told.limits.conn_idle, told.limits.streams_per_conn) == (15_000_000, 32)
     assert told.limits.dial_timeout == 100_000
 
 
 @pytest.mark.parametrize(
-    "group, key, value",
+    ("group", "key", "value"),
     [
         ("limits", "try-limit", 0),
         ("limits", "conn-idle", -1),
@@ -171,9 +171,9 @@
         del settings[group]
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
     configuration = parse(msgspec.json.encode(file), "config.json")
-    assert configuration.settings.limits.try_limit >= 1 and configuration.facts["fall_multiple"] >= 1
+    assert configuration.platform.limits.try_limit >= 1 and configuration.settings.overload_factor >= 1
     assert (
-        configuration.facts["dial_time_out"] > 0 and configuration.facts["order_time_out"] > 0
+        configuration.settings.connect_timeout > 0 and configuration.settings.preload_timeout > 0
     )  # else none would be met
     Node(Hand(), configuration, lambda what, **figures: None)
 
@@ -192,7 +192,7 @@
 
 
 @pytest.mark.parametrize(
-    "fields, status",
+    ("fields", "status"),
     [
         ({"method": "nosuch"}, 404),
         ({"HTTP_X_CALL_ID": ""}, 400),
@@ -229,7 +229,7 @@
     """Usual clients were seen with up to 7 ms more; the page gives every time limit 50 ms."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
-    deadline = stage.node.core.facts["methods"][0]["deadline"] / 10
+    deadline = stage.node.core.settings.methods[0].deadline / 10
     client, began = stage.client(), stage.hand.rightNow
     number = client.ask(patience=str(int(deadline) + over))
     stage.hand.quiet()
@@ -246,8 +246,8 @@
     tenants = [{"name": "orchard", "quota-rps": 5.0}, {"name": "mill & sons", "quota-rps": 50.0}]
     stage = stages(tenants=tenants)
     client, met = stage.client(), []
-    arrived = stage.module.arrived
-    stage.module.arrived = lambda request: (met.append(request.customer), arrived(request))
+    arrived = stage.module.on_request
+    stage.module.on_request = lambda request: (met.append(request.customer), arrived(request))
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
@@ -515,8 +515,8 @@
 
 def test_a_probe_names_its_figures_as_the_settings_do(stage):
     told = []
-    stage.module.probed = lambda worker, outcome, took, report: told.append(report)
-    stage.host.probe(next(iter(stage.workers().values())))
+    stage.module.on_health_check = lambda worker, outcome, took, report: told.append(report)
+    stage.host.health_check(next(iter(stage.workers().values())))
     stage.hand.until(lambda: told)
     assert told == [{"outstanding": 7.0, "utilization": 0.61}]
 
@@ -668,8 +668,8 @@
         runner.heard = lambda line, said: (
             orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
         )
-    taken, arrived = [], stage.module.arrived
-    stage.module.arrived = lambda request: (taken.append(weakref.ref(request)), arrived(request))
+    taken, arrived = [], stage.module.on_request
+    stage.module.on_request = lambda request: (taken.append(weakref.ref(request)), arrived(request))
     gc.collect()
     gc.disable()
     try:
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -14,7 +14,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.deployment import words
+from lapistrestle.deployment import translation
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.interface import Answer, Outcome, WorkerInfo
 from lapistrestle.policy.state import Function, Request, State, Worker
@@ -79,9 +79,9 @@
 
     def made(self, number, now):
         rules = {**SETTINGS["rules"], **self.rules.settings()}
-        facts = words.facts({**SETTINGS, "balancers": self.of, "me": number, "rules": rules})
+        facts = translation.to_settings({**SETTINGS, "balancers": self.of, "me": number, "rules": rules})
         dispatcher = Dispatcher(Silent(), facts, self.seed * 1000 + number, now)
-        dispatcher.listed([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in range(WARM)], whole=True)
+        dispatcher.on_endpoints([(Worker(f"w{k}"), WorkerInfo(f"w{k}")) for k in range(WARM)], whole=True)
         return dispatcher
 
     def boots(self):
@@ -126,7 +126,7 @@
         dispatcher.now = now
         heard = max((b for b, hear in zip(boots, hears[i], strict=True) if now >= hear), default=None)
         if heard is not None and cold[i].booted != heard:
-            dispatcher.listed([(cold[i], WorkerInfo("cold", booted=heard))], whole=False)
+            dispatcher.on_endpoints([(cold[i], WorkerInfo("cold", booted=heard))], whole=False)
         scale = chance.gammavariate(play.uneven**-2, play.uneven**2) if play.uneven else 1.0
         scale = max(0.2, scale)
         scales.append(scale)
@@ -140,14 +140,15 @@
             worker = next(s for s in dispatcher.workers if s is not cold[i])
         dispatcher.send(request, function.replica(worker))
         dispatcher.now = now + 1
-        dispatcher.ended(request.attempts[-1], Outcome.OK, Answer(int(WORK * scale)))
+        dispatcher.on_attempt_finished(request.attempts[-1], Outcome.OK, Answer(int(WORK * scale)))
     mean = sum(scales) / len(scales)
     return [replace(s, work=s.work / mean) for s in sends]
 
 
 def allowed(budget):
     """The stricter of the operators' bounds for every N. Their terms give N + 3 root N + 3 under 30 calls;
-    the module keeps to the bound for more there too, and so is held to it."""
+    the module keeps to the bound for more there too, and so is held to it.
+    """
     return budget + 2 * sqrt(budget) + 2
 
 
@@ -242,7 +243,8 @@
 @pytest.mark.parametrize("case", CASES)
 def test_each_trouble_with_one_dispatcher_few_and_many(case, of):
     """Without the mends: up to 1.46 of what is allowed on a steep ramp, 1.18 of it where 200 restart with the
-    worker or after it, 2.57 of it by work where one dispatcher has uneven work and little of it."""
+    worker or after it, 2.57 of it by work where one dispatcher has uneven work and little of it.
+    """
     for seed in (1, 2):
         play = Play(of=of, seed=seed, **CASES[case])
         sends = sent_to_the_cold_one(play)
@@ -253,7 +255,8 @@
 @pytest.mark.parametrize("of", [1, 3, 30, 200])
 def test_who_has_not_heard_of_a_second_start_goes_by_the_first(of):
     """The limit of what a dispatcher can do: under the old name it goes on by the share that the first start
-    gives, until its list tells. Those that have heard keep to the budget by themselves."""
+    gives, until its list tells. Those that have heard keep to the budget by themselves.
+    """
     play = Play(of=of, second_boot=4.0, late=2.0)
     sends = sent_to_the_cold_one(play)
     assert any(not s.told for s in sends)
