--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.ticks import SECOND
-from lapistrestle.sources.numbered_list import Do, News, NumberedList
+from lapistrestle.sources.numbered_list import ListAction, ListEvent, NumberedList
 from lapistrestle.sources.roster import RosterSource, RosterSpeaker
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.lines import LineBounds
@@ -92,18 +92,18 @@
     def input(self) -> None:
         """Something has come from the roster; the holder notes its calls itself."""
 
-    def list_told(self, message: Whole | Change) -> Do:
+    def list_received(self, message: Whole | Change) -> ListAction:
         """A list or change has come: what is done with it."""
         do = self.list.accept(message)
         complete = isinstance(message, Whole)
         now = self.clock()
-        if do is Do.TAKE:
+        if do is ListAction.TAKE:
             self.list.record(message.workers, complete)
             revision = Revision(message.epoch, message.number)
             self.holder.instances_changed(message.workers, complete, revision, now)
-        elif do is Do.ASK and not complete:  # a complete one answers a request: as many stay open
+        elif do is ListAction.ASK and not complete:  # a complete one answers a request: as many stay open
             self.holder.snapshot_requested(now)
-        elif do is Do.PASS and complete:
+        elif do is ListAction.PASS and complete:
             self.holder.snapshot_discarded(now)
         self.act()
         return do
@@ -113,11 +113,11 @@
         self.holder.snapshot_requested(self.clock())
         self.act()
 
-    def list_news(self, news: News) -> None:
+    def list_event(self, news: ListEvent) -> None:
         """The connection is lost, or the roster can't answer."""
         if self.stopped:
             return
-        if self.list.step(news) is Do.TELL_FAILED:
+        if self.list.step(news) is ListAction.TELL_FAILED:
             self.holder.roster_lost(self.clock())
             self.act()
 
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from lapistrestle.policy.interface import EndpointState, WorkerInfo
-from lapistrestle.sources.numbered_list import Do, NumberedList
+from lapistrestle.sources.numbered_list import ListAction, NumberedList
 from lapistrestle.wire.messages import Change, Entry, Whole
 
 STATES = {  # as the wire names them
@@ -34,7 +34,7 @@
 class Taken:
     """What a list led to."""
 
-    do: Do
+    do: ListAction
     whole: bool = False
     facts: tuple[WorkerInfo, ...] = ()
     addresses: tuple[Address, ...] = ()
@@ -115,7 +115,7 @@
     def told(self, message: Whole | Change, now: int) -> Taken:
         """A list or change came from the roster."""
         do = self.accept(message)
-        if do is not Do.TAKE:
+        if do is not ListAction.TAKE:
             return Taken(do)
         whole = isinstance(message, Whole)
         gone = {}
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -20,7 +20,7 @@
 from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
 from lapistrestle.rollout.versions import Course, after_denial, key_of
-from lapistrestle.sources.numbered_list import Do, News
+from lapistrestle.sources.numbered_list import ListAction, ListEvent
 from lapistrestle.sources.roster import RosterSource
 from lapistrestle.wire import messages as wire
 
@@ -103,9 +103,9 @@
 
     # the list and the runners
 
-    def list_told(self, message: wire.Whole | wire.Change) -> Do:
+    def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
         taken = self.following.told(message, self.clock())
-        if taken.do is Do.TAKE:
+        if taken.do is ListAction.TAKE:
             self.workers_told(taken.facts, taken.addresses, taken.whole)
         return taken.do
 
@@ -117,9 +117,9 @@
         for name, port, start in addresses:
             self.address(name, port, start)
 
-    def list_news(self, news: News) -> None:
+    def list_event(self, news: ListEvent) -> None:
         self.input()
-        if self.following.step(news) is Do.TELL_FAILED:
+        if self.following.step(news) is ListAction.TELL_FAILED:
             self.host.list_failed()
 
     def runner(self, name: str) -> Any:
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -13,7 +13,7 @@
 from lapistrestle.edge.runners import hold_of, run_of, tell
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.interface import Outcome
-from lapistrestle.sources.numbered_list import Do
+from lapistrestle.sources.numbered_list import ListAction
 from lapistrestle.standins.client import Crowd, Line, Wish
 from lapistrestle.standins.runner import RunnerStandIn
 from lapistrestle.standins.tape import Tape
@@ -232,7 +232,7 @@
         self.later(self.heard, message)
 
     def heard(self, message: Any) -> None:
-        if self.edge.list_told(message) is Do.ASK:
+        if self.edge.list_received(message) is ListAction.ASK:
             self.later(self.follow)
 
     def break_off(self) -> None:
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -9,40 +9,67 @@
 """
 
 from collections.abc import Callable
-from enum import Enum
+from enum import Enum, auto
 
 from lapistrestle.wire.messages import Change, Whole
 
-Mode = Enum("Mode", "BLANK ASKING STEADY")
-News = Enum("News", "WHOLE BACK AGAIN NEXT REPEAT GAP CUT FAILED")
-Do = Enum("Do", "TAKE ASK PASS TELL_FAILED")
+
+class ListState(Enum):
+    """What a follower has of the list. Logs and reports show the names in lower case."""
+
+    BLANK = auto()  # no list yet, or none that can be relied on
+    ASKING = auto()  # the whole list is asked for
+    STEADY = auto()  # each change follows the last one
+
+
+class ListEvent(Enum):
+    """How a message's number lies to the last one taken, or what has become of the connection."""
+
+    WHOLE = auto()  # a whole list that is not older
+    BACK = auto()  # a whole list whose number has jumped back
+    AGAIN = auto()  # the same, said a second time
+    NEXT = auto()  # the change that follows
+    REPEAT = auto()  # a change that was taken before
+    GAP = auto()  # a change after one that was lost
+    CUT = auto()  # the connection is lost
+    FAILED = auto()  # it could not be made, or the roster can't answer
+
+
+class ListAction(Enum):
+    """What a follower does with an event."""
+
+    TAKE = auto()  # the list or change
+    ASK = auto()  # for the whole list
+    PASS = auto()  # nothing
+    TELL_FAILED = auto()  # that the roster can't be relied on
+
 
 # what is done with a list or a change, by what is known and how its number lies to the last one taken
-FOLLOWING: dict[tuple[Mode, News], tuple[Mode, Do]] = {
-    (Mode.BLANK, News.WHOLE): (Mode.STEADY, Do.TAKE),
-    (Mode.BLANK, News.BACK): (Mode.STEADY, Do.TAKE),
-    (Mode.BLANK, News.AGAIN): (Mode.STEADY, Do.TAKE),
-    (Mode.BLANK, News.NEXT): (Mode.ASKING, Do.ASK),
-    (Mode.BLANK, News.REPEAT): (Mode.ASKING, Do.ASK),
-    (Mode.BLANK, News.GAP): (Mode.ASKING, Do.ASK),
-    (Mode.BLANK, News.CUT): (Mode.BLANK, Do.TELL_FAILED),
-    (Mode.BLANK, News.FAILED): (Mode.BLANK, Do.TELL_FAILED),
-    (Mode.STEADY, News.WHOLE): (Mode.STEADY, Do.TAKE),
-    (Mode.STEADY, News.BACK): (Mode.ASKING, Do.ASK),
-    (Mode.STEADY, News.AGAIN): (Mode.STEADY, Do.TAKE),
-    (Mode.STEADY, News.NEXT): (Mode.STEADY, Do.TAKE),
-    (Mode.STEADY, News.REPEAT): (Mode.STEADY, Do.PASS),
-    (Mode.STEADY, News.GAP): (Mode.ASKING, Do.ASK),
-    (Mode.STEADY, News.CUT): (Mode.STEADY, Do.TELL_FAILED),
-    (Mode.STEADY, News.FAILED): (Mode.STEADY, Do.TELL_FAILED),
-    (Mode.ASKING, News.WHOLE): (Mode.STEADY, Do.TAKE),
-    (Mode.ASKING, News.BACK): (Mode.ASKING, Do.PASS),
-    (Mode.ASKING, News.AGAIN): (Mode.STEADY, Do.TAKE),
-    (Mode.ASKING, News.NEXT): (Mode.ASKING, Do.TAKE),
-    (Mode.ASKING, News.REPEAT): (Mode.ASKING, Do.PASS),
-    (Mode.ASKING, News.GAP): (Mode.ASKING, Do.PASS),
-    (Mode.ASKING, News.CUT): (Mode.BLANK, Do.TELL_FAILED),
-    (Mode.ASKING, News.FAILED): (Mode.BLANK, Do.TELL_FAILED),
+TRANSITIONS: dict[tuple[ListState, ListEvent], tuple[ListState, ListAction]] = {
+    (ListState.BLANK, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
+    (ListState.BLANK, ListEvent.BACK): (ListState.STEADY, ListAction.TAKE),
+    (ListState.BLANK, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
+    (ListState.BLANK, ListEvent.NEXT): (ListState.ASKING, ListAction.ASK),
+    (ListState.BLANK, ListEvent.REPEAT): (ListState.ASKING, ListAction.ASK),
+    (ListState.BLANK, ListEvent.GAP): (ListState.ASKING, ListAction.ASK),
+    (ListState.BLANK, ListEvent.CUT): (ListState.BLANK, ListAction.TELL_FAILED),
+    (ListState.BLANK, ListEvent.FAILED): (ListState.BLANK, ListAction.TELL_FAILED),
+    (ListState.STEADY, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
+    (ListState.STEADY, ListEvent.BACK): (ListState.ASKING, ListAction.ASK),
+    (ListState.STEADY, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
+    (ListState.STEADY, ListEvent.NEXT): (ListState.STEADY, ListAction.TAKE),
+    (ListState.STEADY, ListEvent.REPEAT): (ListState.STEADY, ListAction.PASS),
+    (ListState.STEADY, ListEvent.GAP): (ListState.ASKING, ListAction.ASK),
+    (ListState.STEADY, ListEvent.CUT): (ListState.STEADY, ListAction.TELL_FAILED),
+    (ListState.STEADY, ListEvent.FAILED): (ListState.STEADY, ListAction.TELL_FAILED),
+    (ListState.ASKING, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
+    (ListState.ASKING, ListEvent.BACK): (ListState.ASKING, ListAction.PASS),
+    (ListState.ASKING, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
+    (ListState.ASKING, ListEvent.NEXT): (ListState.ASKING, ListAction.TAKE),
+    (ListState.ASKING, ListEvent.REPEAT): (ListState.ASKING, ListAction.PASS),
+    (ListState.ASKING, ListEvent.GAP): (ListState.ASKING, ListAction.PASS),
+    (ListState.ASKING, ListEvent.CUT): (ListState.BLANK, ListAction.TELL_FAILED),
+    (ListState.ASKING, ListEvent.FAILED): (ListState.BLANK, ListAction.TELL_FAILED),
 }
 
 
@@ -54,7 +81,7 @@
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self.log = log
-        self.mode = Mode.BLANK
+        self.mode = ListState.BLANK
         self.number = -1
         self.epoch = ""
         self.back: tuple[str, int] | None = None  # a list that jumped back, seen once
@@ -63,33 +90,33 @@
         """Workers that are known now."""
         raise NotImplementedError
 
-    def accept(self, message: Whole | Change) -> Do:
+    def accept(self, message: Whole | Change) -> ListAction:
         """What is to be done with a list or change; one that is taken is the newest from now on."""
         do = self.step(self.news(message))
-        if do is Do.TAKE:
+        if do is ListAction.TAKE:
             self.number = message.number
             self.epoch = message.epoch
             self.back = None
         return do
 
-    def news(self, message: Whole | Change) -> News:
+    def news(self, message: Whole | Change) -> ListEvent:
         """How a message's number lies to the last one taken."""
         same = message.epoch == self.epoch
         if isinstance(message, Whole):
             if not same or message.number >= self.number:
-                return News.WHOLE
+                return ListEvent.WHOLE
             again = self.back == (message.epoch, message.number)
             self.back = (message.epoch, message.number)
-            return News.AGAIN if again else News.BACK
+            return ListEvent.AGAIN if again else ListEvent.BACK
         if not same:
-            return News.GAP
+            return ListEvent.GAP
         step = message.number - self.number
-        return News.NEXT if step == 1 else News.REPEAT if step <= 0 else News.GAP
+        return ListEvent.NEXT if step == 1 else ListEvent.REPEAT if step <= 0 else ListEvent.GAP
 
-    def step(self, news: News) -> Do:
+    def step(self, news: ListEvent) -> ListAction:
         """Note an event: what is to be done with it. A change of mode is logged."""
         before = self.mode
-        self.mode, do = FOLLOWING[self.mode, news]
+        self.mode, do = TRANSITIONS[self.mode, news]
         if self.mode is not before:
             mode, why = self.mode.name.lower(), news.name.lower()
             self.log(f"list {mode}: {why} at {self.number}, {self.size()} known")
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -2,7 +2,7 @@
 
 from typing import Any, Protocol
 
-from lapistrestle.sources.numbered_list import Do, News
+from lapistrestle.sources.numbered_list import ListAction, ListEvent
 from lapistrestle.sources.reconnecting import Source
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.lines import LineBounds, Speaker, union
@@ -52,10 +52,10 @@
     def input(self) -> None:
         """Something has come from the roster."""
 
-    def list_told(self, message: wire.Whole | wire.Change) -> Do:
+    def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
         """A list or change has come: what is done with it."""
 
-    def list_news(self, news: News) -> None:
+    def list_event(self, news: ListEvent) -> None:
         """The connection is lost, or the roster can't answer."""
 
     def passed_over(self, name: str, why: str) -> None:
@@ -85,11 +85,11 @@
         """The roster has sent a message."""
         if isinstance(message, wire.Whole | wire.Change):
             self.edge.input()
-            if self.edge.list_told(message) is Do.ASK:
+            if self.edge.list_received(message) is ListAction.ASK:
                 self.say(wire.Ask())
         elif isinstance(message, wire.Failed):
-            self.edge.list_news(News.FAILED)
+            self.edge.list_event(ListEvent.FAILED)
 
     def down(self, was_up: bool) -> None:
         """The connection is lost (`was_up`), or could not be made."""
-        self.edge.list_news(News.CUT if was_up else News.FAILED)
+        self.edge.list_event(ListEvent.CUT if was_up else ListEvent.FAILED)
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -14,7 +14,7 @@
 from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.edge.following import Following
-from lapistrestle.sources.numbered_list import Do
+from lapistrestle.sources.numbered_list import ListAction
 from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
 from lapistrestle.standins.directory_network import Channel, Program
 from lapistrestle.wire import messages as wire
@@ -137,10 +137,10 @@
             return
         now = self.world.time.now
         taken = self.following.told(message, now)
-        if taken.do is Do.ASK:
+        if taken.do is ListAction.ASK:
             self.decisions.snapshot_requested(now)
             self.ask_roster()
-        if taken.do is Do.TAKE:
+        if taken.do is ListAction.TAKE:
             whole = isinstance(message, wire.Whole)
             if whole:
                 self.current_as_of = sent
