--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -19,7 +19,7 @@
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.interface import FunctionInfo, Outcome, WorkerInfo
 from lapistrestle.rollout.routing import Route, Routing
-from lapistrestle.rollout.versions import Course, after_denial, key_of
+from lapistrestle.rollout.version_choice import VersionChoice, attempt_key, choose_after_denial
 from lapistrestle.sources.numbered_list import ListAction, ListEvent
 from lapistrestle.sources.roster import RosterSource
 from lapistrestle.wire import messages as wire
@@ -143,7 +143,7 @@
     # versions
 
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
-        key = key_of(call.key, call.token, f"{seat.name}/{call.id}")
+        key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(
             call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
         )
@@ -181,7 +181,7 @@
     def move(self, pending: PendingRequest) -> None:
         """An RPC that has not run on a version that is barred now goes to the settled one, in its time."""
         call, attempts = pending.message, pending.attempt_count()
-        route = self.routing.moved(pending.function.name, key_of(call.key, call.token, pending.tag))
+        route = self.routing.reroute(pending.function.name, attempt_key(call.key, call.token, pending.tag))
         left = pending.deadline - self.clock()
         if self.fleet_member is not None:
             self.fleet_member.admission.count_restart()
@@ -199,7 +199,7 @@
         if pending.route is not None and pending.route.candidate and how != "moved":
             if how != "ok" and (waited or self.barred(pending.function.name)):
                 return
-            self.routing.note(pending.route, how != "ok" or self.late(pending), self.clock())
+            self.routing.count_outcome(pending.route, how != "ok" or self.late(pending), self.clock())
 
     def late(self, pending: PendingRequest) -> bool:
         """Whether it is past its soft deadline now."""
@@ -213,7 +213,7 @@
         late = pending.deadline - self.clock() <= 0
         if verdict == DENIED and not late and not self.stopping and self.barred(pending.function.name):
             kind, span = self.kind(pending.method), self.span(pending.message)
-            if after_denial(kind, pending.ran_on is not None, span) is Course.SETTLED:
+            if choose_after_denial(kind, pending.ran_on is not None, span) is VersionChoice.SETTLED:
                 return self.move(pending)
             verdict, retry_after = ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
@@ -222,7 +222,7 @@
         pending.client.say(wire.Begun(pending.message.id))
 
     def barred(self, name: str) -> bool:
-        return "@" in name and self.routing.barred(name, self.clock())
+        return "@" in name and self.routing.is_barred(name, self.clock())
 
     def run(self, worker_call: WorkerCall) -> None:
         if self.barred(worker_call.pending.function.name):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -11,14 +11,15 @@
 
 STANDS_FOR = {"__main__": "command"}  # by a module beside the packages, the package that it counts as
 
-DECISIONS = {"policy", "rollout", "fleet", "overload", "directory", "store"}
+DECISIONS = {"policy", "rollout", "rollout_types", "fleet", "overload", "directory", "store"}
 PACKAGES = {path.parent.name for path in (ROOT / "lapistrestle").glob("*/__init__.py")}
 MAY_IMPORT: dict[str, set[str]] = {
     "policy": set(),
     "benchlink": {"policy"},
     "hosting": {"policy"},
-    "wire": set(),
+    "wire": {"rollout_types"},
     "sources": {"wire"},  # connections that lists are followed on
+    "rollout_types": set(),  # types of rollouts that cross processes
     "deployment": set(),
     "records": set(),
     "edge": {"hosting", "wire", "sources", "deployment", "records"} | DECISIONS,
@@ -27,13 +28,13 @@
     "fleet": {"wire", "records"},
     "overload": {"fleet", "policy"},
     "agreement": {"store", "wire", "records"},
-    "rollout": {"wire", "records"},
+    "rollout": {"rollout_types", "wire", "records"},
     "store": {"wire", "records"},
     "directory": {"wire", "sources", "records", "agreement"},
-    "command": PACKAGES,
+    "command": PACKAGES | {"rollout_types"},
     "model": {"hosting"} | DECISIONS,
-    "standins": {"wire"},
-    "checks": {"wire"},
+    "standins": {"wire", "rollout_types"},
+    "checks": {"wire", "rollout_types"},
 }
 # Today's arrows against the layout. One that is gone is taken off; none is added.
 EXCEPTIONS: dict[str, set[str]] = {
@@ -56,7 +57,6 @@
         "sources",
         "store",
     },
-    "wire": {"rollout"},  # a split, which a share on the wire is made from
 }
 CIRCLES: list[set[str]] = []
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -16,14 +16,14 @@
 
 from lapistrestle.command.experiments import read as read_experiment
 from lapistrestle.command.main import main
-from lapistrestle.planner.program import Planner, Speakers
-from lapistrestle.planner.state import ENTRY
-from lapistrestle.planner.state import encode as encode_entry
+from lapistrestle.planner.connection import PlannerConnectionFactory
+from lapistrestle.planner.entries import decode_entry, encode_entry
+from lapistrestle.planner.server import Planner
 from lapistrestle.standins.tape import read as read_tape
 from lapistrestle.store.journal import Journal
-from lapistrestle.store.learnt import read as read_learnt
-from lapistrestle.store.learnt import write as write_learnt
-from lapistrestle.store.plans import PlanFile
+from lapistrestle.store.learned_state import read_learned_state as read_learnt
+from lapistrestle.store.learned_state import write_learned_state as write_learnt
+from lapistrestle.store.persisted_plan import PersistedPlanFile
 
 # The names above are all that a rename in the package touches here; what is compared goes by stored names.
 
@@ -33,16 +33,12 @@
 TAPE, RESULTS = STORED / "short-day.tape.jsonl", STORED / "experiment-results.jsonl"
 
 
-def decode_entry(line: bytes) -> Any:
-    return ENTRY.decode(line)
-
-
 def read_plan(path: Path) -> Any:
-    return PlanFile(path).read()
+    return PersistedPlanFile(path).read()
 
 
 def write_plan(path: Path, plan: Any) -> None:
-    PlanFile(path).write(plan)
+    PersistedPlanFile(path).write(plan)
 
 
 def command_line(*words: object) -> Any:
@@ -57,12 +53,13 @@
 
     def __init__(self, path: Path) -> None:
         self.journal = Journal(path)
-        self.planner = Planner(Clock(), self.journal, lambda *_, **__: None)
+        reactor: Any = Clock()
+        self.planner = Planner(reactor, self.journal, lambda *_, **__: None)
         self.protocol, self.transport = self.connected({})
 
     def connected(self, greeting: dict[str, str]) -> tuple[Any, Any]:
         """One more connection, greeted."""
-        protocol: Any = Speakers(self.planner).buildProtocol(None)
+        protocol: Any = PlannerConnectionFactory(self.planner).buildProtocol(None)
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         protocol.makeConnection(transport)
         hello = {"is": "hello", "protocol": "lapistrestle.planner", "version": 1} | greeting
