--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -18,6 +18,7 @@
     "benchlink": {"policy"},
     "hosting": {"policy"},
     "wire": {"rollout_types"},
+    "sources": {"wire"},  # connections that lists are followed on
     "rollout_types": set(),  # types of rollouts that cross processes
     "sources": {"wire"},  # connections that lists are followed on
     "deployment": set(),
