--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -145,7 +145,8 @@
         self.stopping = False
         self.reactor = self
         workers = [Worker(f"runner-{i:06d}") for i in range(instances)]
-        module = SimpleNamespace(workers=workers, serving=workers)
+        endpoints = SimpleNamespace(workers=workers, serving=dict.fromkeys(workers))
+        module = SimpleNamespace(endpoints=endpoints)
         self.host = SimpleNamespace(module=module, vouched=lambda worker, at: None)
 
     def clock(self) -> int:
