--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -56,6 +56,7 @@
         self.make_rules()
         self.make_decisions()
         self.make_choices()
+        self.make_recording()
         handlers = {
             Effect.ADMIT: self.admit,
             Effect.PLACE: self.placement.place,
@@ -124,7 +125,7 @@
         )
 
     def make_choices(self) -> None:
-        """Make the parts that choose for a request, and learn from its attempts."""
+        """Make the parts that choose for a request."""
         self.placement = Placement(
             settings=self.settings,
             clock=self.clock,
@@ -150,6 +151,9 @@
             admission=self.admission,
             budget=self.retry_budget,
         )
+
+    def make_recording(self) -> None:
+        """Make the part that learns from the end of attempts."""
         self.outcomes = OutcomeRecording(
             settings=self.settings,
             clock=self.clock,
@@ -172,6 +176,7 @@
 
     @now.setter
     def now(self, now: int) -> None:
+        """Set it; the host does so before each event."""
         self.clock.now = now
 
     # Events
