--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -147,7 +147,7 @@
         self.stopping = False
         self.reactor = self
         workers = [Worker(f"runner-{i:06d}") for i in range(instances)]
-        endpoints = SimpleNamespace(workers=workers, serving=workers)
+        endpoints = SimpleNamespace(workers=workers, serving=dict.fromkeys(workers))
         module = SimpleNamespace(endpoints=endpoints)
         self.host = SimpleNamespace(module=module, vouched=lambda worker, at: None)
 
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -1,6 +1,7 @@
 """Deployment files: what is wrong is named with line, path, what stands there and what would be right."""
 
 import json
+import tomllib
 from collections.abc import Callable
 from dataclasses import fields
 from pathlib import Path
@@ -208,3 +209,12 @@
     assert ports == {holder.serve.port for holder in holders}
     ramps = {(made.cold_share, made.ramp) for made in (edge.workers, *(one.workers for one in holders))}
     assert len(ramps) == 1  # warm sums are the holders', and the budget of cold workers rests on them
+
+
+def test_the_deploy_file_names_each_file_of_the_decision_module() -> None:
+    """The bench keeps the text of the files that it is told of beside each score."""
+    root = EXAMPLES.parent
+    with (root / "deploy" / "balancer.toml").open("rb") as file:
+        named = tomllib.load(file)["policy"]
+    files = (root / "lapistrestle" / "policy").glob("*.py")
+    assert named == sorted(path.relative_to(root).as_posix() for path in files if path.name != "__init__.py")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -20,7 +20,6 @@
     "wire": {"rollout_types"},
     "sources": {"wire"},  # connections that lists are followed on
     "rollout_types": set(),  # types of rollouts that cross processes
-    "sources": {"wire"},  # connections that lists are followed on
     "deployment": set(),
     "records": set(),
     "edge": {"hosting", "wire", "sources", "deployment", "records"} | DECISIONS,
