--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -30,7 +30,7 @@
 
 from lapistrestle.command.programs import serve
 from lapistrestle.deployment.load import load
-from lapistrestle.deployment.shape import Fleet
+from lapistrestle.deployment.schema import Fleet
 from lapistrestle.edge.program import Edge
 from lapistrestle.edge.running import reactor_of_now
 from lapistrestle.standins.fleet import free_ports
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -12,7 +12,7 @@
 from twisted.internet.address import IPv4Address
 
 from lapistrestle.deployment.load import shaped
-from lapistrestle.deployment.shape import Deployment
+from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.clients import ClientSpeaker
 from lapistrestle.edge.program import Edge
 from lapistrestle.standins.virtual import LATENCY, Process, VirtualReactor
--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.control_hollow import SECOND, Clock, Meter, Traffic, deployment, module_settings
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
-from lapistrestle.deployment.shape import Fleet
+from lapistrestle.deployment.schema import Fleet
 from lapistrestle.edge.fleet_member import FleetMember
 from lapistrestle.fleet.quota_leasing import QuotaLeasing
 from lapistrestle.fleet.quota_share import QuotaSettings, QuotaShare
--- a/benchmarks/scale/roles/control_hollow.py
+++ b/benchmarks/scale/roles/control_hollow.py
@@ -13,7 +13,7 @@
 
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.deployment.load import to_settings
-from lapistrestle.deployment.shape import Customer, Deployment, Method, Orders, Place, Span, Workers
+from lapistrestle.deployment.schema import Customer, Deployment, Method, Orders, Place, Span, Workers
 from lapistrestle.policy.settings import Settings
 
 SECOND = 10_000  # tenths of a millisecond, the program's unit of time
--- a/benchmarks/scale/roles/dispatcher_list.py
+++ b/benchmarks/scale/roles/dispatcher_list.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.assumptions import Assumptions
 from benchmarks.scale.roles import register
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.deployment.shape import Listen
+from lapistrestle.deployment.schema import Listen
 
 FLEET = 500  # instances, where something else grows
 OF_A_REGION = 125  # instances, where regions grow
--- a/lapistrestle/command/experiments.py
+++ b/lapistrestle/command/experiments.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from lapistrestle.command.programs import as_json
-from lapistrestle.deployment.load import Wrong, read_json5, shaped
+from lapistrestle.deployment.load import DeploymentError, read_json5, shaped
 from lapistrestle.model import experiment as model
 from lapistrestle.model.world import ModelWorld
 from lapistrestle.standins.script import make_day
@@ -29,7 +29,7 @@
 
 
 def read(path: Path) -> tuple[model.Experiment, list[model.Planned]]:
-    """The runs of a file, each of its days checked. Raises Wrong before anything runs."""
+    """The runs of a file, each of its days checked. Raises DeploymentError before anything runs."""
     value, text = read_json5(path)
     made = shaped(value, model.Experiment, text, str(path))
     day, where = made.day, path
@@ -37,7 +37,7 @@
         where = path.parent / day
         day, _ = read_json5(where)
     if not isinstance(day, dict):
-        raise Wrong(f"{path}: day: is no group {{ … }}")
+        raise DeploymentError(f"{path}: day: is no group {{ … }}")
     if isinstance(day.get("deployment"), str):
         day["deployment"], _ = read_json5(where.parent / day["deployment"])
     plan = model.planned(made, day)
@@ -60,7 +60,7 @@
         try:
             made.append(LINE.decode(line))
         except msgspec.MsgspecError as trouble:
-            raise Wrong(f"{path}:{number}: no line of results: {trouble}") from None
+            raise DeploymentError(f"{path}:{number}: no line of results: {trouble}") from None
     return made
 
 
@@ -121,11 +121,13 @@
 
 
 def asked(said: tuple[str, ...], found: dict[model.Variant, Any]) -> model.Variant:
-    """The variant that PATH=VALUE options name; the first where none are given. Raises Wrong."""
+    """The variant that PATH=VALUE options name; the first where none are given. Raises DeploymentError."""
     for variant in found:
         if all(f"{path}={value}" in said for path, value in variant) or not said:
             return variant
-    raise Wrong(f"no results of {', '.join(said)}; known: {'; '.join(map(model.shown, found)) or 'none'}")
+    raise DeploymentError(
+        f"no results of {', '.join(said)}; known: {'; '.join(map(model.shown, found)) or 'none'}"
+    )
 
 
 @experiment.command()
@@ -175,7 +177,9 @@
     paths = {path for variant in found for path, _ in variant}
     axis = along or (next(iter(paths)) if len(paths) == 1 else "")
     if axis not in paths:
-        raise Wrong(f"--along: {axis or 'not given'}; varied here: {', '.join(sorted(paths)) or 'nothing'}")
+        raise DeploymentError(
+            f"--along: {axis or 'not given'}; varied here: {', '.join(sorted(paths)) or 'nothing'}"
+        )
     figure, axes = pyplot.subplots(len(chosen), 1, figsize=(7, 2.6 * len(chosen)), sharex=True, squeeze=False)
     for row, name in enumerate(chosen):
         lines: dict[str, list[tuple[Any, model.Sure]]] = {}
--- a/lapistrestle/command/main.py
+++ b/lapistrestle/command/main.py
@@ -6,7 +6,7 @@
 import click
 
 from lapistrestle.command import days, demo, directories, experiments, fleets, programs, rollouts
-from lapistrestle.deployment.load import Wrong, load, to_settings
+from lapistrestle.deployment.load import DeploymentError, load, to_settings
 
 
 class Commands(click.Group):
@@ -15,7 +15,7 @@
     def invoke(self, ctx: click.Context) -> object:
         try:
             return super().invoke(ctx)
-        except Wrong as trouble:
+        except DeploymentError as trouble:
             raise click.ClickException(str(trouble)) from None
 
 
@@ -40,7 +40,7 @@
             count = len(fields(to_settings(made)))
             figures = f"{len(made.methods)} methods, {len(made.customers)} customers, {count} settings"
             click.echo(f"{file}: fits; {figures}")
-        except Wrong as trouble:
+        except DeploymentError as trouble:
             wrong += 1
             click.echo(str(trouble), err=True)
     if wrong:
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.deployment.load import Wrong, load, read_json5, shaped
+from lapistrestle.deployment.load import DeploymentError, load, read_json5, shaped
 from lapistrestle.edge.program import Edge
 from lapistrestle.edge.running import reactor_of_now, run
 from lapistrestle.records.logs import make_log
@@ -80,7 +80,7 @@
     if planner_port is not None:
         made.planner.port = planner_port
     if not made.roster.port and not made.directory.shards:
-        raise Wrong(f"{deployment}: roster.port: is missing; an edge needs one (or --roster-port)")
+        raise DeploymentError(f"{deployment}: roster.port: is missing; an edge needs one (or --roster-port)")
     reactor = reactor_of_now()
     try:
         boot, nonce = time.time_ns() // 1_000_000, secrets.randbits(32)
@@ -174,7 +174,7 @@
     def again() -> None:
         try:
             read(False)
-        except Wrong as trouble:
+        except DeploymentError as trouble:
             log("not read", why=str(trouble))
 
     def start() -> int:
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -14,8 +14,8 @@
 
 from lapistrestle.command.asking import asked as ask
 from lapistrestle.command.programs import as_json, serve, tell_port
-from lapistrestle.deployment.load import Wrong, read_json5, shaped
-from lapistrestle.deployment.shape import Shape, Span
+from lapistrestle.deployment.load import DeploymentError, read_json5, shaped
+from lapistrestle.deployment.schema import Shape, Span
 from lapistrestle.edge.running import reactor_of_now
 from lapistrestle.planner.server import Planner
 from lapistrestle.records.logs import make_log
@@ -36,7 +36,7 @@
     try:
         kept = Journal(journal)
     except JournalError as trouble:
-        raise Wrong(str(trouble)) from None
+        raise DeploymentError(str(trouble)) from None
     program = Planner(reactor, kept, make_log(json_))
     program.on_stopped = reactor.stop
     serve(reactor, lambda: program.start(port), tell_port, reactor.stop)
--- a/lapistrestle/deployment/load.py
+++ b/lapistrestle/deployment/load.py
@@ -10,7 +10,7 @@
 import json5
 import msgspec
 
-from lapistrestle.deployment.shape import Deployment, Directory, HolderDeployment, Span
+from lapistrestle.deployment.schema import Deployment, Directory, HolderDeployment, Span
 from lapistrestle.policy.settings import CustomerSettings, MethodKind, MethodSettings, Settings
 
 T = TypeVar("T")
@@ -22,28 +22,28 @@
 }  # fmt: skip
 
 
-class Wrong(Exception):
+class DeploymentError(Exception):
     """A file that can't be taken; the text is meant for the person who wrote it."""
 
 
 def read_json5(path: Path) -> tuple[Any, str]:
-    """The file's value and its text. Raises Wrong where it can't be read."""
+    """The file's value and its text. Raises DeploymentError where it can't be read."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as trouble:
-        raise Wrong(f"{path}: can't be read: {trouble}") from None
+        raise DeploymentError(f"{path}: can't be read: {trouble}") from None
     try:
         return json5.loads(text, allow_duplicate_keys=False), text
     except (ValueError, RecursionError) as trouble:
-        raise Wrong(f"{path}: is no JSON5: {trouble}") from None
+        raise DeploymentError(f"{path}: is no JSON5: {trouble}") from None
 
 
 def shaped(value: Any, shape: type[T], text: str = "", source: str = "") -> T:
-    """The value as `shape`. Raises Wrong at the first place that does not fit."""
+    """The value as `shape`. Raises DeploymentError at the first place that does not fit."""
     try:
         return msgspec.convert(value, shape, dec_hook=_hook)
     except msgspec.ValidationError as trouble:
-        raise Wrong(explain(str(trouble), value, shape, text, source)) from None
+        raise DeploymentError(explain(str(trouble), value, shape, text, source)) from None
 
 
 def _hook(wanted: Any, value: Any) -> Any:
@@ -127,12 +127,12 @@
     return f":{text.count(chr(10), 0, at) + 1}" if text and at >= 0 else ""
 
 
-Complain = Callable[..., Wrong]  # says what is wrong, and at which steps of the path
+Complain = Callable[..., DeploymentError]  # says what is wrong, and at which steps of the path
 SHORTEST_SILENCE = Span(1_000)  # tenths of a millisecond; shorter ones would take a pause for a death
 
 
 def load(path: Path) -> Deployment:
-    """A checked deployment. Raises Wrong."""
+    """A checked deployment. Raises DeploymentError."""
     value, text = read_json5(path)
     made = shaped(value, Deployment, text, str(path))
     check(made, text, str(path))
@@ -140,7 +140,7 @@
 
 
 def load_holder(path: Path) -> HolderDeployment:
-    """The checked settings of a directory's holder. Raises Wrong."""
+    """The checked settings of a directory's holder. Raises DeploymentError."""
     value, text = read_json5(path)
     made = shaped(value, HolderDeployment, text, str(path))
     check_holder(made, text, str(path))
@@ -148,7 +148,7 @@
 
 
 def check_holder(made: HolderDeployment, text: str = "", source: str = "") -> None:
-    """What can't be seen in one value of a holder's settings alone. Raises Wrong."""
+    """What can't be seen in one value of a holder's settings alone. Raises DeploymentError."""
     wrong = complaints(text, source)
     shards = made.directory.shards
     if not shards:
@@ -166,7 +166,7 @@
 
 
 def check_directory(made: Directory, wrong: Complain) -> None:
-    """What can't be seen in one value of the directory's group alone. Raises Wrong."""
+    """What can't be seen in one value of the directory's group alone. Raises DeploymentError."""
     for number, copies in enumerate(made.shards):
         here = ("directory", "shards", number)
         if not copies:
@@ -189,14 +189,14 @@
 def complaints(text: str, source: str) -> Complain:
     """How to say what is wrong in the file `source` that reads `text`."""
 
-    def wrong(says: str, *path: str | int) -> Wrong:
-        return Wrong(f"{source}{_line(path, text)}: {_shown(path)}: {says}")
+    def wrong(says: str, *path: str | int) -> DeploymentError:
+        return DeploymentError(f"{source}{_line(path, text)}: {_shown(path)}: {says}")
 
     return wrong
 
 
 def check(made: Deployment, text: str = "", source: str = "") -> None:
-    """What can't be seen in one value alone. Raises Wrong."""
+    """What can't be seen in one value alone. Raises DeploymentError."""
     wrong = complaints(text, source)
     if not made.methods:
         raise wrong("is empty; expected at least one method", "methods")
--- a/lapistrestle/directory/holder_settings.py
+++ b/lapistrestle/directory/holder_settings.py
@@ -1,6 +1,6 @@
 """A holder's settings file, translated to what its decisions keep to."""
 
-from lapistrestle.deployment.shape import HolderDeployment
+from lapistrestle.deployment.schema import HolderDeployment
 from lapistrestle.directory.effects import HolderSettings
 
 BURSTS_A_SECOND = 4  # a quarter of a second's snapshots may be sent at once
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lapistrestle.deployment.shape import HolderDeployment
+from lapistrestle.deployment.schema import HolderDeployment
 from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, SendTo
 from lapistrestle.directory.holder_counts import HolderCounts
 from lapistrestle.directory.holder_settings import holder_settings
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from lapistrestle.deployment.shape import Directory
+from lapistrestle.deployment.schema import Directory
 from lapistrestle.directory.assignment import Assignment, Copy
 from lapistrestle.directory.effects import (
     Dial,
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from lapistrestle.deployment.shape import Fleet
+from lapistrestle.deployment.schema import Fleet
 from lapistrestle.fleet.gossip_counters import CounterSettings
 from lapistrestle.fleet.gossip_endpoint import GossipEndpoint
 from lapistrestle.fleet.member_table import ACTIVE_STATES
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from lapistrestle.deployment.load import to_settings
-from lapistrestle.deployment.shape import Deployment
+from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.clients import Clients, ClientSpeaker
 from lapistrestle.edge.core import Core, Log
 from lapistrestle.edge.following import Address, Following
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -17,8 +17,8 @@
 from msgspec import Meta, field
 from scipy import stats
 
-from lapistrestle.deployment.load import Wrong
-from lapistrestle.deployment.shape import Shape
+from lapistrestle.deployment.load import DeploymentError
+from lapistrestle.deployment.schema import Shape
 
 CONFIDENCE = 0.95
 FIGURES = ("service", "worst", "p50", "p99", "ok", "tries", "fetches", "calls")
@@ -53,7 +53,7 @@
 
 
 def planned(experiment: Experiment, day: Mapping[str, Any]) -> list[Planned]:
-    """All runs, seed by seed, so that one that is stopped early has whole pairs. Raises Wrong where a path
+    """All runs, seed by seed, so that one that is stopped early has whole pairs. Raises DeploymentError where a path
     leads nowhere."""
     variants = [
         tuple(zip(experiment.vary, values, strict=True)) for values in product(*experiment.vary.values())
@@ -78,7 +78,7 @@
         elif isinstance(at, dict):
             at = at.setdefault(name, {})
     if not isinstance(at, dict):
-        raise Wrong(f"vary.{path}: leads nowhere in the day")
+        raise DeploymentError(f"vary.{path}: leads nowhere in the day")
     at[last] = value
 
 
@@ -153,11 +153,11 @@
 
 
 def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, Sure]:
-    """Each other variant against the base, seed by seed; only seeds that both have. Raises Wrong."""
+    """Each other variant against the base, seed by seed; only seeds that both have. Raises DeploymentError."""
     found = by_variant(results)
     if base not in found:
         known = "; ".join(shown(variant) for variant in found)
-        raise Wrong(f"no results of {shown(base)}; known: {known or 'none'}")
+        raise DeploymentError(f"no results of {shown(base)}; known: {known or 'none'}")
     made = {}
     for variant, runs in found.items():
         both = sorted(set(runs) & set(found[base]))
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -7,8 +7,8 @@
 from typing import Any, BinaryIO
 
 from lapistrestle.checks.service import worth
-from lapistrestle.deployment.load import Wrong
-from lapistrestle.deployment.shape import Deployment
+from lapistrestle.deployment.load import DeploymentError
+from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.linking import Input
 from lapistrestle.edge.program import Edge
 from lapistrestle.model.baselines import Baseline
@@ -120,16 +120,18 @@
 
 
 class ModelWorld(World):
-    """Builds one day of the model. Raises Wrong for what it can't play."""
+    """Builds one day of the model. Raises DeploymentError for what it can't play."""
 
     def __init__(
         self, day: Day, deployment: Deployment, sink: BinaryIO | None = None, log: Any = None
     ) -> None:
         for number, trouble in enumerate(day.troubles):
             if trouble.kind in WIRES:
-                raise Wrong(f"troubles.{number}.kind: {trouble.kind} needs sockets; the model has none")
+                raise DeploymentError(
+                    f"troubles.{number}.kind: {trouble.kind} needs sockets; the model has none"
+                )
         if day.rollouts:
-            raise Wrong("rollouts: the model has no planner yet")
+            raise DeploymentError("rollouts: the model has no planner yet")
         self.runners: dict[int, RunnerStandIn] = {}
         self.ways = Ways()
         self.log = log or (lambda what, **figures: None)
--- a/lapistrestle/standins/directories.py
+++ b/lapistrestle/standins/directories.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from lapistrestle.deployment.shape import (
+from lapistrestle.deployment.schema import (
     Deployment,
     Directory,
     DirectoryCopy,
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -7,8 +7,8 @@
 from pathlib import Path
 from typing import Any, BinaryIO
 
-from lapistrestle.deployment.load import Wrong
-from lapistrestle.deployment.shape import Deployment, HolderDeployment
+from lapistrestle.deployment.load import DeploymentError
+from lapistrestle.deployment.schema import Deployment, HolderDeployment
 from lapistrestle.edge.program import Edge
 from lapistrestle.planner.server import Planner
 from lapistrestle.standins.children import Child, free_tcp_ports
@@ -92,9 +92,11 @@
 
 
 def decided_by_module(day: Day) -> None:
-    """Raises Wrong: the program knows no other policy."""
+    """Raises DeploymentError: the program knows no other policy."""
     if day.policy != "module":
-        raise Wrong(f'policy: is "{day.policy}"; other policies than the module are in the model only')
+        raise DeploymentError(
+            f'policy: is "{day.policy}"; other policies than the module are in the model only'
+        )
 
 
 def run_virtual(reactor: VirtualReactor, world: World, begun: Callable[[World], None] | None) -> None:
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -6,8 +6,8 @@
 import msgspec
 from msgspec import Meta, field
 
-from lapistrestle.deployment.load import Wrong, check, load, read_json5, shaped
-from lapistrestle.deployment.shape import Deployment, HolderDeployment, Part, Positive, Shape, Span
+from lapistrestle.deployment.load import DeploymentError, check, load, read_json5, shaped
+from lapistrestle.deployment.schema import Deployment, HolderDeployment, Part, Positive, Shape, Span
 
 Kind = Literal[
     "balancer_stall", "burst", "crash", "deploy", "discovery_stale", "fast_errors", "hot_key", "neighbour",
@@ -120,7 +120,7 @@
 
 
 def read_day(path: Path) -> tuple[Day, Deployment]:
-    """A checked script and its deployment. Raises Wrong."""
+    """A checked script and its deployment. Raises DeploymentError."""
     value, text = read_json5(path)
     return make_day(value, text, path)
 
@@ -139,12 +139,14 @@
     for name in day.traffic.methods:
         if name not in deployment.methods:
             known = ", ".join(deployment.methods)
-            raise Wrong(f"{source}: traffic.methods.{name}: no such method; known: {known}")
+            raise DeploymentError(f"{source}: traffic.methods.{name}: no such method; known: {known}")
     for number, trouble in enumerate(day.troubles):
         if trouble.zone and trouble.zone not in deployment.zones:
-            raise Wrong(f'{source}: troubles.{number}.zone: is "{trouble.zone}"; known: {deployment.zones}')
+            raise DeploymentError(
+                f'{source}: troubles.{number}.zone: is "{trouble.zone}"; known: {deployment.zones}'
+            )
         if trouble.at >= day.length:
-            raise Wrong(f"{source}: troubles.{number}.at: is past the day's length")
+            raise DeploymentError(f"{source}: troubles.{number}.at: is past the day's length")
     return day, deployment
 
 
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lapistrestle.deployment.shape import Deployment, Place, Planner
+from lapistrestle.deployment.schema import Deployment, Place, Planner
 from lapistrestle.standins.client import Crowd, Habits, Line, Wish
 from lapistrestle.standins.directories import DirectoryRig, Holders, holder_names
 from lapistrestle.standins.engine import RunnerFacts
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -12,7 +12,7 @@
 
 from lapistrestle.deployment import load as load_module
 from lapistrestle.deployment import translation
-from lapistrestle.deployment.load import Wrong, load, load_holder, to_settings
+from lapistrestle.deployment.load import DeploymentError, load, load_holder, to_settings
 from lapistrestle.policy.settings import MethodSettings, Settings
 from lapistrestle.standins.script import plain, read_day
 
@@ -89,7 +89,7 @@
 def test_what_is_wrong_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
-    with pytest.raises(Wrong) as trouble:
+    with pytest.raises(DeploymentError) as trouble:
         load(path)
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
@@ -123,7 +123,7 @@
 def test_what_is_wrong_in_a_directory_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
-    with pytest.raises(Wrong) as trouble:
+    with pytest.raises(DeploymentError) as trouble:
         load(path)
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
@@ -162,13 +162,13 @@
 def test_what_is_wrong_in_a_holders_settings_is_said(tmp_path: Path, text: str, says: str) -> None:
     path = tmp_path / "a.json5"
     path.write_text(text)
-    with pytest.raises(Wrong) as trouble:
+    with pytest.raises(DeploymentError) as trouble:
         load_holder(path)
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
 def test_a_missing_file_is_said(tmp_path: Path) -> None:
-    with pytest.raises(Wrong, match="can't be read"):
+    with pytest.raises(DeploymentError, match="can't be read"):
         load(tmp_path / "none.json5")
 
 
@@ -195,7 +195,7 @@
     path = tmp_path / "day.json5"
     deployment = json.loads(json.dumps(plain(load(EXAMPLES / "thumbs.json5"))))
     path.write_text(json.dumps({"name": "x", "deployment": deployment, **change}))
-    with pytest.raises(Wrong) as trouble:
+    with pytest.raises(DeploymentError) as trouble:
         read_day(path)
     assert says in str(trouble.value)
 
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -4,7 +4,7 @@
 from twisted.internet.protocol import ClientFactory
 
 from lapistrestle.deployment.load import check_holder
-from lapistrestle.deployment.shape import (
+from lapistrestle.deployment.schema import (
     Directory,
     DirectoryCopy,
     DirectoryServe,
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -8,7 +8,7 @@
 from test_edge import CALL, EXAMPLES, Listens, Stage, end
 
 from lapistrestle.deployment.load import load
-from lapistrestle.deployment.shape import Directory, DirectoryCopy
+from lapistrestle.deployment.schema import Directory, DirectoryCopy
 from lapistrestle.edge.program import Edge
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.virtual import Process, VirtualReactor
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -13,7 +13,7 @@
 
 from lapistrestle.command.experiments import results_of
 from lapistrestle.command.main import main
-from lapistrestle.deployment.load import Wrong
+from lapistrestle.deployment.load import DeploymentError
 from lapistrestle.model.experiment import (
     Experiment,
     Planned,
@@ -41,7 +41,7 @@
     put(day, "store.fetches", 4)
     put(day, "troubles.0.share", 0.5)
     assert day == {"troubles": [{"kind": "crash", "share": 0.5}], "store": {"fetches": 4}}
-    with pytest.raises(Wrong, match=r"vary.troubles.7.share"):
+    with pytest.raises(DeploymentError, match=r"vary.troubles.7.share"):
         put(day, "troubles.7.share", 1)
 
 
@@ -60,7 +60,7 @@
     results += [result(3, seed, 0.52 + 0.05 * seed + 0.001 * (seed % 2)) for seed in range(6)]
     ((variant, gap),) = differences(results, (("edges", 1),), "service").items()
     assert variant == (("edges", 3),) and gap.mean == pytest.approx(0.0205) and not gap.noise
-    with pytest.raises(Wrong, match="known: edges=1; edges=3"):
+    with pytest.raises(DeploymentError, match="known: edges=1; edges=3"):
         differences(results, (("edges", 9),), "service")
 
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -62,7 +62,7 @@
 
 # What the platform's edge is made of.
 OF_THE_PLATFORM = {"deployment", "edge", "hosting", "node", "policy", "records"}
-NOT_OF_THE_PLATFORM = ("deployment.load", "deployment.shape", "edge.program", "edge.runners", "records.logs")
+NOT_OF_THE_PLATFORM = ("deployment.load", "deployment.schema", "edge.program", "edge.runners", "records.logs")
 
 
 def package_of(module: str) -> str:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -4,8 +4,8 @@
 from helpers import dispatcher, request
 from test_edge import CALL, Stage
 
-from lapistrestle.deployment.load import Wrong, shaped
-from lapistrestle.deployment.shape import Deployment
+from lapistrestle.deployment.load import DeploymentError, shaped
+from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.keeping import Keeping
 from lapistrestle.store import learned_state
 
@@ -97,7 +97,7 @@
 
 def test_the_setting_is_checked_and_absent_keeps_nothing(stage):
     assert stage.edge.keeping is None
-    with pytest.raises(Wrong, match=r"x.json5.*dispatcher.keep.*is 5; expected text"):
+    with pytest.raises(DeploymentError, match=r"x.json5.*dispatcher.keep.*is 5; expected text"):
         shaped({"methods": {}, "dispatcher": {"keep": 5}}, Deployment, "", "x.json5")
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,7 +13,7 @@
 from lapistrestle.checks.reading import Story
 from lapistrestle.checks.rules import judge
 from lapistrestle.checks.service import serve
-from lapistrestle.deployment.load import Wrong
+from lapistrestle.deployment.load import DeploymentError
 from lapistrestle.model.baselines import POLICIES
 from lapistrestle.model.clock import Clock
 from lapistrestle.model.world import ModelEdge, ModelWorld, Outcome
@@ -151,9 +151,9 @@
 
 @pytest.mark.parametrize("kind", ["silent", "edge_kill"])
 def test_what_needs_sockets_is_refused_before_anything_runs(kind):
-    with pytest.raises(Wrong, match=f"troubles.0.kind: {kind}"):
+    with pytest.raises(DeploymentError, match=f"troubles.0.kind: {kind}"):
         played(troubles=[{"kind": kind}])
-    with pytest.raises(Wrong, match="rollouts"):
+    with pytest.raises(DeploymentError, match="rollouts"):
         played(rollouts=[{}])
 
 
@@ -228,5 +228,5 @@
 
 def test_the_program_knows_no_other_policy():
     made, deployment = make_day(day(policy="hash"), path=EXAMPLES / "day.json5")
-    with pytest.raises(Wrong, match='policy: is "hash"'):
+    with pytest.raises(DeploymentError, match='policy: is "hash"'):
         play_virtual(made, deployment, io.BytesIO())
--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -9,7 +9,7 @@
 from lapistrestle.command.experiments import read as read_experiment
 from lapistrestle.command.rollouts import Policy
 from lapistrestle.deployment.load import load, load_holder, read_json5, shaped
-from lapistrestle.deployment.shape import Deployment, HolderDeployment
+from lapistrestle.deployment.schema import Deployment, HolderDeployment
 from lapistrestle.model.experiment import Experiment
 from lapistrestle.node.configuration import ConfigurationFile, PlatformSettings
 from lapistrestle.node.replies import Reply as RunnerReply
