--- a/benchmarks/scale/roles/dispatcher_directory.py
+++ b/benchmarks/scale/roles/dispatcher_directory.py
@@ -17,8 +17,8 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
 from lapistrestle.directory.effects import WatcherSettings
-from lapistrestle.directory.ticks import SECOND
 from lapistrestle.standins.virtual import VirtualReactor
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.messages import Entry
 
 FLEET = 5_000  # instances, where something else grows
--- a/lapistrestle/agreement/raft.py
+++ b/lapistrestle/agreement/raft.py
@@ -29,8 +29,7 @@
     RequestVoteReply,
     Send,
 )
-
-SECOND = 10_000  # in ticks of 0.1 ms
+from lapistrestle.ticks import SECOND
 
 
 @dataclass(frozen=True)
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -18,6 +18,7 @@
     RequestInfo,
     WorkerInfo,
 )
+from lapistrestle.ticks import MICROSECONDS
 
 Fields = Mapping[str, Any]
 
@@ -48,7 +49,7 @@
         self.act("Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within})
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
-        self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * translation.UNIT})
+        self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * MICROSECONDS})
 
     def abort(self, request: RequestInfo) -> None:
         self.act("DropRequest", **{"msg-id": request.tag})
--- a/lapistrestle/deployment/translation.py
+++ b/lapistrestle/deployment/translation.py
@@ -5,10 +5,10 @@
 
 from lapistrestle.policy.settings import CustomerSettings, MethodKind, MethodSettings, Settings
 from lapistrestle.policy.types import EndpointState, LoadState, Outcome
+from lapistrestle.ticks import MICROSECONDS
 
 Group = Mapping[str, Any]  # one group of the platform's settings, as JSON has it
 
-UNIT = 100  # microseconds in a tenth of a millisecond
 
 OUTCOMES = {
     "S": Outcome.OK,
@@ -50,17 +50,17 @@
 
 def moment(micros: int) -> int:
     """A clock reading, rounded up, so that what is left before a deadline is never overstated."""
-    return -(-micros // UNIT)
+    return -(-micros // MICROSECONDS)
 
 
 def span(micros: int) -> int:
     """A deadline or length, rounded down."""
-    return micros // UNIT
+    return micros // MICROSECONDS
 
 
 def micros(tenths: int) -> int:
     """A length for the wire; 0 would mean none, so the least is one microsecond."""
-    return max(1, tenths * UNIT)
+    return max(1, tenths * MICROSECONDS)
 
 
 def part(whole: Group, key: str) -> Group:
--- a/lapistrestle/directory/byte_rate.py
+++ b/lapistrestle/directory/byte_rate.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from lapistrestle.directory.ticks import SECOND
+from lapistrestle.ticks import SECOND
 
 RATE_SECONDS = 10  # whole seconds that the mean and the most are taken over
 
--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -13,7 +13,7 @@
 
 from lapistrestle.directory.digests import undated
 from lapistrestle.directory.revisions import Revisions
-from lapistrestle.directory.ticks import MILLISECOND
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.directory import LONGEST_UP_FOR, Revision
 from lapistrestle.wire.messages import Entry
 
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from lapistrestle.directory.assignment import Copy
-from lapistrestle.directory.ticks import NEVER
+from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import Entry
 
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from lapistrestle.directory.assignment import Copy
-from lapistrestle.directory.ticks import MILLISECOND, SECOND
+from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import RegionSums
 from lapistrestle.wire.messages import Entry, Message
 
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -13,8 +13,8 @@
 from lapistrestle.directory.prefix_cache import PrefixCache
 from lapistrestle.directory.prefixes import RevisionGapError, apply_change
 from lapistrestle.directory.shard_connections import ShardConnections
-from lapistrestle.directory.ticks import MILLISECOND
 from lapistrestle.directory.watch_requests import WatchRequests
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.directory import (
     Busy,
     HolderMessage,
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -6,7 +6,7 @@
 
 from lapistrestle.directory.digests import undated
 from lapistrestle.directory.hash_ring import InstanceRing
-from lapistrestle.directory.ticks import MILLISECOND, SECOND
+from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import LONGEST_UP_FOR, RegionSums
 from lapistrestle.wire.directory import Instance as WireInstance
 from lapistrestle.wire.messages import Entry
--- a/lapistrestle/directory/leases.py
+++ b/lapistrestle/directory/leases.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.directory.connection_state import HolderConnection
 from lapistrestle.directory.effects import Send, WatcherEffect, WatcherSettings
-from lapistrestle.directory.ticks import MILLISECOND
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.directory import Renew
 
 
--- a/lapistrestle/directory/lookups.py
+++ b/lapistrestle/directory/lookups.py
@@ -5,7 +5,7 @@
 from lapistrestle.directory.connection_state import CachedFunction
 from lapistrestle.directory.effects import LookupFailed, WatcherEffect, WatcherSettings
 from lapistrestle.directory.jitter import Jitter
-from lapistrestle.directory.ticks import NEVER
+from lapistrestle.ticks import NEVER
 
 
 class Lookups:
--- a/lapistrestle/directory/rate_limits.py
+++ b/lapistrestle/directory/rate_limits.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 from lapistrestle.directory.jitter import Jitter
-from lapistrestle.directory.ticks import SECOND
+from lapistrestle.ticks import SECOND
 
 RESERVED = 0.5  # of what may come at once: kept for look-ups that calls wait for
 
--- a/lapistrestle/directory/revisions.py
+++ b/lapistrestle/directory/revisions.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from lapistrestle.directory.ticks import SECOND
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 
 MOST_SOURCES = 64  # that are remembered, the latest
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from lapistrestle.directory.effects import HolderSettings
-from lapistrestle.directory.ticks import MILLISECOND
+from lapistrestle.ticks import MILLISECOND
 
 
 class FreshnessState(Enum):
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from lapistrestle.directory.shard_holder import ShardHolder
-from lapistrestle.directory.ticks import SECOND
 from lapistrestle.sources.numbered_list import ListAction, ListEvent, NumberedList
 from lapistrestle.sources.roster import RosterSource, RosterSpeaker
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.lines import LineBounds
 from lapistrestle.wire.messages import Change, Entry, Hello, Whole
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -15,8 +15,8 @@
 from lapistrestle.directory.holder_settings import holder_settings
 from lapistrestle.directory.roster_subscription import RosterSubscription
 from lapistrestle.directory.shard_holder import ShardHolder
-from lapistrestle.directory.ticks import MILLISECOND, SECOND
 from lapistrestle.directory.watcher_sessions import Log, WatcherFactory, WatcherSessions
+from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import InspectResponse, WatcherMessage
 
 CLOSING_TIME = 1.0  # seconds at the end for what was written to leave
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -8,8 +8,8 @@
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.prefixes import change_message
 from lapistrestle.directory.rate_limits import TokenBucket
-from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watched_functions import WatchedFunctions
+from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import (
     MOST_IN_A_BATCH,
     Instance,
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -7,7 +7,7 @@
 from lapistrestle.directory.effects import Dial, HangUp, WatcherEffect, WatcherSettings
 from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.lookups import Lookups
-from lapistrestle.directory.ticks import MILLISECOND, NEVER, SECOND
+from lapistrestle.ticks import MILLISECOND, NEVER, SECOND
 
 AVOIDANCE_TIME = 10 * SECOND  # for which a copy found stale or unreachable is not changed over to
 MOST_DOUBLINGS = 2  # of the pause between two moves for freshness, where all copies are as stale
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -22,8 +22,8 @@
 from lapistrestle.directory.rate_limits import SnapshotRateLimit, TokenBucket
 from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches, Session, Sessions
-from lapistrestle.directory.ticks import SECOND
 from lapistrestle.directory.watched_functions import SessionWatch, WatchedFunctions
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import (
     MOST_SUPERSEDED,
     Busy,
--- a/lapistrestle/directory/watch_requests.py
+++ b/lapistrestle/directory/watch_requests.py
@@ -7,7 +7,7 @@
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest
 from lapistrestle.directory.digests import digest_of
 from lapistrestle.directory.effects import Send, WatcherEffect
-from lapistrestle.directory.ticks import NEVER
+from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Unwatch, Watch
 
 
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -15,7 +15,7 @@
 from lapistrestle.directory.message_sizes import entries_bytes
 from lapistrestle.directory.prefixes import Difference, Prefix, difference
 from lapistrestle.directory.ring_positions import RingPositions
-from lapistrestle.directory.ticks import SECOND
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import LONGEST_PREFIX, Instance
 
 MOST_MEMBERS = 4 * LONGEST_PREFIX  # of one function in the index, before what nobody was sent is pruned
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -23,8 +23,8 @@
 from lapistrestle.directory.prefix_cache import PrefixCache
 from lapistrestle.directory.prefixes import Prefix
 from lapistrestle.directory.shard_connections import ShardConnections
-from lapistrestle.directory.ticks import NEVER, SECOND
 from lapistrestle.directory.watch_requests import WatchRequests
+from lapistrestle.ticks import NEVER, SECOND
 from lapistrestle.wire.directory import LONGEST_PREFIX, HolderMessage
 
 EXTENSION_THRESHOLD = 0.75  # of a prefix: a call beyond it has a longer one asked for
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -16,9 +16,9 @@
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.types import EndpointState, FunctionInfo, Outcome, WorkerInfo
+from lapistrestle.ticks import SECOND
 
 Log = Callable[..., None]
-TENTHS = 10_000  # of a millisecond in a second
 LATE = READ_AGAIN  # since the look before: a close may lie behind what is read
 PIECES = 4  # a whole request with the longest body, and what follows it
 MOST_LOGGED = 100  # lines of one kind
@@ -90,13 +90,13 @@
             reactor.around = self.host.batched
 
     def clock(self) -> int:
-        return int(self.reactor.seconds() * TENTHS + 0.001)  # 0.3 ms must not read as 2.99 tenths
+        return int(self.reactor.seconds() * SECOND + 0.001)  # 0.3 ms must not read as 2.99 tenths
 
     def earliest_arrival(self) -> int:
         """The earliest moment at which what is read now may have come: a program that stood still reads late,
         and by the sockets' count its RPCs are older than by its own."""
         looked = getattr(self.reactor, "looked", None)
-        return self.clock() if looked is None else int(looked[0] * TENTHS)
+        return self.clock() if looked is None else int(looked[0] * SECOND)
 
     def unread_for(self, sock: socket.socket, longest: int) -> int:
         """How long what is read now lay in its socket, `longest` at the most, in tenths of a millisecond, as
@@ -105,7 +105,7 @@
         age = getattr(self.reactor, "unread_for", None)
         if age is None or not longest:
             return 0
-        return min(longest, int(age(sock) * TENTHS))
+        return min(longest, int(age(sock) * SECOND))
 
     def since_look(self) -> int:
         """How long what is read now may have lain unread at the most; 0 unless the program stood still."""
@@ -143,7 +143,7 @@
         if self.next_turn is not None:
             self.next_turn.cancel()
         self.turn_at = due
-        self.next_turn = self.reactor.callLater(max(0.0, due / TENTHS - self.reactor.seconds()), self.turn)
+        self.next_turn = self.reactor.callLater(max(0.0, due / SECOND - self.reactor.seconds()), self.turn)
 
     def turn(self) -> None:
         self.next_turn = None
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -6,12 +6,11 @@
 from twisted.python.failure import Failure
 
 from lapistrestle.directory.effects import Dial, Send
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.lines import LineBounds, Speaker, union
 from lapistrestle.wire.messages import VERSION, Fault, Hello
 
-TENTHS = 10_000  # tenths of a millisecond in a second
-
 
 class Listener(Protocol):
     """Who is told what becomes of the connections, by their numbers."""
@@ -93,7 +92,7 @@
     def dial(self, effect: Dial) -> None:
         """Open a connection."""
         dial = self.dials[effect.connection] = HolderDial(self, effect.connection)
-        time_out = self.edge.connect_timeout / TENTHS
+        time_out = self.edge.connect_timeout / SECOND
         copy = effect.copy
         dial.connector = self.edge.reactor.connectTCP(copy.host, copy.port, dial, timeout=time_out)
 
--- a/lapistrestle/fleet/gossip_counters.py
+++ b/lapistrestle/fleet/gossip_counters.py
@@ -17,10 +17,10 @@
 import numpy as np
 import numpy.typing as npt
 
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import CounterSnapshot, ProcessId
 
-SECOND = 10_000  # in ticks of 0.1 ms
 MAX_OVER_MEDIAN = 100.0  # bound of one process's rate over the median: fifty times is known to happen
 MIN_REPORTERS = 3  # under which there is no median to hold a rate against
 TRANSMISSIONS = 3  # of a snapshot by each that holds it: one in twenty misses it, and gets the next
--- a/lapistrestle/fleet/quota_share.py
+++ b/lapistrestle/fleet/quota_share.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest, LeaseReturn, ProcessId
 
-SECOND = 10_000  # in ticks of 0.1 ms
 MAX_OPEN_REQUESTS = 8  # of one's own
 MAX_LEASES = 256  # granted at once: guards against one that requests without end
 
--- a/lapistrestle/fleet/settings.py
+++ b/lapistrestle/fleet/settings.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-SECOND = 10_000  # in ticks of 0.1 ms
+from lapistrestle.ticks import SECOND
 
 Address = tuple[str, int]  # host and port
 
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -53,7 +53,8 @@
 
 
 def planned(experiment: Experiment, day: Mapping[str, Any]) -> list[Planned]:
-    """All runs, seed by seed, so that one that is stopped early has whole pairs. Raises DeploymentError where a path
+    """All runs, seed by seed, so that one that is stopped early has whole pairs. Raises
+    DeploymentError where a path
     leads nowhere."""
     variants = [
         tuple(zip(experiment.vary, values, strict=True)) for values in product(*experiment.vary.values())
@@ -153,7 +154,9 @@
 
 
 def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, Sure]:
-    """Each other variant against the base, seed by seed; only seeds that both have. Raises DeploymentError."""
+    """Each other variant against the base, seed by seed; only seeds that both have. Raises
+    DeploymentError.
+    """
     found = by_variant(results)
     if base not in found:
         known = "; ".join(shown(variant) for variant in found)
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -12,8 +12,9 @@
 
 import numpy as np
 
-from lapistrestle.overload.level_controller import SECOND, LevelController, Traffic
+from lapistrestle.overload.level_controller import LevelController, Traffic
 from lapistrestle.overload.priorities import AdmissionLevel, level_for
+from lapistrestle.ticks import SECOND
 
 STEP = 0.1  # seconds
 WINDOW = 20  # steps over which rates are taken, as in `fleet.gossip_counters`
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -21,7 +21,8 @@
 from lapistrestle.standins.script import Day
 from lapistrestle.standins.tape import Tape
 from lapistrestle.standins.troubles.kinds import schedule
-from lapistrestle.standins.world import SECOND, World, header
+from lapistrestle.standins.world import World, header
+from lapistrestle.ticks import SECOND
 
 # what needs a wire, or a process that stands still: only on sockets
 WIRES = frozenset(
--- a/lapistrestle/node/client_connection.py
+++ b/lapistrestle/node/client_connection.py
@@ -9,8 +9,8 @@
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.node import fastcgi
 from lapistrestle.node.streams import MOST_READS, READ, Stream
+from lapistrestle.ticks import SECOND
 
-TICKS_PER_SECOND = 10_000  # in tenths of a millisecond
 MAX_UNSENT = 1_048_576  # bytes towards a client that does not read: more of it is not read meanwhile
 PAUSE_TRUSTED = 500  # tenths of a millisecond for which one that is not read from counts as waiting
 MAX_DISCARDED = 262_144  # bytes read of a connection that is to be closed, once nothing is owed on it
@@ -267,7 +267,7 @@
         """Write an answer. `retry_after` is in tenths of a millisecond; 0: without that header."""
         head = HEADS[status]
         if retry_after:
-            head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // TICKS_PER_SECOND)) + head
+            head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // SECOND)) + head
         self.send(fastcgi.encode_response(number, head, body))
         self.reader.request_finished(number)
         self.note_idle()
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -11,9 +11,9 @@
 
 from lapistrestle.deployment import translation
 from lapistrestle.policy.settings import Settings
+from lapistrestle.ticks import SECOND
 
 ADDRESS = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}")
-TICKS_PER_SECOND = 10_000  # of a millisecond in a second
 Address = Annotated[str, Meta(pattern=f"^{ADDRESS.pattern}$")]
 
 
@@ -177,7 +177,7 @@
         """
         if self.written is None or now < self.written:
             return None
-        return int((now - self.written) * TICKS_PER_SECOND)
+        return int((now - self.written) * SECOND)
 
     @property
     def report_names(self) -> dict[str, str]:
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -11,12 +11,13 @@
 from typing import Any
 
 from lapistrestle.deployment import translation
-from lapistrestle.edge.core import TENTHS, Core
+from lapistrestle.edge.core import Core
 from lapistrestle.node.configuration import Configuration, KnownEndpoints, RunnerEntry, split_address
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import STATES, Frame, FrameDecoder, FrameError, FrameKind, Record
 from lapistrestle.node.streams import MOST_READS, Stream, dial
 from lapistrestle.policy.types import EndpointState, WorkerInfo
+from lapistrestle.ticks import MILLISECOND, SECOND
 
 HEARTBEAT_TIME_OUT = 22_000  # two heartbeats have not come
 FIRST_FRAME_TIME_OUT = 12_000  # the board was asked, and not one heartbeat has come
@@ -24,7 +25,6 @@
 RECONNECT_PAUSE = 1_000
 CONNECT_TIME_OUT = 5_000
 PROGRESS_BYTES = 1_024  # read at once: a long snapshot that is coming in
-TICKS_PER_MS = 10  # in a millisecond
 
 RevisionOrder = Enum("RevisionOrder", "REPEATED NEXT GAP")
 FrameAction = Enum("FrameAction", "IGNORE APPLY RESUME")
@@ -114,7 +114,7 @@
         self.watch: Watch | None = None
         self.stopped = False
         self.reconnects_at_once = True
-        self.unix_offset = int(time.time() * TENTHS) - core.clock()  # of the Unix clock to ours
+        self.unix_offset = int(time.time() * SECOND) - core.clock()  # of the Unix clock to ours
         self.zones = {name: i for i, name in enumerate(configuration.platform.zones)}
         self.kinds = {name: i for i, name in enumerate(configuration.platform.models)}
 
@@ -242,7 +242,7 @@
 
     def worker_info(self, record: Record) -> WorkerInfo:
         """A record in the module's terms."""
-        booted = record.started * TICKS_PER_MS - self.unix_offset if record.started else None
+        booted = record.started * MILLISECOND - self.unix_offset if record.started else None
         return WorkerInfo(
             record.name, record.zone, record.cell, record.kind, record.weight / 1000, record.listing, booted
         )
--- a/lapistrestle/node/freshness.py
+++ b/lapistrestle/node/freshness.py
@@ -9,10 +9,11 @@
 
 from dataclasses import dataclass
 
-TICKS_PER_SECOND = 10_000
-NOTIFIED_AFTER_SILENCE = 4 * TICKS_PER_SECOND  # protocol page, "Figures"
-NOTIFIED_AFTER_MOVE = 4 * TICKS_PER_SECOND  # page of the days, "New configurations and restarts"
-NOTIFIED_AFTER_BREAK = 2 * TICKS_PER_SECOND  # page of the days, "Bad peers"
+from lapistrestle.ticks import SECOND
+
+NOTIFIED_AFTER_SILENCE = 4 * SECOND  # protocol page, "Figures"
+NOTIFIED_AFTER_MOVE = 4 * SECOND  # page of the days, "New configurations and restarts"
+NOTIFIED_AFTER_BREAK = 2 * SECOND  # page of the days, "Bad peers"
 
 
 @dataclass
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -15,10 +15,9 @@
 from lapistrestle.node.invocation import InvalidRequestError, Invocation, InvocationParser
 from lapistrestle.node.runner_connection import RunnerConnection
 from lapistrestle.node.streams import Listener
+from lapistrestle.ticks import MILLISECOND, SECOND
 
 DEADLINE_MARGIN = 60  # tenths of a millisecond, for the way back and the turn of the loop
-TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
-TICKS_PER_MS = 10
 # Tenths of a millisecond:
 FIRST_REQUEST_TIME = 5_000  # a new connection's first request may be on its way for this long
 FIRST_REQUEST_TIME_OUT = 20_000  # a connection that has not brought a complete request by then is closed
@@ -126,7 +125,7 @@
         assert self.listener is not None
         has_room = self.has_room()
         connection = ClientConnection(self, sock)
-        connection.waited = int(self.listener.waited() * TICKS_PER_SECOND)
+        connection.waited = int(self.listener.waited() * SECOND)
         if has_room:
             self.connections[connection] = self.idle[connection] = None
         else:
@@ -285,7 +284,7 @@
             raise InvalidRequestError(
                 409, "X-Call-Id is in use", "X-Call-Id", call.id, "an id of no open call"
             )
-        time_left = int(call.patience * TICKS_PER_MS) - DEADLINE_MARGIN - connection.unread
+        time_left = int(call.patience * MILLISECOND) - DEADLINE_MARGIN - connection.unread
         if time_left <= 0 or not self.takes_requests(connection):
             self.core.counts["turned away"] += 1
             connection.reply(request.number, 503)
@@ -302,8 +301,8 @@
             memory=call.memory,
             lanes=call.lanes,
             repeat=call.repeat,
-            work=None if call.work is None else max(1, int(call.work * TICKS_PER_MS)),
-            load=None if call.load is None else int(call.load * TICKS_PER_MS),
+            work=None if call.work is None else max(1, int(call.work * MILLISECOND)),
+            load=None if call.load is None else int(call.load * MILLISECOND),
             moved=self.seen_recently(tag),
             arrived_at=self.core.earliest_arrival(),
         )
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -10,12 +10,10 @@
 from lapistrestle.node.configuration import Configuration
 from lapistrestle.node.runner_connection import RunnerConnection
 from lapistrestle.policy.types import Outcome
+from lapistrestle.ticks import MICROSECONDS, MILLISECOND, SECOND
 
 MAX_CONNECTIONS_PER_RUNNER = 16  # more than one: a bad answer ends all that its connection carries
-TICKS_PER_SECOND = 10_000  # a tick is a tenth of a millisecond
-SWEEP_INTERVAL = TICKS_PER_SECOND  # between two looks for idle connections
-MICROSECONDS_PER_TICK = 100
-TICKS_PER_MS = 10
+SWEEP_INTERVAL = SECOND  # between two looks for idle connections
 RUNNER_SOCKETS_SHARE = (2, 5)  # of the process's sockets may go to runners
 NOT_OPEN_PENALTY = 16  # lines that a connection which is not open counts as having more
 USABLE = (Link.OPEN, Link.DIALING, Link.SLOW)
@@ -116,7 +114,7 @@
         """An attempt as it is sent to the runner, with the time that is left as it is written."""
         message, left = worker_call.pending.message, worker_call.ends_by - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
-            message.id, message.head, max(1, left // TICKS_PER_MS), message.key, b64encode(message.body),
+            message.id, message.head, max(1, left // MILLISECOND), message.key, b64encode(message.body),
         )  # fmt: skip
 
     def send_preload(self, task: WorkerTask) -> None:
@@ -152,8 +150,8 @@
         self.core, self.max_calls = core, limits.streams_per_conn
         self.report_names = configuration.report_names
         self.reports_concurrency = core.settings.reports_concurrency
-        idle = limits.conn_idle // MICROSECONDS_PER_TICK
-        self.idle_limit = max(idle * 6 // 10, idle - 2 * TICKS_PER_SECOND)  # before the runner would
+        idle = limits.conn_idle // MICROSECONDS
+        self.idle_limit = max(idle * 6 // 10, idle - 2 * SECOND)  # before the runner would
         self.max_connections = (
             configuration.file.limits.sockets * RUNNER_SOCKETS_SHARE[0] // RUNNER_SOCKETS_SHARE[1]
         )
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -20,9 +20,9 @@
 from lapistrestle.overload.statistics_source import DISPLAY_NAMES, SourceSelector, StatisticsSource
 from lapistrestle.overload.unused_capacity import UnusedCapacityBucket
 from lapistrestle.policy.settings import Settings
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.fleet import ProcessId
 
-SECOND = 10_000  # in ticks of 0.1 ms
 UPDATE_EVERY = SECOND // 2  # between two readings of the statistics, which are sent no sooner
 MIN_RETRY_AFTER = SECOND // 2  # no sooner: the statistics could not show what came of it
 MAX_CUSTOMERS = 24  # counted by name; further ones are never beyond their quota
--- a/lapistrestle/overload/level_controller.py
+++ b/lapistrestle/overload/level_controller.py
@@ -16,8 +16,8 @@
 from math import inf
 
 from lapistrestle.overload.priorities import AdmissionLevel, level_for
+from lapistrestle.ticks import SECOND
 
-SECOND = 10_000  # in ticks of 0.1 ms
 MAX_BAD_FRACTION = 0.12  # of what finished; with long sojourn times more is overload
 CUT_FACTOR = 0.95  # of the goodput is admitted under overload
 GROWTH_PER_LAG = 0.25  # by which the capacity grows within each lag in which all went well
--- a/lapistrestle/overload/retry_after.py
+++ b/lapistrestle/overload/retry_after.py
@@ -3,7 +3,8 @@
 from collections import deque
 from math import ceil
 
-SECOND = 10_000  # in ticks of 0.1 ms
+from lapistrestle.ticks import SECOND
+
 SLOT = 1_000  # ticks: reservations are counted by slots of this width
 HEADROOM = 0.8  # part of the capacity that is reserved; the rest is for those that were given no time
 NO_SLOT = -(10**9)  # long before any
--- a/lapistrestle/overload/statistics_source.py
+++ b/lapistrestle/overload/statistics_source.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 from enum import IntEnum
 
-SECOND = 10_000  # in ticks of 0.1 ms
+from lapistrestle.ticks import SECOND
+
 SETTLING_TIME = 3 * SECOND  # without a change before one step up
 MIN_COUNTED_PART = 0.5  # of the members present must have reported, for the fleet's statistics to mean much
 MIN_OWN_RATE = 5.0  # requests a second of one's own, under which one's own statistics are chance
--- a/lapistrestle/overload/unused_capacity.py
+++ b/lapistrestle/overload/unused_capacity.py
@@ -10,7 +10,8 @@
 from math import inf
 from typing import NamedTuple
 
-SECOND = 10_000  # in ticks of 0.1 ms
+from lapistrestle.ticks import SECOND
+
 BURST = SECOND // 2  # of the rate may be saved and used later: statistics are read so often
 DEMAND_RETENTION = 20 * SECOND  # of one's own demand: statistics are never older
 
--- a/lapistrestle/overload/worker_verdicts.py
+++ b/lapistrestle/overload/worker_verdicts.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.fleet import WorkerVerdict
 
-SECOND = 10_000  # in ticks of 0.1 ms
 PROBERS_PER_WORKER = 2  # one may stand still without being missed yet
 PROBE_INTERVAL = SECOND  # of one prober: a worker gets PROBERS_PER_WORKER in it, twice that in a partition
 EXPIRY_AGE = 5 * SECOND  # from which on a verdict says nothing
--- a/lapistrestle/planner/connection.py
+++ b/lapistrestle/planner/connection.py
@@ -9,8 +9,9 @@
 
 from twisted.internet.protocol import ServerFactory
 
-from lapistrestle.planner.entries import TICKS_PER_MILLISECOND, CommandEntry, OutcomeEntry
+from lapistrestle.planner.entries import CommandEntry, OutcomeEntry
 from lapistrestle.rollout.readiness import EdgeReport
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
 from lapistrestle.wire.lines import LineBounds, Speaker, union
@@ -103,7 +104,7 @@
             reason=command.reason,
             candidate=command.candidate,
             steps=command.steps,
-            retention=int(command.retention * TICKS_PER_MILLISECOND),
+            retention=int(command.retention * MILLISECOND),
         )
         result = self.planner.append(entry)
         if result is None:
--- a/lapistrestle/planner/entries.py
+++ b/lapistrestle/planner/entries.py
@@ -10,13 +10,12 @@
 from msgspec import Meta, Struct
 
 from lapistrestle.rollout_types import DEFAULT_STEPS, RolloutAction
+from lapistrestle.ticks import SECOND
 
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 
-TICKS_PER_MILLISECOND = 10
-TICKS_PER_SECOND = 1_000 * TICKS_PER_MILLISECOND
 
-DEFAULT_RETENTION = 60 * TICKS_PER_SECOND
+DEFAULT_RETENTION = 60 * SECOND
 """Ticks (one minute) for which clients may come back from a version, unless a command says otherwise."""
 
 
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -7,18 +7,13 @@
 from typing import Any, Protocol
 
 from lapistrestle.planner.connection import PlannerConnection, PlannerConnectionFactory
-from lapistrestle.planner.entries import (
-    TICKS_PER_SECOND,
-    JournalEntry,
-    TickEntry,
-    decode_entry,
-    encode_entry,
-)
+from lapistrestle.planner.entries import JournalEntry, TickEntry, decode_entry, encode_entry
 from lapistrestle.planner.state import CommandResult, PlannerState
 from lapistrestle.planner.status import rollout_status
 from lapistrestle.rollout.readiness import Readiness
 from lapistrestle.rollout.state_machine import FINAL_STATES, Rollout, RolloutState
 from lapistrestle.store.journal import Journal, JournalError, StaleEpochError
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire import plans
 
 TICK_INTERVAL = 1.0
@@ -69,7 +64,7 @@
 
     def now(self) -> int:
         """Return the time in ticks, on from where the journal ends: pauses between planners do not count."""
-        elapsed = (self.reactor.seconds() - self.started_at) * TICKS_PER_SECOND
+        elapsed = (self.reactor.seconds() - self.started_at) * SECOND
         return self.journal_time + int(elapsed + ROUNDING)
 
     def start(self, port: int = 0) -> int:
--- a/lapistrestle/planner/status.py
+++ b/lapistrestle/planner/status.py
@@ -1,8 +1,8 @@
 """What operators are shown of a rollout."""
 
-from lapistrestle.planner.entries import TICKS_PER_MILLISECOND
 from lapistrestle.rollout.evidence import OutcomeCounts
 from lapistrestle.rollout.state_machine import Rollout
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire import plans
 
 LOG_DECIMALS = 3
@@ -17,7 +17,7 @@
         total = total.plus(minute)
     history = [
         plans.HistoryLine(
-            entry.at / TICKS_PER_MILLISECOND, entry.actor, entry.reason, entry.input.value, entry.state.value
+            entry.at / MILLISECOND, entry.actor, entry.reason, entry.input.value, entry.state.value
         )
         for entry in rollout.history
     ]
--- a/lapistrestle/policy/admission.py
+++ b/lapistrestle/policy/admission.py
@@ -16,8 +16,8 @@
 from lapistrestle.policy.ports import Host
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.throughput import Throughput
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import EndpointState
+from lapistrestle.ticks import SECOND
 
 # Parts of the latency objective at which a sojourn time begins and ceases to be pressure. Apart, so that
 # it does not flap.
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -34,8 +34,8 @@
 from lapistrestle.policy.settings import MethodKind, Settings
 from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.policy.throughput import Throughput
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import Attempt, AttemptResult, Outcome, State, WorkerInfo
+from lapistrestle.ticks import SECOND
 
 # Least ticks between two requests for the endpoint list, where it is polled; guards against a busy loop.
 LEAST_POLL_INTERVAL: Final = SECOND
--- a/lapistrestle/policy/endpoints.py
+++ b/lapistrestle/policy/endpoints.py
@@ -9,8 +9,8 @@
 
 from lapistrestle.policy.entities import Worker
 from lapistrestle.policy.estimates import SHORT_MEMORY
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import EndpointState, WorkerInfo
+from lapistrestle.ticks import SECOND
 
 # Ticks before an ejected worker is tried for the first time. Guards against a crowd at one that just failed;
 # `health.py` doubles it while trials fail.
--- a/lapistrestle/policy/estimates.py
+++ b/lapistrestle/policy/estimates.py
@@ -8,7 +8,7 @@
 from math import exp
 from typing import Final
 
-from lapistrestle.policy.ticks import SECOND
+from lapistrestle.ticks import SECOND
 
 SHORT_MEMORY: Final = 3 * SECOND  # time constant of what must show a fault within its first seconds
 LONG_MEMORY: Final = 10 * SECOND  # time constant of what stands for ordinary operation
--- a/lapistrestle/policy/health.py
+++ b/lapistrestle/policy/health.py
@@ -11,7 +11,7 @@
 from lapistrestle.policy.estimates import LONG_MEMORY, SHORT_MEMORY, DecayingSum
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.ports import Host
-from lapistrestle.policy.ticks import SECOND
+from lapistrestle.ticks import SECOND
 
 # A worker is ejected when bad outcomes are more than this part of its recent ones, and `FLEET_FACTOR`
 # times the part in all. Guards against ejecting for faults that all workers share.
--- a/lapistrestle/policy/latency_zones.py
+++ b/lapistrestle/policy/latency_zones.py
@@ -12,8 +12,8 @@
 from lapistrestle.policy.entities import Function, FunctionReplica, Worker
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.throughput import Throughput
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import Zone
+from lapistrestle.ticks import SECOND
 
 WINDOW: Final = 30  # latencies in a window; design page
 BACKOFF: Final = 2 * SECOND  # ticks that Unsafe lasts; design page
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -18,8 +18,8 @@
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.policy.throughput import Throughput
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import Attempt, AttemptResult, EndpointState, LoadState, Outcome, Zone
+from lapistrestle.ticks import SECOND
 
 # Ticks for which a worker whose queue was full is passed over, at most: queues turn over faster than zones.
 FULL_PAUSE: Final = SECOND // 2
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -24,8 +24,8 @@
 from lapistrestle.policy.ports import Host
 from lapistrestle.policy.preload_budget import PreloadBudget
 from lapistrestle.policy.settings import Settings
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import EndpointState, Outcome, Zone
+from lapistrestle.ticks import SECOND
 
 PERIOD: Final = 5 * SECOND  # between two rounds of a function's upkeep; design page
 # Part of the preload budget that upkeep may use. Guards the rest, for what requests wait for: under a
--- a/lapistrestle/policy/retry_budget.py
+++ b/lapistrestle/policy/retry_budget.py
@@ -10,8 +10,8 @@
 from lapistrestle.policy.estimates import SHORT_MEMORY, DecayingMean
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.throughput import Throughput
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import Attempt, Outcome
+from lapistrestle.ticks import SECOND
 
 # Retries for each recent ok answer, where all retries succeed. Guards against retries that multiply an
 # outage.
--- a/lapistrestle/policy/slow_start.py
+++ b/lapistrestle/policy/slow_start.py
@@ -14,7 +14,7 @@
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.throughput import Throughput
-from lapistrestle.policy.ticks import SECOND
+from lapistrestle.ticks import SECOND
 
 # Part of the budget that is used. Guards against sizes and shares of the traffic that are only roughly known,
 # and against a region that grows by two fifths within a second (docs/design.md).
--- a/lapistrestle/policy/throughput.py
+++ b/lapistrestle/policy/throughput.py
@@ -5,7 +5,7 @@
 
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.estimates import LONG_MEMORY, SHORT_MEMORY, DecayingMean, DecayingSum
-from lapistrestle.policy.ticks import SECOND
+from lapistrestle.ticks import SECOND
 
 # Most that memories are stretched: a worker is then remembered as long as what stands for the ordinary.
 MOST_STRETCH: Final = LONG_MEMORY / SHORT_MEMORY
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -5,9 +5,9 @@
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.prefixes import Prefix
-from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watched_functions import longest_prefix
 from lapistrestle.directory.watcher import DirectoryWatcher
+from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import Entry
 
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -11,12 +11,12 @@
 from lapistrestle.directory.assignment import Copy
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.shard_holder import ShardHolder
-from lapistrestle.directory.ticks import NEVER
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.edge.following import Following
 from lapistrestle.sources.numbered_list import ListAction
 from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
 from lapistrestle.standins.directory_network import Channel, Program
+from lapistrestle.ticks import NEVER
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.directory import (
     FromHolder,
--- a/lapistrestle/standins/directory_world.py
+++ b/lapistrestle/standins/directory_world.py
@@ -14,10 +14,10 @@
 from lapistrestle.directory.assignment import Assignment, Copy
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.instances import RegionInstances
-from lapistrestle.directory.ticks import SECOND
 from lapistrestle.standins.directory_checks import Breaches, check_end
 from lapistrestle.standins.directory_network import Time, Weather
 from lapistrestle.standins.directory_programs import Connection, Holder, Roster, Watcher
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire import messages as wire
 
 ZONES = ("north", "south", "west")
--- a/lapistrestle/standins/fleet.py
+++ b/lapistrestle/standins/fleet.py
@@ -11,8 +11,7 @@
 from lapistrestle.fleet.settings import FleetSettings
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.standins.virtual import LATENCY, Process, VirtualReactor
-
-TENTHS = 10_000
+from lapistrestle.ticks import SECOND
 
 
 class Links:
@@ -84,11 +83,11 @@
         self.over: list[str] = []
 
     def clock(self) -> int:
-        return int(self.reactor.seconds() * (1 + self.drift) * TENTHS + 0.001)
+        return int(self.reactor.seconds() * (1 + self.drift) * SECOND + 0.001)
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
         timer = Timer(self.clock() + delay, call, arg)
-        self.reactor.callLater(delay / TENTHS / (1 + self.drift), lambda: timer.call(timer.arg))
+        self.reactor.callLater(delay / SECOND / (1 + self.drift), lambda: timer.call(timer.arg))
         return timer
 
     def input(self) -> None: ...
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -15,8 +15,9 @@
 from lapistrestle.standins.script import Day, plain
 from lapistrestle.standins.troubles.kinds import schedule
 from lapistrestle.standins.virtual import Process, VirtualReactor
-from lapistrestle.standins.world import SECOND, World
+from lapistrestle.standins.world import World
 from lapistrestle.store.journal import Journal
+from lapistrestle.ticks import SECOND
 
 PATIENCE = 20.0  # seconds that programs may take to start
 LAST = 1.0  # seconds of traffic once all are up at the end
--- a/lapistrestle/standins/raft_cluster.py
+++ b/lapistrestle/standins/raft_cluster.py
@@ -25,8 +25,7 @@
     Send,
 )
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
-
-TENTHS = 10_000
+from lapistrestle.ticks import SECOND
 
 
 @dataclass(frozen=True)
@@ -42,7 +41,7 @@
     cuts: float = 0.3
     stalls: float = 0.2
     asks: float = 20.0
-    back: tuple[int, int] = (100, 3 * TENTHS)  # after which one that was killed is there again
+    back: tuple[int, int] = (100, 3 * SECOND)  # after which one that was killed is there again
 
 
 @dataclass
@@ -215,14 +214,14 @@
         ):  # fmt: skip
             if chance:
                 self.again(chance, event)
-        self.run(int(seconds * TENTHS))
+        self.run(int(seconds * SECOND))
 
     def again(self, chance: float, event: Callable[[], None]) -> None:
         def turn() -> None:
             event()
             self.again(chance, event)
 
-        self.at(1 + int(self.random.expovariate(chance) * TENTHS), turn)
+        self.at(1 + int(self.random.expovariate(chance) * SECOND), turn)
 
     def some_kill(self) -> None:
         name = self.random.choice(self.names)
@@ -237,10 +236,10 @@
         if self.random.random() < 0.5:
             pairs |= {(b, a) for a, b in pairs}
         self.cut |= pairs
-        self.at(self.random.randint(TENTHS // 5, 3 * TENTHS), lambda: self.cut.difference_update(pairs))
+        self.at(self.random.randint(SECOND // 5, 3 * SECOND), lambda: self.cut.difference_update(pairs))
 
     def some_stall(self) -> None:
-        self.stalled[self.random.choice(self.names)] = self.now + self.random.randint(1_000, 4 * TENTHS)
+        self.stalled[self.random.choice(self.names)] = self.now + self.random.randint(1_000, 4 * SECOND)
 
     def some_ask(self) -> None:
         """A command or a read, at whoever is there: also at one that only thinks that it leads."""
@@ -270,7 +269,7 @@
         for name in self.names:
             if name not in self.members:
                 self.start(name)
-        self.run(self.now + int(seconds * TENTHS))
+        self.run(self.now + int(seconds * SECOND))
 
     def leading(self) -> list[str]:
         return [name for name, made in self.members.items() if made.role is Role.LEADER]
--- a/lapistrestle/standins/troubles/kinds.py
+++ b/lapistrestle/standins/troubles/kinds.py
@@ -12,7 +12,8 @@
     traffic,
 )
 from lapistrestle.standins.troubles.effects import Begin, End
-from lapistrestle.standins.world import SECOND, World
+from lapistrestle.standins.world import World
+from lapistrestle.ticks import SECOND
 
 
 def schedule(world: World) -> None:
--- a/lapistrestle/standins/troubles/machines.py
+++ b/lapistrestle/standins/troubles/machines.py
@@ -5,7 +5,8 @@
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import Begin, End, all_of, increase, multiply, nothing, repeatedly
-from lapistrestle.standins.world import SECOND, World
+from lapistrestle.standins.world import World
+from lapistrestle.ticks import SECOND
 
 NEIGHBOUR_EVERY = 1.5  # seconds
 NEIGHBOUR_HELD = 0.9  # seconds
--- a/lapistrestle/standins/troubles/runners.py
+++ b/lapistrestle/standins/troubles/runners.py
@@ -2,7 +2,8 @@
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import End, nothing
-from lapistrestle.standins.world import SECOND, Slot, World
+from lapistrestle.standins.world import Slot, World
+from lapistrestle.ticks import SECOND
 
 NOTICE = 0.5  # seconds between the word of a preemption and its end
 DRAINING = 3.0  # seconds that a replaced runner drains
--- a/lapistrestle/standins/troubles/sources.py
+++ b/lapistrestle/standins/troubles/sources.py
@@ -2,7 +2,8 @@
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import End, increase, multiply, nothing
-from lapistrestle.standins.world import SECOND, World
+from lapistrestle.standins.world import World
+from lapistrestle.ticks import SECOND
 
 JUMP = 2  # changes
 
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -21,10 +21,10 @@
 from lapistrestle.standins.script import Day, Machines
 from lapistrestle.standins.store import Store, StoreFacts
 from lapistrestle.standins.tape import Tape
+from lapistrestle.ticks import SECOND
 from lapistrestle.wire.messages import Entry
 from lapistrestle.wire.plans import RolloutCommand
 
-SECOND = 10_000
 FLEET = 46_000  # ports of edges among themselves, in virtual time
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -21,12 +21,12 @@
 from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches
 from lapistrestle.directory.shard_holder import ShardHolder
-from lapistrestle.directory.ticks import MILLISECOND, SECOND
 from lapistrestle.directory.watch_requests import WatchRequests
 from lapistrestle.directory.watched_functions import WatchedFunctions
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.standins.directory_checks import true_prefix
 from lapistrestle.standins.directory_world import CALM, WILD, Plan, World, play, random_day
+from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import Entry, encode
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -13,7 +13,9 @@
 
 DECISIONS = {"policy", "rollout", "rollout_types", "fleet", "overload", "directory", "store"}
 PACKAGES = {path.parent.name for path in (ROOT / "lapistrestle").glob("*/__init__.py")}
+SHARED = {"ticks"}  # the unit of time, which every package may import
 MAY_IMPORT: dict[str, set[str]] = {
+    "ticks": set(),
     "policy": set(),
     "benchlink": {"policy"},
     "hosting": {"policy"},
@@ -61,7 +63,7 @@
 CIRCLES: list[set[str]] = []
 
 # What the platform's edge is made of.
-OF_THE_PLATFORM = {"deployment", "edge", "hosting", "node", "policy", "records"}
+OF_THE_PLATFORM = {"deployment", "edge", "hosting", "node", "policy", "records", "ticks"}
 NOT_OF_THE_PLATFORM = ("deployment.load", "deployment.schema", "edge.program", "edge.runners", "records.logs")
 
 
@@ -116,7 +118,7 @@
         f"{package} imports {other}: {', '.join(files)}"
         for package, others in arrows().items()
         for other, files in others.items()
-        if other not in MAY_IMPORT.get(package, set()) | EXCEPTIONS.get(package, set())
+        if other not in SHARED | MAY_IMPORT.get(package, set()) | EXCEPTIONS.get(package, set())
     }
     assert not against
 
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -6,7 +6,6 @@
 from lapistrestle.policy.entities import Worker
 from lapistrestle.policy.estimates import DecayingSum
 from lapistrestle.policy.settings import CustomerSettings
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import (
     Attempt,
     AttemptResult,
@@ -15,6 +14,7 @@
     State,
     WorkerInfo,
 )
+from lapistrestle.ticks import SECOND
 
 
 def test_a_failing_worker_is_suspect_and_tried_again_by_a_trickle() -> None:
--- a/tests/test_policy_latency_zones.py
+++ b/tests/test_policy_latency_zones.py
@@ -3,12 +3,12 @@
 from helpers import dispatcher, request
 
 from lapistrestle.policy.entities import Function
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import (
     AttemptResult,
     Outcome,
     Zone,
 )
+from lapistrestle.ticks import SECOND
 
 
 def test_zones_follow_the_window_and_come_back_as_warning() -> None:
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -6,13 +6,13 @@
 from helpers import acts, dispatcher, front_end_of_many, last_act, request, state
 
 from lapistrestle.policy.request_state import Input
-from lapistrestle.policy.ticks import SECOND
 from lapistrestle.policy.types import (
     Attempt,
     AttemptResult,
     Outcome,
     State,
 )
+from lapistrestle.ticks import SECOND
 
 
 def test_a_miss_is_answered_by_one_order_and_the_rpc_waits_for_it() -> None:
