--- a/lapistrestle/checks/rules.py
+++ b/lapistrestle/checks/rules.py
@@ -7,8 +7,7 @@
 from scipy.stats import binom
 
 from lapistrestle.checks.directory import Held
-from lapistrestle.checks.reading import Run, Story
-from lapistrestle.ticks import NEVER
+from lapistrestle.checks.reading import NEVER, Run, Story
 
 DIRECTORY_TIME = 1000.0  # milliseconds from the roster's word to a holder until that reaches an edge
 EPS = 5.0  # milliseconds by which the clocks of two sockets of one machine may seem to differ
