--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -13,11 +13,10 @@
 from days import EXAMPLES, Played, day
 from test_real import command
 
-from lapistrestle.checks.reading import Story
+from lapistrestle.checks.reading import NEVER, Story
 from lapistrestle.checks.rules import directory_prompt, judge
 from lapistrestle.standins.children import Child, free_tcp_ports
 from lapistrestle.standins.tape import read
-from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import DIRECTORY
 from lapistrestle.wire.messages import Entry
 
