--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -242,7 +242,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """AttemptResult each line until the input ends."""
+    """Answer each line until the input ends."""
     links = Links()
     for line in source:
         sink.write(links.answer(line) + b"\n")
