--- a/lapistrestle/checks/__init__.py
+++ b/lapistrestle/checks/__init__.py
@@ -1,1 +1,2 @@
-"""Rule checkers: they read the tape of the sockets alone, never the program's word."""
+"""Checkers of the five rules. They read only the tape recorded at the sockets, never what the program
+reports."""
--- a/lapistrestle/checks/directory.py
+++ b/lapistrestle/checks/directory.py
@@ -1,7 +1,8 @@
-"""What a directory's holders told edges, from the tape of the relays between them.
+"""What a directory's holders sent to edges, read from the tape of the relays between them.
 
-With a directory an edge is told of a runner by a holder, so rule 3 counts from the holder's word; and each
-holder has a second for what the roster told it to reach the edges that hold the runner.
+With a directory, an edge learns about a runner from a holder, so the rule that nothing new goes to a draining
+or removed runner counts from the holder's message. Each holder has one second to pass a roster change on to
+the edges that know the runner.
 """
 
 from collections.abc import Callable
@@ -12,13 +13,17 @@
 from lapistrestle.wire.messages import Entry
 
 NEVER = float("inf")
-TENTHS = 10  # tenths of a millisecond, the unit of leases, in a millisecond
-Tell = Callable[[int, float, str, str, bool], None]  # line, time, edge, start, whether it drains or is gone
+TENTHS = 10  # leases are in tenths of a millisecond, times on the tape in milliseconds
+# line, time, edge, start of the runner, whether it drains or is gone
+Tell = Callable[[int, float, str, str, bool], None]
 
 
 @dataclass(eq=False)
 class Held:
-    """While the last word of one connection had an edge hold a start as serving. Times in milliseconds."""
+    """A period in which an edge knew a runner's start as serving, by the latest message of one connection.
+
+    Times in milliseconds.
+    """
 
     edge: str
     holder: str
@@ -26,29 +31,29 @@
     at: float
     line: int
     until: float = NEVER
-    told: bool = False  # it ended by word of a drain, and not because it left the prefixes
+    told: bool = False  # ended by a message about a drain or removal, not by leaving the watched prefixes
 
 
 @dataclass(eq=False)
 class Watching:
-    """One connection of an edge to a holder, as both ends know it."""
+    """State of one connection between an edge and a holder, as both ends know it."""
 
     edge: str
     holder: str
-    functions: dict[int, str] = field(default_factory=dict)  # by watch
-    prefixes: dict[int, dict[str, None]] = field(default_factory=dict)  # names by watch
-    held: dict[str, Held] = field(default_factory=dict)  # by name
-    serving: dict[str, str] = field(default_factory=dict)  # starts told, by name, also outside prefixes
-    asked: float = NEVER  # when the edge last renewed its watches, or began one
+    functions: dict[int, str] = field(default_factory=dict)  # by watch id
+    prefixes: dict[int, dict[str, None]] = field(default_factory=dict)  # runner names, by watch id
+    held: dict[str, Held] = field(default_factory=dict)  # by runner name
+    serving: dict[str, str] = field(default_factory=dict)  # start by runner name, also outside the prefixes
+    asked: float = NEVER  # when the edge last renewed its watches or added one
     lease: float = NEVER  # milliseconds
 
     def lapses(self) -> float:
-        """When its watches lapse, unless they are renewed."""
+        """When the lease of its watches expires unless it is renewed."""
         return self.asked + self.lease
 
 
 class Epochs:
-    """In which order the roster's lists came to be, whoever was told of them first."""
+    """The roster's epochs in the order in which they first appear on the tape, whoever received them."""
 
     def __init__(self) -> None:
         self.order: dict[str, int] = {}
@@ -57,22 +62,24 @@
         self.order.setdefault(epoch, len(self.order))
 
     def age(self, revision: wire.Revision) -> tuple[int, int]:
-        """Orders revisions, the older first."""
+        """Sort key of a revision: older ones are smaller."""
         return self.order.get(revision.source, -1), revision.number
 
 
 class DirectoryStory:
-    """Reads the lines of all relayed connections in order."""
+    """Follows the lines of all relayed connections in order."""
 
     def __init__(self, epochs: Epochs, lists: dict[str, dict[str, str]], tell: Tell) -> None:
-        """`lists`: for each edge, the start that it was last told of each runner."""
+        """`lists`: for each edge, the latest known start of each runner."""
         self.epochs, self.lists, self.tell = epochs, lists, tell
         self.watching: dict[str, Watching] = {}
-        self.words: dict[tuple[str, str], tuple[int, int]] = {}  # age of the last word, by edge and name
-        self.prefixes: dict[tuple[str, str], dict[str, None]] = {}  # names last told, by edge and function
-        self.entries: dict[tuple[str, str], wire.Instance] = {}  # the newest word, by edge and name
+        # age of the latest revision, by edge and runner name
+        self.words: dict[tuple[str, str], tuple[int, int]] = {}
+        # names in the latest prefix, by edge and function
+        self.prefixes: dict[tuple[str, str], dict[str, None]] = {}
+        self.entries: dict[tuple[str, str], wire.Instance] = {}  # the latest entry, by edge and name
         self.holds: list[Held] = []
-        self.number, self.at = 0, 0.0  # of the line that is read
+        self.number, self.at = 0, 0.0  # line number and time of the line being processed
 
     def opened(self, connection: str, edge: str, holder: str) -> None:
         self.watching[connection] = Watching(edge, holder)
@@ -107,7 +114,8 @@
                 self.update(watching, message)
 
     def unchanged(self, watching: Watching, message: wire.Unchanged) -> None:
-        """The edge has the prefix already: as a snapshot of what it was told last, over any connection."""
+        """The edge has the prefix already: the same as a snapshot of what it last received on any
+        connection."""
         function = watching.functions.get(message.id, "")
         names = self.prefixes.get((watching.edge, function), {})
         known = (self.entries.get((watching.edge, name)) for name in names)
@@ -140,7 +148,7 @@
         for change in message.changes:
             prefix = watching.prefixes.get(change.id)
             if prefix is None:
-                continue  # a watch that the edge has ended meanwhile
+                continue  # the edge has ended this watch in the meantime
             for name in change.removed:
                 prefix.pop(name, None)
             prefix.update((placed.name, None) for placed in change.inserted)
@@ -153,7 +161,7 @@
                 self.hold(watching, name, start)
 
     def entry(self, watching: Watching, entry: Entry, age: tuple[int, int]) -> None:
-        """Word of one runner. Older word than the edge has had of it tells the edge nothing."""
+        """Applies the state of one runner. An edge ignores revisions older than the one that it has."""
         serves = entry.listing == "serving"
         held = watching.held.get(entry.name)
         if held is not None and (held.start != entry.start or not serves):
@@ -187,7 +195,7 @@
                 self.tell(self.number, self.at, watching.edge, start, True)
 
     def newest(self, edge: str, name: str, age: tuple[int, int]) -> bool:
-        """Whether this word is no older than the last one that this edge had of that runner."""
+        """Records a revision; False if this edge already had a newer one about that runner."""
         if age < self.words.get((edge, name), age):
             return False
         self.words[edge, name] = age
@@ -205,14 +213,14 @@
         held.until, held.told = at, told
 
     def forget(self, watching: Watching, id_: int) -> None:
-        """A watch is over."""
+        """Ends one watch."""
         watching.functions.pop(id_, None)
         watching.prefixes.pop(id_, None)
         for name in [n for n in watching.held if not self.in_prefix(watching, n)]:
             self.over(watching, name, self.at, told=False)
 
     def drop(self, watching: Watching, at: float) -> None:
-        """All watches of a connection are over."""
+        """Ends all watches of a connection."""
         watching.functions.clear()
         watching.prefixes.clear()
         watching.serving.clear()
--- a/lapistrestle/checks/reading.py
+++ b/lapistrestle/checks/reading.py
@@ -1,7 +1,7 @@
-"""The tape put together: which call led to which runs, what each edge was told of each runner, and when.
+"""Reconstructs a run from its tape: which call led to which attempts, and what each edge knew of each runner.
 
-Times are milliseconds since the day began. Lines that can't be read stand for nothing: the peers could not
-read them either.
+Times are milliseconds since the start of the day. Lines that can't be decoded are skipped: the receiving
+program could not decode them either.
 """
 
 from bisect import bisect_right
@@ -33,7 +33,7 @@
 
 @dataclass(eq=False)
 class Run:
-    """A call-out as the runner's socket saw it."""
+    """One attempt to run a call, as seen at the runner's socket."""
 
     line: int
     at: float
@@ -47,18 +47,19 @@
     broke: float = NEVER
 
     def proven_unrun(self, at: float) -> bool:
-        """Whether the runner had said, by then, that it did not run."""
+        """Whether the runner had reported by then that the attempt did not run."""
         return any(when <= at and outcome in ("full", "miss") for when, _, outcome in self.ends)
 
     def over(self, grace: float) -> float:
-        """When the edge may count it as over: an end, the connection's, a cancel, or its time-out."""
+        """When the edge may treat the attempt as over: its result, the loss of the connection, a cancel or,
+        `grace` milliseconds early, its timeout."""
         ended = min((when for when, _, _ in self.ends), default=NEVER)
         return min(ended, self.broke, self.called_off, self.at + self.message.within - grace)
 
 
 @dataclass(eq=False)
 class Call:
-    """An RPC as the client's socket saw it."""
+    """An RPC as seen at the client's socket."""
 
     line: int
     at: float
@@ -68,7 +69,7 @@
     answers: list[tuple[float, int, wire.Answer]] = field(default_factory=list)
     begun: float = NEVER
     faulted: bool = False
-    left: float = NEVER  # when the client said that it waits no longer
+    left: float = NEVER  # when the client cancelled the call
     closed: float = NEVER  # when the connection ended
     runs: list[Run] = field(default_factory=list)
 
@@ -82,6 +83,8 @@
 
 @dataclass(eq=False)
 class Hold:
+    """A request to preload a function, as seen at the runner's socket."""
+
     line: int
     at: float
     edge: str
@@ -91,7 +94,7 @@
 
 @dataclass(eq=False)
 class Boot:
-    """One start of a runner."""
+    """One start of a runner. `share`: the part of its full speed at the start."""
 
     start: str
     runner: str
@@ -120,7 +123,7 @@
 
 @dataclass(eq=False)
 class Wish:
-    """What a client wanted, over all its tries."""
+    """What a client wanted once, over all its attempts."""
 
     key: str
     at: float
@@ -132,8 +135,9 @@
 
 @dataclass
 class Told:
-    """What an edge, or a directory's holder, was told of a runner's start: `drains` from then on, or about
-    its start. `by_roster`: by whoever tells it the list, and not by the runner."""
+    """What an edge or a directory's holder learned about a runner's start: that it serves, or that it drains
+    or
+    is gone (`drains`). `by_roster`: from its source of the endpoint list, not from the runner itself."""
 
     line: int
     at: float
@@ -142,32 +146,32 @@
 
 
 class Story:
-    """Everything on one tape."""
+    """Everything on one tape, by call, attempt, runner and edge."""
 
     def __init__(self, tape: Iterable[dict[str, Any]]) -> None:
         self.texts: dict[int, str] = {}
         self.connections: dict[str, Connection] = {}
         self.calls: list[Call] = []
-        self.open: dict[tuple[str, str], Call] = {}  # edge and tag
+        self.open: dict[tuple[str, str], Call] = {}  # by edge, and connection and id of the call
         self.runs: list[Run] = []
-        self.out: dict[tuple[str, int], Run] = {}  # connection and number
+        self.out: dict[tuple[str, int], Run] = {}  # by connection and number
         self.holds: list[Hold] = []
         self.boots: dict[str, Boot] = {}
         self.wishes: dict[str, Wish] = {}
         self.effects: list[tuple[float, int, str, str, int | None, Run | None]] = []
-        self.told: dict[tuple[str, str], list[Told]] = {}  # edge or holder, and start
-        # by edge or holder: runner to the start that it was last told of
+        self.told: dict[tuple[str, str], list[Told]] = {}  # by edge or holder, and start of the runner
+        # by edge or holder: the latest known start of each runner
         self.lists: dict[str, dict[str, str]] = {}
         self.epochs = Epochs()
         self.directory = DirectoryStory(self.epochs, self.lists, self.directory_told)
-        self.cuts: dict[tuple[str, str], list[tuple[float, float]]] = {}  # edge and holder
+        self.cuts: dict[tuple[str, str], list[tuple[float, float]]] = {}  # periods, by edge and holder
         self.stalls: dict[str, list[tuple[float, float]]] = {}
         self.kills: dict[str, list[float]] = {}
-        self.backs: list[tuple[float, int, str]] = []  # when it was accepted, line, version
-        # by version: not in force before, in force at the latest, share
+        self.backs: list[tuple[float, int, str]] = []  # time of acceptance, line, version
+        # by version: earliest and latest time at which the share took effect, and the share
         self.shares: dict[str, list[tuple[float, float, float]]] = {}
         self.troubles: list[tuple[float, str, float]] = []
-        self.began = 0.0  # when clients began to want something
+        self.began = 0.0  # when the clients' traffic started
         self.end = 0.0
         lines = iter(tape)
         self.header = next(lines, {})
@@ -265,7 +269,7 @@
             case wire.Call():
                 made = Call(number, at, connection.edge, connection.name, message)
                 if call is not None and not call.answers and call.left == NEVER:
-                    return  # the same id while open: no RPC comes of it
+                    return  # an id that is still in use: the edge answers with a fault, no RPC starts
                 self.open[key] = made
                 self.calls.append(made)
             case wire.Leave() if call is not None:
@@ -323,7 +327,7 @@
         self.told.setdefault((edge, start), []).append(told)
 
     def directory_told(self, number: int, at: float, edge: str, start: str, drains: bool) -> None:
-        """A holder's word to an edge binds as the roster's would."""
+        """With a directory, a holder's message to an edge counts like one of the roster."""
         self.tell(edge, start, Told(number, at, drains, True))
 
     def finish(self) -> None:
@@ -333,10 +337,10 @@
         for run in self.runs:
             run.broke = self.connections[run.connection].closed
 
-    # asked by the rules
+    # queries of the rules
 
     def read_at(self, edge: str, at: float) -> float:
-        """When an edge could act on what reached its socket then: not while it stood still."""
+        """When an edge could act on input that arrived at `at`: at the end of a stall, if it was stalled."""
         for begin, end in self.stalls.get(edge, ()):
             if begin <= at < end:
                 return end
--- a/lapistrestle/checks/rules.py
+++ b/lapistrestle/checks/rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each judged from the story of a tape. A breach names the lines that show it."""
+"""Checks a tape against the five rules, and some further ones. A violation names the lines that show it."""
 
 from collections import defaultdict, deque
 from collections.abc import Callable
@@ -9,8 +9,8 @@
 from lapistrestle.checks.directory import Held
 from lapistrestle.checks.reading import NEVER, Run, Story
 
-DIRECTORY_TIME = 1000.0  # milliseconds from the roster's word to a holder until that reaches an edge
-EPS = 5.0  # milliseconds by which the clocks of two sockets of one machine may seem to differ
+DIRECTORY_TIME = 1000.0  # milliseconds for a change to pass from the roster through a holder to an edge
+EPS = 5.0  # milliseconds of difference tolerated between the times seen at two sockets of one machine
 
 
 @dataclass(frozen=True)
@@ -23,7 +23,7 @@
 
 @dataclass
 class Judged:
-    """One rule's breaches and the figures that were looked at."""
+    """The violations of one rule, and figures about how close the run came to one."""
 
     name: str
     breaches: list[Breach] = field(default_factory=list)
@@ -34,7 +34,7 @@
 
 
 def one_answer(story: Story) -> Judged:
-    """Rule 1: one final answer for each RPC, in time, and nothing sent for it afterwards."""
+    """Rule 1: every RPC gets exactly one final answer, in time, and nothing is sent for it afterwards."""
     judged = Judged("1 one final answer")
     slack = story.header["rules"]["answer_slack"]
     excused = 0
@@ -72,7 +72,7 @@
 
 
 def no_effect_twice(story: Story) -> Judged:
-    """Rule 2: no effect twice, further call-outs and denials only where that is harmless."""
+    """Rule 2: no effect happens twice; retries, and rejections as not run, only where that is safe."""
     judged = Judged("2 no effect twice")
     methods, rules = story.header["methods"], story.header["rules"]
     further = 0
@@ -125,7 +125,9 @@
 
 
 def _effects(story: Story, judged: Judged) -> int:
-    """Effects that happened more than once, whoever is to blame on the way: by key, or by RPC for tokens."""
+    """Reports effects that happened more than once, and counts those that must not. They are told apart by
+    the
+    client's key or, for methods with idempotency tokens, by RPC."""
     methods = story.header["methods"]
     seen: dict[tuple[str, str], list[tuple[float, int]]] = defaultdict(list)
     for at, number, key, method, _, run in story.effects:
@@ -141,7 +143,8 @@
 
 
 def drains_kept(story: Story) -> Judged:
-    """Rule 3: no new RPC and no order to a runner later than the grace after an edge was told."""
+    """Rule 3: no new RPC and no preload goes to a runner later than the grace period after the edge was told
+    that it drains or is gone."""
     judged = Judged("3 drains kept")
     grace = story.header["rules"]["drain_grace"]
     longest = 0.0
@@ -171,7 +174,10 @@
 
 
 def _told_since(story: Story, edge: str, start: str, at: float) -> tuple[float | None, int]:
-    """Since when, by then, the edge has been told without a break that this start drains or is gone."""
+    """Since when the edge has known, at that time, that this start drains or is gone; and the line of it.
+
+    (None, 0) if it serves as far as the edge knows.
+    """
     since: float | None = None
     by, roster = 0, True
     for told in story.told.get((edge, start), ()):
@@ -180,13 +186,14 @@
         if told.drains and since is None:
             since, by, roster = told.at, told.line, told.by_roster
         elif not told.drains and told.by_roster and roster:
-            since = None  # the roster took its own word back
+            since = None  # the roster took back what it had reported itself
     return since, by
 
 
 def directory_prompt(story: Story) -> Judged:
-    """What the roster told a directory's holder of a drain or an end reaches the edges that hold the runner
-    within a second, but for times in which the holder stood still or its link to the edge was cut."""
+    """A drain or removal that the roster reports to a directory's holder reaches the edges that know the
+    runner
+    within a second, not counting times when the holder was stalled or its link to the edge was cut."""
     judged = Judged("directory told in time")
     longest, told = 0.0, 0
     for held in story.directory.holds:
@@ -208,11 +215,11 @@
 
 
 def _due(story: Story, held: Held, since: float) -> float:
-    """When word of what the holder was told then must have reached the edge."""
+    """By when a change that the holder received at `since` must have reached the edge."""
     due, counted = since + DIRECTORY_TIME, since
     away = story.stalls.get(held.holder, []) + story.cuts.get((held.edge, held.holder), [])
     for begin, end in sorted(away):
-        begin = max(begin, counted)  # times that overlap count once
+        begin = max(begin, counted)  # overlapping periods count once
         if begin < min(due, end):
             due += end - begin
             counted = end
@@ -220,7 +227,7 @@
 
 
 def cold_not_pushed(story: Story) -> Judged:
-    """Rule 4: no cold runner is sent so much that it falls over."""
+    """Rule 4: no runner in slow start is sent more than it can take: so much that it collapses."""
     judged = Judged("4 cold runners not pushed over")
     rules = story.header["rules"]
     by_start: dict[str, list[Run]] = defaultdict(list)
@@ -255,7 +262,7 @@
 
 
 def _work(run: Run) -> float:
-    """The true work, in milliseconds, as the stand-in client wrote it."""
+    """The true work of the call in milliseconds, which the stand-in client writes into the body."""
     text = bytes(run.message.body)
     mark = text.find(b'"work":')
     try:
@@ -269,7 +276,8 @@
 
 
 def orders_rationed(story: Story) -> Judged:
-    """Rule 5: orders to load stay within a few plus a share of the RPCs taken, in every window."""
+    """Rule 5: in every window, an edge's preloads stay within a fixed number plus a share of the RPCs
+    taken."""
     judged = Judged("5 orders within budget")
     rules = story.header["rules"]
     window = rules["order_window"]
@@ -300,7 +308,7 @@
 
 
 def withdrawn_left(story: Story) -> Judged:
-    """No new work reaches a version later than a second after its withdrawal was accepted."""
+    """No new work is sent to a version later than a second after its withdrawal was accepted."""
     judged = Judged("withdrawn versions left")
     longest = 0.0
     for back, line, name in story.backs:
@@ -317,16 +325,18 @@
 
 
 def shares_kept(story: Story) -> Judged:
-    """No more of the keys reach a candidate than the share that it has, but for a second after it falls.
+    """A candidate version gets no larger part of the keys than its share, except within a second after a
+    decrease.
 
-    Shares are those that the planner told its operators; a count beyond what chance allows is a breach.
+    Shares are those that the planner reported to its operators. A count that is less likely than one in a
+    thousand million under the share is a violation.
     """
     judged = Judged("shares kept")
     worst = 1.0
     for version, told in story.shares.items():
         function = version.partition("@")[0]
         ends = [at for _, at, _ in told[1:]] + [NEVER]
-        met: dict[float, dict[str, Run]] = defaultdict(dict)  # by the share allowed: first runs by key
+        met: dict[float, dict[str, Run]] = defaultdict(dict)  # by the share allowed: first attempt by key
         for run in story.runs:
             if run.message.function.partition("@")[0] == function:
                 allowed = [share for (since, _, share), end in zip(told, ends, strict=True)
@@ -344,8 +354,8 @@
 
 
 def repeats_on_their_version(story: Story) -> Judged:
-    """A tokened RPC whose client says that it comes back takes effect on one version only, as versions do
-    not know each other's tokens."""
+    """An RPC with an idempotency token that its client marks as a retry takes effect on one version only,
+    since versions do not know each other's tokens."""
     judged = Judged("repeats on their version")
     effects: dict[str, list[tuple[float, int, Run]]] = defaultdict(list)
     for at, number, key, method, _, run in story.effects:
--- a/lapistrestle/checks/service.py
+++ b/lapistrestle/checks/service.py
@@ -1,4 +1,4 @@
-"""How good the service was, from the tape: gain answered over gain asked for."""
+"""Quality of service read from a tape: the gain of timely answers over the gain that clients asked for."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -22,12 +22,13 @@
 
 
 def gain(story: Story, wish: Wish) -> float:
-    """A client's retries count with its first try."""
+    """Gain of a client's request, counting its retries as part of it, from its first attempt on."""
     return worth(story.header["methods"][wish.method], wish.answered - wish.at, wish.work)
 
 
 def worth(method: Mapping[str, Any], took: float, work: float) -> float:
-    """What an answer after `took` is worth, by the method's figures of a tape's header; milliseconds."""
+    """Gain of an answer after `took` milliseconds for `work` milliseconds, by a method's figures in the
+    header."""
     if took <= min(method["deadline"], method["soft"] + method["stretch"] * work):
         return float(method["gain"])
     return float(method["gain"] * method["late_gain"]) if took <= method["deadline"] else 0.0
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -1,9 +1,11 @@
-"""Other policies, to hold the module against; in the model only.
-
-Each knows what the module knows, except `greedy`, which sees every runner as it is and takes what is best
-for the call at hand. That is a high mark and no bound: what is best for one call may cost the next. All
-share one life of an RPC: what never ran is tried elsewhere, what may have run only where its method is
-idempotent. They keep no cold rule and no holds, and wait for nothing but loads they ordered.
+"""Baseline policies to compare the decision module with; only in the model.
+
+Each knows what the module knows, except `greedy`, which sees the true state of every runner and takes the
+best
+one for the call at hand. That is a high mark but no upper bound: what is best for one call may cost the next.
+All handle an RPC alike: an attempt that never ran is retried on another worker, one that may have run only if
+its method is idempotent. They limit nothing in slow start, preload nothing ahead of demand, and wait only for
+preloads that they requested.
 """
 
 from collections import deque
@@ -20,12 +22,13 @@
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
 BOUND = 1.25  # of the even share, for hashing with bounded loads
-NO_COPY = 4.0  # calls by core that a load is worth waiting behind, to greedy
-Sight = Callable[[str, str], tuple[float, float]]  # part of a copy there, and calls by core as it gets on
+NO_COPY = 4.0  # calls per core: the cost that `greedy` counts for loading a copy
+# by runner and function: copies loaded (0, 0.5 while loading, or 1), and calls per core at its present speed
+Sight = Callable[[str, str], tuple[float, float]]
 
 
 class Baseline:
-    """The module's place taken by one of `POLICIES`."""
+    """Stands in for the decision module with one of `POLICIES`."""
 
     def __init__(
         self,
@@ -53,7 +56,7 @@
         self.draws += 1
         return crc32(f"{self.seed}:{self.draws}".encode()) % max(1, below)
 
-    # what the host tells
+    # events of the host
 
     def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
         for worker in self.known if snapshot else ():
@@ -103,7 +106,7 @@
     ) -> None: ...
     def on_gossip(self, peer: int, text: str) -> None: ...
 
-    # what it does
+    # placing requests
 
     def place(self, request: Request) -> None:
         tried = {attempt.worker for attempt in request.attempts}
@@ -121,7 +124,10 @@
         self.host.send_attempt(attempt, 0)
 
     def order(self, worker: Worker, request: Request) -> bool:
-        """Where absent functions miss only an order loads; within the budget, as that is a rule."""
+        """Requests a preload, if the budget for preloads allows it; False if not.
+
+        Needed where runners answer a call to a function that is not loaded with `miss` instead of loading it.
+        """
         waiting = self.waiting.get((worker, request.function))
         if waiting is not None:
             waiting.append(request)
@@ -139,7 +145,7 @@
         self.host.preload(worker, request.function, 1)
         return True
 
-    # how it chooses
+    # policies
 
     def by_random(self, request: Request, able: list[Worker]) -> Worker:
         return able[self.chance(len(able))]
@@ -156,14 +162,15 @@
         return self.by_random(request, [worker for worker in able if self.crowded(worker) == least])
 
     def by_hash(self, request: Request, able: list[Worker]) -> Worker:
-        """The function's own order of workers; the first that is not over the bound."""
+        """Hashing with bounded loads: the first worker in the function's order that is below the bound."""
         bound = ceil(BOUND * (sum(self.out.values()) + 1) / len(self.serving))
         order = sorted(able, key=lambda worker: crc32(f"{request.function.name} {worker.name}".encode()))
         return next((worker for worker in order if self.out.get(worker, 0) < bound), order[0])
 
     def by_sight(self, request: Request, able: list[Worker]) -> Worker:
-        """The least crowded worker as it gets on now, a load counted as so many calls before it; among
-        alike ones the function's own order, so that copies are met again."""
+        """The least loaded worker at its present speed, where a missing copy counts as `NO_COPY` calls; ties
+        go by
+        the function's order of workers, so that its copies are used again."""
         assert self.sees is not None
         seen = {worker: self.sees(worker.name, request.function.name) for worker in able}
 
--- a/lapistrestle/model/clock.py
+++ b/lapistrestle/model/clock.py
@@ -1,7 +1,7 @@
-"""Simulated time over simpy, under the names by which the edge and the stand-ins know a reactor.
+"""Simulated time over simpy, with the part of Twisted's reactor interface that edges and stand-ins use.
 
-Time is whole microseconds, so sums of delays are exact and the same on any machine; what is due together
-happens in the order in which it was set.
+Time is in whole microseconds, so sums of delays are exact and the same on any machine. Calls that are due at
+the same time run in the order in which they were scheduled.
 """
 
 from collections.abc import Callable
@@ -10,11 +10,11 @@
 import simpy
 from simpy.events import NORMAL, Event
 
-START = 1_000_000_000  # microseconds: edges and runners were not born with time itself
+START = 1_000_000_000  # microseconds; above 0, so that times before the start of the day are positive
 
 
 class Due(Event):
-    """A call that is due; it may be cancelled, and then nothing happens at its time."""
+    """A scheduled call, which may be cancelled; the counterpart of Twisted's DelayedCall."""
 
     def __init__(self, env: simpy.Environment, delay: int, call: Callable[..., Any], args: Any) -> None:
         self.env, self.callbacks = env, [self.fire]
@@ -35,7 +35,7 @@
 
 
 class Port:
-    """What listens in the model: a number by which it is found."""
+    """A listening port in the model: only a number by which it is found."""
 
     def __init__(self, number: int) -> None:
         self.port = number
@@ -64,8 +64,8 @@
         return Port(port or self.last_port)
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "") -> None:
-        """Edges of the model tell each other without datagrams."""
+        """Does nothing: edges of the model exchange gossip without datagrams."""
 
     def run(self, seconds: float) -> None:
-        """Play everything that is due within so many seconds from now."""
+        """Runs everything that is due within so many seconds from now."""
         self.env.run(self.env.now + round(seconds * 1e6))
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -1,7 +1,7 @@
-"""Experiments: which runs a file asks for, what counts as the same run, and what their figures say. No I/O.
+"""Experiments: planning the runs that a file asks for, identifying runs, and statistics of results. No I/O.
 
-A variant changes named settings of one day; every variant is run under the same seeds, so it meets the same
-wishes at the same moments, and variants are compared seed by seed.
+A variant changes named settings of one day. Every variant is run with the same seeds, so it gets the same
+client requests at the same times, and variants are compared seed by seed.
 """
 
 import copy
@@ -25,8 +25,9 @@
 
 
 class Experiment(Shape):
-    """A file's content. `vary`: paths into the day, such as `edges` or `deployment.orders.share`, each with
-    the values to try; all combinations are run."""
+    """Content of an experiment's file. `vary`: paths into the day, such as `edges` or
+    `deployment.orders.share`,
+    each with the values to try; all combinations are run."""
 
     name: str
     day: Any  # inline, or the path of a script beside the file
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Planned:
-    """One run: a variant under a seed, and the day that comes of it."""
+    """One run: a variant, a seed, and the day's script that results."""
 
     variant: Variant
     seed: int
@@ -48,14 +49,15 @@
 
     @property
     def key(self) -> str:
-        """What makes a run the same as another: every setting of its day, and nothing else."""
+        """Identity of the run: a hash over every setting of its day, and nothing else."""
         return blake2b(msgspec.json.encode(self.day, order="deterministic"), digest_size=12).hexdigest()
 
 
 def planned(experiment: Experiment, day: Mapping[str, Any]) -> list[Planned]:
-    """All runs, seed by seed, so that one that is stopped early has whole pairs. Raises
-    DeploymentError where a path
-    leads nowhere."""
+    """All runs, seed by seed, so that an experiment that is stopped early has results to compare.
+
+    Raises DeploymentError if a path does not exist in the day.
+    """
     variants = [
         tuple(zip(experiment.vary, values, strict=True)) for values in product(*experiment.vary.values())
     ]
@@ -70,7 +72,10 @@
 
 
 def put(day: dict[str, Any], path: str, value: Any) -> None:
-    """Set what a path names. The last name may be new: a setting that stands at its default."""
+    """Sets the value at a path. Its last name may be missing from the day: a setting left at its default.
+
+    Raises DeploymentError if the path does not exist.
+    """
     *way, last = path.split(".")
     at: Any = day
     for name in way:
@@ -88,7 +93,7 @@
 
 
 class Result(msgspec.Struct):
-    """What a run came to; one line of the results. `failed` is no result."""
+    """Result of a run, one line of the results file. `failed`: the traceback of a run that has no result."""
 
     key: str
     variant: list[tuple[str, Any]]
@@ -117,7 +122,7 @@
 
 @dataclass(frozen=True)
 class Sure:
-    """A mean and how sure it is: half of its interval, from so many seeds; infinite from one."""
+    """A mean over seeds with half the width of its confidence interval; infinite with one seed."""
 
     mean: float
     half: float
@@ -130,7 +135,7 @@
 
 
 def sure(values: Sequence[float]) -> Sure:
-    """By Student's t, for means over seeds."""
+    """Confidence interval of a mean by Student's t distribution."""
     count = len(values)
     mean = float(np.mean(values))
     if count < 2:
@@ -140,12 +145,12 @@
 
 
 def mean(runs: Mapping[int, Result], figure: str) -> Sure:
-    """Of one variant, over its seeds."""
+    """Mean of one figure of a variant, over its seeds."""
     return sure([result.figures[figure] for result in runs.values()])
 
 
 def by_variant(results: Iterable[Result]) -> dict[Variant, dict[int, Result]]:
-    """The last good result of each variant and seed, in the order of the file."""
+    """The latest successful result of each variant and seed, in the order of the file."""
     made: dict[Variant, dict[int, Result]] = defaultdict(dict)
     for result in results:
         if not result.failed:
@@ -154,8 +159,9 @@
 
 
 def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, Sure]:
-    """Each other variant against the base, seed by seed; only seeds that both have. Raises
-    DeploymentError.
+    """Each other variant compared with the base, over the seeds that both have results for.
+
+    Raises DeploymentError if the base has no results.
     """
     found = by_variant(results)
     if base not in found:
@@ -171,6 +177,6 @@
 
 
 def missing(plan: Sequence[Planned], results: Iterable[Result], build: str) -> list[Planned]:
-    """Runs that have no good result of this build yet."""
+    """Runs that have no successful result of this build yet."""
     done = {result.key for result in results if not result.failed and result.build == build}
     return [run for run in plan if run.key not in done]
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -1,8 +1,8 @@
-"""What stands between clients, edges, runners and roster in the model: messages that arrive after a time.
+"""Connections of the model between clients, edges, runners and the roster: messages arrive after a latency.
 
-The objects here take the places of connections: an edge's link to one start of a runner, a client's line to
-an edge, and an edge's subscription to the roster. Nothing is encoded. A runner that dies breaks what was
-out there; one that is not there is not reached.
+The objects here replace connections: an edge's link to one start of a runner, a client's link to an edge, and
+an edge's subscription to the roster. Nothing is encoded. When a runner dies, what is in flight to it ends as
+reset; what is sent to a runner that does not run ends as unreachable.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +22,7 @@
 
 @dataclass
 class Ways:
-    """One-way times between zones, in seconds."""
+    """One-way latencies within and between zones, in seconds."""
 
     within: float = 0.00015
     between: float = 0.0005
@@ -34,8 +34,8 @@
 
 
 class Taped:
-    """One connection on the tape, if there is one: lines as they would have crossed the socket of whoever is
-    no edge, in the form that the checker reads."""
+    """One connection on the tape, if a tape is recorded: lines as they would have crossed the socket of the
+    peer of the edge, in the form that the checker reads."""
 
     def __init__(self, tape: Tape | None, connection: str, greets: str, **who: Any) -> None:
         self.tape, self.connection = tape, connection
@@ -48,14 +48,14 @@
             self.tape.put(self.connection, sign, line=wire.encode(message).decode())
 
     def close(self) -> None:
-        """Once: a runner that died is also dropped when the roster says so."""
+        """Recorded once: a runner that died is dropped again when the roster reports it as gone."""
         if self.tape is not None:
             self.tape.put(self.connection, "close")
         self.tape = None
 
 
 class RunnerLink(Taped):
-    """An edge's link to a runner at one port. It is its own `linking`: there is no wire that could stall."""
+    """An edge's link to a runner at one port. It is also its own `linking`, since nothing here can stall."""
 
     def __init__(
         self, edge: Any, name: str, runner: RunnerStandIn | None, way: float, tape: Tape | None = None
@@ -68,14 +68,14 @@
         start = runner.start if runner is not None else ""
         super().__init__(tape, f"{start}/{edge.name}/{edge.dials}", edge.name, runner=name, start=start)
 
-    # as the edge knows it
+    # interface of a runner's connection at the edge
 
     def step(self, given: Input) -> None:
         if given is Input.DROPPED:
             self.break_off()
 
     def hold_back(self) -> None:
-        """Nothing waits here for a connection."""
+        """Does nothing: no request waits here for a connection."""
 
     def meet(self) -> None:
         runner = self.runner
@@ -95,7 +95,7 @@
         self.later(self.way, self.arrive, task.number, message)
 
     def arrive(self, number: int, message: Any) -> None:
-        """At the runner; what is not there refuses at once."""
+        """Delivers a message to the runner; one that does not run refuses at once."""
         if number not in self.out:
             return
         if not self.reached():
@@ -124,7 +124,7 @@
             self.later(self.way, self.runner.engine.unload, function)
 
     def cancel_unsent(self, number: int) -> bool:
-        return False  # a message is on its way as soon as it is sent
+        return False  # nothing is queued: a message is in flight as soon as it is sent
 
     def withdraw(self, number: int, notify: bool) -> bool:
         if notify and self.reached():
@@ -141,7 +141,7 @@
 
     def drop_speaker(self) -> None: ...
 
-    # what the runner says
+    # messages of the runner
 
     def back(self, said: Any) -> None:
         host = self.edge.host
@@ -167,14 +167,14 @@
             self.later(self.way, self.edge.runner_drains, self.name, self.runner.start)
 
     def break_off(self) -> None:
-        """The runner died: what is out there may have run."""
+        """The runner died: what is in flight may have run, and ends as reset."""
         self.close()
         for number in list(self.out):
             self.later(self.way, self.end, number, Outcome.RESET)
 
 
 class Seat(ClientSpeaker):
-    """A client's place at an edge; answers go to its line."""
+    """The edge's end of a client's link."""
 
     def __init__(self, edge: Any, line: "ModelLine") -> None:
         super().__init__(edge, line.number)
@@ -186,7 +186,7 @@
 
 
 class ModelLine(Line, Taped):
-    """A client's line to one edge of the model."""
+    """A client's link to one edge of the model."""
 
     def __init__(self, crowd: Crowd, edge: Any, number: int, way: float, tape: Tape | None = None) -> None:
         Taped.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
@@ -236,6 +236,6 @@
             self.later(self.follow)
 
     def break_off(self) -> None:
-        """The roster began anew: follow it again."""
+        """The roster restarted: subscribe again."""
         self.roster.followers.pop(self, None)
         self.later(self.follow)
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -1,8 +1,8 @@
-"""The level of admission against a fleet that is one queue, in steps of a tenth of a second: a fluid model.
+"""A fluid model of admission control: the fleet is one queue, time goes in steps of a tenth of a second.
 
-It is coarser than `model.world`: no placing, no copies, one kind of work. What it shows is the loop alone,
-with any number of dispatchers whose figures are of different ages, and clients that repeat. Other ways to
-shed stand beside it on the same days (docs/overload.md).
+It is coarser than `model.world`: no placement, no copies, one kind of work. It shows only the control loop,
+with any number of dispatchers whose figures have different ages, and clients that retry. Other ways to shed
+load can be compared on the same scenarios (docs/overload.md).
 """
 
 from collections import deque
@@ -17,41 +17,42 @@
 from lapistrestle.ticks import SECOND
 
 STEP = 0.1  # seconds
-WINDOW = 20  # steps over which rates are taken, as in `fleet.gossip_counters`
-EVERY = 5  # steps between two looks at the level
-TRIES = 3
+WINDOW = 20  # steps over which rates are measured, as in `fleet.gossip_counters`
+EVERY = 5  # steps between two updates of the level
+TRIES = 3  # attempts of a client at most
 
 
 @dataclass(frozen=True)
 class Day:
-    """`load(t)` is the demand over the capacity, `worths` of the methods' gains with their parts of it."""
+    """`load(t)` is the demand relative to the capacity; `worths`: the gain of each method and its part of
+    it."""
 
     dispatchers: int = 12
     seconds: float = 90.0
     capacity: float = 1_000.0  # RPCs a second
     load: Callable[[float], float] = lambda t: 1.0
-    up: Callable[[float], float] = lambda t: 1.0  # part of the capacity that is there
+    up: Callable[[float], float] = lambda t: 1.0  # part of the capacity that is available
     worths: tuple[tuple[float, float], ...] = ((4.0, 0.2), (2.0, 0.3), (1.0, 0.5))
-    soft: float = 1.0  # seconds after which it earns nothing
+    soft: float = 1.0  # seconds after which an answer has no gain
     patience: float = 3.0  # seconds after which the client is gone
-    age: float = 2.0  # seconds: the oldest figures of any dispatcher
-    uneven: float = 1.0  # traffic of the first dispatcher over that of another
-    wait: tuple[float, float] = (0.2, 1.0)  # seconds before a client repeats
+    age: float = 2.0  # seconds: greatest age of a dispatcher's figures
+    uneven: float = 1.0  # traffic of the first dispatcher relative to that of another
+    wait: tuple[float, float] = (0.2, 1.0)  # seconds before a client retries
     seed: int = 1
 
 
 @dataclass
 class Story:
-    """What came of a day, by step."""
+    """Figures of a simulated scenario, one for each step."""
 
-    asked: list[float] = field(default_factory=list)  # worth of first tries
-    served: list[float] = field(default_factory=list)  # worth done in time
-    could: list[float] = field(default_factory=list)  # worth that the one who sees all would have done
-    let: list[float] = field(default_factory=list)  # RPCs
-    spread: list[float] = field(default_factory=list)  # of the levels, highest less lowest
+    asked: list[float] = field(default_factory=list)  # gain of the first attempts
+    served: list[float] = field(default_factory=list)  # gain served in time
+    could: list[float] = field(default_factory=list)  # gain that an optimal choice would have served
+    let: list[float] = field(default_factory=list)  # RPCs admitted
+    spread: list[float] = field(default_factory=list)  # highest less lowest admission level
 
     def part(self, since: float, until: float) -> float:
-        """Of what the one who sees all would have served."""
+        """Gain served from `since` to `until` seconds, relative to that of an optimal choice."""
         window = slice(int(since / STEP), int(until / STEP))
         return sum(self.served[window]) / max(1e-9, sum(self.could[window]))
 
@@ -60,7 +61,7 @@
 
 
 class ByLevel:
-    """The program's own decision."""
+    """The program's own controller, with figures of all dispatchers."""
 
     def __init__(self, day: Day, rungs: int) -> None:
         self.logs: list[str] = []
@@ -71,7 +72,7 @@
 
 
 class Open:
-    """Nothing is denied at the door."""
+    """Everything is admitted."""
 
     def __init__(self, day: Day, rungs: int) -> None:
         self.level = AdmissionLevel(rungs)
@@ -81,7 +82,7 @@
 
 
 class FixedLimit:
-    """Each dispatcher lets in an equal part of the capacity as it was when the limit was set, by worth."""
+    """Each dispatcher admits an equal part of the full capacity, the greatest gain first."""
 
     def __init__(self, day: Day, rungs: int) -> None:
         self.room = day.capacity / day.dispatchers
@@ -91,14 +92,14 @@
 
 
 class AloneByLevel(ByLevel):
-    """The same decision from one's own figures alone."""
+    """The program's controller with figures of its own dispatcher only."""
 
     def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.shedding.update(own, now)
 
 
 class RetryBudget(Open):
-    """Each dispatcher denies repeats beyond a fifth of what it has let in lately, and nothing else."""
+    """Each dispatcher rejects retries above a fifth of what it admitted lately, and nothing else."""
 
     def look(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         repeats = sum(own.demand[1::2])
@@ -108,11 +109,11 @@
 
 @dataclass(frozen=True)
 class RepeatsOnly(AdmissionLevel):
-    """All first tries, and a part of the repeats: not in order of worth."""
+    """All first attempts and a part of the retries, whatever their gain."""
 
 
 def play(day: Day, policy: Policy) -> Story:
-    """Rungs are worth by worth, first tries before repeats."""
+    """Simulates a scenario. Priorities go by gain and, within a gain, first attempts before retries."""
     rng, rungs, count = np.random.default_rng(day.seed), 2 * len(day.worths), day.dispatchers
     worth = np.repeat([w for w, _ in day.worths], 2)
     mix = np.array([part for _, part in day.worths])
@@ -123,14 +124,15 @@
     phases = rng.integers(0, EVERY, count)
     made, levels = [policy(day, rungs) for _ in range(count)], [AdmissionLevel(rungs) for _ in range(count)]
     steps = int(day.seconds / STEP)
-    back = np.zeros((steps + 200, count, len(mix), TRIES))  # those that come (again), by step, worth and try
+    # RPCs that arrive, by step, dispatcher, gain and attempt
+    back = np.zeros((steps + 200, count, len(mix), TRIES))
     asked = np.zeros((steps, count, rungs))
     let, good, bad = (np.zeros((steps, count)) for _ in range(3))
-    queue: deque[list[Any]] = deque()  # began at this step: what waits, by dispatcher, worth and try
+    queue: deque[list[Any]] = deque()  # step of arrival, and RPCs waiting by dispatcher, gain and attempt
     story = Story()
 
     def again(step: int, lost: Any) -> None:
-        """Those who got nothing come back after a while, if they have a try left."""
+        """Schedules the retries of RPCs that failed, if they have an attempt left."""
         for n in range(TRIES - 1):
             if lost[:, :, n].any():
                 after = rng.uniform(*day.wait, 4) / STEP
@@ -199,7 +201,7 @@
 
 
 def gate(level: AdmissionLevel, rungs: int) -> list[float]:
-    """The part of each rung that is let in."""
+    """The part of each priority that is admitted."""
     if isinstance(level, RepeatsOnly):
         return [level.fraction if rung % 2 else 1.0 for rung in range(rungs)]
     at = level.priority
@@ -207,7 +209,7 @@
 
 
 def best(first: Any, worth: Any, room: float) -> float:
-    """What fits, the most worth first."""
+    """The greatest gain that fits into the capacity."""
     total = 0.0
     for amount, each in zip(first, worth, strict=True):
         fits = min(float(amount), room)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -1,4 +1,4 @@
-"""One day in the model: the same script, fleet, troubles, clients and edges as on sockets."""
+"""One day in the model: the same script, fleet, faults, clients and edges as on sockets."""
 
 import io
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 from lapistrestle.standins.world import World, header
 from lapistrestle.ticks import SECOND
 
-# what needs a wire, or a process that stands still: only on sockets
+# faults that need a connection, or a process that can be stopped: only on sockets
 WIRES = frozenset(
     ("balancer_stall", "refused", "broken", "silent", "delayed", "split", "garbled", "edge_kill", "unread",
      "planner_stall", "planner_kill", "holder_stall", "holder_kill", "directory_cut")
@@ -32,7 +32,8 @@
 
 
 class ModelEdge(Edge):
-    """An edge whose connections are links of the model. Its decisions, versions, list and timers are those
+    """An edge whose connections are links of the model. Decisions, rollouts, endpoint list and timers are
+    those
     of the program."""
 
     def __init__(self, world: "ModelWorld", deployment: Deployment, log: Any) -> None:
@@ -49,7 +50,7 @@
         return 1
 
     wanted = False
-    dials = 0  # links so far
+    dials = 0  # links created so far
 
     def watch_endpoints(self) -> None:
         self.wanted = True
@@ -64,7 +65,7 @@
                 self.reactor.callLater(self.world.ways.between, told, me, text)
 
     def address(self, name: str, address: Any, start: str = "") -> None:
-        """As on sockets: another address is another process."""
+        """Replaces the link if the address changed: as on sockets, another address is another process."""
         link: Any = self.runners.get(name)
         at = self.world.runners.get(address)
         if link is not None and (address == 0 or link.runner is not at):
@@ -79,7 +80,7 @@
 
 
 class Handle:
-    """How the day holds an edge of the model."""
+    """The day's handle of an edge of the model (`standins.world.EdgeHandle`)."""
 
     def __init__(self, edge: ModelEdge) -> None:
         self.edge, self.name = edge, edge.name
@@ -97,20 +98,20 @@
 
 @dataclass
 class Outcome:
-    """What came of the wishes of a day; times in milliseconds."""
+    """Result of a day's client requests; times in milliseconds."""
 
     wishes: int = 0
     gained: float = 0.0
     asked: float = 0.0
-    windows: dict[int, list[float]] = field(default_factory=dict)  # by second: gain asked and gained
-    took: list[float] = field(default_factory=list)  # of those that were answered ok
+    windows: dict[int, list[float]] = field(default_factory=dict)  # by second: gain asked for and gained
+    took: list[float] = field(default_factory=list)  # latencies of those that were answered ok
 
     @property
     def service(self) -> float:
         return self.gained / self.asked if self.asked else 1.0
 
     def worst(self, seconds: int = 10) -> float:
-        """The worst of so many seconds in a row, by when wishes began."""
+        """Lowest service over so many seconds in a row, by the times at which requests started."""
         last = max(self.windows, default=0)
         found = 1.0
         for begin in range(max(1, last - seconds + 2)):
@@ -121,7 +122,7 @@
 
 
 class ModelWorld(World):
-    """Builds one day of the model. Raises DeploymentError for what it can't play."""
+    """Builds one day of the model. Raises DeploymentError for a script that the model can't run."""
 
     def __init__(
         self, day: Day, deployment: Deployment, sink: BinaryIO | None = None, log: Any = None
@@ -153,7 +154,7 @@
 
     @property
     def taped(self) -> Tape | None:
-        """The tape, if anybody reads it."""
+        """The tape, if one is recorded."""
         return None if self.untold else self.tape
 
     def boot(self, name: str, start: int, facts: RunnerFacts, tokens: Tokens, cold: bool) -> RunnerStandIn:
@@ -163,8 +164,9 @@
         return made
 
     def sees(self, name: str, function: str) -> tuple[float, float]:
-        """A runner as it is: whether a copy stands (1) or is being loaded (0.5), and calls by core, those on
-        their way too, as slow as it is now."""
+        """True state of a runner: whether a copy is loaded (1) or loading (0.5), and calls per core at its
+        present
+        speed, those in flight included."""
         slot = self.by_name[name]
         engine, copies = slot.runner.engine, slot.runner.engine.copies.get(function)
         coming = sum(h.edge.host.module.out.get(h.edge.host.registry.worker(name), 0) for h in self.edges)  # type: ignore[attr-defined]
@@ -179,7 +181,7 @@
         ]
 
     def ended(self, wish: Wish, ok: bool) -> None:
-        """A wish is over, for good or bad."""
+        """Counts a client's request that was answered or given up."""
         method, outcome = self.methods[wish.method], self.outcome
         took = (self.reactor.seconds() - wish.began) * 1000
         gain = worth(method, took, wish.work) if ok else 0.0
@@ -193,7 +195,7 @@
             outcome.took.append(took)
 
     def play(self) -> Outcome:
-        """The whole day, and on until the last wish is over."""
+        """Runs the whole day, and on until the last request is over."""
         self.start()
         self.begin_traffic()
         schedule(self)
