--- a/lapistrestle/standins/children.py
+++ b/lapistrestle/standins/children.py
@@ -1,4 +1,4 @@
-"""Programs of ours started as processes, each telling its port in a file."""
+"""Runs the project's programs as processes; each writes its port to a file."""
 
 import signal
 import socket
@@ -9,7 +9,7 @@
 
 
 def free_tcp_ports(count: int) -> list[int]:
-    """Ports at which nothing listens now, each another."""
+    """Distinct TCP ports at which nothing listens now."""
     sockets = [socket.socket() for _ in range(count)]
     for each in sockets:
         each.bind(("127.0.0.1", 0))
@@ -20,7 +20,7 @@
 
 
 class Child:
-    """`lapistrestle ARGS --tell-port FILE` as a process of its own."""
+    """`lapistrestle ARGS --tell-port FILE` as a separate process."""
 
     def __init__(self, folder: Path, name: str, *args: str) -> None:
         self.name, self.args = name, args
@@ -35,13 +35,13 @@
             self.child = subprocess.Popen(command, stdout=log, stderr=log)
 
     def port(self) -> int:
-        """0 until it has told."""
+        """The port where it listens; 0 until it has written that to its file, and once it has ended."""
         if not self.known and self.told.exists():
             self.known = int(self.told.read_text() or 0)
         return self.known if self.child is not None else 0
 
     def wait_port(self, seconds: float = 20.0) -> int:
-        """Raises RuntimeError, with what it logged, where it does not come up."""
+        """Waits until it listens. Raises RuntimeError with the end of its log if it does not."""
         until = time.monotonic() + seconds
         while not self.port():
             if time.monotonic() > until or (self.child is not None and self.child.poll() is not None):
@@ -66,7 +66,7 @@
         self.child = None
 
     def stop(self) -> int | None:
-        """Ask it to end; its exit status. One that does not end within ten seconds is killed."""
+        """Terminates it and returns its exit status; kills it if it does not end within ten seconds."""
         child, self.child = self.child, None
         if child is None:
             return None
@@ -79,5 +79,5 @@
             return child.wait()
 
     def lines(self) -> list[str]:
-        """What it has logged so far."""
+        """Lines that it has logged so far."""
         return self.log.read_text(errors="replace").splitlines() if self.log.exists() else []
--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -1,4 +1,4 @@
-"""Clients: send calls, give up, and come back by their habits."""
+"""Clients: send calls, give up after a time, and retry."""
 
 import random
 from collections.abc import Callable
@@ -19,16 +19,16 @@
     """How clients behave. Times in seconds."""
 
     retries: int = 2
-    wait: float = 0.2  # before a further try, up to twice that
-    patience: tuple[float, float] = (0.5, 1.0)  # a try is given up after this part of the deadline
-    marks: bool = True  # repeats are marked
-    heeds: bool = True  # the time to come back
-    abuse: float = 0.0  # share of RPCs whose client repeats at once and without end
+    wait: float = 0.2  # least retry delay; it is up to twice as long
+    patience: tuple[float, float] = (0.5, 1.0)  # an attempt is given up after this part of the deadline
+    marks: bool = True  # retries are marked
+    heeds: bool = True  # retry_after is respected
+    abuse: float = 0.0  # share of RPCs whose client retries at once, up to 30 attempts
 
 
 @dataclass(eq=False)
 class Wish:
-    """What a client wants once, over all its tries."""
+    """What a client wants once, over all its attempts."""
 
     key: str
     function: str
@@ -36,18 +36,20 @@
     customer: str
     memory: float
     lanes: int
-    work: float  # milliseconds, true
-    hint: float | None
+    work: float  # true work in milliseconds
+    hint: float | None  # hint of the work in milliseconds
     token: int | None
     effect: str
     scope: str
-    deadline: float  # seconds for all tries
+    deadline: float  # seconds for all attempts together
     began: float
     tries: int = 0
     abuses: bool = False
 
 
 class ClientSpeaker(TapedSpeaker):
+    """The client's end of a connection to an edge."""
+
     protocol = wire.CLIENT
     decoder = union(wire.ToClient)
 
@@ -77,7 +79,7 @@
 
 
 class Line(ClientFactory):
-    """A client's connection to one edge, made anew when it breaks."""
+    """A client's link to one edge, which reconnects when the connection breaks."""
 
     noisy = False
 
@@ -104,7 +106,7 @@
         self.crowd.reactor.callLater(0.1, self.dial)
 
     def lost(self, speaker: ClientSpeaker) -> None:
-        """What was open here may have run: it is tried again only where that is harmless."""
+        """Calls that were open here may have run: they are retried only if that is safe."""
         if self.up is speaker:
             self.up = None
         tries, self.open = self.open, {}
@@ -144,7 +146,7 @@
         return max(0.001, wish.began + wish.deadline - now)
 
     def give_up(self, name: str) -> None:
-        """The try has taken too long; the client says so."""
+        """The attempt has taken too long: the client cancels it."""
         wish, _ = self.open.pop(name)
         if self.up is not None:
             self.up.say(wire.Leave(name))
@@ -163,7 +165,7 @@
 
 
 class Crowd:
-    """All clients of a day: spreads wishes over the edges that answer, and comes back by habit."""
+    """All clients of a day: spreads requests over the connected edges, and retries."""
 
     def __init__(self, reactor: Any, habits: Habits, seed: int, tape: Tape | None = None) -> None:
         self.reactor, self.habits, self.tape = reactor, habits, tape
@@ -182,7 +184,7 @@
         self.attempt(wish)
 
     def attempt(self, wish: Wish) -> None:
-        """The next edge that answers; where none does the client waits a little."""
+        """Sends to the next connected edge; where none is connected the client tries again soon."""
         if self.reactor.seconds() >= wish.began + wish.deadline:
             return self.gave_up(wish)
         for _ in self.lines:
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -1,8 +1,10 @@
-"""What a runner does with calls: cores, queue, memory, copies, loads, warming up, falling over. No sockets.
+"""How a runner executes calls: cores, queue, memory, copies, loads, slow start and collapse. No sockets.
 
-A copy of a function holds memory and runs `lanes` calls at once; a call also needs a core for its work. What
-finds no copy waits for a load or is answered `miss`, as the fleet's way is. A runner that starts does only
-part of its work; sent too much in that time it falls over and stays down.
+A copy of a function takes memory and runs `lanes` calls at once; a call also needs a core while it runs. A
+call
+without a loaded copy waits for a load or is answered `miss`, depending on the deployment. A runner that has
+just
+started is slower; if it is sent too much in that time it collapses and stays down.
 """
 
 from collections import deque
@@ -15,34 +17,36 @@
 
 @dataclass
 class RunnerFacts:
+    """Capacity and behaviour of a runner."""
+
     cores: int = 4
-    speed: float = 1.0  # of a core, the yardstick being 1
+    speed: float = 1.0  # of a core
     memory: float = 14_000.0  # MB
-    queue: int = 100  # calls waiting; further ones are turned away
+    queue: int = 100  # calls waiting at most; further ones are rejected
     loads: int = 4  # at once
-    absent: str = "load"
-    idle_life: float = 10.0  # seconds
-    cold_share: float = 1.0
-    ramp: float = 0.0
-    fall_multiple: float = 4.0
-    fall_time: float = 3.0
-    fetch_share: float = 0.7  # of a load; the rest is the start
-    drops_waiting: bool = True  # a cancel drops a call that waits
-    stops_running: bool = False  # and one that runs
-    remembers: float = 5.0  # seconds for which a token is known
+    absent: str = "load"  # what happens to a call without a copy: "load" or "miss"
+    idle_life: float = 10.0  # seconds after which an unused copy is unloaded
+    cold_share: float = 1.0  # part of the full speed at the start
+    ramp: float = 0.0  # seconds from the start to full speed
+    fall_multiple: float = 4.0  # collapses if sent more than this multiple of its present capacity
+    fall_time: float = 3.0  # over so many seconds
+    fetch_share: float = 0.7  # part of a load's time for fetching the package; the rest starts the copy
+    drops_waiting: bool = True  # a cancel drops a waiting call
+    stops_running: bool = False  # a cancel ends a running call
+    remembers: float = 5.0  # seconds for which a token is remembered
 
 
 @dataclass(eq=False)
 class Task:
-    """One call-out at the runner."""
+    """One call at the runner."""
 
     function: str
-    work: float  # seconds on a yardstick core
-    memory: float
+    work: float  # seconds on a core of speed 1
+    memory: float  # MB that a copy takes
     lanes: int
-    load: float  # seconds that a load takes
-    end: Callable[["Task", str, str, dict[str, Any]], None]  # outcome, warmth, more
-    begin: Callable[["Task"], bool]  # told when it starts to run; False: a repeat, dropped
+    load: float  # seconds to load a copy
+    end: Callable[["Task", str, str, dict[str, Any]], None]  # outcome, load state, report
+    begin: Callable[["Task"], bool]  # called when it starts to run; False: a repeat, which has no work to do
     warmth: str = ""
     company: int = 0
     running: bool = False
@@ -58,9 +62,9 @@
     load: float
     standing: int = 0
     loading: int = 0
-    busy: int = 0  # calls that run
-    tasks: int = 0  # calls here, waiting or running
-    used: float = 0.0  # when one was last used or asked for
+    busy: int = 0  # calls running
+    tasks: int = 0  # calls waiting or running
+    used: float = 0.0  # when a copy was last used or requested
     orders: list[tuple[int, Callable[[str, int], None]]] = field(default_factory=list)
     fetches: list[Fetch] = field(default_factory=list)
 
@@ -69,7 +73,7 @@
 
 
 class Engine:
-    """One runner from its start to its end."""
+    """The execution of calls by one runner process."""
 
     def __init__(
         self, reactor: Any, facts: RunnerFacts, store: Store, fall: Callable[[], None], cold: bool
@@ -81,12 +85,12 @@
         self.load_queue: deque[str] = deque()
         self.running = self.loads = 0
         self.draining = self.dead = self.pushed_over = False
-        self.slower = 1.0  # troubles: work takes so many times longer,
-        self.taken = 0  # so many cores are another program's,
-        self.failing = False  # every call fails at once,
-        self.paused = False  # nothing moves
-        self.kept: deque[Callable[[], None]] = deque()  # what a pause holds up
-        self.pushed: deque[tuple[float, float]] = deque()  # work that came, while cold
+        self.slower = 1.0  # fault: work takes so many times longer
+        self.taken = 0  # fault: cores used by another program
+        self.failing = False  # fault: every call fails at once
+        self.paused = False  # fault: the process is stopped
+        self.kept: deque[Callable[[], None]] = deque()  # calls deferred by a pause
+        self.pushed: deque[tuple[float, float]] = deque()  # time and work of calls sent in slow start
         self.load_fails: Callable[[str], bool] = lambda function: False
         self.report_late = 0.0
         self.reports: deque[tuple[float, dict[str, float]]] = deque()
@@ -102,7 +106,8 @@
         return min(1.0, facts.cold_share + (1 - facts.cold_share) * age / facts.ramp)
 
     def push(self, work: float) -> None:
-        """All that comes pushes a cold runner, what it turns away too."""
+        """Counts the work sent in slow start, rejected calls included; too much of it makes the runner
+        collapse."""
         share, facts, now = self.warmth(), self.facts, self.reactor.seconds()
         if share >= 1:
             return
@@ -115,7 +120,7 @@
             self.fall()
 
     def report(self) -> dict[str, float]:
-        """Load as it was told last; troubles make that late."""
+        """The latest load report, or an older one if a fault delays reports."""
         now = self.reactor.seconds()
         busy = sum(c.memory * (c.standing - c.idle() + c.loading) for c in self.copies.values())
         fresh = {
@@ -175,7 +180,7 @@
         self.move()
 
     def move(self) -> None:
-        """Start what has a copy and a core; let full copies have another one loaded."""
+        """Starts waiting calls that have a copy and a core; loads a further copy where all are busy."""
         if self.paused or self.dead:
             return
         waiting: deque[Task] = deque()
@@ -211,7 +216,7 @@
         self.move()
 
     def cancel(self, task: Task) -> bool:
-        """True if the call is dropped; it ends as cancelled."""
+        """Ends a call as cancelled if the runner supports that in its present state; True if it did."""
         if task.over:
             return False
         if not task.running and self.facts.drops_waiting and task in self.queue:
@@ -220,7 +225,7 @@
             self.answer(task, "cancelled")
             return True
         if task.running and self.facts.stops_running:
-            self.answer(task, "cancelled")  # its core is free only when its time is up: a simple stand-in
+            self.answer(task, "cancelled")  # a simplification: its core stays busy for the whole of its work
             return True
         return False
 
@@ -235,7 +240,11 @@
         return sum(c.memory * (c.standing + c.loading) for c in self.copies.values())
 
     def room(self, memory: float) -> bool:
-        """Room for one more copy; idle ones of other functions give way, the longest unused first."""
+        """Makes room for one more copy: evicts idle ones of functions without calls, the least recently used
+        first.
+
+        False if there is not enough memory.
+        """
         if memory > self.facts.memory:
             return False
         for copies in sorted(self.copies.values(), key=lambda c: c.used):
@@ -286,7 +295,7 @@
         self.move()
 
     def settle(self, copies: Copies, ok: bool = True) -> None:
-        """Answer the orders that stand, or that are clear not to."""
+        """Answers preloads that have reached their count, or that can't any more."""
         for order in list(copies.orders):
             count, done = order
             if copies.standing >= count or copies.standing + copies.loading < count:
@@ -313,7 +322,8 @@
         self.settle(copies)
 
     def unload(self, function: str) -> None:
-        """Drop idle copies, and loads that wait or are being fetched; a copy that starts already goes on."""
+        """Drops idle copies, and loads that wait or are being fetched; a copy that is already starting goes
+        on."""
         copies = self.copies.get(function)
         if copies is None or copies.tasks:
             return
@@ -329,7 +339,7 @@
         self.next_load()
 
     def sweep(self) -> None:
-        """Idle copies go after their time."""
+        """Unloads copies that have been idle for too long."""
         if self.dead:
             return
         now = self.reactor.seconds()
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -1,4 +1,5 @@
-"""Plays a day: in virtual time on in-memory wires, or on real sockets with each edge a process of its own."""
+"""Runs a day: in virtual time on in-memory connections, or on real sockets with each edge a separate
+process."""
 
 import json
 import tempfile
@@ -20,18 +21,19 @@
 from lapistrestle.ticks import SECOND
 
 PATIENCE = 20.0  # seconds that programs may take to start
-LAST = 1.0  # seconds of traffic once all are up at the end
+LAST = 1.0  # seconds of traffic at the end, after all programs are up again
 
 Log = Callable[..., None]
 EdgeMaker = Callable[[Any, Deployment, Log], Edge]
 
 
 def quiet(what: str, **figures: Any) -> None:
-    """A log that keeps nothing."""
+    """A log that discards everything."""
 
 
 class VirtualProgram:
-    """A program as an object, in a process that can stand still or be killed. A subclass gives `start`."""
+    """A program as an object, in a virtual process that can be stalled or killed. Subclasses define
+    `start`."""
 
     def __init__(self, reactor: VirtualReactor, name: str) -> None:
         self.name = name
@@ -42,7 +44,7 @@
         raise NotImplementedError
 
     def port(self) -> int:
-        """Where it listens; 0 once it is dead."""
+        """The port where it listens; 0 once it is dead."""
         return 0 if self.process.dead else self.listens
 
     def stall(self) -> None:
@@ -70,9 +72,9 @@
     day: Day, deployment: Deployment, sink: BinaryIO, log: Log = quiet, make: EdgeMaker = Edge,
     prepare: Callable[[VirtualReactor], None] | None = None, begun: Callable[[World], None] | None = None,
 ) -> World:  # fmt: skip
-    """The whole day at once; the same seed gives the same tape, byte for byte.
+    """Runs the whole day in virtual time. The same seed gives the same tape, byte for byte.
 
-    `prepare` is called before anything is built, `begun` once the day has begun.
+    `prepare` is called before anything is built, `begun` once the day has started.
     """
     decided_by_module(day)
     reactor = VirtualReactor()
@@ -93,7 +95,7 @@
 
 
 def decided_by_module(day: Day) -> None:
-    """Raises DeploymentError: the program knows no other policy."""
+    """Raises DeploymentError for a baseline policy, which only the model has."""
     if day.policy != "module":
         raise DeploymentError(
             f'policy: is "{day.policy}"; other policies than the module are in the model only'
@@ -117,7 +119,7 @@
 
 
 class VirtualPlanner(VirtualProgram):
-    """A planner in virtual time, at the same port at each start."""
+    """A planner in virtual time, which listens at the same port after each start."""
 
     def __init__(self, reactor: VirtualReactor, port: int, journal: Path, log: Log) -> None:
         super().__init__(reactor, "planner")
@@ -128,7 +130,7 @@
         self.planner.start(self.at)
 
     def port(self) -> int:
-        """Also while it is dead: edges go on dialling there."""
+        """The port, also while it is dead: edges go on connecting to it."""
         return self.at
 
     def kill(self) -> None:
@@ -145,7 +147,7 @@
     """A holder of the directory in virtual time."""
 
     def __init__(self, reactor: VirtualReactor, settings: HolderDeployment, log: Log, seed: int) -> None:
-        from lapistrestle.directory.server import HolderProgram  # a day without a directory needs none
+        from lapistrestle.directory.server import HolderProgram  # only days with a directory import it
 
         super().__init__(reactor, settings.serve.name)
         self.program = HolderProgram(self.process, settings, log, seed)
@@ -168,7 +170,7 @@
 
 
 class ProcessHolder(Child):
-    """A holder as a process of its own, at the same port whenever it starts."""
+    """A holder as a separate process, which listens at the same port after each start."""
 
     def __init__(self, folder: Path, settings: HolderDeployment) -> None:
         name = settings.serve.name
@@ -178,7 +180,7 @@
 
 
 class ProcessHolders:
-    """Makes holders that are processes; `made` has all of them, also those that were killed."""
+    """Makes holders that are processes; `made` has all of them, killed ones included."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -193,7 +195,7 @@
 
 
 class ProcessPlanner(Child):
-    """A planner as a process of its own, at the same port whenever it starts."""
+    """A planner as a separate process, which listens at the same port after each start."""
 
     def __init__(self, folder: Path, port: int) -> None:
         super().__init__(folder, "planner", "planner", str(folder / "journal"), "--port", str(port), "--json")
@@ -204,7 +206,7 @@
 
 
 class ProcessEdge(Child):
-    """An edge as a process of its own: stalled by SIGSTOP, killed by SIGKILL."""
+    """An edge as a separate process: stalled by SIGSTOP, killed by SIGKILL."""
 
     def __init__(self, folder: Path, deployment: Deployment) -> None:
         name = deployment.dispatcher.name
@@ -214,12 +216,12 @@
 
 
 def play_real(day: Day, deployment: Deployment, sink: BinaryIO, log: Log = quiet) -> World:
-    """The day on loopback sockets, in its own time. Edges are processes, stand-ins live in this one."""
+    """Runs the day on loopback sockets in real time. Edges are processes; stand-ins run in this one."""
     decided_by_module(day)
     from twisted.internet import reactor as default
 
     reactor: Any = default
-    reactor.seconds = time.monotonic  # a machine's clock set back must not move a timer
+    reactor.seconds = time.monotonic  # a change of the system clock must not move a timer
     made: list[ProcessEdge] = []
     worlds: list[World] = []
     planners: list[ProcessPlanner] = []
@@ -246,13 +248,14 @@
             when_up(world, reactor.seconds() + PATIENCE, begin_day)
 
         def when_up(world: World, until: float, then: Callable[[World], None]) -> None:
-            """Programs take seconds to start where the machine is busy."""
+            """Waits until all programs are up; they take seconds to start on a busy machine."""
             if world.up() or reactor.seconds() >= until:
                 return then(world)
             reactor.callLater(0.05, when_up, world, until, then)
 
         def begin_day(world: World) -> None:
-            """What is wanted before any edge is up would meet the first one all at once, and late."""
+            """Starts the traffic. Requests from before all edges are up would reach the first one late, in a
+            burst."""
             world.tape.put("day", "begins")
             world.begin_traffic()
             schedule(world)
@@ -260,7 +263,7 @@
             reactor.callLater(length, when_up, world, reactor.seconds() + length + PATIENCE, end_day)
 
         def end_day(world: World) -> None:
-            """Whoever was killed is back: a day that had to wait for that goes on for a moment."""
+            """Runs on for a moment, so that programs that restarted late also get traffic, then stops."""
             longest = max(m.deadline for m in deployment.methods.values()) / SECOND
             reactor.callLater(LAST, setattr, world, "over", True)
             reactor.callLater(LAST + longest + 1.0, reactor.stop)
--- a/lapistrestle/standins/roster.py
+++ b/lapistrestle/standins/roster.py
@@ -1,4 +1,4 @@
-"""The roster: knows, late, which processes run, and tells edges by numbered lists."""
+"""The roster: publishes with a delay which processes run, as numbered lists and changes."""
 
 from typing import Any
 
@@ -11,20 +11,20 @@
 
 
 class RosterStandIn:
-    """Entries are noted when they happen and told `lag` seconds later, with `up_for` as of then."""
+    """Changes are recorded when they happen and published `lag` seconds later, with `up_for` as of then."""
 
     def __init__(self, reactor: Any, lag: float, tape: Tape | None = None, port: int = 0) -> None:
         self.reactor, self.lag, self.tape = reactor, lag, tape
-        self.told: dict[str, tuple[wire.Entry, float]] = {}  # with the time of its start
+        self.told: dict[str, tuple[wire.Entry, float]] = {}  # entry and time of the process's start, by name
         self.number, self.epoch, self.count = 0, "e1", 0
         self.weather = Weather(seed=99)
-        self.stale = 0.0  # a trouble: further behind
-        self.due = 0.0  # news is told in order
+        self.stale = 0.0  # fault: seconds of additional delay
+        self.due = 0.0  # when the latest change is published: changes stay in order
         self.followers: dict[RosterSpeaker, None] = {}
         self.port: int = reactor.listenTCP(port, RosterFactory(self), interface="127.0.0.1").getHost().port
 
     def note(self, entry: wire.Entry, booted: float, now: bool = False) -> None:
-        """Something changed; edges hear of it later."""
+        """Records a change, to be published after the delay."""
         if now:
             return self.tell(entry, booted)
         at = self.due = max(self.due, self.reactor.seconds() + self.lag + self.stale)
@@ -50,23 +50,23 @@
     def whole(self) -> wire.Whole:
         return wire.Whole(self.number, [self.dated(*told) for told in self.told.values()], self.epoch)
 
-    # troubles of its own
+    # faults of the roster
 
     def say_all(self, message: wire.Message) -> None:
         for follower in list(self.followers):
             follower.say(message)
 
     def jump_back(self, by: int) -> None:
-        """Sends a list numbered as if it were older."""
+        """Sends a snapshot with a number that is too low."""
         whole = self.whole()
         self.say_all(wire.Whole(max(0, self.number - by), whole.workers, self.epoch))
 
     def skip(self) -> None:
-        """Loses a number: the next change does not follow."""
+        """Skips a number, so that subscribers miss a change."""
         self.number += 1
 
     def begin_anew(self) -> None:
-        """Restarts: numbers begin anew under another epoch, connections break."""
+        """Restarts: numbers start again in a new epoch, and connections break."""
         self.epoch, self.number = f"e{int(self.epoch[1:]) + 1}", 0
         for follower in list(self.followers):
             follower.break_off()
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -1,4 +1,4 @@
-"""A runner on a socket: greets, takes calls and orders, and says how they ended."""
+"""A runner on a socket: accepts calls, preloads and health checks, and sends their results."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 class Body(msgspec.Struct):
-    """What a stand-in client writes into a call: its true work and load time, in milliseconds."""
+    """Body of a stand-in client's call: its true work and load time, in milliseconds."""
 
     work: float = 1.0
     load: float = 500.0
@@ -28,13 +28,13 @@
 
 @dataclass
 class Fault:
-    """What is wrong with a version."""
+    """Defects of a version."""
 
-    errors: float = 0.0  # share of its calls that end in an error
-    slower: float = 1.0
+    errors: float = 0.0  # share of its calls that fail
+    slower: float = 1.0  # factor on the work of its calls
     load_errors: float = 0.0  # share of its loads that fail
-    when_busy: float = 0.0  # only where at least this part of the cores is at work
-    customer: str = ""  # only for this one
+    when_busy: float = 0.0  # only on runners with at least this part of the cores busy
+    customer: str = ""  # only for this customer
     after: float = 0.0  # only from this time on, in seconds of the reactor
 
     def shows(self, customer: str, busy: float, now: float) -> bool:
@@ -45,10 +45,10 @@
 
 
 class Tokens:
-    """When each token took effect last within a group of runners, for each version by itself.
+    """When each idempotency token last took effect within a group of runners, for each version.
 
-    The hard way: one version knows nothing of what ran on another. A call is a repeat by when it came, as it
-    may wait here for longer than tokens are remembered.
+    The hardest case for edges: versions do not share their tokens. Whether a call is a repeat counts from the
+    time of its arrival, as it may wait here for longer than tokens are remembered.
     """
 
     def __init__(self) -> None:
@@ -63,7 +63,7 @@
 
 
 class RunnerStandIn:
-    """One worker process by name; a restart is a new one, on another port."""
+    """One process of a runner. A restarted runner is a new object with the same name, on another port."""
 
     def __init__(
         self, reactor: Any, name: str, start: int, facts: RunnerFacts, store: Store, tokens: Tokens,
@@ -72,7 +72,7 @@
     ) -> None:  # fmt: skip
         self.reactor, self.name, self.start, self.facts = reactor, name, f"{name}#{start}", facts
         self.tokens, self.tape, self.tells, self.fell = tokens, tape, tells, fell
-        self.loads = loads if loads is not None else {}  # milliseconds that a load takes, by function
+        self.loads = loads if loads is not None else {}  # time to load a copy in milliseconds, by function
         self.weather = Weather(seed=start)
         self.engine = Engine(reactor, facts, store, self.fall, cold)
         self.faults: dict[str, Fault] = {}  # by the name of a version
@@ -108,7 +108,7 @@
             self.tape.put(self.start, "end", runner=self.name)
 
     def fall(self) -> None:
-        """Fallen over: it stays down."""
+        """Collapses under overload; the process does not come back by itself."""
         if self.tape is not None:
             self.tape.put(self.start, "fell", runner=self.name)
         self.kill()
@@ -121,16 +121,16 @@
             speaker.say(wire.Draining())
 
     def refuse(self, on: bool) -> None:
-        """A trouble: nothing is accepted; connections made before go on."""
+        """A fault: no connection is accepted; established ones go on."""
         if on:
             self.listening.stopListening()
         else:
             self.listening = self.reactor.listenTCP(self.port, RunnerFactory(self), interface="127.0.0.1")
 
-    # what edges ask, over whatever they are connected by
+    # messages of edges, on sockets and in the model
 
     def take(self, message: Any, edge: Any, say: Callable[[Any], None]) -> None:
-        """A message of the edge at the other end of `edge`; answers go to `say`."""
+        """Handles a message that came over the connection `edge`; answers go to `say`."""
         engine = self.engine
         match message:
             case wire.Run():
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -1,4 +1,4 @@
-"""What a day's script may say: fleet, traffic and what goes wrong when."""
+"""Settings of a day's script: fleet, traffic, rollouts, and which faults are injected when."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal
@@ -21,7 +21,7 @@
 
 
 class Machines(Shape):
-    """Runners of one kind, spread over the zones in turn."""
+    """Runners of one kind, spread over the zones round robin."""
 
     count: Annotated[int, Meta(ge=1, le=1000)] = 4
     cores: Annotated[int, Meta(ge=1, le=256)] = 4
@@ -33,6 +33,8 @@
 
 
 class StorePlan(Shape):
+    """Capacity of the package store, as in `standins.store`."""
+
     fetches: Annotated[float, Meta(gt=0)] = 12.0
     limit: Annotated[int, Meta(ge=1)] = 60
     tips_at: Annotated[float, Meta(gt=1)] = 3.0
@@ -44,51 +46,54 @@
     """The RPCs of one method."""
 
     share: Annotated[float, Meta(gt=0)] = 1.0
-    work: Span = Span(1_000)  # mean, on a yardstick core
-    memory: tuple[Positive, Positive] = (200.0, 600.0)
+    work: Span = Span(1_000)  # mean, on a core of speed 1
+    memory: tuple[Positive, Positive] = (200.0, 600.0)  # MB, least and most
     lanes: list[Annotated[int, Meta(ge=1, le=64)]] = field(default_factory=lambda: [1, 2])
-    load: tuple[Span, Span] = (Span(4_000), Span(10_000))
+    load: tuple[Span, Span] = (Span(4_000), Span(10_000))  # time to load a copy, least and most
 
 
 class Traffic(Shape):
+    """Traffic of the clients, and how they behave."""
+
     rate: Annotated[float, Meta(gt=0)] = 100.0  # RPCs a second
     functions: Annotated[int, Meta(ge=1, le=100_000)] = 40
     popularity: Positive = 0.9  # exponent of Zipf's law
     methods: dict[str, Mix] = field(default_factory=dict)
-    hints: Part = 0.2  # how far hints of the work stray; 1: none given
+    hints: Part = 0.2  # greatest relative error of the hints of work; 1: no hints
     retries: Annotated[int, Meta(ge=0, le=100)] = 2
-    wait: Span = Span(2_000)
-    patience: tuple[Part, Part] = (0.5, 1.0)
-    marks: bool = True
-    heeds: bool = True
+    wait: Span = Span(2_000)  # least retry delay; it is up to twice as long
+    patience: tuple[Part, Part] = (0.5, 1.0)  # part of the deadline after which a client gives an attempt up
+    marks: bool = True  # clients mark retries
+    heeds: bool = True  # clients respect retry_after
 
 
 class Trouble(Shape):
-    """One thing that goes wrong, from `at` for `lasts`; other fields as the kind needs them."""
+    """A fault that starts at `at` and lasts for `lasts`; kinds use the other fields as they need."""
 
     kind: Kind
     at: Span
     lasts: Span = Span(50_000)
-    share: Part = 0.25  # of the runners, edges, holders, or RPCs that it meets
-    factor: Positive = 4.0  # times slower, times the traffic
-    by: Span = Span(20_000)  # how far behind, how long held
+    share: Part = 0.25  # of the runners, edges, holders, or RPCs affected
+    factor: Positive = 4.0  # factor of the slowdown, or of the traffic
+    by: Span = Span(20_000)  # delay
     zone: str = ""
     on: Literal["runners", "roster", "clients"] = "runners"
 
 
 class Wrongness(Shape):
-    """What is wrong with a version, and when it shows."""
+    """Defects of a version, and the conditions under which they show."""
 
-    errors: Part = 0.0  # of its calls
-    slower: Positive = 1.0
-    load_errors: Part = 0.0  # of its loads
-    when_busy: Part = 0.0  # only where at least this part of the cores is at work
-    customer: str = ""  # only for this one
-    after: Span = Span(0)  # only so long after it was first started
+    errors: Part = 0.0  # share of its calls that fail
+    slower: Positive = 1.0  # factor on the work of its calls
+    load_errors: Part = 0.0  # share of its loads that fail
+    when_busy: Part = 0.0  # only on runners with at least this part of the cores busy
+    customer: str = ""  # only for this customer
+    after: Span = Span(0)  # only this long after the rollout's start
 
 
 class Version(Shape):
-    """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back` (0: not)."""
+    """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back` (0:
+    never)."""
 
     function: str = field(name="fn", default="fn-0")
     candidate: str = "v2"
@@ -101,12 +106,14 @@
 
 
 class Day(Shape):
+    """A day's script."""
+
     name: str
     deployment: Any  # inline, or the path of a file beside the script
     length: Span = Span(200_000)
     seed: int = 1
     edges: Annotated[int, Meta(ge=1, le=1000)] = 3
-    # who decides; others than the module in the model only
+    # what decides: the decision module or, in the model only, a baseline policy
     policy: Literal["module", "random", "round robin", "fewest of two", "fewest", "hash", "greedy"] = "module"
     fleet: dict[str, Machines] = field(default_factory=lambda: {"plain": Machines(count=8)})
     fetch_share: Part = 0.7
@@ -120,13 +127,16 @@
 
 
 def read_day(path: Path) -> tuple[Day, Deployment]:
-    """A checked script and its deployment. Raises DeploymentError."""
+    """Reads and checks a script and its deployment. Raises DeploymentError."""
     value, text = read_json5(path)
     return make_day(value, text, path)
 
 
 def make_day(value: Any, text: str = "", path: Path | None = None) -> tuple[Day, Deployment]:
-    """The same from a value; `path` is where files are looked for and what errors name."""
+    """Checks a script given as a value. Files are found relative to `path`, which errors name.
+
+    Raises DeploymentError.
+    """
     source = str(path) if path else "the day"
     day = shaped(value, Day, text, source)
     if isinstance(day.deployment, str):
@@ -151,7 +161,7 @@
 
 
 def plain(deployment: Deployment | HolderDeployment) -> Any:
-    """The deployment as plain values that `load`, or `load_holder`, takes again."""
+    """The deployment as plain values, which can be loaded again."""
 
     def span(value: Any) -> Any:
         if isinstance(value, Span):
--- a/lapistrestle/standins/store.py
+++ b/lapistrestle/standins/store.py
@@ -1,4 +1,5 @@
-"""The package store all runners fetch from: slows when crowded, turns fetches away, stops when overrun."""
+"""The package store from which all runners fetch: slows down under load, rejects fetches, and fails if
+overloaded."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,16 +8,18 @@
 
 @dataclass
 class StoreFacts:
-    fetches: float = 12.0  # at once at full speed
-    limit: int = 60  # at once at most; further ones are turned away
-    tips_at: float = 3.0  # times `fetches`, for `tips_after`: then it stops for `stops_for`
+    """Capacity of the store."""
+
+    fetches: float = 12.0  # concurrent fetches at full speed; more share the capacity
+    limit: int = 60  # concurrent fetches at most; further ones are rejected
+    tips_at: float = 3.0  # more than this multiple of `fetches` for `tips_after` makes the store fail
     tips_after: float = 3.0  # seconds
-    stops_for: float = 4.0
+    stops_for: float = 4.0  # seconds for which a failed store rejects everything
 
 
 @dataclass(eq=False)
 class Fetch:
-    """One that is under way."""
+    """A fetch in progress."""
 
     done: Callable[[bool], None]
     counted: bool = False
@@ -27,7 +30,7 @@
     def __init__(self, reactor: Any, facts: StoreFacts) -> None:
         self.reactor, self.facts = reactor, facts
         self.active, self.crowded_since, self.stopped_until = 0, -1.0, -1.0
-        self.factor = 1.0  # a trouble: times slower
+        self.factor = 1.0  # fault: times slower
         self.fetched = self.turned_away = 0
 
     def fetch(self, seconds: float, done: Callable[[bool], None]) -> Fetch:
@@ -57,6 +60,6 @@
             fetch.done(ok and self.reactor.seconds() >= self.stopped_until)
 
     def call_off(self, fetch: Fetch) -> None:
-        """Nobody wants it any more: its room is free at once, and `done` is not called."""
+        """Cancels a fetch: its capacity is free at once, and `done` is not called."""
         self.active -= fetch.counted
         fetch.counted, fetch.called_off = False, True
--- a/lapistrestle/standins/tape.py
+++ b/lapistrestle/standins/tape.py
@@ -1,7 +1,8 @@
-"""The tape: every line that crossed every connection, as seen at the sockets of the stand-ins.
+"""The tape: every line that crossed every connection, recorded at the sockets of the stand-ins.
 
-One JSON object a line. The first is the header: who takes part and the rules' figures. Then events in order:
-`open` and `close` of a connection, and lines: `>` towards the edge, `<` from it.
+One JSON object per line. The first is the header: the participants and the limits of the rules. Then events
+in order of time: `open` and `close` of a connection, lines `>` towards the edge and `<` from it, and others
+that stand-ins record.
 """
 
 from collections.abc import Callable, Iterator
@@ -14,7 +15,7 @@
 
 
 class Tape:
-    """Writes events in the order in which they happen. Times are whole microseconds since the day began."""
+    """Writes events in the order in which they happen. Times are whole microseconds since the day's start."""
 
     def __init__(self, sink: BinaryIO, seconds: Callable[[], float], header: dict[str, Any]) -> None:
         self.sink, self.seconds, self.zero = sink, seconds, seconds()
@@ -25,12 +26,12 @@
         self.sink.write(ENCODE({"at": at, "on": connection, "is": what, **more}) + b"\n")
 
     def moment(self, seconds: float) -> int:
-        """A time of the reactor as the tape tells it."""
+        """A time of the reactor, in seconds, as the tape has it: microseconds since the day's start."""
         return max(0, round((seconds - self.zero) * 1e6))
 
 
 class Recorder:
-    """Cuts the bytes of one direction into lines for the tape."""
+    """Splits the bytes of one direction of a connection into lines for the tape."""
 
     def __init__(self, tape: Tape, connection: str, sign: str) -> None:
         self.tape, self.connection, self.sign, self.rest = tape, connection, sign, b""
@@ -41,7 +42,7 @@
             self.tape.put(self.connection, self.sign, line=line.decode("utf-8", "backslashreplace"))
 
     def end(self) -> None:
-        """What is left was cut off in mid-line."""
+        """Records an incomplete last line as cut off."""
         if self.rest:
             text = self.rest.decode("utf-8", "backslashreplace")[:2_000]
             self.tape.put(self.connection, self.sign, line=text, cut=True)
@@ -49,7 +50,8 @@
 
 
 def read(path: Path) -> Iterator[dict[str, Any]]:
-    """The tape, header first. Raises ValueError where it is no tape; a torn last line is left out."""
+    """Yields the header and the events. Skips an incomplete last line; raises ValueError for any other bad
+    line."""
     decode = msgspec.json.Decoder(dict[str, Any]).decode
     with path.open("rb") as lines:
         for number, line in enumerate(lines, 1):
--- a/lapistrestle/standins/taped.py
+++ b/lapistrestle/standins/taped.py
@@ -1,4 +1,4 @@
-"""A stand-in's end of a connection: every line goes to the tape, and the socket's own troubles act here."""
+"""A stand-in's end of a connection: records every line on the tape and injects network faults."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,18 +12,20 @@
 
 @dataclass
 class Weather:
-    """What the wire does to the lines that a stand-in writes, on all of its connections."""
+    """Faults injected into what a stand-in writes, on all of its connections."""
 
-    silent: bool = False  # nothing is written and nothing heard: half open
-    delay: float = 0.0  # seconds that bytes are held
-    split: bool = False  # lines come in two pieces
-    garble: float = 0.0  # share of lines with broken bytes
+    silent: bool = False  # half open: nothing is written, and what arrives is dropped
+    delay: float = 0.0  # seconds by which bytes are delayed
+    split: bool = False  # lines are written in two pieces
+    garble: float = 0.0  # share of lines with a corrupted byte
     cut: float = 0.0  # share of lines in the middle of which the connection breaks
     seed: int = 0
     draws: int = 0
 
     def chance(self, part: float) -> bool:
-        """Drawn only where there is something to draw, so that other days stay as they are."""
+        """True with probability `part`. A probability of 0 uses up no draw, so that days without the fault
+        keep
+        their sequence of random numbers."""
         if not part:
             return False
         self.draws += 1
@@ -31,7 +33,7 @@
 
 
 class TapedSpeaker(Speaker):
-    """A Speaker that records what crosses its socket, after what the weather does to it."""
+    """A connection that records what crosses its socket, after the injected faults."""
 
     def __init__(
         self, bounds: LineBounds, reactor: Any, tape: Tape | None, weather: Weather, name: str
@@ -68,7 +70,7 @@
             self.later(line)
 
     def later(self, data: bytes, then: Callable[[], None] | None = None) -> None:
-        """Write now or, where bytes are held, when those before have gone."""
+        """Writes at once or, where bytes are delayed, after those before them; then calls `then`."""
         now = self.reactor.seconds()
         at = max(self.held_until, now + self.weather.delay + (0.001 if self.weather.split else 0.0))
         if at <= now:
@@ -106,4 +108,4 @@
         super().connectionLost(reason)
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """Stand-ins pass a bad line over, as their counterparts do."""
+        """Ignored: stand-ins skip a bad line, as the systems that they replace do."""
--- a/lapistrestle/standins/troubles/directory.py
+++ b/lapistrestle/standins/troubles/directory.py
@@ -1,4 +1,4 @@
-"""Troubles of the directory of instances: its holders, and their links to edges."""
+"""Faults of the directory of instances: its holders, and their links to edges."""
 
 from functools import partial
 
@@ -12,7 +12,7 @@
 
 
 def holders_of(world: World, trouble: Trouble) -> list[HolderPlace]:
-    """A share of the holders, one at least; all of a zone where one is named."""
+    """A random share of the holders, at least one; all in the zone if one is named."""
     if world.directory is None:
         return []
     places = [p for p in world.directory.places.values() if trouble.zone in ("", p.settings.serve.zone)]
@@ -21,7 +21,7 @@
 
 
 def holder_stall(world: World, trouble: Trouble) -> End:
-    """Holders stand still; they wake with what they knew."""
+    """Stalls holders; they resume with their state."""
     rig, chosen = world.directory, holders_of(world, trouble)
     if rig is None:
         return nothing
@@ -31,7 +31,7 @@
 
 
 def holder_kill(world: World, trouble: Trouble) -> End:
-    """Holders are killed; others start under their names and know nothing."""
+    """Kills holders; they restart under the same names, without state."""
     rig, chosen = world.directory, holders_of(world, trouble)
     if rig is None:
         return nothing
@@ -41,7 +41,7 @@
 
 
 def directory_cut(world: World, trouble: Trouble) -> End:
-    """Nothing passes between a share of the edges and any holder; between them and one zone's, if named."""
+    """Partitions a share of the edges from all holders, or from those of the named zone."""
     rig = world.directory
     if rig is None:
         return nothing
--- a/lapistrestle/standins/troubles/edges.py
+++ b/lapistrestle/standins/troubles/edges.py
@@ -1,4 +1,4 @@
-"""Troubles of edges: they stand still, are killed, or lose one another."""
+"""Faults of edges: stalls, kills, and losses between them."""
 
 from functools import partial
 
@@ -8,13 +8,13 @@
 
 
 def edges_of(world: World, share: float) -> list[int]:
-    """Numbers of that share of the edges, one at least."""
+    """Numbers of a random share of the edges, at least one."""
     numbers = range(len(world.edges))
     return world.random.sample(numbers, max(1, round(share * len(numbers))))
 
 
 def balancer_stall(world: World, trouble: Trouble) -> End:
-    """Two of these may meet on one edge: it goes on when the last is over."""
+    """Stalls edges. Two of these faults may overlap on one edge: it resumes when the last is over."""
     chosen = [world.edges[n] for n in edges_of(world, trouble.share)]
     for edge in chosen:
         world.still[edge] += 1
@@ -25,7 +25,7 @@
     def end() -> None:
         for edge in chosen:
             if edge not in world.still:
-                continue  # killed meanwhile
+                continue  # killed in the meantime
             world.still[edge] -= 1
             if not world.still[edge]:
                 world.tape.put(edge.name, "resumed")
@@ -35,11 +35,11 @@
 
 
 def edge_kill(world: World, trouble: Trouble) -> End:
-    """Edges are killed; others start under their names when it is over."""
+    """Kills edges; they restart under the same names when the fault ends."""
     chosen = edges_of(world, trouble.share)
     for number in chosen:
         edge = world.edges[number]
-        if world.still.pop(edge, 0):  # the one that follows under its name does not stand still
+        if world.still.pop(edge, 0):  # its successor is not stalled
             world.tape.put(edge.name, "resumed")
         world.tape.put(edge.name, "killed")
         edge.kill()
@@ -47,17 +47,17 @@
 
 
 def edges_apart(world: World, trouble: Trouble) -> End:
-    """Nothing passes between a share of the edges and the others."""
+    """Partitions a share of the edges from the others, for gossip."""
     return sever(world, trouble, both=True)
 
 
 def edges_deaf(world: World, trouble: Trouble) -> End:
-    """What the others say does not reach a share of the edges; what these say gets through."""
+    """One-way partition: a share of the edges receives no gossip of the others, but can still send."""
     return sever(world, trouble, both=False)
 
 
 def sever(world: World, trouble: Trouble, both: bool) -> End:
-    """Cut links from the other edges to some, and back where `both`."""
+    """Cuts the links from the other edges to a share of them, and back where `both`."""
     chosen = edges_of(world, trouble.share)
     ports = world.fleet_ports
     others = [port for n, port in enumerate(ports) if n not in chosen]
@@ -72,7 +72,7 @@
 
 
 def edges_lossy(world: World, trouble: Trouble) -> End:
-    """Between edges a share of the datagrams is lost, as many are doubled, and all are up to `by` late."""
+    """Loses a share of the datagrams between edges, duplicates as many, and delays all by up to `by`."""
     links = world.links
     links.lost, links.doubled = links.lost + trouble.share, links.doubled + trouble.share
     links.delays = (links.delays[0], links.delays[1] + int(trouble.by) * 100)
--- a/lapistrestle/standins/troubles/effects.py
+++ b/lapistrestle/standins/troubles/effects.py
@@ -1,4 +1,4 @@
-"""What kinds of trouble are made of: a function that begins one and returns a function that ends it."""
+"""Building blocks of faults. A fault is a function that starts it and returns a function that ends it."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -11,11 +11,11 @@
 
 
 def nothing() -> None:
-    """The end of a trouble that ends by itself."""
+    """The end of a fault that ends by itself."""
 
 
 def all_of(calls: Iterable[End]) -> End:
-    """One end that calls each of these."""
+    """An end that calls each of these."""
     kept = list(calls)
 
     def end() -> None:
@@ -26,19 +26,19 @@
 
 
 def increase(owner: Any, name: str, amount: float) -> End:
-    """Add to a figure of the owner, until the end."""
+    """Adds to an attribute of the owner until the end."""
     setattr(owner, name, getattr(owner, name) + amount)
     return lambda: setattr(owner, name, getattr(owner, name) - amount)
 
 
 def multiply(owner: Any, name: str, factor: float) -> End:
-    """Multiply a figure of the owner, until the end."""
+    """Multiplies an attribute of the owner until the end."""
     setattr(owner, name, getattr(owner, name) * factor)
     return lambda: setattr(owner, name, getattr(owner, name) / factor)
 
 
 def repeatedly(world: World, every: float, lasts: float, call: Callable[[], None]) -> None:
-    """Call now and again, `every` so many seconds, for as many as the trouble `lasts`."""
+    """Calls at once and then every `every` seconds, for `lasts` seconds."""
     until = world.reactor.seconds() + lasts
 
     def again() -> None:
--- a/lapistrestle/standins/troubles/kinds.py
+++ b/lapistrestle/standins/troubles/kinds.py
@@ -1,4 +1,4 @@
-"""Every kind of trouble by the name that a day's file gives it, and the schedule of a day."""
+"""All kinds of faults by their names in a day's script, and the scheduling of a day's faults."""
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles import (
@@ -17,25 +17,24 @@
 
 
 def schedule(world: World) -> None:
-    """Set off every trouble of the day at its time."""
+    """Schedules every fault of the day."""
     for trouble in world.day.troubles:
         world.reactor.callLater(trouble.at / SECOND, begin, world, trouble)
 
 
 def begin(world: World, trouble: Trouble) -> None:
-    """Begin it, and have it end in its time."""
+    """Starts a fault and schedules its end."""
     world.tape.put("day", "trouble", kind=trouble.kind, lasts=trouble.lasts / 10)
     end = TROUBLES[trouble.kind](world, trouble)
     world.reactor.callLater(trouble.lasts / SECOND, finish, world, trouble, end)
 
 
 def finish(world: World, trouble: Trouble, end: End) -> None:
-    """End it."""
     end()
     world.tape.put("day", "trouble ends", kind=trouble.kind)
 
 
-LINES = 20  # over which the share of a trouble is spread: each line meets it by that part
+LINES = 20  # lines over which a share is spread: each line is affected with 1/20 of the probability
 
 TROUBLES: dict[str, Begin] = {
     "balancer_stall": edges.balancer_stall,
--- a/lapistrestle/standins/troubles/machines.py
+++ b/lapistrestle/standins/troubles/machines.py
@@ -1,4 +1,4 @@
-"""Troubles of the machines beneath runners: slow, failing, shared, or standing still."""
+"""Faults of the machines that runners run on: slow, failing, shared, or stopped."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,12 +8,12 @@
 from lapistrestle.standins.world import World
 from lapistrestle.ticks import SECOND
 
-NEIGHBOUR_EVERY = 1.5  # seconds
-NEIGHBOUR_HELD = 0.9  # seconds
+NEIGHBOUR_EVERY = 1.5  # seconds between two starts of another program's load
+NEIGHBOUR_HELD = 0.9  # seconds for which it uses the cores
 
 
 def engines(change: Callable[[Any, Trouble], End]) -> Begin:
-    """A trouble of the runners' machines; one that restarts is rid of it."""
+    """A fault of runner processes; a runner that restarts no longer has it."""
 
     def began(world: World, trouble: Trouble) -> End:
         chosen = world.some(trouble.share, trouble.zone)
@@ -38,12 +38,12 @@
 
 
 def report_late(engine: Any, trouble: Trouble) -> End:
-    """Reports of load tell of a moment ago."""
+    """Load reports are out of date."""
     return increase(engine, "report_late", trouble.by / SECOND)
 
 
 def neighbour(world: World, trouble: Trouble) -> End:
-    """Another program takes cores, on and off."""
+    """Another program periodically takes half of the cores."""
     chosen = [slot.runner.engine for slot in world.some(trouble.share, trouble.zone)]
     held = [max(1, engine.facts.cores // 2) for engine in chosen]
 
@@ -62,7 +62,7 @@
 
 
 def stops(every: float, lasts: float) -> Begin:
-    """Machines stand still: `every` so many seconds, each time for as many as it `lasts`."""
+    """Machines stop every `every` seconds, each time for `lasts` seconds."""
 
     def began(world: World, trouble: Trouble) -> End:
         chosen = [slot.runner.engine for slot in world.some(trouble.share, trouble.zone)]
--- a/lapistrestle/standins/troubles/planner.py
+++ b/lapistrestle/standins/troubles/planner.py
@@ -1,4 +1,4 @@
-"""Troubles of the planner."""
+"""Faults of the planner."""
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import End, nothing
@@ -6,7 +6,7 @@
 
 
 def planner_stall(world: World, trouble: Trouble) -> End:
-    """It stands still, and wakes with what it knew."""
+    """Stalls the planner; it resumes with its state."""
     planner = world.planner
     if planner is None:
         return nothing
@@ -15,7 +15,7 @@
 
 
 def planner_kill(world: World, trouble: Trouble) -> End:
-    """It comes back at the same port, on the same journal."""
+    """Kills the planner; it restarts at the same port, on the same journal."""
     if world.planner is None:
         return nothing
     world.planner.kill()
--- a/lapistrestle/standins/troubles/runners.py
+++ b/lapistrestle/standins/troubles/runners.py
@@ -1,16 +1,16 @@
-"""Troubles of runners as processes: they are killed, drained and replaced."""
+"""Faults of runners as processes: killed, drained and replaced."""
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import End, nothing
 from lapistrestle.standins.world import Slot, World
 from lapistrestle.ticks import SECOND
 
-NOTICE = 0.5  # seconds between the word of a preemption and its end
-DRAINING = 3.0  # seconds that a replaced runner drains
+NOTICE = 0.5  # seconds from the notice of a preemption to the end of the process
+DRAINING = 3.0  # seconds for which a replaced runner drains
 
 
 def crash(world: World, trouble: Trouble) -> End:
-    """Runners end without notice; all return when it is over."""
+    """Kills runners without notice; all restart when the fault ends."""
     slots = world.some(trouble.share, trouble.zone)
     for slot in slots:
         world.kill(slot)
@@ -18,14 +18,14 @@
 
 
 def return_all(world: World, slots: list[Slot]) -> None:
-    """Start those anew that are down; one that fell over stays down."""
+    """Restarts runners that are down, except those that collapsed."""
     for slot in slots:
         if not slot.up and not slot.runner.engine.pushed_over:
             world.back(slot)
 
 
 def zone_loss(world: World, trouble: Trouble) -> End:
-    """All runners of one zone end without notice."""
+    """Kills all runners of one zone without notice."""
     zones = world.deployment.zones or [""]
     zone = trouble.zone or world.random.choice(zones)
     slots = [s for s in world.slots if s.up and s.zone == zone]
@@ -35,7 +35,7 @@
 
 
 def preempt(world: World, trouble: Trouble) -> End:
-    """Short notice, then gone; a successor comes."""
+    """Drains runners, kills them after a short notice, and restarts them when the fault ends."""
     slots = world.some(trouble.share, trouble.zone)
     for slot in slots:
         world.drain(slot)
@@ -44,7 +44,7 @@
 
 
 def deploy(world: World, trouble: Trouble) -> End:
-    """Runners are replaced in turn: each drains, ends, and starts anew."""
+    """Replaces runners one after another: each drains, ends, and restarts."""
     slots = world.some(trouble.share, trouble.zone)
     step = trouble.lasts / SECOND / max(1, len(slots))
     for number, slot in enumerate(slots):
@@ -54,6 +54,6 @@
 
 
 def replace(world: World, slot: Slot) -> None:
-    """One that fell over stays down."""
+    """Restarts a runner, unless it collapsed."""
     if not slot.runner.engine.pushed_over:
         world.back(slot)
--- a/lapistrestle/standins/troubles/sockets.py
+++ b/lapistrestle/standins/troubles/sockets.py
@@ -1,4 +1,4 @@
-"""Troubles of sockets: refused, broken, silent, late, split and garbled, or not read."""
+"""Faults of connections: refused, broken, silent, delayed, split, garbled, or not read."""
 
 from collections.abc import Callable
 from functools import partial
@@ -11,7 +11,7 @@
 
 
 def weathers(world: World, trouble: Trouble) -> list[Weather]:
-    """The sockets that it is about: the roster's, some clients' or some runners'."""
+    """The connections that a fault affects: those of the roster, of some clients or of some runners."""
     if trouble.on == "roster":
         return [world.roster.weather]
     if trouble.on == "clients":
@@ -22,7 +22,7 @@
 
 
 def weather(change: Callable[[Weather, Trouble], None], undo: Callable[[Weather], None]) -> Begin:
-    """A trouble that changes what sockets do."""
+    """A fault that changes how connections behave."""
 
     def began(world: World, trouble: Trouble) -> End:
         chosen = weathers(world, trouble)
@@ -34,12 +34,12 @@
 
 
 def set_to(name: str, value: Callable[[Trouble], Any], calm: Any) -> Begin:
-    """Set one field of the sockets' weather to `value`, and to `calm` when it is over."""
+    """Sets one field of the connections' faults to `value`, and back to `calm` at the end."""
     return weather(lambda w, t: setattr(w, name, value(t)), lambda w: setattr(w, name, calm))
 
 
 def refused(world: World, trouble: Trouble) -> End:
-    """Connections break and no new ones are accepted."""
+    """Breaks the connections of runners, and accepts no new ones."""
     chosen = [slot.runner for slot in world.some(trouble.share, trouble.zone)]
     for runner in chosen:
         runner.refuse(True)
--- a/lapistrestle/standins/troubles/sources.py
+++ b/lapistrestle/standins/troubles/sources.py
@@ -1,20 +1,20 @@
-"""Troubles of the store of packages and of the roster."""
+"""Faults of the package store and of the roster."""
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import End, increase, multiply, nothing
 from lapistrestle.standins.world import World
 from lapistrestle.ticks import SECOND
 
-JUMP = 2  # changes
+JUMP = 2  # changes by which the roster's number goes back
 
 
 def store_slow(world: World, trouble: Trouble) -> End:
-    """Packages take longer to load."""
+    """Fetching packages takes longer."""
     return multiply(world.store, "factor", trouble.factor)
 
 
 def discovery_stale(world: World, trouble: Trouble) -> End:
-    """The roster tells of changes late."""
+    """The roster publishes changes late."""
     return increase(world.roster, "stale", trouble.by / SECOND)
 
 
@@ -25,12 +25,12 @@
 
 
 def roster_gap(world: World, trouble: Trouble) -> End:
-    """A change is never told."""
+    """The roster skips a change."""
     world.roster.skip()
     return nothing
 
 
 def roster_restart(world: World, trouble: Trouble) -> End:
-    """The roster starts anew, with another epoch."""
+    """The roster restarts with a new epoch."""
     world.roster.begin_anew()
     return nothing
--- a/lapistrestle/standins/troubles/traffic.py
+++ b/lapistrestle/standins/troubles/traffic.py
@@ -1,4 +1,4 @@
-"""Troubles of traffic: more of it, and of another kind."""
+"""Faults of traffic: bursts and unusual patterns."""
 
 from lapistrestle.standins.script import Trouble
 from lapistrestle.standins.troubles.effects import End, increase, multiply
@@ -6,7 +6,7 @@
 
 
 def burst(world: World, trouble: Trouble) -> End:
-    """More of the same."""
+    """More traffic of the same kind."""
     return multiply(world, "rate", trouble.factor)
 
 
@@ -19,10 +19,10 @@
 
 
 def scan(world: World, trouble: Trouble) -> End:
-    """A share of the calls goes to functions that are called once."""
+    """A share of the calls goes to functions that are called only once."""
     return increase(world, "scan", trouble.share)
 
 
 def retry_abuse(world: World, trouble: Trouble) -> End:
-    """A share of the clients repeats at once, whatever it was told."""
+    """A share of the clients retries at once, whatever the answer says."""
     return increase(world.crowd.habits, "abuse", trouble.share)
--- a/lapistrestle/standins/virtual.py
+++ b/lapistrestle/standins/virtual.py
@@ -1,8 +1,10 @@
-"""A reactor on a manual clock with in-memory transports, for the same protocol objects that run on sockets.
+"""A reactor on a virtual clock with in-memory transports, for the same protocol objects that run on sockets.
 
-Time is whole microseconds; what is due together runs in the order in which it was set. Each program under
-test gets a `Process` of it, which can stand still (its input and timers wait, as in a stopped process) or be
-killed outright (its connections break, nothing of it runs any more).
+Time is in whole microseconds. Calls that are due at the same time run in the order in which they were
+scheduled.
+Each program under test gets a `Process` as its reactor, which can be stalled (its input and timers wait, as
+in a
+stopped process) or killed (its connections break, and nothing of it runs any more).
 """
 
 from collections import deque
@@ -15,12 +17,12 @@
 from twisted.python.failure import Failure
 
 LATENCY = 150  # microseconds one way
-SOCKET = 262_144  # bytes that the two socket buffers take together
-BUFFER = 65_536  # bytes in a transport's own buffer before its producer is paused
+SOCKET = 262_144  # bytes in the socket buffers of both ends together
+BUFFER = 65_536  # bytes in a transport's own buffer at which its producer is paused
 
 
 class DelayedCall:
-    """A call that is due; as Twisted's."""
+    """A scheduled call, with the interface of Twisted's DelayedCall."""
 
     __slots__ = ("args", "call", "done", "process", "when")
 
@@ -35,7 +37,7 @@
 
 
 class VirtualReactor:
-    """The clock and the wires between processes."""
+    """The clock, and the network between processes."""
 
     def __init__(self, start: float = 1_000.0) -> None:
         self.now = round(start * 1e6)
@@ -43,7 +45,8 @@
         self.count = 0
         self.ports: dict[int, Listener] = {}
         self.datagrams: dict[int, Datagrams] = {}
-        self.links: Callable[[int, int], list[int]] = lambda source, target: [LATENCY]  # fates of a datagram
+        # by source and target port: latencies of a datagram's copies; none if it is lost
+        self.links: Callable[[int, int], list[int]] = lambda source, target: [LATENCY]
         self.last_port = 20_000
 
     def seconds(self) -> float:
@@ -58,7 +61,7 @@
         return made
 
     def run(self, until: float) -> None:
-        """Play everything that is due up to that second."""
+        """Runs everything that is due up to that time, in seconds."""
         end = round(until * 1e6)
         while self.heap and self.heap[0][0] <= end:
             when, _, due = heappop(self.heap)
@@ -78,12 +81,12 @@
 
 
 class Process:
-    """What one program sees of the reactor; Twisted's names, as far as they are used."""
+    """One program's reactor, with the part of Twisted's interface that is used."""
 
     def __init__(self, reactor: VirtualReactor, name: str) -> None:
         self.reactor, self.name = reactor, name
         self.stalled = self.dead = False
-        self.timers: list[DelayedCall] = []  # due while it stood still
+        self.timers: list[DelayedCall] = []  # timers that came due during a stall
         self.inbox: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
         self.transports: dict[Wire, None] = {}
         self.listeners: list[Listener] = []
@@ -114,7 +117,7 @@
         protocol.transport = self.reactor.datagrams[port] = Datagrams(self, port, protocol)
 
     def deliver(self, call: Callable[..., Any], *args: Any) -> None:
-        """Input reached this process; one that stands still finds it later."""
+        """Delivers input to this process; a stalled one gets it when it resumes."""
         if self.dead:
             return
         if self.stalled:
@@ -126,7 +129,7 @@
         self.stalled = True
 
     def resume(self) -> None:
-        """As a real reactor does: first the timers that are due, then the input that came meanwhile."""
+        """Ends a stall. As in a real reactor, due timers run first, then the input that has arrived."""
         if self.dead:
             return
         self.stalled = False
@@ -140,7 +143,7 @@
             call(*args)
 
     def kill(self) -> None:
-        """Gone at once: its connections break at the other end, and nothing of it runs again."""
+        """Kills the process: its connections break, and nothing of it runs again."""
         self.dead = True
         for listener in self.listeners:
             listener.close()
@@ -201,15 +204,15 @@
 
 
 class Wire:
-    """One end of a connection: a Twisted transport towards the protocol, bytes on a clock to the peer."""
+    """One end of a connection: a Twisted transport for its protocol, which delivers bytes after a latency."""
 
     def __init__(self, process: Process, port: int) -> None:
         self.process, self.reactor, self.port = process, process.reactor, port
         self.peer: Wire
         self.protocol: Any = None
-        self.unread: deque[bytes] = deque()  # arrived, not yet read
+        self.unread: deque[bytes] = deque()  # arrived and not yet read
         self.unread_size = 0
-        self.on_way = 0  # bytes written and not yet read at the other end
+        self.on_way = 0  # bytes written and not yet read by the peer
         self.reading, self.closed, self.ended = True, False, False
         self.producer: Any = None
         self.braked = False
@@ -219,7 +222,7 @@
     def disconnecting(self) -> bool:
         return self.closed
 
-    # made and unmade
+    # opening and closing
 
     def accept(self, listener: Listener) -> None:
         protocol = listener.factory.buildProtocol(self.getPeer())
@@ -239,14 +242,14 @@
         return IPv4Address("TCP", "127.0.0.1", self.port)
 
     def loseConnection(self) -> None:
-        """What was written still arrives."""
+        """Closes; what was written still arrives."""
         if not self.closed:
             self.closed = True
             self.reactor.at(LATENCY, self.peer.process.deliver, self.peer.finish)
             self.reactor.at(0, self.process.deliver, self.lost, ConnectionDone())
 
     def abortConnection(self) -> None:
-        """What was written and not yet read may be lost."""
+        """Closes; what was written and not yet read may be lost."""
         self.closed = True
         self.reactor.at(LATENCY, self.peer.process.deliver, self.peer.lost, ConnectionLost())
         self.reactor.at(0, self.process.deliver, self.lost, ConnectionLost())
@@ -256,7 +259,7 @@
         self.reactor.at(LATENCY, self.peer.process.deliver, self.peer.lost, ConnectionLost())
 
     def finish(self) -> None:
-        """The peer has closed: its end is met once everything before it has been read."""
+        """The peer has closed: the connection ends here once everything before that has been read."""
         self.ended = True
         self.read()
 
@@ -280,7 +283,7 @@
             self.producer.pauseProducing()
 
     def arrive(self, data: bytes) -> None:
-        """Bytes reached this end's socket, whether or not its process stands still."""
+        """Bytes reached this end's socket, whether or not its process is stalled."""
         self.unread.append(data)
         self.unread_size += len(data)
         self.process.deliver(self.read)
@@ -307,7 +310,7 @@
         if self.producer is not None and not self.closed and not self.braked:
             self.producer.resumeProducing()
 
-    # flow control and the like
+    # flow control and socket options
 
     def pauseProducing(self) -> None:
         self.reading = False
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -1,4 +1,5 @@
-"""A day: the fleet, the edges, the clients and the troubles, on one reactor, with everything on tape."""
+"""A day: the fleet, the edges, the clients and the faults, on one reactor, with everything recorded on a
+tape."""
 
 import random
 from collections import Counter
@@ -25,11 +26,11 @@
 from lapistrestle.wire.messages import Entry
 from lapistrestle.wire.plans import RolloutCommand
 
-FLEET = 46_000  # ports of edges among themselves, in virtual time
+FLEET = 46_000  # first port for gossip between edges, in virtual time
 
 
 class EdgeHandle(Protocol):
-    """How a day holds one edge."""
+    """What a day needs of an edge: an object in virtual time, or a process."""
 
     name: str
 
@@ -40,13 +41,13 @@
     def kill(self) -> None: ...
 
 
-MakeEdge = Callable[[Deployment, int], EdgeHandle]  # with the number of the start, for its seed
+MakeEdge = Callable[[Deployment, int], EdgeHandle]  # with the number of the start
 MakePlanner = Callable[[], EdgeHandle]
 
 
 @dataclass(eq=False)
 class Slot:
-    """A place in the fleet, whichever process holds it."""
+    """A runner of the fleet by name, whichever process it is at present."""
 
     name: str
     kind: str
@@ -65,17 +66,22 @@
 
 @dataclass
 class Function:
+    """A function that clients call."""
+
     name: str
     method: str
     memory: float
     lanes: int
-    load: float  # milliseconds
+    load: float  # milliseconds to load a copy
 
 
 class World:
-    """Builds and plays one day. `make_edge` decides whether edges are objects or processes; `relayed` has
-    what they say among themselves pass through the rig, which breaks it there; `holders` makes those of a
-    directory of instances, where the deployment names one."""
+    """Builds and runs one day.
+
+    `make_edge` decides whether edges are objects or processes. With `relayed`, gossip between edges passes
+    through relays, which inject its faults. `holders` makes the holders of a directory of instances, if the
+    deployment has one.
+    """
 
     def __init__(
         self, reactor: Any, day: Day, deployment: Deployment, sink: BinaryIO, make_edge: MakeEdge,
@@ -104,7 +110,7 @@
         habits = Habits(traffic.retries, wait, traffic.patience, traffic.marks, traffic.heeds)
         self.crowd = Crowd(reactor, habits, day.seed + 1, self.tape)
         self.make_planner, self.folder = make_planner, folder
-        self.links = Links(day.seed + 2)  # between edges of a fleet
+        self.links = Links(day.seed + 2)  # gossip between edges
         self.fleet_ports = self.told_ports = [FLEET + i for i in range(day.edges)]
         if relayed and deployment.fleet.name:
             self.fleet_ports = free_ports(day.edges)
@@ -117,8 +123,8 @@
             self.begin_planner()
         self.edges = [make_edge(self.edge_deployment(i), 0) for i in range(day.edges)]
         self.make_edge = make_edge
-        self.still: Counter[EdgeHandle] = Counter()  # by how many troubles each edge stands still
-        self.rate, self.hot, self.scan = 1.0, 0.0, 0.0  # troubles of the traffic
+        self.still: Counter[EdgeHandle] = Counter()  # number of faults by which each edge is stalled
+        self.rate, self.hot, self.scan = 1.0, 0.0, 0.0  # faults of the traffic
         self.hot_functions: list[Function] = []
         self.count = self.one_offs = 0
         self.over = False
@@ -133,7 +139,7 @@
         self.deployment.planner = Planner(port=self.planner.port())
 
     def roll_out(self) -> None:
-        """The day's rollouts, by an operator who gives each order until it is answered."""
+        """Schedules the commands of the day's rollouts; an operator sends each until it is answered."""
         operator = self.operator = Operator(self.reactor, lambda: self.deployment.planner.port, self.tape)
         for version in self.day.rollouts:
             wrong, name = version.wrong, f"{version.function}@{version.candidate}"
@@ -217,7 +223,7 @@
         return made
 
     def lost(self, runner: RunnerStandIn) -> None:
-        """It fell over; the roster hears that no process runs."""
+        """A runner collapsed: the roster records that its process is gone."""
         for slot in self.slots:
             if slot.runner is runner:
                 self.note(slot, "gone")
@@ -234,7 +240,7 @@
         methods = self.random.choices(
             list(mixes), [m.share for m in mixes.values()], k=max(self.day.traffic.functions, len(mixes))
         )
-        methods[: len(mixes)] = list(mixes)  # each method has one at least
+        methods[: len(mixes)] = list(mixes)  # each method has at least one function
         for number, method in enumerate(methods):
             made.append(self.function(f"fn-{number}", method))
         return made
@@ -248,7 +254,7 @@
         self.loads[name] = load
         return made
 
-    # playing
+    # running
 
     def start(self) -> None:
         if self.directory is not None:
@@ -258,13 +264,13 @@
         self.crowd.lines = self.lines()
 
     def begin_traffic(self) -> None:
-        """Clients want something from now on, and rollouts are ordered at their times."""
+        """Starts the clients' traffic and schedules the rollouts."""
         self.reactor.callLater(0.5, self.next_wish)
         if self.planner is not None:
             self.roll_out()
 
     def up(self) -> bool:
-        """Whether every edge takes calls, and every holder listens."""
+        """Whether clients are connected to every edge, and every holder listens."""
         lines = all(line.up is not None for line in self.crowd.lines)
         return lines and (self.directory is None or self.directory.up())
 
@@ -272,7 +278,7 @@
         return [Line(self.crowd, e.name, e.port) for e in self.edges]
 
     def next_wish(self) -> None:
-        """Arrivals at exponential gaps."""
+        """Submits a client's request and schedules the next: Poisson arrivals."""
         if self.over:
             return
         self.wish()
@@ -316,10 +322,10 @@
         )
         self.crowd.want(wish)
 
-    # what troubles need
+    # used by faults
 
     def some(self, share: float, zone: str = "") -> list[Slot]:
-        """A share of the runners that are up, one at least; all of a zone where one is named."""
+        """A random share of the running runners, at least one; all in the zone if one is named."""
         up = [s for s in self.slots if s.up and zone in ("", s.zone)]
         return up if zone else self.random.sample(up, min(len(up), max(1, round(share * len(up)))))
 
@@ -334,7 +340,7 @@
             self.note(slot, "draining")
 
     def back(self, slot: Slot) -> None:
-        """The same name starts anew, cold and on another port."""
+        """Restarts a runner under the same name, cold and on another port."""
         if slot.up:
             self.kill(slot)
         slot.starts += 1
@@ -351,7 +357,7 @@
 
 
 def header(day: Day, deployment: Deployment) -> dict[str, Any]:
-    """What a reader of the tape must know: the rules' figures, in milliseconds."""
+    """The tape's header: participants, methods and the limits of the rules; times in milliseconds."""
     workers, orders, allowed = deployment.workers, deployment.orders, deployment.allowed
     holders = holder_names(deployment.directory)
     return {
