--- a/tests/days.py
+++ b/tests/days.py
@@ -1,4 +1,4 @@
-"""Days for the tests: small fleets in the shape of the three examples, played in virtual time."""
+"""Days for the tests: small fleets in the shape of the three examples, run in virtual time."""
 
 import io
 from collections.abc import Callable
@@ -21,6 +21,7 @@
 
 
 def day(like: str = "thumbs", troubles: Any = (), seed: int = 1, **more: Any) -> dict[str, Any]:
+    """A script on the deployment of an example; `more` overrides its keys."""
     return {
         "name": "test",
         "deployment": f"{like}.json5",
@@ -38,7 +39,7 @@
 
 
 def with_directory(script: dict[str, Any], **settings: Any) -> dict[str, Any]:
-    """The same day with a directory of instances: two shards, each held by two holders in other zones."""
+    """The same day with a directory of instances: two shards, each on two holders in different zones."""
     deployment: dict[str, Any] = json5.loads((EXAMPLES / script["deployment"]).read_text())
     zones = deployment.get("zones") or ["", ""]
     shards = [[{"port": 2 * n + 1, "zone": zones[0]}, {"port": 2 * n + 2, "zone": zones[-1]}] for n in (0, 1)]
@@ -46,7 +47,7 @@
 
 
 class Played:
-    """A day's tape, what its edges logged, and its story."""
+    """A day that was run: its tape, what its edges logged, and the trace read from the tape."""
 
     def __init__(self, script: dict[str, Any], make: EdgeMaker = Edge) -> None:
         self.logs: list[tuple[str, dict[str, Any]]] = []
@@ -63,7 +64,7 @@
         """Before anything is built."""
 
     def begun(self, world: World) -> None:
-        """Once the day has begun."""
+        """Once the day has started."""
 
     def log(self, what: str, **figures: Any) -> None:
         self.logs.append((what, figures))
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The checker is no friend of the program: each rule, broken on purpose in more than one way, is caught."""
+"""The rule checker finds violations: edges that are changed to break each rule, in more than one way."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def sabotaged(change):
-    """Edges to which `change` was done."""
+    """Makes edges that `change` has modified."""
 
     def make(reactor, deployment, log):
         edge = Edge(reactor, deployment, log)
@@ -85,7 +85,7 @@
     assert "1" in rules and "sent out after its end" in says
 
 
-def test_rule_2_a_denial_that_may_have_run():
+def test_rule_2_a_rejection_of_a_call_that_may_have_run():
     def change(edge):
         def deny(answer, pending, verdict, *rest):
             answer(pending, RequestEnd.REJECTED if verdict == RequestEnd.ABORTED else verdict, *rest)
@@ -96,7 +96,7 @@
     assert rules == {"2"} and "denied though it may have run" in says
 
 
-def test_rule_2_a_repeat_that_may_have_run():
+def test_rule_2_a_retry_of_a_call_that_may_have_run():
     def change(edge):
         edge.host.module.candidates.allows_repeat = lambda request, worker: True
 
@@ -104,7 +104,7 @@
     assert rules == {"2"} and ("side-effecting RPC is sent again" in says or "outside its cell" in says)
 
 
-def test_rule_2_two_at_once():
+def test_rule_2_two_attempts_at_once():
     def change(edge):
         def both(run, worker_call):
             run(worker_call)
@@ -136,7 +136,7 @@
     assert rules == {"3"} and "an RPC goes to" in says
 
 
-def test_rule_3_orders_to_a_drained_runner():
+def test_rule_3_preloads_to_a_drained_runner():
     def change(edge):
         serving_for_ever(edge)
         edge.host.module.candidates.usable = lambda request, order, not_loaded_too=False: iter(
@@ -146,7 +146,7 @@
     rules, says = caught(
         change, day("slots", [{"kind": "deploy", "share": 0.9, "lasts": "1 s"}], roster_lag="100 ms")
     )
-    assert rules <= {"3"}  # nothing is sent at all: no false alarm
+    assert rules <= {"3"}  # no calls are sent: no other rule is reported
 
     def orders(edge):
         serving_for_ever(edge)
@@ -168,7 +168,7 @@
 )  # fmt: skip
 
 
-def test_rule_4_no_care_for_cold_runners():
+def test_rule_4_no_limit_in_slow_start():
     def change(edge):
         edge.host.module.slow_start.has_capacity = lambda worker, request: True
 
@@ -177,7 +177,7 @@
     assert Played(REPLACED).breaches() == []
 
 
-def test_rule_4_starts_kept_from_the_module():
+def test_rule_4_starts_hidden_from_the_module():
     def change(edge):
         def told(facts, known):
             made = facts(known)
@@ -190,7 +190,7 @@
     assert rules == {"4"} and "fell over" in says
 
 
-def test_rule_5_no_count_of_orders():
+def test_rule_5_preloads_are_not_counted():
     def change(edge):
         edge.host.module.preload_budget.settings = replace(edge.settings, preload_window=0)
 
@@ -198,7 +198,7 @@
     assert rules == {"5"} and "allowed" in says
 
 
-def test_rule_5_a_budget_misread():
+def test_rule_5_a_budget_that_is_too_large():
     def change(edge):
         edge.host.module.preload_budget.settings = replace(
             edge.settings, preload_share=4 * edge.settings.preload_share
@@ -207,7 +207,7 @@
     assert caught(change, day("archive"))[0] == {"5"}
 
 
-def test_what_is_no_tape_is_said_to_be_none(tmp_path):
+def test_a_file_that_is_not_a_tape_is_reported(tmp_path):
     from click.testing import CliRunner
 
     from lapistrestle.command.main import main
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole paths in virtual time: the five rules on the tape of the sockets, whatever goes wrong."""
+"""Whole days in virtual time: the five rules hold on the tape, whatever fault is injected."""
 
 import typing
 
@@ -30,15 +30,15 @@
         host = edge.edge.host
         assert (host.open_requests, host.worker_calls) == (0, {}), edge.name
         late = [e for e in host.tasks.values() if host.clock() - e.sent_at > host.settings.preload_timeout]
-        assert not late, edge.name  # holds go on in a quiet fleet, but each ends in its time
+        assert not late, edge.name  # preloads continue when traffic has stopped, but each ends in time
 
 
-def test_every_kind_of_trouble_can_be_scripted() -> None:
+def test_every_kind_of_fault_can_be_scripted() -> None:
     assert set(KINDS) == set(TROUBLES)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_one_trouble_alone(kind: str) -> None:
+def test_one_fault_alone(kind: str) -> None:
     played = Played(day("thumbs", [{"kind": kind}]))
     judged(played)
     assert [kind] == [kind for _, kind, _ in played.story.troubles]
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("pair", PAIRS, ids="+".join)
 @pytest.mark.parametrize("like", ["slots", "archive"])
-def test_two_troubles_that_overlap(like: str, pair: tuple[str, str]) -> None:
+def test_two_overlapping_faults(like: str, pair: tuple[str, str]) -> None:
     first, second = pair
     judged(Played(day(like, [{"kind": first, "share": 0.4}, {"kind": second, "at": "4 s", "share": 0.4}])))
 
@@ -55,8 +55,13 @@
 @pytest.mark.parametrize(
     ("like", "seed", "rate"), [("thumbs", 1, 90), ("thumbs", 11, 60), ("archive", 1, 60), ("archive", 5, 90)]
 )
-def test_a_fleet_replaced_at_once_does_not_push_its_successors_over(like: str, seed: int, rate: int) -> None:
-    """These days broke rule 4: the few cold successors were sent all that the whole fleet had taken."""
+def test_replacing_a_fleet_at_once_does_not_overload_runners_in_slow_start(
+    like: str, seed: int, rate: int
+) -> None:
+    """Runners in slow start must not be sent more than they can take, by all dispatchers together.
+
+    On these days the few new runners were sent the traffic of the whole fleet.
+    """
     troubles = [
         {"kind": "deploy", "at": "6 s", "lasts": "1 s", "share": 0.4},
         {"kind": "preempt", "at": "8.6 s", "lasts": "0.4 s", "share": 0.8},
@@ -70,11 +75,11 @@
     assert tapes[0] == tapes[1] != tapes[2]
 
 
-def test_clients_of_a_killed_edge_go_on_elsewhere() -> None:
+def test_clients_of_a_killed_edge_use_the_others() -> None:
     played = Played(day("thumbs", [{"kind": "edge_kill", "share": 0.4, "lasts": "3 s"}]))
     judged(played)
     (killed,) = played.story.kills
     answered = {c.edge for c in played.story.calls if 3_500 < c.at < 5_500 and c.answers}
     assert answered == set(played.story.header["edges"]) - {killed}
     again = [c for c in played.story.calls if c.edge == killed and c.at > 6_500 and c.answers]
-    assert again  # and it serves once it is back
+    assert again  # it serves again after its restart
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: which runs a file asks for, what counts as a result, and how sure a figure is."""
+"""Experiments: the runs that a file asks for, what counts as a result, and confidence intervals."""
 
 import json
 from pathlib import Path
@@ -36,7 +36,7 @@
     assert DAY["traffic"] == {"rate": 10}  # the day itself stays as it is
 
 
-def test_a_path_may_name_what_stands_at_its_default_or_one_of_a_list() -> None:
+def test_a_path_may_name_a_setting_left_at_its_default_or_an_item_of_a_list() -> None:
     day: dict[str, Any] = {"troubles": [{"kind": "crash"}]}
     put(day, "store.fetches", 4)
     put(day, "troubles.0.share", 0.5)
@@ -45,7 +45,7 @@
         put(day, "troubles.7.share", 1)
 
 
-def test_what_is_the_same_run_hangs_on_its_settings_alone() -> None:
+def test_the_key_of_a_run_depends_on_its_settings_only() -> None:
     one = Planned((("edges", 1),), 1, {"a": 1, "b": 2})
     assert one.key == Planned((), 1, {"b": 2, "a": 1}).key != Planned((), 1, {"a": 1, "b": 3}).key
 
@@ -55,7 +55,7 @@
 
 
 def test_differences_are_taken_seed_by_seed() -> None:
-    """Seeds differ far more than variants do; pairs show it all the same."""
+    """Seeds differ far more than variants do, so that only paired differences show an effect."""
     results = [result(1, seed, 0.5 + 0.05 * seed) for seed in range(6)]
     results += [result(3, seed, 0.52 + 0.05 * seed + 0.001 * (seed % 2)) for seed in range(6)]
     ((variant, gap),) = differences(results, (("edges", 1),), "service").items()
@@ -72,7 +72,7 @@
     assert [run.seed for run in missing(plan, results, "b")] == [1, 2]
 
 
-def test_one_seed_says_nothing_for_sure() -> None:
+def test_the_interval_of_one_seed_is_infinite() -> None:
     assert sure([0.7]).half == float("inf") and sure([0.7]).noise
 
 
@@ -101,7 +101,7 @@
     return CliRunner().invoke(main, ["experiment", *map(str, args)])
 
 
-def test_runs_are_kept_gone_on_with_compared_and_drawn(file: Path, tmp_path: Path) -> None:
+def test_runs_are_stored_resumed_compared_and_plotted(file: Path, tmp_path: Path) -> None:
     kept = tmp_path / "try.results.jsonl"
     first = run("run", file, "--processes", 2)
     assert first.exit_code == 0 and "4 runs, 0 done before" in first.output, first.output
@@ -119,7 +119,7 @@
     assert drawn.exit_code == 0 and (tmp_path / "p.svg").read_text().count("<path") > 10
 
 
-def test_a_run_that_was_killed_in_its_first_line_is_gone_on_with(file: Path, tmp_path: Path) -> None:
+def test_an_experiment_killed_in_its_first_line_is_resumed(file: Path, tmp_path: Path) -> None:
     kept = tmp_path / "try.results.jsonl"
     kept.write_bytes(b'{"key":"abc')
     assert run("run", file, "--processes", 1).exit_code == 0
@@ -133,7 +133,7 @@
         ("troubles", [{"kind": "silent", "at": "1 s"}], "needs sockets"),
     ],
 )  # fmt: skip
-def test_what_is_wrong_is_named_before_anything_runs(
+def test_errors_are_reported_before_anything_runs(
     file: Path, tmp_path: Path, path: str, value: Any, says: str
 ) -> None:
     content = json.loads(file.read_text())
@@ -144,6 +144,6 @@
     assert not (tmp_path / "try.results.jsonl").exists()
 
 
-def test_a_file_that_is_no_results_is_named(tmp_path: Path) -> None:
+def test_a_file_that_has_no_results_is_reported(tmp_path: Path) -> None:
     (tmp_path / "r").write_text("{}\n")
     assert "r:1: no line of results" in run("compare", tmp_path / "r").output
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzz of the three protocols: no line stops a program, loses another call, or leaks an open RPC."""
+"""Fuzzing of the three protocols: no line stops a program, loses another call, or leaks an open RPC."""
 
 import msgspec
 import pytest
@@ -59,7 +59,7 @@
 
 
 def finish(stage, client, name):
-    """A call of an honest client is answered whatever the others said, and nothing stays open."""
+    """A well-behaved client's call is answered whatever the others have sent, and nothing stays open."""
     client.say(**CALL, id=name)
     for _ in range(30):
         stage.run(0.1)
@@ -109,7 +109,7 @@
     stage.run(0.5)
     stage.roster.say(**{"is": "hello", "protocol": "lapistrestle.roster", "version": 1})
     stage.run()
-    for number in (10**15, 10**15):  # whatever number it was at
+    for number in (10**15, 10**15):  # whatever number the edge had reached
         stage.list_(number)
         stage.run(0.3)
     for name in stage.runners:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,4 +1,4 @@
-"""The model: its clock, its runners against known results of queueing theory, and its days beside those on
+"""The model: its clock, its runners compared with queueing theory, and its days compared with those on
 in-memory sockets.
 """
 
@@ -28,7 +28,7 @@
     return Clock()
 
 
-def test_the_clock_plays_in_order_and_passes_over_what_was_cancelled(clock):
+def test_the_clock_runs_calls_in_order_and_skips_cancelled_ones(clock):
     seen, began = [], clock.seconds()
     for delay, name in ((0.3, "c"), (0.1, "a"), (0.1, "b"), (0.2, "off")):
         due = clock.callLater(delay, lambda name=name: seen.append((name, round(clock.seconds() - began, 6))))
@@ -40,7 +40,7 @@
     assert seen[2:] == [("c", 0.3)] and clock.seconds() == began + 0.5
 
 
-# runners against theory: one function whose copies stand, work in seconds, Poisson arrivals
+# runners against theory: one function whose copies are loaded, work in seconds, Poisson arrivals
 
 
 def waits(clock, cores, rate, works, seed=1):
@@ -67,7 +67,8 @@
 
 
 def within(found, expected, batches=20):
-    """Whether the mean agrees, by batch means, at four standard errors: waits in a row are alike."""
+    """Whether the mean agrees within four standard errors, by batch means, as successive waits are
+    correlated."""
     means = np.array([batch.mean() for batch in np.array_split(found, batches)])
     error = means.std(ddof=1) / batches**0.5
     assert error < 0.15 * expected, "too few calls to say anything"
@@ -93,14 +94,14 @@
     assert within(waits(clock, 1, load, works), load * second / (2 * (1 - load)))
 
 
-def test_what_is_wrong_by_a_tenth_would_be_seen(clock):
-    """The tests above can fail: a core that is a tenth slower leaves the interval."""
+def test_an_error_of_a_tenth_is_detected(clock):
+    """The tests above can fail: with a core that is a tenth slower the mean leaves the interval."""
     works = np.random.default_rng(2).exponential(1.1, 60_000)
     assert not within(waits(clock, 4, 3.0, works), erlang_c(4, 3.0) / 1.0)
 
 
 def test_the_store_serves_what_its_capacity_says(clock):
-    """Fetches slow down in proportion above the capacity, so the throughput stays what it is there."""
+    """Above the capacity fetches slow down in proportion, so the throughput stays the same."""
     store, done = Store(clock, StoreFacts(fetches=10, limit=1_000, tips_at=100.0)), []
 
     def again(ok):
@@ -121,7 +122,7 @@
     return ModelWorld(made, deployment)
 
 
-def test_the_same_seed_gives_the_same_day_and_another_another():
+def test_the_same_seed_gives_the_same_day_and_another_seed_another_day():
     first, second, other = (played(seed=seed).play() for seed in (3, 3, 4))
     assert first == second != other
 
@@ -135,11 +136,11 @@
     sink = io.BytesIO()
     play_virtual(made, deployment, sink)
     service = serve(Story(msgspec.json.decode(line) for line in sink.getvalue().splitlines()))
-    assert outcome.wishes == service.asked  # the same day, wish by wish
+    assert outcome.wishes == service.asked  # the same requests
     assert outcome.service == pytest.approx(service.total, abs=0.03)
 
 
-def test_nothing_is_left_open_and_the_module_raises_nothing_under_troubles():
+def test_nothing_is_left_open_and_the_module_raises_nothing_under_faults():
     kinds = ["crash", "zone_loss", "deploy", "burst", "fast_errors", "roster_restart", "discovery_stale"]
     world = played("thumbs", [{"kind": kind, "at": f"{3 + n} s"} for n, kind in enumerate(kinds)])
     outcome = world.play()
@@ -150,19 +151,19 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "edge_kill"])
-def test_what_needs_sockets_is_refused_before_anything_runs(kind):
+def test_faults_that_need_sockets_are_refused_before_anything_runs(kind):
     with pytest.raises(DeploymentError, match=f"troubles.0.kind: {kind}"):
         played(troubles=[{"kind": kind}])
     with pytest.raises(DeploymentError, match="rollouts"):
         played(rollouts=[{}])
 
 
-def test_the_worst_seconds_are_found():
+def test_the_worst_period_is_found():
     outcome = Outcome(windows={second: [10.0, 1.0 if second in (20, 21) else 10.0] for second in range(60)})
     assert outcome.worst(10) == pytest.approx(0.82) and outcome.worst(1) == 0.1
 
 
-# the tape: one checker, one form
+# the tape of the model, read by the same checker
 
 
 def judged(like, troubles, seed=1):
@@ -182,7 +183,7 @@
     assert judged(like, [{"kind": kind, "at": f"{3 + 3 * n} s"} for n, kind in enumerate(kinds)]) == []
 
 
-def test_it_finds_an_edge_that_hears_of_drains_too_late(monkeypatch):
+def test_the_checker_finds_an_edge_that_receives_drains_too_late(monkeypatch):
     told, drains = ModelEdge.list_received, ModelEdge.runner_drains
     monkeypatch.setattr(
         ModelEdge, "list_received", lambda edge, message: edge.reactor.callLater(2.0, told, edge, message)
@@ -194,7 +195,7 @@
     assert "3 drains kept" in {breach.rule for breach in found}
 
 
-def test_a_tape_changes_nothing_of_the_day():
+def test_recording_a_tape_does_not_change_the_day():
     made, deployment = make_day(day(length="10 s"), path=EXAMPLES / "day.json5")
     assert ModelWorld(made, deployment, io.BytesIO()).play() == ModelWorld(made, deployment).play()
 
@@ -204,7 +205,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 @pytest.mark.parametrize("like", ["slots", "archive"])
-def test_a_baseline_answers_every_wish_once_and_runs_nothing_twice(like, policy):
+def test_a_baseline_answers_every_request_once_and_runs_nothing_twice(like, policy):
     troubles = [{"kind": "crash", "at": "5 s"}, {"kind": "fast_errors", "at": "8 s"}]
     script = day(like, troubles, length="15 s", policy=policy)
     made, deployment = make_day(script, path=EXAMPLES / "day.json5")
@@ -218,7 +219,7 @@
     assert kept["1 one final answer"] == kept["2 no effect twice"] == kept["5 orders within budget"] == []
 
 
-def test_the_module_stands_between_chance_and_one_that_sees_all():
+def test_the_module_is_better_than_random_and_worse_than_full_knowledge():
     services, more = {}, {"length": "20 s", "traffic": {"rate": 120, "functions": 20}}
     for policy in ("random", "module", "greedy"):
         days = [played(seed=seed, policy=policy, **more).play() for seed in (1, 2)]
@@ -226,7 +227,7 @@
     assert services["random"] < services["module"] < services["greedy"]
 
 
-def test_the_program_knows_no_other_policy():
+def test_the_program_refuses_baseline_policies():
     made, deployment = make_day(day(policy="hash"), path=EXAMPLES / "day.json5")
     with pytest.raises(DeploymentError, match='policy: is "hash"'):
         play_virtual(made, deployment, io.BytesIO())
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -1,4 +1,4 @@
-"""On real loopback sockets, with each program a process of its own."""
+"""Programs as separate processes on real loopback sockets."""
 
 import io
 import json
@@ -49,7 +49,7 @@
 def test_a_short_day_keeps_the_rules(tmp_path: Path, like: str, troubles: list[dict[str, Any]]) -> None:
     script = day(like, troubles, length="4 s", edges=2, traffic={"rate": 30, "functions": 8})
     text = (EXAMPLES / f"{like}.json5").read_text().replace("peers: true", "peers: false")  # fixed ports
-    # answers are out well before their clients give up, as this machine may be busy with other things
+    # a wider margin, so that answers are sent well before clients give up even on a busy machine
     text = text.replace("port: 7100", 'port: 7100, margin: "300 ms"')
     (tmp_path / "d.json5").write_text(text)
     script["deployment"] = "d.json5"
@@ -76,7 +76,7 @@
         child.kill()
 
 
-def test_programs_by_hand_as_the_readme_says(tmp_path: Path, started: Start) -> None:
+def test_programs_started_by_hand_as_in_the_readme(tmp_path: Path, started: Start) -> None:
     runner = started("r", "runner", "r")
     (tmp_path / "w.json5").write_text(json.dumps([{"name": "r", "port": runner.wait_port(), "zone": "a"}]))
     (tmp_path / "d.json5").write_text(DEPLOYMENT)
@@ -84,11 +84,11 @@
     edge = started("edge", "edge", tmp_path / "d.json5", "--roster-port", roster.wait_port(), "--json")
     port = edge.wait_port()
     call = ("call", "--port", port, "--fn", "f", "--method", "m", "--load", 50, "--work", 5)
-    # the first call may come before the list: then it is denied, and may be tried again
+    # the first call may arrive before the endpoint list: then it is rejected and retried
     for _ in range(20):
         if command(*call).returncode == 0:
             break
-    for _ in range(10):  # where the machine stands still for a moment one may be denied, rightly
+    for _ in range(10):  # if the machine stalls for a moment, a call may be rejected rightly
         result = command(*call, "--count", 20, "--rate", 20, "--json")
         if result.returncode == 0:
             break
@@ -110,7 +110,9 @@
     planner = started("planner2", "planner", tmp_path / "journal")
     to = ("--port", planner.wait_port(), "--fn", "f")
     again = command("rollout", "start", *to, "--candidate", "v2", "--id", "one", "--json")
-    assert json.loads(again.stdout) == json.loads(first.stdout)  # though it was killed
+    assert json.loads(again.stdout) == json.loads(
+        first.stdout
+    )  # the command was persisted before the planner was killed
     assert command("rollout", "start", *to, "--candidate", "v3").returncode == 1
     back = command("rollout", "back", *to, "--why", "wrong prices")
     assert back.returncode == 0 and "withdrawing at 0%" in back.stdout
@@ -122,13 +124,13 @@
     assert "no answer from a planner" in command("rollout", "status", *to[:2]).stderr
 
 
-def test_the_demo_plays_and_stops_clean() -> None:
+def test_the_demo_runs_and_stops_cleanly() -> None:
     result = command("demo", "--seconds", 2, "--runners", 2, env={**os.environ, "COLUMNS": "100"})
     assert result.returncode == 0, result.stdout + result.stderr
     assert "4 processes stopped clean" in result.stdout
 
 
-def test_a_torn_tape_is_read_up_to_its_last_whole_line(tmp_path: Path) -> None:
+def test_a_truncated_tape_is_read_up_to_its_last_whole_line(tmp_path: Path) -> None:
     from days import Played
 
     tape = Played(day(length="2 s")).tape
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,5 @@
-"""The scale tests' deterministic part: yardsticks, fits, the input table, the page, and kinds of growth."""
+"""The deterministic part of the scale tests: counted steps, fits, the input table, the page, kinds of
+growth."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -33,7 +34,7 @@
         (Kind.WORSE, lambda n: 10 + 0.5 * n * n),
     ],
 )
-def test_the_kind_of_growth_is_told(kind: Kind, shape: Shape) -> None:
+def test_the_kind_of_growth_is_recognized(kind: Kind, shape: Shape) -> None:
     assert fitting.kind_of(SIZES, values(shape)) is kind
 
 
@@ -71,7 +72,7 @@
 
 
 class Cycle:
-    """Garbage that only the collector finds, and that runs code when it does."""
+    """A reference cycle, whose collection runs code."""
 
     ended = 0
 
@@ -173,7 +174,7 @@
         page.written("<!-- table: target -->\nno end", found)
 
 
-def test_every_role_is_registered_with_sweeps_that_stand() -> None:
+def test_every_role_is_registered_with_sweeps_or_scenes() -> None:
     for name, role in roles.all_roles().items():
         assert role.name == name
         assert role.sweeps or role.scenes
@@ -191,13 +192,13 @@
 
 
 def scan(names: Sequence[str]) -> int:
-    """The work that is planted: a look at every instance."""
+    """Planted work: a scan of every instance."""
     return sum(name.endswith("7") for name in names)
 
 
 @pytest.mark.parametrize("variant", VARIANTS)
 def test_how_control_grows_with_instances_that_a_dispatcher_never_calls(variant: str) -> None:
-    """With the whole list it is known to grow; with the directory it does not, within a tenth."""
+    """With the whole list the work grows linearly; with the directory it stays within a tenth."""
     work, kind = VARIANTS[variant]
     counted = [work(instances) for instances in FLEETS]
     assert fitting.kind_of(FLEETS, [one.instructions for one in counted]) is kind
@@ -205,7 +206,7 @@
     assert fitting.kind_of(FLEETS, [one.bytes for one in counted]) is Kind.FLAT
 
 
-def test_a_look_up_costs_a_dispatcher_the_same_whatever_else_it_knows() -> None:
+def test_a_lookup_costs_a_dispatcher_the_same_whatever_else_it_knows() -> None:
     views = (10, 20, 40, 80)
     counted = [control_work.with_directory(4_000, called=view).instructions for view in views]
     assert fitting.kind_of(views, counted) is Kind.FLAT, counted
@@ -216,6 +217,6 @@
     assert fitting.kind_of(FLEETS, counted) is Kind.LINEAR
 
 
-def test_what_is_counted_is_the_same_every_time() -> None:
+def test_counts_are_the_same_every_time() -> None:
     assert control_work.with_directory(500) == control_work.with_directory(500)
     assert control_work.with_list(250) == control_work.with_list(250)
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -41,11 +41,11 @@
 
 
 def test_what_a_member_sends_is_bounded_however_large_its_fleet() -> None:
-    """Ten datagrams at each telling, two pings or answers a second, and a page now and then."""
+    """At most ten datagrams per gossip round, two pings or replies a second, and occasional page requests."""
     small, large = gossip(200), gossip(400)
     assert small.messages_out == large.messages_out < 25
     assert abs(small.bytes_out / large.bytes_out - 1) < 0.1
-    assert large.bytes_out > GIVEN.target.control_bytes_per_second  # the page tells this overrun
+    assert large.bytes_out > GIVEN.target.control_bytes_per_second  # a known overrun of the budget
 
 
 GOSSIP_SIZES = (20, 40, 80, 160)
@@ -84,11 +84,11 @@
 def test_what_a_borrower_sends_does_not_grow_with_its_fleet() -> None:
     role = control_allowance.LendingRole()
     sent = [role.measure(Dimension.DISPATCHERS, size, 1, GIVEN).messages_out for size in (25, 50, 100, 200)]
-    assert max(sent) <= 4  # an ask and a word back at each of two looks a second
+    assert max(sent) <= 4  # a request and a reply, twice a second
 
 
-def test_the_look_at_trials_grows_with_the_list_and_no_worse() -> None:
-    """The page tells it: twice a second, every instance that the edge lists."""
+def test_sharing_trials_out_grows_linearly_with_the_list() -> None:
+    """Twice a second an edge goes through every instance of its list, to share out the trials."""
 
     def steps(size: int) -> float:
         return count_steps(control_allowance.together_of(size, 10).share_trials).instructions
@@ -96,7 +96,7 @@
     assert kind((200, 400, 800, 1_600), steps) is Kind.LINEAR
 
 
-# the agreed log
+# the replicated log
 
 
 def change_steps(log: int) -> float:
@@ -139,7 +139,7 @@
 # configuration
 
 
-def test_a_change_is_one_word_to_each_edge_and_grows_no_worse_than_they() -> None:
+def test_a_change_is_one_message_to_each_edge_and_its_work_grows_no_worse_than_linearly() -> None:
     sizes = (5, 10, 20, 40)
     samples = [control_rollout.planner_sample(size, 20) for size in sizes]
     for size, sample in zip(sizes, samples, strict=True):
@@ -148,7 +148,7 @@
 
 
 def test_an_entry_and_a_change_grow_no_worse_than_the_functions_with_a_rollout() -> None:
-    """The page tells that they grow at all: every entry looks at every rollout."""
+    """They grow because the handling of every entry goes through every rollout."""
 
     def entry(functions: int) -> float:
         state = control_rollout.keeper_of(functions)
@@ -164,14 +164,14 @@
 
 
 def test_a_whole_plan_ends_at_the_longest_line() -> None:
-    """The page tells it: the default bound of a line is what breaks first for plans."""
+    """The size of a plan is limited first by the default maximum length of a line."""
     figures = {f.name: f.value for f in control_rollout.longest_line(1, GIVEN, True)}
     most = int(figures["most functions in a whole plan that an edge takes"])
     assert len(control_rollout.whole_line(most)) <= LineBounds().line + 1
     assert len(control_rollout.whole_line(most + 1)) > LineBounds().line
 
 
-# the list
+# the endpoint list
 
 
 CHANGED = (100, 200, 400, 800)
@@ -197,7 +197,7 @@
     assert kind(CHANGED, list_change_steps) is Kind.LINEAR
 
 
-def test_a_change_is_told_to_every_follower_and_a_whole_list_ends_at_the_longest_line() -> None:
+def test_a_change_goes_to_every_subscriber_and_a_snapshot_is_limited_by_the_line_length() -> None:
     hollow = control_roster.HollowRoster(50, 20)
     hollow.traffic.messages_out = 0
     hollow.change(1)
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize("dispatchers", [1, 8, 50, 200])
-def test_the_budget_of_a_cold_instance_holds_for_all_and_is_one_turn_each(dispatchers: int) -> None:
+def test_the_slow_start_budget_holds_for_all_dispatchers_together(dispatchers: int) -> None:
     calls = GIVEN.target.calls_per_second / GIVEN.target.instances
     sums, turns = control_cold.windows_of(dispatchers, calls)
     assert min(sums) >= 1
@@ -226,7 +226,7 @@
     return count_steps(lambda: made.slow_start.has_capacity(cold, request)).instructions
 
 
-def test_a_question_of_room_costs_the_same_however_many_dispatchers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_capacity_check_costs_the_same_however_many_dispatchers(monkeypatch: pytest.MonkeyPatch) -> None:
     sizes = (50, 100, 200, 400)
     assert kind(sizes, room_steps) is Kind.FLAT
     room = SlowStart.has_capacity
