--- a/lapistrestle/policy/admission.py
+++ b/lapistrestle/policy/admission.py
@@ -9,11 +9,11 @@
 
 from lapistrestle.policy.attempts import Attempts
 from lapistrestle.policy.clock import Clock
-from lapistrestle.policy.draws import Draws
 from lapistrestle.policy.entities import Request
-from lapistrestle.policy.estimates import LONG_MEMORY, SHORT_MEMORY, DecayingSum
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, SHORT_TIME_CONSTANT, DecayingSum
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.ports import Host
+from lapistrestle.policy.seeded_random import SeededRandom
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.throughput import Throughput
 from lapistrestle.policy.types import EndpointState
@@ -21,10 +21,12 @@
 
 # Parts of the latency objective at which a sojourn time begins and ceases to be pressure. Apart, so that
 # it does not flap.
-PRESSURE_ON: Final = 1 / 2
-PRESSURE_OFF: Final = 1 / 4
-LEARNING: Final = SHORT_MEMORY  # ticks after the start in which no pace is known yet, and nothing is pressure
-THOUSANDTHS: Final = 1_000  # in which a customer's part beyond its quota is drawn
+PRESSURE_ON_FRACTION: Final = 1 / 2
+PRESSURE_OFF_FRACTION: Final = 1 / 4
+LEARNING_PERIOD: Final = (
+    SHORT_TIME_CONSTANT  # ticks after the start in which no pace is known yet, and nothing is pressure
+)
+QUOTA_DRAW_RANGE: Final = 1_000  # in which a customer's part beyond its quota is drawn
 
 
 class Admission:
@@ -35,7 +37,7 @@
         host: Host,
         settings: Settings,
         clock: Clock,
-        draws: Draws,
+        rng: SeededRandom,
         latency: LatencyEstimates,
         throughput: Throughput,
         attempts: Attempts,
@@ -43,12 +45,12 @@
         self.host = host
         self.settings = settings
         self.clock = clock
-        self.draws = draws
+        self.rng = rng
         self.latency = latency
         self.throughput = throughput
         self.attempts = attempts
         self.under_pressure = False
-        self.demand_by_customer = [DecayingSum(LONG_MEMORY, clock.now) for _ in settings.customers]
+        self.demand_by_customer = [DecayingSum(LONG_TIME_CONSTANT, clock.now) for _ in settings.customers]
 
     def admits(self, request: Request) -> bool:
         """Whether the request may be placed; harms as a jam dissolves, when the pace is still that of the
@@ -56,9 +58,9 @@
         """
         objective = self.latency.objective(request)
         sojourn_time = self.sojourn_time(objective)
-        self.note_pressure(sojourn_time, objective)
-        most = objective * PRESSURE_ON if self.beyond_quota(request) else objective
-        return not (sojourn_time > most or self.hopeless(request))
+        self.update_pressure(sojourn_time, objective)
+        most = objective * PRESSURE_ON_FRACTION if self.beyond_quota(request) else objective
+        return not (sojourn_time > most or self.cannot_finish_in_time(request))
 
     def sojourn_time(self, objective: int) -> float:
         """Return how long requests stay, in ticks, against a latency objective. What may be under way by
@@ -69,10 +71,10 @@
             count = self.attempts.warm_count
             sojourn_time = max(0, count - 2 * sqrt(count) - 1) / rate
         else:
-            sojourn_time = self.oldest_age()
-        return sojourn_time if self.clock.now > self.clock.started + LEARNING else 0.0
+            sojourn_time = self.oldest_attempt_age()
+        return sojourn_time if self.clock.now > self.clock.started + LEARNING_PERIOD else 0.0
 
-    def oldest_age(self) -> float:
+    def oldest_attempt_age(self) -> float:
         """Return for how many ticks the oldest warm attempt has waited: where answers tell no pace. Guards
         against a burst after a lull, which is no jam.
         """
@@ -80,18 +82,18 @@
         serving = (a.sent for a in self.attempts.warm if a.worker.listing is EndpointState.SERVING)
         return now - next(serving, now)
 
-    def note_pressure(self, sojourn_time: float, objective: int) -> None:
+    def update_pressure(self, sojourn_time: float, objective: int) -> None:
         """Log when pressure begins and ends."""
         if self.under_pressure:
-            changes = sojourn_time < objective * PRESSURE_OFF
+            changes = sojourn_time < objective * PRESSURE_OFF_FRACTION
         else:
-            changes = sojourn_time > objective * PRESSURE_ON
+            changes = sojourn_time > objective * PRESSURE_ON_FRACTION
         if changes:
             self.under_pressure = not self.under_pressure
             turn = "on" if self.under_pressure else "off"
             self.host.log(f"pressure {turn}: sojourn time {sojourn_time:.0f} of objective {objective}")
 
-    def hopeless(self, request: Request) -> bool:
+    def cannot_finish_in_time(self, request: Request) -> bool:
         """Whether it would come back too late even alone. Guards against impatient clients and heavy
         requests; harms where hints mislead.
         """
@@ -107,4 +109,4 @@
         share = quota / SECOND / self.settings.dispatcher_count
         if share <= 0:
             return False
-        return self.draws.below(THOUSANDTHS) > THOUSANDTHS * share / self.throughput.rate(demand)
+        return self.rng.randbelow(QUOTA_DRAW_RANGE) > QUOTA_DRAW_RANGE * share / self.throughput.rate(demand)
--- a/lapistrestle/policy/attempts.py
+++ b/lapistrestle/policy/attempts.py
@@ -15,12 +15,12 @@
 
 # An attempt may take this part of what is left to the latency objective, or so many usual latencies if
 # that is longer. Guards against jams, where a time-out only adds work (docs/design.md, "Time-outs").
-OBJECTIVE_PART: Final = 2 / 3
+OBJECTIVE_FRACTION: Final = 2 / 3
 TYPICAL_LATENCIES: Final = 4
 # The same for a dispatcher that meets workers seldom and so sees no jam: what is sent again runs twice. Harms
 # where many workers are silent.
-SELDOM_OBJECTIVE_PART: Final = 1
-SELDOM_TYPICAL_LATENCIES: Final = 8
+SPARSE_OBJECTIVE_FRACTION: Final = 1
+SPARSE_TYPICAL_LATENCIES: Final = 8
 
 
 class Attempts:
@@ -51,7 +51,7 @@
     def send(self, request: Request, replica: FunctionReplica) -> None:
         """Send the request to the function on a worker."""
         now = self.clock.now
-        cold = not (self.copies.believed(replica) or self.copies.presumed(replica))
+        cold = not (self.copies.believed(replica) or self.copies.presumed_loaded(replica))
         expected = int(self.latency.isolated(replica.function) * request.scale) + 1
         attempt = Attempt(request, replica.worker, now, cold, replica.in_flight + 1, expected)
         request.attempts.append(attempt)
@@ -89,8 +89,8 @@
             return time_left
         isolated = self.latency.isolated(replica.function) * request.scale
         typical = max(self.throughput.ok_latency.read(0), isolated)
-        part, factor = OBJECTIVE_PART, TYPICAL_LATENCIES
+        part, factor = OBJECTIVE_FRACTION, TYPICAL_LATENCIES
         if self.throughput.memory_factor > 1:
-            part, factor = SELDOM_OBJECTIVE_PART, SELDOM_TYPICAL_LATENCIES
+            part, factor = SPARSE_OBJECTIVE_FRACTION, SPARSE_TYPICAL_LATENCIES
         to_objective = request.began + self.latency.objective(request) - now
         return int(min(time_left, max(to_objective * part, factor * typical)))
--- a/lapistrestle/policy/candidates.py
+++ b/lapistrestle/policy/candidates.py
@@ -40,9 +40,11 @@
             others = (
                 worker for worker in self.orders.function_order(request.function) if worker not in tried
             )
-            if not any(self.may_use(request, worker, trusted) for worker in others):
+            if not any(self.is_eligible(request, worker, trusted) for worker in others):
                 tried.clear()
-        return (worker for worker in order if worker not in tried and self.may_use(request, worker, trusted))
+        return (
+            worker for worker in order if worker not in tried and self.is_eligible(request, worker, trusted)
+        )
 
     def tried(self, request: Request, not_loaded_too: bool) -> set[Worker]:
         """Return the workers that count as tried by the request."""
@@ -53,11 +55,11 @@
                 tried.add(attempt.worker)
         return tried
 
-    def may_use(self, request: Request, worker: Worker, trusted: bool) -> bool:
+    def is_eligible(self, request: Request, worker: Worker, trusted: bool) -> bool:
         """Whether the request may go to the worker now; `trusted`: verdicts on health count."""
         if worker.listing is not EndpointState.SERVING:
             return False
-        if worker.customer_barred_until.get(request.customer, 0) > self.clock.now:
+        if worker.customer_rejected_until.get(request.customer, 0) > self.clock.now:
             return False
         if trusted and not self.health.healthy(worker):
             return False
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -13,7 +13,6 @@
 from lapistrestle.policy.attempts import Attempts
 from lapistrestle.policy.candidates import Candidates
 from lapistrestle.policy.clock import Clock
-from lapistrestle.policy.draws import Draws
 from lapistrestle.policy.endpoints import Endpoints
 from lapistrestle.policy.entities import Function, FunctionReplica, Request, Worker
 from lapistrestle.policy.fleet_guidance import FleetGuidance
@@ -28,9 +27,10 @@
 from lapistrestle.policy.ports import Host
 from lapistrestle.policy.preload_budget import PreloadBudget
 from lapistrestle.policy.preloading import Preloading
-from lapistrestle.policy.request_state import INPUT_OF_OUTCOME, Effect, Input, RequestStateMachine
+from lapistrestle.policy.request_state import EVENT_OF_OUTCOME, Action, RequestEvent, RequestStateMachine
 from lapistrestle.policy.retries import Retries
 from lapistrestle.policy.retry_budget import RetryBudget
+from lapistrestle.policy.seeded_random import SeededRandom
 from lapistrestle.policy.settings import MethodKind, Settings
 from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.policy.throughput import Throughput
@@ -38,7 +38,7 @@
 from lapistrestle.ticks import SECOND
 
 # Least ticks between two requests for the endpoint list, where it is polled; guards against a busy loop.
-LEAST_POLL_INTERVAL: Final = SECOND
+MIN_POLL_INTERVAL: Final = SECOND
 
 
 class Dispatcher:
@@ -51,19 +51,19 @@
         self.settings = settings
         self.fleet = FleetGuidance() if fleet is None else fleet
         self.clock = Clock(now)
-        self.draws = Draws(seed)
+        self.rng = SeededRandom(seed)
         self.make_estimates()
         self.make_rules()
         self.make_decisions()
         self.make_choices()
         self.make_recording()
         handlers = {
-            Effect.ADMIT: self.admit,
-            Effect.PLACE: self.placement.place,
-            Effect.WAIT_FOR_RETRY: self.wait_for_retry,
-            Effect.RETRY: self.retries.retry,
-            Effect.ON_NOT_LOADED: self.retries.on_not_loaded,
-            Effect.REJECT: self.reject,
+            Action.ADMIT: self.admit,
+            Action.PLACE: self.placement.place,
+            Action.WAIT_FOR_RETRY: self.wait_for_retry,
+            Action.RETRY: self.retries.retry,
+            Action.ON_NOT_LOADED: self.retries.on_not_loaded,
+            Action.REJECT: self.reject,
         }
         self.state_machine = RequestStateMachine(handlers)
         if settings.endpoints_polled:
@@ -100,7 +100,7 @@
             host=self.host,
             settings=settings,
             clock=clock,
-            draws=self.draws,
+            rng=self.rng,
             orders=self.orders,
             latency=self.latency,
             zones=self.zones,
@@ -121,7 +121,7 @@
             self.slow_start,
         )
         self.admission = Admission(
-            self.host, settings, clock, self.draws, self.latency, self.throughput, self.attempts
+            self.host, settings, clock, self.rng, self.latency, self.throughput, self.attempts
         )
 
     def make_choices(self) -> None:
@@ -129,7 +129,7 @@
         self.placement = Placement(
             settings=self.settings,
             clock=self.clock,
-            draws=self.draws,
+            rng=self.rng,
             orders=self.orders,
             candidates=self.candidates,
             latency=self.latency,
@@ -187,7 +187,7 @@
         self.health.endpoints_changed()
         self.slow_start.endpoints_changed()
         self.load_limit.endpoints_changed()
-        self.preloading.forget(self.endpoints.forget_departed())
+        self.preloading.forget(self.endpoints.forget_removed())
 
     def on_endpoints_failed(self) -> None:
         """Nothing: the list is asked for anew when the next poll is due."""
@@ -199,12 +199,12 @@
     def on_request(self, request: Request) -> None:
         """As `Events.on_request`."""
         request.began = request.began or self.clock.now  # earlier where it waited for the function's prefix
-        self.latency.take_hint(request)
-        self.preloading.start_upkeep(request.function)
-        self.throughput.renew_memory_factor(len(self.endpoints.serving))
+        self.latency.apply_work_hint(request)
+        self.preloading.start_maintenance(request.function)
+        self.throughput.update_time_constant_factor(len(self.endpoints.serving))
         self.orders.add_demand(request, self.throughput.memory_factor)
         self.preload_budget.add_request(request)
-        self.state_machine.drive(request, Input.ARRIVED)
+        self.state_machine.handle(request, RequestEvent.RECEIVED)
 
     def on_client_gone(self, request: Request) -> None:
         """As `Events.on_client_gone`."""
@@ -219,22 +219,24 @@
         """As `Events.on_attempt_finished`."""
         request = attempt.request
         replica = request.function.replica(attempt.worker)
-        given = INPUT_OF_OUTCOME[outcome]
+        given = EVENT_OF_OUTCOME[outcome]
         self.attempts.finish(attempt, replica, outcome)
         self.outcomes.record(replica, attempt, outcome, result)
-        if given is Input.MAY_HAVE_RUN and request.may_have_run_on is None:
+        if given is RequestEvent.MAY_HAVE_RUN and request.may_have_run_on is None:
             request.may_have_run_on = attempt.worker
             request.may_have_run_at = attempt.sent
         if result.over:
             self.on_client_gone(request)
-        self.state_machine.drive(request, given, replica)
+        self.state_machine.handle(request, given, replica)
         if replica.waiters and not replica.pending_preloads and not replica.loading:
             self.release_waiters(replica)
 
     def on_timer(self, token: object) -> None:
         """As `Events.on_timer`: of a parked request, of a function's upkeep, or of the endpoint list."""
         if isinstance(token, Request):
-            self.state_machine.drive(token, Input.LATE if token.state is State.PARKED else None)
+            self.state_machine.handle(
+                token, RequestEvent.WAIT_EXPIRED if token.state is State.PARKED else None
+            )
         elif isinstance(token, Function):
             self.preloading.maintain_replicas(token)
         else:
@@ -262,9 +264,9 @@
 
     # Effects
 
-    def admit(self, request: Request, _: FunctionReplica | None) -> Input:
+    def admit(self, request: Request, _: FunctionReplica | None) -> RequestEvent:
         """Let the request in, or turn it away under pressure."""
-        return Input.ADMITTED if self.admission.admits(request) else Input.NOWHERE
+        return RequestEvent.ADMITTED if self.admission.admits(request) else RequestEvent.NO_WORKER
 
     def wait_for_retry(self, request: Request, _: FunctionReplica | None) -> None:
         """Wake the parked request while there is still time to run it."""
@@ -285,9 +287,9 @@
     def release_waiters(self, replica: FunctionReplica) -> None:
         """Place anew what waited for a load, once that, or what might have begun it, has ended."""
         for request in replica.take_waiters():
-            self.state_machine.drive(request, Input.LOADED, replica)
+            self.state_machine.handle(request, RequestEvent.LOADED, replica)
 
     def poll_endpoints(self) -> None:
         """Ask for the endpoint list, and again before that lapses."""
         self.host.watch_endpoints()
-        self.host.set_timer(max(LEAST_POLL_INTERVAL, self.settings.poll_within // 2), None)
+        self.host.set_timer(max(MIN_POLL_INTERVAL, self.settings.poll_within // 2), None)
--- a/lapistrestle/policy/endpoints.py
+++ b/lapistrestle/policy/endpoints.py
@@ -8,13 +8,13 @@
 from typing import Final
 
 from lapistrestle.policy.entities import Worker
-from lapistrestle.policy.estimates import SHORT_MEMORY
+from lapistrestle.policy.estimates import SHORT_TIME_CONSTANT
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.ticks import SECOND
 
 # Ticks before an ejected worker is tried for the first time. Guards against a crowd at one that just failed;
 # `health.py` doubles it while trials fail.
-FIRST_EJECTION_PAUSE: Final = SECOND
+INITIAL_EJECTION_BACKOFF: Final = SECOND
 
 
 class Endpoints:
@@ -24,7 +24,7 @@
         self.partial = partial
         self.known: dict[Worker, None] = {}
         self.serving: dict[Worker, None] = {}
-        self.leaving: dict[Worker, None] = {}  # removed from the list, and not forgotten yet
+        self.removed: dict[Worker, None] = {}  # removed from the list, and not forgotten yet
         self.ring: list[Worker] = []  # by position; empty if partial
         self.version = 0  # of the ring
         self.size = 0.0  # of those that serve
@@ -47,7 +47,7 @@
             self.remove_from_serving(worker)
             restarted = info.booted is not None and info.booted != worker.booted
             if restarted or worker not in self.known:
-                worker.reset(SHORT_MEMORY, FIRST_EJECTION_PAUSE, info.booted)
+                worker.reset(SHORT_TIME_CONSTANT, INITIAL_EJECTION_BACKOFF, info.booted)
             worker.update(info)
             self.add(worker)
         if not self.partial:
@@ -58,7 +58,7 @@
         for worker in self.known:
             self.remove_from_serving(worker)
             worker.listing = EndpointState.REMOVED
-            self.leaving[worker] = None
+            self.removed[worker] = None
 
     def remove_from_serving(self, worker: Worker) -> None:
         """Take the worker out of those that serve."""
@@ -69,16 +69,16 @@
     def add(self, worker: Worker) -> None:
         """Put the worker where its state belongs."""
         self.known[worker] = None
-        self.leaving.pop(worker, None)
+        self.removed.pop(worker, None)
         if worker.listing is EndpointState.SERVING:
             self.serving[worker] = None
             self.size += worker.size
         elif worker.listing is EndpointState.REMOVED:
-            self.leaving[worker] = None
+            self.removed[worker] = None
 
     def sort(self) -> None:
         """Renew the ring, and the sums in its order."""
-        listed = (worker for worker in self.known if worker not in self.leaving)
+        listed = (worker for worker in self.known if worker not in self.removed)
         ring = sorted(listed, key=lambda worker: (worker.ring_position, worker.name))
         if ring != self.ring:  # else the orders made from it still hold
             self.ring = ring
@@ -86,14 +86,14 @@
         self.serving = dict.fromkeys(worker for worker in ring if worker.listing is EndpointState.SERVING)
         self.size = sum(worker.size for worker in self.serving)
 
-    def forget_departed(self) -> list[Worker]:
+    def forget_removed(self) -> list[Worker]:
         """Forget the workers that left once nothing is under way there, and return them. Guards against a
         long life that grows; one that is back is learned anew.
         """
-        gone = [worker for worker in self.leaving if not worker.in_flight and not worker.awaited]
+        gone = [worker for worker in self.removed if not worker.in_flight and not worker.has_pending_work]
         for worker in gone:
             del self.known[worker]
-            del self.leaving[worker]
+            del self.removed[worker]
             for function in list(worker.replicas):
                 function.drop(worker)
         return gone
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -21,7 +21,7 @@
     good_outcomes: DecayingSum = field(init=False)
     bad_outcomes: DecayingSum = field(init=False)
     ejected: bool = False  # passed over, but for trials
-    ejection_pause: int = 0  # ticks before an ejected worker is tried again
+    ejection_backoff: int = 0  # ticks before an ejected worker is tried again
     next_trial_at: int = 0
     tried_here: bool = True  # this dispatcher tries it; false where others of its fleet do, and tell
     # the record of attempts (attempts.py, outcome_recording.py)
@@ -30,10 +30,10 @@
     ok_answers: DecayingSum = field(init=False)
     in_flight: int = 0  # own attempts there
     warm_attempts: dict[Attempt, bool] = field(default_factory=dict)  # no load before them; oldest first
-    warm_work: int = 0  # ticks that those would take alone, together
+    warm_expected_latency: int = 0  # ticks that those would take alone, together
     silent_since: int | None = None  # a warm attempt of ours waits there, and nothing was heard since
     rejecting_until: int = 0  # it turned something away; none before then, or before its next ok answer
-    customer_barred_until: dict[int, int] = field(default_factory=dict)  # by customer
+    customer_rejected_until: dict[int, int] = field(default_factory=dict)  # by customer
     emptied_at: int = -1  # nothing that was loaded before this moment still stands
     # preloading.py
     functions_loading: int = 0  # functions that own attempts or preloads have loading there
@@ -54,7 +54,7 @@
         self.emptied_at = booted or -1
         self.ejected = False
         self.silent_since = None
-        self.ejection_pause = pause
+        self.ejection_backoff = pause
         self.ring_position = crc32(self.name.encode())
 
     def update(self, info: WorkerInfo) -> None:
@@ -67,11 +67,11 @@
         self.booted = info.booted
 
     @property
-    def awaited(self) -> bool:
+    def has_pending_work(self) -> bool:
         """Whether a preload is without answer there, or a request waits for a load."""
         return any(replica.pending_preloads or replica.waiters for replica in self.replicas.values())
 
-    def latencies_so_far(self, now: int, most: int) -> tuple[float, float]:
+    def latency_sums(self, now: int, most: int) -> tuple[float, float]:
         """Return what its attempts took and would have taken alone, in ticks. Of the oldest `most` that are
         under way, also those that are late count.
         """
@@ -83,14 +83,14 @@
                 isolated = isolated + attempt.expected_latency
         return latency, isolated
 
-    def sent_since(self, then: int) -> float:
+    def weight_sent_since(self, then: int) -> float:
         """Return the weight of what was sent after `then`; what was sent earlier is forgotten."""
         sent = self.sent_in_slow_start
         while sent and sent[0][0] <= then:
             sent.popleft()
         return sum(weight for _, weight in sent)
 
-    def set_memory(self, time_constant: int) -> None:
+    def set_time_constant(self, time_constant: int) -> None:
         """Set how long all that was measured of it is remembered, in ticks."""
         self.latency_sum.time_constant = time_constant
         self.isolated_latency_sum.time_constant = time_constant
@@ -151,7 +151,7 @@
         worker = self.worker
         if not attempt.cold:
             worker.warm_attempts[attempt] = True
-            worker.warm_work += attempt.expected_latency
+            worker.warm_expected_latency += attempt.expected_latency
             if worker.silent_since is None:
                 worker.silent_since = attempt.sent
         self.in_flight += 1
@@ -164,7 +164,7 @@
         """Count an attempt that has ended."""
         worker = self.worker
         if worker.warm_attempts.pop(attempt, None):
-            worker.warm_work -= attempt.expected_latency
+            worker.warm_expected_latency -= attempt.expected_latency
         self.in_flight -= 1
         worker.in_flight -= 1
         if attempt.cold:
@@ -179,7 +179,7 @@
     isolated_latency: float | None = None  # ticks, once enough samples tell (latency_estimates.py)
     # function_order.py
     demand: DecayingSum = field(default_factory=lambda: DecayingSum(1))  # of own requests, weighed by work
-    marks: dict[Worker, float] = field(default_factory=dict)  # the order begins at the lowest
+    scores: dict[Worker, float] = field(default_factory=dict)  # the order begins at the lowest
     order: list[Worker] = field(default_factory=list)
     order_version: int = -1  # of the endpoints that `order` was made from
     prefix: list[Worker] | None = None  # the first workers of the order, where a directory tells them
--- a/lapistrestle/policy/estimates.py
+++ b/lapistrestle/policy/estimates.py
@@ -10,8 +10,8 @@
 
 from lapistrestle.ticks import SECOND
 
-SHORT_MEMORY: Final = 3 * SECOND  # time constant of what must show a fault within its first seconds
-LONG_MEMORY: Final = 10 * SECOND  # time constant of what stands for ordinary operation
+SHORT_TIME_CONSTANT: Final = 3 * SECOND  # time constant of what must show a fault within its first seconds
+LONG_TIME_CONSTANT: Final = 10 * SECOND  # time constant of what stands for ordinary operation
 
 
 @dataclass(slots=True)
--- a/lapistrestle/policy/function_order.py
+++ b/lapistrestle/policy/function_order.py
@@ -14,7 +14,7 @@
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.endpoints import Endpoints
 from lapistrestle.policy.entities import Function, Request, Worker
-from lapistrestle.policy.estimates import LONG_MEMORY, DecayingSum
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, DecayingSum
 from lapistrestle.policy.fleet_guidance import RegionCapacity
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.settings import Settings
@@ -22,9 +22,9 @@
 
 # Part of a worker's even share of all demand that one function is to fill before the order goes on. Guards
 # against homes crowded by dispatchers that do not see each other (docs/design.md, "many front ends").
-FILL: Final = 0.35
-MARK_BYTES: Final = 4  # of the hash that a mark is drawn from: even enough for thousands of workers
-LEAST_SIZE: Final = 1e-9  # guards against a division by a listed size of 0
+TARGET_FILL: Final = 0.35
+SCORE_BYTES: Final = 4  # of the hash that a mark is drawn from: even enough for thousands of workers
+MIN_SIZE: Final = 1e-9  # guards against a division by a listed size of 0
 
 
 class FunctionOrders:
@@ -43,11 +43,11 @@
         self.endpoints = endpoints
         self.capacity = capacity
         self.latency = latency
-        self.demand = DecayingSum(LONG_MEMORY, clock.now)  # of all own requests, weighed by work
+        self.demand = DecayingSum(LONG_TIME_CONSTANT, clock.now)  # of all own requests, weighed by work
 
     def add_demand(self, request: Request, memory_factor: float) -> None:
         """Count the request's work, remembered `memory_factor` times as long as usual."""
-        time_constant = int(LONG_MEMORY * memory_factor)
+        time_constant = int(LONG_TIME_CONSTANT * memory_factor)
         request.function.demand.time_constant = time_constant
         self.demand.time_constant = time_constant
         for demand in (request.function.demand, self.demand):
@@ -70,9 +70,9 @@
         """
         ring = self.endpoints.ring
         for worker in ring:
-            if worker not in function.marks:
-                function.marks[worker] = self.mark(function, worker)
-        marked = sorted(ring, key=function.marks.__getitem__)
+            if worker not in function.scores:
+                function.scores[worker] = self.score(function, worker)
+        marked = sorted(ring, key=function.scores.__getitem__)
         if self.settings.dispatcher_count > len(marked):
             function.order = marked
         else:
@@ -80,13 +80,13 @@
             function.order = ring[first:] + ring[:first]
         function.order_version = self.endpoints.version
 
-    def mark(self, function: Function, worker: Worker) -> float:
+    def score(self, function: Function, worker: Worker) -> float:
         """Return a draw that is the same everywhere, lower for larger workers; the lowest is the home."""
-        digest = blake2b(f"{function.name} {worker.name}".encode(), digest_size=MARK_BYTES).digest()
+        digest = blake2b(f"{function.name} {worker.name}".encode(), digest_size=SCORE_BYTES).digest()
         draw = -log((int.from_bytes(digest) + 1) / (2**32 + 1))
-        return draw if self.settings.size_is_live else draw / max(worker.size, LEAST_SIZE)
+        return draw if self.settings.size_is_live else draw / max(worker.size, MIN_SIZE)
 
-    def order_from_own_part(self, function: Function) -> list[Worker]:
+    def order_from_own_offset(self, function: Function) -> list[Worker]:
         """Return the shared order from where this dispatcher's part of the demand begins, `FILL` of an even
         share a worker. Guards against homes crowded by others; harms where dispatchers are asked unlike.
         """
@@ -96,7 +96,7 @@
         part = place / dispatchers
         now = self.clock.now
         certain = max(0.0, function.demand.read(now) - self.latency.typical(function.method))
-        skip = part * certain / max(self.demand.read(now), 1) * self.capacity.size / FILL
+        skip = part * certain / max(self.demand.read(now), 1) * self.capacity.size / TARGET_FILL
         if function.prefix is not None:
             # no longer prefix for this alone: own share is no measure of the region's
             serving = sum(w.size for w in order if w.listing is EndpointState.SERVING)
@@ -114,4 +114,4 @@
             return  # no order is drawn here
         for function in functions:
             for worker in workers:
-                function.marks.pop(worker, None)
+                function.scores.pop(worker, None)
--- a/lapistrestle/policy/health.py
+++ b/lapistrestle/policy/health.py
@@ -6,23 +6,23 @@
 from typing import Final
 
 from lapistrestle.policy.clock import Clock
-from lapistrestle.policy.endpoints import FIRST_EJECTION_PAUSE, Endpoints
+from lapistrestle.policy.endpoints import INITIAL_EJECTION_BACKOFF, Endpoints
 from lapistrestle.policy.entities import Worker
-from lapistrestle.policy.estimates import LONG_MEMORY, SHORT_MEMORY, DecayingSum
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, SHORT_TIME_CONSTANT, DecayingSum
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.ports import Host
 from lapistrestle.ticks import SECOND
 
 # A worker is ejected when bad outcomes are more than this part of its recent ones, and `FLEET_FACTOR`
 # times the part in all. Guards against ejecting for faults that all workers share.
-BAD_SHARE: Final = 0.35
+MIN_BAD_SHARE: Final = 0.35
 FLEET_FACTOR: Final = 2
-LEAST_BAD: Final = 1.5  # recent bad outcomes at the least: guards against a verdict on one
-MOST_PAUSE: Final = 8 * SECOND  # between trials of an ejected worker; the pause doubles up to this
+MIN_BAD_OUTCOMES: Final = 1.5  # recent bad outcomes at the least: guards against a verdict on one
+MAX_EJECTION_BACKOFF: Final = 8 * SECOND  # between trials of an ejected worker; the pause doubles up to this
 SILENCE_FACTOR: Final = 4  # usual latencies without a word after which a worker is passed over
 # Ticks after which a silent worker with nothing of ours under way is tried again, as is an ejected one that
 # others should have tried. Tried at once it cost 0.03 of a quick figure, after 2 s 0.04, after 10 s 0.015.
-SILENCE_LIMIT: Final = LONG_MEMORY
+SILENCE_RETRY_DELAY: Final = LONG_TIME_CONSTANT
 
 
 class Health:
@@ -33,8 +33,8 @@
         self.clock = clock
         self.endpoints = endpoints
         self.latency = latency
-        self.good_outcomes = DecayingSum(SHORT_MEMORY, clock.now)  # at all workers
-        self.bad_outcomes = DecayingSum(SHORT_MEMORY, clock.now)
+        self.good_outcomes = DecayingSum(SHORT_TIME_CONSTANT, clock.now)  # at all workers
+        self.bad_outcomes = DecayingSum(SHORT_TIME_CONSTANT, clock.now)
         self.ejected_count = 0  # among those that serve
 
     def endpoints_changed(self) -> None:
@@ -58,8 +58,8 @@
         if not worker.ejected:
             self.judge(worker)
         elif sent >= worker.next_trial_at and harm:
-            worker.ejection_pause = min(2 * worker.ejection_pause, MOST_PAUSE)
-            worker.next_trial_at = now + worker.ejection_pause
+            worker.ejection_backoff = min(2 * worker.ejection_backoff, MAX_EJECTION_BACKOFF)
+            worker.next_trial_at = now + worker.ejection_backoff
         elif sent >= worker.next_trial_at:
             self.readmit(worker)
 
@@ -70,9 +70,9 @@
         good = worker.good_outcomes.read(now)
         all_bad = self.bad_outcomes.read(now)
         all_good = self.good_outcomes.read(now)
-        share = max(BAD_SHARE, FLEET_FACTOR * all_bad / max(all_bad + all_good, 1))
-        worker.ejected = bad > LEAST_BAD and bad > share * (bad + good)
-        worker.next_trial_at = now + worker.ejection_pause
+        share = max(MIN_BAD_SHARE, FLEET_FACTOR * all_bad / max(all_bad + all_good, 1))
+        worker.ejected = bad > MIN_BAD_OUTCOMES and bad > share * (bad + good)
+        worker.next_trial_at = now + worker.ejection_backoff
         if worker.ejected:
             self.ejected_count += 1
             self.host.log(f"{worker.name} ejected: {bad:.1f} bad, {good:.1f} good, fleet {all_bad:.0f}")
@@ -85,10 +85,10 @@
         silence = 0 if worker.silent_since is None else now - worker.silent_since
         if silence and silence > SILENCE_FACTOR * self.slowest_typical():
             # with nothing under way it could not break its silence
-            return silence > SILENCE_LIMIT and not worker.in_flight
+            return silence > SILENCE_RETRY_DELAY and not worker.in_flight
         if not worker.ejected:
             return True
-        wait = 0 if worker.tried_here else SILENCE_LIMIT
+        wait = 0 if worker.tried_here else SILENCE_RETRY_DELAY
         return now >= worker.next_trial_at + wait and not worker.in_flight
 
     def slowest_typical(self) -> float:
@@ -99,14 +99,14 @@
         """Others found it healthy, at that tick. Guards against crowds of trials; harms where it fails for us
         alone.
         """
-        ejected_at = worker.next_trial_at - worker.ejection_pause
+        ejected_at = worker.next_trial_at - worker.ejection_backoff
         if worker.ejected and at > ejected_at:
             self.readmit(worker)
 
     def readmit(self, worker: Worker) -> None:
         """Use the worker again as any other."""
         worker.ejected = False
-        worker.ejection_pause = FIRST_EJECTION_PAUSE
-        worker.bad_outcomes = DecayingSum(SHORT_MEMORY)
+        worker.ejection_backoff = INITIAL_EJECTION_BACKOFF
+        worker.bad_outcomes = DecayingSum(SHORT_TIME_CONSTANT)
         self.ejected_count -= 1
         self.host.log(f"{worker.name} healthy again")
--- a/lapistrestle/policy/latency_estimates.py
+++ b/lapistrestle/policy/latency_estimates.py
@@ -9,22 +9,22 @@
 
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.entities import Function, Request
-from lapistrestle.policy.estimates import LONG_MEMORY, DecayingMean
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, DecayingMean
 from lapistrestle.policy.settings import Settings
 
 # Least distance of the bound from the isolated latency, as a factor on it. The paper's latencyThd.
-LEAST_BOUND: Final = 1.15
+MIN_BOUND_FACTOR: Final = 1.15
 # The bound lies this far from the isolated latency to the latency objective. Guards against zones that
 # flap: of thirty skewed latencies the mean strays by more than 15% by chance (docs/design.md, "Changed").
-BOUND_PART: Final = 0.3
+BOUND_FRACTION: Final = 0.3
 # Part of the way that an isolated latency moves to a new median, each renewal. Guards against one odd period.
-RENEWAL: Final = 0.2
+ISOLATED_LATENCY_STEP: Final = 0.2
 # A window needs so many latencies to have a say in the isolated latency.
-LEAST_SAMPLES: Final = 3
+MIN_SAMPLES: Final = 3
 # Before any sample, a method's usual latency is this part of its latency objective.
-FIRST_GUESS: Final = 1 / 4
+INITIAL_LATENCY_FRACTION: Final = 1 / 4
 # Least scale of a request against its method's usual hint. Guards against hints of next to nothing.
-LEAST_SCALE: Final = 0.2
+MIN_SCALE: Final = 0.2
 
 
 class LatencyEstimates:
@@ -34,13 +34,13 @@
         self.settings = settings
         self.clock = clock
         self.by_method = [
-            DecayingMean(LONG_MEMORY) for _ in settings.methods
+            DecayingMean(LONG_TIME_CONSTANT) for _ in settings.methods
         ]  # of ok answers at light own load
-        self.hints_by_method = [DecayingMean(LONG_MEMORY) for _ in settings.methods]  # of hinted work
+        self.hints_by_method = [DecayingMean(LONG_TIME_CONSTANT) for _ in settings.methods]  # of hinted work
 
     def typical(self, method: int) -> float:
         """Return the latency of a usual request of the method alone, in ticks; 1 at the least."""
-        guess = self.settings.methods[method].soft_deadline * FIRST_GUESS
+        guess = self.settings.methods[method].soft_deadline * INITIAL_LATENCY_FRACTION
         return max(1.0, self.by_method[method].read(guess))
 
     def isolated(self, function: Function) -> float:
@@ -55,7 +55,7 @@
         """Return the latency beyond which a worker counts as Unsafe for the function, in ticks."""
         isolated = self.isolated(function)
         objective = self.settings.methods[function.method].soft_deadline
-        return max(LEAST_BOUND * isolated, isolated + BOUND_PART * (objective - isolated))
+        return max(MIN_BOUND_FACTOR * isolated, isolated + BOUND_FRACTION * (objective - isolated))
 
     def objective(self, request: Request) -> int:
         """Return the latency objective of the request, in ticks."""
@@ -63,23 +63,25 @@
         stretched = method.soft_deadline + method.soft_stretch * (request.work or 0)
         return int(min(method.deadline, stretched))
 
-    def take_hint(self, request: Request) -> None:
+    def apply_work_hint(self, request: Request) -> None:
         """Scale the request by its work hint, where it has one."""
         if request.work:
             hints = self.hints_by_method[request.method]
             hints.add(self.clock.now, request.work)
-            request.scale = max(LEAST_SCALE, request.work / hints.read(request.work))
+            request.scale = max(MIN_SCALE, request.work / hints.read(request.work))
 
-    def renew_isolated(self, function: Function) -> None:
+    def update_isolated(self, function: Function) -> None:
         """Move the function's isolated latency to the median window average at light own load."""
         replicas = function.replicas.values()
-        windows = (r.window for r in replicas if len(r.window) >= LEAST_SAMPLES and r.in_flight <= 1)
+        windows = (r.window for r in replicas if len(r.window) >= MIN_SAMPLES and r.in_flight <= 1)
         averages = sorted(sum(window) / len(window) for window in windows)
         if not averages:
             return
         median = averages[len(averages) // 2]
         known = function.isolated_latency
-        function.isolated_latency = median if known is None else known + RENEWAL * (median - known)
+        function.isolated_latency = (
+            median if known is None else known + ISOLATED_LATENCY_STEP * (median - known)
+        )
 
     def learned(self) -> list[tuple[float, float]]:
         """Return for each method the usual latency in ticks and the usual hint: what outlives a restart."""
--- a/lapistrestle/policy/latency_zones.py
+++ b/lapistrestle/policy/latency_zones.py
@@ -15,12 +15,12 @@
 from lapistrestle.policy.types import Zone
 from lapistrestle.ticks import SECOND
 
-WINDOW: Final = 30  # latencies in a window; design page
-BACKOFF: Final = 2 * SECOND  # ticks that Unsafe lasts; design page
+WINDOW_SIZE: Final = 30  # latencies in a window; design page
+UNSAFE_BACKOFF: Final = 2 * SECOND  # ticks that Unsafe lasts; design page
 # A young window is averaged with so many isolated latencies. Guards against a verdict on one heavy request.
 PRIOR_SAMPLES: Final = 2
-QUARTERS: Final = 4  # zones between the isolated latency and the bound; paper
-LEAST_SIZE: Final = 1e-9  # guards against a division by nothing that serves
+ZONE_COUNT: Final = 4  # zones between the isolated latency and the bound; paper
+MIN_SIZE: Final = 1e-9  # guards against a division by nothing that serves
 
 
 class LatencyZones:
@@ -36,7 +36,7 @@
 
     def add_latency(self, replica: FunctionReplica, latency: int) -> None:
         """Add a latency, relative to the work hint, and judge by the window that ends with it."""
-        replica.window = [*replica.window[1 - WINDOW :], latency]
+        replica.window = [*replica.window[1 - WINDOW_SIZE :], latency]
         self.judge(replica)
 
     def judge(self, replica: FunctionReplica) -> None:
@@ -49,13 +49,13 @@
         prior = PRIOR_SAMPLES * self.latency.isolated(function)
         average = (sum(replica.window) + prior) / (len(replica.window) + PRIOR_SAMPLES)
         replica.zone = self.zone_of(function, average)
-        replica.backoff_until = self.clock.now + int(BACKOFF * self.throughput.memory_factor)
+        replica.backoff_until = self.clock.now + int(UNSAFE_BACKOFF * self.throughput.memory_factor)
 
     def zone_of(self, function: Function, average: float) -> Zone:
         """Return the quarter between the isolated latency and the bound that an average latency lies in."""
         isolated = self.latency.isolated(function)
         span = self.latency.bound(function) - isolated
-        return Zone(max(1, min(QUARTERS, 1 + int(QUARTERS * (average - isolated) / span))))
+        return Zone(max(1, min(ZONE_COUNT, 1 + int(ZONE_COUNT * (average - isolated) / span))))
 
     def zone(self, replica: FunctionReplica) -> Zone:
         """Return the worse zone of the function on the worker and of the worker as a whole; Unsafe while that
@@ -75,7 +75,7 @@
         """
         worker = replica.worker
         isolated = self.latency.isolated(replica.function)
-        total, total_isolated = worker.latencies_so_far(self.clock.now, WINDOW)
+        total, total_isolated = worker.latency_sums(self.clock.now, WINDOW_SIZE)
         average = isolated * (total + PRIOR_SAMPLES * isolated) / (total_isolated + PRIOR_SAMPLES * isolated)
         return self.zone_of(replica.function, max(average, self.queueing_time(worker)))
 
@@ -84,9 +84,9 @@
         they come back, or one by one.
         """
         served = self.throughput.rate(worker.ok_answers)
-        share = self.throughput.ok_rate() * worker.size / max(self.endpoints.size, LEAST_SIZE)
+        share = self.throughput.ok_rate() * worker.size / max(self.endpoints.size, MIN_SIZE)
         rate = max(served, share)
         under_way = len(worker.warm_attempts)
         if not under_way:
             return 0.0
-        return under_way / max(rate, under_way / worker.warm_work)
+        return under_way / max(rate, under_way / worker.warm_expected_latency)
--- a/lapistrestle/policy/loaded_copies.py
+++ b/lapistrestle/policy/loaded_copies.py
@@ -4,14 +4,14 @@
 
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.entities import FunctionReplica, Worker
-from lapistrestle.policy.estimates import LONG_MEMORY, DecayingMean
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, DecayingMean
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.throughput import Throughput
 from lapistrestle.policy.types import Outcome
 
 # Usual load times after "not loaded" until a copy is presumed again: others load it meanwhile
 # (docs/design.md, "front ends of their own clients").
-PRESUMED_AFTER: Final = 2
+PRESUMED_AFTER_LOADS: Final = 2
 
 
 class LoadedCopies:
@@ -21,12 +21,12 @@
         self.settings = settings
         self.clock = clock
         self.throughput = throughput
-        self.load_time = DecayingMean(LONG_MEMORY)  # ticks that own preloads took
+        self.load_time = DecayingMean(LONG_TIME_CONSTANT)  # ticks that own preloads took
         # What shows that nothing stands there any more; where "not loaded" would tell, one reset is no
         # restart.
-        self.restart_signs = {Outcome.UNREACHABLE}
+        self.restart_outcomes = {Outcome.UNREACHABLE}
         if not settings.reports_not_loaded:
-            self.restart_signs.add(Outcome.RESET)
+            self.restart_outcomes.add(Outcome.RESET)
 
     def believed(self, replica: FunctionReplica) -> int:
         """Return the copies believed to stand: an idle one goes after the idle timeout, a restart leaves
@@ -38,7 +38,7 @@
             replica.copies = 0
         return replica.copies
 
-    def presumed(self, replica: FunctionReplica) -> bool:
+    def presumed_loaded(self, replica: FunctionReplica) -> bool:
         """Whether others, who share the order, may keep a copy warm: a guess, made by a dispatcher that meets
         workers seldom, and only where a wrong one costs no more than "not loaded".
         """
@@ -46,19 +46,19 @@
             return False
         load_time = replica.function.load or self.load_time.read(self.settings.idle_timeout / 2)
         absent_since = max(replica.not_loaded_at, replica.worker.emptied_at)
-        return self.clock.now - absent_since > PRESUMED_AFTER * load_time
+        return self.clock.now - absent_since > PRESUMED_AFTER_LOADS * load_time
 
-    def note_restart(self, worker: Worker, outcome: Outcome) -> None:
+    def record_restart(self, worker: Worker, outcome: Outcome) -> None:
         """Believe that nothing stands on the worker any more, if the outcome says so."""
-        if outcome in self.restart_signs:
+        if outcome in self.restart_outcomes:
             worker.emptied_at = self.clock.now
 
-    def confirm(self, replica: FunctionReplica) -> None:
+    def record_answer(self, replica: FunctionReplica) -> None:
         """A copy answered."""
         replica.copies = max(self.believed(replica), 1)
         replica.confirmed_at = self.clock.now
 
-    def refute(self, replica: FunctionReplica) -> None:
+    def record_not_loaded(self, replica: FunctionReplica) -> None:
         """None was found there."""
         replica.copies = 0
         replica.not_loaded_at = self.clock.now
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -6,11 +6,11 @@
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.endpoints import Endpoints
 from lapistrestle.policy.entities import FunctionReplica, Request, Worker
-from lapistrestle.policy.estimates import SHORT_MEMORY
+from lapistrestle.policy.estimates import SHORT_TIME_CONSTANT
 from lapistrestle.policy.fleet_guidance import RegionCapacity
 from lapistrestle.policy.health import Health
 from lapistrestle.policy.latency_estimates import LatencyEstimates
-from lapistrestle.policy.latency_zones import BACKOFF, LatencyZones
+from lapistrestle.policy.latency_zones import UNSAFE_BACKOFF, LatencyZones
 from lapistrestle.policy.load_limit import LoadLimit
 from lapistrestle.policy.loaded_copies import LoadedCopies
 from lapistrestle.policy.preloading import Preloading
@@ -22,11 +22,11 @@
 from lapistrestle.ticks import SECOND
 
 # Ticks for which a worker whose queue was full is passed over, at most: queues turn over faster than zones.
-FULL_PAUSE: Final = SECOND // 2
+FULL_QUEUE_BACKOFF: Final = SECOND // 2
 # A rejection within this part of a usual latency says that the queue is full, whatever the customer.
-AT_ONCE: Final = 1 / 4
-LEAST_RATE: Final = 1e-9  # answers a tick; guards against a division by none
-QUEUE_FIGURE: Final = "backlog"  # the figure of a load report that tells requests in wait there
+IMMEDIATE_REJECTION_FRACTION: Final = 1 / 4
+MIN_RATE: Final = 1e-9  # answers a tick; guards against a division by none
+QUEUE_LENGTH_KEY: Final = "backlog"  # the figure of a load report that tells requests in wait there
 
 
 @dataclass(eq=False)
@@ -52,7 +52,7 @@
         """Take in the end of an attempt."""
         worker = replica.worker
         request = attempt.request
-        worker.set_memory(int(SHORT_MEMORY * self.throughput.memory_factor))
+        worker.set_time_constant(int(SHORT_TIME_CONSTANT * self.throughput.memory_factor))
         loaded_first = attempt.cold
         if self.settings.reports_warmth:
             loaded_first = result.load_state is not LoadState.LOADED
@@ -61,9 +61,9 @@
         self.retry_budget.add_result(attempt, outcome)
         if attempt.cold and outcome in (Outcome.OK, Outcome.ERROR, Outcome.TIMED_OUT):
             self.record_load(replica, outcome, result.latency)
-        self.copies.note_restart(worker, outcome)
+        self.copies.record_restart(worker, outcome)
         if outcome is Outcome.NOT_LOADED:
-            self.copies.refute(replica)
+            self.copies.record_not_loaded(replica)
         if outcome is Outcome.REJECTED:
             self.record_rejection(worker, request, result.latency)
         self.record_queue(replica, result)
@@ -81,7 +81,7 @@
         request = attempt.request
         worker = replica.worker
         latencies = self.latency.by_method[request.method]
-        self.copies.confirm(replica)
+        self.copies.record_answer(replica)
         if not loaded_first and attempt.concurrency <= 1:
             latencies.add(now, result.latency)
         if worker.listing is EndpointState.SERVING and latencies.count.value:  # else its work is a guess
@@ -109,24 +109,24 @@
         """
         now = self.clock.now
         only_customer = len(self.settings.customers) <= 1
-        if only_customer or latency < self.latency.typical(request.method) * AT_ONCE:
-            worker.rejecting_until = now + FULL_PAUSE
+        if only_customer or latency < self.latency.typical(request.method) * IMMEDIATE_REJECTION_FRACTION:
+            worker.rejecting_until = now + FULL_QUEUE_BACKOFF
         else:
-            pause = int(BACKOFF * self.throughput.memory_factor)
-            worker.customer_barred_until[request.customer] = now + pause
+            pause = int(UNSAFE_BACKOFF * self.throughput.memory_factor)
+            worker.customer_rejected_until[request.customer] = now + pause
 
     def record_queue(self, replica: FunctionReplica, result: AttemptResult) -> None:
         """Count a reported queue as a latency to come, where own samples are too few: others' requests there,
         over the pace of a worker of its size.
         """
-        if self.throughput.memory_factor <= 1 or QUEUE_FIGURE not in result.load_report:
+        if self.throughput.memory_factor <= 1 or QUEUE_LENGTH_KEY not in result.load_report:
             return
         worker = replica.worker
         all_answers = self.throughput.ok_rate() * self.settings.dispatcher_count
         rate = all_answers * worker.size / (self.capacity.size or 1)
         isolated = self.latency.isolated(replica.function)
         worker.add_latency(
-            self.clock.now, isolated + result.load_report[QUEUE_FIGURE] / max(rate, LEAST_RATE), isolated
+            self.clock.now, isolated + result.load_report[QUEUE_LENGTH_KEY] / max(rate, MIN_RATE), isolated
         )
 
     def record_latency(
--- a/lapistrestle/policy/placement.py
+++ b/lapistrestle/policy/placement.py
@@ -10,7 +10,6 @@
 from lapistrestle.policy.attempts import Attempts
 from lapistrestle.policy.candidates import Candidates
 from lapistrestle.policy.clock import Clock
-from lapistrestle.policy.draws import Draws
 from lapistrestle.policy.entities import FunctionReplica, Request, Worker
 from lapistrestle.policy.function_order import FunctionOrders
 from lapistrestle.policy.latency_estimates import LatencyEstimates
@@ -18,7 +17,8 @@
 from lapistrestle.policy.load_limit import LoadLimit
 from lapistrestle.policy.loaded_copies import LoadedCopies
 from lapistrestle.policy.preloading import Preloading
-from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.request_state import RequestEvent
+from lapistrestle.policy.seeded_random import SeededRandom
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.types import Outcome, Zone
 
@@ -29,7 +29,7 @@
 
     settings: Settings
     clock: Clock
-    draws: Draws
+    rng: SeededRandom
     orders: FunctionOrders
     candidates: Candidates
     latency: LatencyEstimates
@@ -39,12 +39,12 @@
     preloading: Preloading
     attempts: Attempts
 
-    def place(self, request: Request, _: FunctionReplica | None = None) -> Input:
+    def place(self, request: Request, _: FunctionReplica | None = None) -> RequestEvent:
         """Send the request to the first worker of the order with room; else load one further copy on the
         first worker that can take it; else use the worker with the fewest of ours.
         """
         function = request.function
-        order = self.orders.order_from_own_part(function)
+        order = self.orders.order_from_own_offset(function)
         first = next(self.candidates.usable(request, order), None)
         known = [worker for worker in order if worker is first or worker in function.replicas]
         in_use: list[FunctionReplica] = []
@@ -55,14 +55,14 @@
                 return self.send(request, replica)
         return self.place_beyond_capacity(request, order, in_use)
 
-    def send(self, request: Request, replica: FunctionReplica) -> Input:
+    def send(self, request: Request, replica: FunctionReplica) -> RequestEvent:
         """Send the request to the function on a worker."""
         self.attempts.send(request, replica)
-        return Input.SENT
+        return RequestEvent.SENT
 
     def capacity(self, replica: FunctionReplica) -> int:
         """Return how many own requests may be on the function there at once: a lane each, one in Warning."""
-        copies = self.copies.believed(replica) or int(self.copies.presumed(replica))
+        copies = self.copies.believed(replica) or int(self.copies.presumed_loaded(replica))
         zone = self.zones.zone(replica) if copies else Zone.UNSAFE
         if zone is Zone.UNSAFE:
             return 0
@@ -70,7 +70,7 @@
 
     def place_beyond_capacity(
         self, request: Request, order: list[Worker], in_use: list[FunctionReplica]
-    ) -> Input:
+    ) -> RequestEvent:
         """No worker in use has room: load a further copy if all are near the bound, or share what there
         is.
         """
@@ -80,7 +80,7 @@
         zones = [self.zones.zone(r) for r in warm]
         below_unsafe = [r for r, zone in zip(warm, zones, strict=True) if zone is not Zone.UNSAFE]
         below_warning = min(zones, default=Zone.UNSAFE) < Zone.WARNING
-        may_load = self.load_limit.allows(beside_copy=bool(warm))
+        may_load = self.load_limit.allows(copy_exists=bool(warm))
         if not loading and not below_warning and may_load:
             cold = self.candidates.first_without_copy(request, order, to_load=bool(warm or request.attempts))
             if cold and warm:
@@ -91,7 +91,7 @@
         blind = not request.attempts if self.settings.reports_not_loaded else may_load
         return self.place_at_least_busy(request, below_unsafe or warm or loading or (in_use if blind else []))
 
-    def place_at_least_busy(self, request: Request, replicas: list[FunctionReplica]) -> Input:
+    def place_at_least_busy(self, request: Request, replicas: list[FunctionReplica]) -> RequestEvent:
         """Use the worker where the wait is shortest, ties by chance; none where the request would wait past
         what earns its gain, and make others do so.
         """
@@ -101,12 +101,12 @@
         isolated = self.latency.isolated(request.function) * request.scale
         due = min(request.began + self.latency.objective(request), request.deadline)
         if shortest + isolated > due - now:
-            return Input.NOWHERE
+            return RequestEvent.NO_WORKER
         ties = [replica for wait, replica in waits if wait == shortest]
-        replica = ties[self.draws.below(len(ties))]
+        replica = ties[self.rng.randbelow(len(ties))]
         if self.settings.reports_not_loaded and replica.loading and not self.copies.believed(replica):
             replica.waiters.append(request)  # no use before the load has ended
-            return Input.WAITS
+            return RequestEvent.WAITS_FOR_LOAD
         return self.send(request, replica)
 
 
--- a/lapistrestle/policy/preload_budget.py
+++ b/lapistrestle/policy/preload_budget.py
@@ -24,7 +24,7 @@
         self.settings = settings
         self.clock = clock
         self.copies = copies
-        self.crossings = list[int]()  # answered preloads: when each may have crossed, in order
+        self.arrivals = list[int]()  # answered preloads: when each may have crossed, in order
         self.requests = list[int]()  # when each came, in order
         self.pending = 0  # preloads without answer
 
@@ -41,12 +41,12 @@
         now = self.clock.now
         window = settings.preload_window
         delay = settings.preload_delay
-        del self.crossings[: bisect_right(self.crossings, now - window - delay)]
+        del self.arrivals[: bisect_right(self.arrivals, now - window - delay)]
         del self.requests[: bisect_right(self.requests, now - window + delay)]
         if not settings.may_preload:
             return False
         most = part * (settings.preload_free + settings.preload_share * len(self.requests))
-        return not window or len(self.crossings) + self.pending + 1 <= most
+        return not window or len(self.arrivals) + self.pending + 1 <= most
 
     def add_preload(self) -> None:
         """Count a preload that is being sent."""
@@ -56,4 +56,4 @@
         """Count an answered preload from when it may have crossed."""
         self.pending -= 1
         late = duration - TYPICAL_LOADS * self.copies.load_time.read(duration)
-        insort(self.crossings, preload.sent + max(0, int(late)))
+        insort(self.arrivals, preload.sent + max(0, int(late)))
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -13,7 +13,6 @@
 
 from lapistrestle.policy.candidates import Candidates
 from lapistrestle.policy.clock import Clock
-from lapistrestle.policy.draws import Draws
 from lapistrestle.policy.entities import Function, FunctionReplica, PendingPreload, Request, Worker
 from lapistrestle.policy.function_order import FunctionOrders
 from lapistrestle.policy.health import Health
@@ -23,18 +22,21 @@
 from lapistrestle.policy.loaded_copies import LoadedCopies
 from lapistrestle.policy.ports import Host
 from lapistrestle.policy.preload_budget import PreloadBudget
+from lapistrestle.policy.seeded_random import SeededRandom
 from lapistrestle.policy.settings import Settings
 from lapistrestle.policy.types import EndpointState, Outcome, Zone
 from lapistrestle.ticks import SECOND
 
-PERIOD: Final = 5 * SECOND  # between two rounds of a function's upkeep; design page
+MAINTENANCE_PERIOD: Final = 5 * SECOND  # between two rounds of a function's upkeep; design page
 # Part of the preload budget that upkeep may use. Guards the rest, for what requests wait for: under a
 # release all dispatchers miss at once and spend theirs.
-UPKEEP_PART: Final = 0.25
-MOST_COPIES: Final = 16  # of a function that one preload asks for: guards against a count without end
+MAINTENANCE_BUDGET_FRACTION: Final = 0.25
+MAX_COPIES_PER_PRELOAD: Final = (
+    16  # of a function that one preload asks for: guards against a count without end
+)
 # Ticks for which a worker that turned a load away gets none. Guards the budget, and requests in wait;
 # short, as queues of loads turn over fast.
-FULL_QUEUE_PAUSE: Final = SECOND // 2
+FULL_QUEUE_BACKOFF: Final = SECOND // 2
 
 
 @dataclass(eq=False)
@@ -44,7 +46,7 @@
     host: Host
     settings: Settings
     clock: Clock
-    draws: Draws
+    rng: SeededRandom
     orders: FunctionOrders
     latency: LatencyEstimates
     zones: LatencyZones
@@ -55,11 +57,11 @@
     load_limit: LoadLimit
     functions: dict[Function, None] = field(default_factory=dict, init=False)  # whose upkeep has a timer
 
-    def start_upkeep(self, function: Function) -> None:
+    def start_maintenance(self, function: Function) -> None:
         """Begin the upkeep of a function that is called."""
         if function not in self.functions:
             self.functions[function] = None
-            self.host.set_timer(PERIOD, function)
+            self.host.set_timer(MAINTENANCE_PERIOD, function)
 
     def preload(self, replica: FunctionReplica, count: int, part: float = 1.0) -> bool:
         """Ask for so many copies and return True; False where rule 3 (serving workers only), rule 5 (within
@@ -76,7 +78,7 @@
         if load:
             replica.change_loading(1)
             self.load_limit.in_progress += 1
-        self.host.preload(worker, replica.function, min(MOST_COPIES, count))
+        self.host.preload(worker, replica.function, min(MAX_COPIES_PER_PRELOAD, count))
         return True
 
     def finish(self, replica: FunctionReplica, outcome: Outcome, count: int, duration: int) -> None:
@@ -93,14 +95,14 @@
         self.load_limit.record(replica.function, outcome is not Outcome.ERROR, duration)
         if preload.load:
             rejected = outcome is Outcome.REJECTED
-            replica.worker.loads_rejected_until = self.clock.now + FULL_QUEUE_PAUSE if rejected else 0
-        self.believe(replica, outcome, count)
+            replica.worker.loads_rejected_until = self.clock.now + FULL_QUEUE_BACKOFF if rejected else 0
+        self.update_copies(replica, outcome, count)
 
-    def believe(self, replica: FunctionReplica, outcome: Outcome, count: int) -> None:
+    def update_copies(self, replica: FunctionReplica, outcome: Outcome, count: int) -> None:
         """Set what stands there by the answer to a preload."""
         if outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR):
             self.copies.set_count(replica, count)
-        elif outcome in self.copies.restart_signs:
+        elif outcome in self.copies.restart_outcomes:
             replica.worker.emptied_at = self.clock.now
             self.health.record(replica.worker, True, self.clock.now)
         elif outcome is Outcome.RESET:  # the preload itself stands
@@ -115,7 +117,7 @@
         lanes = self.copies.believed(replica) * replica.function.lanes
         if concurrency < lanes or self.load_limit.in_progress >= self.load_limit.limit:
             return
-        order = self.orders.order_from_own_part(replica.function)
+        order = self.orders.order_from_own_offset(replica.function)
         cold = self.candidates.first_without_copy(request, order)
         if cold and not cold.loading:
             self.preload(cold, 1)
@@ -130,13 +132,13 @@
         self.drop_unused(function)
         if not function.replicas:  # what it takes alone is kept, what stands where is learned anew
             del self.functions[function]
-            function.marks = {}
+            function.scores = {}
             function.order = []
             function.order_version = -1
             return
-        self.host.set_timer(PERIOD, function)
+        self.host.set_timer(MAINTENANCE_PERIOD, function)
         if used:
-            self.latency.renew_isolated(function)
+            self.latency.update_isolated(function)
             self.preload_along_order(function, used, self.own_headroom(sum(used.values())))
 
     def drop_unused(self, function: Function) -> None:
@@ -159,7 +161,7 @@
         """
         dispatchers = self.settings.dispatcher_count
         headroom, remainder = divmod(ceil(sqrt(used)), dispatchers)
-        return headroom + (self.draws.below(dispatchers) < remainder)
+        return headroom + (self.rng.randbelow(dispatchers) < remainder)
 
     def preload_along_order(
         self, function: Function, used: dict[FunctionReplica, int], headroom: int
@@ -178,11 +180,11 @@
             count = used.get(replica, 0) + headroom
             headroom = 0
             below_limit = self.load_limit.in_progress < self.load_limit.limit
-            may_load = below_limit and self.load_limit.fleet_allows(beside_copy=True)
+            may_load = below_limit and self.load_limit.fleet_allows(copy_exists=True)
             loads = count > self.copies.believed(replica)
             wanted = may_load if loads else count > used.get(replica, 0)
             if wanted:
-                self.preload(replica, count, UPKEEP_PART)
+                self.preload(replica, count, MAINTENANCE_BUDGET_FRACTION)
 
     def forget(self, workers: Sequence[Worker]) -> None:
         """Drop what the orders of kept functions hold of workers that are gone."""
--- a/lapistrestle/policy/request_state.py
+++ b/lapistrestle/policy/request_state.py
@@ -11,23 +11,23 @@
 from lapistrestle.policy.types import Outcome, State
 
 
-class Input(Enum):
+class RequestEvent(Enum):
     """What happens to a request."""
 
-    ARRIVED = auto()  # from its client
+    RECEIVED = auto()  # from its client
     ADMITTED = auto()  # it may be placed
     SENT = auto()  # an attempt is under way
-    WAITS = auto()  # for a load
-    NOWHERE = auto()  # no worker may have it
+    WAITS_FOR_LOAD = auto()  # for a load
+    NO_WORKER = auto()  # no worker may have it
     OK = auto()  # an attempt was answered well
     NEVER_RAN = auto()  # an attempt ended, and surely did nothing
     MAY_HAVE_RUN = auto()  # an attempt ended, and may have done something
     NOT_LOADED = auto()  # an attempt found no copy
     LOADED = auto()  # the load that it waited for has ended
-    LATE = auto()  # its time is up while it waits
+    WAIT_EXPIRED = auto()  # its time is up while it waits
 
 
-class Effect(Enum):
+class Action(Enum):
     """What is done on the way to the next state."""
 
     NOTHING = auto()
@@ -40,46 +40,48 @@
 
 
 # (state, input): (next state, effect). A pair that is not named cannot happen.
-TRANSITIONS: Final[Mapping[tuple[State, Input], tuple[State, Effect]]] = {
-    (State.NEW, Input.ARRIVED): (State.NEW, Effect.ADMIT),
-    (State.NEW, Input.ADMITTED): (State.PLACING, Effect.PLACE),
-    (State.NEW, Input.NOWHERE): (State.OVER, Effect.REJECT),
-    (State.PLACING, Input.SENT): (State.OUT, Effect.NOTHING),
-    (State.PLACING, Input.WAITS): (State.PARKED, Effect.WAIT_FOR_RETRY),
-    (State.PLACING, Input.NOWHERE): (State.OVER, Effect.REJECT),
-    (State.OUT, Input.OK): (State.OVER, Effect.NOTHING),
-    (State.OUT, Input.NEVER_RAN): (State.PLACING, Effect.RETRY),
-    (State.OUT, Input.MAY_HAVE_RUN): (State.PLACING, Effect.RETRY),
-    (State.OUT, Input.NOT_LOADED): (State.PLACING, Effect.ON_NOT_LOADED),
-    (State.PARKED, Input.LOADED): (State.PLACING, Effect.RETRY),
-    (State.PARKED, Input.LATE): (State.OVER, Effect.REJECT),
+TRANSITIONS: Final[Mapping[tuple[State, RequestEvent], tuple[State, Action]]] = {
+    (State.NEW, RequestEvent.RECEIVED): (State.NEW, Action.ADMIT),
+    (State.NEW, RequestEvent.ADMITTED): (State.PLACING, Action.PLACE),
+    (State.NEW, RequestEvent.NO_WORKER): (State.OVER, Action.REJECT),
+    (State.PLACING, RequestEvent.SENT): (State.OUT, Action.NOTHING),
+    (State.PLACING, RequestEvent.WAITS_FOR_LOAD): (State.PARKED, Action.WAIT_FOR_RETRY),
+    (State.PLACING, RequestEvent.NO_WORKER): (State.OVER, Action.REJECT),
+    (State.OUT, RequestEvent.OK): (State.OVER, Action.NOTHING),
+    (State.OUT, RequestEvent.NEVER_RAN): (State.PLACING, Action.RETRY),
+    (State.OUT, RequestEvent.MAY_HAVE_RUN): (State.PLACING, Action.RETRY),
+    (State.OUT, RequestEvent.NOT_LOADED): (State.PLACING, Action.ON_NOT_LOADED),
+    (State.PARKED, RequestEvent.LOADED): (State.PLACING, Action.RETRY),
+    (State.PARKED, RequestEvent.WAIT_EXPIRED): (State.OVER, Action.REJECT),
 }
 
 # What the end of an attempt means for its request.
-INPUT_OF_OUTCOME: Final[Mapping[Outcome, Input]] = {
-    Outcome.OK: Input.OK,
-    Outcome.ERROR: Input.MAY_HAVE_RUN,
-    Outcome.REJECTED: Input.NEVER_RAN,
-    Outcome.TIMED_OUT: Input.MAY_HAVE_RUN,
-    Outcome.UNREACHABLE: Input.NEVER_RAN,
-    Outcome.RESET: Input.MAY_HAVE_RUN,
-    Outcome.CANCELLED: Input.MAY_HAVE_RUN,
-    Outcome.NOT_SENT: Input.NEVER_RAN,
-    Outcome.NOT_LOADED: Input.NOT_LOADED,
+EVENT_OF_OUTCOME: Final[Mapping[Outcome, RequestEvent]] = {
+    Outcome.OK: RequestEvent.OK,
+    Outcome.ERROR: RequestEvent.MAY_HAVE_RUN,
+    Outcome.REJECTED: RequestEvent.NEVER_RAN,
+    Outcome.TIMED_OUT: RequestEvent.MAY_HAVE_RUN,
+    Outcome.UNREACHABLE: RequestEvent.NEVER_RAN,
+    Outcome.RESET: RequestEvent.MAY_HAVE_RUN,
+    Outcome.CANCELLED: RequestEvent.MAY_HAVE_RUN,
+    Outcome.NOT_SENT: RequestEvent.NEVER_RAN,
+    Outcome.NOT_LOADED: RequestEvent.NOT_LOADED,
 }
 
-Handler = Callable[[Request, FunctionReplica | None], Input | None]
+Handler = Callable[[Request, FunctionReplica | None], RequestEvent | None]
 
 
 class RequestStateMachine:
     """Moves requests along `TRANSITIONS`; `handlers` carry out the effects."""
 
-    def __init__(self, handlers: Mapping[Effect, Handler]) -> None:
+    def __init__(self, handlers: Mapping[Action, Handler]) -> None:
         self.transitions = {
             key: (state, handlers.get(effect)) for key, (state, effect) in TRANSITIONS.items()
         }
 
-    def drive(self, request: Request, given: Input | None, replica: FunctionReplica | None = None) -> None:
+    def handle(
+        self, request: Request, given: RequestEvent | None, replica: FunctionReplica | None = None
+    ) -> None:
         """Move the request by an input, and by those that its effects give, until there is none. `replica`:
         where the input comes from, if from a worker. One that is over takes no input.
         """
--- a/lapistrestle/policy/retries.py
+++ b/lapistrestle/policy/retries.py
@@ -15,7 +15,7 @@
 from lapistrestle.policy.loaded_copies import LoadedCopies
 from lapistrestle.policy.placement import Placement
 from lapistrestle.policy.preloading import Preloading
-from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.request_state import RequestEvent
 from lapistrestle.policy.retry_budget import RetryBudget
 from lapistrestle.policy.settings import Settings
 
@@ -35,23 +35,23 @@
     admission: Admission
     budget: RetryBudget
 
-    def retry(self, request: Request, _: FunctionReplica | None) -> Input:
+    def retry(self, request: Request, _: FunctionReplica | None) -> RequestEvent:
         """Place the request once more, if attempts, time and the retry budget are left."""
-        spent = self.attempts_spent(request) or self.admission.hopeless(request)
+        spent = self.attempts_exhausted(request) or self.admission.cannot_finish_in_time(request)
         allowed = self.budget.allows(request)
         if spent or not allowed:
-            return Input.NOWHERE
+            return RequestEvent.NO_WORKER
         return self.placement.place(request)
 
-    def attempts_spent(self, request: Request) -> bool:
+    def attempts_exhausted(self, request: Request) -> bool:
         """Whether the request has had all its attempts."""
         return len(request.attempts) >= self.settings.attempt_limit
 
-    def on_not_loaded(self, request: Request, replica: FunctionReplica | None) -> Input:
+    def on_not_loaded(self, request: Request, replica: FunctionReplica | None) -> RequestEvent:
         """Try the home, where all dispatchers meet, once; else preload there and have the request wait
         for it, so that it can't overtake the preload, unless a load would come too late.
         """
-        if replica is None or not self.settings.reports_not_loaded or self.attempts_spent(request):
+        if replica is None or not self.settings.reports_not_loaded or self.attempts_exhausted(request):
             return self.retry(request, replica)
         order = self.orders.function_order(request.function)
         # the first that may be used now, also one where nothing was loaded
@@ -60,21 +60,21 @@
             if not self.settings.reports_concurrency:  # else copies are added where requests are told to wait
                 self.preloading.preload(replica, 1)
             return self.placement.send(request, request.function.replica(home))
-        late = self.load_comes_too_late(request)
+        late = self.load_misses_deadline(request)
         if not late and not replica.loading:
             replica = self.candidates.first_without_copy(request, order, not_loaded_too=True) or replica
         if late or not (replica.loading or self.preloading.preload(replica, 1)):
             return self.retry(request, replica)
         replica.waiters.append(request)
-        return Input.WAITS
+        return RequestEvent.WAITS_FOR_LOAD
 
     def may_have_copy(self, request: Request, home: Worker) -> bool:
         """Whether the home may have a copy that others keep, and the request has not been there."""
-        if not self.copies.presumed(request.function.replica(home)):
+        if not self.copies.presumed_loaded(request.function.replica(home)):
             return False
         return not any(attempt.worker is home for attempt in request.attempts)
 
-    def load_comes_too_late(self, request: Request) -> bool:
+    def load_misses_deadline(self, request: Request) -> bool:
         """Whether the client leaves before a load could end and the request be run."""
         load_time = request.function.load or 0
         isolated = self.latency.isolated(request.function) * request.scale
--- a/lapistrestle/policy/retry_budget.py
+++ b/lapistrestle/policy/retry_budget.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.entities import Request
-from lapistrestle.policy.estimates import SHORT_MEMORY, DecayingMean
+from lapistrestle.policy.estimates import SHORT_TIME_CONSTANT, DecayingMean
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.throughput import Throughput
 from lapistrestle.policy.types import Attempt, Outcome
@@ -15,9 +15,9 @@
 
 # Retries for each recent ok answer, where all retries succeed. Guards against retries that multiply an
 # outage.
-RETRIES_FOR_EACH_OK: Final = 1.0
-FREE_RETRIES: Final = 2  # within the short memory, whatever succeeds: a dispatcher at rest may retry too
-FLEET_FREE_RETRIES: Final = 1  # the same where the fleet's budget is told
+RETRIES_PER_OK: Final = 1.0
+MIN_RETRIES: Final = 2  # within the short memory, whatever succeeds: a dispatcher at rest may retry too
+FLEET_MIN_RETRIES: Final = 1  # the same where the fleet's budget is told
 
 
 class RetryBudget:
@@ -27,7 +27,7 @@
         self.clock = clock
         self.fleet = fleet
         self.throughput = throughput
-        self.results = DecayingMean(SHORT_MEMORY)  # of retries: 1 ok, 0 not
+        self.results = DecayingMean(SHORT_TIME_CONSTANT)  # of retries: 1 ok, 0 not
 
     def add_result(self, attempt: Attempt, outcome: Outcome) -> None:
         """Count the attempt if it was a retry. One that met no copy cost nothing and does not count."""
@@ -39,10 +39,10 @@
         now = self.clock.now
         made = self.results.count.read(now)
         ok_answers = self.throughput.ok_answers.read(now)
-        most = FREE_RETRIES + RETRIES_FOR_EACH_OK * ok_answers * self.results.read(1.0)
+        most = MIN_RETRIES + RETRIES_PER_OK * ok_answers * self.results.read(1.0)
         if self.fleet.retries_per_second != inf:
-            fleet_part = self.fleet.retries_per_second * SHORT_MEMORY / SECOND
-            most = min(most, FLEET_FREE_RETRIES + fleet_part)
+            fleet_part = self.fleet.retries_per_second * SHORT_TIME_CONSTANT / SECOND
+            most = min(most, FLEET_MIN_RETRIES + fleet_part)
         if made < most:
             return True
         return all(attempt.outcome is Outcome.NOT_LOADED for attempt in request.attempts)
--- a/lapistrestle/policy/draws.py
+++ b/lapistrestle/policy/seeded_random.py
@@ -3,7 +3,7 @@
 from zlib import crc32
 
 
-class Draws:
+class SeededRandom:
     """Numbers drawn one after the other from a seed."""
 
     __slots__ = ("count", "seed")
@@ -12,7 +12,7 @@
         self.seed = seed
         self.count = 0  # numbers drawn so far
 
-    def below(self, limit: int) -> int:
+    def randbelow(self, limit: int) -> int:
         """Draw a whole number from 0 up to `limit`, which itself is not drawn."""
         self.count += 1
         return crc32(f"{self.seed}:{self.count}".encode()) % max(1, limit)
--- a/lapistrestle/policy/slow_start.py
+++ b/lapistrestle/policy/slow_start.py
@@ -9,7 +9,7 @@
 from lapistrestle.policy.clock import Clock
 from lapistrestle.policy.endpoints import Endpoints
 from lapistrestle.policy.entities import Request, Worker
-from lapistrestle.policy.estimates import LONG_MEMORY, DecayingSum
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, DecayingSum
 from lapistrestle.policy.fleet_guidance import RegionCapacity
 from lapistrestle.policy.latency_estimates import LatencyEstimates
 from lapistrestle.policy.settings import Settings
@@ -18,11 +18,13 @@
 
 # Part of the budget that is used. Guards against sizes and shares of the traffic that are only roughly known,
 # and against a region that grows by two fifths within a second (docs/design.md).
-BUDGET_PART: Final = 0.7
+BUDGET_FRACTION: Final = 0.7
 # Turns that move on by this part of a round come back evenly spread: the golden section.
-GOLDEN_SECTION: Final = 0.618
-SIZE_AGE: Final = SECOND // 10  # ticks for which a sum of warm sizes is used again; guards the cost of it
-LEAST_SIZE: Final = 1e-9  # guards against a division by nothing that serves
+GOLDEN_RATIO_STEP: Final = 0.618
+WARM_SIZE_MAX_AGE: Final = (
+    SECOND // 10
+)  # ticks for which a sum of warm sizes is used again; guards the cost of it
+MIN_SIZE: Final = 1e-9  # guards against a division by nothing that serves
 
 
 class SlowStart:
@@ -44,14 +46,14 @@
         self.latency = latency
         self.throughput = throughput
         self.ok_work = DecayingSum(
-            LONG_MEMORY, clock.now
+            LONG_TIME_CONSTANT, clock.now
         )  # ok answers by work, over the warm size of their time
-        self.own_warm_size = 0.0
-        self.summed_at = -1  # when `own_warm_size` was last renewed; below 0: it must be
+        self.cached_warm_size = 0.0
+        self.warm_size_updated_at = -1  # when `own_warm_size` was last renewed; below 0: it must be
 
     def endpoints_changed(self) -> None:
         """Sum the sizes anew when next asked."""
-        self.summed_at = -1
+        self.warm_size_updated_at = -1
 
     def share(self, worker: Worker, before: int = 0) -> float:
         """Return the part of its capacity that a worker has at the least, or had that many ticks `before`."""
@@ -66,15 +68,15 @@
         if self.region is not None:
             return float(self.region.warm_size)
         now = self.clock.now
-        if self.summed_at < 0 or now - self.summed_at > SIZE_AGE:
-            self.summed_at = now
-            self.own_warm_size = sum(w.size * self.share(w) for w in self.endpoints.serving)
-        return float(self.own_warm_size)
+        if self.warm_size_updated_at < 0 or now - self.warm_size_updated_at > WARM_SIZE_MAX_AGE:
+            self.warm_size_updated_at = now
+            self.cached_warm_size = sum(w.size * self.share(w) for w in self.endpoints.serving)
+        return float(self.cached_warm_size)
 
     def add_ok(self, method: int) -> None:
         """Count an ok answer, over the warm size that serves as it comes."""
         work = self.latency.typical(method)
-        self.ok_work.add(self.clock.now, work / max(self.warm_size(), LEAST_SIZE))
+        self.ok_work.add(self.clock.now, work / max(self.warm_size(), MIN_SIZE))
 
     def weight(self, request: Request) -> float:
         """Return the ticks of work that the request puts on a worker in slow start. Where its function's own
@@ -113,6 +115,6 @@
         typical = self.latency.typical(request.method)
         dispatchers = self.settings.dispatcher_count
         own_place = (self.settings.instance_index + 0.5) / dispatchers
-        turn = (own_place + GOLDEN_SECTION * (now // max(1, window) + worker.ring_position)) % 1
-        sent = worker.sent_since(now - window)
-        return sent + weight * turn <= max(BUDGET_PART * most, typical / dispatchers)
+        turn = (own_place + GOLDEN_RATIO_STEP * (now // max(1, window) + worker.ring_position)) % 1
+        sent = worker.weight_sent_since(now - window)
+        return sent + weight * turn <= max(BUDGET_FRACTION * most, typical / dispatchers)
--- a/lapistrestle/policy/throughput.py
+++ b/lapistrestle/policy/throughput.py
@@ -4,13 +4,13 @@
 from typing import Final
 
 from lapistrestle.policy.clock import Clock
-from lapistrestle.policy.estimates import LONG_MEMORY, SHORT_MEMORY, DecayingMean, DecayingSum
+from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, SHORT_TIME_CONSTANT, DecayingMean, DecayingSum
 from lapistrestle.ticks import SECOND
 
 # Most that memories are stretched: a worker is then remembered as long as what stands for the ordinary.
-MOST_STRETCH: Final = LONG_MEMORY / SHORT_MEMORY
+MAX_TIME_CONSTANT_FACTOR: Final = LONG_TIME_CONSTANT / SHORT_TIME_CONSTANT
 # Least age of an estimate, in ticks. Guards against a pace drawn from the first answers alone.
-LEAST_AGE: Final = SECOND
+MIN_ESTIMATE_AGE: Final = SECOND
 
 
 class Throughput:
@@ -24,14 +24,14 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.ok_answers = DecayingSum(SHORT_MEMORY)
-        self.ok_latency = DecayingMean(SHORT_MEMORY)
+        self.ok_answers = DecayingSum(SHORT_TIME_CONSTANT)
+        self.ok_latency = DecayingMean(SHORT_TIME_CONSTANT)
         self.memory_factor = 1.0
 
     def rate(self, total: DecayingSum) -> float:
         """Return events a tick; a young sum is not yet full."""
         now = self.clock.now
-        filled = 1 - exp(-max(LEAST_AGE, now - self.clock.started) / total.time_constant)
+        filled = 1 - exp(-max(MIN_ESTIMATE_AGE, now - self.clock.started) / total.time_constant)
         return total.read(now) / (total.time_constant * filled)
 
     def ok_rate(self) -> float:
@@ -43,7 +43,9 @@
         self.ok_answers.add(self.clock.now, 1)
         self.ok_latency.add(self.clock.now, latency)
 
-    def renew_memory_factor(self, serving: int) -> None:
+    def update_time_constant_factor(self, serving: int) -> None:
         """Set the factor by how often each of the workers that serve is met."""
-        meetings = SHORT_MEMORY * max(self.rate(self.ok_answers), 1 / LONG_MEMORY) / max(1, serving)
-        self.memory_factor = min(MOST_STRETCH, max(1.0, 1 / meetings))
+        meetings = (
+            SHORT_TIME_CONSTANT * max(self.rate(self.ok_answers), 1 / LONG_TIME_CONSTANT) / max(1, serving)
+        )
+        self.memory_factor = min(MAX_TIME_CONSTANT_FACTOR, max(1.0, 1 / meetings))
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -297,11 +297,11 @@
 def test_the_registry_lets_go_of_functions_of_which_nothing_is_held() -> None:
     registry = ObjectRegistry(20_000)
     kept = registry.function("kept", 0, 1.0, 1)
-    kept.marks[registry.worker("w")] = 1.0
+    kept.scores[registry.worker("w")] = 1.0
     for i in range(3_000):
         registry.function(f"f{i}", 0, 1.0, 1)
     assert len(registry.functions) > 3_000  # the oldest is in use
-    kept.marks.clear()
+    kept.scores.clear()
     for i in range(6_000):
         registry.function(f"g{i}", 0, 1.0, 1)
     assert "kept" not in registry.functions and len(registry.functions) < 1_100
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -125,7 +125,7 @@
     host.change([WorkerInfo("w0", listing=EndpointState.REMOVED, booted=booted)])
     host.change([WorkerInfo("w0", booted=booted)])
     (again,) = host.serving()
-    assert again.sent_since(host.clock.now - 1) == 800.0
+    assert again.weight_sent_since(host.clock.now - 1) == 800.0
 
 
 def test_what_a_worker_was_sent_is_forgotten_once_its_window_has_passed() -> None:
--- a/tests/test_policy_admission.py
+++ b/tests/test_policy_admission.py
@@ -3,7 +3,7 @@
 from helpers import acts, change, dispatcher, request
 
 from lapistrestle.policy.estimates import DecayingSum
-from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.request_state import RequestEvent
 from lapistrestle.policy.settings import CustomerSettings
 
 
@@ -31,7 +31,9 @@
         < (40 - 1 - 2 * 40**0.5) / made.throughput.rate(made.throughput.ok_answers)
         < made.latency.objective(fair)
     )
-    assert made.admit(greedy, None) is Input.NOWHERE and made.admit(fair, None) is Input.ADMITTED
+    assert (
+        made.admit(greedy, None) is RequestEvent.NO_WORKER and made.admit(fair, None) is RequestEvent.ADMITTED
+    )
 
 
 def test_four_rpcs_in_flight_at_a_quiet_front_end_are_no_pressure() -> None:
@@ -42,4 +44,4 @@
     assert made.attempts.warm_count / made.throughput.rate(
         made.throughput.ok_answers
     ) > made.latency.objective(request(made))
-    assert made.admit(request(made), None) is Input.ADMITTED and not made.admission.under_pressure
+    assert made.admit(request(made), None) is RequestEvent.ADMITTED and not made.admission.under_pressure
--- a/tests/test_policy_function_order.py
+++ b/tests/test_policy_function_order.py
@@ -59,6 +59,6 @@
             function.order_version, function.demand = -1, DecayingSum(100_000)
             function.demand.add(made.now, share * 500_000 + made.latency.typical(0))
         made.orders.demand.add(made.now, 500_000)
-        homes.add(made.orders.order_from_own_part(hot)[0].name)
-        assert made.orders.order_from_own_part(seldom)[0] is made.orders.function_order(seldom)[0]
+        homes.add(made.orders.order_from_own_offset(hot)[0].name)
+        assert made.orders.order_from_own_offset(seldom)[0] is made.orders.function_order(seldom)[0]
     assert 10 <= len(homes) <= 12
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -83,7 +83,7 @@
         one.function.replica(new)
         made.on_endpoints([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], snapshot=False)
     assert (
-        made.endpoints.workers == [stays] and len(one.function.marks) < 3 and len(one.function.replicas) < 3
+        made.endpoints.workers == [stays] and len(one.function.scores) < 3 and len(one.function.replicas) < 3
     )
 
 
@@ -102,7 +102,7 @@
     made.attempts.send(one, one.function.replica(home))
     made.now += 1_600
     made.on_attempt_finished(one.attempts[0], Outcome.REJECTED, AttemptResult(1_600))
-    assert (home.customer_barred_until.get(0, 0) > made.now) is closed
+    assert (home.customer_rejected_until.get(0, 0) > made.now) is closed
     made.now += SECOND // 2
     assert (home in made.candidates.usable(request(made), made.endpoints.ring)) is not closed
 
@@ -148,7 +148,7 @@
         1,
     )
     assert not made.health.healthy(worker)
-    made.on_peer_verdict(worker, made.now - worker.ejection_pause)  # from before we judged it
+    made.on_peer_verdict(worker, made.now - worker.ejection_backoff)  # from before we judged it
     assert worker.ejected
     made.now += 10 * SECOND
     assert made.health.healthy(worker)  # nobody told: we try it ourselves
--- a/tests/test_policy_loaded_copies.py
+++ b/tests/test_policy_loaded_copies.py
@@ -15,11 +15,11 @@
     made = front_end_of_many()
     replica = Function("f", load=10_000).replica(made.endpoints.workers[0])
     replica.not_loaded_at = made.now
-    assert not made.copies.presumed(replica)
+    assert not made.copies.presumed_loaded(replica)
     made.now += 20_001
-    assert made.copies.presumed(replica)
+    assert made.copies.presumed_loaded(replica)
     replica.function.load = None
-    assert not made.copies.presumed(replica)
+    assert not made.copies.presumed_loaded(replica)
 
 
 @pytest.mark.parametrize(
@@ -48,6 +48,6 @@
         3.0,
         200_000,
     )
-    assert made.copies.presumed(replica) == guessed
+    assert made.copies.presumed_loaded(replica) == guessed
     replica.not_loaded_at = made.now
-    assert not made.copies.presumed(replica)
+    assert not made.copies.presumed_loaded(replica)
--- a/tests/test_policy_preloading.py
+++ b/tests/test_policy_preloading.py
@@ -4,7 +4,7 @@
 from helpers import acts, change, dispatcher, front_end_of_many, request
 
 from lapistrestle.policy.entities import Function, PendingPreload
-from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.request_state import RequestEvent
 from lapistrestle.policy.types import (
     AttemptResult,
     LoadState,
@@ -36,7 +36,7 @@
         made.on_preload_finished(worker, function, Outcome.OK, 1, took)
     made.now += 20_000  # the first two have left the window, the last crossed 3.2 s ago at the earliest
     made.preloading.preload(function.replica(worker), 1)
-    assert made.preload_budget.crossings == [made.now - 32_000]
+    assert made.preload_budget.arrivals == [made.now - 32_000]
 
 
 def test_an_rpc_that_was_read_late_leaves_the_ration_when_it_does_at_the_socket() -> None:
@@ -130,7 +130,7 @@
     made.now += 2 * made.settings.idle_timeout
     home.pending_preloads.clear()
     made.preloading.maintain_replicas(function)
-    assert function not in made.preloading.functions and not function.marks
+    assert function not in made.preloading.functions and not function.scores
 
 
 def test_an_order_whose_connection_broke_stands_and_its_waiters_go_there() -> None:
@@ -156,7 +156,7 @@
     made.preloading.preload(replica, 1)
     made.on_preload_finished(home, one.function, Outcome.REJECTED, 0, 5)
     assert (
-        not made.preloading.preload(second, 1) and len(made.preload_budget.crossings) == 1
+        not made.preloading.preload(second, 1) and len(made.preload_budget.arrivals) == 1
     )  # the ration is kept for those that may
     one.state = State.OUT
     made.attempts.send(one, replica)
@@ -184,5 +184,5 @@
         made.now + 50_000,
     )
     warm.in_flight = 1  # all that a worker in Warning takes
-    assert made.placement.place(call, None) is Input.SENT
+    assert made.placement.place(call, None) is RequestEvent.SENT
     assert len(acts(made, "preload")) == (not shedding)
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import acts, dispatcher, front_end_of_many, last_act, request, state
 
-from lapistrestle.policy.request_state import Input
+from lapistrestle.policy.request_state import RequestEvent
 from lapistrestle.policy.types import (
     Attempt,
     AttemptResult,
@@ -85,9 +85,9 @@
         1,
     )  # the home is out of use
     one.attempts = [Attempt(one, second, made.now, outcome=Outcome.NOT_LOADED)]
-    assert made.retries.on_not_loaded(one, one.function.replica(second)) is Input.WAITS and not acts(
-        made, "send_attempt"
-    )
+    assert made.retries.on_not_loaded(
+        one, one.function.replica(second)
+    ) is RequestEvent.WAITS_FOR_LOAD and not acts(made, "send_attempt")
     assert [o[1] for o in acts(made, "preload")] == [second]
 
 
@@ -157,5 +157,5 @@
     one = request(made)
     home, second = made.orders.function_order(one.function)[:2]
     one.attempts = [Attempt(one, worker, made.now, outcome=Outcome.NOT_LOADED) for worker in (home, second)]
-    assert made.retries.on_not_loaded(one, one.function.replica(second)) is Input.WAITS
+    assert made.retries.on_not_loaded(one, one.function.replica(second)) is RequestEvent.WAITS_FOR_LOAD
     assert [o[1] for o in acts(made, "preload")] == [home] and one.function.replica(home).waiters == [one]
