--- a/lapistrestle/benchlink/__init__.py
+++ b/lapistrestle/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter between the bench's wire and the decision module. It translates and decides nothing."""
+"""Adapter between a simulator, connected by pipes, and the decision module; it makes no decisions."""
--- a/lapistrestle/benchlink/__main__.py
+++ b/lapistrestle/benchlink/__main__.py
@@ -2,10 +2,10 @@
 
 import sys
 
-from lapistrestle.benchlink.wire import Malformed, serve
+from lapistrestle.benchlink.wire import MalformedBatchError, serve
 
 if __name__ == "__main__":
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except Malformed as trouble:
-        sys.exit(f"benchlink: {trouble}")
+    except MalformedBatchError as error:
+        sys.exit(f"benchlink: {error}")
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -1,4 +1,8 @@
-"""Batches to events, actions to replies; one isolated module instance for each dispatcher."""
+"""Translates between the simulator's JSON batches and the decision module's events and commands.
+
+Each simulated dispatcher has an isolated instance of the module. The simulator counts time in microseconds,
+the module in ticks.
+"""
 
 import traceback
 from collections.abc import Callable, Mapping
@@ -23,85 +27,92 @@
 Fields = Mapping[str, Any]
 
 
-class Malformed(Exception):
-    """A line that is no JSON or no batch."""
+class MalformedBatchError(Exception):
+    """A line that is not JSON, or not a batch of events."""
+
 
+class DispatcherAdapter:
+    """The host of one dispatcher: maps ids to objects in events, and objects to ids in commands.
 
-class Link:
-    """One dispatcher: ids to objects on the way in, objects to ids on the way out."""
+    `cmds` collects the commands of the batch that is being handled.
+    """
 
     def __init__(self, name: str, init: Fields, now: int, cmds: list[dict[str, Any]]) -> None:
         self.name, self.cmds = name, cmds
         settings = init.get("settings") or {}
-        self.report_names = (settings.get("reporting") or {}).get("names") or []
-        self.says_company = bool((settings.get("family-info") or {}).get("says-company"))
+        self.load_report_names = (settings.get("reporting") or {}).get("names") or []
+        self.reports_concurrency = bool((settings.get("family-info") or {}).get("says-company"))
         self.requests: dict[str, Request] = {}
         self.registry = ObjectRegistry()
         self.module = Dispatcher(self, translation.to_settings(settings), int(init.get("rng-seed") or 0), now)
 
-    # what the module asks for (interface.Host)
+    # Host: commands of the module
 
-    def act(self, word: str, **fields: Any) -> None:
-        self.cmds.append({word: {"dispatcher-id": self.name, **fields}})
+    def send_command(self, command: str, **fields: Any) -> None:
+        self.cmds.append({command: {"dispatcher-id": self.name, **fields}})
 
     def send_attempt(self, attempt: Attempt, time_out: int) -> None:
         within = translation.micros(time_out)
-        self.act("Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within})
+        self.send_command(
+            "Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within}
+        )
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
-        self.act("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * MICROSECONDS})
+        self.send_command("Reject", **{"msg-id": request.tag, "not-before-for": retry_after * MICROSECONDS})
 
     def abort(self, request: RequestInfo) -> None:
-        self.act("DropRequest", **{"msg-id": request.tag})
+        self.send_command("DropRequest", **{"msg-id": request.tag})
 
     def cancel(self, attempt: Attempt) -> None:
         request = attempt.request
-        self.act("Abandon", **{"msg-id": request.tag, "round-no": request.attempts.index(attempt)})
+        self.send_command("Abandon", **{"msg-id": request.tag, "round-no": request.attempts.index(attempt)})
 
     def preload(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
-        self.act("Preload", runner=worker.name, image=function.name, number=count)
+        self.send_command("Preload", runner=worker.name, image=function.name, number=count)
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
-        self.act("TakeDown", runner=worker.name, image=function.name)
+        self.send_command("TakeDown", runner=worker.name, image=function.name)
 
     def health_check(self, worker: WorkerInfo) -> None:
-        self.act("Sample", runner=worker.name)
+        self.send_command("Sample", runner=worker.name)
 
     def send_gossip(self, peer: int | None, text: str) -> None:
-        self.act("MemoTo", dst="*" if peer is None else peer, raw=text)
+        self.send_command("MemoTo", dst="*" if peer is None else peer, raw=text)
 
     def set_timer(self, delay: int, token: object) -> None:
-        self.act(
-            "NotifyMe", **{"span": translation.micros(delay), "key-back": self.registry.keep_token(token)}
+        self.send_command(
+            "NotifyMe", **{"span": translation.micros(delay), "key-back": self.registry.store_token(token)}
         )
 
     def watch_endpoints(self) -> None:
-        self.act("Listen", enable=True)
+        self.send_command("Listen", enable=True)
 
-    def extend_prefix(self, function: FunctionInfo) -> None: ...  # the list names every runner
+    def extend_prefix(self, function: FunctionInfo) -> None: ...  # the endpoint list names every runner
 
     def log(self, text: str) -> None:
-        self.act("Log", what=text)
+        self.send_command("Log", what=text)
 
-    # what the wire tells
+    # events of the simulator
 
-    def take(self, word: str, fields: Fields, now: int) -> None:
-        reader = READERS.get(word)
-        if reader is not None:
+    def handle_event(self, event: str, fields: Fields, now: int) -> None:
+        """Pass one event on to the module; an unknown one is ignored."""
+        handler = EVENT_HANDLERS.get(event)
+        if handler is not None:
             self.module.now = now
-            reader(self, fields)
+            handler(self, fields)
 
-    def report(self, row: list[float] | None) -> dict[str, float]:
-        return {name: v for name, v in zip(self.report_names, row or [], strict=False) if v is not None}
+    def load_report(self, row: list[float] | None) -> dict[str, float]:
+        """Return the values of a load report by name; missing ones are left out."""
+        return {name: v for name, v in zip(self.load_report_names, row or [], strict=False) if v is not None}
 
-    def update(self, fields: Fields) -> None:
+    def on_update(self, fields: Fields) -> None:
         kind = fields.get("kind")
         if kind == "failed":
             return self.module.on_endpoints_failed()
-        rows = [(self.registry.worker(r["runner"]), entry(r)) for r in fields.get("records") or []]
+        rows = [(self.registry.worker(r["runner"]), worker_info(r)) for r in fields.get("records") or []]
         self.module.on_endpoints(rows, snapshot=kind != "delta")
 
-    def demand(self, fields: Fields) -> None:
+    def on_demand(self, fields: Fields) -> None:
         name, method = fields.get("image") or "", fields.get("class") or 0
         memory, lanes = fields.get("ram-mb") or 0.0, int(fields.get("width") or 1)
         load = (
@@ -118,14 +129,14 @@
         )
         self.requests[request.tag] = request
         self.module.on_request(request)
-        self.forget(request)
+        self.forget_if_finished(request)
 
-    def under_way(self, fields: Fields) -> None:
+    def on_under_way(self, fields: Fields) -> None:
         request = self.requests.get(fields["msg-id"])
         if request is not None:
             self.module.on_attempt_started(request.attempts[fields["round-no"]])
 
-    def done(self, fields: Fields) -> None:
+    def on_done(self, fields: Fields) -> None:
         request = self.requests.get(fields["msg-id"])
         if request is None:
             return
@@ -136,30 +147,31 @@
             load_state=translation.WARMTH[detail % 8]
             if detail % 8 < len(translation.WARMTH)
             else translation.WARMTH[0],
-            concurrency=detail // 8 if self.says_company else None,
-            load_report=self.report(fields.get("telemetry")),
+            concurrency=detail // 8 if self.reports_concurrency else None,
+            load_report=self.load_report(fields.get("telemetry")),
         )
         self.module.on_attempt_finished(
             request.attempts[fields["round-no"]], translation.OUTCOMES[fields["reason"]], answer
         )
-        self.forget(request)
+        self.forget_if_finished(request)
 
-    def vanished(self, fields: Fields) -> None:
+    def on_vanished(self, fields: Fields) -> None:
         request = self.requests.get(fields["msg-id"])
         if request is not None:
             self.module.on_client_gone(request)
-            self.forget(request)
+            self.forget_if_finished(request)
 
-    def forget(self, request: Request) -> None:
-        if request.over and all(c.outcome is not None for c in request.attempts):
+    def forget_if_finished(self, request: Request) -> None:
+        """Drop a request that has its final answer and no attempt in flight."""
+        if request.over and all(attempt.outcome is not None for attempt in request.attempts):
             self.requests.pop(request.tag, None)
 
-    def fired(self, fields: Fields) -> None:
+    def on_fired(self, fields: Fields) -> None:
         token = self.registry.take_token(fields.get("key-back") or 0)
         if token is not None:
             self.module.on_timer(token)
 
-    def loaded(self, fields: Fields) -> None:
+    def on_loaded(self, fields: Fields) -> None:
         worker, function = (
             self.registry.workers.get(fields["runner"]),
             self.registry.functions.get(fields["image"]),
@@ -168,31 +180,31 @@
             outcome, took = translation.OUTCOMES[fields["reason"]], translation.span(fields.get("took") or 0)
             self.module.on_preload_finished(worker, function, outcome, fields.get("number") or 0, took)
 
-    def probe_result(self, fields: Fields) -> None:
+    def on_probe_result(self, fields: Fields) -> None:
         worker = self.registry.workers.get(fields["runner"])
         if worker is not None:
             outcome, took = translation.OUTCOMES[fields["reason"]], translation.span(fields.get("took") or 0)
-            self.module.on_health_check(worker, outcome, took, self.report(fields.get("telemetry")))
+            self.module.on_health_check(worker, outcome, took, self.load_report(fields.get("telemetry")))
 
-    def datagram(self, fields: Fields) -> None:
+    def on_datagram(self, fields: Fields) -> None:
         self.module.on_gossip(fields.get("src-peer") or 0, fields.get("raw") or "")
 
 
-READERS: dict[str, Callable[[Link, Fields], None]] = {
-    "Update": Link.update,
-    "Demand": Link.demand,
-    "UnderWay": Link.under_way,
-    "Done": Link.done,
-    "Vanished": Link.vanished,
-    "Fired": Link.fired,
-    "Loaded": Link.loaded,
-    "ProbeResult": Link.probe_result,
-    "Datagram": Link.datagram,
+EVENT_HANDLERS: dict[str, Callable[[DispatcherAdapter, Fields], None]] = {
+    "Update": DispatcherAdapter.on_update,
+    "Demand": DispatcherAdapter.on_demand,
+    "UnderWay": DispatcherAdapter.on_under_way,
+    "Done": DispatcherAdapter.on_done,
+    "Vanished": DispatcherAdapter.on_vanished,
+    "Fired": DispatcherAdapter.on_fired,
+    "Loaded": DispatcherAdapter.on_loaded,
+    "ProbeResult": DispatcherAdapter.on_probe_result,
+    "Datagram": DispatcherAdapter.on_datagram,
 }
 
 
-def entry(record: Fields) -> WorkerInfo:
-    """One line of the list."""
+def worker_info(record: Fields) -> WorkerInfo:
+    """Translate one record of the endpoint list."""
     booted, size = record.get("boot-time"), record.get("size")
     return WorkerInfo(
         name=record["runner"],
@@ -205,45 +217,47 @@
     )
 
 
-class Links:
-    """All dispatchers that this process hosts."""
+class Adapter:
+    """All simulated dispatchers of this process, by dispatcher id."""
 
     def __init__(self) -> None:
-        self.links: dict[str, Link] = {}
+        self.dispatchers: dict[str, DispatcherAdapter] = {}
 
     def answer(self, line: bytes) -> bytes:
+        """Handle one batch and return the reply. Raises MalformedBatchError."""
         try:
             batch = orjson.loads(line)
             now, number = translation.moment(batch["clock"]), batch["batch"]
-            happened = list(batch["happened"] or [])
-        except (ValueError, TypeError, KeyError) as trouble:
-            raise Malformed(f"not a batch: {trouble!r}") from None
+            events = list(batch["happened"] or [])
+        except (ValueError, TypeError, KeyError) as error:
+            raise MalformedBatchError(f"not a batch: {error!r}") from None
         cmds: list[dict[str, Any]] = []
-        for event in happened:
+        for event in events:
             if not isinstance(event, dict):
-                raise Malformed("not a batch: an event is no object")
-            for word, fields in event.items():
-                self.pass_on(word, fields or {}, now, cmds)
+                raise MalformedBatchError("not a batch: an event is no object")
+            for name, fields in event.items():
+                self.dispatch_event(name, fields or {}, now, cmds)
         return orjson.dumps({"batch": number, "cmds": cmds})
 
-    def pass_on(self, word: str, fields: Fields, now: int, cmds: list[dict[str, Any]]) -> None:
+    def dispatch_event(self, event: str, fields: Fields, now: int, cmds: list[dict[str, Any]]) -> None:
+        """Hand an event to its dispatcher. An exception becomes an `InternalError`."""
         name = fields.get("dispatcher-id") or ""
         try:
-            if word == "Init":
-                self.links[name] = Link(name, fields, now, cmds)
-            elif word == "CrashNow":
-                self.links.pop(name, None)
-            elif name in self.links:
-                self.links[name].cmds = cmds
-                self.links[name].take(word, fields, now)
+            if event == "Init":
+                self.dispatchers[name] = DispatcherAdapter(name, fields, now, cmds)
+            elif event == "CrashNow":
+                self.dispatchers.pop(name, None)
+            elif name in self.dispatchers:
+                self.dispatchers[name].cmds = cmds
+                self.dispatchers[name].handle_event(event, fields, now)
         except Exception:
             text = traceback.format_exc(limit=-3)
             cmds.append({"InternalError": {"dispatcher-id": name, "what": text}})
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each line until the input ends."""
-    links = Links()
+    """Answer each line of `source` on `sink` until the input ends. Raises MalformedBatchError."""
+    adapter = Adapter()
     for line in source:
-        sink.write(links.answer(line) + b"\n")
+        sink.write(adapter.answer(line) + b"\n")
         sink.flush()
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -20,11 +20,13 @@
         self.open_requests = 0  # requests taken and not yet finally answered
         self.cancel_unsent: Callable[[PendingRequest], None]  # set by the host: `WorkerCalls.cancel_unsent`
 
-    def take(self, pending: PendingRequest) -> None:
+    def accept(self, pending: PendingRequest) -> None:
         """A request has come; whoever calls this posts it to the module."""
         self.open_requests += 1
-        self.context.counts[Counter.TAKEN] += 1
-        pending.deadline_guard = self.context.timers.at(pending.deadline + self.slack, self.overdue, pending)
+        self.context.counts[Counter.RECEIVED] += 1
+        pending.deadline_guard = self.context.timers.at(
+            pending.deadline + self.slack, self.on_deadline_overdue, pending
+        )
 
     def finish(
         self, pending: PendingRequest, verdict: RequestEnd, retry_after: int = 0, body: Any = None
@@ -67,10 +69,10 @@
                 self.finish(pending, RequestEnd.ABORTED)
                 self.events.post(pending, "on_client_gone", pending)
 
-    def overdue(self, pending: PendingRequest) -> None:
+    def on_deadline_overdue(self, pending: PendingRequest) -> None:
         """Guards rule 1 where the module let a deadline pass, by error or in an unforeseen state."""
         if not pending.final:
-            self.context.counts[Counter.GUARDED] += 1
+            self.context.counts[Counter.DEADLINES_ENFORCED] += 1
             self.context.transport.log("deadline guarded", request=pending.tag, state=str(pending.state))
             self.finish(pending, RequestEnd.ABORTED)
             self.events.post(pending, "on_client_gone", pending)
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -22,13 +22,13 @@
     seconds by which `module_seconds` is measured.
     """
 
-    def __init__(self, context: HostContext, on_fault: Callable[[PendingRequest], None]) -> None:
+    def __init__(self, context: HostContext, on_error: Callable[[PendingRequest], None]) -> None:
         self.context = context
-        self.on_fault = on_fault
+        self.on_error = on_error
         self.module: Events  # set by the host, which the module is made from
-        self.waiting: deque[tuple[PendingRequest | None, str, tuple[Any, ...]]] = deque()
+        self.queue: deque[tuple[PendingRequest | None, str, tuple[Any, ...]]] = deque()
         # arguments of `on_endpoints`, which go before all else
-        self.waiting_lists: deque[tuple[Any, ...]] = deque()
+        self.queued_endpoints: deque[tuple[Any, ...]] = deque()
         self.is_delivering = False
         self.finished: list[PendingRequest] = []  # over, and none of their attempts in flight
         self.module_seconds = 0.0
@@ -36,16 +36,16 @@
 
     def post(self, pending: PendingRequest | None, event: str, *args: Any) -> None:
         """Deliver an event (a method of `interface.Events`) after those that wait already."""
-        self.waiting.append((pending, event, args))
+        self.queue.append((pending, event, args))
         if not self.is_delivering:
             self.is_delivering = True
             self.deliver()
 
-    def post_list(self, *args: Any) -> None:
+    def post_endpoints(self, *args: Any) -> None:
         """Deliver `on_endpoints` before whatever waits: what came in the same look is then placed by the
         newest list (rule 3).
         """
-        self.waiting_lists.append(args)
+        self.queued_endpoints.append(args)
         if not self.is_delivering:
             self.is_delivering = True
             self.deliver()
@@ -66,16 +66,16 @@
 
     def deliver(self) -> None:
         """Deliver all that waits."""
-        if not self.waiting and not self.waiting_lists:
+        if not self.queue and not self.queued_endpoints:
             self.is_delivering = False
             return
         began = self.stopwatch() if self.stopwatch else 0.0
         try:
-            while self.waiting_lists or self.waiting:
-                if self.waiting_lists:
-                    self.deliver_one(None, "on_endpoints", self.waiting_lists.popleft())
+            while self.queued_endpoints or self.queue:
+                if self.queued_endpoints:
+                    self.deliver_one(None, "on_endpoints", self.queued_endpoints.popleft())
                 else:
-                    self.deliver_one(*self.waiting.popleft())
+                    self.deliver_one(*self.queue.popleft())
         finally:
             self.is_delivering = False
         for pending in self.finished:
@@ -94,11 +94,11 @@
         try:
             getattr(self.module, event)(*args)
         except Exception:
-            self.fault(pending, event, args)
+            self.handle_error(pending, event, args)
 
-    def fault(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
+    def handle_error(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
         """The module raised: the request at hand is answered at once, and the program goes on."""
-        self.context.counts[Counter.FAULTS] += 1
+        self.context.counts[Counter.ERRORS] += 1
         self.context.transport.log(
             "module raised",
             input=event,
@@ -108,7 +108,7 @@
         if pending is not None and not pending.final:
             pending.state = type(pending.state).OVER
             pending.over = True
-            self.on_fault(pending)
+            self.on_error(pending)
 
 
 def described(argument: object) -> str:
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -58,7 +58,7 @@
         seed: int,
         clock: Callable[[], int],
         slack: int = 0,
-        make: Callable[..., Any] = Dispatcher,
+        make_module: Callable[..., Any] = Dispatcher,
         max_functions: int = MAX_FUNCTIONS,
         fleet: FleetGuidance | None = None,
     ) -> None:
@@ -69,15 +69,19 @@
         self.timers = Timers()
         self.counts = dict.fromkeys(COUNTERS, 0)
         context = HostContext(transport, settings, clock, self.timers, self.counts)
-        self.events = EventQueue(context, self.abort_after_fault)
+        self.events = EventQueue(context, self.abort_after_error)
         self.answers = FinalAnswers(context, self.events, slack)
         self.calls = WorkerCalls(context, self.events, self.answers)
         self.answers.cancel_unsent = self.calls.cancel_unsent
         self.worker_tasks = WorkerTasks(context, self.events)
         self.last_number = 0
-        self.removed: dict[str, None] = {}  # that the list names no more, and that the registry may have
-        self.undelivered: set[str] = set()  # named as there by lists that the module may not have heard yet
-        self.module = self.events.module = make(self, settings, seed, clock(), fleet)
+        self.removed_workers: dict[
+            str, None
+        ] = {}  # that the list names no more, and that the registry may have
+        self.undelivered_workers: set[str] = (
+            set()
+        )  # named as there by lists that the module may not have heard yet
+        self.module = self.events.module = make_module(self, settings, seed, clock(), fleet)
 
     @property
     def open_requests(self) -> int:
@@ -137,7 +141,7 @@
         )
         pending.client, pending.message, pending.route = client, message, route
         pending.prior_attempts = prior_attempts
-        self.answers.take(pending)
+        self.answers.accept(pending)
         if awaits_prefix:
             pending.began, pending.came = now, now if arrived_at is None else arrived_at
         else:
@@ -161,7 +165,7 @@
         """Answer these at once: the program ends."""
         self.answers.abort_all(requests)
 
-    def abort_after_fault(self, pending: PendingRequest) -> None:
+    def abort_after_error(self, pending: PendingRequest) -> None:
         """The module raised over it."""
         self.answers.finish(pending, RequestEnd.ABORTED)
 
@@ -205,14 +209,14 @@
 
     def endpoints_received(self, entries: Sequence[WorkerInfo], is_snapshot: bool) -> None:
         """Entries of the list of workers; `is_snapshot` if it names them all."""
-        if not self.events.waiting_lists:
-            self.undelivered.clear()
-        self.undelivered.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
-        self.events.post_list([(self.registry.worker(e.name), e) for e in entries], is_snapshot)
+        if not self.events.queued_endpoints:
+            self.undelivered_workers.clear()
+        self.undelivered_workers.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
+        self.events.post_endpoints([(self.registry.worker(e.name), e) for e in entries], is_snapshot)
         if is_snapshot:
-            self.removed = dict.fromkeys(self.registry.workers)
-        self.removed.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
-        if self.removed:
+            self.removed_workers = dict.fromkeys(self.registry.workers)
+        self.removed_workers.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
+        if self.removed_workers:
             self.forget_removed_workers()
 
     def forget_removed_workers(self) -> None:
@@ -224,7 +228,7 @@
         workers = self.registry.workers
         left = [
             workers[name]
-            for name in self.removed
+            for name in self.removed_workers
             if name in workers and workers[name].listing is EndpointState.REMOVED
         ]
         since = self.clock() - self.settings.overload_window
@@ -233,14 +237,14 @@
             for worker in left
             if worker.in_flight
             or worker in held
-            or worker.name in self.undelivered
-            or worker.sent_since(since)
+            or worker.name in self.undelivered_workers
+            or worker.weight_sent_since(since)
         }
         for worker in left:
             if worker.name not in stay:
                 del workers[worker.name]
         if not self.events.is_delivering:  # else the module may not have heard yet that they are gone
-            self.removed = stay
+            self.removed_workers = stay
 
     def prefix_received(self, function: Function, names: Sequence[str]) -> None:
         """The first workers of a function's order; each was listed before."""
@@ -305,9 +309,9 @@
 
     def set_timer(self, delay: int, token: object) -> None:
         """Give the token back after so long, by its `on_timer`."""
-        self.timers.at(self.clock() + max(1, delay), self.timer_due, token)
+        self.timers.at(self.clock() + max(1, delay), self.on_timer_due, token)
 
-    def timer_due(self, token: object) -> None:
+    def on_timer_due(self, token: object) -> None:
         """A wake-up that the module asked for is due."""
         self.events.post(token if isinstance(token, PendingRequest) else None, "on_timer", token)
 
--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -49,11 +49,11 @@
         """Evict up to two for each new one, so that what had grown shrinks again."""
         for _ in range(2):
             oldest = next(iter(self.functions.values()))
-            held = oldest.replicas or oldest.marks
+            held = oldest.replicas or oldest.scores
             if len(self.functions) > (most if held else min(self.idle, most)):
                 del self.functions[oldest.name]
 
-    def keep_token(self, token: object) -> int:
+    def store_token(self, token: object) -> int:
         """A number for the token, to be given back when it is due."""
         self.last_token += 1
         self.tokens[self.last_token] = token
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -23,19 +23,19 @@
 class Counter(StrEnum):
     """What else the last log line counts, under these names."""
 
-    TAKEN = "taken"  # requests
+    RECEIVED = "taken"  # requests
     UNMATCHED = "stray"  # replies to what is not in flight
-    FAULTS = "faults"  # errors that the module raised
-    GUARDED = "guarded"  # requests whose deadline the module let pass
+    ERRORS = "faults"  # errors that the module raised
+    DEADLINES_ENFORCED = "guarded"  # requests whose deadline the module let pass
 
 
 # in the order of the log line
 COUNTERS: tuple[str, ...] = (
-    Counter.TAKEN.value,
+    Counter.RECEIVED.value,
     *(end.value for end in RequestEnd),
     Counter.UNMATCHED.value,
-    Counter.FAULTS.value,
-    Counter.GUARDED.value,
+    Counter.ERRORS.value,
+    Counter.DEADLINES_ENFORCED.value,
 )
 
 
--- a/lapistrestle/hosting/timers.py
+++ b/lapistrestle/hosting/timers.py
@@ -15,10 +15,10 @@
 
     def stop(self) -> None:
         """Have it never fire."""
-        self.call, self.arg = _nothing, None  # drops what it holds, though its place in the heap stays
+        self.call, self.arg = _do_nothing, None  # drops what it holds, though its place in the heap stays
 
 
-def _nothing(_: object) -> None: ...
+def _do_nothing(_: object) -> None: ...
 
 
 class Timers:
@@ -37,7 +37,7 @@
 
     def next(self) -> int | None:
         """When the next one is due; stopped ones are dropped on the way."""
-        while self.heap and self.heap[0][2].call is _nothing:
+        while self.heap and self.heap[0][2].call is _do_nothing:
             heappop(self.heap)
         return self.heap[0][0] if self.heap else None
 
--- a/lapistrestle/hosting/turns.py
+++ b/lapistrestle/hosting/turns.py
@@ -8,39 +8,39 @@
 from enum import Enum, auto
 
 
-class Pace(Enum):
+class LoopState(Enum):
     """Whether the loop keeps up with its timers, or catches up after a standstill."""
 
-    STEADY = auto()
-    BEHIND = auto()
+    ON_SCHEDULE = auto()
+    CATCHING_UP = auto()
 
 
-class Turn(Enum):
+class Iteration(Enum):
     """What one turn of the reactor shows."""
 
     ON_TIME = auto()
-    LATE = auto()  # the earliest timer is overdue by more than a standstill
+    OVERDUE = auto()  # the earliest timer is overdue by more than a standstill
     INPUT = auto()  # something was read since the last turn
-    QUIET = auto()  # nothing was
+    NO_INPUT = auto()  # nothing was
     LIMIT = auto()  # timers have waited as many turns as they may
 
 
-class Verdict(Enum):
+class TimerAction(Enum):
     """What is done with the timers that are due."""
 
     FIRE = auto()
-    WAIT = auto()
+    DEFER = auto()
 
 
-STANDSTILL = 50  # tenths of a millisecond; a turn that comes later than this stood still
-MAX_WAITED_TURNS = 20  # turns
+STALL_THRESHOLD = 50  # tenths of a millisecond; a turn that comes later than this stood still
+MAX_DEFERRED_ITERATIONS = 20  # turns
 
-TRANSITIONS: dict[tuple[Pace, Turn], tuple[Pace, Verdict]] = {
-    (Pace.STEADY, Turn.ON_TIME): (Pace.STEADY, Verdict.FIRE),
-    (Pace.STEADY, Turn.LATE): (Pace.BEHIND, Verdict.WAIT),
-    (Pace.BEHIND, Turn.INPUT): (Pace.BEHIND, Verdict.WAIT),
-    (Pace.BEHIND, Turn.QUIET): (Pace.STEADY, Verdict.FIRE),
-    (Pace.BEHIND, Turn.LIMIT): (Pace.STEADY, Verdict.FIRE),
+TRANSITIONS: dict[tuple[LoopState, Iteration], tuple[LoopState, TimerAction]] = {
+    (LoopState.ON_SCHEDULE, Iteration.ON_TIME): (LoopState.ON_SCHEDULE, TimerAction.FIRE),
+    (LoopState.ON_SCHEDULE, Iteration.OVERDUE): (LoopState.CATCHING_UP, TimerAction.DEFER),
+    (LoopState.CATCHING_UP, Iteration.INPUT): (LoopState.CATCHING_UP, TimerAction.DEFER),
+    (LoopState.CATCHING_UP, Iteration.NO_INPUT): (LoopState.ON_SCHEDULE, TimerAction.FIRE),
+    (LoopState.CATCHING_UP, Iteration.LIMIT): (LoopState.ON_SCHEDULE, TimerAction.FIRE),
 }
 
 
@@ -48,17 +48,17 @@
     """One verdict for each turn of the reactor in which a timer is due."""
 
     def __init__(self) -> None:
-        self.pace, self.waited, self.inputs = Pace.STEADY, 0, 0
+        self.state, self.deferred_iterations, self.inputs = LoopState.ON_SCHEDULE, 0, 0
 
     def may_fire(self, now: int, due: int, inputs: int) -> bool:
         """`due`: when the earliest timer was due; `inputs`: inputs so far, a running count."""
-        if self.pace is Pace.STEADY:
-            turn = Turn.LATE if now - due > STANDSTILL else Turn.ON_TIME
-        elif self.waited >= MAX_WAITED_TURNS:
-            turn = Turn.LIMIT
+        if self.state is LoopState.ON_SCHEDULE:
+            iteration = Iteration.OVERDUE if now - due > STALL_THRESHOLD else Iteration.ON_TIME
+        elif self.deferred_iterations >= MAX_DEFERRED_ITERATIONS:
+            iteration = Iteration.LIMIT
         else:
-            turn = Turn.QUIET if inputs == self.inputs else Turn.INPUT
-        self.pace, verdict = TRANSITIONS[self.pace, turn]
-        self.waited = self.waited + 1 if verdict is Verdict.WAIT else 0
+            iteration = Iteration.NO_INPUT if inputs == self.inputs else Iteration.INPUT
+        self.state, action = TRANSITIONS[self.state, iteration]
+        self.deferred_iterations = self.deferred_iterations + 1 if action is TimerAction.DEFER else 0
         self.inputs = inputs
-        return verdict is Verdict.FIRE
+        return action is TimerAction.FIRE
--- a/tests/test_behaviour.py
+++ b/tests/test_behaviour.py
@@ -1,4 +1,4 @@
-"""What the program does, byte for byte, as at d027b98 (`tests/data/README.md` says when these change)."""
+"""Recorded behaviour, byte for byte, as at d027b98 (`tests/data/README.md` says when these change)."""
 
 import json
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 import pytest
 from click.testing import CliRunner
 
-from lapistrestle.benchlink.wire import Links
+from lapistrestle.benchlink.wire import Adapter
 from lapistrestle.command.main import main
 
 DATA = Path(__file__).parent / "data"
@@ -18,15 +18,15 @@
 
 
 def adapter() -> Callable[[bytes], bytes]:
-    """One that has heard nothing yet."""
-    return Links().answer
+    """Return the reply function of a new adapter."""
+    return Adapter().answer
 
 
-def played(seed: str, folder: Path) -> bytes:
-    """The tape of the short day under a seed."""
+def run_day(seed: str, folder: Path) -> bytes:
+    """Run the short day under a seed and return its tape."""
     tape = folder / "tape"
-    words = ("day", "run", str(DAY), "--virtual", "--no-check", "--seed", seed, "--tape", str(tape))
-    result = CliRunner().invoke(main, words)
+    arguments = ("day", "run", str(DAY), "--virtual", "--no-check", "--seed", seed, "--tape", str(tape))
+    result = CliRunner().invoke(main, arguments)
     assert result.exit_code == 0, result.output
     return tape.read_bytes()
 
@@ -43,9 +43,9 @@
 
 
 def test_the_session_has_every_event_and_most_commands() -> None:
-    said = [json.loads(line) for line in SESSION.read_bytes().splitlines()]
-    events = {word for batch in said[::2] for event in batch["happened"] for word in event}
-    commands = {word for batch in said[1::2] for command in batch["cmds"] for word in command}
+    batches = [json.loads(line) for line in SESSION.read_bytes().splitlines()]
+    events = {name for batch in batches[::2] for event in batch["happened"] for name in event}
+    commands = {name for batch in batches[1::2] for command in batch["cmds"] for name in command}
     assert events == {
         "Init",
         "Update",
@@ -62,4 +62,4 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_short_day_gives_the_same_tape(seed: str, tmp_path: Path) -> None:
-    assert digest(played(seed, tmp_path)) == json.loads(TAPES.read_text())[seed]
+    assert digest(run_day(seed, tmp_path)) == json.loads(TAPES.read_text())[seed]
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: the codec in both directions."""
+"""The adapter between the simulator's batches and the decision module, in both directions."""
 
 import io
 from typing import Any
@@ -7,7 +7,7 @@
 import pytest
 from helpers import SETTINGS
 
-from lapistrestle.benchlink.wire import Links, Malformed, serve
+from lapistrestle.benchlink.wire import Adapter, MalformedBatchError, serve
 from lapistrestle.deployment import translation
 
 D = {"dispatcher-id": "dispatcher/0"}
@@ -17,37 +17,37 @@
 DEMAND = {"Demand": {**D, "msg-id": "r-1", "class": 0, "image": "h:f", "not-after": 3_000_050, "odd": 1}}
 
 
-def say(links: Links, clock: int, *events: dict[str, Any]) -> list[dict[str, Any]]:
+def send(adapter: Adapter, clock: int, *events: dict[str, Any]) -> list[dict[str, Any]]:
     line = orjson.dumps({"clock": clock, "batch": 3, "happened": list(events)})
-    reply = orjson.loads(links.answer(line))
+    reply = orjson.loads(adapter.answer(line))
     assert reply["batch"] == 3
     return [cmd for cmd in reply["cmds"] if "NotifyMe" not in cmd]
 
 
 def test_a_demand_becomes_a_relay_that_never_outlasts_its_deadline() -> None:
-    (relay,) = say(Links(), 10, INIT, LIST, DEMAND)
+    (relay,) = send(Adapter(), 10, INIT, LIST, DEMAND)
     fields = relay["Relay"]
     assert fields["msg-id"] == "r-1" and fields["runner"] == "runner.a"
     assert 0 < fields["within"] <= 3_000_050 - 10
 
 
-def test_stop_forgets_and_late_news_passes_over() -> None:
-    links = Links()
-    say(links, 10, INIT, LIST, DEMAND)
+def test_a_crash_forgets_all_and_late_or_unknown_events_are_ignored() -> None:
+    adapter = Adapter()
+    send(adapter, 10, INIT, LIST, DEMAND)
     late = {"Done": {**D, "msg-id": "r-1", "round-no": 0, "runner": "runner.a", "reason": "S", "took": 5}}
     timer = {"Fired": {**D, "key-back": 99}}
-    assert say(links, 20, {"CrashNow": D}, INIT, late, timer, {"Odd": D}) == []
+    assert send(adapter, 20, {"CrashNow": D}, INIT, late, timer, {"Odd": D}) == []
 
 
 def test_an_exception_in_the_module_is_reported_for_its_instance() -> None:
-    (fault,) = say(Links(), 10, INIT, {"Demand": {**D, "class": 0}})
+    (fault,) = send(Adapter(), 10, INIT, {"Demand": {**D, "class": 0}})
     told = fault["InternalError"]
     assert told["dispatcher-id"] == "dispatcher/0" and "msg-id" in told["what"]
 
 
 @pytest.mark.parametrize("line", [b"no\n", b"[]\n", b'{"clock":1}', b'{"clock":1,"batch":2,"happened":[3]}'])
-def test_what_is_no_batch_ends_with_a_plain_message(line: bytes) -> None:
-    with pytest.raises(Malformed, match="not a batch"):
+def test_a_line_that_is_no_batch_ends_with_a_plain_message(line: bytes) -> None:
+    with pytest.raises(MalformedBatchError, match="not a batch"):
         serve(io.BytesIO(line), io.BytesIO())
 
 
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -167,7 +167,7 @@
 
 def test_a_module_that_raises_over_a_list_is_logged_and_the_program_goes_on(clock: Clock) -> None:
     """As it was: the log line showed a worker whose sums were not set up yet, and that raised in turn."""
-    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=BrokenAtList)
+    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make_module=BrokenAtList)
     hosting.endpoints_received([WorkerInfo(f"w{i}") for i in range(9)], is_snapshot=True)
     assert hosting.counts["faults"] == 1
     assert [act[0] for act in recorded(hosting).of("log")] == ["module raised"]
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("at", ["on_request", "record"])
 def test_a_module_that_raises_costs_its_rpc_alone(clock: Clock, at: str) -> None:
-    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make=Broken)
+    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, make_module=Broken)
     hosting.endpoints_received([WorkerInfo("w")], is_snapshot=True)
     hosting.module.at = at
     ask(hosting)
@@ -208,7 +208,9 @@
         def on_request(self, request: Request) -> None:
             pass
 
-    hosting = ModuleHost(Recorder(), translation.to_settings(SETTINGS), 7, clock, slack=50, make=Asleep)
+    hosting = ModuleHost(
+        Recorder(), translation.to_settings(SETTINGS), 7, clock, slack=50, make_module=Asleep
+    )
     ask(hosting)
     clock.now += 30_049
     hosting.fire_timers()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,12 +1,12 @@
 """Timers after a stand-still: late ones wait for the input that was there before them."""
 
 from lapistrestle.hosting.timers import Timers
-from lapistrestle.hosting.turns import MAX_WAITED_TURNS, STANDSTILL, Turns
+from lapistrestle.hosting.turns import MAX_DEFERRED_ITERATIONS, STALL_THRESHOLD, Turns
 
 
 def test_timers_on_time_fire_at_once() -> None:
     turns = Turns()
-    assert turns.may_fire(1_000, 1_000, 0) and turns.may_fire(2_000 + STANDSTILL, 2_000, 9)
+    assert turns.may_fire(1_000, 1_000, 0) and turns.may_fire(2_000 + STALL_THRESHOLD, 2_000, 9)
 
 
 def test_late_timers_wait_until_nothing_more_is_heard() -> None:
@@ -17,8 +17,8 @@
 
 def test_input_without_end_does_not_hold_timers_for_ever() -> None:
     turns = Turns()
-    fired = [turns.may_fire(9_000, 1_000, heard) for heard in range(MAX_WAITED_TURNS + 2)]
-    assert fired.index(True) == MAX_WAITED_TURNS
+    fired = [turns.may_fire(9_000, 1_000, heard) for heard in range(MAX_DEFERRED_ITERATIONS + 2)]
+    assert fired.index(True) == MAX_DEFERRED_ITERATIONS
 
 
 def test_timers_come_in_order_and_stopped_ones_not_at_all() -> None:
