--- a/lapistrestle/policy/admission.py
+++ b/lapistrestle/policy/admission.py
@@ -1,7 +1,7 @@
-"""Admission under overload: what is turned away at once, before any attempt.
+"""Admission control: requests that are rejected before any attempt.
 
-Pressure is the sojourn time by Little's law: requests under way over the pace at which they come back.
-Traffic beyond a customer's quota yields first (docs/design.md, "Denials").
+Pressure is measured as the sojourn time by Little's law: requests in flight over the rate of answers. Traffic
+beyond a customer's quota is rejected first (docs/design.md, "Denials").
 """
 
 from math import sqrt
@@ -19,18 +19,18 @@
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.ticks import SECOND
 
-# Parts of the latency objective at which a sojourn time begins and ceases to be pressure. Apart, so that
-# it does not flap.
+# Fractions of the latency objective at which a sojourn time starts and stops to count as pressure; the gap
+# between them avoids flapping.
 PRESSURE_ON_FRACTION: Final = 1 / 2
 PRESSURE_OFF_FRACTION: Final = 1 / 4
 LEARNING_PERIOD: Final = (
-    SHORT_TIME_CONSTANT  # ticks after the start in which no pace is known yet, and nothing is pressure
+    SHORT_TIME_CONSTANT  # ticks after the start without pressure, as the rate of answers is not known yet
 )
-QUOTA_DRAW_RANGE: Final = 1_000  # in which a customer's part beyond its quota is drawn
+QUOTA_DRAW_RANGE: Final = 1_000  # resolution of the random draw against a customer's quota
 
 
 class Admission:
-    """Pressure, and customers' shares under it."""
+    """Rejects requests that cannot finish in time, and traffic beyond quotas under pressure."""
 
     def __init__(
         self,
@@ -53,8 +53,8 @@
         self.demand_by_customer = [DecayingSum(LONG_TIME_CONSTANT, clock.now) for _ in settings.customers]
 
     def admits(self, request: Request) -> bool:
-        """Whether the request may be placed; harms as a jam dissolves, when the pace is still that of the
-        jam.
+        """Whether the request may be placed. Rejects too many while a backlog drains, as the rate of answers
+        still reflects the backlog.
         """
         objective = self.latency.objective(request)
         sojourn_time = self.sojourn_time(objective)
@@ -63,8 +63,8 @@
         return not (sojourn_time > most or self.cannot_finish_in_time(request))
 
     def sojourn_time(self, objective: int) -> float:
-        """Return how long requests stay, in ticks, against a latency objective. What may be under way by
-        chance comes off: guards against a few requests at a slow pace that read as pressure.
+        """Return the sojourn time in ticks, to compare with a latency objective. The number in flight is
+        reduced by its chance variation, as a few requests at a low rate would otherwise count as pressure.
         """
         rate = self.throughput.ok_rate()
         if rate * objective > 1:
@@ -75,32 +75,34 @@
         return sojourn_time if self.clock.now > self.clock.started + LEARNING_PERIOD else 0.0
 
     def oldest_attempt_age(self) -> float:
-        """Return for how many ticks the oldest warm attempt has waited: where answers tell no pace. Guards
-        against a burst after a lull, which is no jam.
+        """Return the age in ticks of the oldest warm attempt, used if there are too few answers for a rate. A
+        burst after an idle period is then not taken for overload.
         """
         now = self.clock.now
         serving = (a.sent for a in self.attempts.warm if a.worker.listing is EndpointState.SERVING)
         return now - next(serving, now)
 
     def update_pressure(self, sojourn_time: float, objective: int) -> None:
-        """Log when pressure begins and ends."""
+        """Update whether there is pressure, and log each change."""
         if self.under_pressure:
             changes = sojourn_time < objective * PRESSURE_OFF_FRACTION
         else:
             changes = sojourn_time > objective * PRESSURE_ON_FRACTION
         if changes:
             self.under_pressure = not self.under_pressure
-            turn = "on" if self.under_pressure else "off"
-            self.host.log(f"pressure {turn}: sojourn time {sojourn_time:.0f} of objective {objective}")
+            state = "on" if self.under_pressure else "off"
+            self.host.log(f"pressure {state}: sojourn time {sojourn_time:.0f} of objective {objective}")
 
     def cannot_finish_in_time(self, request: Request) -> bool:
-        """Whether it would come back too late even alone. Guards against impatient clients and heavy
-        requests; harms where hints mislead.
+        """Whether the request would miss its deadline even without queueing: the client has little patience,
+        or the request is heavy. Wrong if its work hint is.
         """
         return request.deadline - self.clock.now < self.latency.isolated(request.function) * request.scale
 
     def beyond_quota(self, request: Request) -> bool:
-        """Whether the request counts as beyond its customer's quota: drawn, by how far all are beyond."""
+        """Whether the request counts as beyond its customer's quota; drawn at random, by the excess of its
+        traffic.
+        """
         if request.customer >= len(self.demand_by_customer):
             return False
         demand = self.demand_by_customer[request.customer]
--- a/lapistrestle/policy/attempts.py
+++ b/lapistrestle/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Sending attempts, and the record of those under way."""
+"""Sends attempts, and tracks those in flight."""
 
 from typing import Final
 
@@ -13,18 +13,18 @@
 from lapistrestle.policy.throughput import Throughput
 from lapistrestle.policy.types import Attempt, Outcome
 
-# An attempt may take this part of what is left to the latency objective, or so many usual latencies if
-# that is longer. Guards against jams, where a time-out only adds work (docs/design.md, "Time-outs").
+# The timeout of an attempt is this fraction of the time left to the latency objective, or so many typical
+# latencies if that is longer: under congestion a timeout only adds work (docs/design.md, "Time-outs").
 OBJECTIVE_FRACTION: Final = 2 / 3
 TYPICAL_LATENCIES: Final = 4
-# The same for a dispatcher that meets workers seldom and so sees no jam: what is sent again runs twice. Harms
-# where many workers are silent.
+# The same for a dispatcher that uses each worker rarely and so cannot detect congestion, where a retry would
+# run twice. Slower to react if many workers are silent.
 SPARSE_OBJECTIVE_FRACTION: Final = 1
 SPARSE_TYPICAL_LATENCIES: Final = 8
 
 
 class Attempts:
-    """Own attempts under way, and how new ones are sent."""
+    """Own attempts in flight; sends new ones."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self.warm: dict[Attempt, None] = {}  # those, the oldest first
 
     def send(self, request: Request, replica: FunctionReplica) -> None:
-        """Send the request to the function on a worker."""
+        """Send the request to the replica's worker."""
         now = self.clock.now
         cold = not (self.copies.believed(replica) or self.copies.presumed_loaded(replica))
         expected = int(self.latency.isolated(replica.function) * request.scale) + 1
@@ -65,7 +65,7 @@
         self.host.send_attempt(attempt, self.timeout(request, replica, cold))
 
     def finish(self, attempt: Attempt, replica: FunctionReplica, outcome: Outcome) -> None:
-        """Count an attempt that has ended."""
+        """Record the end of an attempt."""
         attempt.outcome = outcome
         replica.finish(attempt)
         self.warm.pop(attempt, None)
@@ -78,8 +78,8 @@
             worker.silent_since = self.clock.now if worker.warm_attempts else None
 
     def timeout(self, request: Request, replica: FunctionReplica, cold: bool) -> int:
-        """Return for how many ticks an attempt is waited for: all that is left where no retry may follow,
-        else most of what is left to the latency objective.
+        """Return the timeout of an attempt in ticks: all the time left if no retry may follow, otherwise most
+        of the time left to the latency objective.
         """
         now = self.clock.now
         time_left = max(1, request.deadline - now)
@@ -89,8 +89,8 @@
             return time_left
         isolated = self.latency.isolated(replica.function) * request.scale
         typical = max(self.throughput.ok_latency.read(0), isolated)
-        part, factor = OBJECTIVE_FRACTION, TYPICAL_LATENCIES
+        fraction, factor = OBJECTIVE_FRACTION, TYPICAL_LATENCIES
         if self.throughput.memory_factor > 1:
-            part, factor = SPARSE_OBJECTIVE_FRACTION, SPARSE_TYPICAL_LATENCIES
+            fraction, factor = SPARSE_OBJECTIVE_FRACTION, SPARSE_TYPICAL_LATENCIES
         to_objective = request.began + self.latency.objective(request) - now
-        return int(min(time_left, max(to_objective * part, factor * typical)))
+        return int(min(time_left, max(to_objective * fraction, factor * typical)))
--- a/lapistrestle/policy/candidates.py
+++ b/lapistrestle/policy/candidates.py
@@ -1,4 +1,4 @@
-"""Which workers a request may go to."""
+"""Workers that are eligible for a request."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False)
 class Candidates:
-    """The rules that hold for every attempt and every load that a request begins."""
+    """Eligibility rules for every attempt and every load that a request starts."""
 
     host: Host
     settings: Settings
@@ -31,8 +31,8 @@
     def usable(
         self, request: Request, order: Iterable[Worker], not_loaded_too: bool = False
     ) -> Iterator[Worker]:
-        """Return the workers of an order that the request may go to; those it has tried only where there
-        is no other. With `not_loaded_too`, one that has no copy does not count as tried.
+        """Return the eligible workers of `order`; those that the request has tried only if there is no other.
+        With `not_loaded_too`, a worker that answered "not loaded" does not count as tried.
         """
         tried = self.tried(request, not_loaded_too)
         trusted = self.health.trusted()
@@ -47,7 +47,7 @@
         )
 
     def tried(self, request: Request, not_loaded_too: bool) -> set[Worker]:
-        """Return the workers that count as tried by the request."""
+        """Return the workers that the request has tried."""
         tried = set()
         for attempt in request.attempts:
             not_loaded = attempt.outcome is Outcome.NOT_LOADED
@@ -56,7 +56,7 @@
         return tried
 
     def is_eligible(self, request: Request, worker: Worker, trusted: bool) -> bool:
-        """Whether the request may go to the worker now; `trusted`: verdicts on health count."""
+        """Whether the request may go to the worker now. `trusted`: unhealthy workers are excluded."""
         if worker.listing is not EndpointState.SERVING:
             return False
         if worker.customer_rejected_until.get(request.customer, 0) > self.clock.now:
@@ -66,8 +66,8 @@
         return self.allows_repeat(request, worker) and self.slow_start.has_capacity(worker, request)
 
     def allows_repeat(self, request: Request, worker: Worker) -> bool:
-        """Whether a repeat there of what may have run does no harm (operators' rule 2): the method is
-        idempotent, or the worker drops it.
+        """Whether the request may be sent there though it may have run already: no effect may happen twice,
+        so the method must be idempotent, or the worker drop the repeated idempotency key.
         """
         method = self.settings.methods[request.method]
         ran_on = request.may_have_run_on
@@ -90,15 +90,15 @@
         to_load: bool = True,
         not_loaded_too: bool = False,
     ) -> FunctionReplica | None:
-        """Return where a further copy would go: the first of the order without one that is not Unsafe and, if
-        it is `to_load` there, takes loads. None: the known order does not reach far enough.
+        """Return the replica for an additional copy: the first eligible worker of `order` without one that is
+        not Unsafe and, if `to_load`, accepts loads. If there is none, a longer prefix is requested.
         """
         function = request.function
         for worker in self.usable(request, order, not_loaded_too):
-            # one only looked at is not one used before
+            # a replica that is only inspected is not stored
             replica = function.replicas.get(worker) or FunctionReplica(worker, function)
-            fit = not self.copies.believed(replica) and self.zones.zone(replica) is not Zone.UNSAFE
-            if fit and (not to_load or self.clock.now >= worker.loads_rejected_until):
+            suitable = not self.copies.believed(replica) and self.zones.zone(replica) is not Zone.UNSAFE
+            if suitable and (not to_load or self.clock.now >= worker.loads_rejected_until):
                 return function.replica(worker)
         if function.prefix is not None:
             self.host.extend_prefix(function)
--- a/lapistrestle/policy/clock.py
+++ b/lapistrestle/policy/clock.py
@@ -1,11 +1,11 @@
-"""The moment of the event at hand, shared by all parts of one dispatcher."""
+"""The time of the current event, shared by all components of one dispatcher."""
 
 
 class Clock:
-    """The host sets `now` before each event; nothing else changes it. Times are ticks (`policy.ticks`)."""
+    """Time in ticks (`lapistrestle.ticks`). Only the host sets `now`, before each event."""
 
     __slots__ = ("now", "started")
 
     def __init__(self, now: int) -> None:
         self.now = now
-        self.started = now  # when this dispatcher began, so that young estimates are known to be young
+        self.started = now  # start of this dispatcher; tells how much history an estimate can have
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -1,9 +1,9 @@
-"""The decision module as its host sees it: events in, commands out, no I/O.
+"""Entry point of the decision module: events in, commands out, no I/O.
 
-A host makes one `Dispatcher` with its `Host`, the settings, a seed and the clock, sets `now` before each
-event and calls the methods of `Events`. Each decision is made in a module of its own; here they are
-joined, and each event is handed to those that it concerns. docs/design.md says what is kept of the paper
-and what is changed.
+A host creates one `Dispatcher` with its `Host`, the settings, a seed and the time, sets `now` before each
+event and calls the methods of `Events`. Each decision is made in a module of its own; this one connects them
+and passes each event to those that it concerns. docs/design.md describes the differences from the FnSched
+paper.
 """
 
 from collections.abc import Mapping, Sequence
@@ -37,7 +37,7 @@
 from lapistrestle.policy.types import Attempt, AttemptResult, Outcome, State, WorkerInfo
 from lapistrestle.ticks import SECOND
 
-# Least ticks between two requests for the endpoint list, where it is polled; guards against a busy loop.
+# Minimum ticks between two subscriptions to a polled endpoint list; prevents a busy loop.
 MIN_POLL_INTERVAL: Final = SECOND
 
 
@@ -52,11 +52,11 @@
         self.fleet = FleetGuidance() if fleet is None else fleet
         self.clock = Clock(now)
         self.rng = SeededRandom(seed)
-        self.make_estimates()
-        self.make_rules()
-        self.make_decisions()
-        self.make_choices()
-        self.make_recording()
+        self.create_estimates()
+        self.create_rules()
+        self.create_senders()
+        self.create_selectors()
+        self.create_recording()
         handlers = {
             Action.ADMIT: self.admit,
             Action.PLACE: self.placement.place,
@@ -69,8 +69,8 @@
         if settings.endpoints_polled:
             self.poll_endpoints()
 
-    def make_estimates(self) -> None:
-        """Make the parts that only measure."""
+    def create_estimates(self) -> None:
+        """Create the components that only estimate."""
         settings, clock, region = self.settings, self.clock, self.fleet.region
         self.endpoints = Endpoints(partial=region is not None)
         self.capacity = self.endpoints if region is None else region
@@ -79,8 +79,8 @@
         self.orders = FunctionOrders(settings, clock, self.endpoints, self.capacity, self.latency)
         self.copies = LoadedCopies(settings, clock, self.throughput)
 
-    def make_rules(self) -> None:
-        """Make the parts that hold for every worker or every load."""
+    def create_rules(self) -> None:
+        """Create the components with rules for every worker or every load."""
         settings, clock = self.settings, self.clock
         endpoints, latency, throughput = self.endpoints, self.latency, self.throughput
         self.slow_start = SlowStart(settings, clock, endpoints, self.fleet.region, latency, throughput)
@@ -93,8 +93,8 @@
             self.host, settings, clock, self.orders, self.health, self.slow_start, self.zones, self.copies
         )
 
-    def make_decisions(self) -> None:
-        """Make the parts that act."""
+    def create_senders(self) -> None:
+        """Create the components that send attempts and preloads."""
         settings, clock = self.settings, self.clock
         self.preloading = Preloading(
             host=self.host,
@@ -124,8 +124,8 @@
             self.host, settings, clock, self.rng, self.latency, self.throughput, self.attempts
         )
 
-    def make_choices(self) -> None:
-        """Make the parts that choose for a request."""
+    def create_selectors(self) -> None:
+        """Create the components that choose a worker for a request."""
         self.placement = Placement(
             settings=self.settings,
             clock=self.clock,
@@ -152,8 +152,8 @@
             budget=self.retry_budget,
         )
 
-    def make_recording(self) -> None:
-        """Make the part that learns from the end of attempts."""
+    def create_recording(self) -> None:
+        """Create the component that records the outcomes of attempts."""
         self.outcomes = OutcomeRecording(
             settings=self.settings,
             clock=self.clock,
@@ -171,18 +171,18 @@
 
     @property
     def now(self) -> int:
-        """The tick of the event at hand."""
+        """The tick of the current event."""
         return self.clock.now
 
     @now.setter
     def now(self, now: int) -> None:
-        """Set it; the host does so before each event."""
+        """Set the tick; the host does so before each event."""
         self.clock.now = now
 
     # Events
 
     def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
-        """As `Events.on_endpoints`."""
+        """See `Events.on_endpoints`."""
         self.endpoints.update(workers, snapshot)
         self.health.endpoints_changed()
         self.slow_start.endpoints_changed()
@@ -190,15 +190,15 @@
         self.preloading.forget(self.endpoints.forget_removed())
 
     def on_endpoints_failed(self) -> None:
-        """Nothing: the list is asked for anew when the next poll is due."""
+        """Do nothing: the subscription is renewed at the next poll."""
 
     def on_prefix(self, function: Function, prefix: list[Worker]) -> None:
-        """As `Events.on_prefix`."""
+        """See `Events.on_prefix`."""
         function.prefix = prefix
 
     def on_request(self, request: Request) -> None:
-        """As `Events.on_request`."""
-        request.began = request.began or self.clock.now  # earlier where it waited for the function's prefix
+        """See `Events.on_request`."""
+        request.began = request.began or self.clock.now  # set earlier if it waited for the function's prefix
         self.latency.apply_work_hint(request)
         self.preloading.start_maintenance(request.function)
         self.throughput.update_time_constant_factor(len(self.endpoints.serving))
@@ -207,32 +207,34 @@
         self.state_machine.handle(request, RequestEvent.RECEIVED)
 
     def on_client_gone(self, request: Request) -> None:
-        """As `Events.on_client_gone`."""
+        """See `Events.on_client_gone`."""
         request.state = State.OVER
         request.over = True
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        """As `Events.on_attempt_started`: its worker is not silent."""
+        """See `Events.on_attempt_started`: the worker is not silent."""
         attempt.worker.silent_since = None
 
     def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, result: AttemptResult) -> None:
-        """As `Events.on_attempt_finished`."""
+        """See `Events.on_attempt_finished`."""
         request = attempt.request
         replica = request.function.replica(attempt.worker)
-        given = EVENT_OF_OUTCOME[outcome]
+        event = EVENT_OF_OUTCOME[outcome]
         self.attempts.finish(attempt, replica, outcome)
         self.outcomes.record(replica, attempt, outcome, result)
-        if given is RequestEvent.MAY_HAVE_RUN and request.may_have_run_on is None:
+        if event is RequestEvent.MAY_HAVE_RUN and request.may_have_run_on is None:
             request.may_have_run_on = attempt.worker
             request.may_have_run_at = attempt.sent
         if result.over:
             self.on_client_gone(request)
-        self.state_machine.handle(request, given, replica)
+        self.state_machine.handle(request, event, replica)
         if replica.waiters and not replica.pending_preloads and not replica.loading:
             self.release_waiters(replica)
 
     def on_timer(self, token: object) -> None:
-        """As `Events.on_timer`: of a parked request, of a function's upkeep, or of the endpoint list."""
+        """See `Events.on_timer`. The token is a parked request, a function to maintain, or None: the endpoint
+        list.
+        """
         if isinstance(token, Request):
             self.state_machine.handle(
                 token, RequestEvent.WAIT_EXPIRED if token.state is State.PARKED else None
@@ -245,7 +247,7 @@
     def on_preload_finished(
         self, worker: Worker, function: Function, outcome: Outcome, count: int, duration: int
     ) -> None:
-        """As `Events.on_preload_finished`."""
+        """See `Events.on_preload_finished`."""
         replica = function.replica(worker)
         self.preloading.finish(replica, outcome, count, duration)
         self.release_waiters(replica)
@@ -253,28 +255,28 @@
     def on_health_check(
         self, worker: Worker, outcome: Outcome, duration: int, report: Mapping[str, float]
     ) -> None:
-        """Nothing: health is judged by the outcomes of attempts."""
+        """Do nothing: health is derived from the outcomes of attempts."""
 
     def on_gossip(self, peer: int, text: str) -> None:
-        """Nothing: no decision reads it."""
+        """Do nothing: no decision depends on gossip."""
 
     def on_peer_verdict(self, worker: Worker, at: int) -> None:
-        """As `Events.on_peer_verdict`."""
+        """See `Events.on_peer_verdict`."""
         self.health.on_peer_verdict(worker, at)
 
-    # Effects
+    # Actions of the request state machine
 
     def admit(self, request: Request, _: FunctionReplica | None) -> RequestEvent:
-        """Let the request in, or turn it away under pressure."""
+        """Apply admission control to the request."""
         return RequestEvent.ADMITTED if self.admission.admits(request) else RequestEvent.NO_WORKER
 
     def wait_for_retry(self, request: Request, _: FunctionReplica | None) -> None:
-        """Wake the parked request while there is still time to run it."""
+        """Set a timer for the last moment at which the parked request could still be run in time."""
         time_left = request.deadline - self.clock.now
         self.host.set_timer(max(1, int(time_left - self.latency.isolated(request.function))), request)
 
     def reject(self, request: Request, _: FunctionReplica | None) -> None:
-        """Answer at once: rejected where a repeat by the client is harmless, else aborted."""
+        """Answer at once: rejected if a retry by the client is harmless, otherwise aborted."""
         method = self.settings.methods[request.method]
         repeatable = method.kind is MethodKind.IDEMPOTENT or (
             method.kind is MethodKind.DEDUPLICATED and method.dedup_scope == "all"
@@ -285,11 +287,11 @@
             self.host.abort(request)
 
     def release_waiters(self, replica: FunctionReplica) -> None:
-        """Place anew what waited for a load, once that, or what might have begun it, has ended."""
+        """Resume the requests that waited for a load, when it, or what might have started it, has ended."""
         for request in replica.take_waiters():
             self.state_machine.handle(request, RequestEvent.LOADED, replica)
 
     def poll_endpoints(self) -> None:
-        """Ask for the endpoint list, and again before that lapses."""
+        """Subscribe to the endpoint list, and set a timer to renew the subscription before it expires."""
         self.host.watch_endpoints()
         self.host.set_timer(max(MIN_POLL_INTERVAL, self.settings.poll_within // 2), None)
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -1,7 +1,6 @@
-"""Workers, functions and requests with what the decision module remembers of them; no decision, no tuned
-value.
+"""Workers, functions and requests with the state that the decision module holds of them.
 
-Each group of fields is written by the part of the module that its comment names, and may be read by all.
+Each group of fields is written by the module named in its comment, and may be read by all.
 """
 
 from collections import deque
@@ -15,29 +14,31 @@
 
 @dataclass(eq=False)
 class Worker(WorkerInfo):
-    """A worker; `Endpoints` sets up its sums when it first hears of one, and after a restart."""
+    """A worker. `Endpoints` calls `reset` when it is first listed, and after a restart."""
 
     # health.py
     good_outcomes: DecayingSum = field(init=False)
     bad_outcomes: DecayingSum = field(init=False)
-    ejected: bool = False  # passed over, but for trials
-    ejection_backoff: int = 0  # ticks before an ejected worker is tried again
-    next_trial_at: int = 0
-    tried_here: bool = True  # this dispatcher tries it; false where others of its fleet do, and tell
-    # the record of attempts (attempts.py, outcome_recording.py)
-    latency_sum: DecayingSum = field(init=False)  # of warm outcomes there, of all functions
-    isolated_latency_sum: DecayingSum = field(init=False)  # what the same would have taken alone
+    ejected: bool = False  # gets no requests other than trials
+    ejection_backoff: int = 0  # ticks between trials of an ejected worker
+    next_trial_at: int = 0  # tick from which an ejected worker may get a trial request
+    tried_here: bool = True  # this dispatcher sends its trials; otherwise others of the fleet do, and report
+    # attempts.py, outcome_recording.py
+    latency_sum: DecayingSum = field(init=False)  # of attempts without a load, of all functions
+    isolated_latency_sum: DecayingSum = field(init=False)  # what those would have taken without queueing
     ok_answers: DecayingSum = field(init=False)
-    in_flight: int = 0  # own attempts there
-    warm_attempts: dict[Attempt, bool] = field(default_factory=dict)  # no load before them; oldest first
-    warm_expected_latency: int = 0  # ticks that those would take alone, together
-    silent_since: int | None = None  # a warm attempt of ours waits there, and nothing was heard since
-    rejecting_until: int = 0  # it turned something away; none before then, or before its next ok answer
-    customer_rejected_until: dict[int, int] = field(default_factory=dict)  # by customer
-    emptied_at: int = -1  # nothing that was loaded before this moment still stands
+    in_flight: int = 0  # own attempts on the worker
+    warm_attempts: dict[Attempt, bool] = field(
+        default_factory=dict
+    )  # in flight and without a load; oldest first
+    warm_expected_latency: int = 0  # sum of their expected latencies, in ticks
+    silent_since: int | None = None  # tick since when own warm attempts wait and no answer was received
+    rejecting_until: int = 0  # tick; it rejected a request: no more until then, or its next ok answer
+    customer_rejected_until: dict[int, int] = field(default_factory=dict)  # tick, by customer
+    emptied_at: int = -1  # tick; no copy that was loaded before remains
     # preloading.py
-    functions_loading: int = 0  # functions that own attempts or preloads have loading there
-    loads_rejected_until: int = 0  # it turned a load away; none before then, or before one of ours ends there
+    functions_loading: int = 0  # functions with own attempts or preloads that wait for a load
+    loads_rejected_until: int = 0  # tick; it rejected a load: no more until then, or one ends there
     # slow_start.py
     sent_in_slow_start: deque[tuple[int, float]] = field(default_factory=deque)  # (tick, weight)
     # endpoints.py
@@ -45,7 +46,7 @@
     replicas: dict["Function", "FunctionReplica"] = field(default_factory=dict, repr=False)
 
     def reset(self, time_constant: int, pause: int, booted: int | None) -> None:
-        """Forget all: first heard of, or another process under the name."""
+        """Discard what was learned: the worker is new, or another process has its name."""
         self.good_outcomes = DecayingSum(time_constant)
         self.bad_outcomes = DecayingSum(time_constant)
         self.latency_sum = DecayingSum(time_constant)
@@ -58,7 +59,7 @@
         self.ring_position = crc32(self.name.encode())
 
     def update(self, info: WorkerInfo) -> None:
-        """Take over what the endpoint list says of it now."""
+        """Copy the values of its entry in the endpoint list."""
         self.zone = info.zone
         self.cell = info.cell
         self.kind = info.kind
@@ -68,30 +69,30 @@
 
     @property
     def has_pending_work(self) -> bool:
-        """Whether a preload is without answer there, or a request waits for a load."""
+        """Whether a preload is in flight to it, or a request waits for a load on it."""
         return any(replica.pending_preloads or replica.waiters for replica in self.replicas.values())
 
     def latency_sums(self, now: int, most: int) -> tuple[float, float]:
-        """Return what its attempts took and would have taken alone, in ticks. Of the oldest `most` that are
-        under way, also those that are late count.
+        """Return the sums of latencies and of isolated latencies of its attempts, in ticks. Of the oldest
+        `most` attempts in flight, those past their expected latency are included.
         """
         latency = self.latency_sum.read(now)
         isolated = self.isolated_latency_sum.read(now)
-        for attempt in islice(self.warm_attempts, most):  # the oldest first
+        for attempt in islice(self.warm_attempts, most):  # oldest first
             if now - attempt.sent > attempt.expected_latency:
                 latency = latency + now - attempt.sent
                 isolated = isolated + attempt.expected_latency
         return latency, isolated
 
     def weight_sent_since(self, then: int) -> float:
-        """Return the weight of what was sent after `then`; what was sent earlier is forgotten."""
+        """Return the weight of what was sent after tick `then`, and discard what was sent earlier."""
         sent = self.sent_in_slow_start
         while sent and sent[0][0] <= then:
             sent.popleft()
         return sum(weight for _, weight in sent)
 
     def set_time_constant(self, time_constant: int) -> None:
-        """Set how long all that was measured of it is remembered, in ticks."""
+        """Set the time constant of all its estimates, in ticks."""
         self.latency_sum.time_constant = time_constant
         self.isolated_latency_sum.time_constant = time_constant
         self.good_outcomes.time_constant = time_constant
@@ -99,17 +100,17 @@
         self.ok_answers.time_constant = time_constant
 
     def add_latency(self, now: int, latency: float, isolated: float) -> None:
-        """Add a latency, and what it would have been alone."""
+        """Add a latency, and what it would have been without queueing."""
         self.latency_sum.add(now, latency)
         self.isolated_latency_sum.add(now, isolated)
 
 
 @dataclass(eq=False)
 class PendingPreload:
-    """One preload, until it has been answered."""
+    """One preload in flight."""
 
-    sent: int
-    load: bool  # for more copies than were believed to stand
+    sent: int  # tick
+    load: bool  # it asks for more copies than are believed to be loaded
 
 
 @dataclass(eq=False)
@@ -123,31 +124,31 @@
     zone: Zone = Zone.SAFE
     backoff_until: int = 0  # end of Unsafe
     # loaded_copies.py
-    copies: int = 0  # believed to stand
-    confirmed_at: int = -1  # when that was last confirmed
-    not_loaded_at: int = -(10**15)  # when none was found there last
-    # the record of attempts (attempts.py)
-    in_flight: int = 0  # own attempts of the function there
-    peak_in_flight: int = 0  # most of them at once since replicas were last maintained
+    copies: int = 0  # believed to be loaded
+    confirmed_at: int = -1  # tick of the last confirmation
+    not_loaded_at: int = -(10**15)  # tick of the last "not loaded"
+    # attempts.py
+    in_flight: int = 0  # own attempts of the function on the worker
+    peak_in_flight: int = 0  # highest value since the last maintenance
     # preloading.py
-    loading: int = 0  # own attempts and preloads that wait for a load there; see `change_loading`
+    loading: int = 0  # own attempts and preloads that wait for a load; see `change_loading`
     pending_preloads: deque[PendingPreload] = field(default_factory=deque)
-    waiters: list["Request"] = field(default_factory=list)  # parked until the load ends
+    waiters: list["Request"] = field(default_factory=list)  # parked until the load finishes
 
     def change_loading(self, change: int) -> None:
-        """Count own attempts and preloads that wait for a load there, also for the worker as a whole."""
+        """Change the number of own attempts and preloads that wait for a load, also that of the worker."""
         before = self.loading
         self.loading = before + change
         self.worker.functions_loading += bool(self.loading) - bool(before)
 
     def take_waiters(self) -> list["Request"]:
-        """Return those that waited, who wait no longer."""
+        """Return the requests that waited for the load, and clear the list."""
         waiters = self.waiters
         self.waiters = []
         return waiters
 
     def start(self, attempt: Attempt) -> None:
-        """Count an attempt that is being sent there."""
+        """Record an attempt that is being sent."""
         worker = self.worker
         if not attempt.cold:
             worker.warm_attempts[attempt] = True
@@ -161,7 +162,7 @@
         self.peak_in_flight = max(self.peak_in_flight, self.in_flight)
 
     def finish(self, attempt: Attempt) -> None:
-        """Count an attempt that has ended."""
+        """Record the end of an attempt."""
         worker = self.worker
         if worker.warm_attempts.pop(attempt, None):
             worker.warm_expected_latency -= attempt.expected_latency
@@ -173,24 +174,26 @@
 
 @dataclass(eq=False)
 class Function(FunctionInfo):
-    """A function, with where it runs and what it takes."""
+    """A function, with its replicas and estimates."""
 
     replicas: dict[Worker, FunctionReplica] = field(default_factory=dict)
-    isolated_latency: float | None = None  # ticks, once enough samples tell (latency_estimates.py)
+    isolated_latency: float | None = None  # ticks; None: too few samples (latency_estimates.py)
     # function_order.py
-    demand: DecayingSum = field(default_factory=lambda: DecayingSum(1))  # of own requests, weighed by work
-    scores: dict[Worker, float] = field(default_factory=dict)  # the order begins at the lowest
+    demand: DecayingSum = field(default_factory=lambda: DecayingSum(1))  # of own requests, weighted by work
+    scores: dict[Worker, float] = field(
+        default_factory=dict
+    )  # rendezvous hash; the order starts at the lowest
     order: list[Worker] = field(default_factory=list)
-    order_version: int = -1  # of the endpoints that `order` was made from
-    prefix: list[Worker] | None = None  # the first workers of the order, where a directory tells them
+    order_version: int = -1  # version of the endpoints that `order` was built from
+    prefix: list[Worker] | None = None  # first workers of the order, from a directory; None: no directory
 
     def drop(self, worker: Worker) -> None:
-        """Forget what was known of it on this worker."""
+        """Discard its replica on this worker."""
         if self.replicas.pop(worker, None) is not None:
             del worker.replicas[self]
 
     def replica(self, worker: Worker) -> FunctionReplica:
-        """Return the function on this worker; a new one has no copies and no history."""
+        """Return its replica on this worker, created with no copies and no history if there is none."""
         if worker not in self.replicas:
             self.replicas[worker] = worker.replicas[self] = FunctionReplica(worker, self)
         return self.replicas[worker]
@@ -198,10 +201,10 @@
 
 @dataclass(eq=False)
 class Request(RequestInfo):
-    """A request, with where it stands."""
+    """A request, with its state."""
 
     state: State = State.NEW
-    began: int = 0  # when the module took it
-    scale: float = 1.0  # of its work to the method's usual, where hints tell
-    may_have_run_at: int = 0  # sending of the first attempt that may have run
+    began: int = 0  # tick at which the module received it
+    scale: float = 1.0  # its hinted work relative to the mean of its method; 1: no hint
+    may_have_run_at: int = 0  # tick at which the first attempt that may have run was sent
     may_have_run_on: Worker | None = None
--- a/lapistrestle/policy/estimates.py
+++ b/lapistrestle/policy/estimates.py
@@ -1,7 +1,7 @@
-"""Sums and means that forget exponentially: what happened lately counts, without any list of events.
+"""Exponentially decaying sums and means, which need no list of events.
 
-Reading brings a sum up to date, so when it is read decides how its value is rounded. Change that only
-together with the recorded behaviour.
+Reading a sum applies the decay so far, so the times of reads affect how its value is rounded. Changing when a
+sum is read changes the recorded behaviour.
 """
 
 from dataclasses import dataclass
@@ -10,32 +10,32 @@
 
 from lapistrestle.ticks import SECOND
 
-SHORT_TIME_CONSTANT: Final = 3 * SECOND  # time constant of what must show a fault within its first seconds
-LONG_TIME_CONSTANT: Final = 10 * SECOND  # time constant of what stands for ordinary operation
+SHORT_TIME_CONSTANT: Final = 3 * SECOND  # for estimates that must react to a fault within seconds
+LONG_TIME_CONSTANT: Final = 10 * SECOND  # for estimates of normal operation
 
 
 @dataclass(slots=True)
 class DecayingSum:
-    """A sum whose amounts fade exponentially, brought up to date when it is read."""
+    """A sum of amounts that decay exponentially; the decay is applied when it is read."""
 
-    time_constant: int  # ticks after which an amount counts 1/e of what it did
+    time_constant: int  # ticks after which an amount has decayed to 1/e
     updated_at: int = 0
     value: float = 0.0
 
     def read(self, now: int) -> float:
-        """Return the sum as it is at `now`."""
+        """Return the sum at `now`."""
         if now > self.updated_at:
             self.value = self.value * exp((self.updated_at - now) / self.time_constant)
             self.updated_at = now
         return self.value
 
     def add(self, now: int, amount: float) -> None:
-        """Add an amount that counts in full at `now`."""
+        """Add an amount at `now`."""
         self.value = self.read(now) + amount
 
 
 class DecayingMean:
-    """The mean of what was added lately, newer samples counting for more."""
+    """An exponentially weighted moving average."""
 
     __slots__ = ("count", "total")
 
@@ -49,5 +49,5 @@
         self.count.add(now, 1)
 
     def read(self, missing: float) -> float:
-        """Return the mean as it was when last added to; `missing` where nothing has been added."""
+        """Return the mean as of the last sample; `missing` if there is none."""
         return self.total.value / self.count.value if self.count.value else missing
--- a/lapistrestle/policy/ports.py
+++ b/lapistrestle/policy/ports.py
@@ -1,6 +1,7 @@
-"""The two interfaces of the decision module: what it asks of its host, and what the host tells it.
+"""Interfaces between the decision module and its host.
 
-The host reports each event as a method call on `Events`; the module answers by calling `Host`. Neither waits.
+The host reports each event by calling a method of `Events`; the module issues commands by calling `Host`. No
+call blocks.
 """
 
 from collections.abc import Mapping, Sequence
@@ -11,86 +12,86 @@
 
 
 class Host(Protocol):
-    """Everything that the module can do to the world."""
+    """Commands of the module to its host."""
 
     def send_attempt(self, attempt: Attempt, time_out: int) -> None:
-        """Send the attempt to its worker, and end it as timed out after so many ticks."""
+        """Send the attempt to its worker; it ends as timed out after `time_out` ticks."""
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
-        """Answer that the request was not run; the client may come back after so many ticks, 0: not told."""
+        """Answer that the request was not run. The client may retry after `retry_after` ticks; 0: no hint."""
 
     def abort(self, request: RequestInfo) -> None:
         """Answer that the request failed and may have run."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Call the attempt off."""
+        """Cancel the attempt."""
 
     def preload(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
-        """Have so many copies of the function loaded on the worker, and kept."""
+        """Have the worker hold `count` loaded copies of the function."""
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
-        """Have all copies of the function unloaded on the worker."""
+        """Have the worker unload all copies of the function."""
 
     def health_check(self, worker: WorkerInfo) -> None:
-        """Ask the worker how it is."""
+        """Send a health check to the worker."""
 
     def send_gossip(self, peer: int | None, text: str) -> None:
-        """Send a text to another dispatcher, or to all."""
+        """Send a message to another dispatcher; None: to all."""
 
     def set_timer(self, delay: int, token: object) -> None:
-        """Report `on_timer(token)` after so many ticks."""
+        """Call `on_timer(token)` after `delay` ticks."""
 
     def watch_endpoints(self) -> None:
-        """Ask for the endpoint list and its changes, or renew that."""
+        """Subscribe to the endpoint list and its changes, or renew the subscription."""
 
     def extend_prefix(self, function: FunctionInfo) -> None:
-        """Look up more of the function's order: the known prefix does not reach far enough."""
+        """Look up a longer prefix of the function's order: the known one ran out of usable workers."""
 
     def log(self, text: str) -> None:
-        """Write a line for operators."""
+        """Write a log line for operators."""
 
 
 class Events(Protocol):
-    """What the module is told. The host sets `now` before each call."""
+    """Events reported to the module. The host sets `now` before each call."""
 
     now: int
 
     def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
-        """The endpoint list says this of these workers; `snapshot`: it names all that there are."""
+        """The endpoint list changed; with `snapshot`, `workers` is the complete list."""
 
     def on_endpoints_failed(self) -> None:
-        """The endpoint list could not be had."""
+        """The endpoint list could not be read."""
 
     def on_prefix(self, function: Function, prefix: list[Worker]) -> None:
-        """The first workers of the function's order, each of them reported before."""
+        """The directory returned a prefix of the function's order; each worker was reported before."""
 
     def on_request(self, request: Request) -> None:
-        """A request came in."""
+        """A request was received."""
 
     def on_attempt_started(self, attempt: Attempt) -> None:
-        """The worker has begun to answer."""
+        """The worker started to stream its answer."""
 
     def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, result: AttemptResult) -> None:
         """An attempt ended."""
 
     def on_client_gone(self, request: Request) -> None:
-        """The client has left, or the host has answered it."""
+        """The client disconnected, or the host sent the final answer by itself."""
 
     def on_timer(self, token: object) -> None:
-        """A timer that the module set is due."""
+        """A timer set by the module is due."""
 
     def on_preload_finished(
         self, worker: Worker, function: Function, outcome: Outcome, count: int, duration: int
     ) -> None:
-        """A preload was answered: so many copies stand there, after so many ticks."""
+        """A preload ended after `duration` ticks; the worker now holds `count` copies."""
 
     def on_health_check(
         self, worker: Worker, outcome: Outcome, duration: int, report: Mapping[str, float]
     ) -> None:
-        """A health check was answered, after so many ticks."""
+        """A health check ended after `duration` ticks."""
 
     def on_gossip(self, peer: int, text: str) -> None:
-        """Another dispatcher sent a text."""
+        """Another dispatcher sent a message."""
 
     def on_peer_verdict(self, worker: Worker, at: int) -> None:
-        """Others of the fleet found the worker healthy, at that tick."""
+        """Another dispatcher of the fleet found the worker healthy at tick `at`."""
--- a/lapistrestle/policy/request_state.py
+++ b/lapistrestle/policy/request_state.py
@@ -1,6 +1,6 @@
-"""The state machine of a request: which input moves it to which state, and what is done then.
+"""State machine of a request: next state and action for each state and event.
 
-An effect may itself give the next input: placing a request gives SENT, WAITS or NOWHERE.
+An action may return the next event: placing a request returns SENT, WAITS_FOR_LOAD or NO_WORKER.
 """
 
 from collections.abc import Callable, Mapping
@@ -12,23 +12,23 @@
 
 
 class RequestEvent(Enum):
-    """What happens to a request."""
+    """An event in the life of a request."""
 
     RECEIVED = auto()  # from its client
-    ADMITTED = auto()  # it may be placed
-    SENT = auto()  # an attempt is under way
-    WAITS_FOR_LOAD = auto()  # for a load
-    NO_WORKER = auto()  # no worker may have it
-    OK = auto()  # an attempt was answered well
-    NEVER_RAN = auto()  # an attempt ended, and surely did nothing
-    MAY_HAVE_RUN = auto()  # an attempt ended, and may have done something
-    NOT_LOADED = auto()  # an attempt found no copy
-    LOADED = auto()  # the load that it waited for has ended
-    WAIT_EXPIRED = auto()  # its time is up while it waits
+    ADMITTED = auto()  # by admission control
+    SENT = auto()  # an attempt was sent
+    WAITS_FOR_LOAD = auto()  # it is parked until a load finishes
+    NO_WORKER = auto()  # rejected by admission control, or no worker can take it
+    OK = auto()  # an attempt succeeded
+    NEVER_RAN = auto()  # an attempt failed, and certainly did not run
+    MAY_HAVE_RUN = auto()  # an attempt failed, and may have run
+    NOT_LOADED = auto()  # the worker of an attempt had no loaded copy
+    LOADED = auto()  # the load that it waited for has finished
+    WAIT_EXPIRED = auto()  # no time is left to run it while it is parked
 
 
 class Action(Enum):
-    """What is done on the way to the next state."""
+    """Action taken on a transition."""
 
     NOTHING = auto()
     ADMIT = auto()
@@ -39,7 +39,7 @@
     REJECT = auto()
 
 
-# (state, input): (next state, effect). A pair that is not named cannot happen.
+# (state, event): (next state, action). Pairs that are not listed cannot occur.
 TRANSITIONS: Final[Mapping[tuple[State, RequestEvent], tuple[State, Action]]] = {
     (State.NEW, RequestEvent.RECEIVED): (State.NEW, Action.ADMIT),
     (State.NEW, RequestEvent.ADMITTED): (State.PLACING, Action.PLACE),
@@ -55,7 +55,7 @@
     (State.PARKED, RequestEvent.WAIT_EXPIRED): (State.OVER, Action.REJECT),
 }
 
-# What the end of an attempt means for its request.
+# Event of the request for each outcome of an attempt.
 EVENT_OF_OUTCOME: Final[Mapping[Outcome, RequestEvent]] = {
     Outcome.OK: RequestEvent.OK,
     Outcome.ERROR: RequestEvent.MAY_HAVE_RUN,
@@ -72,20 +72,20 @@
 
 
 class RequestStateMachine:
-    """Moves requests along `TRANSITIONS`; `handlers` carry out the effects."""
+    """Applies `TRANSITIONS` to requests; `handlers` carry out the actions."""
 
     def __init__(self, handlers: Mapping[Action, Handler]) -> None:
         self.transitions = {
-            key: (state, handlers.get(effect)) for key, (state, effect) in TRANSITIONS.items()
+            key: (state, handlers.get(action)) for key, (state, action) in TRANSITIONS.items()
         }
 
     def handle(
-        self, request: Request, given: RequestEvent | None, replica: FunctionReplica | None = None
+        self, request: Request, event: RequestEvent | None, replica: FunctionReplica | None = None
     ) -> None:
-        """Move the request by an input, and by those that its effects give, until there is none. `replica`:
-        where the input comes from, if from a worker. One that is over takes no input.
+        """Apply an event, and those that the actions return, until there is none. `replica` is the origin of
+        the event, if it comes from a worker. Events of a request that is over are ignored.
         """
-        while given is not None and not request.over:
-            request.state, handler = self.transitions[request.state, given]
+        while event is not None and not request.over:
+            request.state, handler = self.transitions[request.state, event]
             request.over = request.state is State.OVER
-            given = handler(request, replica) if handler else None
+            event = handler(request, replica) if handler else None
--- a/lapistrestle/policy/seeded_random.py
+++ b/lapistrestle/policy/seeded_random.py
@@ -1,10 +1,10 @@
-"""Repeatable draws: the same seed and the same events give the same decisions."""
+"""Reproducible random numbers: the same seed and the same events give the same decisions."""
 
 from zlib import crc32
 
 
 class SeededRandom:
-    """Numbers drawn one after the other from a seed."""
+    """A sequence of pseudo-random numbers that depends only on the seed."""
 
     __slots__ = ("count", "seed")
 
@@ -13,6 +13,6 @@
         self.count = 0  # numbers drawn so far
 
     def randbelow(self, limit: int) -> int:
-        """Draw a whole number from 0 up to `limit`, which itself is not drawn."""
+        """Return a random integer in [0, limit); 0 if `limit` is below 1."""
         self.count += 1
         return crc32(f"{self.seed}:{self.count}".encode()) % max(1, limit)
--- a/lapistrestle/policy/throughput.py
+++ b/lapistrestle/policy/throughput.py
@@ -1,4 +1,4 @@
-"""The pace at which this dispatcher gets answers, and how seldom that lets it meet each worker."""
+"""Rate of ok answers at this dispatcher, and how often that lets it observe each worker."""
 
 from math import exp
 from typing import Final
@@ -7,19 +7,19 @@
 from lapistrestle.policy.estimates import LONG_TIME_CONSTANT, SHORT_TIME_CONSTANT, DecayingMean, DecayingSum
 from lapistrestle.ticks import SECOND
 
-# Most that memories are stretched: a worker is then remembered as long as what stands for the ordinary.
+# Largest factor on the short time constant: it then equals the long one.
 MAX_TIME_CONSTANT_FACTOR: Final = LONG_TIME_CONSTANT / SHORT_TIME_CONSTANT
-# Least age of an estimate, in ticks. Guards against a pace drawn from the first answers alone.
+# Ticks; a rate is computed over at least this long, so that the first answers alone do not determine it.
 MIN_ESTIMATE_AGE: Final = SECOND
 
 
 class Throughput:
     """Own ok answers, and rates of decaying sums.
 
-    `memory_factor` is how many times longer what is known of a worker is remembered: 1 where each is met
-    within the short memory, up to `MOST_STRETCH` for a dispatcher that is one of many and meets it
-    seldom. Guards against verdicts that are forgotten before the next request (docs/design.md, "many
-    front ends").
+    `memory_factor` multiplies the time constants of what is learned about a worker: 1 if each worker is used
+    at least once per short time constant, up to `MAX_TIME_CONSTANT_FACTOR` for a dispatcher that is one of
+    many and uses each worker rarely. Without it, what was learned would decay before the next request
+    (docs/design.md, "many front ends").
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,22 +29,22 @@
         self.memory_factor = 1.0
 
     def rate(self, total: DecayingSum) -> float:
-        """Return events a tick; a young sum is not yet full."""
+        """Return the rate of events per tick, corrected for the short history after a start."""
         now = self.clock.now
         filled = 1 - exp(-max(MIN_ESTIMATE_AGE, now - self.clock.started) / total.time_constant)
         return total.read(now) / (total.time_constant * filled)
 
     def ok_rate(self) -> float:
-        """Return own ok answers a tick."""
+        """Return own ok answers per tick."""
         return self.rate(self.ok_answers)
 
     def add_ok(self, latency: int) -> None:
-        """Count an ok answer that took so many ticks."""
+        """Record an ok answer with its latency in ticks."""
         self.ok_answers.add(self.clock.now, 1)
         self.ok_latency.add(self.clock.now, latency)
 
     def update_time_constant_factor(self, serving: int) -> None:
-        """Set the factor by how often each of the workers that serve is met."""
+        """Set the factor by the expected answers from each serving worker within the short time constant."""
         meetings = (
             SHORT_TIME_CONSTANT * max(self.rate(self.ok_answers), 1 / LONG_TIME_CONSTANT) / max(1, serving)
         )
--- a/lapistrestle/policy/types.py
+++ b/lapistrestle/policy/types.py
@@ -1,7 +1,7 @@
-"""What passes between the decision module and its host: plain values, no decision.
+"""Data types shared by the decision module and its host.
 
-The host makes these objects; the module extends those of workers, functions and requests with its own state
-(`entities.py`). Times are ticks on the host's clock (`ticks.py`).
+The host creates these objects; `entities.py` extends workers, functions and requests with the state of the
+module. Times are ticks on the host's clock (`ticks.py`).
 """
 
 from collections.abc import Mapping
@@ -14,21 +14,21 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a preload or a health check ended."""
+    """Result of an attempt, a preload or a health check."""
 
     OK = auto()
-    ERROR = auto()  # answered with an error; may have run
-    REJECTED = auto()  # turned away unseen
+    ERROR = auto()  # the worker answered with an error; may have run
+    REJECTED = auto()  # the worker rejected it before running it
     TIMED_OUT = auto()  # no answer in time; may have run
-    UNREACHABLE = auto()  # no connection; never ran
-    RESET = auto()  # connection broke; may have run
-    CANCELLED = auto()  # called off; may have run
-    NOT_SENT = auto()  # not sent
-    NOT_LOADED = auto()  # function not loaded there; never ran
+    UNREACHABLE = auto()  # no connection to the worker; did not run
+    RESET = auto()  # the connection was lost before the answer; may have run
+    CANCELLED = auto()  # cancelled by the dispatcher; may have run
+    NOT_SENT = auto()  # not sent by the host; did not run
+    NOT_LOADED = auto()  # the function is not loaded on the worker; did not run
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of a worker."""
+    """State of a worker in the endpoint list."""
 
     SERVING = auto()
     DRAINING = auto()
@@ -36,17 +36,17 @@
 
 
 class LoadState(Enum):
-    """Whether an answer found its function loaded, where answers tell."""
+    """Whether the function was loaded when the request arrived at the worker, as reported in the answer."""
 
     UNKNOWN = auto()
     LOADED = auto()
-    BEGAN_LOAD = auto()
-    JOINED_LOAD = auto()
+    BEGAN_LOAD = auto()  # the request started a load
+    JOINED_LOAD = auto()  # the request waited for a load that was in progress
     LOAD_FAILED = auto()
 
 
 class Zone(IntEnum):
-    """How near the latencies of a function on a worker are to their bound (paper, section III-B 1)."""
+    """Latency zone of a function on a worker, by distance to the latency bound (FnSched paper, III-B 1)."""
 
     SAFE = 1
     PREWARNING = 2
@@ -55,53 +55,53 @@
 
 
 class State(Enum):
-    """Where a request stands."""
+    """State of a request."""
 
-    NEW = auto()  # not admitted yet
+    NEW = auto()  # received, not admitted yet
     PLACING = auto()  # a worker is being chosen
-    OUT = auto()  # an attempt is under way
-    PARKED = auto()  # it waits for a load to end
-    OVER = auto()  # it has its final answer, or its client has gone
+    OUT = auto()  # an attempt is in flight
+    PARKED = auto()  # waiting for a load to finish
+    OVER = auto()  # the final answer was sent, or the client is gone
 
 
 @dataclass(eq=False)
 class WorkerInfo:
-    """A worker as the endpoint list names it. `name` is the same at every dispatcher."""
+    """A worker as described by the endpoint list. `name` is the same at every dispatcher."""
 
     name: str
-    zone: int = 0
-    cell: int = 0
-    kind: int = 0
-    size: float = 1.0
+    zone: int = 0  # availability zone
+    cell: int = 0  # failure domain within a zone
+    kind: int = 0  # machine type
+    size: float = 1.0  # relative capacity
     listing: EndpointState = EndpointState.SERVING
-    booted: int | None = None  # last start on the host's clock; None: long ago
+    booted: int | None = None  # tick of the last process start; None: long ago
 
 
 @dataclass(eq=False)
 class FunctionInfo:
-    """A function, with the memory (MB) and the lanes of one loaded copy."""
+    """A function, with the memory (MB) and the lanes (concurrent requests) of one loaded copy."""
 
     name: str
     method: int = 0
     memory: float = 0.0
     lanes: int = 1
-    load: int | None = None  # ticks that a load usually takes when nothing is in its way, where requests tell
+    load: int | None = None  # ticks of an undisturbed load; None: requests do not report it
 
 
 @dataclass(eq=False)
 class RequestInfo:
-    """One request as it came in. `tag` belongs to the host; decisions never read it."""
+    """One request as received. `tag` identifies it to the host; decisions never read it."""
 
     tag: str
     function: "Function"
     method: int
     customer: int
-    deadline: int  # when the client gives up on this try
-    work: int | None = None  # hint of the work, where given
-    repeat: bool = False
-    moved: bool = False  # taken before: under another function and has not run, or under the same id
-    came: int | None = None  # the earliest that it may have been taken, where it was read late
-    over: bool = False  # the final answer is out, or the client has left
+    deadline: int  # tick at which the client stops waiting
+    work: int | None = None  # hint of the work it takes, in ticks
+    repeat: bool = False  # the client marked it as a retry
+    moved: bool = False  # the preload budget has counted it: rerouted from another function, or same id
+    came: int | None = None  # earliest tick it may have arrived, if the host read it late
+    over: bool = False  # the final answer was sent, or the client is gone
     attempts: list["Attempt"] = field(default_factory=list)
 
 
@@ -111,19 +111,19 @@
 
     request: "Request"
     worker: "Worker"
-    sent: int
-    cold: bool = False  # a load is expected behind it
-    concurrency: int = 0  # own requests of the function on the worker, this one included, when it was sent
-    expected_latency: int = 0  # ticks that it would take alone
+    sent: int  # tick
+    cold: bool = False  # the function is expected to be loaded first
+    concurrency: int = 0  # own requests of the function on the worker as it was sent, this one included
+    expected_latency: int = 0  # ticks, without any queueing
     outcome: Outcome | None = None
 
 
 @dataclass(frozen=True)
 class AttemptResult:
-    """What came back with the end of an attempt."""
+    """Details reported with the end of an attempt."""
 
     latency: int  # ticks
-    over: bool = False  # the request is over, by this outcome or earlier
+    over: bool = False  # the request is over, by this outcome or before
     load_state: LoadState = LoadState.UNKNOWN
-    concurrency: int | None = None  # requests of the function found there, where answers tell
-    load_report: Mapping[str, float] = field(default_factory=dict)  # figures by name
+    concurrency: int | None = None  # requests of the function already on the worker; None: not reported
+    load_report: Mapping[str, float] = field(default_factory=dict)  # values by name
