--- a/lapistrestle/policy/__init__.py
+++ b/lapistrestle/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: events and a clock in, commands to the host out; no I/O."""
+"""The decision module: receives events and the time, issues commands to its host; no I/O."""
--- a/lapistrestle/policy/attempts.py
+++ b/lapistrestle/policy/attempts.py
@@ -45,7 +45,7 @@
         self.copies = copies
         self.load_limit = load_limit
         self.slow_start = slow_start
-        self.warm_count = 0  # under way, but for those behind a load
+        self.warm_count = 0  # in flight, not waiting for a load
         self.warm: dict[Attempt, None] = {}  # those, the oldest first
 
     def send(self, request: Request, replica: FunctionReplica) -> None:
--- a/lapistrestle/policy/candidates.py
+++ b/lapistrestle/policy/candidates.py
@@ -35,15 +35,17 @@
         With `not_loaded_too`, a worker that answered "not loaded" does not count as tried.
         """
         tried = self.tried(request, not_loaded_too)
-        trusted = self.health.trusted()
+        ejections_apply = self.health.ejections_apply()
         if tried:
             others = (
                 worker for worker in self.orders.function_order(request.function) if worker not in tried
             )
-            if not any(self.is_eligible(request, worker, trusted) for worker in others):
+            if not any(self.is_eligible(request, worker, ejections_apply) for worker in others):
                 tried.clear()
         return (
-            worker for worker in order if worker not in tried and self.is_eligible(request, worker, trusted)
+            worker
+            for worker in order
+            if worker not in tried and self.is_eligible(request, worker, ejections_apply)
         )
 
     def tried(self, request: Request, not_loaded_too: bool) -> set[Worker]:
@@ -55,13 +57,15 @@
                 tried.add(attempt.worker)
         return tried
 
-    def is_eligible(self, request: Request, worker: Worker, trusted: bool) -> bool:
-        """Whether the request may go to the worker now. `trusted`: unhealthy workers are excluded."""
+    def is_eligible(self, request: Request, worker: Worker, ejections_apply: bool) -> bool:
+        """Whether the request may go to the worker now. With `ejections_apply`, unhealthy workers are
+        excluded.
+        """
         if worker.listing is not EndpointState.SERVING:
             return False
         if worker.customer_rejected_until.get(request.customer, 0) > self.clock.now:
             return False
-        if trusted and not self.health.healthy(worker):
+        if ejections_apply and not self.health.healthy(worker):
             return False
         return self.allows_repeat(request, worker) and self.slow_start.has_capacity(worker, request)
 
--- a/lapistrestle/policy/endpoints.py
+++ b/lapistrestle/policy/endpoints.py
@@ -1,7 +1,7 @@
-"""The workers that the endpoint list names, and sums over those that serve.
+"""Workers of the endpoint list, and sums over those that serve.
 
-Of a dispatcher that is told a part of them (`partial`) no order is made here, and a change costs what it
-names, however many are known.
+A dispatcher that knows only some of the workers of its region (`partial`) builds no ring; the cost of a
+change is then proportional to the workers in it, not to all that are known.
 """
 
 from collections.abc import Sequence
@@ -12,35 +12,35 @@
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.ticks import SECOND
 
-# Ticks before an ejected worker is tried for the first time. Guards against a crowd at one that just failed;
+# Ticks until the first trial of an ejected worker, so that dispatchers do not rush to one that just failed;
 # `health.py` doubles it while trials fail.
 INITIAL_EJECTION_BACKOFF: Final = SECOND
 
 
 class Endpoints:
-    """All workers known, those that serve, and those that left."""
+    """All known workers, those that serve, and those removed from the list."""
 
     def __init__(self, partial: bool) -> None:
         self.partial = partial
         self.known: dict[Worker, None] = {}
         self.serving: dict[Worker, None] = {}
-        self.removed: dict[Worker, None] = {}  # removed from the list, and not forgotten yet
-        self.ring: list[Worker] = []  # by position; empty if partial
+        self.removed: dict[Worker, None] = {}  # removed from the list, but still with requests or preloads
+        self.ring: list[Worker] = []  # by ring position; empty if partial
         self.version = 0  # of the ring
-        self.size = 0.0  # of those that serve
+        self.size = 0.0  # total size of those that serve
 
     @property
     def workers(self) -> list[Worker]:
-        """All that are known, in the order in which they were first named."""
+        """All known workers, in the order in which they were first listed."""
         return list(self.known)
 
     @property
     def count(self) -> int:
-        """How many are known."""
+        """The number of known workers."""
         return len(self.known)
 
     def update(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
-        """Take over what the endpoint list says; `snapshot`: it names all that there are."""
+        """Apply changes of the endpoint list; with `snapshot`, `workers` is the complete list."""
         if snapshot:
             self.remove_all()
         for worker, info in workers:
@@ -54,20 +54,20 @@
             self.sort()
 
     def remove_all(self) -> None:
-        """Mark every worker as removed, until the list names it again."""
+        """Mark every worker as removed, until a later entry names it."""
         for worker in self.known:
             self.remove_from_serving(worker)
             worker.listing = EndpointState.REMOVED
             self.removed[worker] = None
 
     def remove_from_serving(self, worker: Worker) -> None:
-        """Take the worker out of those that serve."""
+        """Remove the worker from those that serve, if it is one of them."""
         if worker in self.serving:
             del self.serving[worker]
             self.size -= worker.size
 
     def add(self, worker: Worker) -> None:
-        """Put the worker where its state belongs."""
+        """Add the worker to the collections for its state."""
         self.known[worker] = None
         self.removed.pop(worker, None)
         if worker.listing is EndpointState.SERVING:
@@ -77,23 +77,23 @@
             self.removed[worker] = None
 
     def sort(self) -> None:
-        """Renew the ring, and the sums in its order."""
+        """Rebuild the ring, and sum the sizes in ring order."""
         listed = (worker for worker in self.known if worker not in self.removed)
         ring = sorted(listed, key=lambda worker: (worker.ring_position, worker.name))
-        if ring != self.ring:  # else the orders made from it still hold
+        if ring != self.ring:  # otherwise the orders built from it stay valid
             self.ring = ring
             self.version += 1
         self.serving = dict.fromkeys(worker for worker in ring if worker.listing is EndpointState.SERVING)
         self.size = sum(worker.size for worker in self.serving)
 
     def forget_removed(self) -> list[Worker]:
-        """Forget the workers that left once nothing is under way there, and return them. Guards against a
-        long life that grows; one that is back is learned anew.
+        """Drop the removed workers that have no requests or preloads in flight, and return them. Keeps memory
+        bounded in a long-running process; a worker that returns later starts without history.
         """
-        gone = [worker for worker in self.removed if not worker.in_flight and not worker.has_pending_work]
-        for worker in gone:
+        departed = [worker for worker in self.removed if not worker.in_flight and not worker.has_pending_work]
+        for worker in departed:
             del self.known[worker]
             del self.removed[worker]
             for function in list(worker.replicas):
                 function.drop(worker)
-        return gone
+        return departed
--- a/lapistrestle/policy/fleet_guidance.py
+++ b/lapistrestle/policy/fleet_guidance.py
@@ -1,4 +1,4 @@
-"""What other dispatchers of the fleet lend to this one's decisions; the defaults serve a dispatcher alone."""
+"""Limits and sums over the fleet of dispatchers; the defaults are those of a single dispatcher."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,35 +7,35 @@
 
 
 class RegionCapacity(Protocol):
-    """Sums over the workers of the whole region, for a dispatcher that knows only a part of them."""
+    """Sums over all workers of the region, for a dispatcher that knows only some of them."""
 
     @property
     def size(self) -> float:
-        """Size of the workers that serve."""
+        """Total size of the serving workers."""
 
     @property
     def warm_size(self) -> float:
-        """The same, each worker weighed by how far its slow start has come."""
+        """The same, each worker weighted by the fraction of its capacity that it has in slow start."""
 
     @property
     def count(self) -> int:
-        """How many workers there are."""
+        """Number of workers."""
 
 
 def always(_now: int) -> bool:
-    """A dispatcher alone has all loads to itself."""
+    """Allow every load: a single dispatcher shares no quota."""
     return True
 
 
 @dataclass(eq=False)
 class FleetGuidance:
-    """Changed by the host as the fleet's figures come; read by the module at each decision.
+    """Updated by the host from the messages of the fleet; read by the module at each decision.
 
-    `region` is set once, before the module is made: with it the module makes no order of its own and takes
-    the prefixes that a directory gives.
+    `region` is set once, before the module is created. With it the module builds no orders of its own, but
+    uses the prefixes that a directory returns.
     """
 
-    loads_allowed: Callable[[int], bool] = always  # whether one more load, at that tick, is within the quota
-    shedding: bool = False  # the fleet rejects requests at its doors
-    retries_per_second: float = inf  # this dispatcher's part of the fleet's retry budget
+    loads_allowed: Callable[[int], bool] = always  # whether the quota allows one more load at a tick
+    shedding: bool = False  # the fleet rejects requests by admission level
+    retries_per_second: float = inf  # this dispatcher's share of the fleet's retry budget
     region: RegionCapacity | None = None
--- a/lapistrestle/policy/health.py
+++ b/lapistrestle/policy/health.py
@@ -1,6 +1,6 @@
-"""Health of workers: outlier ejection by outcomes, silence, and the way back.
+"""Health of workers: outlier ejection by outcomes, detection of silent workers, and readmission.
 
-The design page says nothing of it; docs/design.md, "Added", has the reasons.
+Not part of the FnSched paper; reasons in docs/design.md, "Added".
 """
 
 from typing import Final
@@ -13,20 +13,21 @@
 from lapistrestle.policy.ports import Host
 from lapistrestle.ticks import SECOND
 
-# A worker is ejected when bad outcomes are more than this part of its recent ones, and `FLEET_FACTOR`
-# times the part in all. Guards against ejecting for faults that all workers share.
+# A worker is ejected if the share of bad outcomes among its recent ones exceeds this, and `FLEET_FACTOR`
+# times the share over all workers, so that a fault common to all workers ejects none.
 MIN_BAD_SHARE: Final = 0.35
 FLEET_FACTOR: Final = 2
-MIN_BAD_OUTCOMES: Final = 1.5  # recent bad outcomes at the least: guards against a verdict on one
-MAX_EJECTION_BACKOFF: Final = 8 * SECOND  # between trials of an ejected worker; the pause doubles up to this
-SILENCE_FACTOR: Final = 4  # usual latencies without a word after which a worker is passed over
-# Ticks after which a silent worker with nothing of ours under way is tried again, as is an ejected one that
-# others should have tried. Tried at once it cost 0.03 of a quick figure, after 2 s 0.04, after 10 s 0.015.
+MIN_BAD_OUTCOMES: Final = 1.5  # recent bad outcomes required, so that one is not enough
+MAX_EJECTION_BACKOFF: Final = 8 * SECOND  # maximum ticks between trials of an ejected worker
+SILENCE_FACTOR: Final = 4  # a worker is silent after so many typical latencies without an answer
+# Ticks after which a silent worker without own attempts in flight is tried again, and an ejected one whose
+# trials are assigned to other dispatchers. An earlier trial is likely to fail: the benchmark score lost 0.03
+# if it followed at once, 0.04 after 2 s, 0.015 after 10 s.
 SILENCE_RETRY_DELAY: Final = LONG_TIME_CONSTANT
 
 
 class Health:
-    """Verdicts on workers, by own outcomes there against those everywhere."""
+    """Ejects workers by comparing own outcomes there with those at all workers."""
 
     def __init__(self, host: Host, clock: Clock, endpoints: Endpoints, latency: LatencyEstimates) -> None:
         self.host = host
@@ -35,36 +36,36 @@
         self.latency = latency
         self.good_outcomes = DecayingSum(SHORT_TIME_CONSTANT, clock.now)  # at all workers
         self.bad_outcomes = DecayingSum(SHORT_TIME_CONSTANT, clock.now)
-        self.ejected_count = 0  # among those that serve
+        self.ejected_count = 0  # among serving workers
 
     def endpoints_changed(self) -> None:
-        """Count the ejected anew; of a part of the fleet only where there were any, as a change is to
-        cost what it names.
+        """Recount the ejected workers. With a partial list this is skipped if there were none, to keep the
+        cost of a change proportional to the workers in it.
         """
         if not self.endpoints.partial or self.ejected_count:
             self.ejected_count = sum(worker.ejected for worker in self.endpoints.serving)
 
-    def trusted(self) -> bool:
-        """Whether verdicts count: where most workers look bad, the rest must not be crowded."""
+    def ejections_apply(self) -> bool:
+        """Whether ejections apply: not if most workers are ejected, as the rest would be overloaded."""
         return 2 * self.ejected_count <= len(self.endpoints.serving)
 
-    def record(self, worker: Worker, harm: bool, sent: int) -> None:
-        """Count an outcome of what was sent at that tick. Errors, silence, lost connections and slowness are
-        one symptom: own outcomes there go badly.
+    def record(self, worker: Worker, bad: bool, sent: int) -> None:
+        """Record the outcome of an attempt or preload that was sent at tick `sent`. Errors, timeouts, lost
+        connections and slow answers all count as bad.
         """
         now = self.clock.now
         for outcomes in (worker, self):
-            (outcomes.bad_outcomes if harm else outcomes.good_outcomes).add(now, 1)
+            (outcomes.bad_outcomes if bad else outcomes.good_outcomes).add(now, 1)
         if not worker.ejected:
-            self.judge(worker)
-        elif sent >= worker.next_trial_at and harm:
+            self.update_ejection(worker)
+        elif sent >= worker.next_trial_at and bad:
             worker.ejection_backoff = min(2 * worker.ejection_backoff, MAX_EJECTION_BACKOFF)
             worker.next_trial_at = now + worker.ejection_backoff
         elif sent >= worker.next_trial_at:
             self.readmit(worker)
 
-    def judge(self, worker: Worker) -> None:
-        """Eject the worker if its recent outcomes are bad, also against those of all."""
+    def update_ejection(self, worker: Worker) -> None:
+        """Eject the worker if its share of bad outcomes is high, also relative to all workers."""
         now = self.clock.now
         bad = worker.bad_outcomes.read(now)
         good = worker.good_outcomes.read(now)
@@ -78,13 +79,13 @@
             self.host.log(f"{worker.name} ejected: {bad:.1f} bad, {good:.1f} good, fleet {all_bad:.0f}")
 
     def healthy(self, worker: Worker) -> bool:
-        """Whether the worker is neither ejected nor silent; such a one gets one attempt at a time once its
-        pause is over.
+        """Whether the worker may get requests: it is neither ejected nor silent, or it is due for a trial and
+        has no attempt in flight.
         """
         now = self.clock.now
         silence = 0 if worker.silent_since is None else now - worker.silent_since
         if silence and silence > SILENCE_FACTOR * self.slowest_typical():
-            # with nothing under way it could not break its silence
+            # without an attempt in flight it has no way to answer
             return silence > SILENCE_RETRY_DELAY and not worker.in_flight
         if not worker.ejected:
             return True
@@ -92,19 +93,19 @@
         return now >= worker.next_trial_at + wait and not worker.in_flight
 
     def slowest_typical(self) -> float:
-        """Return the usual latency of the slowest method, in ticks."""
+        """Return the typical latency of the slowest method, in ticks."""
         return max(self.latency.typical(method) for method in range(len(self.latency.by_method)))
 
     def on_peer_verdict(self, worker: Worker, at: int) -> None:
-        """Others found it healthy, at that tick. Guards against crowds of trials; harms where it fails for us
-        alone.
+        """Another dispatcher found the worker healthy at tick `at`: readmit it if it was ejected before that.
+        Saves trials by every dispatcher; wrong if it fails for this dispatcher alone.
         """
         ejected_at = worker.next_trial_at - worker.ejection_backoff
         if worker.ejected and at > ejected_at:
             self.readmit(worker)
 
     def readmit(self, worker: Worker) -> None:
-        """Use the worker again as any other."""
+        """End the ejection of the worker."""
         worker.ejected = False
         worker.ejection_backoff = INITIAL_EJECTION_BACKOFF
         worker.bad_outcomes = DecayingSum(SHORT_TIME_CONSTANT)
--- a/lapistrestle/policy/latency_zones.py
+++ b/lapistrestle/policy/latency_zones.py
@@ -1,8 +1,8 @@
-"""Latency zones: how near a function on a worker, and the worker as a whole, are to the latency bound.
+"""Latency zones: distance of a replica, and of its worker as a whole, to the latency bound.
 
-Kept of the paper (section III-B 1): the last 30 latencies of a function on a worker against its isolated
-latency, in quarters up to the bound; Unsafe lasts 2 s and comes back as Warning. Changed: docs/design.md,
-"Changed".
+As in the FnSched paper (section III-B 1), the average of the last 30 latencies of a replica is placed in one
+of four equal ranges between the isolated latency and the bound; Unsafe lasts 2 s and is followed by Warning.
+Differences from the paper: docs/design.md, "Changed".
 """
 
 from typing import Final
@@ -15,16 +15,16 @@
 from lapistrestle.policy.types import Zone
 from lapistrestle.ticks import SECOND
 
-WINDOW_SIZE: Final = 30  # latencies in a window; design page
-UNSAFE_BACKOFF: Final = 2 * SECOND  # ticks that Unsafe lasts; design page
-# A young window is averaged with so many isolated latencies. Guards against a verdict on one heavy request.
+WINDOW_SIZE: Final = 30  # latencies in a window
+UNSAFE_BACKOFF: Final = 2 * SECOND  # ticks that Unsafe lasts
+# Isolated latencies that are averaged with a window, so that one heavy request does not determine the zone.
 PRIOR_SAMPLES: Final = 2
-ZONE_COUNT: Final = 4  # zones between the isolated latency and the bound; paper
-MIN_SIZE: Final = 1e-9  # guards against a division by nothing that serves
+ZONE_COUNT: Final = 4  # zones between the isolated latency and the bound
+MIN_SIZE: Final = 1e-9  # avoids a division by 0 if no worker serves
 
 
 class LatencyZones:
-    """Zones by own latencies, by late attempts and by what is under way."""
+    """Zones from own latencies, late attempts and the number in flight."""
 
     def __init__(
         self, clock: Clock, endpoints: Endpoints, latency: LatencyEstimates, throughput: Throughput
@@ -35,14 +35,12 @@
         self.throughput = throughput
 
     def add_latency(self, replica: FunctionReplica, latency: int) -> None:
-        """Add a latency, relative to the work hint, and judge by the window that ends with it."""
+        """Add a latency, relative to the work hint, and update the zone."""
         replica.window = [*replica.window[1 - WINDOW_SIZE :], latency]
-        self.judge(replica)
+        self.update_zone(replica)
 
-    def judge(self, replica: FunctionReplica) -> None:
-        """Set the zone of the function on the worker by its window; Unsafe stays until its backoff is
-        over.
-        """
+    def update_zone(self, replica: FunctionReplica) -> None:
+        """Set the zone of the replica from its window; Unsafe stays until its backoff has passed."""
         if replica.zone is Zone.UNSAFE:
             return
         function = replica.function
@@ -52,14 +50,14 @@
         replica.backoff_until = self.clock.now + int(UNSAFE_BACKOFF * self.throughput.memory_factor)
 
     def zone_of(self, function: Function, average: float) -> Zone:
-        """Return the quarter between the isolated latency and the bound that an average latency lies in."""
+        """Return the zone of an average latency."""
         isolated = self.latency.isolated(function)
         span = self.latency.bound(function) - isolated
         return Zone(max(1, min(ZONE_COUNT, 1 + int(ZONE_COUNT * (average - isolated) / span))))
 
     def zone(self, replica: FunctionReplica) -> Zone:
-        """Return the worse zone of the function on the worker and of the worker as a whole; Unsafe while that
-        turns requests away.
+        """Return the worse of the zones of the replica and of its worker; Unsafe while the worker rejects
+        requests.
         """
         now = self.clock.now
         if replica.zone is Zone.UNSAFE and now >= replica.backoff_until:
@@ -70,23 +68,26 @@
         return max(replica.zone, self.worker_zone(replica))
 
     def worker_zone(self, replica: FunctionReplica) -> Zone:
-        """Return the zone by all functions' latencies there and by what is under way. Guards against
-        windows of one function, which fill too slowly; harms where one function is slow.
+        """Return the zone of the whole worker, from the latencies of all functions and the number in flight.
+        The window of a single function fills too slowly to show overload; on the other hand, one slow
+        function affects the others.
         """
         worker = replica.worker
         isolated = self.latency.isolated(replica.function)
-        total, total_isolated = worker.latency_sums(self.clock.now, WINDOW_SIZE)
-        average = isolated * (total + PRIOR_SAMPLES * isolated) / (total_isolated + PRIOR_SAMPLES * isolated)
+        latency_sum, isolated_sum = worker.latency_sums(self.clock.now, WINDOW_SIZE)
+        average = (
+            isolated * (latency_sum + PRIOR_SAMPLES * isolated) / (isolated_sum + PRIOR_SAMPLES * isolated)
+        )
         return self.zone_of(replica.function, max(average, self.queueing_time(worker)))
 
     def queueing_time(self, worker: Worker) -> float:
-        """Return for how many ticks one more request would wait there: ours under way, over the pace at which
-        they come back, or one by one.
+        """Return the expected wait of one more request in ticks: own attempts in flight over the rate of
+        answers, or over the rate if they ran one after the other, if that is higher.
         """
         served = self.throughput.rate(worker.ok_answers)
         share = self.throughput.ok_rate() * worker.size / max(self.endpoints.size, MIN_SIZE)
         rate = max(served, share)
-        under_way = len(worker.warm_attempts)
-        if not under_way:
+        in_flight = len(worker.warm_attempts)
+        if not in_flight:
             return 0.0
-        return under_way / max(rate, under_way / worker.warm_expected_latency)
+        return in_flight / max(rate, in_flight / worker.warm_expected_latency)
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt teaches each part of the module."""
+"""Updates the estimates at the end of an attempt."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -21,17 +21,17 @@
 from lapistrestle.policy.types import Attempt, AttemptResult, EndpointState, LoadState, Outcome, Zone
 from lapistrestle.ticks import SECOND
 
-# Ticks for which a worker whose queue was full is passed over, at most: queues turn over faster than zones.
+# Maximum ticks for which a worker with a full queue gets no requests: queues change faster than zones.
 FULL_QUEUE_BACKOFF: Final = SECOND // 2
-# A rejection within this part of a usual latency says that the queue is full, whatever the customer.
+# A rejection within this fraction of a typical latency means a full queue, regardless of the customer.
 IMMEDIATE_REJECTION_FRACTION: Final = 1 / 4
-MIN_RATE: Final = 1e-9  # answers a tick; guards against a division by none
-QUEUE_LENGTH_KEY: Final = "backlog"  # the figure of a load report that tells requests in wait there
+MIN_RATE: Final = 1e-9  # answers per tick; avoids a division by 0
+QUEUE_LENGTH_KEY: Final = "backlog"  # value of a load report: requests queued at the worker
 
 
 @dataclass(eq=False)
 class OutcomeRecording:
-    """Hands each outcome on to the parts that keep figures of it."""
+    """Passes each outcome to the components whose estimates depend on it."""
 
     settings: Settings
     clock: Clock
@@ -49,7 +49,7 @@
     def record(
         self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, result: AttemptResult
     ) -> None:
-        """Take in the end of an attempt."""
+        """Record the end of an attempt."""
         worker = replica.worker
         request = attempt.request
         worker.set_time_constant(int(SHORT_TIME_CONSTANT * self.throughput.memory_factor))
@@ -76,7 +76,7 @@
     def record_ok(
         self, replica: FunctionReplica, attempt: Attempt, result: AttemptResult, loaded_first: bool
     ) -> None:
-        """Count an ok answer, and add a copy where it was slow as others wait there too."""
+        """Record an ok answer; if it was slow because others queue there, add a copy."""
         now = self.clock.now
         request = attempt.request
         worker = replica.worker
@@ -84,7 +84,9 @@
         self.copies.record_answer(replica)
         if not loaded_first and attempt.concurrency <= 1:
             latencies.add(now, result.latency)
-        if worker.listing is EndpointState.SERVING and latencies.count.value:  # else its work is a guess
+        if (
+            worker.listing is EndpointState.SERVING and latencies.count.value
+        ):  # otherwise its work is not known
             self.slow_start.add_ok(request.method)
         self.throughput.add_ok(result.latency)
         worker.ok_answers.add(now, 1)
@@ -96,28 +98,28 @@
             self.preloading.scale_up(replica, request, result.concurrency)
 
     def record_load(self, replica: FunctionReplica, outcome: Outcome, latency: int) -> None:
-        """Count an attempt that had a load before it; where answers do not tell loads, one on a crowded
-        worker is no witness, as its queue may be what was slow.
+        """Record an attempt that waited for a load. If answers do not report loads, those from busy workers
+        are ignored, as queueing may have caused the delay.
         """
-        witnessed = self.settings.reports_warmth or self.settings.reports_not_loaded
-        if witnessed or self.zones.worker_zone(replica) < Zone.WARNING:
+        load_reported = self.settings.reports_warmth or self.settings.reports_not_loaded
+        if load_reported or self.zones.worker_zone(replica) < Zone.WARNING:
             self.load_limit.record(replica.function, outcome is Outcome.OK, latency)
 
     def record_rejection(self, worker: Worker, request: Request, latency: int) -> None:
-        """Pass the worker over: for all, if its queue is full; for this customer alone, if it took its
-        time and so has room, and there are others for whose sake it may hold this one back.
+        """Exclude the worker for a while: for all requests if its queue is full; for this customer only if
+        the rejection took time, so that the queue has room, and there are other customers to be fair to.
         """
         now = self.clock.now
-        only_customer = len(self.settings.customers) <= 1
-        if only_customer or latency < self.latency.typical(request.method) * IMMEDIATE_REJECTION_FRACTION:
+        single_customer = len(self.settings.customers) <= 1
+        if single_customer or latency < self.latency.typical(request.method) * IMMEDIATE_REJECTION_FRACTION:
             worker.rejecting_until = now + FULL_QUEUE_BACKOFF
         else:
-            pause = int(UNSAFE_BACKOFF * self.throughput.memory_factor)
-            worker.customer_rejected_until[request.customer] = now + pause
+            backoff = int(UNSAFE_BACKOFF * self.throughput.memory_factor)
+            worker.customer_rejected_until[request.customer] = now + backoff
 
     def record_queue(self, replica: FunctionReplica, result: AttemptResult) -> None:
-        """Count a reported queue as a latency to come, where own samples are too few: others' requests there,
-        over the pace of a worker of its size.
+        """Record the wait implied by a reported queue as a latency, if own samples are too few: queued
+        requests over the expected rate of a worker of its size.
         """
         if self.throughput.memory_factor <= 1 or QUEUE_LENGTH_KEY not in result.load_report:
             return
@@ -132,7 +134,7 @@
     def record_latency(
         self, replica: FunctionReplica, attempt: Attempt, outcome: Outcome, latency: int
     ) -> None:
-        """Count what the attempt took; one that failed counts as taking the bound at the least."""
+        """Record the latency of the attempt; a failed one counts as at least the latency bound."""
         scale = attempt.request.scale
         bound = self.latency.bound(replica.function) * scale
         if outcome is not Outcome.OK:
@@ -140,5 +142,5 @@
         replica.worker.add_latency(self.clock.now, latency, self.latency.isolated(replica.function) * scale)
         if outcome is not Outcome.REJECTED:
             self.zones.add_latency(replica, int(latency / scale))
-            harm = outcome not in (Outcome.OK, Outcome.CANCELLED) or latency > bound
-            self.health.record(replica.worker, harm, attempt.sent)
+            bad = outcome not in (Outcome.OK, Outcome.CANCELLED) or latency > bound
+            self.health.record(replica.worker, bad, attempt.sent)
--- a/lapistrestle/policy/placement.py
+++ b/lapistrestle/policy/placement.py
@@ -1,7 +1,7 @@
-"""Placement: to which worker a request goes.
+"""Placement: chooses the worker of an attempt.
 
-Kept of the paper (FnSched) and of the design page: first fit along the function's order, within capacity
-by zones, and the worker with the fewest of ours as the last resort. Changed: docs/design.md, "Changed".
+As in the FnSched paper: first fit along the function's order, within the capacity that the latency zones
+allow, and the least busy worker as the last resort. Differences from the paper: docs/design.md, "Changed".
 """
 
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 @dataclass(eq=False)
 class Placement:
-    """The choice of a worker for one attempt."""
+    """Chooses a worker for a request, and sends the attempt."""
 
     settings: Settings
     clock: Clock
@@ -40,8 +40,8 @@
     attempts: Attempts
 
     def place(self, request: Request, _: FunctionReplica | None = None) -> RequestEvent:
-        """Send the request to the first worker of the order with room; else load one further copy on the
-        first worker that can take it; else use the worker with the fewest of ours.
+        """Send the request to the first worker of the order with free capacity; otherwise load an additional
+        copy on the first worker that accepts it; otherwise use the least busy worker.
         """
         function = request.function
         order = self.orders.order_from_own_offset(function)
@@ -56,12 +56,14 @@
         return self.place_beyond_capacity(request, order, in_use)
 
     def send(self, request: Request, replica: FunctionReplica) -> RequestEvent:
-        """Send the request to the function on a worker."""
+        """Send the request to the replica's worker."""
         self.attempts.send(request, replica)
         return RequestEvent.SENT
 
     def capacity(self, replica: FunctionReplica) -> int:
-        """Return how many own requests may be on the function there at once: a lane each, one in Warning."""
+        """Return the limit of own concurrent requests of the replica: one per lane, but a single one in
+        Warning.
+        """
         copies = self.copies.believed(replica) or int(self.copies.presumed_loaded(replica))
         zone = self.zones.zone(replica) if copies else Zone.UNSAFE
         if zone is Zone.UNSAFE:
@@ -71,8 +73,8 @@
     def place_beyond_capacity(
         self, request: Request, order: list[Worker], in_use: list[FunctionReplica]
     ) -> RequestEvent:
-        """No worker in use has room: load a further copy if all are near the bound, or share what there
-        is.
+        """No worker in use has free capacity: load an additional copy if all are near the latency bound,
+        otherwise queue at one of them.
         """
         now = self.clock.now
         warm = [r for r in in_use if self.copies.believed(r) and now >= r.worker.rejecting_until]
@@ -84,16 +86,19 @@
         if not loading and not below_warning and may_load:
             cold = self.candidates.first_without_copy(request, order, to_load=bool(warm or request.attempts))
             if cold and warm:
-                self.preloading.preload(cold, 1)  # rather than wait for a load that it can do without
+                self.preloading.preload(cold, 1)  # the request itself need not wait for the load
             elif cold and not found_no_copy(request):
                 return self.send(request, cold)
-        # after "not loaded" only what may load: of those sent on blindly one in twenty met a copy
-        blind = not request.attempts if self.settings.reports_not_loaded else may_load
-        return self.place_at_least_busy(request, below_unsafe or warm or loading or (in_use if blind else []))
+        # after "not loaded", only if a load is allowed: of requests sent without one, one in twenty found a
+        # copy
+        may_guess = not request.attempts if self.settings.reports_not_loaded else may_load
+        return self.place_at_least_busy(
+            request, below_unsafe or warm or loading or (in_use if may_guess else [])
+        )
 
     def place_at_least_busy(self, request: Request, replicas: list[FunctionReplica]) -> RequestEvent:
-        """Use the worker where the wait is shortest, ties by chance; none where the request would wait past
-        what earns its gain, and make others do so.
+        """Use the worker with the shortest wait, ties broken at random. None if the request would miss its
+        latency objective or deadline, and delay others as well.
         """
         now = self.clock.now
         waits = [(self.zones.queueing_time(r.worker), r) for r in replicas if now >= r.worker.rejecting_until]
@@ -105,11 +110,11 @@
         ties = [replica for wait, replica in waits if wait == shortest]
         replica = ties[self.rng.randbelow(len(ties))]
         if self.settings.reports_not_loaded and replica.loading and not self.copies.believed(replica):
-            replica.waiters.append(request)  # no use before the load has ended
+            replica.waiters.append(request)  # it would be rejected before the load has finished
             return RequestEvent.WAITS_FOR_LOAD
         return self.send(request, replica)
 
 
 def found_no_copy(request: Request) -> bool:
-    """Whether an attempt of the request found its function not loaded."""
+    """Whether an attempt of the request was answered "not loaded"."""
     return any(attempt.outcome is Outcome.NOT_LOADED for attempt in request.attempts)
--- a/lapistrestle/policy/preload_budget.py
+++ b/lapistrestle/policy/preload_budget.py
@@ -1,8 +1,7 @@
-"""The budget of preloads: so many for free in a window, and more for each request in it (operators' rule
-5).
+"""Budget of preloads: a fixed number per window, and a share of the requests in the window.
 
-What counts is where preloads cross to their workers: one without answer may be about to cross, and
-requests are older there by then (docs/design.md, "Order budget").
+The budget is checked where preloads arrive at the workers: a preload without answer may still be about to
+arrive, and by then some of the requests have left the window (docs/design.md, "Order budget").
 """
 
 from bisect import bisect_right, insort
@@ -13,30 +12,30 @@
 from lapistrestle.policy.loaded_copies import LoadedCopies
 from lapistrestle.policy.settings import Settings
 
-# A preload that took longer than so many usual loads may have lain on the way for the rest.
+# A preload that took longer than so many typical loads may have spent the excess in transit.
 TYPICAL_LOADS: Final = 2
 
 
 class PreloadBudget:
-    """Preloads and requests of the window."""
+    """Preloads and requests in the window."""
 
     def __init__(self, settings: Settings, clock: Clock, copies: LoadedCopies) -> None:
         self.settings = settings
         self.clock = clock
         self.copies = copies
-        self.arrivals = list[int]()  # answered preloads: when each may have crossed, in order
-        self.requests = list[int]()  # when each came, in order
-        self.pending = 0  # preloads without answer
+        self.arrivals = list[int]()  # latest tick at which each answered preload may have arrived, sorted
+        self.requests = list[int]()  # tick at which each arrived, sorted
+        self.pending = 0  # preloads in flight
 
     def add_request(self, request: Request) -> None:
-        """Count the request from when it came, unless it was counted before."""
+        """Count the request from its arrival, unless it was counted before."""
         now = self.clock.now
         if not request.moved:
             insort(self.requests, now if request.came is None else request.came)
         del self.requests[: bisect_right(self.requests, now - self.settings.preload_window)]
 
-    def allows(self, part: float) -> bool:
-        """Whether one more preload is within this part of the budget."""
+    def allows(self, fraction: float) -> bool:
+        """Whether one more preload is within this fraction of the budget."""
         settings = self.settings
         now = self.clock.now
         window = settings.preload_window
@@ -45,15 +44,15 @@
         del self.requests[: bisect_right(self.requests, now - window + delay)]
         if not settings.may_preload:
             return False
-        most = part * (settings.preload_free + settings.preload_share * len(self.requests))
-        return not window or len(self.arrivals) + self.pending + 1 <= most
+        limit = fraction * (settings.preload_free + settings.preload_share * len(self.requests))
+        return not window or len(self.arrivals) + self.pending + 1 <= limit
 
     def add_preload(self) -> None:
-        """Count a preload that is being sent."""
+        """Record a preload that is being sent."""
         self.pending += 1
 
     def finish(self, preload: PendingPreload, duration: int) -> None:
-        """Count an answered preload from when it may have crossed."""
+        """Record an answered preload from the latest tick at which it may have arrived."""
         self.pending -= 1
-        late = duration - TYPICAL_LOADS * self.copies.load_time.read(duration)
-        insort(self.arrivals, preload.sent + max(0, int(late)))
+        excess = duration - TYPICAL_LOADS * self.copies.load_time.read(duration)
+        insort(self.arrivals, preload.sent + max(0, int(excess)))
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -1,9 +1,8 @@
-"""Preloading: copies that are loaded without a request behind them, to hold what is used and a part of
-the headroom.
+"""Preloading: loads copies before requests need them, to keep those in use and some headroom.
 
-Kept of the paper (FnScale, section III-B 2): every period each function keeps the copies that were used
-and the square root of that more, here shared out over the dispatchers. Changed: docs/design.md,
-"Changed".
+As in the paper (FnScale, section III-B 2), each function keeps in every period the copies that were used,
+plus their square root as headroom, which is divided among the dispatchers. Differences from the paper:
+docs/design.md, "Changed".
 """
 
 from collections.abc import Sequence
@@ -27,21 +26,19 @@
 from lapistrestle.policy.types import EndpointState, Outcome, Zone
 from lapistrestle.ticks import SECOND
 
-MAINTENANCE_PERIOD: Final = 5 * SECOND  # between two rounds of a function's upkeep; design page
-# Part of the preload budget that upkeep may use. Guards the rest, for what requests wait for: under a
-# release all dispatchers miss at once and spend theirs.
+MAINTENANCE_PERIOD: Final = 5 * SECOND  # ticks between two maintenance runs of a function
+# Fraction of the preload budget that maintenance may use. The rest is for loads that requests wait for: when
+# a new version is released, all dispatchers need those at once.
 MAINTENANCE_BUDGET_FRACTION: Final = 0.25
-MAX_COPIES_PER_PRELOAD: Final = (
-    16  # of a function that one preload asks for: guards against a count without end
-)
-# Ticks for which a worker that turned a load away gets none. Guards the budget, and requests in wait;
-# short, as queues of loads turn over fast.
+MAX_COPIES_PER_PRELOAD: Final = 16  # per preload; bounds the count
+# Ticks without loads for a worker that rejected one; saves the preload budget, and delays of waiting
+# requests. Short, as load queues change fast.
 FULL_QUEUE_BACKOFF: Final = SECOND // 2
 
 
 @dataclass(eq=False)
 class Preloading:
-    """Preloads under way, and the functions whose copies are kept."""
+    """Preloads in flight, and the functions whose replicas are maintained."""
 
     host: Host
     settings: Settings
@@ -55,23 +52,26 @@
     candidates: Candidates
     budget: PreloadBudget
     load_limit: LoadLimit
-    functions: dict[Function, None] = field(default_factory=dict, init=False)  # whose upkeep has a timer
+    functions: dict[Function, None] = field(default_factory=dict, init=False)  # with a maintenance timer
 
     def start_maintenance(self, function: Function) -> None:
-        """Begin the upkeep of a function that is called."""
+        """Start the periodic maintenance of a function that is used."""
         if function not in self.functions:
             self.functions[function] = None
             self.host.set_timer(MAINTENANCE_PERIOD, function)
 
-    def preload(self, replica: FunctionReplica, count: int, part: float = 1.0) -> bool:
-        """Ask for so many copies and return True; False where rule 3 (serving workers only), rule 5 (within
-        this part of the budget), or the worker's full queue of loads is against it.
+    def preload(self, replica: FunctionReplica, count: int, budget_fraction: float = 1.0) -> bool:
+        """Send a preload for `count` copies and return True. Return False if the worker does not serve (a
+        draining or removed worker is sent nothing new), if this fraction of the preload budget is used up, or
+        if the worker's load queue is full.
         """
-        allowed = self.budget.allows(part)
+        allowed = self.budget.allows(budget_fraction)
         worker = replica.worker
         load = count > self.copies.believed(replica)
-        full = load and (self.clock.now < worker.loads_rejected_until or not self.load_limit.fleet_allows())
-        if not allowed or worker.listing is not EndpointState.SERVING or full:
+        queue_full = load and (
+            self.clock.now < worker.loads_rejected_until or not self.load_limit.fleet_allows()
+        )
+        if not allowed or worker.listing is not EndpointState.SERVING or queue_full:
             return False
         self.budget.add_preload()
         replica.pending_preloads.append(PendingPreload(self.clock.now, load))
@@ -82,7 +82,7 @@
         return True
 
     def finish(self, replica: FunctionReplica, outcome: Outcome, count: int, duration: int) -> None:
-        """Take in the answer to the oldest preload of the replica: `count` copies stand, after `took`
+        """Record the answer to the oldest preload of the replica: `count` copies are loaded, after `duration`
         ticks.
         """
         preload = replica.pending_preloads.popleft()
@@ -99,20 +99,20 @@
         self.update_copies(replica, outcome, count)
 
     def update_copies(self, replica: FunctionReplica, outcome: Outcome, count: int) -> None:
-        """Set what stands there by the answer to a preload."""
+        """Update the believed copies from the answer to a preload."""
         if outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR):
             self.copies.set_count(replica, count)
         elif outcome in self.copies.restart_outcomes:
             replica.worker.emptied_at = self.clock.now
             self.health.record(replica.worker, True, self.clock.now)
-        elif outcome is Outcome.RESET:  # the preload itself stands
+        elif outcome is Outcome.RESET:  # the worker executes the preload regardless
             replica.copies = max(1, replica.copies)
             replica.confirmed_at = self.clock.now
 
     def scale_up(self, replica: FunctionReplica, request: Request, concurrency: int) -> None:
-        """Add a copy on the next worker of the order where requests of all dispatchers wait for a lane.
-        Guards against dispatchers that each see too little of a function to know it is hot; harms where
-        waits are short.
+        """Add a copy on the next worker of the order if requests of all dispatchers wait for a lane. Each
+        dispatcher alone may see too little of a function to notice that it is hot. Wasteful if waits are
+        short.
         """
         lanes = self.copies.believed(replica) * replica.function.lanes
         if concurrency < lanes or self.load_limit.in_progress >= self.load_limit.limit:
@@ -123,14 +123,14 @@
             self.preload(cold, 1)
 
     def maintain_replicas(self, function: Function) -> None:
-        """Each period: keep what was used and a part of the headroom, unless loads that requests wait for
-        need the room; forget what is used no more.
+        """Once per period: keep the copies that were used and this dispatcher's share of the headroom, unless
+        the load limit is taken up by loads that requests wait for; drop what is no longer used.
         """
         used = {
             r: ceil(r.peak_in_flight / function.lanes) for r in function.replicas.values() if r.peak_in_flight
         }
         self.drop_unused(function)
-        if not function.replicas:  # what it takes alone is kept, what stands where is learned anew
+        if not function.replicas:  # only its isolated latency is retained
             del self.functions[function]
             function.scores = {}
             function.order = []
@@ -142,7 +142,7 @@
             self.preload_along_order(function, used, self.own_headroom(sum(used.values())))
 
     def drop_unused(self, function: Function) -> None:
-        """Begin a new period, and forget replicas of which nothing is known that still counts."""
+        """Start a new period, and drop replicas that are unused and whose history has expired."""
         for replica in list(function.replicas.values()):
             replica.peak_in_flight = replica.in_flight
             in_use = (
@@ -156,8 +156,8 @@
                 function.drop(replica.worker)
 
     def own_headroom(self, used: int) -> int:
-        """Return this dispatcher's part of the square root of what is used; what is left over goes by
-        chance.
+        """Return this dispatcher's share of the headroom, the square root of the used copies. The remainder
+        of the division is assigned at random.
         """
         dispatchers = self.settings.dispatcher_count
         headroom, remainder = divmod(ceil(sqrt(used)), dispatchers)
@@ -166,8 +166,9 @@
     def preload_along_order(
         self, function: Function, used: dict[FunctionReplica, int], headroom: int
     ) -> None:
-        """Preload along the order what was used, the headroom at the first worker that can take it. Copies in
-        steady use are passed over: all at once they began up to forty loads.
+        """Preload the used copies along the order, and the headroom at the first worker that accepts it.
+        Copies in steady use that are loaded need no preload; renewing them all at once started up to forty
+        loads.
         """
         for worker in self.orders.function_order(function):
             if worker.listing is not EndpointState.SERVING:
@@ -182,11 +183,11 @@
             below_limit = self.load_limit.in_progress < self.load_limit.limit
             may_load = below_limit and self.load_limit.fleet_allows(copy_exists=True)
             loads = count > self.copies.believed(replica)
-            wanted = may_load if loads else count > used.get(replica, 0)
-            if wanted:
+            needed = may_load if loads else count > used.get(replica, 0)
+            if needed:
                 self.preload(replica, count, MAINTENANCE_BUDGET_FRACTION)
 
     def forget(self, workers: Sequence[Worker]) -> None:
-        """Drop what the orders of kept functions hold of workers that are gone."""
+        """Drop the scores that the maintained functions hold of workers that are gone."""
         if workers:
             self.orders.forget(self.functions, workers)
--- a/lapistrestle/policy/retries.py
+++ b/lapistrestle/policy/retries.py
@@ -1,7 +1,7 @@
-"""Further attempts of a request, and what follows where its function was not loaded.
+"""Retries of a request, and the reaction to "not loaded".
 
-Kept of the design page: "not loaded" at the home leads to a preload, and the request goes there once that
-is answered. Changed: docs/design.md, "front ends of their own clients".
+"Not loaded" at the home (the first worker of the function's order) starts a preload there, and the request is
+sent once that is answered. Variants for many dispatchers: docs/design.md, "front ends of their own clients".
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 
 @dataclass(eq=False)
 class Retries:
-    """The second attempt of a request and all after it."""
+    """Sends all attempts of a request after the first."""
 
     settings: Settings
     clock: Clock
@@ -36,46 +36,49 @@
     budget: RetryBudget
 
     def retry(self, request: Request, _: FunctionReplica | None) -> RequestEvent:
-        """Place the request once more, if attempts, time and the retry budget are left."""
-        spent = self.attempts_exhausted(request) or self.admission.cannot_finish_in_time(request)
+        """Place the request again, if attempts, time and retry budget allow."""
+        exhausted = self.attempts_exhausted(request) or self.admission.cannot_finish_in_time(request)
         allowed = self.budget.allows(request)
-        if spent or not allowed:
+        if exhausted or not allowed:
             return RequestEvent.NO_WORKER
         return self.placement.place(request)
 
     def attempts_exhausted(self, request: Request) -> bool:
-        """Whether the request has had all its attempts."""
+        """Whether the request has used all its attempts."""
         return len(request.attempts) >= self.settings.attempt_limit
 
     def on_not_loaded(self, request: Request, replica: FunctionReplica | None) -> RequestEvent:
-        """Try the home, where all dispatchers meet, once; else preload there and have the request wait
-        for it, so that it can't overtake the preload, unless a load would come too late.
+        """Try the home once, as all dispatchers send there and may have loaded a copy. Otherwise preload
+        there and park the request until that is answered, so that it cannot arrive before the preload; if the
+        load would take too long, retry.
         """
         if replica is None or not self.settings.reports_not_loaded or self.attempts_exhausted(request):
             return self.retry(request, replica)
         order = self.orders.function_order(request.function)
-        # the first that may be used now, also one where nothing was loaded
+        # the first eligible worker, including those that answered "not loaded"
         home = next(self.candidates.usable(request, order, not_loaded_too=True), None)
         if home and self.may_have_copy(request, home):
-            if not self.settings.reports_concurrency:  # else copies are added where requests are told to wait
+            if (
+                not self.settings.reports_concurrency
+            ):  # otherwise copies are added when answers report waiting requests
                 self.preloading.preload(replica, 1)
             return self.placement.send(request, request.function.replica(home))
-        late = self.load_misses_deadline(request)
-        if not late and not replica.loading:
+        too_late = self.load_misses_deadline(request)
+        if not too_late and not replica.loading:
             replica = self.candidates.first_without_copy(request, order, not_loaded_too=True) or replica
-        if late or not (replica.loading or self.preloading.preload(replica, 1)):
+        if too_late or not (replica.loading or self.preloading.preload(replica, 1)):
             return self.retry(request, replica)
         replica.waiters.append(request)
         return RequestEvent.WAITS_FOR_LOAD
 
     def may_have_copy(self, request: Request, home: Worker) -> bool:
-        """Whether the home may have a copy that others keep, and the request has not been there."""
+        """Whether the home may have a copy loaded by other dispatchers, and the request has not tried it."""
         if not self.copies.presumed_loaded(request.function.replica(home)):
             return False
         return not any(attempt.worker is home for attempt in request.attempts)
 
     def load_misses_deadline(self, request: Request) -> bool:
-        """Whether the client leaves before a load could end and the request be run."""
+        """Whether the deadline would pass before a load could finish and the request be run."""
         load_time = request.function.load or 0
         isolated = self.latency.isolated(request.function) * request.scale
         return self.clock.now + load_time + isolated > request.deadline
--- a/lapistrestle/policy/retry_budget.py
+++ b/lapistrestle/policy/retry_budget.py
@@ -1,6 +1,4 @@
-"""The retry budget: as many further attempts as recent ok answers, fewer in the measure in which they
-failed.
-"""
+"""The retry budget: as many retries as recent ok answers, reduced by the share of retries that fail."""
 
 from math import inf
 from typing import Final
@@ -13,36 +11,37 @@
 from lapistrestle.policy.types import Attempt, Outcome
 from lapistrestle.ticks import SECOND
 
-# Retries for each recent ok answer, where all retries succeed. Guards against retries that multiply an
-# outage.
+# Retries per recent ok answer if all retries succeed. Prevents retries from amplifying an outage.
 RETRIES_PER_OK: Final = 1.0
-MIN_RETRIES: Final = 2  # within the short memory, whatever succeeds: a dispatcher at rest may retry too
-FLEET_MIN_RETRIES: Final = 1  # the same where the fleet's budget is told
+MIN_RETRIES: Final = (
+    2  # within the short time constant, regardless of ok answers, so that an idle dispatcher may retry
+)
+FLEET_MIN_RETRIES: Final = 1  # the same if the fleet sets a retry budget
 
 
 class RetryBudget:
-    """Recent retries and how they ended."""
+    """Recent retries and their outcomes."""
 
     def __init__(self, clock: Clock, fleet: FleetGuidance, throughput: Throughput) -> None:
         self.clock = clock
         self.fleet = fleet
         self.throughput = throughput
-        self.results = DecayingMean(SHORT_TIME_CONSTANT)  # of retries: 1 ok, 0 not
+        self.results = DecayingMean(SHORT_TIME_CONSTANT)  # of retries; 1: ok, 0: failed
 
     def add_result(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Count the attempt if it was a retry. One that met no copy cost nothing and does not count."""
+        """Record the outcome of a retry. "Not loaded" costs the worker nothing and does not count."""
         if attempt is not attempt.request.attempts[0] and outcome is not Outcome.NOT_LOADED:
             self.results.add(self.clock.now, outcome is Outcome.OK)
 
     def allows(self, request: Request) -> bool:
-        """Whether the request may be sent once more; where no attempt met a copy, it always may."""
+        """Whether the request may be retried; always if every attempt was answered "not loaded"."""
         now = self.clock.now
-        made = self.results.count.read(now)
+        retries = self.results.count.read(now)
         ok_answers = self.throughput.ok_answers.read(now)
-        most = MIN_RETRIES + RETRIES_PER_OK * ok_answers * self.results.read(1.0)
+        limit = MIN_RETRIES + RETRIES_PER_OK * ok_answers * self.results.read(1.0)
         if self.fleet.retries_per_second != inf:
-            fleet_part = self.fleet.retries_per_second * SHORT_TIME_CONSTANT / SECOND
-            most = min(most, FLEET_MIN_RETRIES + fleet_part)
-        if made < most:
+            fleet_share = self.fleet.retries_per_second * SHORT_TIME_CONSTANT / SECOND
+            limit = min(limit, FLEET_MIN_RETRIES + fleet_share)
+        if retries < limit:
             return True
         return all(attempt.outcome is Outcome.NOT_LOADED for attempt in request.attempts)
--- a/tests/test_policy_latency_zones.py
+++ b/tests/test_policy_latency_zones.py
@@ -15,7 +15,7 @@
     made = dispatcher(1)
     replica = Function("f", isolated_latency=1_000.0).replica(made.endpoints.workers[0])
     replica.window.extend([int(made.latency.bound(replica.function)) * 2] * 10)
-    made.zones.judge(replica)
+    made.zones.update_zone(replica)
     assert made.zones.zone(replica) is Zone.UNSAFE and made.placement.capacity(replica) == 0
     made.now += 2 * SECOND
     assert made.zones.zone(replica) is Zone.WARNING and not replica.window
@@ -38,7 +38,7 @@
     assert often.throughput.memory_factor == 1 and 2 < seldom.throughput.memory_factor < 4
     replica = Function("f", isolated_latency=1_000.0).replica(seldom.endpoints.workers[0])
     replica.window.extend([90_000] * 9)
-    seldom.zones.judge(replica)
+    seldom.zones.update_zone(replica)
     seldom.now += 3 * SECOND
     assert seldom.zones.zone(replica) is Zone.UNSAFE
 
