--- a/lapistrestle/hosting/__init__.py
+++ b/lapistrestle/hosting/__init__.py
@@ -1,1 +1,1 @@
-"""What every host of the module does alike, free of transport."""
+"""The host of the decision module, independent of the transport."""
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -1,4 +1,4 @@
-"""The end of a request: exactly one final answer, at the latest shortly after its deadline."""
+"""Final answers: exactly one per request, at the latest shortly after its deadline."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -9,19 +9,20 @@
 
 
 class FinalAnswers:
-    """Requests that are open, and how they end. `slack` is how long past a deadline the guard waits for the
-    module's own answer, in tenths of a millisecond.
+    """Open requests and their final answers.
+
+    If the module has not answered `slack` ticks after the deadline of a request, it is aborted by a timer.
     """
 
     def __init__(self, context: HostContext, events: EventQueue, slack: int) -> None:
         self.context = context
         self.events = events
         self.slack = slack
-        self.open_requests = 0  # requests taken and not yet finally answered
+        self.open_requests = 0  # requests received and not closed yet
         self.cancel_unsent: Callable[[PendingRequest], None]  # set by the host: `WorkerCalls.cancel_unsent`
 
     def accept(self, pending: PendingRequest) -> None:
-        """A request has come; whoever calls this posts it to the module."""
+        """Register a received request and start its deadline timer. The caller posts it to the module."""
         self.open_requests += 1
         self.context.counts[Counter.RECEIVED] += 1
         pending.deadline_guard = self.context.timers.at(
@@ -29,20 +30,20 @@
         )
 
     def finish(
-        self, pending: PendingRequest, verdict: RequestEnd, retry_after: int = 0, body: Any = None
+        self, pending: PendingRequest, end: RequestEnd, retry_after: int = 0, body: Any = None
     ) -> None:
-        """Answer, unless an answer is out already."""
+        """Send the final answer, unless the request is closed."""
         if pending.final:
             return
-        self.close(pending, verdict)
-        self.context.transport.send_answer(pending, verdict, retry_after, body)
+        self.close(pending, end)
+        self.context.transport.send_answer(pending, end, retry_after, body)
 
-    def close(self, pending: PendingRequest, how: RequestEnd) -> None:
-        """The request is over; its attempts may still be in flight."""
+    def close(self, pending: PendingRequest, end: RequestEnd) -> None:
+        """Close the request; its attempts may still be in flight."""
         pending.final = True
         self.open_requests -= 1
-        self.context.counts[how] += 1
-        self.context.transport.request_closed(pending, how)
+        self.context.counts[end] += 1
+        self.context.transport.request_closed(pending, end)
         if pending.deadline_guard is not None:
             pending.deadline_guard.stop()
         if pending.in_flight:
@@ -51,26 +52,26 @@
             self.events.finished.append(pending)
 
     def client_gone(self, pending: PendingRequest) -> None:
-        """The client has gone; what a worker has of the request goes on to its own end."""
+        """Close the request of a client that disconnected; attempts that workers have continue."""
         if not pending.final:
             self.close(pending, RequestEnd.CLIENT_GONE)
             self.events.post(pending, "on_client_gone", pending)
 
     def retract(self, pending: PendingRequest) -> None:
-        """The host takes a request back that has not run, to have it placed anew under another function."""
+        """Close a request that has not run, so that the host can submit it again for another function."""
         if not pending.final:
             self.close(pending, RequestEnd.MIGRATED)
             self.events.post(pending, "on_client_gone", pending)
 
     def abort_all(self, requests: Sequence[PendingRequest]) -> None:
-        """Answer these at once: the program ends."""
+        """Abort the requests at once, as the program ends."""
         for pending in requests:
             if not pending.final:
                 self.finish(pending, RequestEnd.ABORTED)
                 self.events.post(pending, "on_client_gone", pending)
 
     def on_deadline_overdue(self, pending: PendingRequest) -> None:
-        """Guards rule 1 where the module let a deadline pass, by error or in an unforeseen state."""
+        """Abort a request whose deadline the module missed, so that it gets an answer in time."""
         if not pending.final:
             self.context.counts[Counter.DEADLINES_ENFORCED] += 1
             self.context.transport.log("deadline guarded", request=pending.tag, state=str(pending.state))
--- a/lapistrestle/hosting/context.py
+++ b/lapistrestle/hosting/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a host share."""
+"""State shared by the components of a host."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 
 @dataclass(frozen=True)
 class HostContext:
-    """One host's surroundings. `settings` are the module's;
-    `clock` gives tenths of a millisecond; `counts` are the counters of the log line at the end.
+    """Shared state of one host. `clock` returns ticks; `counts` are the counters of the final log line, by
+    name.
     """
 
     transport: Transport
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -1,4 +1,4 @@
-"""Events for one instance of the module: delivered in order, never one within another."""
+"""Event queue of one instance of the decision module: events are delivered in order and never nested."""
 
 import traceback
 from collections import deque
@@ -10,40 +10,43 @@
 from lapistrestle.hosting.requests import Counter, PendingRequest
 from lapistrestle.policy.ports import Events
 
-MAX_SHOWN_CHARACTERS = 80  # of an argument in the log line of a fault
-MAX_SHOWN_ITEMS = 3  # of an argument that is a list
-MAX_SHOWN_FRAMES = 4  # the innermost of its traceback
+MAX_SHOWN_CHARACTERS = 80  # of an argument, in the log line of an exception
+MAX_SHOWN_ITEMS = 3  # of an argument that is a sequence
+MAX_SHOWN_FRAMES = 4  # innermost frames of the traceback
 
 
 class EventQueue:
-    """A queue in front of the module. What the module asks for while it handles one event may post more.
+    """Queue of events for the module. Commands that the module issues while it handles an event may post
+    more.
 
-    `on_fault` is called with the request at hand when the module raises; `stopwatch`, where set, gives the
-    seconds by which `module_seconds` is measured.
+    `on_error` is called with the request of the event if the module raises. If `stopwatch` is set, it returns
+    seconds, and `module_seconds` accumulates the time spent in the module.
     """
 
     def __init__(self, context: HostContext, on_error: Callable[[PendingRequest], None]) -> None:
         self.context = context
         self.on_error = on_error
-        self.module: Events  # set by the host, which the module is made from
+        self.module: Events  # set by the host, which creates the module
         self.queue: deque[tuple[PendingRequest | None, str, tuple[Any, ...]]] = deque()
-        # arguments of `on_endpoints`, which go before all else
+        # arguments of `on_endpoints` events, which have priority
         self.queued_endpoints: deque[tuple[Any, ...]] = deque()
         self.is_delivering = False
-        self.finished: list[PendingRequest] = []  # over, and none of their attempts in flight
+        self.finished: list[PendingRequest] = []  # closed, without attempts in flight
         self.module_seconds = 0.0
         self.stopwatch: Callable[[], float] | None = None
 
     def post(self, pending: PendingRequest | None, event: str, *args: Any) -> None:
-        """Deliver an event (a method of `interface.Events`) after those that wait already."""
+        """Queue an event, named by a method of `policy.ports.Events`, and deliver it unless a delivery is
+        running.
+        """
         self.queue.append((pending, event, args))
         if not self.is_delivering:
             self.is_delivering = True
             self.deliver()
 
     def post_endpoints(self, *args: Any) -> None:
-        """Deliver `on_endpoints` before whatever waits: what came in the same look is then placed by the
-        newest list (rule 3).
+        """Queue an `on_endpoints` event ahead of all others: requests received in the same poll are then
+        placed by the newest list, and nothing new is sent to a worker that drains or has left it.
         """
         self.queued_endpoints.append(args)
         if not self.is_delivering:
@@ -52,9 +55,9 @@
 
     @contextmanager
     def batched(self) -> Iterator[None]:
-        """All that one poll of the sockets brings is queued before any of it is delivered: after a standstill
-        a client's close may lie beside, or behind, what would have an attempt begin for it. Costs the time
-        that it takes to read the other sockets, once a poll.
+        """Delay deliveries until the end of the block, so that all input of one poll of the sockets is queued
+        first. After a stall, the close of a client may be read after an event that would start an attempt for
+        it. Adds the time to read the other sockets, once per poll.
         """
         outer = self.is_delivering
         self.is_delivering = True
@@ -65,11 +68,11 @@
                 self.deliver()
 
     def deliver(self) -> None:
-        """Deliver all that waits."""
+        """Deliver all queued events."""
         if not self.queue and not self.queued_endpoints:
             self.is_delivering = False
             return
-        began = self.stopwatch() if self.stopwatch else 0.0
+        started_at = self.stopwatch() if self.stopwatch else 0.0
         try:
             while self.queued_endpoints or self.queue:
                 if self.queued_endpoints:
@@ -80,16 +83,16 @@
             self.is_delivering = False
         for pending in self.finished:
             if not pending.in_flight:
-                pending.attempts.clear()  # they point to each other, and would wait for the collector
+                pending.attempts.clear()  # reference cycles, which only the garbage collector would free
         self.finished.clear()
         if self.stopwatch:
-            self.module_seconds += self.stopwatch() - began
+            self.module_seconds += self.stopwatch() - started_at
         self.context.transport.timers_changed()
 
     def deliver_one(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
-        """Call one method of the module."""
+        """Deliver one event to the module."""
         if event == "on_request" and pending is not None and pending.final:
-            return  # its client left before anything was begun for it
+            return  # its client disconnected before it was placed
         self.module.now = self.context.clock()
         try:
             getattr(self.module, event)(*args)
@@ -97,12 +100,12 @@
             self.handle_error(pending, event, args)
 
     def handle_error(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
-        """The module raised: the request at hand is answered at once, and the program goes on."""
+        """Log an exception of the module and pass the request of the event to `on_error`."""
         self.context.counts[Counter.ERRORS] += 1
         self.context.transport.log(
             "module raised",
             input=event,
-            arguments=" ".join(described(argument) for argument in args),
+            arguments=" ".join(describe(argument) for argument in args),
             traceback=traceback.format_exc(limit=-MAX_SHOWN_FRAMES),
         )
         if pending is not None and not pending.final:
@@ -111,11 +114,11 @@
             self.on_error(pending)
 
 
-def described(argument: object) -> str:
-    """An argument of the module for a log line, whatever state the fault has left it in; never raises."""
+def describe(argument: object) -> str:
+    """Return a log text for an argument of an event. Never raises, whatever its state."""
     if isinstance(argument, list | tuple):
-        more = " ..." if len(argument) > MAX_SHOWN_ITEMS else ""
-        return f"({', '.join(described(item) for item in argument[:MAX_SHOWN_ITEMS])}{more})"
+        suffix = " ..." if len(argument) > MAX_SHOWN_ITEMS else ""
+        return f"({', '.join(describe(item) for item in argument[:MAX_SHOWN_ITEMS])}{suffix})"
     try:
         return str(getattr(argument, "tag", getattr(argument, "name", argument)))[:MAX_SHOWN_CHARACTERS]
     except Exception:
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -1,8 +1,8 @@
-"""One instance of the decision module and the world around it.
+"""Host of one instance of the decision module.
 
-A transport makes a `ModuleHost`, reports what came over its connections, and carries out what the host asks
-through `Transport`. Nothing here places, repeats or denies; the few guards act only where the module did not,
-and log it. All times are whole tenths of a millisecond on the host's clock.
+A transport creates a `ModuleHost`, reports what it receives, and carries out what the host requests through
+`Transport`. The host makes no decisions (placement, retries, rejections); its few safety checks act only if
+the module failed to, and are logged. All times are ticks on the host's clock.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -40,15 +40,15 @@
     WorkerInfo,
 )
 
-MAX_FUNCTIONS = 20_000  # kept by name
-MAX_GOSSIP_LENGTH = 256  # characters of one message to another dispatcher
+MAX_FUNCTIONS = 20_000  # cached by name
+MAX_GOSSIP_LENGTH = 256  # characters per message to another dispatcher
 
 
 class ModuleHost:
-    """Joins the module with its registry, timers, event queue and the bookkeeping of what is in flight.
+    """Connects the module with its registry, timers, event queue and the calls and tasks in flight.
 
-    `slack` is how long past a request's deadline the guard waits for the module's own answer; `make` builds
-    the module from this host, the settings, a seed and the time.
+    A request that the module has not answered `slack` ticks after its deadline is aborted. `make_module`
+    creates the module from this host, the settings, a seed, the time and the fleet guidance.
     """
 
     def __init__(
@@ -75,17 +75,13 @@
         self.answers.cancel_unsent = self.calls.cancel_unsent
         self.worker_tasks = WorkerTasks(context, self.events)
         self.last_number = 0
-        self.removed_workers: dict[
-            str, None
-        ] = {}  # that the list names no more, and that the registry may have
-        self.undelivered_workers: set[str] = (
-            set()
-        )  # named as there by lists that the module may not have heard yet
+        self.removed_workers: dict[str, None] = {}  # no longer listed, but perhaps in the registry
+        self.undelivered_workers: set[str] = set()  # listed, but perhaps not yet delivered to the module
         self.module = self.events.module = make_module(self, settings, seed, clock(), fleet)
 
     @property
     def open_requests(self) -> int:
-        """Requests taken and not yet finally answered."""
+        """Requests received and not closed yet."""
         return self.answers.open_requests
 
     @property
@@ -99,7 +95,7 @@
         return self.worker_tasks.open
 
     def batched(self) -> AbstractContextManager[None]:
-        """As `EventQueue.batched`."""
+        """See `EventQueue.batched`."""
         return self.events.batched()
 
     def fire_timers(self) -> None:
@@ -108,7 +104,7 @@
             timer.call(timer.arg)
         self.transport.timers_changed()
 
-    # what the transport reports: requests
+    # reports of the transport: requests
 
     def request_received(
         self,
@@ -131,9 +127,9 @@
         arrived_at: int | None = None,
         awaits_prefix: bool = False,
     ) -> PendingRequest:
-        """A request has come; `time_left` is how long its client still waits, `arrived_at` the earliest that
-        it came. One that `awaits_prefix` reaches the module by `lookup_finished`, once its function's prefix
-        is known.
+        """A request was received. `time_left` are the ticks for which its client still waits, `arrived_at` is
+        the earliest tick at which it may have arrived. If `awaits_prefix`, it is passed to the module by
+        `lookup_finished`, once the prefix of its function is known.
         """
         now, function = self.clock(), self.registry.function(function_name, method, memory, lanes, load)
         pending = PendingRequest(
@@ -149,66 +145,66 @@
         return pending
 
     def lookup_finished(self, pending: PendingRequest) -> None:
-        """The prefix of the request's function is known, and the module knows it."""
+        """The prefix of the request's function was delivered to the module: pass the request on."""
         if not pending.final:
             self.events.post(pending, "on_request", pending)
 
     def client_gone(self, pending: PendingRequest) -> None:
-        """The client has gone; what a worker has of the request goes on to its own end."""
+        """The client disconnected; attempts that workers have continue."""
         self.answers.client_gone(pending)
 
     def retract(self, pending: PendingRequest) -> None:
-        """The host takes a request back that has not run, to have it placed anew under another function."""
+        """Close a request that has not run, so that it can be submitted again for another function."""
         self.answers.retract(pending)
 
     def abort_all(self, requests: Sequence[PendingRequest]) -> None:
-        """Answer these at once: the program ends."""
+        """Abort the requests at once, as the program ends."""
         self.answers.abort_all(requests)
 
     def abort_after_error(self, pending: PendingRequest) -> None:
-        """The module raised over it."""
+        """Abort a request on whose event the module raised."""
         self.answers.finish(pending, RequestEnd.ABORTED)
 
-    # what the transport reports: workers
+    # reports of the transport: workers
 
     def attempt_started(self, number: int) -> None:
-        """The answer to an attempt has begun to stream."""
+        """The answer to an attempt started to stream."""
         self.calls.started(number)
 
     def attempt_finished(
         self, number: int, outcome: Outcome, body: Any = None, warmth: LoadState = LoadState.UNKNOWN,
         concurrent: int | None = None, report: Mapping[str, float] = NO_REPORT,
     ) -> None:  # fmt: skip
-        """An attempt has ended."""
+        """An attempt ended."""
         self.calls.finished(number, outcome, body, warmth, concurrent, report)
 
     def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
-        """A preload has ended, with `count` copies held."""
+        """A preload ended; the worker holds `count` copies."""
         self.worker_tasks.preload_finished(number, outcome, count)
 
     def health_check_finished(self, number: int, outcome: Outcome, report: Mapping[str, float]) -> None:
-        """A health check has ended."""
+        """A health check ended."""
         self.worker_tasks.health_check_finished(number, outcome, report)
 
     def task_finished_without_reply(self, number: int, outcome: Outcome) -> None:
-        """A preload or a health check has ended without a reply from the worker."""
+        """A preload or a health check ended without a reply from the worker."""
         self.worker_tasks.finished_without_reply(number, outcome)
 
     def finished_without_reply(self, number: int, outcome: Outcome) -> None:
-        """An attempt, a preload or a health check has ended without a reply from the worker."""
+        """An attempt, a preload or a health check ended without a reply from the worker."""
         if number in self.calls.open:
             self.calls.finished(number, outcome)
         else:
             self.worker_tasks.finished_without_reply(number, outcome)
 
     def unmatched_reply(self) -> None:
-        """A worker has answered what is not in flight."""
+        """A worker replied to something that is not in flight."""
         self.counts[Counter.UNMATCHED] += 1
 
-    # what the transport reports: the list of workers and other dispatchers
+    # reports of the transport: the endpoint list and other dispatchers
 
     def endpoints_received(self, entries: Sequence[WorkerInfo], is_snapshot: bool) -> None:
-        """Entries of the list of workers; `is_snapshot` if it names them all."""
+        """Entries of the endpoint list were received; with `is_snapshot`, `entries` is the complete list."""
         if not self.events.queued_endpoints:
             self.undelivered_workers.clear()
         self.undelivered_workers.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
@@ -220,52 +216,53 @@
             self.forget_removed_workers()
 
     def forget_removed_workers(self) -> None:
-        """Without this a long life keeps every worker that ever served. One that is back, of which the module
-        has not heard yet, still counts as gone there and stays. So does one that was sent something within
-        the window of its slow start: back in it, it would be sent as much once more (rule 4).
+        """Drop removed workers from the registry, so that a long-running process does not keep every worker
+        that ever served. A worker stays if it has attempts or tasks in flight; if it is listed again, but the
+        module has not been told; or if it was sent requests within its slow start window, as after a return
+        it would be sent more than it can take.
         """
-        held = {task.worker for task in self.tasks.values()}
+        with_tasks = {task.worker for task in self.tasks.values()}
         workers = self.registry.workers
-        left = [
+        removed = [
             workers[name]
             for name in self.removed_workers
             if name in workers and workers[name].listing is EndpointState.REMOVED
         ]
         since = self.clock() - self.settings.overload_window
-        stay = {
+        retained = {
             worker.name: None
-            for worker in left
+            for worker in removed
             if worker.in_flight
-            or worker in held
+            or worker in with_tasks
             or worker.name in self.undelivered_workers
             or worker.weight_sent_since(since)
         }
-        for worker in left:
-            if worker.name not in stay:
+        for worker in removed:
+            if worker.name not in retained:
                 del workers[worker.name]
-        if not self.events.is_delivering:  # else the module may not have heard yet that they are gone
-            self.removed_workers = stay
+        if not self.events.is_delivering:  # otherwise the module may not know yet that they are removed
+            self.removed_workers = retained
 
     def prefix_received(self, function: Function, names: Sequence[str]) -> None:
-        """The first workers of a function's order; each was listed before."""
+        """The directory returned a prefix of a function's order; each worker was listed before."""
         self.events.post(None, "on_prefix", function, [self.registry.worker(name) for name in names])
 
     def list_failed(self) -> None:
-        """The list of workers could not be read."""
+        """The endpoint list could not be read."""
         self.events.post(None, "on_endpoints_failed")
 
     def gossip_received(self, peer: int, text: str) -> None:
-        """Another dispatcher has sent text."""
+        """Another dispatcher sent a message."""
         self.events.post(None, "on_gossip", peer, text)
 
     def peer_verdict_received(self, worker: Worker, at: int) -> None:
-        """Another dispatcher has had an answer from a worker, at that time."""
+        """Another dispatcher found a worker healthy at tick `at`."""
         self.events.post(None, "on_peer_verdict", worker, at)
 
-    # what the module asks for (interface.Host)
+    # commands of the module (policy.ports.Host)
 
     def next_number(self) -> int:
-        """A number for an attempt or a task; never used twice."""
+        """Return a unique number for an attempt or a task."""
         self.last_number += 1
         return self.last_number
 
@@ -274,55 +271,55 @@
         self.calls.send(self.next_number(), attempt, time_out)
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
-        """Answer that it did not run; `retry_after` as in `Transport.send_answer`."""
+        """Answer that the request was not run; `retry_after` as in `Transport.send_answer`."""
         assert isinstance(request, PendingRequest)
         self.answers.finish(request, RequestEnd.REJECTED, retry_after)
 
     def abort(self, request: RequestInfo) -> None:
-        """Answer that it may have run."""
+        """Answer that the request failed and may have run."""
         assert isinstance(request, PendingRequest)
         self.answers.finish(request, RequestEnd.ABORTED)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Want no more of an attempt."""
+        """Cancel an attempt."""
         self.calls.cancel(attempt)
 
     def preload(self, worker: WorkerInfo, function: FunctionInfo, count: int) -> None:
-        """Have a worker hold copies."""
+        """Have a worker hold `count` loaded copies of a function."""
         assert isinstance(worker, Worker)
         assert isinstance(function, Function)
         self.worker_tasks.preload(self.next_number(), worker, function, count)
 
     def health_check(self, worker: WorkerInfo) -> None:
-        """Ask a worker for its report."""
+        """Request the load report of a worker."""
         assert isinstance(worker, Worker)
         self.worker_tasks.health_check(self.next_number(), worker)
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
-        """Have a worker drop a function."""
+        """Have a worker unload a function."""
         self.transport.unload(worker, function)
 
     def send_gossip(self, peer: int | None, text: str) -> None:
-        """Send text to another dispatcher, where settings allow it."""
+        """Send a message to another dispatcher, if the settings allow it."""
         if self.settings.may_gossip:
             self.transport.send_gossip(peer, text[:MAX_GOSSIP_LENGTH])
 
     def set_timer(self, delay: int, token: object) -> None:
-        """Give the token back after so long, by its `on_timer`."""
+        """Post `on_timer(token)` after `delay` ticks."""
         self.timers.at(self.clock() + max(1, delay), self.on_timer_due, token)
 
     def on_timer_due(self, token: object) -> None:
-        """A wake-up that the module asked for is due."""
+        """A timer set by the module is due."""
         self.events.post(token if isinstance(token, PendingRequest) else None, "on_timer", token)
 
     def watch_endpoints(self) -> None:
-        """Ask for updates of the list of workers."""
+        """Subscribe to the endpoint list."""
         self.transport.watch_endpoints()
 
     def extend_prefix(self, function: FunctionInfo) -> None:
-        """Ask for a longer prefix of a function's order."""
+        """Request a longer prefix of a function's order."""
         self.transport.extend_prefix(function)
 
     def log(self, text: str) -> None:
-        """One log line of a change of mode."""
+        """Log a message of the module."""
         self.transport.log("mode", figures=text)
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -1,4 +1,4 @@
-"""What a host keeps of the work in flight: client requests, their attempts on workers, and worker tasks."""
+"""Work in flight at a host: client requests, their attempts on workers, and worker tasks."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -11,25 +11,25 @@
 
 
 class RequestEnd(StrEnum):
-    """How a request ended. The values are the verdicts on the wire and the counters of the last log line."""
+    """How a request ended. The values are the verdicts on the wire and the counters of the final log line."""
 
     OK = "ok"
-    REJECTED = "denied"  # it did not run
-    ABORTED = "aborted"  # it may have run
-    CLIENT_GONE = "left"  # the client closed before its answer
-    MIGRATED = "moved"  # taken back, to be placed anew under another function
+    REJECTED = "denied"  # not run
+    ABORTED = "aborted"  # failed; may have run
+    CLIENT_GONE = "left"  # the client disconnected before its answer
+    MIGRATED = "moved"  # closed without an answer and submitted again for another function
 
 
 class Counter(StrEnum):
-    """What else the last log line counts, under these names."""
+    """Further counters of the final log line, by their names there."""
 
     RECEIVED = "taken"  # requests
-    UNMATCHED = "stray"  # replies to what is not in flight
-    ERRORS = "faults"  # errors that the module raised
-    DEADLINES_ENFORCED = "guarded"  # requests whose deadline the module let pass
+    UNMATCHED = "stray"  # replies to attempts and tasks that are not in flight
+    ERRORS = "faults"  # exceptions raised by the module
+    DEADLINES_ENFORCED = "guarded"  # requests aborted by the host, as the module missed their deadline
 
 
-# in the order of the log line
+# counter names, in the order of the log line
 COUNTERS: tuple[str, ...] = (
     Counter.RECEIVED.value,
     *(end.value for end in RequestEnd),
@@ -40,13 +40,15 @@
 
 
 class CallConnection(Protocol):
-    """The connection that carries an attempt or a task."""
+    """The connection over which an attempt or a task is sent."""
 
     def cancel_unsent(self, number: int) -> bool:
-        """Drop what was not written. True if it never left, and now never does."""
+        """Drop the message if it was not written yet, and return whether it was dropped."""
 
     def withdraw(self, number: int, notify: bool) -> bool:
-        """Wait for it no more, and with `notify` have the worker cancel it. True if it never left."""
+        """Stop waiting for the reply; with `notify`, ask the worker to cancel. Return True if it was never
+        sent.
+        """
 
 
 NO_REPORT: Mapping[str, float] = {}
@@ -54,46 +56,46 @@
 
 @dataclass(eq=False)
 class PendingRequest(Request):
-    """A client's request, kept until its final answer is out and its last attempt has ended."""
+    """A client's request, held until its final answer was sent and its last attempt has ended."""
 
-    message: Any = None  # the transport's own: what the client sent
-    client: Any = None  # the transport's own: the connection that the answer goes to
-    final: bool = False  # answered, or the client has left
-    streaming: "WorkerCall | None" = None  # the attempt whose answer has begun to stream
-    deadline_guard: Timer | None = None  # due shortly after the deadline
+    message: Any = None  # of the transport: the message that the client sent
+    client: Any = None  # of the transport: the connection for the answer
+    final: bool = False  # answered, or the client disconnected
+    streaming: "WorkerCall | None" = None  # the attempt whose answer streams
+    deadline_guard: Timer | None = None  # aborts the request shortly after its deadline
     in_flight: int = 0  # attempts in flight
-    route: Any = None  # the transport's own: which version of the function it goes to
-    prior_attempts: int = 0  # made under another version; they count towards the limit
-    unsent_attempts: int = 0  # own attempts that the host did not send
+    route: Any = None  # of the transport: the version of the function
+    prior_attempts: int = 0  # made for another version; they count towards the limit
+    unsent_attempts: int = 0  # attempts that the host did not send
 
     def attempt_count(self) -> int:
-        """Attempts that count towards the limit, under whichever version."""
+        """Return the attempts that count towards the limit, over all versions."""
         return self.prior_attempts + len(self.attempts) - self.unsent_attempts
 
 
 @dataclass(eq=False)
 class WorkerCall:
-    """One attempt of a request on a worker. Times are tenths of a millisecond on the host's clock."""
+    """One attempt of a request on a worker. Times are ticks on the host's clock."""
 
     number: int
     attempt: Attempt
     pending: PendingRequest
     worker: Worker
     sent_at: int
-    time_out: int  # a span
-    begin_by: int | None = None  # not to be written to the connection later than this
+    time_out: int  # duration
+    begin_by: int | None = None  # latest time to write it to the connection
     timer: Timer | None = None
-    connection: CallConnection | None = None  # that carries it
+    connection: CallConnection | None = None  # over which it is sent
 
     @property
     def ends_by(self) -> int:
-        """When its time is up, however late it is written."""
+        """When it times out, however late it is written."""
         return self.sent_at + self.time_out
 
 
 @dataclass(eq=False)
 class WorkerTask:
-    """A preload, or a health check (`function` is None), in flight at a worker."""
+    """A preload, or a health check (`function` is None), in flight to a worker."""
 
     number: int
     worker: Worker
@@ -101,4 +103,4 @@
     count: int  # copies to hold
     sent_at: int
     timer: Timer | None = None
-    connection: CallConnection | None = None  # that carries it
+    connection: CallConnection | None = None  # over which it is sent
--- a/lapistrestle/hosting/transport.py
+++ b/lapistrestle/hosting/transport.py
@@ -1,4 +1,4 @@
-"""What a transport does for the host: the only way from decisions to sockets."""
+"""Interface between the host and a transport, through which all output goes."""
 
 from typing import Any, Protocol
 
@@ -7,48 +7,50 @@
 
 
 class Transport(Protocol):
-    """Implemented by each protocol's front end. No method may raise, nor call the host back within the call
-    other than to end the attempt or task that it was given.
+    """Implemented by the front end of each protocol. No method may raise. A method may call the host back
+    only to end the attempt or task that was passed to it.
     """
 
-    def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
-        """Write the final answer; `retry_after` is how long the client is asked to wait before it retries."""
+    def send_answer(self, pending: PendingRequest, end: RequestEnd, retry_after: int, body: Any) -> None:
+        """Send the final answer; `retry_after` is the retry delay for the client in ticks, 0: none."""
 
-    def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None:
-        """The request is over: answered, left or moved."""
+    def request_closed(self, pending: PendingRequest, end: RequestEnd) -> None:
+        """The request was closed: answered, client disconnected, or submitted for another function."""
 
     def stream_started(self, pending: PendingRequest) -> None:
-        """The answer has begun to stream."""
+        """The answer started to stream."""
 
     def send_call(self, worker_call: WorkerCall) -> None:
         """Send an attempt to its worker."""
 
     def cancel_unsent(self, worker_call: WorkerCall) -> bool:
-        """Drop it if it was not written yet. True if it never left, and now never does."""
+        """Drop the attempt if it was not written yet, and return whether it was dropped."""
 
     def withdraw(self, task: WorkerCall | WorkerTask, notify: bool) -> bool:
-        """Wait for it no more, and with `notify` have the worker cancel it. True if it never left."""
+        """Stop waiting for the reply; with `notify`, ask the worker to cancel. Return True if it was never
+        sent.
+        """
 
     def send_preload(self, task: WorkerTask) -> None:
-        """Send a preload: hold `task.count` copies of `task.function`."""
+        """Send a preload: the worker is to hold `task.count` copies of `task.function`."""
 
     def unload(self, worker: WorkerInfo, function: FunctionInfo) -> None:
-        """Have a worker drop a function; nothing is waited for."""
+        """Have a worker unload a function; no reply is expected."""
 
     def send_health_check(self, task: WorkerTask) -> None:
-        """Ask a worker for its report."""
+        """Request the load report of a worker."""
 
     def send_gossip(self, peer: int | None, text: str) -> None:
-        """Send text to a dispatcher by its index, or to all where it is None."""
+        """Send a message to the dispatcher with index `peer`, or to all if it is None."""
 
     def watch_endpoints(self) -> None:
-        """Ask the sources of the worker list for updates."""
+        """Subscribe to the endpoint list at its sources."""
 
     def extend_prefix(self, function: FunctionInfo) -> None:
-        """Ask for a longer prefix of the function's order than is known."""
+        """Request a longer prefix of the function's order than the one known."""
 
     def timers_changed(self) -> None:
-        """The next timer may have changed."""
+        """The time of the next timer may have changed."""
 
     def log(self, what: str, **figures: Any) -> None:
-        """One log line."""
+        """Write a log line."""
--- a/lapistrestle/hosting/turns.py
+++ b/lapistrestle/hosting/turns.py
@@ -1,39 +1,39 @@
-"""When timers may fire after the program stood still.
+"""Defers overdue timers after the event loop was stalled.
 
-A reactor that wakes from a pause runs its timers before it reads what came meanwhile, so an answer that lay
-in the socket would lose against its own time-out. Timers that are late therefore wait for the first turn in
-which nothing more was read. That could harm where input never ends: it is bounded by a number of turns.
+After a stall, the reactor runs timers before it reads its sockets, so that an answer that is ready in a
+socket would lose to its own timeout. Overdue timers are therefore deferred until an iteration that reads
+nothing more, or for at most `MAX_DEFERRED_ITERATIONS`, as input may never end.
 """
 
 from enum import Enum, auto
 
 
 class LoopState(Enum):
-    """Whether the loop keeps up with its timers, or catches up after a standstill."""
+    """Whether the event loop is on schedule, or catches up after a stall."""
 
     ON_SCHEDULE = auto()
     CATCHING_UP = auto()
 
 
 class Iteration(Enum):
-    """What one turn of the reactor shows."""
+    """Result of one iteration of the event loop."""
 
     ON_TIME = auto()
-    OVERDUE = auto()  # the earliest timer is overdue by more than a standstill
-    INPUT = auto()  # something was read since the last turn
-    NO_INPUT = auto()  # nothing was
-    LIMIT = auto()  # timers have waited as many turns as they may
+    OVERDUE = auto()  # the earliest timer is overdue by more than `STALL_THRESHOLD`
+    INPUT = auto()  # something was read since the last iteration
+    NO_INPUT = auto()  # nothing was read since the last iteration
+    LIMIT = auto()  # timers were deferred for the maximum number of iterations
 
 
 class TimerAction(Enum):
-    """What is done with the timers that are due."""
+    """What to do with the timers that are due."""
 
     FIRE = auto()
     DEFER = auto()
 
 
-STALL_THRESHOLD = 50  # tenths of a millisecond; a turn that comes later than this stood still
-MAX_DEFERRED_ITERATIONS = 20  # turns
+STALL_THRESHOLD = 50  # ticks; a timer that is overdue by more than this indicates a stall
+MAX_DEFERRED_ITERATIONS = 20
 
 TRANSITIONS: dict[tuple[LoopState, Iteration], tuple[LoopState, TimerAction]] = {
     (LoopState.ON_SCHEDULE, Iteration.ON_TIME): (LoopState.ON_SCHEDULE, TimerAction.FIRE),
@@ -45,13 +45,13 @@
 
 
 class Turns:
-    """One verdict for each turn of the reactor in which a timer is due."""
+    """Decides in each iteration of the event loop whether the timers that are due may fire."""
 
     def __init__(self) -> None:
         self.state, self.deferred_iterations, self.inputs = LoopState.ON_SCHEDULE, 0, 0
 
     def may_fire(self, now: int, due: int, inputs: int) -> bool:
-        """`due`: when the earliest timer was due; `inputs`: inputs so far, a running count."""
+        """Whether to fire timers; `due` is the tick of the earliest, `inputs` the count of inputs so far."""
         if self.state is LoopState.ON_SCHEDULE:
             iteration = Iteration.OVERDUE if now - due > STALL_THRESHOLD else Iteration.ON_TIME
         elif self.deferred_iterations >= MAX_DEFERRED_ITERATIONS:
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -1,4 +1,4 @@
-"""Attempts in flight at workers: sent within the rules, timed, and reported to the module once each."""
+"""Attempts in flight to workers; each is reported to the module exactly once."""
 
 from collections.abc import Mapping
 from typing import Any, cast
@@ -11,7 +11,7 @@
 
 
 class WorkerCalls:
-    """Bookkeeping of attempts, by number and by the module's attempt. Numbers are shared with tasks."""
+    """Attempts in flight, by number and by the module's attempt. Tasks use the same sequence of numbers."""
 
     def __init__(self, context: HostContext, events: EventQueue, answers: FinalAnswers) -> None:
         self.context = context
@@ -21,8 +21,8 @@
         self.by_attempt: dict[Attempt, WorkerCall] = {}
 
     def send(self, number: int, attempt: Attempt, time_out: int) -> None:
-        """Send, unless the request is over, an attempt is in flight already where only one may be, or the
-        limit of attempts is reached. A `time_out` of 0 stands for the request's deadline.
+        """Send an attempt, unless the request is closed, the limit of attempts is reached, or another one is
+        in flight and attempts may not run in parallel. A `time_out` of 0 means the deadline of the request.
         """
         pending = cast(PendingRequest, attempt.request)  # made by the host
         now = self.context.clock()
@@ -49,22 +49,23 @@
         self.context.transport.send_call(worker_call)
 
     def allowed(self, pending: PendingRequest) -> bool:
-        """Whether one more attempt may be sent; it is listed among the request's attempts already."""
+        """Whether an attempt may be sent; it is already in the request's list of attempts."""
         if pending.final or pending.streaming:
             return False
         parallel = self.context.settings.may_parallel or not pending.in_flight
         return bool(parallel and pending.attempt_count() <= self.context.settings.attempt_limit)
 
     def begin_by(self, pending: PendingRequest) -> int | None:
-        """Rule 2 binds at the socket: a repeat is dropped by its token only within its window, which may end
-        while it waits for a connection.
+        """Return the latest tick to write a retry of a request that may have run; None: no limit. Workers
+        drop a repeated idempotency key only within a window, which may end while the attempt waits for a
+        connection, and no effect may happen twice.
         """
         method = self.context.settings.methods[pending.method]
         repeat = pending.may_have_run_on is not None and method.kind == "tokened"
         return pending.may_have_run_at + method.dedup_window if repeat else None
 
     def started(self, number: int) -> None:
-        """The worker's answer has begun to stream. From then on the request has no deadline."""
+        """The worker started to stream its answer. From then on the request has no deadline."""
         worker_call = self.open.get(number)
         if worker_call is None:
             self.context.counts[Counter.UNMATCHED] += 1
@@ -88,7 +89,7 @@
         concurrent: int | None = None,
         report: Mapping[str, float] = NO_REPORT,
     ) -> None:
-        """An attempt has ended. One that is not in flight is only counted: it was reported before."""
+        """An attempt ended. One that is not in flight is only counted: its end was reported before."""
         worker_call = self.open.pop(number, None)
         if worker_call is None:
             self.context.counts[Counter.UNMATCHED] += 1
@@ -102,28 +103,28 @@
         if outcome is Outcome.OK and not pending.final and pending.streaming in (None, worker_call):
             self.answers.finish(pending, RequestEnd.OK, body=body)
         elif pending.streaming is worker_call and not pending.final:
-            self.answers.finish(pending, RequestEnd.ABORTED)  # a break in a begun stream ends it
+            self.answers.finish(pending, RequestEnd.ABORTED)  # a stream that breaks off cannot be retried
         answer = AttemptResult(max(0, now - worker_call.sent_at), pending.final, warmth, concurrent, report)
         if pending.final and not pending.in_flight:
             self.events.finished.append(pending)
         self.events.post(pending, "on_attempt_finished", worker_call.attempt, outcome, answer)
 
     def timed_out(self, worker_call: WorkerCall) -> None:
-        """No answer in time. What still waited for a connection never left, so it has not run."""
+        """An attempt got no answer in time. If it was still waiting for a connection, it has not run."""
         if worker_call.number in self.open:
             unsent = self.context.transport.withdraw(worker_call, self.context.settings.may_cancel)
             self.finished(worker_call.number, Outcome.UNREACHABLE if unsent else Outcome.TIMED_OUT)
 
     def cancel(self, attempt: Attempt) -> None:
-        """The module wants no more of this attempt."""
+        """Cancel an attempt for the module."""
         worker_call = self.by_attempt.get(attempt)
         if worker_call is not None and self.context.settings.may_cancel:
             unsent = self.context.transport.withdraw(worker_call, True)
             self.finished(worker_call.number, Outcome.NOT_SENT if unsent else Outcome.CANCELLED)
 
     def cancel_unsent(self, pending: PendingRequest) -> None:
-        """What waits for a connection when its request ends is never sent: guards a worker against work that
-        nobody waits for, begun as long after as a dial lasts.
+        """Drop the attempts of a closed request that wait for a connection. Otherwise a worker would run a
+        request that nobody waits for, as late as connecting takes.
         """
         for attempt in list(pending.attempts):
             worker_call = self.by_attempt.get(attempt)
--- a/lapistrestle/policy/placement.py
+++ b/lapistrestle/policy/placement.py
@@ -89,8 +89,7 @@
                 self.preloading.preload(cold, 1)  # the request itself need not wait for the load
             elif cold and not found_no_copy(request):
                 return self.send(request, cold)
-        # after "not loaded", only if a load is allowed: of requests sent without one, one in twenty found a
-        # copy
+        # after "not loaded", not to workers without a known copy: one in twenty of those requests found one
         may_guess = not request.attempts if self.settings.reports_not_loaded else may_load
         return self.place_at_least_busy(
             request, below_unsafe or warm or loading or (in_use if may_guess else [])
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.deployment import translation
 from lapistrestle.directory.region_estimate import RegionEstimate
-from lapistrestle.hosting.events import described
+from lapistrestle.hosting.events import describe
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.registry import ObjectRegistry
 from lapistrestle.hosting.requests import PendingRequest, WorkerCall, WorkerTask
@@ -181,9 +181,9 @@
 
 
 def test_an_argument_is_described_in_any_state() -> None:
-    assert described(Unshowable()) == "Unshowable"
-    assert described([(Worker("w1"), WorkerInfo("w1"))] * 4) == "((w1, w1), (w1, w1), (w1, w1) ...)"
-    assert len(described("x" * 500)) == 80
+    assert describe(Unshowable()) == "Unshowable"
+    assert describe([(Worker("w1"), WorkerInfo("w1"))] * 4) == "((w1, w1), (w1, w1), (w1, w1) ...)"
+    assert len(describe("x" * 500)) == 80
 
 
 @pytest.mark.parametrize("at", ["on_request", "record"])
