--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests share: settings, a host that writes down what it is asked, and a dispatcher on it."""
+"""Shared by tests: settings, a host that records commands, and a dispatcher on it."""
 
 from dataclasses import replace
 from typing import Any
@@ -25,61 +25,61 @@
 
 
 class Recorder:
-    """A host that only writes down."""
+    """A host that only records the commands of the module."""
 
     def __init__(self) -> None:
-        self.acts: list[tuple[Any, ...]] = []
+        self.calls: list[tuple[Any, ...]] = []
 
-    def __getattr__(self, word: str) -> Any:
-        return lambda *args: self.acts.append((word, *args))
+    def __getattr__(self, command: str) -> Any:
+        return lambda *args: self.calls.append((command, *args))
 
-    def of(self, word: str) -> list[tuple[Any, ...]]:
-        return [act for act in self.acts if act[0] == word]
+    def of(self, command: str) -> list[tuple[Any, ...]]:
+        return [call for call in self.calls if call[0] == command]
 
 
 def dispatcher(workers: int = 3, **info: Any) -> Dispatcher:
-    """A dispatcher that knows some warm workers, five seconds into its life."""
+    """Return a dispatcher that knows some warm workers, five seconds after its start."""
     settings = {**SETTINGS, "family-info": {**SETTINGS["family-info"], **info}}
-    made = Dispatcher(Recorder(), translation.to_settings(settings), 7, 0)
-    facts = [WorkerInfo(f"w{i}", cell=i // 2) for i in range(workers)]
-    made.on_endpoints([(Worker(f.name), f) for f in facts], snapshot=True)
-    made.now = 50_000
-    return made
+    module = Dispatcher(Recorder(), translation.to_settings(settings), 7, 0)
+    infos = [WorkerInfo(f"w{i}", cell=i // 2) for i in range(workers)]
+    module.on_endpoints([(Worker(f.name), f) for f in infos], snapshot=True)
+    module.now = 50_000
+    return module
 
 
-def request(made: Dispatcher, method: int = 0, name: str = "f") -> Request:
-    return Request("r", Function(name, method, 100.0, 1), method, 0, made.now + 30_000)
+def request(module: Dispatcher, method: int = 0, name: str = "f") -> Request:
+    return Request("r", Function(name, method, 100.0, 1), method, 0, module.now + 30_000)
 
 
-def change(made: Dispatcher, **changes: Any) -> None:
-    """Change settings of a dispatcher that is made: each of its parts holds them."""
-    made.settings = replace(made.settings, **changes)
-    for part in vars(made).values():
+def change_settings(module: Dispatcher, **changes: Any) -> None:
+    """Change settings of a dispatcher, also in its components, which hold them too."""
+    module.settings = replace(module.settings, **changes)
+    for part in vars(module).values():
         if isinstance(getattr(part, "settings", None), Settings):
-            part.settings = made.settings
+            part.settings = module.settings
 
 
-def acts(made: Dispatcher, command: str) -> list[tuple[Any, ...]]:
-    """What a dispatcher asked of its host by that command."""
-    host = made.host
+def commands(module: Dispatcher, command: str) -> list[tuple[Any, ...]]:
+    """Return the calls of a command that the dispatcher made, as (command, *arguments)."""
+    host = module.host
     assert isinstance(host, Recorder)
     return host.of(command)
 
 
-def last_act(made: Dispatcher) -> str:
-    """The command that a dispatcher gave its host last."""
-    host = made.host
+def last_command(module: Dispatcher) -> str:
+    """Return the name of the last command of the dispatcher."""
+    host = module.host
     assert isinstance(host, Recorder)
-    return str(host.acts[-1][0])
+    return str(host.calls[-1][0])
 
 
-def state(one: Request) -> State:
-    """Where a request stands now: it changes between two looks."""
-    return one.state
+def state(req: Request) -> State:
+    """Return the state of a request; hides from mypy that it changes between two reads."""
+    return req.state
 
 
-def front_end_of_many(**info: Any) -> Dispatcher:
-    """A dispatcher that meets each worker seldom."""
-    made = dispatcher(6, **info)
-    made.now, made.throughput.memory_factor = 500_000, 3.0
-    return made
+def dispatcher_of_many(**info: Any) -> Dispatcher:
+    """Return a dispatcher that is one of many and uses each worker rarely."""
+    module = dispatcher(6, **info)
+    module.now, module.throughput.memory_factor = 500_000, 3.0
+    return module
--- a/tests/test_policy_loaded_copies.py
+++ b/tests/test_policy_loaded_copies.py
@@ -1,7 +1,7 @@
-"""Which copies are believed to stand."""
+"""Copies that are believed or presumed to be loaded."""
 
 import pytest
-from helpers import dispatcher, front_end_of_many, request
+from helpers import dispatcher, dispatcher_of_many, request
 
 from lapistrestle.policy.entities import Function
 from lapistrestle.policy.types import (
@@ -11,43 +11,45 @@
 )
 
 
-def test_a_miss_is_believed_no_longer_than_a_load_takes() -> None:
-    made = front_end_of_many()
-    replica = Function("f", load=10_000).replica(made.endpoints.workers[0])
-    replica.not_loaded_at = made.now
-    assert not made.copies.presumed_loaded(replica)
-    made.now += 20_001
-    assert made.copies.presumed_loaded(replica)
+def test_not_loaded_is_believed_no_longer_than_a_load_takes() -> None:
+    module = dispatcher_of_many()
+    replica = Function("f", load=10_000).replica(module.endpoints.workers[0])
+    replica.not_loaded_at = module.now
+    assert not module.copies.presumed_loaded(replica)
+    module.now += 20_001
+    assert module.copies.presumed_loaded(replica)
     replica.function.load = None
-    assert not made.copies.presumed_loaded(replica)
+    assert not module.copies.presumed_loaded(replica)
 
 
 @pytest.mark.parametrize(
     ("absent", "outcome", "emptied"),
     [("miss", Outcome.RESET, False), ("load", Outcome.RESET, True), ("miss", Outcome.UNREACHABLE, True)],
 )
-def test_a_reset_alone_is_no_restart_where_a_miss_would_tell(
+def test_a_reset_alone_is_no_restart_if_workers_report_not_loaded(
     absent: str, outcome: Outcome, emptied: bool
 ) -> None:
-    made = dispatcher(2, **{"when-absent": absent})
-    one, other = request(made), request(made, name="g")
-    home = made.orders.function_order(one.function)[0]
-    stands = other.function.replica(home)
-    stands.copies, stands.confirmed_at = 1, made.now - 1
-    one.state = State.OUT
-    made.attempts.send(one, one.function.replica(home))
-    made.on_attempt_finished(one.attempts[0], outcome, AttemptResult(10))
-    assert (made.copies.believed(stands) == 0) is emptied
-
-
-@pytest.mark.parametrize(("absent", "guessed"), [("miss", True), ("load", False)])
-def test_copies_of_others_are_guessed_only_where_a_miss_is_cheap(absent: str, guessed: bool) -> None:
-    made = dispatcher(1, **{"when-absent": absent})
-    replica, made.throughput.memory_factor, made.now = (
-        Function("f").replica(made.endpoints.workers[0]),
+    module = dispatcher(2, **{"when-absent": absent})
+    req, other = request(module), request(module, name="g")
+    home = module.orders.function_order(req.function)[0]
+    loaded = other.function.replica(home)
+    loaded.copies, loaded.confirmed_at = 1, module.now - 1
+    req.state = State.OUT
+    module.attempts.send(req, req.function.replica(home))
+    module.on_attempt_finished(req.attempts[0], outcome, AttemptResult(10))
+    assert (module.copies.believed(loaded) == 0) is emptied
+
+
+@pytest.mark.parametrize(("absent", "presumed"), [("miss", True), ("load", False)])
+def test_copies_of_other_dispatchers_are_presumed_only_if_workers_report_not_loaded(
+    absent: str, presumed: bool
+) -> None:
+    module = dispatcher(1, **{"when-absent": absent})
+    replica, module.throughput.memory_factor, module.now = (
+        Function("f").replica(module.endpoints.workers[0]),
         3.0,
         200_000,
     )
-    assert made.copies.presumed_loaded(replica) == guessed
-    replica.not_loaded_at = made.now
-    assert not made.copies.presumed_loaded(replica)
+    assert module.copies.presumed_loaded(replica) == presumed
+    replica.not_loaded_at = module.now
+    assert not module.copies.presumed_loaded(replica)
--- a/tests/test_policy_preloading.py
+++ b/tests/test_policy_preloading.py
@@ -1,7 +1,7 @@
-"""Copies that are loaded ahead: their budget, the limit of loads, and what is kept."""
+"""Preloads: their budget, the limit of concurrent loads, and periodic maintenance."""
 
 import pytest
-from helpers import acts, change, dispatcher, front_end_of_many, request
+from helpers import change_settings, commands, dispatcher, dispatcher_of_many, request
 
 from lapistrestle.policy.entities import Function, PendingPreload
 from lapistrestle.policy.request_state import RequestEvent
@@ -14,175 +14,177 @@
 )
 
 
-def test_orders_stay_within_their_budget() -> None:
-    made = dispatcher(1)
-    made.preload_budget.requests.extend([made.now] * 10)
-    replica = Function("f").replica(made.endpoints.workers[0])
-    assert [made.preloading.preload(replica, 1) for _ in range(5)] == [True] * 4 + [False]
-    made.now += 50_001
-    assert not made.preloading.preload(replica, 1)  # without answer they may be about to cross
+def test_preloads_stay_within_their_budget() -> None:
+    module = dispatcher(1)
+    module.preload_budget.requests.extend([module.now] * 10)
+    replica = Function("f").replica(module.endpoints.workers[0])
+    assert [module.preloading.preload(replica, 1) for _ in range(5)] == [True] * 4 + [False]
+    module.now += 50_001
+    assert not module.preloading.preload(replica, 1)  # unanswered preloads may be about to arrive
     for _ in range(4):
-        made.on_preload_finished(made.endpoints.workers[0], replica.function, Outcome.OK, 1, 10)
-    assert [made.preloading.preload(replica, 1) for _ in range(3)] == [True, True, False]
+        module.on_preload_finished(module.endpoints.workers[0], replica.function, Outcome.OK, 1, 10)
+    assert [module.preloading.preload(replica, 1) for _ in range(3)] == [True, True, False]
 
 
-def test_an_order_that_was_long_on_the_way_counts_from_when_it_may_have_crossed() -> None:
-    """A link that was cut for seconds let all that lay on it through at once (split days)."""
-    made = dispatcher(1, **{"free-loads": 5})
-    function, worker = Function("f"), made.endpoints.workers[0]
+def test_a_delayed_preload_counts_from_when_it_may_have_arrived() -> None:
+    """After a network partition of seconds, all preloads in transit arrived at once, over the budget."""
+    module = dispatcher(1, **{"free-loads": 5})
+    function, worker = Function("f"), module.endpoints.workers[0]
     for took in (6_000, 6_000, 40_000):
-        assert made.preloading.preload(function.replica(worker), 1)
-        made.now += took
-        made.on_preload_finished(worker, function, Outcome.OK, 1, took)
-    made.now += 20_000  # the first two have left the window, the last crossed 3.2 s ago at the earliest
-    made.preloading.preload(function.replica(worker), 1)
-    assert made.preload_budget.arrivals == [made.now - 32_000]
+        assert module.preloading.preload(function.replica(worker), 1)
+        module.now += took
+        module.on_preload_finished(worker, function, Outcome.OK, 1, took)
+    module.now += 20_000  # the first two left the window; the last arrived up to 3.2 s ago
+    module.preloading.preload(function.replica(worker), 1)
+    assert module.preload_budget.arrivals == [module.now - 32_000]
 
 
-def test_an_rpc_that_was_read_late_leaves_the_ration_when_it_does_at_the_socket() -> None:
-    """A dispatcher that stood still for a second counted what lay in its sockets a second too long."""
-    made = dispatcher(1)
+def test_a_request_that_was_read_late_leaves_the_budget_by_its_arrival() -> None:
+    """After a stall of a second, requests that had waited in the sockets counted a second too long."""
+    module = dispatcher(1)
     for late in (9_000, 0):
-        read = request(made)
-        read.came = made.now - late
-        made.on_request(read)
-    made.now += 45_000
-    made.preloading.preload(Function("g").replica(made.endpoints.workers[0]), 1)
-    assert list(made.preload_budget.requests) == [50_000]
-    change(made, preload_delay=300)
-    made.now += 4_800  # by the time that an order crosses the other has left too
-    made.preloading.preload(Function("g").replica(made.endpoints.workers[0]), 1)
-    assert not made.preload_budget.requests
+        read = request(module)
+        read.came = module.now - late
+        module.on_request(read)
+    module.now += 45_000
+    module.preloading.preload(Function("g").replica(module.endpoints.workers[0]), 1)
+    assert list(module.preload_budget.requests) == [50_000]
+    change_settings(module, preload_delay=300)
+    module.now += 4_800  # when a preload arrives, the other request has left the window too
+    module.preloading.preload(Function("g").replica(module.endpoints.workers[0]), 1)
+    assert not module.preload_budget.requests
 
 
 @pytest.mark.parametrize("window", [0, 50_000])
-def test_what_is_remembered_for_the_budget_of_orders_does_not_grow_without_end(window: int) -> None:
-    made = dispatcher(1)
-    change(made, preload_window=window, may_preload=False)
+def test_the_state_of_the_preload_budget_is_bounded(window: int) -> None:
+    module = dispatcher(1)
+    change_settings(module, preload_window=window, may_preload=False)
     for _ in range(50):
-        made.now += 5_000
-        made.on_request(request(made))
-    assert len(made.preload_budget.requests) == window // 5_000
+        module.now += 5_000
+        module.on_request(request(module))
+    assert len(module.preload_budget.requests) == window // 5_000
 
 
-def test_an_rpc_that_is_placed_anew_under_another_version_counts_once() -> None:
-    made = dispatcher(2)
-    made.on_request(request(made))
-    again = request(made, name="f@v2")
+def test_a_request_that_is_submitted_again_for_another_version_counts_once() -> None:
+    module = dispatcher(2)
+    module.on_request(request(module))
+    again = request(module, name="f@v2")
     again.moved = True
-    made.on_request(again)
-    assert len(made.preload_budget.requests) == 1 and again.attempts
-
-
-def test_slow_or_failing_loads_mean_fewer_at_once() -> None:
-    made = dispatcher(4)
-    before, function = made.load_limit.limit, Function("f")
-    made.load_limit.record(function, True, 30_000)
-    slow = made.load_limit.limit
-    made.load_limit.record(function, True, 6_000)
-    assert 1 <= slow < before and made.load_limit.limit > slow
-
-
-def test_a_queue_behind_a_cold_call_out_does_not_cut_the_load_limit() -> None:
-    made = dispatcher(1, **{"when-absent": "load"})
-    worker, before = made.endpoints.workers[0], 5.0
-    made.load_limit.limit = before
-    for crowded in (True, False):
-        one = request(made)
-        made.attempts.send(one, one.function.replica(worker))
-        worker.latency_sum.add(made.now, 900_000 if crowded else -900_000)
-        made.on_attempt_finished(one.attempts[0], Outcome.OK, AttemptResult(29_000, over=True))
-        assert (made.load_limit.limit == before) == crowded
-
-
-@pytest.mark.parametrize(("company", "took", "orders"), [(0, 9_000, 0), (1, 100, 0), (1, 9_000, 1)])
-def test_where_answers_tell_that_others_wait_the_next_worker_loads(
-    company: int, took: int, orders: int
+    module.on_request(again)
+    assert len(module.preload_budget.requests) == 1 and again.attempts
+
+
+def test_slow_loads_lower_the_load_limit_and_fast_ones_raise_it() -> None:
+    module = dispatcher(4)
+    before, function = module.load_limit.limit, Function("f")
+    module.load_limit.record(function, True, 30_000)
+    slow = module.load_limit.limit
+    module.load_limit.record(function, True, 6_000)
+    assert 1 <= slow < before and module.load_limit.limit > slow
+
+
+def test_a_slow_cold_attempt_at_a_busy_worker_does_not_lower_the_load_limit() -> None:
+    module = dispatcher(1, **{"when-absent": "load"})
+    worker, before = module.endpoints.workers[0], 5.0
+    module.load_limit.limit = before
+    for busy in (True, False):
+        req = request(module)
+        module.attempts.send(req, req.function.replica(worker))
+        worker.latency_sum.add(module.now, 900_000 if busy else -900_000)
+        module.on_attempt_finished(req.attempts[0], Outcome.OK, AttemptResult(29_000, over=True))
+        assert (module.load_limit.limit == before) == busy
+
+
+@pytest.mark.parametrize(("concurrency", "latency", "preloads"), [(0, 9_000, 0), (1, 100, 0), (1, 9_000, 1)])
+def test_the_next_worker_loads_a_copy_if_answers_report_waiting_requests(
+    concurrency: int, latency: int, preloads: int
 ) -> None:
-    made = front_end_of_many(**{"says-company": True, "tells-warm": True})
-    made.load_limit.limit = 5.0
+    module = dispatcher_of_many(**{"says-company": True, "tells-warm": True})
+    module.load_limit.limit = 5.0
     for _ in range(3):
-        made.latency.by_method[0].add(made.now, 1_000)
-    one = request(made)
-    made.on_request(one)
-    home = one.attempts[0].worker
-    made.on_attempt_finished(
-        one.attempts[0], Outcome.OK, AttemptResult(took, True, LoadState.LOADED, company)
+        module.latency.by_method[0].add(module.now, 1_000)
+    req = request(module)
+    module.on_request(req)
+    home = req.attempts[0].worker
+    module.on_attempt_finished(
+        req.attempts[0], Outcome.OK, AttemptResult(latency, True, LoadState.LOADED, concurrency)
     )
-    loads = acts(made, "preload")
-    assert len(loads) == orders and all(
-        o[1] is made.orders.function_order(one.function)[1] and home is not o[1] for o in loads
+    loads = commands(module, "preload")
+    assert len(loads) == preloads and all(
+        o[1] is module.orders.function_order(req.function)[1] and home is not o[1] for o in loads
     )
 
 
-def test_a_hold_asks_for_what_was_used_and_a_share_of_the_spare() -> None:
-    made = dispatcher(2)
-    change(made, dispatcher_count=1)
-    made.preload_budget.requests.extend([made.now] * 50)
+def test_maintenance_preloads_the_used_copies_and_a_share_of_the_headroom() -> None:
+    module = dispatcher(2)
+    change_settings(module, dispatcher_count=1)
+    module.preload_budget.requests.extend([module.now] * 50)
     function = Function("f")
-    made.preloading.functions[function] = None
-    home = function.replica(made.orders.function_order(function)[0])
-    home.peak_in_flight, home.copies, home.confirmed_at = 4, 4, made.now
-    made.preloading.maintain_replicas(function)
-    assert acts(made, "preload") == [("preload", home.worker, function, 4 + 2)]
-    made.preloading.maintain_replicas(function)
-    assert function in made.preloading.functions  # a copy still stands
-    made.now += 2 * made.settings.idle_timeout
+    module.preloading.functions[function] = None
+    home = function.replica(module.orders.function_order(function)[0])
+    home.peak_in_flight, home.copies, home.confirmed_at = 4, 4, module.now
+    module.preloading.maintain_replicas(function)
+    assert commands(module, "preload") == [("preload", home.worker, function, 4 + 2)]
+    module.preloading.maintain_replicas(function)
+    assert function in module.preloading.functions  # a copy is still loaded
+    module.now += 2 * module.settings.idle_timeout
     home.pending_preloads.clear()
-    made.preloading.maintain_replicas(function)
-    assert function not in made.preloading.functions and not function.scores
-
-
-def test_an_order_whose_connection_broke_stands_and_its_waiters_go_there() -> None:
-    """Seen on sockets: ten orders a second lost their connection, and what they loaded was ordered anew."""
-    made = dispatcher(2)
-    made.preload_budget.requests.extend([made.now] * 100)
-    one = request(made)
-    home = made.orders.function_order(one.function)[0]
-    replica = one.function.replica(home)
-    made.preloading.preload(replica, 1)
-    one.state = State.PARKED
-    replica.waiters.append(one)
-    made.on_preload_finished(home, one.function, Outcome.RESET, 0, 6_000)
-    assert one.attempts[0].worker is home and not one.attempts[0].cold and home.emptied_at < 0
-
-
-def test_a_worker_whose_line_of_loads_is_full_gets_no_load_until_one_ends_there() -> None:
-    made = dispatcher(3)
-    made.preload_budget.requests.extend([made.now] * 100)
-    one, other = request(made, name="f"), request(made, name="g")
-    home, next_, _ = made.orders.function_order(one.function)
-    replica, second = one.function.replica(home), other.function.replica(home)
-    made.preloading.preload(replica, 1)
-    made.on_preload_finished(home, one.function, Outcome.REJECTED, 0, 5)
+    module.preloading.maintain_replicas(function)
+    assert function not in module.preloading.functions and not function.scores
+
+
+def test_a_preload_whose_connection_was_reset_counts_as_loaded_and_its_waiters_are_sent() -> None:
+    """Preloads that lost their connection were sent again, ten a second, although the workers had loaded the
+    copies.
+    """
+    module = dispatcher(2)
+    module.preload_budget.requests.extend([module.now] * 100)
+    req = request(module)
+    home = module.orders.function_order(req.function)[0]
+    replica = req.function.replica(home)
+    module.preloading.preload(replica, 1)
+    req.state = State.PARKED
+    replica.waiters.append(req)
+    module.on_preload_finished(home, req.function, Outcome.RESET, 0, 6_000)
+    assert req.attempts[0].worker is home and not req.attempts[0].cold and home.emptied_at < 0
+
+
+def test_a_worker_with_a_full_load_queue_gets_no_load_until_one_ends_there() -> None:
+    module = dispatcher(3)
+    module.preload_budget.requests.extend([module.now] * 100)
+    req, other = request(module, name="f"), request(module, name="g")
+    home, next_, _ = module.orders.function_order(req.function)
+    replica, second = req.function.replica(home), other.function.replica(home)
+    module.preloading.preload(replica, 1)
+    module.on_preload_finished(home, req.function, Outcome.REJECTED, 0, 5)
     assert (
-        not made.preloading.preload(second, 1) and len(made.preload_budget.arrivals) == 1
-    )  # the ration is kept for those that may
-    one.state = State.OUT
-    made.attempts.send(one, replica)
-    made.on_attempt_finished(one.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
-    assert one in one.function.replica(next_).waiters and acts(made, "preload")[-1][1] is next_
-    home.loads_rejected_until = made.now + 1
-    second.pending_preloads.append(PendingPreload(made.now, True))
+        not module.preloading.preload(second, 1) and len(module.preload_budget.arrivals) == 1
+    )  # the budget is saved for other workers
+    req.state = State.OUT
+    module.attempts.send(req, replica)
+    module.on_attempt_finished(req.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
+    assert req in req.function.replica(next_).waiters and commands(module, "preload")[-1][1] is next_
+    home.loads_rejected_until = module.now + 1
+    second.pending_preloads.append(PendingPreload(module.now, True))
     second.change_loading(1)
-    made.load_limit.in_progress += 1
-    made.on_preload_finished(home, other.function, Outcome.OK, 1, 8_000)
-    assert made.preloading.preload(replica, 1)
+    module.load_limit.in_progress += 1
+    module.on_preload_finished(home, other.function, Outcome.OK, 1, 8_000)
+    assert module.preloading.preload(replica, 1)
 
 
 @pytest.mark.parametrize("shedding", [False, True])
-def test_while_the_fleet_sheds_no_copy_is_added_beside_one(shedding: bool) -> None:
-    made = dispatcher(3, **{"when-absent": "load", "load-share": 1.0, "free-loads": 50})
-    made.fleet.shedding = shedding
-    call = request(made)
-    call.began = made.now
-    warm = call.function.replica(made.orders.function_order(call.function)[0])
+def test_while_the_fleet_sheds_load_no_additional_copy_is_loaded(shedding: bool) -> None:
+    module = dispatcher(3, **{"when-absent": "load", "load-share": 1.0, "free-loads": 50})
+    module.fleet.shedding = shedding
+    call = request(module)
+    call.began = module.now
+    warm = call.function.replica(module.orders.function_order(call.function)[0])
     warm.copies, warm.confirmed_at, warm.zone, warm.backoff_until = (
         1,
-        made.now,
+        module.now,
         Zone.WARNING,
-        made.now + 50_000,
+        module.now + 50_000,
     )
-    warm.in_flight = 1  # all that a worker in Warning takes
-    assert made.placement.place(call, None) is RequestEvent.SENT
-    assert len(acts(made, "preload")) == (not shedding)
+    warm.in_flight = 1  # the capacity of a replica in Warning
+    assert module.placement.place(call, None) is RequestEvent.SENT
+    assert len(commands(module, "preload")) == (not shedding)
