--- a/benchmarks/directory_holder.py
+++ b/benchmarks/directory_holder.py
@@ -26,10 +26,10 @@
 PREFIX = 8  # instances
 
 
-def entry(number: int) -> messages.Entry:
+def entry(number: int) -> messages.RosterEntry:
     """An instance with names as long as usual ones, of a size from 1 to 4."""
     name = f"worker-{number:06d}"
-    return messages.Entry(
+    return messages.RosterEntry(
         name, 20_000 + number % 40_000, f"zone-{number % 12}", number % 50, "quad", 1.0 + number % 4,
         "serving", f"{name}#0", 60_000.0 + number,
     )  # fmt: skip
@@ -39,7 +39,9 @@
     """Sends the whole list to whoever follows or asks."""
 
     def __init__(self, instances: int) -> None:
-        self.list = messages.encode(messages.Whole(1, [entry(n) for n in range(instances)], "e1")) + b"\n"
+        self.list = (
+            messages.encode(messages.RosterSnapshot(1, [entry(n) for n in range(instances)], "e1")) + b"\n"
+        )
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.port: int = self.listener.getsockname()[1]
         threading.Thread(target=self.accept, daemon=True).start()
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -29,7 +29,7 @@
 from twisted.protocols.basic import LineReceiver
 
 from lapistrestle.command.programs import serve
-from lapistrestle.deployment.load import load
+from lapistrestle.deployment.load import load_deployment
 from lapistrestle.deployment.schema import Fleet
 from lapistrestle.edge.program import Edge
 from lapistrestle.edge.running import reactor_of_now
@@ -44,7 +44,7 @@
     MemberStatus,
     encode,
 )
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 HELLO = msgspec.json.encode(wire.Hello(wire.CLIENT, wire.VERSION)) + b"\n"
 HEADS = (
@@ -57,33 +57,35 @@
 }"""
 
 
-class Instant(Speaker):
+class Instant(LineConnection):
     """A runner that answers at once; it takes the relay's bare calls too."""
 
     protocol = wire.RUNNER
-    decoder = union(wire.Hello | wire.Run | wire.Cancel | wire.Hold | wire.Unload | wire.Call)
-    speaks_first = False
+    decoder = message_decoder(
+        wire.Hello | wire.Run | wire.Cancel | wire.PreloadRequest | wire.Unload | wire.Call
+    )
+    greets_first = False
 
     def __init__(self, name: str) -> None:
-        super().__init__(LineBounds())
-        self.name, self.greeted = name, False
+        super().__init__(LineLimits())
+        self.name, self.is_greeted = name, False
 
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.name, start=f"{self.name}#0", up_for=3_600_000.0)
 
-    def meet(self, hello: wire.Hello) -> None:
+    def handle_greeting(self, hello: wire.Hello) -> None:
         if hello.protocol == wire.RUNNER:
-            super().meet(hello)
-        self.greeted = True
+            super().handle_greeting(hello)
+        self.is_greeted = True
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         match message:
             case wire.Run():
-                self.say(wire.Ended(message.call, "ok"))
+                self.send_message(wire.RunFinished(message.call_id, "ok"))
             case wire.Call():
-                self.say(wire.Answer(message.id, "ok"))
-            case wire.Hold():
-                self.say(wire.Held(message.order, "ok", max(1, message.count)))
+                self.send_message(wire.Answer(message.id, "ok"))
+            case wire.PreloadRequest():
+                self.send_message(wire.PreloadResult(message.preload_id, "ok", max(1, message.count)))
 
 
 class Runners(ServerFactory):
@@ -162,18 +164,18 @@
     os.sched_setaffinity(0, {cores[core % len(cores)]})
 
 
-class Client(Speaker):
+class Client(LineConnection):
     protocol = wire.CLIENT
-    decoder = union(wire.ToClient)
+    decoder = message_decoder(wire.ToClient)
 
     def __init__(self, load: "Load") -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.load = load
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.load.ready(self)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         if isinstance(message, wire.Answer):
             self.load.answered(message)
 
@@ -228,7 +230,7 @@
         self.sent[name] = self.reactor.seconds()
         call = self.calls[self.random.randrange(len(self.calls))]
         call.id = name
-        self.client.say(call)
+        self.client.send_message(call)
 
     def answered(self, answer: wire.Answer) -> None:
         now = self.reactor.seconds()
@@ -402,7 +404,7 @@
     reactor = reactor_of_now()
     made = RosterStandIn(reactor, 0.0)
     for number, at in enumerate(json.loads(ports)):
-        entry = wire.Entry(f"w{number}", at, size=4.0, start=f"w{number}#0")
+        entry = wire.RosterEntry(f"w{number}", at, size=4.0, start=f"w{number}#0")
         made.note(entry, reactor.seconds() - 3600, now=True)
     tell(port, [made.port])
     reactor.run()
@@ -444,7 +446,7 @@
     reactor = reactor_of_now()
     path = port.with_suffix(".json5")
     path.write_text(DEPLOYMENT)
-    deployment = load(path)
+    deployment = load_deployment(path)
     deployment.roster.port = roster_port
     if others:
         deployment.fleet = Fleet(name="measured", port=free_ports(1)[0])
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -29,7 +29,7 @@
 from lapistrestle.standins.store import Store, StoreFacts
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 DEPLOYMENT = """{
   methods: { price: { effect: "idempotent", deadline: "3 s", soft_deadline: "1 s" } },
@@ -39,19 +39,19 @@
 NAME = "fn-0@v2"
 
 
-class Operator(Speaker):
+class Operator(LineConnection):
     protocol = plans.PLANNER
-    decoder = union(plans.FromPlanner)
+    decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, run: "Run") -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.run = run
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.run.operator = self
         self.run.begin()
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         if isinstance(message, plans.CommandReply):
             self.run.replied(message)
 
@@ -83,7 +83,7 @@
         self.look()
 
     def order(self, what: Any) -> None:
-        self.operator.say(
+        self.operator.send_message(
             plans.RolloutCommand(what, what, "fn-0", "benchmark", candidate="v2", steps=(0.5, 1.0))
         )
 
@@ -147,16 +147,16 @@
     for number in range(8):
         facts = RunnerFacts(cores=4, speed=1.0, memory=40_000.0, queue=500)
         runner = RunnerStandIn(reactor, f"w{number}", 0, facts, store, Tokens())
-        entry = wire.Entry(runner.name, runner.port, size=4.0, start=runner.start)
+        entry = wire.RosterEntry(runner.name, runner.port, size=4.0, start=runner.start)
         roster.note(entry, runner.engine.booted, now=True)
-    heard = RunnerSpeaker.heard
+    heard = RunnerSpeaker.message_received
 
     def noting(self: RunnerSpeaker, message: Any) -> None:
         if isinstance(message, wire.Run) and message.function == NAME:
             run.met.append(reactor.seconds())
         heard(self, message)
 
-    RunnerSpeaker.heard = noting  # type: ignore[method-assign]
+    RunnerSpeaker.message_received = noting  # type: ignore[method-assign]
     with tempfile.TemporaryDirectory() as name:
         folder, children = Path(name), list[Child]()
         try:
--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -28,13 +28,13 @@
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.standins.virtual import DelayedCall, VirtualReactor
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.lines import union
-from lapistrestle.wire.messages import Entry, encode
+from lapistrestle.wire.json_lines import message_decoder
+from lapistrestle.wire.messages import RosterEntry, encode
 
 TENTH = 100  # microseconds in a tenth of a millisecond
 MILLION = 1e6
-FROM_WATCHER = union(wire.FromWatcher)
-FROM_HOLDER = union(wire.FromHolder)
+FROM_WATCHER = message_decoder(wire.FromWatcher)
+FROM_HOLDER = message_decoder(wire.FromHolder)
 NEVER = 2**62
 FIRST_PORT = 101  # of the holders
 
@@ -68,12 +68,12 @@
         self.processor = 0.0  # seconds spent
         self.messages_in = self.messages_out = self.bytes_in = self.bytes_out = 0
         self.number = 0  # of the roster's list
-        self.roster: Callable[[], list[Entry]] | None = None  # its whole list; None: cut off
+        self.roster: Callable[[], list[RosterEntry]] | None = None  # its whole list; None: cut off
         self.asks = 0  # for the whole list
 
     # the roster
 
-    def learn(self, entries: list[Entry], whole: bool = False) -> None:
+    def learn(self, entries: list[RosterEntry], whole: bool = False) -> None:
         """The roster tells a list, or a change of some."""
         self.number += 1
         self.put(self.learnt, entries, whole, wire.Revision("roster", self.number))
@@ -83,7 +83,7 @@
         if self.roster is not None:
             self.put(self.learnt, self.roster(), True, wire.Revision("roster", self.number))
 
-    def learnt(self, entries: list[Entry], whole: bool, revision: wire.Revision) -> None:
+    def learnt(self, entries: list[RosterEntry], whole: bool, revision: wire.Revision) -> None:
         self.holder.instances_changed(entries, whole, revision, tenths(self.reactor))
 
     # watchers
@@ -345,7 +345,7 @@
 
     def __init__(
         self,
-        entries: list[Entry],
+        entries: list[RosterEntry],
         holders: int,
         shards: int,
         seed: int,
@@ -373,10 +373,10 @@
             self.reactor.run(max(self.reactor.seconds(), node.busy_until / MILLION))
         self.watchers: list[WatcherNode] = []
 
-    def whole(self) -> list[Entry]:
+    def whole(self) -> list[RosterEntry]:
         return list(self.listed.values())
 
-    def change(self, *entries: Entry) -> None:
+    def change(self, *entries: RosterEntry) -> None:
         """The roster tells every holder a change."""
         for entry in entries:
             if entry.listing == "gone":
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -11,13 +11,13 @@
 import msgspec
 from twisted.internet.address import IPv4Address
 
-from lapistrestle.deployment.load import shaped
+from lapistrestle.deployment.load import convert_value
 from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.clients import ClientSpeaker
 from lapistrestle.edge.program import Edge
 from lapistrestle.standins.virtual import LATENCY, Process, VirtualReactor
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import union
+from lapistrestle.wire.json_lines import message_decoder
 
 ROSTER_PORT = 1
 WORKER_PORT = 2  # of every hollow worker: they are told apart by name
@@ -26,8 +26,8 @@
 ANSWER_AFTER = 20_000  # microseconds that a hollow worker takes for a call
 LOAD_AFTER = 300_000  # microseconds, for the first call of a function there
 PEER = IPv4Address("TCP", "127.0.0.1", WORKER_PORT)
-FROM_EDGE_TO_WORKER = union(wire.ToRunner)
-FROM_EDGE_TO_CLIENT = union(wire.ToClient)
+FROM_EDGE_TO_WORKER = message_decoder(wire.ToRunner)
+FROM_EDGE_TO_CLIENT = message_decoder(wire.ToClient)
 
 
 class Traffic(msgspec.Struct):
@@ -113,10 +113,13 @@
                     key = (runner.linking.name, message.function)
                     wait = ANSWER_AFTER if key in self.loaded else LOAD_AFTER + ANSWER_AFTER
                     self.loaded.add(key)
-                    self.reactor.at(wait, self.say, transport, wire.Ended(message.call, "ok"))
-                case wire.Hold():
+                    self.reactor.at(wait, self.say, transport, wire.RunFinished(message.call_id, "ok"))
+                case wire.PreloadRequest():
                     self.reactor.at(
-                        LATENCY, self.say, transport, wire.Held(message.order, "ok", message.count)
+                        LATENCY,
+                        self.say,
+                        transport,
+                        wire.PreloadResult(message.preload_id, "ok", message.count),
                     )
 
     def say(self, transport: HollowTransport, message: wire.Message) -> None:
@@ -129,7 +132,7 @@
 class Roster:
     """A hollow roster with the whole list, which tells changes when the test says so."""
 
-    def __init__(self, entries: list[wire.Entry]) -> None:
+    def __init__(self, entries: list[wire.RosterEntry]) -> None:
         self.entries, self.number, self.traffic = entries, 0, Traffic()
         self.transport: HollowTransport | None = None
         self.whole_bytes = 0  # of the line with the whole list
@@ -151,12 +154,12 @@
         return len(line)
 
     def tell_all(self) -> None:
-        self.whole_bytes = self.say(wire.Whole(self.number, self.entries, "epoch"))
+        self.whole_bytes = self.say(wire.RosterSnapshot(self.number, self.entries, "epoch"))
 
-    def tell(self, *entries: wire.Entry) -> int:
+    def tell(self, *entries: wire.RosterEntry) -> int:
         """One change; returns its bytes."""
         self.number += 1
-        return self.say(wire.Change(self.number, list(entries), "epoch"))
+        return self.say(wire.RosterUpdate(self.number, list(entries), "epoch"))
 
 
 class HollowProcess(Process):
@@ -180,7 +183,7 @@
 
     def __init__(
         self,
-        entries: list[wire.Entry],
+        entries: list[wire.RosterEntry],
         seed: int,
         of: int,
         number: int = 0,
@@ -193,7 +196,7 @@
         self.workers, self.roster = Workers(self.reactor), Roster(entries)
         process = HollowProcess(self.reactor, self.workers, self.roster)
         process.holders = holders or {}
-        made = shaped({**settings(of, number), **more}, Deployment)
+        made = convert_value({**settings(of, number), **more}, Deployment)
         self.edge = Edge(process, made, lambda what, **figures: None, seed)
         self.clients, self.answers = Traffic(), dict.fromkeys(("ok", "denied", "aborted"), 0)
         self.called_at: dict[str, float] = {}  # of calls without answer, by id
@@ -267,17 +270,17 @@
     }  # fmt: skip
 
 
-def entry(number: int, listing: Any = "serving", start: int = 0, region: int = 0) -> wire.Entry:
+def entry(number: int, listing: Any = "serving", start: int = 0, region: int = 0) -> wire.RosterEntry:
     """One instance as a roster names it; names have the length that the assumptions state."""
     name, zone = f"instance-r{region}-{number:012d}", ZONES[number % len(ZONES)]
-    return wire.Entry(
+    return wire.RosterEntry(
         name, WORKER_PORT, zone, number % 97, "quad", 1.0, listing, f"{name}#{start}", 3_600_000.0
     )
 
 
-def entries(count: int, region: int = 0) -> list[wire.Entry]:
+def entries(count: int, region: int = 0) -> list[wire.RosterEntry]:
     return [entry(number, region=region) for number in range(count)]
 
 
-def drained(told: wire.Entry) -> wire.Entry:
+def drained(told: wire.RosterEntry) -> wire.RosterEntry:
     return msgspec.structs.replace(told, listing="draining")
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -19,10 +19,10 @@
 from benchmarks.scale import hollow
 from lapistrestle.standins.children import Child
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import union
+from lapistrestle.wire.json_lines import message_decoder
 
 HOST = "127.0.0.1"
-TO_ROSTER = union(wire.ToRoster)
+TO_ROSTER = message_decoder(wire.ToRoster)
 LIMIT = 64 * 1024 * 1024  # bytes of a line
 PATIENT = "5 s"  # a dial's time-out
 SETTLE = 30.0  # seconds that the connections may take
@@ -82,15 +82,15 @@
             case wire.Run():
                 wait = hollow.ANSWER_AFTER + (0 if message.function in self.loaded else hollow.LOAD_AFTER)
                 self.loaded.add(message.function)
-                loop.call_later(wait / 1e6, say, writer, wire.Ended(message.call, "ok"))
-            case wire.Hold():
-                say(writer, wire.Held(message.order, "ok", message.count))
+                loop.call_later(wait / 1e6, say, writer, wire.RunFinished(message.call_id, "ok"))
+            case wire.PreloadRequest():
+                say(writer, wire.PreloadResult(message.preload_id, "ok", message.count))
 
 
 class RealRoster(Peer):
     """Tells the whole list, and changes when told to."""
 
-    def __init__(self, entries: list[wire.Entry]) -> None:
+    def __init__(self, entries: list[wire.RosterEntry]) -> None:
         super().__init__()
         self.entries, self.number = entries, 0
 
@@ -98,13 +98,13 @@
         say(writer, wire.Hello(wire.ROSTER, wire.VERSION, "roster"))
 
     def heard(self, writer: asyncio.StreamWriter, line: bytes) -> None:
-        if isinstance(TO_ROSTER.decode(line), wire.Follow | wire.Ask):
-            say(writer, wire.Whole(self.number, self.entries, "epoch"))
+        if isinstance(TO_ROSTER.decode(line), wire.RosterSubscribe | wire.RosterRequest):
+            say(writer, wire.RosterSnapshot(self.number, self.entries, "epoch"))
 
-    def tell(self, entry: wire.Entry) -> None:
+    def tell(self, entry: wire.RosterEntry) -> None:
         self.number += 1
         for writer in self.writers:
-            say(writer, wire.Change(self.number, [entry], "epoch"))
+            say(writer, wire.RosterUpdate(self.number, [entry], "epoch"))
 
 
 class Client:
@@ -211,7 +211,7 @@
             peer.stop()
 
 
-def flapping(entries: list[wire.Entry], number: int) -> wire.Entry:
+def flapping(entries: list[wire.RosterEntry], number: int) -> wire.RosterEntry:
     """The first instances of the list change their size, one after the other."""
     entry = entries[number % min(8, len(entries))]
     return msgspec.structs.replace(entry, size=1.0 + 0.01 * (number % 7 + 1))
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.roles.dispatcher_directory import lives, region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.standins.virtual import DelayedCall, Process, VirtualReactor
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 FEW = 100  # instances of the dispatcher whose calls alone are timed
 SECONDS = 4.0  # simulated and measured
@@ -43,9 +43,9 @@
 
 def play(
     made: hollow.HollowDispatcher,
-    change: Callable[[Entry], object],
+    change: Callable[[RosterEntry], object],
     caller: Caller,
-    life: Iterator[Entry],
+    life: Iterator[RosterEntry],
     rate: float,
     seconds: float,
 ) -> None:
--- a/benchmarks/scale/roles/control_hollow.py
+++ b/benchmarks/scale/roles/control_hollow.py
@@ -13,7 +13,15 @@
 
 from benchmarks.scale.measuring import count_steps
 from lapistrestle.deployment.load import to_settings
-from lapistrestle.deployment.schema import Customer, Deployment, Method, Orders, Place, Span, Workers
+from lapistrestle.deployment.schema import (
+    Customer,
+    Deployment,
+    DispatcherIdentity,
+    Duration,
+    Method,
+    Preloads,
+    Workers,
+)
 from lapistrestle.policy.settings import Settings
 
 SECOND = 10_000  # tenths of a millisecond, the program's unit of time
@@ -24,19 +32,21 @@
 
 def deployment(dispatchers: int = 2, number: int = 0, zone: str = "") -> Deployment:
     """Settings of one dispatcher of that many, with three methods and five customers."""
-    method = Method(effect="idempotent", deadline=Span(3 * SECOND), soft_deadline=Span(SECOND))
+    method = Method(effect="idempotent", deadline=Duration(3 * SECOND), soft_deadline=Duration(SECOND))
     return Deployment(
         methods={f"method-{i}": method for i in range(METHODS)},
-        dispatcher=Place(name=f"dispatcher-{number:05d}", number=number, of=dispatchers, zone=zone),
+        dispatcher=DispatcherIdentity(
+            name=f"dispatcher-{number:05d}", number=number, of=dispatchers, zone=zone
+        ),
         customers={f"customer-{i}": Customer(quota=1_000.0) for i in range(CUSTOMERS)},
         workers=Workers(
             cold_share=0.2,
-            ramp=Span(10 * SECOND),
+            ramp=Duration(10 * SECOND),
             fall_multiple=2.0,
-            fall_time=Span(2 * SECOND),
+            fall_time=Duration(2 * SECOND),
             absent="miss",
         ),
-        orders=Orders(allowed=True, window=Span(5 * SECOND), free=2.0, share=0.2),
+        orders=Preloads(allowed=True, window=Duration(5 * SECOND), free=2.0, share=0.2),
     )
 
 
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -31,7 +31,7 @@
 from lapistrestle.store.journal import Journal
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import LineBounds
+from lapistrestle.wire.json_lines import LineLimits
 
 REMEMBERED = 0  # clients do not come back in these plays
 ENDED_FUNCTIONS = 200  # with a rollout behind them, where dispatchers are what grows
@@ -303,7 +303,7 @@
         self.deployment.planner.keep = keep
         self.connect_timeout = SECOND
         self.settings = Settings(connect_timeout=SECOND, may_preload=True, idle_timeout=SECOND)
-        self.bounds = LineBounds()
+        self.bounds = LineLimits()
         self.routing = Routing()
         self.now = 1_000 * SECOND
         self.seats: dict[Any, None] = {}
@@ -352,7 +352,11 @@
         Sweep(Dimension.FUNCTIONS, (1_000, 2_000, 4_000, 8_000, 16_000), 32_000, 110_000),
     )
     budgets: tuple[Budget, ...] = (
-        Budget("whole plan (bytes)", LineBounds().line, "the longest line that an edge takes by default"),
+        Budget(
+            "whole plan (bytes)",
+            LineLimits().max_line_bytes,
+            "the longest line that an edge takes by default",
+        ),
         Budget("state_bytes", 64e6, "64 MB for all control"),
         Budget("processor", 0.015, "1.5% of a core for all control, at the worst minute"),
     )
@@ -411,11 +415,11 @@
 def longest_line(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
     """The most functions whose whole plan an edge takes; with one more the connection is cut."""
     each = len(whole_line(2_000)) / 2_000
-    below, above = 1, int(2 * LineBounds().line / each)
+    below, above = 1, int(2 * LineLimits().max_line_bytes / each)
     while above - below > 1:
         middle = (below + above) // 2
         below, above = (middle, above) if takes(middle) else (below, middle)
-    sent, unsent = 1, 2 * int(LineBounds().waiting / each)
+    sent, unsent = 1, 2 * int(LineLimits().max_unsent_bytes / each)
     while unsent - sent > 1:
         middle = (sent + unsent) // 2
         sent, unsent = (middle, unsent) if is_sent(middle, each) else (sent, middle)
@@ -458,7 +462,7 @@
     speaker = PlannerConnection(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
     speaker.makeConnection(PausingTransport(Traffic()))  # type: ignore[no-untyped-call]
     speaker.paused = False
-    speaker.say_line(bytes(int(functions * each)))
+    speaker.send_line(bytes(int(functions * each)))
     return not speaker.closed
 
 
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -19,25 +19,25 @@
 from lapistrestle.sources.roster import RosterSpeaker as EdgeSpeaker
 from lapistrestle.standins.roster import RosterFactory, RosterStandIn
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, union
+from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
 ZONES = [f"zone-{i}" for i in range(12)]
 KINDS = ["small", "large"]
-DECODER = union(wire.FromRoster)
+DECODER = message_decoder(wire.FromRoster)
 CHANGES = 20
 FOLLOWED = 1_000  # instances, where followers are what grows
 
 
-def entry(number: int, listing: Any = "serving", start: str = "s1") -> wire.Entry:
+def entry(number: int, listing: Any = "serving", start: str = "s1") -> wire.RosterEntry:
     """One instance, named within the 24 bytes that the assumptions give it."""
-    return wire.Entry(
+    return wire.RosterEntry(
         f"instance-{number:06d}.zone-{number % 12:02d}", 10_000 + number % 50_000, ZONES[number % 12],
         number % 400, KINDS[number % 2], 1.0, listing, start, 60_000.0,
     )  # fmt: skip
 
 
-def whole_list(instances: int) -> wire.Whole:
-    return wire.Whole(1, [entry(number) for number in range(instances)], "e1")
+def whole_list(instances: int) -> wire.RosterSnapshot:
+    return wire.RosterSnapshot(1, [entry(number) for number in range(instances)], "e1")
 
 
 def whole_line(instances: int) -> bytes:
@@ -57,7 +57,7 @@
 
 
 def change_line(number: int, instance: int) -> bytes:
-    return wire.encode(wire.Change(number, [entry(instance, start="s2")], "e1")) + b"\n"
+    return wire.encode(wire.RosterUpdate(number, [entry(instance, start="s2")], "e1")) + b"\n"
 
 
 def heard_change(following: Following, line: bytes) -> None:
@@ -79,7 +79,11 @@
         Sweep(Dimension.INSTANCES, (1_000, 2_000, 4_000, 8_000, 16_000), 32_000, 76_000),
     )
     budgets: tuple[Budget, ...] = (
-        Budget("whole list (bytes)", LineBounds().line, "the longest line that an edge takes by default"),
+        Budget(
+            "whole list (bytes)",
+            LineLimits().max_line_bytes,
+            "the longest line that an edge takes by default",
+        ),
         Budget("state_bytes", 64e6, "64 MB for all control"),
         Budget("bytes_in", 8_000, "8 KB a second for all control"),
         Budget("processor", 0.015, "1.5% of a core for all control"),
@@ -127,7 +131,7 @@
         label = f"{instances} instances"
         made += [
             Figure(f"state, {label}", held, "bytes", target.control_bytes),
-            Figure(f"whole list, {label}", len(line), "bytes", LineBounds().line),
+            Figure(f"whole list, {label}", len(line), "bytes", LineLimits().max_line_bytes),
             Figure(f"whole list, processor, {label}", whole, "s", target.cold_start_seconds),
             Figure(f"changes, {label}, at the rate of their lives", rate, "bytes/s",
                    target.control_bytes_per_second),
@@ -138,7 +142,7 @@
 def longest_line(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
     """The most instances whose whole list an edge takes under the default bound."""
     each = len(whole_line(2_000)) / 2_000
-    below, above = 1, int(2 * LineBounds().line / each)
+    below, above = 1, int(2 * LineLimits().max_line_bytes / each)
     while above - below > 1:
         middle = (below + above) // 2
         below, above = (middle, above) if takes(middle) else (below, middle)
@@ -153,7 +157,7 @@
     """As much of an edge as its end of the roster's connection looks at."""
 
     def __init__(self) -> None:
-        self.bounds = LineBounds()
+        self.bounds = LineLimits()
         self.name, self.wanted = "dispatcher-00001", False
         self.endpoints_polled = False
         self.edge = self
@@ -215,7 +219,7 @@
         return end
 
     def whole_for_one(self) -> None:
-        self.ends[0].dataReceived(wire.encode(wire.Ask()) + b"\n")
+        self.ends[0].dataReceived(wire.encode(wire.RosterRequest()) + b"\n")
 
     def changes(self, count: int) -> None:
         for number in range(count):
--- a/benchmarks/scale/roles/dispatcher_directory.py
+++ b/benchmarks/scale/roles/dispatcher_directory.py
@@ -19,7 +19,7 @@
 from lapistrestle.directory.effects import WatcherSettings
 from lapistrestle.standins.virtual import VirtualReactor
 from lapistrestle.ticks import SECOND
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 FLEET = 5_000  # instances, where something else grows
 MOST_PER_FUNCTION = 24  # instances for each function in view, so that their prefixes have little in common
@@ -73,7 +73,7 @@
     return Region(hollow.entries(instances), holders, shards, seed, one_way, watcher_settings=settings)
 
 
-def lives(instances: int) -> Iterator[Entry]:
+def lives(instances: int) -> Iterator[RosterEntry]:
     """Changes without end: one instance begins, another drains, and goes."""
     for number in count():
         yield hollow.entry(instances + number)
@@ -103,7 +103,7 @@
 
 
 def measured(
-    region: Region, node: WatcherNode, caller: Caller | None, life: Iterator[Entry], changes: float
+    region: Region, node: WatcherNode, caller: Caller | None, life: Iterator[RosterEntry], changes: float
 ) -> Sample:
     before = spent(node)
     node.ready.clear()
@@ -141,7 +141,7 @@
     region: Region,
     node: WatcherNode,
     caller: Caller | None,
-    life: Iterator[Entry],
+    life: Iterator[RosterEntry],
     changes: float,
     seconds: float,
 ) -> None:
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -45,7 +45,7 @@
         self.cmds.append({word: {"dispatcher-id": self.name, **fields}})
 
     def send_attempt(self, attempt: Attempt, time_out: int) -> None:
-        within = translation.micros(time_out)
+        within = translation.to_microseconds(time_out)
         self.act("Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within})
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
@@ -72,7 +72,8 @@
 
     def set_timer(self, delay: int, token: object) -> None:
         self.act(
-            "NotifyMe", **{"span": translation.micros(delay), "key-back": self.registry.keep_token(token)}
+            "NotifyMe",
+            **{"span": translation.to_microseconds(delay), "key-back": self.registry.keep_token(token)},
         )
 
     def watch_endpoints(self) -> None:
@@ -105,15 +106,17 @@
         name, method = fields.get("image") or "", fields.get("class") or 0
         memory, lanes = fields.get("ram-mb") or 0.0, int(fields.get("width") or 1)
         load = (
-            None if fields.get("bringup-ms") is None else translation.span(int(1000 * fields["bringup-ms"]))
+            None
+            if fields.get("bringup-ms") is None
+            else translation.to_ticks_floor(int(1000 * fields["bringup-ms"]))
         )
         request = Request(
             tag=fields["msg-id"],
             function=self.registry.function(name, method, memory, lanes, load),
             method=method,
             customer=fields.get("user-group") or 0,
-            deadline=translation.span(fields["not-after"]),
-            work=None if fields.get("work") is None else max(1, translation.span(fields["work"])),
+            deadline=translation.to_ticks_floor(fields["not-after"]),
+            work=None if fields.get("work") is None else max(1, translation.to_ticks_floor(fields["work"])),
             repeat=bool(fields.get("resent")),
         )
         self.requests[request.tag] = request
@@ -131,11 +134,11 @@
             return
         detail = fields.get("detail") or 0
         answer = AttemptResult(
-            latency=translation.span(fields.get("took") or 0),
+            latency=translation.to_ticks_floor(fields.get("took") or 0),
             over=bool(fields.get("no-more")),
-            load_state=translation.WARMTH[detail % 8]
-            if detail % 8 < len(translation.WARMTH)
-            else translation.WARMTH[0],
+            load_state=translation.LOAD_STATES[detail % 8]
+            if detail % 8 < len(translation.LOAD_STATES)
+            else translation.LOAD_STATES[0],
             concurrency=detail // 8 if self.says_company else None,
             load_report=self.report(fields.get("telemetry")),
         )
@@ -165,13 +168,19 @@
             self.registry.functions.get(fields["image"]),
         )
         if worker is not None and function is not None:
-            outcome, took = translation.OUTCOMES[fields["reason"]], translation.span(fields.get("took") or 0)
+            outcome, took = (
+                translation.OUTCOMES[fields["reason"]],
+                translation.to_ticks_floor(fields.get("took") or 0),
+            )
             self.module.on_preload_finished(worker, function, outcome, fields.get("number") or 0, took)
 
     def probe_result(self, fields: Fields) -> None:
         worker = self.registry.workers.get(fields["runner"])
         if worker is not None:
-            outcome, took = translation.OUTCOMES[fields["reason"]], translation.span(fields.get("took") or 0)
+            outcome, took = (
+                translation.OUTCOMES[fields["reason"]],
+                translation.to_ticks_floor(fields.get("took") or 0),
+            )
             self.module.on_health_check(worker, outcome, took, self.report(fields.get("telemetry")))
 
     def datagram(self, fields: Fields) -> None:
@@ -200,8 +209,10 @@
         cell=record.get("cohort") or 0,
         kind=record.get("type") or 0,
         size=1.0 if size is None else size,
-        listing=translation.LISTINGS.get(record.get("availability") or "SERVING", EndpointState.SERVING),
-        booted=translation.moment(booted) if booted else None,
+        listing=translation.ENDPOINT_STATES.get(
+            record.get("availability") or "SERVING", EndpointState.SERVING
+        ),
+        booted=translation.to_ticks_ceil(booted) if booted else None,
     )
 
 
@@ -214,7 +225,7 @@
     def answer(self, line: bytes) -> bytes:
         try:
             batch = orjson.loads(line)
-            now, number = translation.moment(batch["clock"]), batch["batch"]
+            now, number = translation.to_ticks_ceil(batch["clock"]), batch["batch"]
             happened = list(batch["happened"] or [])
         except (ValueError, TypeError, KeyError) as trouble:
             raise Malformed(f"not a batch: {trouble!r}") from None
--- a/lapistrestle/checks/directory.py
+++ b/lapistrestle/checks/directory.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 NEVER = float("inf")
 TENTHS = 10  # tenths of a millisecond, the unit of leases, in a millisecond
@@ -152,7 +152,7 @@
             if name not in watching.held and self.in_prefix(watching, name):
                 self.hold(watching, name, start)
 
-    def entry(self, watching: Watching, entry: Entry, age: tuple[int, int]) -> None:
+    def entry(self, watching: Watching, entry: RosterEntry, age: tuple[int, int]) -> None:
         """Word of one runner. Older word than the edge has had of it tells the edge nothing."""
         serves = entry.listing == "serving"
         held = watching.held.get(entry.name)
--- a/lapistrestle/checks/reading.py
+++ b/lapistrestle/checks/reading.py
@@ -14,19 +14,19 @@
 from lapistrestle.checks.directory import DirectoryStory, Epochs
 from lapistrestle.wire import directory as directory_wire
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import union
+from lapistrestle.wire.json_lines import message_decoder
 
 TO_EDGE = {
-    "client": union(wire.FromClient),
-    "runner": union(wire.FromRunner),
-    "roster": union(wire.FromRoster),
-    "directory": union(directory_wire.FromHolder),
+    "client": message_decoder(wire.FromClient),
+    "runner": message_decoder(wire.FromRunner),
+    "roster": message_decoder(wire.FromRoster),
+    "directory": message_decoder(directory_wire.FromHolder),
 }
 FROM_EDGE = {
-    "client": union(wire.ToClient),
-    "runner": union(wire.ToRunner),
-    "roster": union(wire.ToRoster),
-    "directory": union(directory_wire.FromWatcher),
+    "client": message_decoder(wire.ToClient),
+    "runner": message_decoder(wire.ToRunner),
+    "roster": message_decoder(wire.ToRoster),
+    "directory": message_decoder(directory_wire.FromWatcher),
 }
 NEVER = float("inf")
 
@@ -53,7 +53,7 @@
     def over(self, grace: float) -> float:
         """When the edge may count it as over: an end, the connection's, a cancel, or its time-out."""
         ended = min((when for when, _, _ in self.ends), default=NEVER)
-        return min(ended, self.broke, self.called_off, self.at + self.message.within - grace)
+        return min(ended, self.broke, self.called_off, self.at + self.message.timeout - grace)
 
 
 @dataclass(eq=False)
@@ -74,7 +74,7 @@
 
     @property
     def deadline(self) -> float:
-        return self.at + self.message.left
+        return self.at + self.message.timeout
 
     def first_answer(self) -> float:
         return self.answers[0][0] if self.answers else NEVER
@@ -86,7 +86,7 @@
     at: float
     edge: str
     start: str
-    message: wire.Hold
+    message: wire.PreloadRequest
 
 
 @dataclass(eq=False)
@@ -246,7 +246,7 @@
             self.directory.line(number, at, on, message)
         elif isinstance(message, wire.Hello) and not to_edge:
             if connection.kind == "client":
-                connection.you = message.you
+                connection.you = message.connection_name
             else:
                 connection.edge = message.name
                 if connection.kind == "runner":
@@ -255,7 +255,7 @@
             self.client(number, at, connection, message)
         elif connection.kind == "runner":
             self.runner(number, at, connection, message)
-        elif isinstance(message, wire.Whole | wire.Change):
+        elif isinstance(message, wire.RosterSnapshot | wire.RosterUpdate):
             self.roster(number, at, connection, message)
 
     def client(self, number: int, at: float, connection: Connection, message: Any) -> None:
@@ -268,14 +268,14 @@
                     return  # the same id while open: no RPC comes of it
                 self.open[key] = made
                 self.calls.append(made)
-            case wire.Leave() if call is not None:
+            case wire.CancelRequest() if call is not None:
                 call.left = min(call.left, at)
             case wire.Answer() if call is not None:
                 call.answers.append((at, number, message))
                 wish = self.wishes.get(call.message.key)
                 if wish is not None and message.verdict == "ok":
                     wish.answered = min(wish.answered, at)
-            case wire.Begun() if call is not None:
+            case wire.StreamStarted() if call is not None:
                 call.begun = min(call.begun, at)
             case wire.Fault() if call is not None:
                 call.faulted = True
@@ -286,17 +286,17 @@
                 call = self.open.get((connection.edge, message.request))
                 run = Run(number, at, connection.edge, connection.start, connection.name, message, call)
                 self.runs.append(run)
-                self.out[connection.name, message.call] = run
+                self.out[connection.name, message.call_id] = run
                 if call is not None:
                     call.runs.append(run)
             case wire.Cancel():
-                run_ = self.out.get((connection.name, message.call))
+                run_ = self.out.get((connection.name, message.call_id))
                 if run_ is not None:
                     run_.called_off = min(run_.called_off, at)
-            case wire.Hold() if message.count > 0:
+            case wire.PreloadRequest() if message.count > 0:
                 self.holds.append(Hold(number, at, connection.edge, connection.start, message))
-            case wire.Ended():
-                run_ = self.out.get((connection.name, message.call))
+            case wire.RunFinished():
+                run_ = self.out.get((connection.name, message.call_id))
                 if run_ is not None:
                     run_.ends.append((at, number, message.outcome))
             case wire.Draining():
@@ -305,7 +305,7 @@
     def roster(self, number: int, at: float, connection: Connection, message: Any) -> None:
         known = self.lists.setdefault(connection.edge, {})
         self.epochs.met(message.epoch)
-        if isinstance(message, wire.Whole):
+        if isinstance(message, wire.RosterSnapshot):
             named = {entry.name for entry in message.workers}
             for name in [n for n in known if n not in named]:
                 self.tell(connection.edge, known.pop(name), Told(number, at, True, True))
--- a/lapistrestle/checks/rules.py
+++ b/lapistrestle/checks/rules.py
@@ -359,7 +359,7 @@
             if (
                 run.message.function != first.message.function
                 and run.call is not None
-                and run.call.message.repeat
+                and run.call.message.is_retry
             ):
                 back = run.message.function
                 says = f"{key} took effect on {first.message.function} and, coming back, on {back}"
--- a/lapistrestle/command/asking.py
+++ b/lapistrestle/command/asking.py
@@ -7,24 +7,24 @@
 
 from lapistrestle.edge.running import reactor_of_now
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 DIAL, PATIENCE = 3.0, 5.0  # seconds
 LONGEST = 8_388_608  # bytes of an answer
 
 
-class Asker(Speaker):
+class Asker(LineConnection):
     def __init__(self, asking: "Asking") -> None:
-        super().__init__(LineBounds(line=LONGEST))
+        super().__init__(LineLimits(max_line_bytes=LONGEST))
         self.asking, self.protocol, self.decoder = asking, asking.spoken, asking.decoder
 
-    def met(self, hello: wire.Hello) -> None:
-        self.say(self.asking.message)
+    def greeting_received(self, hello: wire.Hello) -> None:
+        self.send_message(self.asking.message)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.asking.answered(message)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.asking.answered(None)
 
 
@@ -33,7 +33,7 @@
 
     def __init__(self, reactor: Any, protocol: str, answers: Any, message: wire.Message) -> None:
         self.reactor, self.spoken, self.message = reactor, protocol, message
-        self.decoder = union(answers)
+        self.decoder = message_decoder(answers)
         self.answer: Any = None
         self.done = False
 
@@ -59,6 +59,6 @@
     reactor.run()
     if asking.answer is None:
         raise click.ClickException(none)
-    if isinstance(asking.answer, wire.Fault | wire.Bye):
-        raise click.ClickException(asking.answer.why)
+    if isinstance(asking.answer, wire.Fault | wire.Goodbye):
+        raise click.ClickException(asking.answer.reason)
     return asking.answer
--- a/lapistrestle/command/demo.py
+++ b/lapistrestle/command/demo.py
@@ -15,7 +15,7 @@
 from lapistrestle.standins.children import Child
 from lapistrestle.standins.client import Crowd, Habits, Line, Wish
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 DEPLOYMENT: dict[str, Any] = {
     "dispatcher": {"name": "edge-0"},
@@ -30,18 +30,18 @@
 }
 
 
-class Gauge(Speaker):
+class Gauge(LineConnection):
     """Asks a runner for its load now and again."""
 
     protocol = wire.RUNNER
-    decoder = union(wire.FromRunner)
+    decoder = message_decoder(wire.FromRunner)
 
     def __init__(self, show: dict[str, float]) -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.show = show
 
-    def heard(self, message: Any) -> None:
-        if isinstance(message, wire.Probed) and message.report:
+    def message_received(self, message: Any) -> None:
+        if isinstance(message, wire.ProbeResult) and message.report:
             self.show.update(message.report)
 
 
@@ -60,8 +60,8 @@
 
     def ask(self) -> None:
         for gauge in self.made:
-            if gauge.greeted:
-                gauge.say(wire.Probe(0))
+            if gauge.is_greeted:
+                gauge.send_message(wire.Probe(0))
 
 
 class DemoCrowd(Crowd):
--- a/lapistrestle/command/directories.py
+++ b/lapistrestle/command/directories.py
@@ -75,7 +75,7 @@
     from lapistrestle.wire import messages
 
     none = f"no answer from an edge at port {port}"
-    answer = asked(port, messages.CLIENT, messages.ToClient, messages.Look("directory"), none)
+    answer = asked(port, messages.CLIENT, messages.ToClient, messages.InspectRequest("directory"), none)
     shown = msgspec.json.decode(answer.body, type=dict[str, Any])
     if json_:
         return click.echo(msgspec.json.encode(shown).decode())
--- a/lapistrestle/command/experiments.py
+++ b/lapistrestle/command/experiments.py
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from lapistrestle.command.programs import as_json
-from lapistrestle.deployment.load import DeploymentError, read_json5, shaped
+from lapistrestle.deployment.load import DeploymentError, convert_value, read_json5
 from lapistrestle.model import experiment as model
 from lapistrestle.model.world import ModelWorld
 from lapistrestle.standins.script import make_day
@@ -31,7 +31,7 @@
 def read(path: Path) -> tuple[model.Experiment, list[model.Planned]]:
     """The runs of a file, each of its days checked. Raises DeploymentError before anything runs."""
     value, text = read_json5(path)
-    made = shaped(value, model.Experiment, text, str(path))
+    made = convert_value(value, model.Experiment, text, str(path))
     day, where = made.day, path
     if isinstance(day, str):
         where = path.parent / day
--- a/lapistrestle/command/fleets.py
+++ b/lapistrestle/command/fleets.py
@@ -15,7 +15,7 @@
 def ask(port: int) -> dict[str, Any]:
     """What the edge at that port says of its fleet."""
     none = f"no answer from an edge at port {port}"
-    shown = asked(port, wire.CLIENT, wire.ToClient, wire.Look("fleet"), none)
+    shown = asked(port, wire.CLIENT, wire.ToClient, wire.InspectRequest("fleet"), none)
     return msgspec.json.decode(shown.body, type=dict[str, Any])
 
 
--- a/lapistrestle/command/main.py
+++ b/lapistrestle/command/main.py
@@ -6,7 +6,7 @@
 import click
 
 from lapistrestle.command import days, demo, directories, experiments, fleets, programs, rollouts
-from lapistrestle.deployment.load import DeploymentError, load, to_settings
+from lapistrestle.deployment.load import DeploymentError, load_deployment, to_settings
 
 
 class Commands(click.Group):
@@ -36,7 +36,7 @@
     wrong = 0
     for file in files:
         try:
-            made = load(file)
+            made = load_deployment(file)
             count = len(fields(to_settings(made)))
             figures = f"{len(made.methods)} methods, {len(made.customers)} customers, {count} settings"
             click.echo(f"{file}: fits; {figures}")
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -16,7 +16,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.deployment.load import DeploymentError, load, read_json5, shaped
+from lapistrestle.deployment.load import DeploymentError, convert_value, load_deployment, read_json5
 from lapistrestle.edge.program import Edge
 from lapistrestle.edge.running import reactor_of_now, run
 from lapistrestle.records.logs import make_log
@@ -25,7 +25,7 @@
 from lapistrestle.standins.runner import RunnerStandIn, Tokens
 from lapistrestle.standins.store import Store, StoreFacts
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 PATH = click.Path(path_type=Path)
 tell_port = click.option("--tell-port", type=PATH, help="Write the port to this file once it listens.")
@@ -72,7 +72,7 @@
 
     SIGTERM stops taking and finishes what is out; a second one aborts it.
     """
-    made = load(deployment)
+    made = load_deployment(deployment)
     if port is not None:
         made.listen.port = port
     if roster_port is not None:
@@ -155,11 +155,11 @@
     reactor = reactor_of_now()
     log = make_log(roster=str(workers))
     made: list[RosterStandIn] = []
-    known: dict[str, wire.Entry] = {}
+    known: dict[str, wire.RosterEntry] = {}
 
     def read(first: bool) -> None:
         value, text = read_json5(workers)
-        entries = {e.name: e for e in shaped(value, list[wire.Entry], text, str(workers))}
+        entries = {e.name: e for e in convert_value(value, list[wire.RosterEntry], text, str(workers))}
         for name, entry in entries.items():
             if entry != known.get(name):
                 up_for = (entry.up_for if entry.up_for is not None else 86_400_000.0) / 1000
@@ -183,35 +183,35 @@
         return made[0].port
 
     value, text = read_json5(workers)
-    shaped(value, list[wire.Entry], text, str(workers))
+    convert_value(value, list[wire.RosterEntry], text, str(workers))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(again))
     serve(reactor, start, tell_port, reactor.stop)
 
 
-class Asker(Speaker):
+class Asker(LineConnection):
     """Sends calls one after another or at a rate, and notes the answers."""
 
     protocol = wire.CLIENT
-    decoder = union(wire.ToClient)
+    decoder = message_decoder(wire.ToClient)
 
     def __init__(self, plan: "Plan") -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.plan = plan
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.plan.begin(self)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         match message:
             case wire.Answer():
                 self.plan.answered(message)
             case wire.Fault():
                 self.plan.fault(message)
 
-    def left(self, why: str) -> None:
+    def goodbye_received(self, why: str) -> None:
         self.plan.trouble = why
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.plan.lost()
 
 
@@ -243,7 +243,7 @@
             return
         name = f"call-{len(self.sent) + 1}"
         self.sent[name] = self.reactor.seconds()
-        self.asker.say(msgspec.structs.replace(self.call, id=name, key=name))
+        self.asker.send_message(msgspec.structs.replace(self.call, id=name, key=name))
         self.reactor.callLater(self.random.expovariate(self.rate) if self.rate else 0.0, self.next)
 
     def answered(self, answer: wire.Answer) -> None:
@@ -251,7 +251,7 @@
         self.look()
 
     def fault(self, fault: wire.Fault) -> None:
-        self.faults.append(fault.why)
+        self.faults.append(fault.reason)
         self.look()
 
     def look(self) -> None:
@@ -286,7 +286,7 @@
     reactor = reactor_of_now()
     body = msgspec.Raw(msgspec.json.encode({"work": work, "load": load}))
     made = wire.Call(
-        "", function, method, left, customer, memory, lanes, work, token=token, load=load, body=body
+        "", function, method, left, customer, memory, lanes, work, token=token, load_time=load, body=body
     )
     plan = Plan(reactor, made, count, rate)
     reactor.connectTCP("127.0.0.1", port, plan, timeout=5)
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -14,8 +14,8 @@
 
 from lapistrestle.command.asking import asked as ask
 from lapistrestle.command.programs import as_json, serve, tell_port
-from lapistrestle.deployment.load import DeploymentError, read_json5, shaped
-from lapistrestle.deployment.schema import Shape, Span
+from lapistrestle.deployment.load import DeploymentError, convert_value, read_json5
+from lapistrestle.deployment.schema import Duration, SettingsGroup
 from lapistrestle.edge.running import reactor_of_now
 from lapistrestle.planner.server import Planner
 from lapistrestle.records.logs import make_log
@@ -42,11 +42,11 @@
     serve(reactor, lambda: program.start(port), tell_port, reactor.stop)
 
 
-class Policy(Shape):
+class Policy(SettingsGroup):
     """Steps in percent, and for how long clients may come back."""
 
     steps: list[Annotated[float, Meta(gt=0, le=100)]]
-    remembered: Span = Span(600_000)
+    remembered: Duration = Duration(600_000)
 
 
 def asked(port: int, message: wire.Message) -> Any:
@@ -85,7 +85,7 @@
     ) -> None:
         if (path := more.pop("policy", None)) is not None:
             value, text = read_json5(path)
-            policy = shaped(value, Policy, text, str(path))
+            policy = convert_value(value, Policy, text, str(path))
             more["steps"] = tuple(step / 100 for step in policy.steps)
             more["retention"] = policy.remembered / 10
         made = plans.RolloutCommand(id_ or uuid.uuid4().hex, what, function, who, why, candidate, **more)
--- a/lapistrestle/deployment/load.py
+++ b/lapistrestle/deployment/load.py
@@ -10,7 +10,7 @@
 import json5
 import msgspec
 
-from lapistrestle.deployment.schema import Deployment, Directory, HolderDeployment, Span
+from lapistrestle.deployment.schema import Deployment, Directory, Duration, HolderDeployment
 from lapistrestle.policy.settings import CustomerSettings, MethodKind, MethodSettings, Settings
 
 T = TypeVar("T")
@@ -38,7 +38,7 @@
         raise DeploymentError(f"{path}: is no JSON5: {trouble}") from None
 
 
-def shaped(value: Any, shape: type[T], text: str = "", source: str = "") -> T:
+def convert_value(value: Any, shape: type[T], text: str = "", source: str = "") -> T:
     """The value as `shape`. Raises DeploymentError at the first place that does not fit."""
     try:
         return msgspec.convert(value, shape, dec_hook=_hook)
@@ -47,8 +47,8 @@
 
 
 def _hook(wanted: Any, value: Any) -> Any:
-    if wanted is Span:
-        return Span.read(value)
+    if wanted is Duration:
+        return Duration.parse(value)
     raise TypeError(f"no way to read {wanted}")
 
 
@@ -128,26 +128,26 @@
 
 
 Complain = Callable[..., DeploymentError]  # says what is wrong, and at which steps of the path
-SHORTEST_SILENCE = Span(1_000)  # tenths of a millisecond; shorter ones would take a pause for a death
+SHORTEST_SILENCE = Duration(1_000)  # tenths of a millisecond; shorter ones would take a pause for a death
 
 
-def load(path: Path) -> Deployment:
+def load_deployment(path: Path) -> Deployment:
     """A checked deployment. Raises DeploymentError."""
     value, text = read_json5(path)
-    made = shaped(value, Deployment, text, str(path))
-    check(made, text, str(path))
+    made = convert_value(value, Deployment, text, str(path))
+    validate_deployment(made, text, str(path))
     return made
 
 
 def load_holder(path: Path) -> HolderDeployment:
     """The checked settings of a directory's holder. Raises DeploymentError."""
     value, text = read_json5(path)
-    made = shaped(value, HolderDeployment, text, str(path))
-    check_holder(made, text, str(path))
+    made = convert_value(value, HolderDeployment, text, str(path))
+    validate_holder(made, text, str(path))
     return made
 
 
-def check_holder(made: HolderDeployment, text: str = "", source: str = "") -> None:
+def validate_holder(made: HolderDeployment, text: str = "", source: str = "") -> None:
     """What can't be seen in one value of a holder's settings alone. Raises DeploymentError."""
     wrong = complaints(text, source)
     shards = made.directory.shards
@@ -195,7 +195,7 @@
     return wrong
 
 
-def check(made: Deployment, text: str = "", source: str = "") -> None:
+def validate_deployment(made: Deployment, text: str = "", source: str = "") -> None:
     """What can't be seen in one value alone. Raises DeploymentError."""
     wrong = complaints(text, source)
     if not made.methods:
--- a/lapistrestle/deployment/schema.py
+++ b/lapistrestle/deployment/schema.py
@@ -12,11 +12,11 @@
 SPAN = re.compile(r"\s*(\d+(?:\.\d+)?)\s*(ms|s|min|h)\s*")
 
 
-class Span(int):
+class Duration(int):
     """A duration in tenths of a millisecond."""
 
     @classmethod
-    def read(cls, said: Any) -> "Span":
+    def parse(cls, said: Any) -> "Duration":
         """From text. Raises ValueError where it is no duration."""
         match = SPAN.fullmatch(said) if isinstance(said, str) else None
         if match is None:
@@ -24,17 +24,17 @@
         return cls(round(float(match[1]) * UNITS[match[2]]))
 
 
-Part = Annotated[float, Meta(ge=0, le=1)]
-Positive = Annotated[float, Meta(ge=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
+NonNegative = Annotated[float, Meta(ge=0)]
 Port = Annotated[int, Meta(ge=0, le=65535)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 
 
-class Shape(Struct, forbid_unknown_fields=True, kw_only=True):
+class SettingsGroup(Struct, forbid_unknown_fields=True, kw_only=True):
     """A group of the file."""
 
 
-class Place(Shape):
+class DispatcherIdentity(SettingsGroup):
     """Which front end this is: `number` from 0 among `of`."""
 
     name: str = "edge"
@@ -45,98 +45,98 @@
     keep: str = ""  # file for what it has learnt of the methods, from which it starts; "": none is kept
 
 
-class Listen(Shape):
+class Listen(SettingsGroup):
     port: Port = 0
     longest_line: Annotated[int, Meta(ge=1024, le=64 * 1024 * 1024)] = 262_144  # bytes
     unsent: Annotated[int, Meta(ge=4096)] = 8_388_608  # bytes waiting towards a slow reader
     open_calls: Count = 4_096  # of one connection
-    margin: Span = Span(100)  # answers are out this long before the client gives up
+    margin: Duration = Duration(100)  # answers are out this long before the client gives up
 
 
-class Method(Shape):
+class Method(SettingsGroup):
     effect: Literal["idempotent", "tokened", "side-effecting"]
-    deadline: Span
-    soft_deadline: Span = Span(0)  # 0: the deadline
-    soft_stretch: Positive = 0.0
+    deadline: Duration
+    soft_deadline: Duration = Duration(0)  # 0: the deadline
+    soft_stretch: NonNegative = 0.0
     repeats_dropped_by: Literal["all", "zone", "cell"] = "cell"
-    repeats_remembered: Span = Span(0)
+    repeats_remembered: Duration = Duration(0)
     repeats_across_versions: bool = False  # a version of a function knows the tokens of another
-    gain: Positive = 1.0
-    late_gain: Part = 0.0
+    gain: NonNegative = 1.0
+    late_gain: Fraction = 0.0
     streamed: bool = False
 
 
-class Customer(Shape):
-    quota: Positive = 0.0  # RPCs a second over all front ends; 0: none stated
-    share: Part = 0.0
+class Customer(SettingsGroup):
+    quota: NonNegative = 0.0  # RPCs a second over all front ends; 0: none stated
+    share: Fraction = 0.0
 
 
-class Workers(Shape):
+class Workers(SettingsGroup):
     size_means: Literal["off", "nominal", "rough", "live"] = "rough"
-    memory_by_kind: dict[str, Positive] = field(default_factory=dict)  # MB
-    drain_grace: Span = Span(10_000)
+    memory_by_kind: dict[str, NonNegative] = field(default_factory=dict)  # MB
+    drain_grace: Duration = Duration(10_000)
     cold_share: Annotated[float, Meta(gt=0, le=1)] = 1.0
-    ramp: Span = Span(0)
+    ramp: Duration = Duration(0)
     fall_multiple: Annotated[float, Meta(gt=0)] = 1.0
-    fall_time: Span = Span(0)
+    fall_time: Duration = Duration(0)
     absent: Literal["load", "miss"] = "load"
-    idle_life: Span = Span(100_000)
-    idle_memory_price: Positive = 0.0
+    idle_life: Duration = Duration(100_000)
+    idle_memory_price: NonNegative = 0.0
     tells_warm: bool = False
     tells_company: bool = False
     reports: Literal["inline", "on_probe", "off"] = "off"
 
 
-class Orders(Shape):
+class Preloads(SettingsGroup):
     """Orders to hold copies; `window` "0 s" means that they are not rationed."""
 
     allowed: bool = False
-    window: Span = Span(0)
-    free: Positive = 0.0
-    share: Part = 0.0
-    time_out: Span = Span(100_000)
+    window: Duration = Duration(0)
+    free: NonNegative = 0.0
+    share: Fraction = 0.0
+    time_out: Duration = Duration(100_000)
 
 
-class Allowed(Shape):
+class Allowed(SettingsGroup):
     tries: Annotated[int, Meta(ge=1, le=100)] = 3
-    dial: Span = Span(2_500)
+    dial: Duration = Duration(2_500)
     cancel: bool = True
     probe: bool = False
     parallel: bool = False
     peers: bool = False
-    retry_after: Span = field(
-        name="come_back", default=Span(0)
+    retry_after: Duration = field(
+        name="come_back", default=Duration(0)
     )  # longest time told to stay away; "0 s": none is told
-    answer_slack: Span = Span(160)
+    answer_slack: Duration = Duration(160)
 
 
-class Roster(Shape):
+class Roster(SettingsGroup):
     port: Port = 0
     mode: Literal["pushed", "asked"] = "pushed"
-    ask_within: Span = Span(100_000)
+    ask_within: Duration = Duration(100_000)
 
 
-class Planner(Shape):
+class Planner(SettingsGroup):
     """Where versions of functions are planned; port 0: nowhere."""
 
     port: Port = 0
     keep: str = ""  # file for the last plan, from which an edge goes on when it starts without a planner
 
 
-class Fleet(Shape):
+class Fleet(SettingsGroup):
     """What this edge tells other edges, and hears of them; name "": nothing."""
 
     name: str = ""
     port: Port = 0
     told_port: Port = 0  # where others reach it, if that is another
     seeds: list[Port] = field(default_factory=list)  # of edges through which it joins
-    period: Span = Span(10_000)  # between two looks at whether another is there
-    tell: Span = Span(5_000)  # between two tellings of what was counted
+    period: Duration = Duration(10_000)  # between two looks at whether another is there
+    tell: Duration = Duration(5_000)  # between two tellings of what was counted
     shed: bool = True  # deny at the door by what all tell
     loads: int = 0  # under way at once, of all edges together; 0: no bound but each edge's own
 
 
-class DirectoryCopy(Shape):
+class DirectoryCopy(SettingsGroup):
     """Where one holder of a shard answers."""
 
     port: Port
@@ -144,21 +144,21 @@
     host: str = "127.0.0.1"
 
 
-class Directory(Shape):
+class Directory(SettingsGroup):
     """The directory of instances, told alike to dispatchers and to holders; no `shards`: there is none, and a
     dispatcher follows the roster itself."""
 
     epoch: Annotated[int, Meta(ge=1, lt=2**53)] = 1  # of the assignment below; a change of it counts one up
     shards: list[list[DirectoryCopy]] = field(default_factory=list)  # the copies of each shard
-    lease: Span = Span(30_000)  # of a watch, from before its holder was asked
-    silence: Span = Span(6_000)  # of a holder, after which a dispatcher goes to the next copy
-    lookup_time_out: Span = Span(2_500)  # of the first look-up of a function
+    lease: Duration = Duration(30_000)  # of a watch, from before its holder was asked
+    silence: Duration = Duration(6_000)  # of a holder, after which a dispatcher goes to the next copy
+    lookup_time_out: Duration = Duration(2_500)  # of the first look-up of a function
     first_count: Annotated[int, Meta(ge=1, le=512)] = 8  # instances asked for at a function's first call
-    idle: Span = Span(1_200_000)  # a function not called for this long is watched no more
+    idle: Duration = Duration(1_200_000)  # a function not called for this long is watched no more
     bytes_per_second: Annotated[int, Meta(ge=1_024)] = 4_096  # towards one dispatcher; drains are not held up
 
 
-class DirectoryServe(Shape):
+class DirectoryServe(SettingsGroup):
     """What one holder answers for. `shards` are numbers from 0; none named: all of them."""
 
     name: str = "holder"
@@ -172,7 +172,7 @@
     unsent: Annotated[int, Meta(ge=4096)] = 1_048_576  # bytes waiting towards a slow dispatcher
 
 
-class HolderDeployment(Shape):
+class HolderDeployment(SettingsGroup):
     """The settings file of a holder: `lapistrestle directory serve`. Of `workers` only the ramp counts."""
 
     directory: Directory
@@ -181,23 +181,23 @@
     workers: Workers = field(default_factory=Workers)
 
 
-class Counting(Shape):
+class Counting(SettingsGroup):
     """How the operators count service; the module may read it, no rule depends on it."""
 
     by: Literal["rpc", "work"] = "rpc"
-    over_share_gain: Part = 1.0
+    over_share_gain: Fraction = 1.0
     goal: dict[str, float] = field(default_factory=dict)
     prices: dict[str, float] = field(default_factory=dict)
 
 
-class Deployment(Shape):
+class Deployment(SettingsGroup):
     methods: dict[str, Method]
-    dispatcher: Place = field(default_factory=Place)
+    dispatcher: DispatcherIdentity = field(default_factory=DispatcherIdentity)
     listen: Listen = field(default_factory=Listen)
     zones: list[str] = field(default_factory=list)
     customers: dict[str, Customer] = field(default_factory=dict)
     workers: Workers = field(default_factory=Workers)
-    orders: Orders = field(default_factory=Orders)
+    orders: Preloads = field(default_factory=Preloads)
     allowed: Allowed = field(default_factory=Allowed)
     roster: Roster = field(default_factory=Roster)
     planner: Planner = field(default_factory=Planner)
--- a/lapistrestle/deployment/translation.py
+++ b/lapistrestle/deployment/translation.py
@@ -21,7 +21,7 @@
     "N": Outcome.NOT_SENT,
     "M": Outcome.NOT_LOADED,
 }
-LISTINGS = {
+ENDPOINT_STATES = {
     "SERVING": EndpointState.SERVING,
     "DRAINING": EndpointState.DRAINING,
     "DELETED": EndpointState.REMOVED,
@@ -31,14 +31,14 @@
     "deduplicated": MethodKind.DEDUPLICATED,
     "at_most_once": MethodKind.AT_MOST_ONCE,
 }
-WARMTH = (
+LOAD_STATES = (
     LoadState.UNKNOWN,
     LoadState.LOADED,
     LoadState.BEGAN_LOAD,
     LoadState.JOINED_LOAD,
     LoadState.LOAD_FAILED,
 )
-SAID = {  # figures of a load report as sockets name them, and as settings do
+REPORT_FIGURES = {  # figures of a load report as sockets name them, and as settings do
     "inflight": "outstanding",
     "queue": "backlog",
     "util": "utilization",
@@ -48,22 +48,22 @@
 }
 
 
-def moment(micros: int) -> int:
+def to_ticks_ceil(micros: int) -> int:
     """A clock reading, rounded up, so that what is left before a deadline is never overstated."""
     return -(-micros // MICROSECONDS)
 
 
-def span(micros: int) -> int:
+def to_ticks_floor(micros: int) -> int:
     """A deadline or length, rounded down."""
     return micros // MICROSECONDS
 
 
-def micros(tenths: int) -> int:
+def to_microseconds(tenths: int) -> int:
     """A length for the wire; 0 would mean none, so the least is one microsecond."""
     return max(1, tenths * MICROSECONDS)
 
 
-def part(whole: Group, key: str) -> Group:
+def settings_group(whole: Group, key: str) -> Group:
     """A group of settings; one that is missing or null reads as empty."""
     return whole.get(key) or {}
 
@@ -76,12 +76,12 @@
 
 def method(profile: Group) -> MethodSettings:
     """One method of the platform's settings."""
-    deadline = span(number(profile, "deadline"))
+    deadline = to_ticks_floor(number(profile, "deadline"))
     return MethodSettings(
         kind=KINDS.get(profile.get("idempotency") or "", MethodKind.AT_MOST_ONCE),
         dedup_scope=profile.get("dedup-scope") or "cell",
-        dedup_window=span(number(profile, "repeat-window")),
-        soft_deadline=span(number(profile, "aim")) or deadline,
+        dedup_window=to_ticks_floor(number(profile, "repeat-window")),
+        soft_deadline=to_ticks_floor(number(profile, "aim")) or deadline,
         soft_stretch=number(profile, "aim-stretch", 0.0),
         deadline=deadline,
         gain=number(profile, "points", 1.0),
@@ -92,8 +92,12 @@
 
 def to_settings(settings: Group) -> Settings:
     """The settings as the platform hands them over, in the module's terms; unknown ones pass over."""
-    limits, rules, info = part(settings, "limits"), part(settings, "rules"), part(settings, "family-info")
-    reporting, blend, prices = (part(settings, k) for k in ("reporting", "blend", "prices"))
+    limits, rules, info = (
+        settings_group(settings, "limits"),
+        settings_group(settings, "rules"),
+        settings_group(settings, "family-info"),
+    )
+    reporting, blend, prices = (settings_group(settings, k) for k in ("reporting", "blend", "prices"))
     return Settings(
         instance_index=number(settings, "me"),
         zone=number(settings, "az"),
@@ -107,7 +111,7 @@
         gain_by_work=settings.get("value-by") == "work",
         size_is_live=settings.get("weights") == "live",
         endpoints_polled=settings.get("registry-mode") == "on_request",
-        poll_within=span(number(rules, "ask-within")),
+        poll_within=to_ticks_floor(number(rules, "ask-within")),
         report_inline=reporting.get("how") == "inline",
         report_probed=reporting.get("how") in ("inline", "on_probe"),
         may_cancel=bool(limits.get("cancel")),
@@ -116,22 +120,22 @@
         may_gossip=bool(limits.get("peers")),
         may_preload=bool(info.get("placement-calls")),
         may_retry_after=bool(limits.get("retry-after")),
-        max_retry_after=span(number(limits, "max-retry-after")),
+        max_retry_after=to_ticks_floor(number(limits, "max-retry-after")),
         attempt_limit=number(limits, "try-limit", 1),
-        connect_timeout=span(number(limits, "dial-timeout")),
-        answer_slack=span(number(rules, "answer-slack")),
-        drain_grace=span(number(rules, "drain-grace")),
+        connect_timeout=to_ticks_floor(number(limits, "dial-timeout")),
+        answer_slack=to_ticks_floor(number(rules, "answer-slack")),
+        drain_grace=to_ticks_floor(number(rules, "drain-grace")),
         slow_start_share=number(rules, "cold-from", 1.0),
-        slow_start_duration=span(number(rules, "ramp-time")),
-        overload_window=span(number(rules, "fall")),
+        slow_start_duration=to_ticks_floor(number(rules, "ramp-time")),
+        overload_window=to_ticks_floor(number(rules, "fall")),
         overload_factor=number(rules, "fall-multiple", 1.0),
         reports_not_loaded=info.get("when-absent") == "miss",
-        preload_window=span(number(info, "load-period")),
+        preload_window=to_ticks_floor(number(info, "load-period")),
         preload_delay=0,  # the transport says how long it may let an order wait
         preload_free=number(info, "free-loads", 0.0),
         preload_share=number(info, "load-share", 0.0),
-        preload_timeout=span(number(info, "answer-within")),
-        idle_timeout=span(number(info, "idle-life")),
+        preload_timeout=to_ticks_floor(number(info, "answer-within")),
+        idle_timeout=to_ticks_floor(number(info, "idle-life")),
         idle_memory_price=number(info, "idle-memory-cost", 0.0),
         memory_by_kind=tuple(info.get("ram-mb-by-kind") or []),
         reports_warmth=bool(info.get("tells-warm")),
--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -15,14 +15,14 @@
 from lapistrestle.directory.revisions import Revisions
 from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.directory import LONGEST_UP_FOR, Revision
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
 @dataclass(eq=False, slots=True)
 class CachedInstance:
     """An instance, and from which revision this is known."""
 
-    entry: Entry
+    entry: RosterEntry
     revision: Revision
     dated_at: int  # when `up_for` was true, on the watcher's clock
     functions: set[str] = field(default_factory=set)  # that have it in their prefix
@@ -37,7 +37,7 @@
 class WatchEvent:
     """What one message has changed."""
 
-    changed: dict[str, Entry] = field(default_factory=dict)
+    changed: dict[str, RosterEntry] = field(default_factory=dict)
     gone: dict[str, None] = field(default_factory=dict)
     forgotten: dict[str, None] = field(default_factory=dict)
     functions: dict[str, None] = field(default_factory=dict)  # whose prefixes may be shown otherwise now
@@ -60,7 +60,7 @@
         self.event = WatchEvent()
         return event
 
-    def apply_entry(self, entry: Entry, revision: Revision, now: int) -> None:
+    def apply_entry(self, entry: RosterEntry, revision: Revision, now: int) -> None:
         """Take an entry that a holder has sent; one of an older revision is passed over."""
         known = self.known.get(entry.name) or self.restore(entry.name, now)
         if known is None:
@@ -93,9 +93,9 @@
             self.event.changed[name] = known.entry
         return known
 
-    def current_entries(self, names: Iterable[str], now: int) -> tuple[Entry, ...]:
+    def current_entries(self, names: Iterable[str], now: int) -> tuple[RosterEntry, ...]:
         """These instances as of now; nothing where one of them is not known or gone."""
-        entries = list[Entry]()
+        entries = list[RosterEntry]()
         for name in names:
             known = self.known.get(name)
             if known is None or known.gone:
@@ -122,7 +122,7 @@
         for name in new - old:
             known = self.known.get(name) or self.restore(name, now)
             if known is None:  # named, but gone by the time the batch was made
-                known = self.known[name] = CachedInstance(Entry(name, listing="gone"), revision, now)
+                known = self.known[name] = CachedInstance(RosterEntry(name, listing="gone"), revision, now)
             known.functions.add(function)
         for name in old - new:
             known = self.known.get(name)
@@ -149,7 +149,7 @@
         return tuple(name for name in names if name in self.known and not self.known[name].gone)
 
 
-def aged(entry: Entry, age: int) -> Entry:
+def aged(entry: RosterEntry, age: int) -> RosterEntry:
     """An entry whose `up_for` was true so long ago, with that of now."""
     if entry.up_for is None or age <= 0:
         return entry
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -9,7 +9,7 @@
 from lapistrestle.directory.assignment import Copy
 from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Revision
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
 @dataclass(eq=False, slots=True)
@@ -40,7 +40,7 @@
 
     function: CachedFunction
     sent_at: int
-    entries: tuple[Entry, ...] = ()  # of the prefix whose digest was sent with it
+    entries: tuple[RosterEntry, ...] = ()  # of the prefix whose digest was sent with it
     complete: bool = False
 
 
--- a/lapistrestle/directory/digests.py
+++ b/lapistrestle/directory/digests.py
@@ -6,17 +6,17 @@
 import msgspec
 
 from lapistrestle.wire.directory import DIGEST_BYTES, Instance
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
-def undated(entry: Entry) -> Instance:
+def undated(entry: RosterEntry) -> Instance:
     """As it crosses the wire, without the time since its start, which differs each time it is sent."""
     return Instance(
         entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing, entry.start
     )
 
 
-def digest_of(entries: Iterable[Entry], complete: bool) -> str:
+def digest_of(entries: Iterable[RosterEntry], complete: bool) -> str:
     """Covers the order, every field of each entry but `up_for`, and whether the prefix is the complete order.
 
     8 bytes of BLAKE2b as hexadecimal digits: two prefixes of one function share it by chance once in 2^64.
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -8,7 +8,7 @@
 from lapistrestle.directory.assignment import Copy
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import RegionSums
-from lapistrestle.wire.messages import Entry, Message
+from lapistrestle.wire.messages import Message, RosterEntry
 
 # effects of a holder; a session is one connection of a watcher, numbered by the program
 
@@ -68,7 +68,7 @@
 class InstancesChanged:
     """Instances that are new to this dispatcher, or have changed. Comes before a prefix that names them."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[RosterEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -29,7 +29,7 @@
     Unchanged,
     Update,
 )
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 MOST_OUTDATED_SNAPSHOTS = 3  # in a row, before another copy is tried
 OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a holder that is behind is asked again
@@ -173,7 +173,7 @@
     def store_prefix(self, pending: PendingRequest, snapshot: Snapshot | Unchanged, now: int) -> None:
         """Put the instances and the prefix into the cache."""
         if isinstance(snapshot, Snapshot):
-            entries: list[Entry] = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
+            entries: list[RosterEntry] = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
             complete = snapshot.complete
         else:
             entries = [aged(entry, now - pending.sent_at) for entry in pending.entries]
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -9,7 +9,7 @@
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import LONGEST_UP_FOR, RegionSums
 from lapistrestle.wire.directory import Instance as WireInstance
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
 class ChangeKind(Enum):
@@ -108,7 +108,7 @@
         size, warm = round(capacity.size, 3), round(capacity.warm(now), 3)
         return RegionSums(size, warm, capacity.serving, len(self.known))
 
-    def apply(self, entries: Iterable[Entry], complete: bool, now: int) -> Changes:
+    def apply(self, entries: Iterable[RosterEntry], complete: bool, now: int) -> Changes:
         """Take a list, or a change of some."""
         changes = Changes()
         named = set[str]()
@@ -120,7 +120,7 @@
                 self.drop(name, changes)
         return changes
 
-    def take(self, entry: Entry, now: int, changes: Changes) -> None:
+    def take(self, entry: RosterEntry, now: int, changes: Changes) -> None:
         """Take one entry of a list, and note in `changes` what it came to."""
         known = self.known.get(entry.name)
         if entry.listing == "gone":
@@ -146,7 +146,7 @@
         if change_kind is not ChangeKind.NEW:
             (changes.urgent if change_kind is ChangeKind.URGENT else changes.other).append(entry.name)
 
-    def change_kind(self, known: RegionInstance | None, entry: Entry) -> ChangeKind:
+    def change_kind(self, known: RegionInstance | None, entry: RosterEntry) -> ChangeKind:
         """What an entry says of an instance that is (not) known so far."""
         if known is None:
             return ChangeKind.NEW
@@ -165,6 +165,6 @@
         changes.left.append(name)
 
 
-def booted_at(entry: Entry, now: int) -> int | None:
+def booted_at(entry: RosterEntry, now: int) -> int | None:
     """When it started, on the clock of `now`; `None`: not known."""
     return None if entry.up_for is None else now - int(entry.up_for * MILLISECOND)
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -11,8 +11,8 @@
 from lapistrestle.sources.roster import RosterSource, RosterSpeaker
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
-from lapistrestle.wire.lines import LineBounds
-from lapistrestle.wire.messages import Change, Entry, Hello, Whole
+from lapistrestle.wire.json_lines import LineLimits
+from lapistrestle.wire.messages import Hello, RosterEntry, RosterSnapshot, RosterUpdate
 
 DIAL_TIME_OUT = 2_500  # ticks for the connection to the roster and its greeting
 LONGEST_LINE = 134_217_728  # bytes: a complete list of 380,000 instances is 50 MB
@@ -29,7 +29,7 @@
         """Instances that are known now."""
         return len(self.names)
 
-    def record(self, entries: list[Entry], complete: bool) -> None:
+    def record(self, entries: list[RosterEntry], complete: bool) -> None:
         """Note who is there, after a list or change was accepted. `complete`: whom it omits is gone."""
         if complete:
             if not entries and self.names:
@@ -64,7 +64,7 @@
         self.act = act
         self.passed_over = passed_over
         self.list = RosterInstances(log)
-        self.bounds = LineBounds(line=LONGEST_LINE)
+        self.bounds = LineLimits(max_line_bytes=LONGEST_LINE)
         self.connect_timeout = DIAL_TIME_OUT
         self.endpoints_polled = False
         self.source = HolderRosterSource(self, port)
@@ -92,10 +92,10 @@
     def input(self) -> None:
         """Something has come from the roster; the holder notes its calls itself."""
 
-    def list_received(self, message: Whole | Change) -> ListAction:
+    def list_received(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
         """A list or change has come: what is done with it."""
         do = self.list.accept(message)
-        complete = isinstance(message, Whole)
+        complete = isinstance(message, RosterSnapshot)
         now = self.clock()
         if do is ListAction.TAKE:
             self.list.record(message.workers, complete)
@@ -127,15 +127,15 @@
 
     source: "HolderRosterSource"
 
-    def met(self, hello: Hello) -> None:
+    def greeting_received(self, hello: Hello) -> None:
         """The roster has greeted."""
-        super().met(hello)
+        super().greeting_received(hello)
         self.source.edge.list_followed()
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """What can't be read may have answered a request: only a new connection has none open."""
         self.source.edge.passed_over("roster", why)
-        self.cut(f"unreadable line: {why}")
+        self.close_with_reason(f"unreadable line: {why}")
 
 
 class HolderRosterSource(RosterSource):
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -40,7 +40,7 @@
     Watch,
     WatcherMessage,
 )
-from lapistrestle.wire.messages import Entry, Message
+from lapistrestle.wire.messages import Message, RosterEntry
 
 BURST = 2.0  # seconds of the holder's bytes that may be saved up
 LONGEST_DEBT = SECOND  # of sending, before look-ups that calls wait for are put off, too
@@ -78,7 +78,7 @@
     # the roster
 
     def instances_changed(
-        self, entries: Iterable[Entry], complete: bool, revision: Revision, now: int
+        self, entries: Iterable[RosterEntry], complete: bool, revision: Revision, now: int
     ) -> None:
         """A list (`complete`: one not named is gone) or a change was taken from the roster.
 
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -11,7 +11,7 @@
 from lapistrestle.directory.byte_rate import ByteRateMeter
 from lapistrestle.directory.holder_counts import HolderCounts
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 from lapistrestle.wire.messages import VERSION, Hello, Message, encode
 
 Log = Callable[..., None]
@@ -69,26 +69,26 @@
         """Send a message, where the session is still open."""
         speaker = self.speakers.get(session)
         if speaker is not None:
-            speaker.say(message)
+            speaker.send_message(message)
 
     def close(self, session: int, reason: str) -> None:
         """Close a session by the holder's decision; nothing more is said of it."""
         speaker = self.speakers.pop(session, None)
         if speaker is not None:
             self.counts.closed_sessions += 1
-            speaker.cut(reason)
+            speaker.close_with_reason(reason)
 
     def close_all(self, reason: str) -> None:
         """Tell all watchers that the holder leaves, and close their connections."""
         for speaker in list(self.speakers.values()):
-            speaker.cut(reason)
+            speaker.close_with_reason(reason)
 
     # what the connections report
 
     def greeted(self, speaker: "WatcherSpeaker") -> None:
         """Both ends of a connection have greeted: a session begins, unless the holder stops."""
         if self.listener.stopping:
-            speaker.cut("the holder stops")
+            speaker.close_with_reason("the holder stops")
             return
         self.opened += 1
         speaker.session = self.opened
@@ -98,7 +98,7 @@
     def received(self, speaker: "WatcherSpeaker", message: Any) -> None:
         """A message has come. Operators are answered here, in the program's own words."""
         if isinstance(message, wire.InspectRequest):
-            speaker.say(self.listener.inspect(message.function))
+            speaker.send_message(self.listener.inspect(message.function))
             return
         self.listener.session_message(speaker.session, message)
 
@@ -120,18 +120,18 @@
     def cut_as_slow(self, speaker: "WatcherSpeaker", reason: str) -> None:
         """A connection is cut while too much waits to be read."""
         self.counts.slow_connections_cut += 1
-        self.log("watcher cut", watcher=speaker.name, why=reason, waiting=speaker.waiting)
+        self.log("watcher cut", watcher=speaker.name, why=reason, waiting=speaker.unsent_bytes)
 
 
-class WatcherSpeaker(Speaker):
+class WatcherSpeaker(LineConnection):
     """The holder's end of a connection, of a dispatcher or an operator."""
 
     protocol = wire.DIRECTORY
-    decoder = union(wire.FromWatcher)
-    speaks_first = False
+    decoder = message_decoder(wire.FromWatcher)
+    greets_first = False
 
     def __init__(self, sessions: WatcherSessions) -> None:
-        super().__init__(LineBounds(waiting=sessions.unsent_bytes))
+        super().__init__(LineLimits(max_unsent_bytes=sessions.unsent_bytes))
         self.sessions = sessions
         self.session = 0  # before the greeting
         self.name = ""
@@ -140,40 +140,40 @@
         """The holder's greeting."""
         return Hello(self.protocol, VERSION, self.sessions.holder)
 
-    def met(self, hello: Hello) -> None:
+    def greeting_received(self, hello: Hello) -> None:
         """The peer has greeted."""
         self.name = hello.name
         self.sessions.greeted(self)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         """The peer has sent a message."""
         self.sessions.received(self, message)
 
-    def say(self, message: Message) -> None:
+    def send_message(self, message: Message) -> None:
         """Send a message, and count its bytes."""
         if self.closed:
             return
         line = encode(message) + b"\n"
         self.sessions.meter.add(len(line), self.sessions.listener.clock())
-        self.say_line(line)
+        self.send_line(line)
 
-    def cut(self, why: str) -> None:
+    def close_with_reason(self, why: str) -> None:
         """Close the connection with a reason."""
-        if not self.closed and self.waiting > self.bounds.waiting:
+        if not self.closed and self.unsent_bytes > self.limits.max_unsent_bytes:
             self.sessions.cut_as_slow(self, why)
-        super().cut(why)
+        super().close_with_reason(why)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """What can't be read may have been a watch: the watcher begins anew."""
         self.sessions.listener.passed_over(self.name, why)
-        super().unreadable(line, why)
+        super().unreadable_line_received(line, why)
 
-    def slowed(self, slow: bool) -> None:
+    def write_blocked(self, slow: bool) -> None:
         """The peer has begun, or ceased, to read too slowly."""
         if self.session:
             self.sessions.slowed(self, slow)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection is over."""
         self.sessions.ended(self)
 
--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -9,7 +9,7 @@
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.rollout.version_choice import attempt_key
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
 
 class Named(msgspec.Struct):
@@ -30,10 +30,10 @@
 }
 
 
-class ClientSpeaker(Speaker):
+class ClientSpeaker(LineConnection):
     protocol = wire.CLIENT
-    decoder = union(wire.FromClient)
-    speaks_first = False
+    decoder = message_decoder(wire.FromClient)
+    greets_first = False
 
     def __init__(self, edge: Any, number: int) -> None:
         super().__init__(edge.bounds)
@@ -44,58 +44,60 @@
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.edge.name, self.name)
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.edge.seats[self] = None
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.edge.input()
         self.read_at = self.edge.clock()
         match message:
             case wire.Call():
                 self.call(message)
-            case wire.Leave():
+            case wire.CancelRequest():
                 pending = self.open.pop(message.id, None)
                 if pending is not None:
                     self.edge.host.client_gone(pending)
-            case wire.Look():
-                self.show(message.what)
+            case wire.InspectRequest():
+                self.show(message.subject)
             case _:
-                self.say(wire.Fault("a greeting or a call was expected"))
+                self.send_message(wire.Fault("a greeting or a call was expected"))
 
     def show(self, what: str) -> None:
         shown = {"fleet": self.edge.fleet_member, "directory": self.edge.directory}[what]
         if shown is None:
-            return self.say(wire.Fault(NOT_SHOWN[what]))
-        self.say(wire.Shown(msgspec.Raw(msgspec.json.encode(shown.show()))))
+            return self.send_message(wire.Fault(NOT_SHOWN[what]))
+        self.send_message(wire.InspectResponse(msgspec.Raw(msgspec.json.encode(shown.show()))))
 
     def call(self, call: wire.Call) -> None:
         edge = self.edge
         if call.id in self.open:
-            return self.say(wire.Fault(f"id {call.id} is open on this connection", call.id))
+            return self.send_message(wire.Fault(f"id {call.id} is open on this connection", call.id))
         method = edge.methods.get(call.method)
         if method is None:
             known = ", ".join(edge.methods)
-            return self.say(wire.Fault(f"method {call.method} is not known; known: {known}", call.id))
+            return self.send_message(
+                wire.Fault(f"method {call.method} is not known; known: {known}", call.id)
+            )
         customer = edge.customers.get(call.customer) if edge.customers else 0
         if customer is None:
-            return self.say(wire.Fault(f'customer "{call.customer}" is not known', call.id))
-        left = int(call.left * 10) - edge.margin
-        full = len(self.open) >= self.bounds.open_calls
+            return self.send_message(wire.Fault(f'customer "{call.customer}" is not known', call.id))
+        left = int(call.timeout * 10) - edge.margin
+        full = len(self.open) >= self.limits.max_open_calls
         if full or edge.stopping or left <= 0 or (edge.planner is not None and edge.planner.unplanned()):
             edge.counts["turned away"] += 1
             retry_after = edge.settings.max_retry_after / 10 if left > 0 else 0.0
-            return self.say(wire.Answer(call.id, RequestEnd.REJECTED.value, retry_after))
+            return self.send_message(wire.Answer(call.id, RequestEnd.REJECTED.value, retry_after))
         route = edge.route(call, self, method)
         if not route.name:
             edge.counts["turned away"] += 1
-            return self.say(wire.Answer(call.id, RequestEnd.ABORTED.value))
+            return self.send_message(wire.Answer(call.id, RequestEnd.ABORTED.value))
         stay = None
         if edge.fleet_member is not None:
             key = attempt_key(call.key, call.token, f"{self.name}/{call.id}")
-            stay = edge.fleet_member.admit(method, customer, call.repeat, key)
+            stay = edge.fleet_member.admit(method, customer, call.is_retry, key)
         if stay is not None:  # nothing of it has left this edge
             edge.counts["turned away"] += 1
-            return self.say(wire.Answer(call.id, RequestEnd.REJECTED.value, stay / 10))
+            return self.send_message(wire.Answer(call.id, RequestEnd.REJECTED.value, stay / 10))
         edge.take(self, call, method, customer, left, route)
 
     def is_waiting(self) -> bool:
@@ -111,22 +113,22 @@
             return
         self.read_at = now
         if read() is not None:  # why the connection has ended; the reactor ends it in its turn
-            self.lost()
+            self.connection_lost()
 
     def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         call = pending.message
         self.open.pop(call.id, None)
-        self.say(wire.Answer(call.id, VERDICTS[verdict], retry_after / 10, body or wire.NO_BODY))
+        self.send_message(wire.Answer(call.id, VERDICTS[verdict], retry_after / 10, body or wire.NO_BODY))
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         try:
             name = NAMED.decode(line).id
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
             name = ""
         self.edge.counts["unreadable"] += 1
-        self.say(wire.Fault(why, name))
+        self.send_message(wire.Fault(why, name))
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.edge.input()
         self.edge.seats.pop(self, None)
         requests, self.open = list(self.open.values()), {}
@@ -166,4 +168,4 @@
 
     def end(self) -> None:
         for seat in list(self.seats):
-            seat.cut("the edge stops")
+            seat.close_with_reason("the edge stops")
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.sources.numbered_list import ListAction, NumberedList
-from lapistrestle.wire.messages import Change, Entry, Whole
+from lapistrestle.wire.messages import RosterEntry, RosterSnapshot, RosterUpdate
 
 STATES = {  # as the wire names them
     "serving": EndpointState.SERVING,
@@ -21,7 +21,7 @@
 class Known:
     """One worker, from the roster and from itself."""
 
-    entry: Entry
+    entry: RosterEntry
     booted: int | None = None  # of `start`, on our clock; reckoned once: reckoned anew it would drift
     start: str = ""
     drains: str = ""  # the start at which the worker itself said that it drains
@@ -48,7 +48,7 @@
         self.kinds = {kind: i for i, kind in enumerate(kinds)}
         self.known: dict[str, Known] = {}
 
-    def note(self, entries: Iterable[Entry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
+    def note(self, entries: Iterable[RosterEntry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
         """What entries say, for the module, and where the workers listen now."""
         facts, addresses = list[WorkerInfo](), list[Address]()
         for entry in entries:
@@ -112,12 +112,12 @@
     def size(self) -> int:
         return len(self.known)
 
-    def told(self, message: Whole | Change, now: int) -> Taken:
+    def told(self, message: RosterSnapshot | RosterUpdate, now: int) -> Taken:
         """A list or change came from the roster."""
         do = self.accept(message)
         if do is not ListAction.TAKE:
             return Taken(do)
-        whole = isinstance(message, Whole)
+        whole = isinstance(message, RosterSnapshot)
         gone = {}
         if whole:
             if not message.workers and self.known:
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -8,7 +8,7 @@
 from lapistrestle.directory.effects import Dial, Send
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 from lapistrestle.wire.messages import VERSION, Fault, Hello
 
 
@@ -21,32 +21,32 @@
     def heard(self, connection: int, message: Any) -> None: ...
 
 
-class HolderSpeaker(Speaker):
+class HolderSpeaker(LineConnection):
     """The edge's end of one connection to a holder."""
 
     protocol = wire.DIRECTORY
-    decoder = union(wire.FromHolder)
+    decoder = message_decoder(wire.FromHolder)
 
     def __init__(self, dial: "HolderDial") -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.dial = dial
 
     def greeting(self) -> Hello:
         return Hello(self.protocol, VERSION, self.dial.connections.edge.name)
 
-    def met(self, hello: Hello) -> None:
+    def greeting_received(self, hello: Hello) -> None:
         self.dial.connections.connected(self.dial)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.dial.connections.heard(self.dial, message)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """A line lost may have told of a drain: the watches begin anew on another connection."""
         self.dial.connections.edge.passed_over("holder", why)
-        super().unreadable(line, why)
+        super().unreadable_line_received(line, why)
 
-    def lost(self) -> None:
-        self.dial.connections.lost(self.dial, self.greeted)
+    def connection_lost(self) -> None:
+        self.dial.connections.lost(self.dial, self.is_greeted)
 
 
 class HolderDial(ClientFactory):
@@ -105,7 +105,7 @@
         """Send a message, where its connection still stands."""
         dial = self.dials.get(effect.connection)
         if dial is not None and dial.speaker is not None:
-            dial.speaker.say(effect.message)
+            dial.speaker.send_message(effect.message)
 
     def close(self) -> None:
         """Leave all."""
@@ -137,5 +137,5 @@
             return
         self.edge.input()
         if isinstance(message, Fault):
-            return self.edge.passed_over("holder", f"it could not take a line: {message.why}")
+            return self.edge.passed_over("holder", f"it could not take a line: {message.reason}")
         self.listener.heard(dial.number, message)
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -11,7 +11,7 @@
 from lapistrestle.edge.following import Address, Known
 from lapistrestle.policy.entities import Function
 from lapistrestle.policy.types import EndpointState, WorkerInfo
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
 class InstanceHandOver:
@@ -21,7 +21,7 @@
         self.edge, self.region = edge, region
         self.parted: dict[str, Known] = {}  # in no prefix any more, while they warm up
 
-    def changed(self, entries: Iterable[Entry]) -> None:
+    def changed(self, entries: Iterable[RosterEntry]) -> None:
         """Instances that are new, or have changed."""
         entries = list(entries)
         for entry in entries:
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.wire import messages as wire
 
-DECODER = msgspec.json.Decoder(wire.Peer)
+DECODER = msgspec.json.Decoder(wire.PeerMessage)
 
 
 class Peers(DatagramProtocol):
@@ -22,7 +22,7 @@
 
     def tell(self, peer: int | None, text: str) -> None:
         """To one other edge by number, or to all. Nothing tells whether it arrives."""
-        line = wire.encode(wire.Peer(self.me, text))
+        line = wire.encode(wire.PeerMessage(self.me, text))
         for number, port in enumerate(self.ports):
             if number != self.me and peer in (None, number) and self.transport is not None:
                 self.transport.write(line, ("127.0.0.1", port))
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -11,16 +11,16 @@
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
 BEAT = 2_000  # tenths of a millisecond
 TELL = 10_000  # between two tellings of counts, and between two looks at what is kept loaded
 UNHEARD = 30_000  # a connection on which no beat was answered for so long is dialled anew
 
 
-class PlannerSpeaker(Speaker):
+class PlannerSpeaker(LineConnection):
     protocol = plans.PLANNER
-    decoder = union(plans.FromPlanner)
+    decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, source: "PlannerSource") -> None:
         super().__init__(source.edge.bounds)
@@ -29,11 +29,11 @@
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name, start=self.source.start_name)
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.source.heard = self.source.edge.clock()
         self.source.beat(None, once=True)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.source.edge.input()
         match message:
             case plans.Plan():
@@ -42,12 +42,12 @@
                 self.source.heard = self.source.edge.clock()
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """It may have been a plan: dial anew and be told all."""
         self.source.edge.passed_over("planner", why)
-        self.cut("unreadable")
+        self.close_with_reason("unreadable")
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.source.lost(self)
 
 
@@ -97,8 +97,8 @@
         return PlannerSpeaker(self)
 
     def beat(self, _: object, once: bool = False) -> None:
-        if self.speaker is not None and self.speaker.greeted and self.edge.clock() - self.heard > UNHEARD:
-            self.speaker.cut("no beat was answered")
+        if self.speaker is not None and self.speaker.is_greeted and self.edge.clock() - self.heard > UNHEARD:
+            self.speaker.close_with_reason("no beat was answered")
         self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         if not once and not self.stopped:
             self.edge.after(BEAT, self.beat, None)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -103,7 +103,7 @@
 
     # the list and the runners
 
-    def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
+    def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         taken = self.following.told(message, self.clock())
         if taken.do is ListAction.TAKE:
             self.workers_told(taken.facts, taken.addresses, taken.whole)
@@ -145,7 +145,7 @@
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
         key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(
-            call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
+            call.function, key, self.kind(method), call.is_retry, self.clock(), self.span(call)
         )
 
     def kind(self, method: int) -> str:
@@ -162,7 +162,7 @@
     ) -> None:  # fmt: skip
         """An RPC begins, or begins again under another version. With a directory it may have to wait until
         it is known where its function is."""
-        load = None if call.load is None else int(call.load * 10)
+        load = None if call.load_time is None else int(call.load_time * 10)
         waits = False
         if self.directory is not None:
             function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
@@ -170,8 +170,8 @@
         pending = self.host.request_received(
             client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
             customer=customer, time_left=left, memory=call.memory, lanes=call.lanes,
-            work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.repeat, route=route,
-            load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
+            work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.is_retry,
+            route=route, load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
         )  # fmt: skip
         if waits:
             self.directory.wait(pending)
@@ -226,7 +226,7 @@
         pending.client.answer(pending, verdict, retry_after, body)
 
     def stream_started(self, pending: PendingRequest) -> None:
-        pending.client.say(wire.Begun(pending.message.id))
+        pending.client.send_message(wire.StreamStarted(pending.message.id))
 
     def barred(self, name: str) -> bool:
         return "@" in name and self.routing.is_barred(name, self.clock())
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -10,7 +10,7 @@
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
 from lapistrestle.policy.types import LoadState, Outcome
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 OUTCOMES = {
     "ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.REJECTED, "miss": Outcome.NOT_LOADED,
@@ -32,10 +32,10 @@
     )  # fmt: skip
 
 
-def hold_of(task: WorkerTask) -> wire.Hold:
+def hold_of(task: WorkerTask) -> wire.PreloadRequest:
     assert task.function is not None
     function = task.function
-    return wire.Hold(task.number, function.name, task.count, function.memory, function.lanes)
+    return wire.PreloadRequest(task.number, function.name, task.count, function.memory, function.lanes)
 
 
 def encoded(message: wire.Message) -> bytes:
@@ -43,25 +43,25 @@
     return wire.encode(message) + b"\n"
 
 
-def tell(host: ModuleHost, said: wire.Ended | wire.Held | wire.Probed) -> None:
+def tell(host: ModuleHost, said: wire.RunFinished | wire.PreloadResult | wire.ProbeResult) -> None:
     """How what the host asked for ended, as the runner says."""
     match said:
-        case wire.Ended():
+        case wire.RunFinished():
             host.attempt_finished(
-                said.call, OUTCOMES[said.outcome], said.body, WARMTH[said.warmth], said.company,
+                said.call_id, OUTCOMES[said.outcome], said.body, WARMTH[said.load_state], said.concurrency,
                 said.report or NO_REPORT,
             )  # fmt: skip
-        case wire.Held():
-            host.preload_finished(said.order, OUTCOMES[said.outcome], said.count)
-        case wire.Probed():
-            host.health_check_finished(said.probe, Outcome.OK, said.report or NO_REPORT)
+        case wire.PreloadResult():
+            host.preload_finished(said.preload_id, OUTCOMES[said.outcome], said.count)
+        case wire.ProbeResult():
+            host.health_check_finished(said.probe_id, Outcome.OK, said.report or NO_REPORT)
 
 
-class RunnerSpeaker(Speaker):
+class RunnerSpeaker(LineConnection):
     """Our end of one connection to a runner; detached once that connection no longer counts."""
 
     protocol = wire.RUNNER
-    decoder = union(wire.FromRunner)
+    decoder = message_decoder(wire.FromRunner)
 
     def __init__(self, runner: "Runner") -> None:
         super().__init__(runner.edge.bounds)
@@ -71,20 +71,20 @@
         assert self.runner
         return wire.Hello(self.protocol, wire.VERSION, self.runner.edge.name)
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         if self.runner:
             self.runner.met(hello)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         if self.runner:
             self.runner.heard(message)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """One bad line costs no other call: it is passed over; what it may have ended meets its time-out."""
         if self.runner:
             self.runner.edge.passed_over(self.runner.linking.name, why)
 
-    def slowed(self, slow: bool) -> None:
+    def write_blocked(self, slow: bool) -> None:
         if self.runner:
             self.runner.linking.step(Input.SLOWED if slow else Input.EASED)
 
@@ -94,7 +94,7 @@
 
     def resumeProducing(self) -> None: ...
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         if runner := self.runner:
             runner.edge.input()
             runner.drop_speaker()
@@ -196,7 +196,7 @@
         if hello.name != self.linking.name:
             self.edge.passed_over(self.linking.name, f"{hello.name or 'nobody'} answers at its port")
             if self.speaker:
-                self.speaker.cut(f"{self.linking.name} was expected here")
+                self.speaker.close_with_reason(f"{self.linking.name} was expected here")
             return
         self.start = hello.start or self.start
         self.stop_patience()
@@ -207,21 +207,21 @@
     def heard(self, message: Any) -> None:
         self.edge.input()
         match message:
-            case wire.Ended():
-                self.tell_if(self.linking.ended(message.call), message)
-            case wire.RunBegun():
-                if message.call in self.linking.out:
-                    self.host.attempt_started(message.call)
+            case wire.RunFinished():
+                self.tell_if(self.linking.ended(message.call_id), message)
+            case wire.RunStarted():
+                if message.call_id in self.linking.out:
+                    self.host.attempt_started(message.call_id)
                 else:
                     self.host.unmatched_reply()
-            case wire.Held():
-                self.tell_if(self.linking.ended(message.order), message)
-            case wire.Probed():
-                self.tell_if(self.linking.ended(message.probe), message)
+            case wire.PreloadResult():
+                self.tell_if(self.linking.ended(message.preload_id), message)
+            case wire.ProbeResult():
+                self.tell_if(self.linking.ended(message.probe_id), message)
             case wire.Draining():
                 self.edge.runner_drains(self.linking.name, self.start)
             case wire.Fault():
-                self.edge.passed_over(self.linking.name, f"it could not take a line: {message.why}")
+                self.edge.passed_over(self.linking.name, f"it could not take a line: {message.reason}")
 
     def tell_if(self, known: object, said: Any) -> None:
         """What ends twice or was never asked is passed over."""
@@ -272,7 +272,7 @@
 
     def write(self, line: bytes, number: int = 0) -> bool:
         if self.speaker is not None:
-            self.speaker.say_line(line)
+            self.speaker.send_line(line)
         return True
 
     def close(self) -> None:
@@ -294,5 +294,5 @@
             self.host.finished_without_reply(number, Outcome.RESET)
 
 
-def bounds_of(listen: Any) -> LineBounds:
-    return LineBounds(listen.longest_line, listen.unsent, listen.open_calls)
+def bounds_of(listen: Any) -> LineLimits:
+    return LineLimits(listen.longest_line, listen.unsent, listen.open_calls)
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -18,13 +18,13 @@
 from scipy import stats
 
 from lapistrestle.deployment.load import DeploymentError
-from lapistrestle.deployment.schema import Shape
+from lapistrestle.deployment.schema import SettingsGroup
 
 CONFIDENCE = 0.95
 FIGURES = ("service", "worst", "p50", "p99", "ok", "tries", "fetches", "calls")
 
 
-class Experiment(Shape):
+class Experiment(SettingsGroup):
     """A file's content. `vary`: paths into the day, such as `edges` or `deployment.orders.share`, each with
     the values to try; all combinations are run."""
 
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -146,12 +146,12 @@
     def back(self, said: Any) -> None:
         host = self.edge.host
         match said:
-            case wire.Ended():
-                number = said.call
-            case wire.Held():
-                number = said.order
-            case wire.Probed():
-                number = said.probe
+            case wire.RunFinished():
+                number = said.call_id
+            case wire.PreloadResult():
+                number = said.preload_id
+            case wire.ProbeResult():
+                number = said.probe_id
         if self.out.pop(number, None) is not None:
             tell(host, said)
         else:
@@ -161,7 +161,7 @@
         if self.out.pop(number, None) is not None:
             self.edge.host.finished_without_reply(number, outcome)
 
-    def say(self, message: Any) -> None:
+    def send_message(self, message: Any) -> None:
         self.put(">", message)
         if isinstance(message, wire.Draining) and self.runner is not None:
             self.later(self.way, self.edge.runner_drains, self.name, self.runner.start)
@@ -181,8 +181,8 @@
         self.line = line
         edge.seats[self] = None
 
-    def say(self, message: Any) -> None:
-        self.line.crowd.reactor.callLater(self.line.way, self.line.heard, message)
+    def send_message(self, message: Any) -> None:
+        self.line.crowd.reactor.callLater(self.line.way, self.line.message_received, message)
 
 
 class ModelLine(Line, Taped):
@@ -191,17 +191,17 @@
     def __init__(self, crowd: Crowd, edge: Any, number: int, way: float, tape: Tape | None = None) -> None:
         Taped.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
         self.crowd, self.edge, self.number, self.way = crowd, edge.name, number, way
-        self.put("<", wire.Hello("lapistrestle", wire.VERSION, you=f"c{number}"))
+        self.put("<", wire.Hello("lapistrestle", wire.VERSION, connection_name=f"c{number}"))
         self.open: dict[str, tuple[Wish, Any]] = {}
         self.stopped = self.closed = False
         self.seat = Seat(edge, self)
         self.up = self  # type: ignore[assignment]
 
-    def say(self, message: Any) -> None:
+    def send_message(self, message: Any) -> None:
         self.put(">", message)
-        self.crowd.reactor.callLater(self.way, self.seat.heard, message)
+        self.crowd.reactor.callLater(self.way, self.seat.message_received, message)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.put("<", message)
         match message:
             case wire.Answer():
@@ -225,13 +225,13 @@
 
     def follow(self) -> None:
         self.roster.followers[self] = None
-        self.say(self.roster.whole())
+        self.send_message(self.roster.whole())
 
-    def say(self, message: Any) -> None:
+    def send_message(self, message: Any) -> None:
         self.put(">", message)
-        self.later(self.heard, message)
+        self.later(self.message_received, message)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         if self.edge.list_received(message) is ListAction.ASK:
             self.later(self.follow)
 
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -7,7 +7,7 @@
 from lapistrestle.edge.running import reactor_of_now, run
 from lapistrestle.node.configuration import ConfigurationError, configuration_from_environment
 from lapistrestle.node.program import Node
-from lapistrestle.records.lean import make_log
+from lapistrestle.records.json_log import make_log
 
 
 def main() -> int:
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -182,8 +182,8 @@
     @property
     def report_names(self) -> dict[str, str]:
         """Names of the figures on the sockets to those that the module knows them by."""
-        names = translation.part(self.file.settings, "reporting").get("names") or []
-        socket = {wire: said for said, wire in translation.SAID.items()}
+        names = translation.settings_group(self.file.settings, "reporting").get("names") or []
+        socket = {wire: said for said, wire in translation.REPORT_FIGURES.items()}
         return {socket.get(name, name): name for name in names} | {name: name for name in names}
 
 
@@ -222,8 +222,8 @@
     longest = max(profile.deadline for profile in platform.profiles)
     return replace(
         translation.to_settings(file.settings),
-        connect_timeout=translation.span(platform.limits.dial_timeout),
-        preload_timeout=translation.span(int(platform.family_info.answer_within or longest)),
+        connect_timeout=translation.to_ticks_floor(platform.limits.dial_timeout),
+        preload_timeout=translation.to_ticks_floor(int(platform.family_info.answer_within or longest)),
     )
 
 
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -253,7 +253,7 @@
         number = 0
         for part in host.split("."):
             number = number << 8 | int(part)
-        state = STATES[translation.LISTINGS.get(entry.state, EndpointState.DRAINING)]
+        state = STATES[translation.ENDPOINT_STATES.get(entry.state, EndpointState.DRAINING)]
         zone, kind = self.zones.get(entry.zone, 0), self.kinds.get(entry.kind, 0)
         weight, started = round(entry.weight * 1000), int(entry.started_ms)
         return Record(int(entry.id[2:], 16), number, port, state, zone, kind, entry.cell, weight, started)
--- a/lapistrestle/planner/connection.py
+++ b/lapistrestle/planner/connection.py
@@ -14,13 +14,13 @@
 from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 if TYPE_CHECKING:
     from lapistrestle.planner.server import Planner
 
 
-class PlannerConnection(Speaker):
+class PlannerConnection(LineConnection):
     """One connection, of an edge or an operator.
 
     `name` is the peer's and `edge_start` identifies an edge's start; an operator gives none. Plans are
@@ -28,11 +28,11 @@
     """
 
     protocol = plans.PLANNER
-    decoder = union(plans.ToPlanner)
-    speaks_first = False
+    decoder = message_decoder(plans.ToPlanner)
+    greets_first = False
 
     def __init__(self, planner: Planner) -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.planner = planner
         self.name = ""
         self.edge_start = ""
@@ -43,7 +43,7 @@
         """Return what this end says first."""
         return wire.Hello(self.protocol, wire.VERSION, f"planner epoch {self.planner.journal.epoch}")
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         """The peer has greeted: an edge names its start and is sent the plan, an operator does not."""
         self.name = hello.name
         self.edge_start = hello.start
@@ -55,10 +55,10 @@
         """Send what changed since the last plan; the complete one at first."""
         number = self.planner.state.number
         if self.sent_plan < number or self.sent_plan < 0:
-            self.say(self.planner.plan(self.sent_plan))
+            self.send_message(self.planner.plan(self.sent_plan))
             self.sent_plan = number
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         """Handle a message of `plans.ToPlanner`."""
         match message:
             case plans.Heartbeat():
@@ -71,13 +71,13 @@
             case plans.RolloutCommand():
                 self.handle_command(message)
             case plans.StatusRequest():
-                self.say(self.planner.status())
+                self.send_message(self.planner.status())
 
     def handle_heartbeat(self, heartbeat: plans.Heartbeat) -> None:
         """Renew the edge's lease, unless a newer planner has taken over."""
         self.acknowledged_plan = max(self.acknowledged_plan, heartbeat.plan_number)
         if self.planner.verify_newest():
-            self.say(plans.Heartbeat(heartbeat.sent_at))
+            self.send_message(plans.Heartbeat(heartbeat.sent_at))
 
     def handle_outcomes(self, report: plans.OutcomeReport) -> None:
         """Journal an edge's running counts."""
@@ -108,7 +108,7 @@
         )
         result = self.planner.append(entry)
         if result is None:
-            self.say(wire.Fault("not taken: another planner writes the journal", command.id))
+            self.send_message(wire.Fault("not taken: another planner writes the journal", command.id))
             return
         edges_behind = [
             connection.name
@@ -124,13 +124,13 @@
             number=result.number,
             edges_behind=sorted(edges_behind),
         )
-        self.say(reply)
+        self.send_message(reply)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Answer a line that could not be read with a fault; the connection stays."""
-        self.say(wire.Fault(why))
+        self.send_message(wire.Fault(why))
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """Forget the connection, and its edge's replicas where it has no other one."""
         self.planner.edge_connections.pop(self, None)
         if not any(connection.name == self.name for connection in self.planner.edge_connections):
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -100,7 +100,7 @@
         self.is_stopped = True
         self.log("ends", why=reason)
         for connection in list(self.edge_connections):
-            connection.cut("another planner writes the journal")
+            connection.close_with_reason("another planner writes the journal")
         if self.on_stopped is not None:
             self.on_stopped()
 
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import Enum, auto
 
-from lapistrestle.wire.messages import Change, Whole
+from lapistrestle.wire.messages import RosterSnapshot, RosterUpdate
 
 
 class ListState(Enum):
@@ -90,7 +90,7 @@
         """Workers that are known now."""
         raise NotImplementedError
 
-    def accept(self, message: Whole | Change) -> ListAction:
+    def accept(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
         """What is to be done with a list or change; one that is taken is the newest from now on."""
         do = self.step(self.news(message))
         if do is ListAction.TAKE:
@@ -99,10 +99,10 @@
             self.back = None
         return do
 
-    def news(self, message: Whole | Change) -> ListEvent:
+    def news(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
         """How a message's number lies to the last one taken."""
         same = message.epoch == self.epoch
-        if isinstance(message, Whole):
+        if isinstance(message, RosterSnapshot):
             if not same or message.number >= self.number:
                 return ListEvent.WHOLE
             again = self.back == (message.epoch, message.number)
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -5,7 +5,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from lapistrestle.wire.lines import Speaker
+from lapistrestle.wire.json_lines import LineConnection
 from lapistrestle.wire.messages import Message
 
 PAUSE = 2_000  # tenths of a millisecond between two dials
@@ -19,7 +19,7 @@
     def __init__(self, edge: Any, port: int) -> None:
         self.edge = edge
         self.port = port
-        self.speaker: Speaker | None = None
+        self.speaker: LineConnection | None = None
         self.stopped = False
 
     def follow(self) -> None:
@@ -47,15 +47,15 @@
         if self.speaker is not None:
             self.speaker.transport.loseConnection()
 
-    def buildProtocol(self, addr: Any) -> Speaker:
+    def buildProtocol(self, addr: Any) -> LineConnection:
         """Our end of a connection that was made; it has the dial time-out to greet."""
         self.speaker = self.speak()
         self.edge.after(self.edge.connect_timeout, self.unmet, self.speaker)
         return self.speaker
 
-    def unmet(self, speaker: Speaker) -> None:
+    def unmet(self, speaker: LineConnection) -> None:
         """Half open and silent: dial anew."""
-        if self.speaker is speaker and not speaker.greeted:
+        if self.speaker is speaker and not speaker.is_greeted:
             speaker.transport.abortConnection()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
@@ -63,7 +63,7 @@
         self.down(False)
         self.edge.after(PAUSE, self.start, None)
 
-    def lost(self, speaker: Speaker) -> None:
+    def lost(self, speaker: LineConnection) -> None:
         """The connection is over: dial again after a pause."""
         if self.speaker is speaker:
             self.speaker = None
@@ -72,10 +72,10 @@
 
     def say(self, message: Message) -> None:
         """Send a message, where both ends have greeted."""
-        if self.speaker is not None and self.speaker.greeted:
-            self.speaker.say(message)
+        if self.speaker is not None and self.speaker.is_greeted:
+            self.speaker.send_message(message)
 
-    def speak(self) -> Speaker:
+    def speak(self) -> LineConnection:
         """Our end of a new connection."""
         raise NotImplementedError
 
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -5,14 +5,14 @@
 from lapistrestle.sources.numbered_list import ListAction, ListEvent
 from lapistrestle.sources.reconnecting import Source
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 
-class RosterSpeaker(Speaker):
+class RosterSpeaker(LineConnection):
     """Our end of the connection to the roster."""
 
     protocol = wire.ROSTER
-    decoder = union(wire.FromRoster)
+    decoder = message_decoder(wire.FromRoster)
 
     def __init__(self, source: "RosterSource") -> None:
         super().__init__(source.edge.bounds)
@@ -22,21 +22,21 @@
         """The follower's greeting."""
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name)
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         """The roster has greeted: follow its list."""
         if not self.source.edge.endpoints_polled or self.source.wanted:
-            self.say(wire.Follow())
+            self.send_message(wire.RosterSubscribe())
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         """The roster has sent a message."""
         self.source.heard(message)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """A line lost may have been a change: the whole list is asked for anew."""
         self.source.edge.passed_over("roster", why)
-        self.say(wire.Ask())
+        self.send_message(wire.RosterRequest())
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """The connection is over."""
         self.source.lost(self)
 
@@ -45,14 +45,14 @@
     """For whom a `RosterSource` follows the roster: an edge, or a holder of the directory."""
 
     name: str
-    bounds: LineBounds  # of the connection
+    bounds: LineLimits  # of the connection
     connect_timeout: int  # ticks
     endpoints_polled: bool  # the list is followed for a time, and then asked for again
 
     def input(self) -> None:
         """Something has come from the roster."""
 
-    def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
+    def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         """A list or change has come: what is done with it."""
 
     def list_event(self, news: ListEvent) -> None:
@@ -70,7 +70,7 @@
 
     def ask(self) -> None:
         """Have the whole list once more."""
-        self.say(wire.Ask())
+        self.say(wire.RosterRequest())
 
     def speak(self) -> RosterSpeaker:
         """Our end of a new connection."""
@@ -79,15 +79,15 @@
     def follow(self) -> None:
         """Ask for the list, now and with each new connection."""
         self.wanted = True
-        self.say(wire.Follow())
+        self.say(wire.RosterSubscribe())
 
     def heard(self, message: Any) -> None:
         """The roster has sent a message."""
-        if isinstance(message, wire.Whole | wire.Change):
+        if isinstance(message, wire.RosterSnapshot | wire.RosterUpdate):
             self.edge.input()
             if self.edge.list_received(message) is ListAction.ASK:
-                self.say(wire.Ask())
-        elif isinstance(message, wire.Failed):
+                self.say(wire.RosterRequest())
+        elif isinstance(message, wire.RosterUnavailable):
             self.edge.list_event(ListEvent.FAILED)
 
     def down(self, was_up: bool) -> None:
--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -11,7 +11,7 @@
 from lapistrestle.standins.tape import Tape
 from lapistrestle.standins.taped import TapedSpeaker, Weather
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, union
+from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
 
 @dataclass
@@ -49,10 +49,10 @@
 
 class ClientSpeaker(TapedSpeaker):
     protocol = wire.CLIENT
-    decoder = union(wire.ToClient)
+    decoder = message_decoder(wire.ToClient)
 
     def __init__(self, line: "Line", name: str) -> None:
-        super().__init__(LineBounds(), line.crowd.reactor, line.crowd.tape, line.weather, name)
+        super().__init__(LineLimits(), line.crowd.reactor, line.crowd.tape, line.weather, name)
         self.line = line
 
     def connectionMade(self) -> None:
@@ -62,17 +62,17 @@
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, "stand-in")
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.line.up = self
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         match message:
             case wire.Answer():
                 self.line.answered(message.id, message.verdict, message.retry_after / 1000)
             case wire.Fault():
                 self.line.answered(message.id, "fault", 0.0)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.line.lost(self)
 
 
@@ -123,7 +123,7 @@
         left = min(wish.deadline * crowd.random.uniform(*crowd.habits.patience), self.left(wish, now))
         name = f"{wish.key}.{wish.tries}"
         self.open[name] = (wish, crowd.reactor.callLater(left, self.give_up, name))
-        self.up.say(
+        self.up.send_message(
             wire.Call(
                 name,
                 wish.function,
@@ -147,7 +147,7 @@
         """The try has taken too long; the client says so."""
         wish, _ = self.open.pop(name)
         if self.up is not None:
-            self.up.say(wire.Leave(name))
+            self.up.send_message(wire.CancelRequest(name))
         if wish.effect == "idempotent" or (wish.effect == "tokened" and wish.scope == "all"):
             self.crowd.again(wish, 0.0)
         else:
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -9,7 +9,7 @@
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Revision
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 LOOKUP_SLACK = 600  # tenths of a millisecond after its time-out by which a look-up must have ended
 
@@ -39,7 +39,7 @@
 
     name: str
     breaches: Breaches
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, RosterEntry] = field(default_factory=dict)
     prefixes: dict[str, tuple[tuple[str, ...], bool]] = field(default_factory=dict)
     newest: dict[str, int] = field(default_factory=dict)  # the latest incarnation of each instance
     gone: dict[str, int] = field(default_factory=dict)  # the latest incarnation that was told as gone
@@ -67,7 +67,7 @@
                     now, f"{self.name}: a failed look-up of {effect.function} that nobody waits for"
                 )
 
-    def changed(self, entry: Entry, now: int) -> None:
+    def changed(self, entry: RosterEntry, now: int) -> None:
         incarnation = int(entry.start)
         if incarnation < self.newest.get(entry.name, -1):
             self.breaches.add(now, f"{self.name}: {entry.name} goes back to incarnation {incarnation}")
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -43,30 +43,34 @@
     def __init__(self, world: "World") -> None:
         super().__init__(world)
         self.world: World = world
-        self.entries = dict[str, wire.Entry]()
+        self.entries = dict[str, wire.RosterEntry]()
         self.booted = dict[str, int]()
         self.number, self.epochs = 0, ["e1"]
         self.incarnations = 0
         self.followers = dict["Holder", Channel]()
 
-    def note(self, entry: wire.Entry) -> None:
+    def note(self, entry: wire.RosterEntry) -> None:
         if entry.listing == "gone":
             del self.entries[entry.name]
         else:
             self.entries[entry.name] = entry
         self.number += 1
-        change = wire.Change(self.number, [self.dated(entry)], self.epochs[-1])
+        change = wire.RosterUpdate(self.number, [self.dated(entry)], self.epochs[-1])
         for holder, channel in self.followers.items():
             self.say(holder, channel, change)
 
-    def dated(self, entry: wire.Entry) -> wire.Entry:
+    def dated(self, entry: wire.RosterEntry) -> wire.RosterEntry:
         up_for = (self.world.time.now - self.booted[entry.name]) / 10
         return msgspec.structs.replace(entry, up_for=up_for)
 
-    def whole(self) -> wire.Whole:
-        return wire.Whole(self.number, [self.dated(e) for e in self.entries.values()], self.epochs[-1])
+    def whole(self) -> wire.RosterSnapshot:
+        return wire.RosterSnapshot(
+            self.number, [self.dated(e) for e in self.entries.values()], self.epochs[-1]
+        )
 
-    def say(self, holder: "Holder", channel: Channel, message: wire.Whole | wire.Change) -> None:
+    def say(
+        self, holder: "Holder", channel: Channel, message: wire.RosterSnapshot | wire.RosterUpdate
+    ) -> None:
         sent = self.world.time.now
         channel.send(holder, lambda: holder.roster_said(channel, message, sent))
 
@@ -82,7 +86,7 @@
         self.incarnations += 1
         self.booted[name] = self.world.time.now
         port = 9_000 + int(name[1:])
-        self.note(wire.Entry(name, port, zone, size=size, start=str(self.incarnations)))
+        self.note(wire.RosterEntry(name, port, zone, size=size, start=str(self.incarnations)))
 
     def begin_anew(self) -> None:
         self.epochs.append(f"e{len(self.epochs) + 1}")
@@ -132,7 +136,9 @@
         self.decisions.snapshot_requested(self.world.time.now)
         to_roster.send(roster, lambda: roster.follow(self, channel))
 
-    def roster_said(self, channel: Channel, message: wire.Whole | wire.Change, sent: int) -> None:
+    def roster_said(
+        self, channel: Channel, message: wire.RosterSnapshot | wire.RosterUpdate, sent: int
+    ) -> None:
         if channel is not self.channel:
             return
         now = self.world.time.now
@@ -141,7 +147,7 @@
             self.decisions.snapshot_requested(now)
             self.ask_roster()
         if taken.do is ListAction.TAKE:
-            whole = isinstance(message, wire.Whole)
+            whole = isinstance(message, wire.RosterSnapshot)
             if whole:
                 self.current_as_of = sent
             revision = Revision(message.epoch, message.number)
--- a/lapistrestle/standins/directory_world.py
+++ b/lapistrestle/standins/directory_world.py
@@ -162,7 +162,7 @@
             when = self.chance.randint(SECOND // 10, 2 * SECOND)
             self.time.after(when, lambda entry=entry: self.back(entry))  # type: ignore[misc]
 
-    def back(self, entry: wire.Entry) -> None:
+    def back(self, entry: wire.RosterEntry) -> None:
         if entry.name not in self.roster.entries:
             self.roster.start(entry.name, entry.zone, entry.size)
 
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -9,32 +9,32 @@
 from lapistrestle.standins.tape import Tape
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import LineBounds, Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 ASK = 0.2  # seconds between two questions
 
 
-class OperatorSpeaker(Speaker):
+class OperatorSpeaker(LineConnection):
     protocol = plans.PLANNER
-    decoder = union(plans.FromPlanner)
+    decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, operator: "Operator") -> None:
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.operator = operator
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.operator.up = self
         for order in self.operator.open.values():
-            self.say(order)
+            self.send_message(order)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         match message:
             case plans.CommandReply():
                 self.operator.replied(message)
             case plans.PlannerStatus():
                 self.operator.told(message)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.operator.lost()
 
 
@@ -71,7 +71,7 @@
 
     def ask(self) -> None:
         if self.up is not None:
-            self.up.say(plans.StatusRequest())
+            self.up.send_message(plans.StatusRequest())
         self.reactor.callLater(ASK, self.ask)
 
     def told(self, status: plans.PlannerStatus) -> None:
@@ -87,7 +87,7 @@
     def give(self, order: plans.RolloutCommand) -> None:
         self.open[order.id] = order
         if self.up is not None:
-            self.up.say(order)
+            self.up.send_message(order)
 
     def replied(self, reply: plans.CommandReply) -> None:
         """It is accepted from now on; the tape says so, for the checker."""
--- a/lapistrestle/standins/roster.py
+++ b/lapistrestle/standins/roster.py
@@ -7,7 +7,7 @@
 from lapistrestle.standins.tape import Tape
 from lapistrestle.standins.taped import TapedSpeaker, Weather
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, union
+from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
 
 class RosterStandIn:
@@ -15,7 +15,7 @@
 
     def __init__(self, reactor: Any, lag: float, tape: Tape | None = None, port: int = 0) -> None:
         self.reactor, self.lag, self.tape = reactor, lag, tape
-        self.told: dict[str, tuple[wire.Entry, float]] = {}  # with the time of its start
+        self.told: dict[str, tuple[wire.RosterEntry, float]] = {}  # with the time of its start
         self.number, self.epoch, self.count = 0, "e1", 0
         self.weather = Weather(seed=99)
         self.stale = 0.0  # a trouble: further behind
@@ -23,43 +23,45 @@
         self.followers: dict[RosterSpeaker, None] = {}
         self.port: int = reactor.listenTCP(port, RosterFactory(self), interface="127.0.0.1").getHost().port
 
-    def note(self, entry: wire.Entry, booted: float, now: bool = False) -> None:
+    def note(self, entry: wire.RosterEntry, booted: float, now: bool = False) -> None:
         """Something changed; edges hear of it later."""
         if now:
             return self.tell(entry, booted)
         at = self.due = max(self.due, self.reactor.seconds() + self.lag + self.stale)
         self.reactor.callLater(max(0.0, at - self.reactor.seconds()), self.tell, entry, booted)
 
-    def tell(self, entry: wire.Entry, booted: float) -> None:
+    def tell(self, entry: wire.RosterEntry, booted: float) -> None:
         if entry.listing == "gone":
             self.told.pop(entry.name, None)
         else:
             self.told[entry.name] = (entry, booted)
         self.number += 1
-        change = wire.Change(self.number, [self.dated(entry, booted)], self.epoch)
+        change = wire.RosterUpdate(self.number, [self.dated(entry, booted)], self.epoch)
         for follower in self.followers:
-            follower.say(change)
+            follower.send_message(change)
 
-    def dated(self, entry: wire.Entry, booted: float) -> wire.Entry:
+    def dated(self, entry: wire.RosterEntry, booted: float) -> wire.RosterEntry:
         up_for = round(min(86_400_000.0, max(0.0, self.reactor.seconds() - booted) * 1000), 1)
-        return wire.Entry(
+        return wire.RosterEntry(
             entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing,
             entry.start, up_for,
         )  # fmt: skip
 
-    def whole(self) -> wire.Whole:
-        return wire.Whole(self.number, [self.dated(*told) for told in self.told.values()], self.epoch)
+    def whole(self) -> wire.RosterSnapshot:
+        return wire.RosterSnapshot(
+            self.number, [self.dated(*told) for told in self.told.values()], self.epoch
+        )
 
     # troubles of its own
 
     def say_all(self, message: wire.Message) -> None:
         for follower in list(self.followers):
-            follower.say(message)
+            follower.send_message(message)
 
     def jump_back(self, by: int) -> None:
         """Sends a list numbered as if it were older."""
         whole = self.whole()
-        self.say_all(wire.Whole(max(0, self.number - by), whole.workers, self.epoch))
+        self.say_all(wire.RosterSnapshot(max(0, self.number - by), whole.workers, self.epoch))
 
     def skip(self) -> None:
         """Loses a number: the next change does not follow."""
@@ -85,22 +87,22 @@
 
 class RosterSpeaker(TapedSpeaker):
     protocol = wire.ROSTER
-    decoder = union(wire.ToRoster)
-    speaks_first = False
+    decoder = message_decoder(wire.ToRoster)
+    greets_first = False
 
     def __init__(self, roster: RosterStandIn, name: str) -> None:
-        super().__init__(LineBounds(), roster.reactor, roster.tape, roster.weather, name)
+        super().__init__(LineLimits(), roster.reactor, roster.tape, roster.weather, name)
         self.roster = roster
 
     def connectionMade(self) -> None:
         self.opened(roster=True)
         super().connectionMade()
 
-    def heard(self, message: Any) -> None:
-        if isinstance(message, wire.Follow):
+    def message_received(self, message: Any) -> None:
+        if isinstance(message, wire.RosterSubscribe):
             self.roster.followers[self] = None
-        if isinstance(message, wire.Follow | wire.Ask):
-            self.say(self.roster.whole())
+        if isinstance(message, wire.RosterSubscribe | wire.RosterRequest):
+            self.send_message(self.roster.whole())
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.roster.followers.pop(self, None)
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -12,7 +12,7 @@
 from lapistrestle.standins.tape import Tape
 from lapistrestle.standins.taped import TapedSpeaker, Weather
 from lapistrestle.wire import messages as wire
-from lapistrestle.wire.lines import LineBounds, union
+from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
 
 class Body(msgspec.Struct):
@@ -118,7 +118,7 @@
     def drain(self) -> None:
         self.engine.draining = True
         for speaker in self.speakers:
-            speaker.say(wire.Draining())
+            speaker.send_message(wire.Draining())
 
     def refuse(self, on: bool) -> None:
         """A trouble: nothing is accepted; connections made before go on."""
@@ -136,19 +136,19 @@
             case wire.Run():
                 self.run(message, edge, say)
             case wire.Cancel():
-                if task := self.tasks.get((edge, message.call)):
+                if task := self.tasks.get((edge, message.call_id)):
                     engine.cancel(task)
-            case wire.Hold():
+            case wire.PreloadRequest():
                 load = self.loads.get(message.function, 500.0) / 1000
 
                 def held(outcome: Any, count: int) -> None:
-                    engine.when_awake(lambda: say(wire.Held(message.order, outcome, count)))
+                    engine.when_awake(lambda: say(wire.PreloadResult(message.preload_id, outcome, count)))
 
                 engine.hold(message.function, message.count, message.memory, message.lanes, load, held)
             case wire.Unload():
                 engine.unload(message.function)
             case wire.Probe():
-                engine.when_awake(lambda: say(wire.Probed(message.probe, self.report("on_probe"))))
+                engine.when_awake(lambda: say(wire.ProbeResult(message.probe_id, self.report("on_probe"))))
 
     def report(self, how: str) -> dict[str, float] | None:
         return self.engine.report() if {how, "inline"} & self.tells else None
@@ -171,17 +171,22 @@
             did[0] = True
             if self.tape is not None:
                 self.tape.put(
-                    edge.connection, "effect", call=run.call, key=run.key, method=run.method, token=run.token
+                    edge.connection,
+                    "effect",
+                    call=run.call_id,
+                    key=run.key,
+                    method=run.method,
+                    token=run.token,
                 )
             return True
 
         def end(task: Task, outcome: Any, warmth: Any, more: dict[str, Any]) -> None:
-            self.tasks.pop((edge, run.call), None)
+            self.tasks.pop((edge, run.call_id), None)
             if outcome == "ok" and self.chance.chance(fault.errors):
                 outcome = "error"
             say(
-                wire.Ended(
-                    run.call, outcome, warmth if "warm" in self.tells or warmth == "load failed" else "",
+                wire.RunFinished(
+                    run.call_id, outcome, warmth if "warm" in self.tells or warmth == "load failed" else "",
                     more["company"] if "company" in self.tells else None,
                     more["report"] if "inline" in self.tells else None, DID if did[0] else DID_NOT,
                 )
@@ -189,7 +194,7 @@
 
         load = self.loads.get(run.function, body.load) / 1000
         task = Task(run.function, body.work * fault.slower / 1000, run.memory, run.lanes, load, end, begin)
-        self.tasks[edge, run.call] = task
+        self.tasks[edge, run.call_id] = task
         engine.run(task)
 
 
@@ -208,11 +213,11 @@
 
 class RunnerSpeaker(TapedSpeaker):
     protocol = wire.RUNNER
-    decoder = union(wire.ToRunner)
-    speaks_first = False
+    decoder = message_decoder(wire.ToRunner)
+    greets_first = False
 
     def __init__(self, runner: RunnerStandIn, name: str) -> None:
-        super().__init__(LineBounds(), runner.reactor, runner.tape, runner.weather, name)
+        super().__init__(LineLimits(), runner.reactor, runner.tape, runner.weather, name)
         self.runner = runner
 
     def connectionMade(self) -> None:
@@ -223,8 +228,8 @@
     def greeting(self) -> wire.Hello:
         return self.runner.hello()
 
-    def heard(self, message: Any) -> None:
-        self.runner.take(message, self, self.say)
+    def message_received(self, message: Any) -> None:
+        self.runner.take(message, self, self.send_message)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.runner.speakers.pop(self, None)
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -6,8 +6,21 @@
 import msgspec
 from msgspec import Meta, field
 
-from lapistrestle.deployment.load import DeploymentError, check, load, read_json5, shaped
-from lapistrestle.deployment.schema import Deployment, HolderDeployment, Part, Positive, Shape, Span
+from lapistrestle.deployment.load import (
+    DeploymentError,
+    convert_value,
+    load_deployment,
+    read_json5,
+    validate_deployment,
+)
+from lapistrestle.deployment.schema import (
+    Deployment,
+    Duration,
+    Fraction,
+    HolderDeployment,
+    NonNegative,
+    SettingsGroup,
+)
 
 Kind = Literal[
     "balancer_stall", "burst", "crash", "deploy", "discovery_stale", "fast_errors", "hot_key", "neighbour",
@@ -20,7 +33,7 @@
 ]  # fmt: skip
 
 
-class Machines(Shape):
+class Machines(SettingsGroup):
     """Runners of one kind, spread over the zones in turn."""
 
     count: Annotated[int, Meta(ge=1, le=1000)] = 4
@@ -32,88 +45,88 @@
     cell_of: Annotated[int, Meta(ge=1)] = 3  # runners in a cell
 
 
-class StorePlan(Shape):
+class StorePlan(SettingsGroup):
     fetches: Annotated[float, Meta(gt=0)] = 12.0
     limit: Annotated[int, Meta(ge=1)] = 60
     tips_at: Annotated[float, Meta(gt=1)] = 3.0
-    tips_after: Span = Span(30_000)
-    stops_for: Span = Span(40_000)
+    tips_after: Duration = Duration(30_000)
+    stops_for: Duration = Duration(40_000)
 
 
-class Mix(Shape):
+class Mix(SettingsGroup):
     """The RPCs of one method."""
 
     share: Annotated[float, Meta(gt=0)] = 1.0
-    work: Span = Span(1_000)  # mean, on a yardstick core
-    memory: tuple[Positive, Positive] = (200.0, 600.0)
+    work: Duration = Duration(1_000)  # mean, on a yardstick core
+    memory: tuple[NonNegative, NonNegative] = (200.0, 600.0)
     lanes: list[Annotated[int, Meta(ge=1, le=64)]] = field(default_factory=lambda: [1, 2])
-    load: tuple[Span, Span] = (Span(4_000), Span(10_000))
+    load: tuple[Duration, Duration] = (Duration(4_000), Duration(10_000))
 
 
-class Traffic(Shape):
+class Traffic(SettingsGroup):
     rate: Annotated[float, Meta(gt=0)] = 100.0  # RPCs a second
     functions: Annotated[int, Meta(ge=1, le=100_000)] = 40
-    popularity: Positive = 0.9  # exponent of Zipf's law
+    popularity: NonNegative = 0.9  # exponent of Zipf's law
     methods: dict[str, Mix] = field(default_factory=dict)
-    hints: Part = 0.2  # how far hints of the work stray; 1: none given
+    hints: Fraction = 0.2  # how far hints of the work stray; 1: none given
     retries: Annotated[int, Meta(ge=0, le=100)] = 2
-    wait: Span = Span(2_000)
-    patience: tuple[Part, Part] = (0.5, 1.0)
+    wait: Duration = Duration(2_000)
+    patience: tuple[Fraction, Fraction] = (0.5, 1.0)
     marks: bool = True
     heeds: bool = True
 
 
-class Trouble(Shape):
+class Trouble(SettingsGroup):
     """One thing that goes wrong, from `at` for `lasts`; other fields as the kind needs them."""
 
     kind: Kind
-    at: Span
-    lasts: Span = Span(50_000)
-    share: Part = 0.25  # of the runners, edges, holders, or RPCs that it meets
-    factor: Positive = 4.0  # times slower, times the traffic
-    by: Span = Span(20_000)  # how far behind, how long held
+    at: Duration
+    lasts: Duration = Duration(50_000)
+    share: Fraction = 0.25  # of the runners, edges, holders, or RPCs that it meets
+    factor: NonNegative = 4.0  # times slower, times the traffic
+    by: Duration = Duration(20_000)  # how far behind, how long held
     zone: str = ""
     on: Literal["runners", "roster", "clients"] = "runners"
 
 
-class Wrongness(Shape):
+class Wrongness(SettingsGroup):
     """What is wrong with a version, and when it shows."""
 
-    errors: Part = 0.0  # of its calls
-    slower: Positive = 1.0
-    load_errors: Part = 0.0  # of its loads
-    when_busy: Part = 0.0  # only where at least this part of the cores is at work
+    errors: Fraction = 0.0  # of its calls
+    slower: NonNegative = 1.0
+    load_errors: Fraction = 0.0  # of its loads
+    when_busy: Fraction = 0.0  # only where at least this part of the cores is at work
     customer: str = ""  # only for this one
-    after: Span = Span(0)  # only so long after it was first started
+    after: Duration = Duration(0)  # only so long after it was first started
 
 
-class Version(Shape):
+class Version(SettingsGroup):
     """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back` (0: not)."""
 
     function: str = field(name="fn", default="fn-0")
     candidate: str = "v2"
-    at: Span = Span(20_000)
-    back: Span = Span(0)
-    advance: list[Span] = field(default_factory=list)
-    remembered: Span = Span(600_000)
+    at: Duration = Duration(20_000)
+    back: Duration = Duration(0)
+    advance: list[Duration] = field(default_factory=list)
+    remembered: Duration = Duration(600_000)
     steps: list[Annotated[float, Meta(gt=0, le=100)]] = field(default_factory=lambda: [5.0, 30.0, 100.0])
     wrong: Wrongness = field(default_factory=Wrongness)
 
 
-class Day(Shape):
+class Day(SettingsGroup):
     name: str
     deployment: Any  # inline, or the path of a file beside the script
-    length: Span = Span(200_000)
+    length: Duration = Duration(200_000)
     seed: int = 1
     edges: Annotated[int, Meta(ge=1, le=1000)] = 3
     # who decides; others than the module in the model only
     policy: Literal["module", "random", "round robin", "fewest of two", "fewest", "hash", "greedy"] = "module"
     fleet: dict[str, Machines] = field(default_factory=lambda: {"plain": Machines(count=8)})
-    fetch_share: Part = 0.7
+    fetch_share: Fraction = 0.7
     drops_waiting: bool = True
     stops_running: bool = False
     store: StorePlan = field(default_factory=StorePlan)
-    roster_lag: Span = Span(10_000)
+    roster_lag: Duration = Duration(10_000)
     traffic: Traffic = field(default_factory=Traffic)
     rollouts: list[Version] = field(default_factory=list)
     troubles: list[Trouble] = field(default_factory=list)
@@ -128,12 +141,12 @@
 def make_day(value: Any, text: str = "", path: Path | None = None) -> tuple[Day, Deployment]:
     """The same from a value; `path` is where files are looked for and what errors name."""
     source = str(path) if path else "the day"
-    day = shaped(value, Day, text, source)
+    day = convert_value(value, Day, text, source)
     if isinstance(day.deployment, str):
-        deployment = load((path.parent if path else Path()) / day.deployment)
+        deployment = load_deployment((path.parent if path else Path()) / day.deployment)
     else:
-        deployment = shaped(day.deployment, Deployment, text, f"{source} (deployment)")
-        check(deployment, text, f"{source} (deployment)")
+        deployment = convert_value(day.deployment, Deployment, text, f"{source} (deployment)")
+        validate_deployment(deployment, text, f"{source} (deployment)")
     if not day.traffic.methods:
         day.traffic.methods = {name: Mix() for name in deployment.methods}
     for name in day.traffic.methods:
@@ -154,7 +167,7 @@
     """The deployment as plain values that `load`, or `load_holder`, takes again."""
 
     def span(value: Any) -> Any:
-        if isinstance(value, Span):
+        if isinstance(value, Duration):
             return f"{value / 10} ms"
         raise NotImplementedError(type(value))
 
--- a/lapistrestle/standins/taped.py
+++ b/lapistrestle/standins/taped.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from lapistrestle.standins.tape import Recorder, Tape
-from lapistrestle.wire.lines import LineBounds, Speaker
+from lapistrestle.wire.json_lines import LineConnection, LineLimits
 from lapistrestle.wire.messages import Message
 
 
@@ -30,11 +30,11 @@
         return crc32(f"{self.seed}:{self.draws}".encode()) % 10_000 < part * 10_000
 
 
-class TapedSpeaker(Speaker):
-    """A Speaker that records what crosses its socket, after what the weather does to it."""
+class TapedSpeaker(LineConnection):
+    """A LineConnection that records what crosses its socket, after what the weather does to it."""
 
     def __init__(
-        self, bounds: LineBounds, reactor: Any, tape: Tape | None, weather: Weather, name: str
+        self, bounds: LineLimits, reactor: Any, tape: Tape | None, weather: Weather, name: str
     ) -> None:
         super().__init__(bounds)
         self.reactor, self.tape, self.weather, self.connection = reactor, tape, weather, name
@@ -47,11 +47,11 @@
         if self.tape is not None:
             self.tape.put(self.connection, "open", **who)
 
-    def say(self, message: Message) -> None:
+    def send_message(self, message: Message) -> None:
         if not self.weather.silent:
-            super().say(message)
+            super().send_message(message)
 
-    def say_line(self, line: bytes) -> None:
+    def send_line(self, line: bytes) -> None:
         weather = self.weather
         if self.closed or weather.silent:
             return
@@ -81,7 +81,7 @@
             return
         if self.sent is not None:
             self.sent.bytes(data)
-        super().say_line(data)
+        super().send_line(data)
         if then is not None:
             then()
 
@@ -105,5 +105,5 @@
             self.tape.put(self.connection, "close")
         super().connectionLost(reason)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Stand-ins pass a bad line over, as their counterparts do."""
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lapistrestle.deployment.schema import Deployment, Place, Planner
+from lapistrestle.deployment.schema import Deployment, DispatcherIdentity, Planner
 from lapistrestle.standins.client import Crowd, Habits, Line, Wish
 from lapistrestle.standins.directories import DirectoryRig, Holders, holder_names
 from lapistrestle.standins.engine import RunnerFacts
@@ -22,7 +22,7 @@
 from lapistrestle.standins.store import Store, StoreFacts
 from lapistrestle.standins.tape import Tape
 from lapistrestle.ticks import SECOND
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 from lapistrestle.wire.plans import RolloutCommand
 
 FLEET = 46_000  # ports of edges among themselves, in virtual time
@@ -161,7 +161,7 @@
     def edge_deployment(self, number: int) -> Deployment:
         made = msgspec.structs.replace(self.deployment)
         zones = made.zones
-        made.dispatcher = Place(
+        made.dispatcher = DispatcherIdentity(
             name=f"edge-{number}", number=number, of=self.day.edges,
             zone=zones[number % len(zones)] if zones else "", seed=self.day.seed * 100 + number,
         )  # fmt: skip
@@ -224,7 +224,7 @@
 
     def note(self, slot: Slot, listing: Any, now: bool = False) -> None:
         size = slot.machines.cores * slot.machines.speed
-        entry = Entry(
+        entry = RosterEntry(
             slot.name, slot.runner.port, slot.zone, slot.cell, slot.kind, size, listing, slot.runner.start
         )
         self.roster.note(entry, slot.runner.engine.booted, now)
--- a/lapistrestle/wire/directory.py
+++ b/lapistrestle/wire/directory.py
@@ -1,8 +1,9 @@
 """Messages between a dispatcher that watches functions and a holder of the directory of instances.
 
-Protocol `lapistrestle.directory`, framed like the others (`wire/lines.py`). Unless stated otherwise times are
-whole tenths of a millisecond. An instance is sent as the roster's `Entry`, written as an array; its `start`
-tells one incarnation from the next, and its `up_for` (milliseconds) is as of the sending of the message.
+Protocol `lapistrestle.directory`, framed like the others (`wire/json_lines.py`). Unless stated otherwise
+times are whole tenths of a millisecond. An instance is sent as the roster's `RosterEntry`, written as an
+array; its `start` tells one incarnation from the next, and its `up_for` (milliseconds) is as of the sending
+of the message.
 """
 
 from enum import StrEnum
@@ -10,7 +11,7 @@
 
 from msgspec import Meta, Raw, Struct, convert, field
 
-from lapistrestle.wire.messages import NO_BODY, Bye, Entry, Fault, Hello, Message, Name, Number
+from lapistrestle.wire.messages import NO_BODY, Fault, Goodbye, Hello, Message, Name, Number, RosterEntry
 
 DIRECTORY = "lapistrestle.directory"
 MOST_SUPERSEDED = 8  # sources named in a snapshot
@@ -34,14 +35,14 @@
     number: int = -1
 
 
-class Instance(Entry, array_like=True, gc=False):
+class Instance(RosterEntry, array_like=True, gc=False):
     """An entry, on the wire an array of its fields in their order: about half as long as with their names.
 
     Entries are most of what a dispatcher is sent.
     """
 
 
-def compact(entry: Entry) -> Instance:
+def compact(entry: RosterEntry) -> Instance:
     """An entry as it crosses this wire."""
     return convert(entry, Instance, from_attributes=True)
 
@@ -217,5 +218,5 @@
 WatcherMessage = Watch | Unwatch | Renew | InspectRequest
 HolderMessage = Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse
 
-FromWatcher = Hello | WatcherMessage | Bye
-FromHolder = Hello | HolderMessage | Fault | Bye
+FromWatcher = Hello | WatcherMessage | Goodbye
+FromHolder = Hello | HolderMessage | Fault | Goodbye
--- a/lapistrestle/wire/messages.py
+++ b/lapistrestle/wire/messages.py
@@ -31,22 +31,22 @@
     protocol: Name
     version: int
     name: str = ""
-    you: str = ""
+    connection_name: str = msgspec.field(default="", name="you")
     start: str = ""  # a runner's: differs at each of its starts
     up_for: Millis | None = None  # a runner's: since that start
     draining: bool = False
 
 
-class Bye(Message, tag="bye"):
+class Goodbye(Message, tag="bye"):
     """The connection is closed by the sender, for this reason."""
 
-    why: str
+    reason: str = msgspec.field(name="why")
 
 
 class Fault(Message, tag="fault"):
     """A line could not be taken; `id` if it could be read. No RPC came of it."""
 
-    why: str
+    reason: str = msgspec.field(name="why")
     id: str = ""
 
 
@@ -59,25 +59,25 @@
     id: Name
     function: Name = msgspec.field(name="fn")
     method: Name
-    left: Millis
+    timeout: Millis = msgspec.field(name="left")
     customer: str = ""
     memory: Memory = 0.0
     lanes: Lanes = 1
     work: Annotated[float, Meta(ge=0, le=1e9)] | None = None
-    repeat: bool = False
+    is_retry: bool = msgspec.field(default=False, name="repeat")
     token: Number | None = None
     key: str = ""
     body: Raw = NO_BODY
-    load: Millis | None = None
+    load_time: Millis | None = msgspec.field(default=None, name="load")
 
 
-class Leave(Message, tag="leave"):
+class CancelRequest(Message, tag="leave"):
     """The client waits no longer for this RPC; no answer follows unless it is on its way."""
 
     id: Name
 
 
-class Begun(Message, tag="begun"):
+class StreamStarted(Message, tag="begun"):
     """A streamed answer has begun; its end follows as the answer."""
 
     id: Name
@@ -92,13 +92,13 @@
     body: Raw = NO_BODY
 
 
-class Look(Message, tag="look"):
+class InspectRequest(Message, tag="look"):
     """An operator asks what the edge knows of something."""
 
-    what: Literal["fleet", "directory"]
+    subject: Literal["fleet", "directory"] = msgspec.field(name="what")
 
 
-class Shown(Message, tag="shown"):
+class InspectResponse(Message, tag="shown"):
     """The answer to a look, as JSON for people and tools; its names may grow."""
 
     body: Raw
@@ -108,11 +108,11 @@
 
 
 class Run(Message, tag="run"):
-    call: Number
+    call_id: Number = msgspec.field(name="call")
     request: str = msgspec.field(name="rpc")
     function: Name = msgspec.field(name="fn")
     method: Name
-    within: Millis
+    timeout: Millis = msgspec.field(name="within")
     customer: str = ""
     memory: Memory = 0.0
     lanes: Lanes = 1
@@ -122,13 +122,13 @@
 
 
 class Cancel(Message, tag="cancel"):
-    call: Number
+    call_id: Number = msgspec.field(name="call")
 
 
-class Hold(Message, tag="hold"):
+class PreloadRequest(Message, tag="hold"):
     """Hold at least `count` copies; 0 only asks how many stand."""
 
-    order: Number
+    preload_id: Number = msgspec.field(name="order")
     function: Name = msgspec.field(name="fn")
     count: Annotated[int, Meta(ge=0, le=16)]
     memory: Memory = 0.0
@@ -140,35 +140,37 @@
 
 
 class Probe(Message, tag="probe"):
-    probe: Number
+    probe_id: Number = msgspec.field(name="probe")
 
 
 # runner to edge
 
 
-class RunBegun(Message, tag="begun"):
-    call: Number
+class RunStarted(Message, tag="begun"):
+    call_id: Number = msgspec.field(name="call")
 
 
-class Ended(Message, tag="ended"):
+class RunFinished(Message, tag="ended"):
     """How a call-out ended there; `warmth`, `company` and `report` only where settings say so."""
 
-    call: Number
+    call_id: Number = msgspec.field(name="call")
     outcome: Literal["ok", "error", "full", "miss", "cancelled"]
-    warmth: Literal["", "stood", "began load", "joined load", "load failed"] = ""
-    company: Number | None = None
+    load_state: Literal["", "stood", "began load", "joined load", "load failed"] = msgspec.field(
+        default="", name="warmth"
+    )
+    concurrency: Number | None = msgspec.field(default=None, name="company")
     report: dict[str, float] | None = None
     body: Raw = NO_BODY
 
 
-class Held(Message, tag="held"):
-    order: Number
+class PreloadResult(Message, tag="held"):
+    preload_id: Number = msgspec.field(name="order")
     outcome: Literal["ok", "full", "error"]
     count: Number = 0
 
 
-class Probed(Message, tag="probed"):
-    probe: Number
+class ProbeResult(Message, tag="probed"):
+    probe_id: Number = msgspec.field(name="probe")
     report: dict[str, float] | None = None
 
 
@@ -179,15 +181,15 @@
 # edge and roster
 
 
-class Follow(Message, tag="follow"):
+class RosterSubscribe(Message, tag="follow"):
     """Send the whole list, then each change."""
 
 
-class Ask(Message, tag="ask"):
+class RosterRequest(Message, tag="ask"):
     """Send the whole list once more."""
 
 
-class Entry(Struct, omit_defaults=True, gc=False):
+class RosterEntry(Struct, omit_defaults=True, gc=False):
     """A worker as the roster names it."""
 
     name: Name
@@ -201,39 +203,39 @@
     up_for: Millis | None = None
 
 
-class Whole(Message, tag="whole"):
+class RosterSnapshot(Message, tag="whole"):
     """All workers; one that is missing is gone. `epoch` differs each time the numbers begin anew."""
 
     number: Number
-    workers: list[Entry]
+    workers: list[RosterEntry]
     epoch: str = ""
 
 
-class Change(Message, tag="change"):
+class RosterUpdate(Message, tag="change"):
     """Changed workers only; its number is one more than that of the list it changes."""
 
     number: Number
-    workers: list[Entry]
+    workers: list[RosterEntry]
     epoch: str = ""
 
 
-class Failed(Message, tag="failed"):
+class RosterUnavailable(Message, tag="failed"):
     """The roster could not answer an `ask` or `follow`."""
 
 
 # between edges
 
 
-class Peer(Message, tag="peer"):
+class PeerMessage(Message, tag="peer"):
     sender: Number
     text: Annotated[str, Meta(max_length=256)]
 
 
-FromClient = Hello | Call | Leave | Look | Bye
-ToClient = Hello | Begun | Answer | Shown | Fault | Bye
-ToRunner = Hello | Run | Cancel | Hold | Unload | Probe | Bye
-FromRunner = Hello | RunBegun | Ended | Held | Probed | Draining | Fault | Bye
-ToRoster = Hello | Follow | Ask | Bye
-FromRoster = Hello | Whole | Change | Failed | Bye
+FromClient = Hello | Call | CancelRequest | InspectRequest | Goodbye
+ToClient = Hello | StreamStarted | Answer | InspectResponse | Fault | Goodbye
+ToRunner = Hello | Run | Cancel | PreloadRequest | Unload | Probe | Goodbye
+FromRunner = Hello | RunStarted | RunFinished | PreloadResult | ProbeResult | Draining | Fault | Goodbye
+ToRoster = Hello | RosterSubscribe | RosterRequest | Goodbye
+FromRoster = Hello | RosterSnapshot | RosterUpdate | RosterUnavailable | Goodbye
 
 encode = msgspec.json.Encoder().encode
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -9,7 +9,7 @@
 from msgspec import Meta, Struct, field
 
 from lapistrestle.rollout_types import DEFAULT_STEPS, RolloutAction, TrafficSplit
-from lapistrestle.wire.messages import Bye, Fault, Hello, Message, Name, Number
+from lapistrestle.wire.messages import Fault, Goodbye, Hello, Message, Name, Number
 
 PLANNER = "lapistrestle.planner"
 
@@ -181,5 +181,5 @@
     plan_by_edge: dict[str, int] = field(name="edges")
 
 
-FromPlanner = Hello | Plan | Heartbeat | CommandReply | PlannerStatus | Fault | Bye
-ToPlanner = Hello | Heartbeat | OutcomeReport | ReplicaReport | RolloutCommand | StatusRequest | Bye
+FromPlanner = Hello | Plan | Heartbeat | CommandReply | PlannerStatus | Fault | Goodbye
+ToPlanner = Hello | Heartbeat | OutcomeReport | ReplicaReport | RolloutCommand | StatusRequest | Goodbye
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -52,4 +52,8 @@
 
 
 def test_units_round_towards_safety() -> None:
-    assert (translation.moment(101), translation.span(199), translation.micros(0)) == (2, 1, 1)
+    assert (
+        translation.to_ticks_ceil(101),
+        translation.to_ticks_floor(199),
+        translation.to_microseconds(0),
+    ) == (2, 1, 1)
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -161,7 +161,7 @@
     assert "3" in rules and "an order goes to" in says
 
 
-HOLD = wire.encode(wire.Hold(10**9, "fn-1", 1, 100.0, 1)) + b"\n"
+HOLD = wire.encode(wire.PreloadRequest(10**9, "fn-1", 1, 100.0, 1)) + b"\n"
 REPLACED = day(
     "thumbs", [{"kind": "preempt", "share": 0.5, "lasts": "1 s"}],
     length="8 s", traffic={"rate": 400, "functions": 8},
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -12,7 +12,7 @@
 
 from lapistrestle.deployment import load as load_module
 from lapistrestle.deployment import translation
-from lapistrestle.deployment.load import DeploymentError, load, load_holder, to_settings
+from lapistrestle.deployment.load import DeploymentError, load_deployment, load_holder, to_settings
 from lapistrestle.policy.settings import MethodSettings, Settings
 from lapistrestle.standins.script import plain, read_day
 
@@ -46,7 +46,9 @@
 def test_the_examples_give_every_fact_that_the_module_is_handed(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made, named = recorded(monkeypatch, load_module, lambda: to_settings(load(EXAMPLES / f"{name}.json5")))
+    made, named = recorded(
+        monkeypatch, load_module, lambda: to_settings(load_deployment(EXAMPLES / f"{name}.json5"))
+    )
     _, platform = recorded(monkeypatch, translation, lambda: translation.to_settings({"profiles": [{}]}))
     assert named["Settings"] == platform["Settings"] == {f.name for f in fields(Settings)}
     assert named["MethodSettings"] == platform["MethodSettings"] == {f.name for f in fields(MethodSettings)}
@@ -90,7 +92,7 @@
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(DeploymentError) as trouble:
-        load(path)
+        load_deployment(path)
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
@@ -124,16 +126,16 @@
     path = tmp_path / "a.json5"
     path.write_text(text)
     with pytest.raises(DeploymentError) as trouble:
-        load(path)
+        load_deployment(path)
     assert says in str(trouble.value) and str(path) in str(trouble.value)
 
 
 def test_a_directory_is_off_unless_shards_are_named(tmp_path: Path) -> None:
     path = tmp_path / "a.json5"
     path.write_text("{" + METHODS + ', directory: {epoch: 4, lease: "1 ms"}}')
-    assert load(path).directory.shards == []
+    assert load_deployment(path).directory.shards == []
     path.write_text(directory())
-    made = load(path).directory
+    made = load_deployment(path).directory
     assert [len(copies) for copies in made.shards] == [2, 1]
     assert (made.lease, made.silence, made.lookup_time_out) == (30_000, 6_000, 2_500)
 
@@ -169,15 +171,15 @@
 
 def test_a_missing_file_is_said(tmp_path: Path) -> None:
     with pytest.raises(DeploymentError, match="can't be read"):
-        load(tmp_path / "none.json5")
+        load_deployment(tmp_path / "none.json5")
 
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
 def test_a_deployment_written_out_reads_the_same(tmp_path: Path, name: str) -> None:
-    made = load(EXAMPLES / f"{name}.json5")
+    made = load_deployment(EXAMPLES / f"{name}.json5")
     path = tmp_path / "again.json5"
     path.write_text(json.dumps(plain(made)))
-    assert to_settings(load(path)) == to_settings(made)
+    assert to_settings(load_deployment(path)) == to_settings(made)
 
 
 @pytest.mark.parametrize(
@@ -193,7 +195,7 @@
 )
 def test_what_is_wrong_in_a_day_is_said(tmp_path: Path, change: dict[str, Any], says: str) -> None:
     path = tmp_path / "day.json5"
-    deployment = json.loads(json.dumps(plain(load(EXAMPLES / "thumbs.json5"))))
+    deployment = json.loads(json.dumps(plain(load_deployment(EXAMPLES / "thumbs.json5"))))
     path.write_text(json.dumps({"name": "x", "deployment": deployment, **change}))
     with pytest.raises(DeploymentError) as trouble:
         read_day(path)
@@ -202,7 +204,7 @@
 
 def test_the_example_of_a_directory_is_one_assignment_told_alike() -> None:
     folder = EXAMPLES / "directory"
-    edge = load(folder / "edge.json5")
+    edge = load_deployment(folder / "edge.json5")
     holders = [load_holder(folder / f"holder-{number}.json5") for number in range(2)]
     assert all(holder.directory == edge.directory for holder in holders)
     ports = {copy.port for copies in edge.directory.shards for copy in copies}
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -28,14 +28,16 @@
 from lapistrestle.standins.directory_world import CALM, WILD, Plan, World, play, random_day
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.messages import Entry, encode
+from lapistrestle.wire.messages import RosterEntry, encode
 
 COPIES = (Copy("127.0.0.1", 7_001), Copy("127.0.0.1", 7_002))
 EPOCH = 3
 
 
 def entry(number, start="1", listing="serving", size=1.0):
-    return Entry(f"w{number}", 9_000 + number, "z", size=size, listing=listing, start=start, up_for=1_000.0)
+    return RosterEntry(
+        f"w{number}", 9_000 + number, "z", size=size, listing=listing, start=start, up_for=1_000.0
+    )
 
 
 class Directory:
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -13,12 +13,12 @@
 from lapistrestle.edge.program import Edge
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.messages import Change, Entry, Hello, Run, Whole
+from lapistrestle.wire.messages import Hello, RosterEntry, RosterSnapshot, RosterUpdate, Run
 
 EDGE, HOLDER, RUNNER = "edge-0", "holder-0", "w#0"
 HEADER = {"tape": 1, "edges": [EDGE], "holders": [HOLDER], "rules": {"drain_grace": 1000}}
-W = Entry("w", 9001, start=RUNNER)
-DRAINS = Entry("w", 9001, start=RUNNER, listing="draining")
+W = RosterEntry("w", 9001, start=RUNNER)
+DRAINS = RosterEntry("w", 9001, start=RUNNER, listing="draining")
 LEASE = 30_000  # tenths of a millisecond
 
 
@@ -30,7 +30,7 @@
         self.renews = renewals
         self.put(0, "roster/1", "open", roster=True)
         self.say(0, "roster/1", "<", Hello("lapistrestle.roster", 1, HOLDER))
-        self.say(1, "roster/1", ">", Whole(1, [W], "e1"))
+        self.say(1, "roster/1", ">", RosterSnapshot(1, [W], "e1"))
         self.open("link", HOLDER)
 
     def put(self, at, on, what, **more):
@@ -54,7 +54,7 @@
         self.say(at, link, ">", made)
 
     def roster(self, at, *entries, number=2, epoch="e1"):
-        self.say(at, "roster/1", ">", Change(number, list(entries), epoch))
+        self.say(at, "roster/1", ">", RosterUpdate(number, list(entries), epoch))
 
     def run(self, at):
         self.put(3, "runner/1", "open", runner="w", start=RUNNER, edge=EDGE)
@@ -194,7 +194,7 @@
     if how == "gone":
         tape.update(1_000, gone=["w"])
     elif how == "replaced":
-        tape.update(1_000, Entry("w", 9002, start="w#1"))
+        tape.update(1_000, RosterEntry("w", 9002, start="w#1"))
     else:
         tape.snapshot(1_000, number=2, complete=True)
     tape.run(2_500)
@@ -213,7 +213,7 @@
     tape = Tape()
     tape.open("late", "holder-1")
     tape.snapshot(10, W, number=4)
-    tape.snapshot(20, Entry("w", 9000, start="w#before"), number=3, link="late")
+    tape.snapshot(20, RosterEntry("w", 9000, start="w#before"), number=3, link="late")
     tape.run(2_500)
     assert kept(tape) == []  # it did not tell that the newer start is gone
 
--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -18,10 +18,10 @@
 from lapistrestle.standins.children import Child, free_tcp_ports
 from lapistrestle.standins.tape import read
 from lapistrestle.wire.directory import DIRECTORY
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 PATIENCE = 20.0  # seconds; bounds a wait, and passes no test
-ENTRY_FIELDS = tuple(field.name for field in msgspec.structs.fields(Entry))
+ENTRY_FIELDS = tuple(field.name for field in msgspec.structs.fields(RosterEntry))
 
 
 class Watcher:
@@ -358,7 +358,7 @@
 
 def share_ok(story, begin, end=NEVER):
     """Of the first tries of clients between these times, the part that went well; there were some."""
-    calls = [call for call in story.calls if begin < call.at < end and not call.message.repeat]
+    calls = [call for call in story.calls if begin < call.at < end and not call.message.is_retry]
     assert len(calls) > 20
     return sum(any(a.verdict == "ok" for _, _, a in call.answers) for call in calls) / len(calls)
 
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -3,28 +3,28 @@
 import pytest
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.deployment.load import check_holder
+from lapistrestle.deployment.load import validate_holder
 from lapistrestle.deployment.schema import (
     Directory,
     DirectoryCopy,
     DirectoryServe,
+    Duration,
     HolderDeployment,
     Roster,
-    Span,
 )
 from lapistrestle.directory.byte_rate import ByteRateMeter
 from lapistrestle.directory.server import HolderProgram
 from lapistrestle.standins.roster import RosterStandIn
 from lapistrestle.standins.virtual import Process, VirtualReactor
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.lines import LineBounds, Speaker, union
-from lapistrestle.wire.messages import ROSTER, Change, Entry, Hello, Whole, encode
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
+from lapistrestle.wire.messages import ROSTER, Hello, RosterEntry, RosterSnapshot, RosterUpdate, encode
 
 PORT = 7200
 
 
 def entry(name, start=0, **more):
-    return Entry(name, 9000 + start, "north", start=f"{name}#{start}", **more)
+    return RosterEntry(name, 9000 + start, "north", start=f"{name}#{start}", **more)
 
 
 class Watcher(ClientFactory):
@@ -43,7 +43,7 @@
         return self.speaker
 
     def say(self, message):
-        self.speaker.say(message)
+        self.speaker.send_message(message)
 
     def watch(self, id=1, function="f", count=4, epoch=1, shard=0):
         self.say(wire.Watch(id, shard, epoch, function, count))
@@ -55,24 +55,24 @@
         return [e.name for e in self.of(wire.Snapshot)[-1].entries]
 
 
-class WatcherEnd(Speaker):
+class WatcherEnd(LineConnection):
     protocol = wire.DIRECTORY
-    decoder = union(wire.FromHolder)
+    decoder = message_decoder(wire.FromHolder)
 
     def __init__(self, watcher):
-        super().__init__(LineBounds())
+        super().__init__(LineLimits())
         self.watcher = watcher
 
     def greeting(self):
         return Hello(self.protocol, 1, self.watcher.name)
 
-    def heard(self, message):
+    def message_received(self, message):
         self.watcher.heard.append(message)
 
-    def left(self, why):
+    def goodbye_received(self, why):
         self.watcher.bye = why
 
-    def lost(self):
+    def connection_lost(self):
         self.watcher.over = True
 
 
@@ -91,7 +91,7 @@
             serve=DirectoryServe(name="holder-0", port=PORT, zone="north", **serve),
             roster=Roster(port=self.roster.port),
         )
-        check_holder(settings)
+        validate_holder(settings)
         self.logs = []
         self.process = Process(self.reactor, "holder-0")
         self.program = HolderProgram(
@@ -246,7 +246,7 @@
 
 
 def test_a_watcher_that_does_not_read_is_cut_and_holds_up_nobody():
-    lease, count, unsent = Span(600_000), 300, 65_536
+    lease, count, unsent = Duration(600_000), 300, 65_536
     rig = Rig(count, {"bytes_per_second": 10_000_000, "lease": lease}, unsent=unsent)
     slow, edge = rig.watcher("slow"), rig.watcher("edge-1")
     for watcher in (slow, edge):
@@ -360,7 +360,7 @@
 
 def whole_of(program):
     listed = program.roster.list
-    return Whole(listed.number, [entry(f"w{number}") for number in range(12)], listed.epoch)
+    return RosterSnapshot(listed.number, [entry(f"w{number}") for number in range(12)], listed.epoch)
 
 
 def standstill(program):
@@ -372,7 +372,7 @@
 def test_a_list_that_the_program_asked_for_before_a_standstill_does_not_end_it():
     program = Rig().program
     listed = program.roster.list
-    program.roster.source.heard(Change(listed.number + 2, [], listed.epoch))  # a gap: it is asked for
+    program.roster.source.heard(RosterUpdate(listed.number + 2, [], listed.epoch))  # a gap: it is asked for
     standstill(program)  # the holder asks on its own
     program.roster.source.heard(whole_of(program))  # the answer to the first question
     assert not program.holder.freshness.may_answer
@@ -384,7 +384,7 @@
     program = Rig().program
     program.holder.roster_lost(program.clock())
     speaker = program.roster.source.speaker
-    speaker.met(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
+    speaker.greeting_received(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
     standstill(program)
     program.roster.source.heard(whole_of(program))
     assert not program.holder.freshness.may_answer
@@ -397,8 +397,8 @@
     standstill(program)
     listed, source = program.roster.list, program.roster.source
     before = listed.number
-    source.heard(Whole(before - 1, [], listed.epoch))  # goes back: the same must be said twice
-    source.heard(Whole(before - 2, [], listed.epoch))  # passed over
+    source.heard(RosterSnapshot(before - 1, [], listed.epoch))  # goes back: the same must be said twice
+    source.heard(RosterSnapshot(before - 2, [], listed.epoch))  # passed over
     assert program.holder.freshness.open_requests == 1
     program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
@@ -407,7 +407,7 @@
 def test_an_unreadable_line_of_the_roster_has_the_connection_begin_anew():
     rig = Rig()
     first = rig.program.roster.source.speaker
-    first.unreadable(b"{", "cut off")
+    first.unreadable_line_received(b"{", "cut off")
     rig.run(2.0)
     assert rig.program.roster.source.speaker is not first
     assert rig.program.counts.unreadable_lines == 1
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -6,7 +6,7 @@
 import pytest
 from twisted.internet.protocol import ClientFactory, Protocol, ServerFactory
 
-from lapistrestle.deployment.load import load
+from lapistrestle.deployment.load import load_deployment
 from lapistrestle.edge.program import Edge
 from lapistrestle.standins.virtual import Process, VirtualReactor
 
@@ -61,7 +61,7 @@
         self.outside = Process(self.reactor, "test")
         self.process = Process(self.reactor, "edge")
         self.logs = []
-        deployment = load(EXAMPLES / f"{like}.json5")
+        deployment = load_deployment(EXAMPLES / f"{like}.json5")
         deployment.listen = msgspec.structs.replace(deployment.listen, port=0, **listen)
         deployment.methods |= methods or {}
         deployment.roster = msgspec.structs.replace(deployment.roster, **roster or {})
@@ -310,7 +310,7 @@
             seen += 1
             end(peer, run, body=big)
         stage.run()
-    waits = [seat.waiting for seat in stage.edge.seats]
+    waits = [seat.unsent_bytes for seat in stage.edge.seats]
     assert not waits or max(waits) <= 100_000
     client.transport.resumeProducing()
     stage.run(3.0)
@@ -443,7 +443,7 @@
     """A runner reads slowly; meanwhile it is told to drain. What waited must never go out later."""
     stage = Stage(runners=1)
     link = stage.edge.runners["r0"].linking
-    stage.edge.runners["r0"].speaker.slowed(True)
+    stage.edge.runners["r0"].speaker.write_blocked(True)
     client = stage.client()
     client.say(**CALL | {"method": "charge"}, id="1")
     stage.run()
@@ -451,7 +451,7 @@
     stage.change(2, stage.entry("r0", listing="draining"))
     stage.run()
     assert not link.waiting and client.heard("answer")[0]["verdict"] == "denied"
-    stage.edge.runners["r0"].speaker.slowed(False)
+    stage.edge.runners["r0"].speaker.write_blocked(False)
     stage.run(1.0)
     assert not stage.runs()
 
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -7,13 +7,13 @@
 import pytest
 from test_edge import CALL, EXAMPLES, Listens, Stage, end
 
-from lapistrestle.deployment.load import load
+from lapistrestle.deployment.load import load_deployment
 from lapistrestle.deployment.schema import Directory, DirectoryCopy
 from lapistrestle.edge.program import Edge
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.virtual import Process, VirtualReactor
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.messages import Entry, encode
+from lapistrestle.wire.messages import RosterEntry, encode
 
 HELLO = {"is": "hello", "protocol": "lapistrestle.directory", "version": 1, "name": "holder"}
 LEASE = 30_000  # tenths of a millisecond
@@ -29,7 +29,7 @@
         self.outside = Process(self.reactor, "test")
         self.process = Process(self.reactor, "edge")
         self.logs = []
-        deployment = load(EXAMPLES / f"{like}.json5")
+        deployment = load_deployment(EXAMPLES / f"{like}.json5")
         deployment.listen = msgspec.structs.replace(deployment.listen, port=0)
         deployment.allowed = msgspec.structs.replace(deployment.allowed, **allowed or {})
         self.rosters, self.clients = [], []
@@ -52,7 +52,7 @@
 
     def entry(self, name, **more):
         told = {"port": self.ports[name], "start": f"{name}#0", "up_for": SECONDS_UP * 1000.0, **more}
-        return wire.compact(Entry(name, **told))
+        return wire.compact(RosterEntry(name, **told))
 
     def greet_holders(self):
         for peer in self.holders:
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -223,7 +223,7 @@
 def test_after_a_burst_far_over_capacity_the_fleet_is_back_and_keeps_the_rules() -> None:
     burst = [{"kind": "burst", "at": "8 s", "lasts": "10 s", "factor": 16}]
     played = Played(fleet_day(burst, length="36 s", edges=3, seed=3, traffic={"rate": 60, "functions": 20}))
-    calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.repeat]
+    calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.is_retry]
     ok = sum(bool(c.answers) and c.answers[0][2].verdict == "ok" for c in calls)
     assert played.breaches() == [] and ok > 0.95 * len(calls)
     assert any("figures together" in str(m["figures"]) for m in played.logged("fleet"))
@@ -242,7 +242,7 @@
     played = Played(script)
     calls = [c for c in played.story.calls if 10_000 < c.at < 14_000]
     ok = sum(bool(c.answers) and c.answers[0][2].verdict == "ok" for c in calls)
-    assert played.breaches() == [] and ok > 0.9 * sum(not c.message.repeat for c in calls)
+    assert played.breaches() == [] and ok > 0.9 * sum(not c.message.is_retry for c in calls)
 
 
 STILL = {"kind": "balancer_stall", "at": "2 s", "lasts": "4 s"}
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -5,18 +5,18 @@
 from lapistrestle.edge.following import Following
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.sources.numbered_list import TRANSITIONS, ListAction, ListEvent, ListState
-from lapistrestle.wire.messages import Change, Entry, Whole
+from lapistrestle.wire.messages import RosterEntry, RosterSnapshot, RosterUpdate
 
-A = Entry("a", 1000, "north", start="a#0", up_for=60_000.0)
-B = Entry("b", 1001, "south", start="b#0", up_for=60_000.0)
+A = RosterEntry("a", 1000, "north", start="a#0", up_for=60_000.0)
+B = RosterEntry("b", 1001, "south", start="b#0", up_for=60_000.0)
 
 
-def whole(number: int, *entries: Entry, epoch: str = "e") -> Whole:
-    return Whole(number, list(entries), epoch)
+def whole(number: int, *entries: RosterEntry, epoch: str = "e") -> RosterSnapshot:
+    return RosterSnapshot(number, list(entries), epoch)
 
 
-def change(number: int, *entries: Entry, epoch: str = "e") -> Change:
-    return Change(number, list(entries), epoch)
+def change(number: int, *entries: RosterEntry, epoch: str = "e") -> RosterUpdate:
+    return RosterUpdate(number, list(entries), epoch)
 
 
 @pytest.fixture
@@ -27,7 +27,7 @@
 
 
 def test_changes_follow_and_repeats_pass(list_: Following) -> None:
-    taken = list_.told(change(6, Entry("a", 1000, start="a#0", listing="draining")), 1_000_000)
+    taken = list_.told(change(6, RosterEntry("a", 1000, start="a#0", listing="draining")), 1_000_000)
     assert taken.do is ListAction.TAKE and taken.facts[0].listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).do is ListAction.PASS
 
@@ -47,7 +47,7 @@
 
 
 def test_one_stale_list_does_not_bring_back_what_is_gone(list_: Following) -> None:
-    list_.told(change(6, Entry("a", listing="gone", start="a#0")), 1_000_000)
+    list_.told(change(6, RosterEntry("a", listing="gone", start="a#0")), 1_000_000)
     assert list_.told(whole(5, A, B), 1_000_000).do is ListAction.ASK
     assert list_.told(whole(6, B), 1_000_000).do is ListAction.TAKE
     assert set(list_.known) == {"b"}
@@ -65,7 +65,7 @@
 
 def test_a_start_is_reckoned_once(list_: Following) -> None:
     before = list_.known["a"].booted
-    taken = list_.told(change(6, Entry("a", 1000, start="a#0", up_for=61_007.0)), 1_010_000)
+    taken = list_.told(change(6, RosterEntry("a", 1000, start="a#0", up_for=61_007.0)), 1_010_000)
     assert taken.facts[0].booted == before == 1_000_000 - 600_000
 
 
@@ -81,7 +81,7 @@
     (facts,) = list_.drains("a", "a#0")
     assert facts.listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).facts[0].listing is EndpointState.DRAINING
-    anew = Entry("a", 1007, "north", start="a#1", up_for=0.0)
+    anew = RosterEntry("a", 1007, "north", start="a#1", up_for=0.0)
     assert list_.told(change(7, anew), 1_000_000).facts[0].listing is EndpointState.SERVING
     assert list_.drains("a", "a#0") == () and list_.drains("nobody", "x") == ()
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -4,7 +4,7 @@
 from helpers import dispatcher, request
 from test_edge import CALL, Stage
 
-from lapistrestle.deployment.load import DeploymentError, shaped
+from lapistrestle.deployment.load import DeploymentError, convert_value
 from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.keeping import Keeping
 from lapistrestle.store import learned_state
@@ -98,7 +98,7 @@
 def test_the_setting_is_checked_and_absent_keeps_nothing(stage):
     assert stage.edge.keeping is None
     with pytest.raises(DeploymentError, match=r"x.json5.*dispatcher.keep.*is 5; expected text"):
-        shaped({"methods": {}, "dispatcher": {"keep": 5}}, Deployment, "", "x.json5")
+        convert_value({"methods": {}, "dispatcher": {"keep": 5}}, Deployment, "", "x.json5")
 
 
 def test_the_usual_time_of_a_load_reaches_the_module_from_the_line(stage):
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -6,8 +6,8 @@
 import pytest
 from twisted.protocols.basic import LineReceiver
 
-from lapistrestle.wire.lines import LineBounds, Speaker, union
-from lapistrestle.wire.messages import ROSTER, Change, Entry, FromRoster, Hello, Message, encode
+from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
+from lapistrestle.wire.messages import ROSTER, FromRoster, Hello, Message, RosterEntry, RosterUpdate, encode
 
 LINE = 4_096  # the longest that is taken here
 
@@ -28,23 +28,23 @@
     def loseConnection(self) -> None: ...
 
 
-class Hearing(Speaker):
+class Hearing(LineConnection):
     protocol = ROSTER
-    decoder = union(FromRoster)
+    decoder = message_decoder(FromRoster)
 
     def __init__(self, line: int = LINE) -> None:
-        super().__init__(LineBounds(line=line))
+        super().__init__(LineLimits(max_line_bytes=line))
         self.messages = list[Message]()
         self.transport = Transport()
         self.connectionMade()
         self.dataReceived(encode(Hello(ROSTER, 1)) + b"\n")
 
-    def heard(self, message: Message) -> None:
+    def message_received(self, message: Message) -> None:
         self.messages.append(message)
 
 
-def change(number: int, size: int = 1) -> Change:
-    return Change(number, [Entry(f"w{number}-{n}") for n in range(size)])
+def change(number: int, size: int = 1) -> RosterUpdate:
+    return RosterUpdate(number, [RosterEntry(f"w{number}-{n}") for n in range(size)])
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -71,7 +71,7 @@
         if not hearing.closed:
             hearing.dataReceived(data[at : at + step])
     assert hearing.closed and b"longer than 4096 bytes" in hearing.transport.written[-1]
-    assert hearing.held <= LINE
+    assert hearing.partial_bytes <= LINE
 
 
 def test_the_longest_line_is_taken_also_in_pieces() -> None:
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -59,7 +59,7 @@
 def test_the_rules_hold_and_half_is_served_through_it(name: str) -> None:
     played = crowd(DAYS[name], seed=2)
     calls = [c for c in played.story.calls if 3_000 < c.at < 13_000]
-    first = sum(not c.message.repeat for c in calls)
+    first = sum(not c.message.is_retry for c in calls)
     assert played.breaches() == [] and len(ok(calls)) > 0.5 * first
 
 
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -160,7 +160,7 @@
 def cut_off_half(played: Rolled) -> None:
     """Nothing from the planner reaches these edges any more; no connection closes."""
     for speaker in list(played.planner.edge_connections)[::2]:
-        speaker.say = lambda message: None  # type: ignore[method-assign]
+        speaker.send_message = lambda message: None  # type: ignore[method-assign]
 
 
 TROUBLED: dict[str, list[tuple[float, Callable[[Rolled], object]]]] = {
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -23,7 +23,7 @@
 from lapistrestle.fleet.member_table import MemberTable
 from lapistrestle.policy.entities import Request, Worker
 from lapistrestle.policy.slow_start import SlowStart
-from lapistrestle.wire.lines import LineBounds
+from lapistrestle.wire.json_lines import LineLimits
 
 GIVEN = assumptions.load()
 NO_WORSE = (Kind.FLAT, Kind.LOG, Kind.LINEAR)
@@ -167,8 +167,8 @@
     """The page tells it: the default bound of a line is what breaks first for plans."""
     figures = {f.name: f.value for f in control_rollout.longest_line(1, GIVEN, True)}
     most = int(figures["most functions in a whole plan that an edge takes"])
-    assert len(control_rollout.whole_line(most)) <= LineBounds().line + 1
-    assert len(control_rollout.whole_line(most + 1)) > LineBounds().line
+    assert len(control_rollout.whole_line(most)) <= LineLimits().max_line_bytes + 1
+    assert len(control_rollout.whole_line(most + 1)) > LineLimits().max_line_bytes
 
 
 # the list
@@ -204,8 +204,8 @@
     assert hollow.traffic.messages_out == 20
     figures = {f.name: f.value for f in control_roster.longest_line(1, GIVEN, True)}
     most = int(figures["most instances in a whole list"])
-    assert len(control_roster.whole_line(most)) <= LineBounds().line + 1
-    assert len(control_roster.whole_line(most + 1)) > LineBounds().line
+    assert len(control_roster.whole_line(most)) <= LineLimits().max_line_bytes + 1
+    assert len(control_roster.whole_line(most + 1)) > LineLimits().max_line_bytes
 
 
 # cold instances
