--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -17,7 +17,7 @@
 from lapistrestle.store.learned_state import LearnedMethod, read_learned_state, write_learned_state
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import union
+from lapistrestle.wire.json_lines import message_decoder
 from lapistrestle.wire.messages import Message, encode
 
 ENTRIES: list[tuple[JournalEntry, bytes]] = [
@@ -131,9 +131,11 @@
 @pytest.mark.parametrize(("message", "data"), MESSAGES)
 def test_a_message_of_the_planner_keeps_its_bytes(message: Message, data: bytes) -> None:
     assert encode(message) == data
-    assert union(plans.ToPlanner | plans.FromPlanner).decode(data) == message
+    assert message_decoder(plans.ToPlanner | plans.FromPlanner).decode(data) == message
 
 
 def test_a_field_in_code_is_no_field_on_the_wire() -> None:
     with pytest.raises(msgspec.ValidationError, match="missing required field `what`"):
-        union(plans.ToPlanner).decode(b'{"is":"order","id":"1","action":"start","fn":"f","who":"duty"}')
+        message_decoder(plans.ToPlanner).decode(
+            b'{"is":"order","id":"1","action":"start","fn":"f","who":"duty"}'
+        )
--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.command.experiments import read as read_experiment
 from lapistrestle.command.rollouts import Policy
-from lapistrestle.deployment.load import load, load_holder, read_json5, shaped
+from lapistrestle.deployment.load import convert_value, load_deployment, load_holder, read_json5
 from lapistrestle.deployment.schema import Deployment, HolderDeployment
 from lapistrestle.model.experiment import Experiment
 from lapistrestle.node.configuration import ConfigurationFile, PlatformSettings
@@ -20,7 +20,7 @@
     "client": {"to edge": messages.FromClient, "from edge": messages.ToClient},
     "runner": {"to edge": messages.FromRunner, "from edge": messages.ToRunner},
     "roster": {"to edge": messages.FromRoster, "from edge": messages.ToRoster},
-    "peer": {"between edges": messages.Peer},
+    "peer": {"between edges": messages.PeerMessage},
     "planner": {"from planner": plans.FromPlanner, "to planner": plans.ToPlanner},
     "directory": {"from watcher": directory.FromWatcher, "from holder": directory.FromHolder},
 }
@@ -56,15 +56,10 @@
     return msgspec.json.Decoder(union).decode
 
 
-def load_deployment(path: Path) -> Any:
-    """A checked deployment file."""
-    return load(path)
-
-
 def load_policy(path: Path) -> Any:
     """A checked file of a rollout's policy."""
     value, text = read_json5(path)
-    return shaped(value, Policy, text, str(path))
+    return convert_value(value, Policy, text, str(path))
 
 
 LOADERS: dict[str, Callable[[Path], Any]] = {
