--- a/benchmarks/scale/roles/control_cold.py
+++ b/benchmarks/scale/roles/control_cold.py
@@ -35,8 +35,8 @@
     made = Dispatcher(Quiet(), module_settings(dispatchers, number), number, 0)
     made.now = NOW
     cold = Worker("cold")
-    listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted=0)) for i in range(WARM)]
-    made.on_endpoints([*listed, (cold, WorkerInfo("cold", booted=NOW))], snapshot=True)
+    listed = [(Worker(f"warm-{i}"), WorkerInfo(f"warm-{i}", booted_at=0)) for i in range(WARM)]
+    made.on_endpoints([*listed, (cold, WorkerInfo("cold", booted_at=NOW))], snapshot=True)
     pace = calls_an_instance / dispatchers / SECOND  # of one dispatcher's calls, at each unit of size
     made.slow_start.ok_work.add(NOW, pace * made.latency.typical(0) * made.slow_start.ok_work.time_constant)
     return made, cold
@@ -46,7 +46,7 @@
     """Call-outs that it may send to the cold instance at this moment, if all its calls went there."""
     made.now = now
     made.slow_start.ok_work.updated_at = now  # steady: what is answered goes on
-    cold.booted = now  # still as cold as on its first day
+    cold.booted_at = now  # still as cold as on its first day
     cold.sent_in_slow_start.clear()
     count = 0
     request = Request("r", FUNCTION, 0, 0, now + 3 * SECOND)
--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -51,8 +51,8 @@
     def send_command(self, command: str, **fields: Any) -> None:
         self.cmds.append({command: {"dispatcher-id": self.name, **fields}})
 
-    def send_attempt(self, attempt: Attempt, time_out: int) -> None:
-        within = translation.to_microseconds(time_out)
+    def send_attempt(self, attempt: Attempt, timeout: int) -> None:
+        within = translation.to_microseconds(timeout)
         self.send_command(
             "Relay", **{"msg-id": attempt.request.tag, "runner": attempt.worker.name, "within": within}
         )
@@ -221,10 +221,10 @@
         cell=record.get("cohort") or 0,
         kind=record.get("type") or 0,
         size=1.0 if size is None else size,
-        listing=translation.ENDPOINT_STATES.get(
+        endpoint_state=translation.ENDPOINT_STATES.get(
             record.get("availability") or "SERVING", EndpointState.SERVING
         ),
-        booted=translation.to_ticks_ceil(booted) if booted else None,
+        booted_at=translation.to_ticks_ceil(booted) if booted else None,
     )
 
 
--- a/lapistrestle/deployment/translation.py
+++ b/lapistrestle/deployment/translation.py
@@ -34,7 +34,7 @@
 LOAD_STATES = (
     LoadState.UNKNOWN,
     LoadState.LOADED,
-    LoadState.BEGAN_LOAD,
+    LoadState.STARTED_LOAD,
     LoadState.JOINED_LOAD,
     LoadState.LOAD_FAILED,
 )
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -10,8 +10,8 @@
 from lapistrestle.edge.work_gate import NOT_BEGUN, READ_AGAIN, WorkGate
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
+from lapistrestle.hosting.timer_gate import TimerGate
 from lapistrestle.hosting.timers import Timer
-from lapistrestle.hosting.turns import Turns
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
 from lapistrestle.policy.settings import Settings
@@ -80,7 +80,7 @@
         self.stopped: Callable[[], None] | None = None
         self.answers_until: int | None = None  # once cut short: until when answers may still leave
         self.inputs = 0  # inputs so far
-        self.turns, self.next_turn, self.turn_at = Turns(), None, -1
+        self.turns, self.next_turn, self.turn_at = TimerGate(), None, -1
         self.front: Front
         self.make_runner: Callable[[str, Any, str], RunnerHandle]
         self.sources: list[ListSource] = []
@@ -164,7 +164,7 @@
         self.gate.listed(told, whole)
         self.host.endpoints_received(told, whole)
         for facts in told:
-            if facts.listing is not EndpointState.SERVING and facts.name in self.runners:
+            if facts.endpoint_state is not EndpointState.SERVING and facts.name in self.runners:
                 self.runners[facts.name].hold_back()
 
     def address(self, name: str, address: Any, start: str = "") -> None:
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -119,7 +119,7 @@
             if worker.ejected:
                 names = self.probers_of.get(worker.name) or select_probers(worker.name, members_by_name)
                 self.probers_of[worker.name] = names
-                worker.tried_here = me in names
+                worker.trials_assigned_here = me in names
         self.announced &= set(workers)
 
     def admit(self, method: int, customer: int, repeat: bool, key: str) -> int | None:
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -37,7 +37,7 @@
         for name in names:
             known = self.edge.following.known.pop(name, None) or self.parted.pop(name, None)
             if known is not None:
-                facts.append(replace(self.edge.following.facts(known), listing=EndpointState.REMOVED))
+                facts.append(replace(self.edge.following.facts(known), endpoint_state=EndpointState.REMOVED))
         self.tell_left(facts)
 
     def forgotten(self, names: Iterable[str]) -> None:
@@ -54,7 +54,7 @@
             warm_at = (known.booted or -self.region.ramp_time) + self.region.ramp_time
             left = warm_at - self.edge.clock() if self.region.ramp_time and known.booted is not None else 0
             listing = EndpointState.DRAINING if left > 0 else EndpointState.REMOVED
-            facts.append(replace(self.edge.following.facts(known), listing=listing))
+            facts.append(replace(self.edge.following.facts(known), endpoint_state=listing))
             if left > 0:
                 self.parted[name] = known
                 self.edge.after(left, self.warmed_up, known)
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -189,7 +189,7 @@
         edge, module = self.edge, self.edge.host.module
         if self.edge.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
-        function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
+        function = edge.host.registry.function(name, model.method, model.memory_mb, model.lanes)
         if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
             # its prefix is being looked up
@@ -197,16 +197,16 @@
         memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
         for worker in module.orders.function_order(function):
-            if worker.listing.name != "SERVING" or not module.health.healthy(worker):
+            if worker.endpoint_state.name != "SERVING" or not module.health.healthy(worker):
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
             capacity = replicas.WorkerCapacity(
                 0,
-                replicas.replica_limit(size, function.memory),
+                replicas.replica_limit(size, function.memory_mb),
                 warming_up=module.slow_start.share(worker) < 1,
             )
             if (replica := function.replicas.get(worker)) is not None:
-                capacity.loaded = module.copies.believed(replica)
+                capacity.loaded = module.copies.believed_count(replica)
                 capacity.preload_pending = bool(replica.pending_preloads)
                 capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_life // 3
             capacities[capacity] = worker
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -120,7 +120,7 @@
     def list_event(self, news: ListEvent) -> None:
         self.input()
         if self.following.step(news) is ListAction.TELL_FAILED:
-            self.host.list_failed()
+            self.host.endpoints_failed()
 
     def runner(self, name: str) -> Any:
         """With a directory most of the workers that are known are never sent anything: one is dialled when
@@ -169,13 +169,14 @@
             waits = not self.directory.ready(function, call.method)
         pending = self.host.request_received(
             client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
-            customer=customer, time_left=left, memory=call.memory, lanes=call.lanes,
+            customer=customer, time_left=left, memory_mb=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.is_retry,
-            route=route, load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
+            route=route, load_time=load, already_counted=moved, prior_attempts=prior_attempts,
+            awaits_prefix=waits,
         )  # fmt: skip
         if waits:
             self.directory.wait(pending)
-        if not pending.final:
+        if not pending.is_closed:
             seat.open[call.id] = pending
 
     def move(self, pending: PendingRequest) -> None:
@@ -207,7 +208,7 @@
         """Whether it is past its soft deadline now."""
         method = self.settings.methods[pending.method]
         stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
-        return bool(self.clock() - pending.began > min(method.deadline, stretched))
+        return bool(self.clock() - pending.accepted_at > min(method.deadline, stretched))
 
     # what the host asks (hosting.transport)
 
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -17,7 +17,7 @@
     "cancelled": Outcome.CANCELLED,
 }  # fmt: skip
 WARMTH = {
-    "": LoadState.UNKNOWN, "stood": LoadState.LOADED, "began load": LoadState.BEGAN_LOAD,
+    "": LoadState.UNKNOWN, "stood": LoadState.LOADED, "began load": LoadState.STARTED_LOAD,
     "joined load": LoadState.JOINED_LOAD, "load failed": LoadState.LOAD_FAILED,
 }  # fmt: skip
 
@@ -25,7 +25,7 @@
 def run_of(worker_call: WorkerCall, now: int) -> wire.Run:
     """An attempt as the runner is told of it, if that is written `now`."""
     pending, asked = worker_call.pending, worker_call.pending.message
-    left = max(1, worker_call.ends_by - now) / 10
+    left = max(1, worker_call.expires_at - now) / 10
     return wire.Run(
         worker_call.number, pending.tag, pending.function.name, asked.method, left, asked.customer,
         asked.memory, asked.lanes, asked.token, asked.key, asked.body,
@@ -35,7 +35,7 @@
 def hold_of(task: WorkerTask) -> wire.PreloadRequest:
     assert task.function is not None
     function = task.function
-    return wire.PreloadRequest(task.number, function.name, task.count, function.memory, function.lanes)
+    return wire.PreloadRequest(task.number, function.name, task.count, function.memory_mb, function.lanes)
 
 
 def encoded(message: wire.Message) -> bytes:
@@ -151,7 +151,7 @@
 
     def send_call(self, worker_call: WorkerCall) -> None:
         worker_call.connection = self
-        number, until = worker_call.number, worker_call.begin_by
+        number, until = worker_call.number, worker_call.write_by
         if not self.linking.send(Line(number, lambda: self.run_line(worker_call), until, work=worker_call)):
             self.host.attempt_finished(worker_call.number, Outcome.REJECTED)
 
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -29,7 +29,7 @@
         """A list or a change of it was read."""
         if whole:
             self.listings.clear()
-        self.listings.update((facts.name, facts.listing) for facts in told)
+        self.listings.update((facts.name, facts.endpoint_state) for facts in told)
 
     def may_begin(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
         """Whether work may begin at a runner, which may be another process under its worker's name by now."""
@@ -60,9 +60,9 @@
     def is_wanted(self, worker_call: WorkerCall) -> bool:
         """Whether a client still waits for an attempt that has not begun, with time left for it."""
         pending = worker_call.pending
-        if pending.final or not pending.client.is_waiting():
+        if pending.is_closed or not pending.client.is_waiting():
             return False
-        return not pending.final and worker_call.ends_by > self.core.clock()
+        return not pending.is_closed and worker_call.expires_at > self.core.clock()
 
     def refused(self, work: WorkerCall | WorkerTask) -> None:
         """Count what may not begin, and log the first ones with what the list says."""
--- a/lapistrestle/hosting/answers.py
+++ b/lapistrestle/hosting/answers.py
@@ -33,14 +33,14 @@
         self, pending: PendingRequest, end: RequestEnd, retry_after: int = 0, body: Any = None
     ) -> None:
         """Send the final answer, unless the request is closed."""
-        if pending.final:
+        if pending.is_closed:
             return
         self.close(pending, end)
         self.context.transport.send_answer(pending, end, retry_after, body)
 
     def close(self, pending: PendingRequest, end: RequestEnd) -> None:
         """Close the request; its attempts may still be in flight."""
-        pending.final = True
+        pending.is_closed = True
         self.open_requests -= 1
         self.context.counts[end] += 1
         self.context.transport.request_closed(pending, end)
@@ -53,26 +53,26 @@
 
     def client_gone(self, pending: PendingRequest) -> None:
         """Close the request of a client that disconnected; attempts that workers have continue."""
-        if not pending.final:
+        if not pending.is_closed:
             self.close(pending, RequestEnd.CLIENT_GONE)
             self.events.post(pending, "on_client_gone", pending)
 
     def retract(self, pending: PendingRequest) -> None:
         """Close a request that has not run, so that the host can submit it again for another function."""
-        if not pending.final:
+        if not pending.is_closed:
             self.close(pending, RequestEnd.MIGRATED)
             self.events.post(pending, "on_client_gone", pending)
 
     def abort_all(self, requests: Sequence[PendingRequest]) -> None:
         """Abort the requests at once, as the program ends."""
         for pending in requests:
-            if not pending.final:
+            if not pending.is_closed:
                 self.finish(pending, RequestEnd.ABORTED)
                 self.events.post(pending, "on_client_gone", pending)
 
     def on_deadline_overdue(self, pending: PendingRequest) -> None:
         """Abort a request whose deadline the module missed, so that it gets an answer in time."""
-        if not pending.final:
+        if not pending.is_closed:
             self.context.counts[Counter.DEADLINES_ENFORCED] += 1
             self.context.transport.log("deadline guarded", request=pending.tag, state=str(pending.state))
             self.finish(pending, RequestEnd.ABORTED)
--- a/lapistrestle/hosting/events.py
+++ b/lapistrestle/hosting/events.py
@@ -91,7 +91,7 @@
 
     def deliver_one(self, pending: PendingRequest | None, event: str, args: tuple[Any, ...]) -> None:
         """Deliver one event to the module."""
-        if event == "on_request" and pending is not None and pending.final:
+        if event == "on_request" and pending is not None and pending.is_closed:
             return  # its client disconnected before it was placed
         self.module.now = self.context.clock()
         try:
@@ -108,7 +108,7 @@
             arguments=" ".join(describe(argument) for argument in args),
             traceback=traceback.format_exc(limit=-MAX_SHOWN_FRAMES),
         )
-        if pending is not None and not pending.final:
+        if pending is not None and not pending.is_closed:
             pending.state = type(pending.state).OVER
             pending.over = True
             self.on_error(pending)
--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -116,14 +116,14 @@
         method: int,
         customer: int,
         time_left: int,
-        memory: float = 0.0,
+        memory_mb: float = 0.0,
         lanes: int = 1,
         work: int | None = None,
         repeat: bool = False,
         route: Any = None,
-        moved: bool = False,
+        already_counted: bool = False,
         prior_attempts: int = 0,
-        load: int | None = None,
+        load_time: int | None = None,
         arrived_at: int | None = None,
         awaits_prefix: bool = False,
     ) -> PendingRequest:
@@ -131,22 +131,25 @@
         the earliest tick at which it may have arrived. If `awaits_prefix`, it is passed to the module by
         `lookup_finished`, once the prefix of its function is known.
         """
-        now, function = self.clock(), self.registry.function(function_name, method, memory, lanes, load)
+        now, function = (
+            self.clock(),
+            self.registry.function(function_name, method, memory_mb, lanes, load_time),
+        )
         pending = PendingRequest(
-            tag, function, method, customer, now + time_left, work, repeat, moved, arrived_at
+            tag, function, method, customer, now + time_left, work, repeat, already_counted, arrived_at
         )
         pending.client, pending.message, pending.route = client, message, route
         pending.prior_attempts = prior_attempts
         self.answers.accept(pending)
         if awaits_prefix:
-            pending.began, pending.came = now, now if arrived_at is None else arrived_at
+            pending.accepted_at, pending.arrived_at = now, now if arrived_at is None else arrived_at
         else:
             self.events.post(pending, "on_request", pending)
         return pending
 
     def lookup_finished(self, pending: PendingRequest) -> None:
         """The prefix of the request's function was delivered to the module: pass the request on."""
-        if not pending.final:
+        if not pending.is_closed:
             self.events.post(pending, "on_request", pending)
 
     def client_gone(self, pending: PendingRequest) -> None:
@@ -172,11 +175,11 @@
         self.calls.started(number)
 
     def attempt_finished(
-        self, number: int, outcome: Outcome, body: Any = None, warmth: LoadState = LoadState.UNKNOWN,
-        concurrent: int | None = None, report: Mapping[str, float] = NO_REPORT,
+        self, number: int, outcome: Outcome, body: Any = None, load_state: LoadState = LoadState.UNKNOWN,
+        concurrency: int | None = None, load_report: Mapping[str, float] = NO_REPORT,
     ) -> None:  # fmt: skip
         """An attempt ended."""
-        self.calls.finished(number, outcome, body, warmth, concurrent, report)
+        self.calls.finished(number, outcome, body, load_state, concurrency, load_report)
 
     def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
         """A preload ended; the worker holds `count` copies."""
@@ -207,11 +210,15 @@
         """Entries of the endpoint list were received; with `is_snapshot`, `entries` is the complete list."""
         if not self.events.queued_endpoints:
             self.undelivered_workers.clear()
-        self.undelivered_workers.update(e.name for e in entries if e.listing is not EndpointState.REMOVED)
+        self.undelivered_workers.update(
+            e.name for e in entries if e.endpoint_state is not EndpointState.REMOVED
+        )
         self.events.post_endpoints([(self.registry.worker(e.name), e) for e in entries], is_snapshot)
         if is_snapshot:
             self.removed_workers = dict.fromkeys(self.registry.workers)
-        self.removed_workers.update((e.name, None) for e in entries if e.listing is EndpointState.REMOVED)
+        self.removed_workers.update(
+            (e.name, None) for e in entries if e.endpoint_state is EndpointState.REMOVED
+        )
         if self.removed_workers:
             self.forget_removed_workers()
 
@@ -226,7 +233,7 @@
         removed = [
             workers[name]
             for name in self.removed_workers
-            if name in workers and workers[name].listing is EndpointState.REMOVED
+            if name in workers and workers[name].endpoint_state is EndpointState.REMOVED
         ]
         since = self.clock() - self.settings.overload_window
         retained = {
@@ -247,7 +254,7 @@
         """The directory returned a prefix of a function's order; each worker was listed before."""
         self.events.post(None, "on_prefix", function, [self.registry.worker(name) for name in names])
 
-    def list_failed(self) -> None:
+    def endpoints_failed(self) -> None:
         """The endpoint list could not be read."""
         self.events.post(None, "on_endpoints_failed")
 
@@ -266,9 +273,9 @@
         self.last_number += 1
         return self.last_number
 
-    def send_attempt(self, attempt: Attempt, time_out: int) -> None:
+    def send_attempt(self, attempt: Attempt, timeout: int) -> None:
         """Send an attempt."""
-        self.calls.send(self.next_number(), attempt, time_out)
+        self.calls.send(self.next_number(), attempt, timeout)
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
         """Answer that the request was not run; `retry_after` as in `Transport.send_answer`."""
--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -30,19 +30,19 @@
         return self.workers[name]
 
     def function(
-        self, name: str, method: int, memory: float, lanes: int, load: int | None = None
+        self, name: str, method: int, memory_mb: float, lanes: int, load_time: int | None = None
     ) -> Function:
-        """The function of this name, made when it is first named. `memory` is in MB; `load`, the usual time
-        of a load in tenths of a millisecond, is as this request says: the last one stands.
+        """The function of this name, made when it is first named. `memory_mb` is per copy; `load_time`, the
+        usual time of a load in tenths of a millisecond, is as this request says: the last one stands.
         """
         function = self.functions.get(name)
         if function is None:
-            function = self.functions[name] = Function(name, method, memory, max(1, lanes))
+            function = self.functions[name] = Function(name, method, memory_mb, max(1, lanes))
             if self.max_functions:
                 self.trim(self.max_functions)
         elif self.max_functions:
             self.functions.move_to_end(name)
-        function.load = function.load if load is None else load
+        function.load_time = function.load_time if load_time is None else load_time
         return function
 
     def trim(self, most: int) -> None:
--- a/lapistrestle/hosting/requests.py
+++ b/lapistrestle/hosting/requests.py
@@ -60,7 +60,7 @@
 
     message: Any = None  # of the transport: the message that the client sent
     client: Any = None  # of the transport: the connection for the answer
-    final: bool = False  # answered, or the client disconnected
+    is_closed: bool = False  # answered, or the client disconnected
     streaming: "WorkerCall | None" = None  # the attempt whose answer streams
     deadline_guard: Timer | None = None  # aborts the request shortly after its deadline
     in_flight: int = 0  # attempts in flight
@@ -82,15 +82,15 @@
     pending: PendingRequest
     worker: Worker
     sent_at: int
-    time_out: int  # duration
-    begin_by: int | None = None  # latest time to write it to the connection
+    timeout: int  # duration
+    write_by: int | None = None  # latest time to write it to the connection
     timer: Timer | None = None
     connection: CallConnection | None = None  # over which it is sent
 
     @property
-    def ends_by(self) -> int:
+    def expires_at(self) -> int:
         """When it times out, however late it is written."""
-        return self.sent_at + self.time_out
+        return self.sent_at + self.timeout
 
 
 @dataclass(eq=False)
--- a/lapistrestle/hosting/tasks.py
+++ b/lapistrestle/hosting/tasks.py
@@ -29,10 +29,10 @@
         self.track(task, self.context.settings.connect_timeout)
         self.context.transport.send_health_check(task)
 
-    def track(self, task: WorkerTask, time_out: int) -> None:
-        """Register a task until it ends, for at most `time_out` ticks."""
+    def track(self, task: WorkerTask, timeout: int) -> None:
+        """Register a task until it ends, for at most `timeout` ticks."""
         self.open[task.number] = task
-        task.timer = self.context.timers.at(task.sent_at + max(1, time_out), self.timed_out, task)
+        task.timer = self.context.timers.at(task.sent_at + max(1, timeout), self.timed_out, task)
 
     def preload_finished(self, number: int, outcome: Outcome, count: int) -> None:
         """A preload ended; the worker holds `count` copies. One that is not in flight is only counted."""
--- a/lapistrestle/hosting/turns.py
+++ b/lapistrestle/hosting/timer_gate.py
@@ -44,7 +44,7 @@
 }
 
 
-class Turns:
+class TimerGate:
     """Decides in each iteration of the event loop whether the timers that are due may fire."""
 
     def __init__(self) -> None:
--- a/lapistrestle/hosting/worker_calls.py
+++ b/lapistrestle/hosting/worker_calls.py
@@ -20,17 +20,17 @@
         self.open: dict[int, WorkerCall] = {}
         self.by_attempt: dict[Attempt, WorkerCall] = {}
 
-    def send(self, number: int, attempt: Attempt, time_out: int) -> None:
+    def send(self, number: int, attempt: Attempt, timeout: int) -> None:
         """Send an attempt, unless the request is closed, the limit of attempts is reached, or another one is
-        in flight and attempts may not run in parallel. A `time_out` of 0 means the deadline of the request.
+        in flight and attempts may not run in parallel. A `timeout` of 0 means the deadline of the request.
         """
         pending = cast(PendingRequest, attempt.request)  # made by the host
         now = self.context.clock()
         time_left = pending.deadline - now
-        within = min(time_out, time_left) if time_out else time_left
+        within = min(timeout, time_left) if timeout else time_left
         allowed = self.allowed(pending)
         worker_call = WorkerCall(
-            number, attempt, pending, attempt.worker, now, within, self.begin_by(pending)
+            number, attempt, pending, attempt.worker, now, within, self.write_by(pending)
         )
         self.open[number] = self.by_attempt[attempt] = worker_call
         pending.in_flight += 1
@@ -50,12 +50,12 @@
 
     def allowed(self, pending: PendingRequest) -> bool:
         """Whether an attempt may be sent; it is already in the request's list of attempts."""
-        if pending.final or pending.streaming:
+        if pending.is_closed or pending.streaming:
             return False
         parallel = self.context.settings.may_parallel or not pending.in_flight
         return bool(parallel and pending.attempt_count() <= self.context.settings.attempt_limit)
 
-    def begin_by(self, pending: PendingRequest) -> int | None:
+    def write_by(self, pending: PendingRequest) -> int | None:
         """Return the latest tick to write a retry of a request that may have run; None: no limit. Workers
         drop a repeated idempotency key only within a window, which may end while the attempt waits for a
         connection, and no effect may happen twice.
@@ -71,7 +71,11 @@
             self.context.counts[Counter.UNMATCHED] += 1
             return
         pending = worker_call.pending
-        if not self.context.settings.methods[pending.method].streamed or pending.final or pending.streaming:
+        if (
+            not self.context.settings.methods[pending.method].streamed
+            or pending.is_closed
+            or pending.streaming
+        ):
             return
         pending.streaming = worker_call
         for timer in (worker_call.timer, pending.deadline_guard):
@@ -85,9 +89,9 @@
         number: int,
         outcome: Outcome,
         body: Any = None,
-        warmth: LoadState = LoadState.UNKNOWN,
-        concurrent: int | None = None,
-        report: Mapping[str, float] = NO_REPORT,
+        load_state: LoadState = LoadState.UNKNOWN,
+        concurrency: int | None = None,
+        load_report: Mapping[str, float] = NO_REPORT,
     ) -> None:
         """An attempt ended. One that is not in flight is only counted: its end was reported before."""
         worker_call = self.open.pop(number, None)
@@ -100,12 +104,14 @@
         pending.unsent_attempts += outcome is Outcome.NOT_SENT
         if worker_call.timer is not None:
             worker_call.timer.stop()
-        if outcome is Outcome.OK and not pending.final and pending.streaming in (None, worker_call):
+        if outcome is Outcome.OK and not pending.is_closed and pending.streaming in (None, worker_call):
             self.answers.finish(pending, RequestEnd.OK, body=body)
-        elif pending.streaming is worker_call and not pending.final:
+        elif pending.streaming is worker_call and not pending.is_closed:
             self.answers.finish(pending, RequestEnd.ABORTED)  # a stream that breaks off cannot be retried
-        answer = AttemptResult(max(0, now - worker_call.sent_at), pending.final, warmth, concurrent, report)
-        if pending.final and not pending.in_flight:
+        answer = AttemptResult(
+            max(0, now - worker_call.sent_at), pending.is_closed, load_state, concurrency, load_report
+        )
+        if pending.is_closed and not pending.in_flight:
             self.events.finished.append(pending)
         self.events.post(pending, "on_attempt_finished", worker_call.attempt, outcome, answer)
 
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -57,12 +57,12 @@
 
     def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
         for worker in self.known if snapshot else ():
-            worker.listing = EndpointState.REMOVED
+            worker.endpoint_state = EndpointState.REMOVED
         for worker, told in workers:
             self.known[worker] = None
-            worker.listing, worker.size = told.listing, told.size
+            worker.endpoint_state, worker.size = told.endpoint_state, told.size
         self.serving = sorted(
-            (s for s in self.known if s.listing is EndpointState.SERVING), key=lambda s: s.name
+            (s for s in self.known if s.endpoint_state is EndpointState.SERVING), key=lambda s: s.name
         )
 
     def on_request(self, request: Request) -> None:
@@ -132,7 +132,7 @@
                 times.popleft()
         most = self.settings.preload_free + self.settings.preload_share * len(self.taken)
         room = self.settings.may_preload and (not window or len(self.orders) + 1 <= most)
-        if not room or worker.listing is not EndpointState.SERVING:
+        if not room or worker.endpoint_state is not EndpointState.SERVING:
             return False
         self.orders.append(self.now)
         self.waiting[worker, request.function] = [request]
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -219,7 +219,9 @@
             self.check_connection(connection, now)
         while self.closing and next(iter(self.closing.values())) <= now:
             next(iter(self.closing)).close_now("it stays open")
-        over = [tag for tag, pending in self.unfinished.items() if pending.final and not pending.in_flight]
+        over = [
+            tag for tag, pending in self.unfinished.items() if pending.is_closed and not pending.in_flight
+        ]
         for tag in over:
             self.unfinished.pop(tag).attempts.clear()  # they point to each other
         self.core.after(SWEEP_INTERVAL, self.sweep, None)
@@ -298,15 +300,15 @@
             method=call.method.number,
             customer=call.customer,
             time_left=time_left,
-            memory=call.memory,
+            memory_mb=call.memory,
             lanes=call.lanes,
             repeat=call.repeat,
             work=None if call.work is None else max(1, int(call.work * MILLISECOND)),
-            load=None if call.load is None else int(call.load * MILLISECOND),
-            moved=self.seen_recently(tag),
+            load_time=None if call.load is None else int(call.load * MILLISECOND),
+            already_counted=self.seen_recently(tag),
             arrived_at=self.core.earliest_arrival(),
         )
-        if not pending.final:
+        if not pending.is_closed:
             connection.requests[request.number] = pending
-        if not pending.final or pending.in_flight:
+        if not pending.is_closed or pending.in_flight:
             self.unfinished[tag] = pending
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -207,7 +207,7 @@
         if outcome is Outcome.NOT_SENT:  # the runner had it, so it counts as a try
             self.core.host.worker_calls[number].pending.prior_attempts += 1
         self.reply_received(number)
-        self.core.host.attempt_finished(number, outcome, body, concurrent=concurrent, report=report)
+        self.core.host.attempt_finished(number, outcome, body, concurrency=concurrent, load_report=report)
         return True
 
     def task_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -104,7 +104,7 @@
         """Send an attempt."""
         pending, message = worker_call.pending, worker_call.pending.message
         connection = worker_call.connection = self.pick(message.used_connections)
-        line = Line(worker_call.number, lambda: self.run_line(worker_call), worker_call.begin_by, worker_call)
+        line = Line(worker_call.number, lambda: self.run_line(worker_call), worker_call.write_by, worker_call)
         if connection is None or not connection.send(pending.tag, line):
             self.core.host.attempt_finished(worker_call.number, Outcome.REJECTED)
             return
@@ -112,7 +112,7 @@
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
         """An attempt as it is sent to the runner, with the time that is left as it is written."""
-        message, left = worker_call.pending.message, worker_call.ends_by - self.core.clock()
+        message, left = worker_call.pending.message, worker_call.expires_at - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
             message.id, message.head, max(1, left // MILLISECOND), message.key, b64encode(message.body),
         )  # fmt: skip
--- a/lapistrestle/policy/admission.py
+++ b/lapistrestle/policy/admission.py
@@ -79,7 +79,7 @@
         burst after an idle period is then not taken for overload.
         """
         now = self.clock.now
-        serving = (a.sent for a in self.attempts.warm if a.worker.listing is EndpointState.SERVING)
+        serving = (a.sent_at for a in self.attempts.warm if a.worker.endpoint_state is EndpointState.SERVING)
         return now - next(serving, now)
 
     def update_pressure(self, sojourn_time: float, objective: int) -> None:
--- a/lapistrestle/policy/attempts.py
+++ b/lapistrestle/policy/attempts.py
@@ -51,7 +51,7 @@
     def send(self, request: Request, replica: FunctionReplica) -> None:
         """Send the request to the replica's worker."""
         now = self.clock.now
-        cold = not (self.copies.believed(replica) or self.copies.presumed_loaded(replica))
+        cold = not (self.copies.believed_count(replica) or self.copies.presumed_loaded(replica))
         expected = int(self.latency.isolated(replica.function) * request.scale) + 1
         attempt = Attempt(request, replica.worker, now, cold, replica.in_flight + 1, expected)
         request.attempts.append(attempt)
@@ -90,7 +90,7 @@
         isolated = self.latency.isolated(replica.function) * request.scale
         typical = max(self.throughput.ok_latency.read(0), isolated)
         fraction, factor = OBJECTIVE_FRACTION, TYPICAL_LATENCIES
-        if self.throughput.memory_factor > 1:
+        if self.throughput.time_constant_factor > 1:
             fraction, factor = SPARSE_OBJECTIVE_FRACTION, SPARSE_TYPICAL_LATENCIES
-        to_objective = request.began + self.latency.objective(request) - now
+        to_objective = request.accepted_at + self.latency.objective(request) - now
         return int(min(time_left, max(to_objective * fraction, factor * typical)))
--- a/lapistrestle/policy/candidates.py
+++ b/lapistrestle/policy/candidates.py
@@ -28,13 +28,13 @@
     zones: LatencyZones
     copies: LoadedCopies
 
-    def usable(
-        self, request: Request, order: Iterable[Worker], not_loaded_too: bool = False
+    def eligible(
+        self, request: Request, order: Iterable[Worker], include_not_loaded: bool = False
     ) -> Iterator[Worker]:
         """Return the eligible workers of `order`; those that the request has tried only if there is no other.
-        With `not_loaded_too`, a worker that answered "not loaded" does not count as tried.
+        With `include_not_loaded`, a worker that answered "not loaded" does not count as tried.
         """
-        tried = self.tried(request, not_loaded_too)
+        tried = self.tried(request, include_not_loaded)
         ejections_apply = self.health.ejections_apply()
         if tried:
             others = (
@@ -48,12 +48,12 @@
             if worker not in tried and self.is_eligible(request, worker, ejections_apply)
         )
 
-    def tried(self, request: Request, not_loaded_too: bool) -> set[Worker]:
+    def tried(self, request: Request, include_not_loaded: bool) -> set[Worker]:
         """Return the workers that the request has tried."""
         tried = set()
         for attempt in request.attempts:
             not_loaded = attempt.outcome is Outcome.NOT_LOADED
-            if not not_loaded or not (not_loaded_too or request.function.replica(attempt.worker).copies):
+            if not not_loaded or not (include_not_loaded or request.function.replica(attempt.worker).copies):
                 tried.add(attempt.worker)
         return tried
 
@@ -61,7 +61,7 @@
         """Whether the request may go to the worker now. With `ejections_apply`, unhealthy workers are
         excluded.
         """
-        if worker.listing is not EndpointState.SERVING:
+        if worker.endpoint_state is not EndpointState.SERVING:
             return False
         if worker.customer_rejected_until.get(request.customer, 0) > self.clock.now:
             return False
@@ -92,16 +92,16 @@
         request: Request,
         order: Iterable[Worker],
         to_load: bool = True,
-        not_loaded_too: bool = False,
+        include_not_loaded: bool = False,
     ) -> FunctionReplica | None:
         """Return the replica for an additional copy: the first eligible worker of `order` without one that is
         not Unsafe and, if `to_load`, accepts loads. If there is none, a longer prefix is requested.
         """
         function = request.function
-        for worker in self.usable(request, order, not_loaded_too):
+        for worker in self.eligible(request, order, include_not_loaded):
             # a replica that is only inspected is not stored
             replica = function.replicas.get(worker) or FunctionReplica(worker, function)
-            suitable = not self.copies.believed(replica) and self.zones.zone(replica) is not Zone.UNSAFE
+            suitable = not self.copies.believed_count(replica) and self.zones.zone(replica) is not Zone.UNSAFE
             if suitable and (not to_load or self.clock.now >= worker.loads_rejected_until):
                 return function.replica(worker)
         if function.prefix is not None:
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -198,11 +198,13 @@
 
     def on_request(self, request: Request) -> None:
         """See `Events.on_request`."""
-        request.began = request.began or self.clock.now  # set earlier if it waited for the function's prefix
+        request.accepted_at = (
+            request.accepted_at or self.clock.now
+        )  # set earlier if it waited for the function's prefix
         self.latency.apply_work_hint(request)
         self.preloading.start_maintenance(request.function)
         self.throughput.update_time_constant_factor(len(self.endpoints.serving))
-        self.orders.add_demand(request, self.throughput.memory_factor)
+        self.orders.add_demand(request, self.throughput.time_constant_factor)
         self.preload_budget.add_request(request)
         self.state_machine.handle(request, RequestEvent.RECEIVED)
 
@@ -224,7 +226,7 @@
         self.outcomes.record(replica, attempt, outcome, result)
         if event is RequestEvent.MAY_HAVE_RUN and request.may_have_run_on is None:
             request.may_have_run_on = attempt.worker
-            request.may_have_run_at = attempt.sent
+            request.may_have_run_at = attempt.sent_at
         if result.over:
             self.on_client_gone(request)
         self.state_machine.handle(request, event, replica)
--- a/lapistrestle/policy/endpoints.py
+++ b/lapistrestle/policy/endpoints.py
@@ -45,9 +45,9 @@
             self.remove_all()
         for worker, info in workers:
             self.remove_from_serving(worker)
-            restarted = info.booted is not None and info.booted != worker.booted
+            restarted = info.booted_at is not None and info.booted_at != worker.booted_at
             if restarted or worker not in self.known:
-                worker.reset(SHORT_TIME_CONSTANT, INITIAL_EJECTION_BACKOFF, info.booted)
+                worker.reset(SHORT_TIME_CONSTANT, INITIAL_EJECTION_BACKOFF, info.booted_at)
             worker.update(info)
             self.add(worker)
         if not self.partial:
@@ -57,7 +57,7 @@
         """Mark every worker as removed, until a later entry names it."""
         for worker in self.known:
             self.remove_from_serving(worker)
-            worker.listing = EndpointState.REMOVED
+            worker.endpoint_state = EndpointState.REMOVED
             self.removed[worker] = None
 
     def remove_from_serving(self, worker: Worker) -> None:
@@ -70,10 +70,10 @@
         """Add the worker to the collections for its state."""
         self.known[worker] = None
         self.removed.pop(worker, None)
-        if worker.listing is EndpointState.SERVING:
+        if worker.endpoint_state is EndpointState.SERVING:
             self.serving[worker] = None
             self.size += worker.size
-        elif worker.listing is EndpointState.REMOVED:
+        elif worker.endpoint_state is EndpointState.REMOVED:
             self.removed[worker] = None
 
     def sort(self) -> None:
@@ -83,7 +83,9 @@
         if ring != self.ring:  # otherwise the orders built from it stay valid
             self.ring = ring
             self.version += 1
-        self.serving = dict.fromkeys(worker for worker in ring if worker.listing is EndpointState.SERVING)
+        self.serving = dict.fromkeys(
+            worker for worker in ring if worker.endpoint_state is EndpointState.SERVING
+        )
         self.size = sum(worker.size for worker in self.serving)
 
     def forget_removed(self) -> list[Worker]:
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -22,7 +22,9 @@
     ejected: bool = False  # gets no requests other than trials
     ejection_backoff: int = 0  # ticks between trials of an ejected worker
     next_trial_at: int = 0  # tick from which an ejected worker may get a trial request
-    tried_here: bool = True  # this dispatcher sends its trials; otherwise others of the fleet do, and report
+    trials_assigned_here: bool = (
+        True  # this dispatcher sends its trials; otherwise others of the fleet do, and report
+    )
     # attempts.py, outcome_recording.py
     latency_sum: DecayingSum = field(init=False)  # of attempts without a load, of all functions
     isolated_latency_sum: DecayingSum = field(init=False)  # what those would have taken without queueing
@@ -64,8 +66,8 @@
         self.cell = info.cell
         self.kind = info.kind
         self.size = info.size
-        self.listing = info.listing
-        self.booted = info.booted
+        self.endpoint_state = info.endpoint_state
+        self.booted_at = info.booted_at
 
     @property
     def has_pending_work(self) -> bool:
@@ -79,8 +81,8 @@
         latency = self.latency_sum.read(now)
         isolated = self.isolated_latency_sum.read(now)
         for attempt in islice(self.warm_attempts, most):  # oldest first
-            if now - attempt.sent > attempt.expected_latency:
-                latency = latency + now - attempt.sent
+            if now - attempt.sent_at > attempt.expected_latency:
+                latency = latency + now - attempt.sent_at
                 isolated = isolated + attempt.expected_latency
         return latency, isolated
 
@@ -109,7 +111,7 @@
 class PendingPreload:
     """One preload in flight."""
 
-    sent: int  # tick
+    sent_at: int  # tick
     load: bool  # it asks for more copies than are believed to be loaded
 
 
@@ -154,7 +156,7 @@
             worker.warm_attempts[attempt] = True
             worker.warm_expected_latency += attempt.expected_latency
             if worker.silent_since is None:
-                worker.silent_since = attempt.sent
+                worker.silent_since = attempt.sent_at
         self.in_flight += 1
         worker.in_flight += 1
         if attempt.cold:
@@ -204,7 +206,7 @@
     """A request, with its state."""
 
     state: State = State.NEW
-    began: int = 0  # tick at which the module received it
+    accepted_at: int = 0  # tick at which the module received it
     scale: float = 1.0  # its hinted work relative to the mean of its method; 1: no hint
     may_have_run_at: int = 0  # tick at which the first attempt that may have run was sent
     may_have_run_on: Worker | None = None
--- a/lapistrestle/policy/function_order.py
+++ b/lapistrestle/policy/function_order.py
@@ -46,9 +46,9 @@
         self.latency = latency
         self.demand = DecayingSum(LONG_TIME_CONSTANT, clock.now)  # of all own requests, weighted by work
 
-    def add_demand(self, request: Request, memory_factor: float) -> None:
-        """Add the request's work to the demand, whose time constant is multiplied by `memory_factor`."""
-        time_constant = int(LONG_TIME_CONSTANT * memory_factor)
+    def add_demand(self, request: Request, time_constant_factor: float) -> None:
+        """Add the request's work to the demand; `time_constant_factor` multiplies the time constant."""
+        time_constant = int(LONG_TIME_CONSTANT * time_constant_factor)
         request.function.demand.time_constant = time_constant
         self.demand.time_constant = time_constant
         for demand in (request.function.demand, self.demand):
@@ -104,10 +104,10 @@
         )
         if function.prefix is not None:
             # does not extend the prefix: own demand does not measure that of the region
-            serving = sum(w.size for w in order if w.listing is EndpointState.SERVING)
+            serving = sum(w.size for w in order if w.endpoint_state is EndpointState.SERVING)
             size_to_skip = min(size_to_skip, offset * serving)
         for index, worker in enumerate(order):
-            if worker.listing is EndpointState.SERVING:
+            if worker.endpoint_state is EndpointState.SERVING:
                 size_to_skip -= worker.size
             if size_to_skip < 0:
                 return order[index:] + order[:index]
--- a/lapistrestle/policy/health.py
+++ b/lapistrestle/policy/health.py
@@ -89,7 +89,7 @@
             return silence > SILENCE_RETRY_DELAY and not worker.in_flight
         if not worker.ejected:
             return True
-        wait = 0 if worker.tried_here else SILENCE_RETRY_DELAY
+        wait = 0 if worker.trials_assigned_here else SILENCE_RETRY_DELAY
         return now >= worker.next_trial_at + wait and not worker.in_flight
 
     def slowest_typical(self) -> float:
--- a/lapistrestle/policy/latency_zones.py
+++ b/lapistrestle/policy/latency_zones.py
@@ -47,7 +47,7 @@
         prior = PRIOR_SAMPLES * self.latency.isolated(function)
         average = (sum(replica.window) + prior) / (len(replica.window) + PRIOR_SAMPLES)
         replica.zone = self.zone_of(function, average)
-        replica.backoff_until = self.clock.now + int(UNSAFE_BACKOFF * self.throughput.memory_factor)
+        replica.backoff_until = self.clock.now + int(UNSAFE_BACKOFF * self.throughput.time_constant_factor)
 
     def zone_of(self, function: Function, average: float) -> Zone:
         """Return the zone of an average latency."""
--- a/lapistrestle/policy/loaded_copies.py
+++ b/lapistrestle/policy/loaded_copies.py
@@ -28,9 +28,9 @@
         if not settings.reports_not_loaded:
             self.restart_outcomes.add(Outcome.RESET)
 
-    def believed(self, replica: FunctionReplica) -> int:
+    def believed_count(self, replica: FunctionReplica) -> int:
         """Return the number of copies believed to be loaded: none after the idle timeout or a restart."""
-        idle_timeout = self.settings.idle_timeout * self.throughput.memory_factor
+        idle_timeout = self.settings.idle_timeout * self.throughput.time_constant_factor
         idle = not replica.in_flight and self.clock.now - replica.confirmed_at > idle_timeout
         if idle or replica.confirmed_at <= replica.worker.emptied_at:
             replica.copies = 0
@@ -41,9 +41,9 @@
         only by a dispatcher that uses each worker rarely, and only if a wrong guess costs no more than "not
         loaded".
         """
-        if self.throughput.memory_factor <= 1 or not self.settings.reports_not_loaded:
+        if self.throughput.time_constant_factor <= 1 or not self.settings.reports_not_loaded:
             return False
-        load_time = replica.function.load or self.load_time.read(self.settings.idle_timeout / 2)
+        load_time = replica.function.load_time or self.load_time.read(self.settings.idle_timeout / 2)
         absent_since = max(replica.not_loaded_at, replica.worker.emptied_at)
         return self.clock.now - absent_since > PRESUMED_AFTER_LOADS * load_time
 
@@ -54,7 +54,7 @@
 
     def record_answer(self, replica: FunctionReplica) -> None:
         """Record that a copy answered."""
-        replica.copies = max(self.believed(replica), 1)
+        replica.copies = max(self.believed_count(replica), 1)
         replica.confirmed_at = self.clock.now
 
     def record_not_loaded(self, replica: FunctionReplica) -> None:
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -52,7 +52,7 @@
         """Record the end of an attempt."""
         worker = replica.worker
         request = attempt.request
-        worker.set_time_constant(int(SHORT_TIME_CONSTANT * self.throughput.memory_factor))
+        worker.set_time_constant(int(SHORT_TIME_CONSTANT * self.throughput.time_constant_factor))
         loaded_first = attempt.cold
         if self.settings.reports_warmth:
             loaded_first = result.load_state is not LoadState.LOADED
@@ -85,7 +85,7 @@
         if not loaded_first and attempt.concurrency <= 1:
             latencies.add(now, result.latency)
         if (
-            worker.listing is EndpointState.SERVING and latencies.count.value
+            worker.endpoint_state is EndpointState.SERVING and latencies.count.value
         ):  # otherwise its work is not known
             self.slow_start.add_ok(request.method)
         self.throughput.add_ok(result.latency)
@@ -114,14 +114,14 @@
         if single_customer or latency < self.latency.typical(request.method) * IMMEDIATE_REJECTION_FRACTION:
             worker.rejecting_until = now + FULL_QUEUE_BACKOFF
         else:
-            backoff = int(UNSAFE_BACKOFF * self.throughput.memory_factor)
+            backoff = int(UNSAFE_BACKOFF * self.throughput.time_constant_factor)
             worker.customer_rejected_until[request.customer] = now + backoff
 
     def record_queue(self, replica: FunctionReplica, result: AttemptResult) -> None:
         """Record the wait implied by a reported queue as a latency, if own samples are too few: queued
         requests over the expected rate of a worker of its size.
         """
-        if self.throughput.memory_factor <= 1 or QUEUE_LENGTH_KEY not in result.load_report:
+        if self.throughput.time_constant_factor <= 1 or QUEUE_LENGTH_KEY not in result.load_report:
             return
         worker = replica.worker
         all_answers = self.throughput.ok_rate() * self.settings.dispatcher_count
@@ -143,4 +143,4 @@
         if outcome is not Outcome.REJECTED:
             self.zones.add_latency(replica, int(latency / scale))
             bad = outcome not in (Outcome.OK, Outcome.CANCELLED) or latency > bound
-            self.health.record(replica.worker, bad, attempt.sent)
+            self.health.record(replica.worker, bad, attempt.sent_at)
--- a/lapistrestle/policy/placement.py
+++ b/lapistrestle/policy/placement.py
@@ -45,10 +45,10 @@
         """
         function = request.function
         order = self.orders.order_from_own_offset(function)
-        first = next(self.candidates.usable(request, order), None)
+        first = next(self.candidates.eligible(request, order), None)
         known = [worker for worker in order if worker is first or worker in function.replicas]
         in_use: list[FunctionReplica] = []
-        for worker in self.candidates.usable(request, known):
+        for worker in self.candidates.eligible(request, known):
             replica = function.replica(worker)
             in_use.append(replica)
             if replica.in_flight < self.capacity(replica):
@@ -64,7 +64,7 @@
         """Return the limit of own concurrent requests of the replica: one per lane, but a single one in
         Warning.
         """
-        copies = self.copies.believed(replica) or int(self.copies.presumed_loaded(replica))
+        copies = self.copies.believed_count(replica) or int(self.copies.presumed_loaded(replica))
         zone = self.zones.zone(replica) if copies else Zone.UNSAFE
         if zone is Zone.UNSAFE:
             return 0
@@ -77,7 +77,7 @@
         otherwise queue at one of them.
         """
         now = self.clock.now
-        warm = [r for r in in_use if self.copies.believed(r) and now >= r.worker.rejecting_until]
+        warm = [r for r in in_use if self.copies.believed_count(r) and now >= r.worker.rejecting_until]
         loading = [r for r in in_use if r.loading]
         zones = [self.zones.zone(r) for r in warm]
         below_unsafe = [r for r, zone in zip(warm, zones, strict=True) if zone is not Zone.UNSAFE]
@@ -103,12 +103,12 @@
         waits = [(self.zones.queueing_time(r.worker), r) for r in replicas if now >= r.worker.rejecting_until]
         shortest = min((wait for wait, _ in waits), default=inf)
         isolated = self.latency.isolated(request.function) * request.scale
-        due = min(request.began + self.latency.objective(request), request.deadline)
+        due = min(request.accepted_at + self.latency.objective(request), request.deadline)
         if shortest + isolated > due - now:
             return RequestEvent.NO_WORKER
         ties = [replica for wait, replica in waits if wait == shortest]
         replica = ties[self.rng.randbelow(len(ties))]
-        if self.settings.reports_not_loaded and replica.loading and not self.copies.believed(replica):
+        if self.settings.reports_not_loaded and replica.loading and not self.copies.believed_count(replica):
             replica.waiters.append(request)  # it would be rejected before the load has finished
             return RequestEvent.WAITS_FOR_LOAD
         return self.send(request, replica)
--- a/lapistrestle/policy/ports.py
+++ b/lapistrestle/policy/ports.py
@@ -14,8 +14,8 @@
 class Host(Protocol):
     """Commands of the module to its host."""
 
-    def send_attempt(self, attempt: Attempt, time_out: int) -> None:
-        """Send the attempt to its worker; it ends as timed out after `time_out` ticks."""
+    def send_attempt(self, attempt: Attempt, timeout: int) -> None:
+        """Send the attempt to its worker; it ends as timed out after `timeout` ticks."""
 
     def reject(self, request: RequestInfo, retry_after: int) -> None:
         """Answer that the request was not run. The client may retry after `retry_after` ticks; 0: no hint."""
--- a/lapistrestle/policy/preload_budget.py
+++ b/lapistrestle/policy/preload_budget.py
@@ -30,8 +30,8 @@
     def add_request(self, request: Request) -> None:
         """Count the request from its arrival, unless it was counted before."""
         now = self.clock.now
-        if not request.moved:
-            insort(self.requests, now if request.came is None else request.came)
+        if not request.already_counted:
+            insort(self.requests, now if request.arrived_at is None else request.arrived_at)
         del self.requests[: bisect_right(self.requests, now - self.settings.preload_window)]
 
     def allows(self, fraction: float) -> bool:
@@ -55,4 +55,4 @@
         """Record an answered preload from the latest tick at which it may have arrived."""
         self.pending -= 1
         excess = duration - TYPICAL_LOADS * self.copies.load_time.read(duration)
-        insort(self.arrivals, preload.sent + max(0, int(excess)))
+        insort(self.arrivals, preload.sent_at + max(0, int(excess)))
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -67,11 +67,11 @@
         """
         allowed = self.budget.allows(budget_fraction)
         worker = replica.worker
-        load = count > self.copies.believed(replica)
+        load = count > self.copies.believed_count(replica)
         queue_full = load and (
             self.clock.now < worker.loads_rejected_until or not self.load_limit.fleet_allows()
         )
-        if not allowed or worker.listing is not EndpointState.SERVING or queue_full:
+        if not allowed or worker.endpoint_state is not EndpointState.SERVING or queue_full:
             return False
         self.budget.add_preload()
         replica.pending_preloads.append(PendingPreload(self.clock.now, load))
@@ -114,7 +114,7 @@
         dispatcher alone may see too little of a function to notice that it is hot. Wasteful if waits are
         short.
         """
-        lanes = self.copies.believed(replica) * replica.function.lanes
+        lanes = self.copies.believed_count(replica) * replica.function.lanes
         if concurrency < lanes or self.load_limit.in_progress >= self.load_limit.limit:
             return
         order = self.orders.order_from_own_offset(replica.function)
@@ -149,7 +149,7 @@
                 replica.in_flight
                 or replica.pending_preloads
                 or replica.waiters
-                or self.copies.believed(replica)
+                or self.copies.believed_count(replica)
             )
             counts_until = max(replica.backoff_until, replica.not_loaded_at + self.settings.idle_timeout)
             if not in_use and self.clock.now > counts_until:
@@ -171,7 +171,7 @@
         loads.
         """
         for worker in self.orders.function_order(function):
-            if worker.listing is not EndpointState.SERVING:
+            if worker.endpoint_state is not EndpointState.SERVING:
                 continue
             if not (headroom or worker in function.replicas) or not self.health.healthy(worker):
                 continue
@@ -182,7 +182,7 @@
             headroom = 0
             below_limit = self.load_limit.in_progress < self.load_limit.limit
             may_load = below_limit and self.load_limit.fleet_allows(copy_exists=True)
-            loads = count > self.copies.believed(replica)
+            loads = count > self.copies.believed_count(replica)
             needed = may_load if loads else count > used.get(replica, 0)
             if needed:
                 self.preload(replica, count, MAINTENANCE_BUDGET_FRACTION)
--- a/lapistrestle/policy/retries.py
+++ b/lapistrestle/policy/retries.py
@@ -56,7 +56,7 @@
             return self.retry(request, replica)
         order = self.orders.function_order(request.function)
         # the first eligible worker, including those that answered "not loaded"
-        home = next(self.candidates.usable(request, order, not_loaded_too=True), None)
+        home = next(self.candidates.eligible(request, order, include_not_loaded=True), None)
         if home and self.may_have_copy(request, home):
             if (
                 not self.settings.reports_concurrency
@@ -65,7 +65,7 @@
             return self.placement.send(request, request.function.replica(home))
         too_late = self.load_misses_deadline(request)
         if not too_late and not replica.loading:
-            replica = self.candidates.first_without_copy(request, order, not_loaded_too=True) or replica
+            replica = self.candidates.first_without_copy(request, order, include_not_loaded=True) or replica
         if too_late or not (replica.loading or self.preloading.preload(replica, 1)):
             return self.retry(request, replica)
         replica.waiters.append(request)
@@ -79,6 +79,6 @@
 
     def load_misses_deadline(self, request: Request) -> bool:
         """Whether the deadline would pass before a load could finish and the request be run."""
-        load_time = request.function.load or 0
+        load_time = request.function.load_time or 0
         isolated = self.latency.isolated(request.function) * request.scale
         return self.clock.now + load_time + isolated > request.deadline
--- a/lapistrestle/policy/slow_start.py
+++ b/lapistrestle/policy/slow_start.py
@@ -54,10 +54,10 @@
 
     def share(self, worker: Worker, before: int = 0) -> float:
         """Return the fraction of its capacity that a worker has at least, now or `before` ticks ago."""
-        if worker.booted is None or not self.settings.slow_start_duration:
+        if worker.booted_at is None or not self.settings.slow_start_duration:
             return 1.0
         min_share = self.settings.slow_start_share
-        age = max(0, self.clock.now - before - worker.booted)
+        age = max(0, self.clock.now - before - worker.booted_at)
         return min(1.0, min_share + (1 - min_share) * age / self.settings.slow_start_duration)
 
     def warm_size(self) -> float:
@@ -106,7 +106,7 @@
             return True
         now = self.clock.now
         window = self.settings.overload_window
-        knows_sent = max(worker.booted or 0, now - window) >= self.clock.started
+        knows_sent = max(worker.booted_at or 0, now - window) >= self.clock.started
         rate = self.throughput.rate(self.ok_work) * worker.size * knows_sent
         budget = self.settings.overload_factor * self.share(worker, window) * window * rate
         weight = self.weight(request)
--- a/lapistrestle/policy/throughput.py
+++ b/lapistrestle/policy/throughput.py
@@ -16,9 +16,9 @@
 class Throughput:
     """Own ok answers, and rates of decaying sums.
 
-    `memory_factor` multiplies the time constants of what is learned about a worker: 1 if each worker is used
-    at least once per short time constant, up to `MAX_TIME_CONSTANT_FACTOR` for a dispatcher that is one of
-    many and uses each worker rarely. Without it, what was learned would decay before the next request
+    `time_constant_factor` multiplies the time constants of what is learned about a worker: 1 if each worker
+    is used at least once per short time constant, up to `MAX_TIME_CONSTANT_FACTOR` for a dispatcher that is
+    one of many and uses each worker rarely. Without it, what was learned would decay before the next request
     (docs/design.md, "many front ends").
     """
 
@@ -26,7 +26,7 @@
         self.clock = clock
         self.ok_answers = DecayingSum(SHORT_TIME_CONSTANT)
         self.ok_latency = DecayingMean(SHORT_TIME_CONSTANT)
-        self.memory_factor = 1.0
+        self.time_constant_factor = 1.0
 
     def rate(self, total: DecayingSum) -> float:
         """Return the rate of events per tick, corrected for the short history after a start."""
@@ -48,4 +48,4 @@
         meetings = (
             SHORT_TIME_CONSTANT * max(self.rate(self.ok_answers), 1 / LONG_TIME_CONSTANT) / max(1, serving)
         )
-        self.memory_factor = min(MAX_TIME_CONSTANT_FACTOR, max(1.0, 1 / meetings))
+        self.time_constant_factor = min(MAX_TIME_CONSTANT_FACTOR, max(1.0, 1 / meetings))
--- a/lapistrestle/policy/types.py
+++ b/lapistrestle/policy/types.py
@@ -40,7 +40,7 @@
 
     UNKNOWN = auto()
     LOADED = auto()
-    BEGAN_LOAD = auto()  # the request started a load
+    STARTED_LOAD = auto()  # the request started a load
     JOINED_LOAD = auto()  # the request waited for a load that was in progress
     LOAD_FAILED = auto()
 
@@ -73,8 +73,8 @@
     cell: int = 0  # failure domain within a zone
     kind: int = 0  # machine type
     size: float = 1.0  # relative capacity
-    listing: EndpointState = EndpointState.SERVING
-    booted: int | None = None  # tick of the last process start; None: long ago
+    endpoint_state: EndpointState = EndpointState.SERVING
+    booted_at: int | None = None  # tick of the last process start; None: long ago
 
 
 @dataclass(eq=False)
@@ -83,9 +83,9 @@
 
     name: str
     method: int = 0
-    memory: float = 0.0
+    memory_mb: float = 0.0
     lanes: int = 1
-    load: int | None = None  # ticks of an undisturbed load; None: requests do not report it
+    load_time: int | None = None  # ticks of an undisturbed load; None: requests do not report it
 
 
 @dataclass(eq=False)
@@ -99,8 +99,10 @@
     deadline: int  # tick at which the client stops waiting
     work: int | None = None  # hint of the work it takes, in ticks
     repeat: bool = False  # the client marked it as a retry
-    moved: bool = False  # the preload budget has counted it: rerouted from another function, or same id
-    came: int | None = None  # earliest tick it may have arrived, if the host read it late
+    already_counted: bool = (
+        False  # the preload budget has counted it: rerouted from another function, or same id
+    )
+    arrived_at: int | None = None  # earliest tick it may have arrived, if the host read it late
     over: bool = False  # the final answer was sent, or the client is gone
     attempts: list["Attempt"] = field(default_factory=list)
 
@@ -111,7 +113,7 @@
 
     request: "Request"
     worker: "Worker"
-    sent: int  # tick
+    sent_at: int  # tick
     cold: bool = False  # the function is expected to be loaded first
     concurrency: int = 0  # own requests of the function on the worker as it was sent, this one included
     expected_latency: int = 0  # ticks, without any queueing
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -81,5 +81,5 @@
 def dispatcher_of_many(**info: Any) -> Dispatcher:
     """Return a dispatcher that is one of many and uses each worker rarely."""
     module = dispatcher(6, **info)
-    module.now, module.throughput.memory_factor = 500_000, 3.0
+    module.now, module.throughput.time_constant_factor = 500_000, 3.0
     return module
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -122,7 +122,7 @@
 def serving_for_ever(edge):
     def told(facts, known):
         made = facts(known)
-        made.listing = EndpointState.SERVING
+        made.endpoint_state = EndpointState.SERVING
         return made
 
     wrap(edge.following, "facts", told)
@@ -139,7 +139,7 @@
 def test_rule_3_orders_to_a_drained_runner():
     def change(edge):
         serving_for_ever(edge)
-        edge.host.module.candidates.usable = lambda request, order, not_loaded_too=False: iter(
+        edge.host.module.candidates.eligible = lambda request, order, include_not_loaded=False: iter(
             ()
         )  # only its holds go out
 
@@ -181,7 +181,7 @@
     def change(edge):
         def told(facts, known):
             made = facts(known)
-            made.booted = None
+            made.booted_at = None
             return made
 
         wrap(edge.following, "facts", told)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -118,7 +118,7 @@
         assert client.status(number) == 503  # it never left, so to repeat it is harmless
     else:
         stage.board.tell(2, 2, stage.row(0, state=1))
-        stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
+        stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
         stage.hand.until(lambda: client.status(number))
     assert not connection.linking.waiting and not stage.host.worker_calls
     stage.hand.addReader(line)
@@ -457,7 +457,7 @@
             follower.send(b"\0")
         if len(stage.board.asked) > 1:
             break
-    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.board.asked == [0, 1]
 
 
@@ -484,7 +484,7 @@
     stage.hand.run(1.0)
     assert second.asked == [1] and first.asked == []
     second.tell(2, 2, stage.row(0, state=1))
-    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     for board in (first, second):
         board.listener.close()
         board.cut()
@@ -573,7 +573,7 @@
     assert worker.emptied_at == -1 and worker.bad_outcomes.read(stage.module.now) == 0 and not worker.ejected
     stage.board.tell(3, 2, stage.row(0, state=0))
     stage.hand.addReader(line)
-    stage.hand.until(lambda: worker.listing is EndpointState.SERVING)
+    stage.hand.until(lambda: worker.endpoint_state is EndpointState.SERVING)
     again = client.ask(method="bill")
     stage.hand.until(lambda: client.status(again) is not None)
     assert client.status(again) == 200
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -260,7 +260,7 @@
     def make(reactor, deployment, log):
         edge = Edge(reactor, deployment, log)
         facts = edge.following.facts
-        edge.following.facts = lambda known: replace(facts(known), listing=EndpointState.SERVING)
+        edge.following.facts = lambda known: replace(facts(known), endpoint_state=EndpointState.SERVING)
         return edge
 
     assert rules_broken(Played(directory_day([REPLACED]), make)) == {"3 drains kept"}
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -343,9 +343,9 @@
         assert old.closed
         stage.greet(name, "#1")
         stage.run()
-    assert {worker.booted is not None for worker in stage.edge.host.module.endpoints.workers} == {True}
+    assert {worker.booted_at is not None for worker in stage.edge.host.module.endpoints.workers} == {True}
     assert all(
-        stage.edge.clock() - worker.booted < 1_000 for worker in stage.edge.host.module.endpoints.workers
+        stage.edge.clock() - worker.booted_at < 1_000 for worker in stage.edge.host.module.endpoints.workers
     )
 
 
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -240,17 +240,17 @@
     stage.look_up(client, "r0", "r1")
     stage.runners["r0"][-1].say(**{"is": "draining"})
     stage.run(0.002)
-    assert stage.edge.host.registry.workers["r0"].listing is EndpointState.DRAINING
+    assert stage.edge.host.registry.workers["r0"].endpoint_state is EndpointState.DRAINING
 
 
 def test_an_instance_replaced_at_its_address_is_another_process(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
-    before = stage.edge.host.registry.workers["r0"].booted
+    before = stage.edge.host.registry.workers["r0"].booted_at
     stage.update(peer, stage.entry("r0", start="r0#1", up_for=100))
     stage.run(0.002)
     worker = stage.edge.host.registry.workers["r0"]
-    assert worker.booted > before and stage.edge.following.known["r0"].start == "r0#1"
+    assert worker.booted_at > before and stage.edge.following.known["r0"].start == "r0#1"
 
 
 def test_one_that_is_gone_and_comes_back_stands_in_the_prefix_again(stage):
@@ -265,7 +265,7 @@
     stage.run(0.002)
     workers = stage.edge.host.registry.workers
     assert stage.edge.host.registry.functions["f"].prefix == [workers["r0"], workers["r1"]]
-    assert workers["r0"].listing is EndpointState.SERVING
+    assert workers["r0"].endpoint_state is EndpointState.SERVING
 
 
 def test_a_function_not_called_is_watched_no_more_and_its_instances_are_dropped():
@@ -299,20 +299,20 @@
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     stage.run(0.002)
     assert "r1" not in stage.edge.following.known and "r1" not in stage.edge.runners
-    assert cold.listing is EndpointState.DRAINING
+    assert cold.endpoint_state is EndpointState.DRAINING
     changes = [wire.PrefixChange(1, 2, inserted=[wire.PlacedInstance(1, "r1")])]
     stage.update(peer, stage.entry("r1", up_for=20), changes=changes)
     stage.run(0.002)
     assert (
         stage.edge.host.registry.workers["r1"] is cold
         and cold.sent_in_slow_start
-        and cold.listing is EndpointState.SERVING
+        and cold.endpoint_state is EndpointState.SERVING
     )
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     for _ in range(ramp // 1_000 + 2):
         stage.run(0.1)
         stage.renewed(peer)
-    assert "r1" not in stage.edge.host.registry.workers or cold.listing is EndpointState.REMOVED
+    assert "r1" not in stage.edge.host.registry.workers or cold.endpoint_state is EndpointState.REMOVED
 
 
 def test_a_longer_prefix_is_asked_for_where_the_known_one_is_used_up(stage):
@@ -470,4 +470,4 @@
     first, second = module.preload_budget.requests
     assert came <= first < came + 20 and second - first >= 1_900
     (waited,) = [p for p in stage.edge.front.open() if p.function.name == "f"]
-    assert waited.began == first and waited.attempts
+    assert waited.accepted_at == first and waited.attempts
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -28,7 +28,7 @@
 
 def test_changes_follow_and_repeats_pass(list_: Following) -> None:
     taken = list_.told(change(6, RosterEntry("a", 1000, start="a#0", listing="draining")), 1_000_000)
-    assert taken.do is ListAction.TAKE and taken.facts[0].listing is EndpointState.DRAINING
+    assert taken.do is ListAction.TAKE and taken.facts[0].endpoint_state is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).do is ListAction.PASS
 
 
@@ -66,23 +66,23 @@
 def test_a_start_is_reckoned_once(list_: Following) -> None:
     before = list_.known["a"].booted
     taken = list_.told(change(6, RosterEntry("a", 1000, start="a#0", up_for=61_007.0)), 1_010_000)
-    assert taken.facts[0].booted == before == 1_000_000 - 600_000
+    assert taken.facts[0].booted_at == before == 1_000_000 - 600_000
 
 
 def test_a_runners_own_word_is_newer_than_the_list(list_: Following) -> None:
     (facts,) = list_.met("a", "a#1", 500.0, False, 1_000_000)
-    assert facts.booted == 995_000
+    assert facts.booted_at == 995_000
     taken = list_.told(change(6, A), 1_000_000)
-    assert taken.facts[0].booted == 995_000  # the list still names the start before
+    assert taken.facts[0].booted_at == 995_000  # the list still names the start before
     assert list_.met("a", "a#1", 900.0, False, 1_004_000) == ()
 
 
 def test_a_runner_that_says_it_drains_is_believed_until_it_starts_anew(list_: Following) -> None:
     (facts,) = list_.drains("a", "a#0")
-    assert facts.listing is EndpointState.DRAINING
-    assert list_.told(change(6, A), 1_000_000).facts[0].listing is EndpointState.DRAINING
+    assert facts.endpoint_state is EndpointState.DRAINING
+    assert list_.told(change(6, A), 1_000_000).facts[0].endpoint_state is EndpointState.DRAINING
     anew = RosterEntry("a", 1007, "north", start="a#1", up_for=0.0)
-    assert list_.told(change(7, anew), 1_000_000).facts[0].listing is EndpointState.SERVING
+    assert list_.told(change(7, anew), 1_000_000).facts[0].endpoint_state is EndpointState.SERVING
     assert list_.drains("a", "a#0") == () and list_.drains("nobody", "x") == ()
 
 
--- a/tests/test_hosting.py
+++ b/tests/test_hosting.py
@@ -69,7 +69,7 @@
         method=method,
         customer=0,
         time_left=time_left,
-        memory=100.0,
+        memory_mb=100.0,
     )
 
 
@@ -243,7 +243,7 @@
             method=0,
             customer=0,
             time_left=30_000,
-            moved=True,
+            already_counted=True,
             prior_attempts=before,
         )
         while host.worker_calls:
@@ -316,14 +316,14 @@
     dropped from the registry; the next event with its name then got a new object that the module did not
     know.
     """
-    gone, back = WorkerInfo("w1", listing=EndpointState.REMOVED), WorkerInfo("w1", booted=7)
+    gone, back = WorkerInfo("w1", endpoint_state=EndpointState.REMOVED), WorkerInfo("w1", booted_at=7)
     with host.batched():
         host.endpoints_received([gone], is_snapshot=False)
     with host.batched():
         host.endpoints_received([back], is_snapshot=False)
         host.prefix_received(host.registry.function("f", 0, 100.0, 1), ["w1"])
     (worker,) = (worker for worker in host.module.endpoints.workers if worker.name == "w1")
-    assert worker is host.registry.worker("w1") and worker.listing is EndpointState.SERVING
+    assert worker is host.registry.worker("w1") and worker.endpoint_state is EndpointState.SERVING
     assert host.registry.functions["f"].prefix == [worker]
     send_request(host)
     assert not [call for call in recorded(host).of("log") if call[0] == "module raised"]
@@ -332,15 +332,15 @@
 def test_a_worker_that_returns_is_kept_also_if_a_second_list_follows_in_the_same_poll(
     host: ModuleHost,
 ) -> None:
-    host.endpoints_received([WorkerInfo("w1", listing=EndpointState.REMOVED)], is_snapshot=False)
+    host.endpoints_received([WorkerInfo("w1", endpoint_state=EndpointState.REMOVED)], is_snapshot=False)
     with host.batched():
-        host.endpoints_received([WorkerInfo("w1", booted=7)], is_snapshot=False)
+        host.endpoints_received([WorkerInfo("w1", booted_at=7)], is_snapshot=False)
         host.endpoints_received([WorkerInfo("w9")], is_snapshot=False)
         host.prefix_received(host.registry.function("f", 0, 100.0, 1), ["w1"])
     (worker,) = (
         worker
         for worker in host.module.endpoints.workers
-        if worker.name == "w1" and worker.listing is EndpointState.SERVING
+        if worker.name == "w1" and worker.endpoint_state is EndpointState.SERVING
     )
     assert host.registry.worker("w1") is worker
 
@@ -351,7 +351,7 @@
             host.endpoints_received([WorkerInfo(f"once-{number}")], is_snapshot=False)
         with host.batched():
             host.endpoints_received(
-                [WorkerInfo(f"once-{number}", listing=EndpointState.REMOVED)], is_snapshot=False
+                [WorkerInfo(f"once-{number}", endpoint_state=EndpointState.REMOVED)], is_snapshot=False
             )
     assert len(host.registry.workers) <= 5  # the three that serve, and those removed last
 
@@ -377,7 +377,7 @@
     counted = []
     for workers in (100, 400):
         made = with_region(clock, workers)
-        removed = [WorkerInfo("w7", listing=EndpointState.REMOVED)]
+        removed = [WorkerInfo("w7", endpoint_state=EndpointState.REMOVED)]
         steps = count_steps(partial(made.endpoints_received, removed, is_snapshot=False))
         counted.append(steps.instructions)
         assert "w7" not in made.registry.workers and len(made.module.endpoints.workers) == workers - 1
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -16,7 +16,7 @@
 NAMES = ("w0", "w1", "w2")
 endpoint_states = st.sampled_from(list(EndpointState))
 boots = st.sampled_from([None, 1_000, 2_000])
-entry = st.builds(lambda name, listing, booted: WorkerInfo(name, listing=listing, booted=booted),
+entry = st.builds(lambda name, listing, booted: WorkerInfo(name, endpoint_state=listing, booted_at=booted),
                   st.sampled_from(NAMES), endpoint_states, boots)  # fmt: skip
 step = st.one_of(
     st.tuples(st.just("change"), st.lists(entry, min_size=1, max_size=3, unique_by=lambda e: e.name)),
@@ -67,11 +67,11 @@
         getattr(self, step_name)(arg)
 
     def change(self, entries: list[WorkerInfo]) -> None:
-        self.recorder.states.update({entry.name: entry.listing for entry in entries})
+        self.recorder.states.update({entry.name: entry.endpoint_state for entry in entries})
         self.host.endpoints_received(entries, is_snapshot=False)
 
     def snapshot(self, entries: list[WorkerInfo]) -> None:
-        self.recorder.states = {entry.name: entry.listing for entry in entries}
+        self.recorder.states = {entry.name: entry.endpoint_state for entry in entries}
         self.host.endpoints_received(entries, is_snapshot=True)
 
     def send_request(self, function: str) -> None:
@@ -91,7 +91,9 @@
 
     def serving(self) -> list[Worker]:
         return [
-            worker for worker in self.host.module.endpoints.workers if worker.listing is EndpointState.SERVING
+            worker
+            for worker in self.host.module.endpoints.workers
+            if worker.endpoint_state is EndpointState.SERVING
         ]
 
 
@@ -124,20 +126,20 @@
     """With its history lost, it was sent more in its slow start window than it can take."""
     driver = HostUnderTest()
     booted = driver.clock.now - 100
-    driver.change([WorkerInfo("w0", booted=booted)])
+    driver.change([WorkerInfo("w0", booted_at=booted)])
     (worker,) = driver.serving()
     worker.sent_in_slow_start.append((driver.clock.now, 800.0))
-    driver.change([WorkerInfo("w0", listing=EndpointState.REMOVED, booted=booted)])
-    driver.change([WorkerInfo("w0", booted=booted)])
+    driver.change([WorkerInfo("w0", endpoint_state=EndpointState.REMOVED, booted_at=booted)])
+    driver.change([WorkerInfo("w0", booted_at=booted)])
     (returned,) = driver.serving()
     assert returned.weight_sent_since(driver.clock.now - 1) == 800.0
 
 
 def test_a_removed_worker_is_dropped_once_its_slow_start_window_has_passed() -> None:
     driver = HostUnderTest()
-    driver.change([WorkerInfo("w0", booted=driver.clock.now - 100)])
+    driver.change([WorkerInfo("w0", booted_at=driver.clock.now - 100)])
     driver.serving()[0].sent_in_slow_start.append((driver.clock.now, 800.0))
-    driver.change([WorkerInfo("w0", listing=EndpointState.REMOVED)])
+    driver.change([WorkerInfo("w0", endpoint_state=EndpointState.REMOVED)])
     assert "w0" in driver.host.registry.workers
     driver.clock.now += driver.host.settings.overload_window + 1
     driver.change([WorkerInfo("w1")])
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -40,7 +40,7 @@
     assert said(stage) == ("kept figures", {"carried": list(stage.edge.methods), "afresh": []})
     assert (
         not module.throughput.ok_answers.read(module.now)
-        and module.throughput.memory_factor == 1.0
+        and module.throughput.time_constant_factor == 1.0
         and module.load_limit.limit == 1.0
     )
 
@@ -106,10 +106,10 @@
     for id_, more, kept in (("1", {}, None), ("2", {"load": 1200.0}, 12_000), ("3", {}, 12_000)):
         client.say(**CALL, id=id_, **more)
         stage.run()
-        assert stage.edge.host.registry.functions["f"].load == kept
+        assert stage.edge.host.registry.functions["f"].load_time == kept
     client.say(**CALL, id="4", load=-1)
     stage.run()
-    assert client.heard("fault") and stage.edge.host.registry.functions["f"].load == 12_000
+    assert client.heard("fault") and stage.edge.host.registry.functions["f"].load_time == 12_000
 
 
 def test_an_edge_that_stops_writes_what_it_has_learnt_and_the_next_one_starts_from_it(stage, path):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -73,7 +73,7 @@
         return {
             worker.name: worker
             for worker in self.module.endpoints.workers
-            if worker.listing is not EndpointState.REMOVED
+            if worker.endpoint_state is not EndpointState.REMOVED
         }
 
     def client(self) -> Any:
@@ -560,7 +560,7 @@
     assert made is not None
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: client.status(number))
-    assert stage.workers()["s-00000001"].listing is EndpointState.DRAINING and not made.linking.waiting
+    assert stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING and not made.linking.waiting
     after = len(stage.runners[0].runs)
     more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
     stage.hand.until(lambda: all(client.status(n) for n in more))
@@ -577,7 +577,7 @@
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     connections, lines = list(runner.connections), list(stage.runners[0].lines)
     stage.board.tell(2, 2, stage.row(0, state=1))
-    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.node.core.runners["s-00000001"] is runner
     assert connections and runner.connections == connections and stage.runners[0].lines == lines
     stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine went and came back
@@ -593,8 +593,8 @@
     stage.board.raw(frame(3, 2, stage.row(1, state=1)))
     stage.hand.run(0.01)
     assert stage.board.asked == [0, 1]
-    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
-    assert stage.workers()["s-00000002"].listing is EndpointState.SERVING
+    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
+    assert stage.workers()["s-00000002"].endpoint_state is EndpointState.SERVING
 
 
 @pytest.mark.parametrize("bad", [b"\xff" * 20, frame(2, 9), frame(2, 2, b"x" * 26), frame(7, 0)])
@@ -611,7 +611,7 @@
     stage.hand.quiet()
     stage.board.cut()
     stage.hand.run(0.01)
-    stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
+    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.board.asked[-1] == 1
 
 
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -177,7 +177,8 @@
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
     stage.node.apply_configuration(read_configuration(str(path)))
     assert (
-        stage.workers()["s-00000001"].listing is EndpointState.DRAINING and discovery_of(stage).revision == 2
+        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        and discovery_of(stage).revision == 2
     )
 
 
@@ -189,7 +190,8 @@
         read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events})))
     )
     assert (
-        discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
+        discovery_of(stage).revision == 1
+        and stage.workers()["s-00000001"].endpoint_state is EndpointState.SERVING
     )
 
 
@@ -234,7 +236,7 @@
     stage.board.tell(2, 2, stage.row(0, state=7), row(9, 0), stage.row(1, state=DRAINING))
     stage.board.tell(3, 2, row(8, 1234, zone=200, kind=200, state=2))
     stage.hand.until(lambda: discovery_of(stage).revision == 3)
-    listings = {name: worker.listing for name, worker in stage.workers().items()}
+    listings = {name: worker.endpoint_state for name, worker in stage.workers().items()}
     assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
     assert asked(stage) == 503 and stage.runs() == []
 
--- a/tests/test_policy_health.py
+++ b/tests/test_policy_health.py
@@ -73,7 +73,7 @@
     module.preloading.functions[req.function] = None
     req.attempts.append(Attempt(req, busy, module.now))
     req.function.replica(busy).start(req.attempts[0])
-    module.on_endpoints([(busy, WorkerInfo("w1", listing=EndpointState.REMOVED))], snapshot=False)
+    module.on_endpoints([(busy, WorkerInfo("w1", endpoint_state=EndpointState.REMOVED))], snapshot=False)
     assert module.endpoints.workers == [stays, busy]
     req.function.replica(busy).finish(req.attempts[0])
     for i in range(2_000):
@@ -81,7 +81,9 @@
         module.on_endpoints([(new, WorkerInfo(new.name))], snapshot=False)
         module.orders.function_order(req.function)
         req.function.replica(new)
-        module.on_endpoints([(new, WorkerInfo(new.name, listing=EndpointState.REMOVED))], snapshot=False)
+        module.on_endpoints(
+            [(new, WorkerInfo(new.name, endpoint_state=EndpointState.REMOVED))], snapshot=False
+        )
     assert (
         module.endpoints.workers == [stays]
         and len(req.function.scores) < 3
@@ -106,7 +108,7 @@
     module.on_attempt_finished(req.attempts[0], Outcome.REJECTED, AttemptResult(1_600))
     assert (home.customer_rejected_until.get(0, 0) > module.now) is excluded
     module.now += SECOND // 2
-    assert (home in module.candidates.usable(request(module), module.endpoints.ring)) is not excluded
+    assert (home in module.candidates.eligible(request(module), module.endpoints.ring)) is not excluded
 
 
 def test_a_worker_whose_last_attempt_timed_out_is_tried_again() -> None:
@@ -143,7 +145,7 @@
 def test_an_ejected_worker_that_others_try_waits_for_their_verdict_or_ten_seconds() -> None:
     module = dispatcher(3)
     worker = module.endpoints.workers[0]
-    worker.ejected, worker.next_trial_at, worker.tried_here, module.health.ejected_count = (
+    worker.ejected, worker.next_trial_at, worker.trials_assigned_here, module.health.ejected_count = (
         True,
         module.now,
         False,
--- a/tests/test_policy_latency_zones.py
+++ b/tests/test_policy_latency_zones.py
@@ -35,7 +35,7 @@
     for module in (frequent, rare):
         module.throughput.ok_answers.add(module.now, 30.0)
         module.on_request(request(module))
-    assert frequent.throughput.memory_factor == 1 and 2 < rare.throughput.memory_factor < 4
+    assert frequent.throughput.time_constant_factor == 1 and 2 < rare.throughput.time_constant_factor < 4
     replica = Function("f", isolated_latency=1_000.0).replica(rare.endpoints.workers[0])
     replica.window.extend([90_000] * 9)
     rare.zones.update_zone(replica)
@@ -46,11 +46,11 @@
 def test_a_reported_queue_counts_as_latency_at_a_dispatcher_that_uses_workers_rarely() -> None:
     for factor, crowded in ((1.0, False), (3.0, True)):
         module = dispatcher(1)
-        module.throughput.memory_factor = factor
+        module.throughput.time_constant_factor = factor
         module.throughput.ok_answers.add(module.now, 15.0)
         req = request(module)
         module.on_request(req)
-        module.throughput.memory_factor = factor
+        module.throughput.time_constant_factor = factor
         module.on_attempt_finished(
             req.attempts[0], Outcome.OK, AttemptResult(900, over=True, load_report={"backlog": 20})
         )
--- a/tests/test_policy_loaded_copies.py
+++ b/tests/test_policy_loaded_copies.py
@@ -13,12 +13,12 @@
 
 def test_not_loaded_is_believed_no_longer_than_a_load_takes() -> None:
     module = dispatcher_of_many()
-    replica = Function("f", load=10_000).replica(module.endpoints.workers[0])
+    replica = Function("f", load_time=10_000).replica(module.endpoints.workers[0])
     replica.not_loaded_at = module.now
     assert not module.copies.presumed_loaded(replica)
     module.now += 20_001
     assert module.copies.presumed_loaded(replica)
-    replica.function.load = None
+    replica.function.load_time = None
     assert not module.copies.presumed_loaded(replica)
 
 
@@ -37,7 +37,7 @@
     req.state = State.OUT
     module.attempts.send(req, req.function.replica(home))
     module.on_attempt_finished(req.attempts[0], outcome, AttemptResult(10))
-    assert (module.copies.believed(loaded) == 0) is emptied
+    assert (module.copies.believed_count(loaded) == 0) is emptied
 
 
 @pytest.mark.parametrize(("absent", "presumed"), [("miss", True), ("load", False)])
@@ -45,7 +45,7 @@
     absent: str, presumed: bool
 ) -> None:
     module = dispatcher(1, **{"when-absent": absent})
-    replica, module.throughput.memory_factor, module.now = (
+    replica, module.throughput.time_constant_factor, module.now = (
         Function("f").replica(module.endpoints.workers[0]),
         3.0,
         200_000,
--- a/tests/test_policy_placement.py
+++ b/tests/test_policy_placement.py
@@ -41,7 +41,9 @@
 def test_a_draining_worker_gets_no_requests_and_no_preloads() -> None:
     module = dispatcher(1)
     req, worker = request(module), module.endpoints.workers[0]
-    module.on_endpoints([(worker, WorkerInfo(worker.name, listing=EndpointState.DRAINING))], snapshot=False)
+    module.on_endpoints(
+        [(worker, WorkerInfo(worker.name, endpoint_state=EndpointState.DRAINING))], snapshot=False
+    )
     module.on_request(req)
     assert req.state is State.OVER and commands(module, "reject") and not commands(module, "send_attempt")
     assert not module.preloading.preload(req.function.replica(worker), 1) and not commands(module, "preload")
--- a/tests/test_policy_preloading.py
+++ b/tests/test_policy_preloading.py
@@ -44,7 +44,7 @@
     module = dispatcher(1)
     for late in (9_000, 0):
         read = request(module)
-        read.came = module.now - late
+        read.arrived_at = module.now - late
         module.on_request(read)
     module.now += 45_000
     module.preloading.preload(Function("g").replica(module.endpoints.workers[0]), 1)
@@ -69,7 +69,7 @@
     module = dispatcher(2)
     module.on_request(request(module))
     again = request(module, name="f@v2")
-    again.moved = True
+    again.already_counted = True
     module.on_request(again)
     assert len(module.preload_budget.requests) == 1 and again.attempts
 
@@ -177,7 +177,7 @@
     module = dispatcher(3, **{"when-absent": "load", "load-share": 1.0, "free-loads": 50})
     module.fleet.shedding = shedding
     call = request(module)
-    call.began = module.now
+    call.accepted_at = module.now
     warm = call.function.replica(module.orders.function_order(call.function)[0])
     warm.copies, warm.confirmed_at, warm.zone, warm.backoff_until = (
         1,
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -98,8 +98,8 @@
     factor: float, timeout: int
 ) -> None:
     module = dispatcher()
-    req, module.throughput.memory_factor = request(module), factor
-    req.began, replica = module.now, req.function.replica(module.endpoints.workers[0])
+    req, module.throughput.time_constant_factor = request(module), factor
+    req.accepted_at, replica = module.now, req.function.replica(module.endpoints.workers[0])
     req.function.isolated_latency = 500.0
     assert abs(module.attempts.timeout(req, replica, False) - timeout) <= 1
 
@@ -134,7 +134,7 @@
 def test_a_request_whose_load_would_miss_its_deadline_neither_preloads_nor_waits() -> None:
     module = dispatcher_of_many(**{"says-company": True})
     req = request(module)
-    req.function.load, req.deadline = 20_000, module.now + 5_000
+    req.function.load_time, req.deadline = 20_000, module.now + 5_000
     req.state = State.PLACING
     home = module.orders.function_order(req.function)[0]
     module.attempts.send(req, req.function.replica(home))
--- a/tests/test_policy_slow_start.py
+++ b/tests/test_policy_slow_start.py
@@ -20,7 +20,7 @@
         module = dispatcher(2)
         change_settings(module, instance_index=index, dispatcher_count=dispatchers)
         cold, warm = module.endpoints.workers
-        cold.booted = module.now
+        cold.booted_at = module.now
         module.slow_start.ok_work.add(module.now, 400_000.0 / 1.2 / dispatchers)
         budget += (
             module.throughput.rate(module.slow_start.ok_work)
@@ -41,7 +41,7 @@
     module = dispatcher(4)
     module.slow_start.ok_work.add(module.now, 40_000.0 / 1.6)
     for worker in module.endpoints.workers[:3]:
-        worker.booted = module.now
+        worker.booted_at = module.now
         worker.sent_in_slow_start.append((module.now, 10_000.0))
     assert not module.slow_start.has_capacity(module.endpoints.workers[0], request(module))
 
@@ -58,7 +58,7 @@
         light
     ) == module.latency.typical(0)
     module.slow_start.ok_work.add(module.now, 100_000.0)
-    module.endpoints.workers[0].booted = module.now
+    module.endpoints.workers[0].booted_at = module.now
     sent = {}
     for req in (light, heavy):
         module.endpoints.workers[0].sent_in_slow_start.clear()
@@ -76,7 +76,7 @@
 
     def capacity() -> int:
         cold = module.endpoints.workers[0]
-        cold.booted, sent = module.now, 0
+        cold.booted_at, sent = module.now, 0
         cold.sent_in_slow_start.clear()
         while module.slow_start.has_capacity(cold, request(module)):
             cold.sent_in_slow_start.append((module.now, module.latency.typical(0)))
@@ -88,10 +88,10 @@
         module.on_request(req)
         module.on_attempt_finished(req.attempts[0], Outcome.OK, AttemptResult(2_000))
     before = capacity()
-    remaining = [(module.endpoints.workers[0], WorkerInfo("w0", booted=module.now))]
+    remaining = [(module.endpoints.workers[0], WorkerInfo("w0", booted_at=module.now))]
     leaver = module.endpoints.workers[5]
     module.on_endpoints(
-        remaining + [(s, WorkerInfo(s.name, listing=state)) for s in module.endpoints.workers[1:]],
+        remaining + [(s, WorkerInfo(s.name, endpoint_state=state)) for s in module.endpoints.workers[1:]],
         snapshot=False,
     )
     late = request(module)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -125,12 +125,14 @@
         dispatcher, function = all_[i], functions[i]
         dispatcher.now = now
         heard = max((b for b, hear in zip(boots, hears[i], strict=True) if now >= hear), default=None)
-        if heard is not None and cold[i].booted != heard:
-            dispatcher.on_endpoints([(cold[i], WorkerInfo("cold", booted=heard))], snapshot=False)
+        if heard is not None and cold[i].booted_at != heard:
+            dispatcher.on_endpoints([(cold[i], WorkerInfo("cold", booted_at=heard))], snapshot=False)
         scale = chance.gammavariate(play.uneven**-2, play.uneven**2) if play.uneven else 1.0
         scale = max(0.2, scale)
         scales.append(scale)
-        request = Request("r", function, 0, 0, now + 3 * SECOND, scale=scale, began=now, state=State.OUT)
+        request = Request(
+            "r", function, 0, 0, now + 3 * SECOND, scale=scale, accepted_at=now, state=State.OUT
+        )
         boot = max((b for b in boots if now >= b), default=None)
         worker = dispatcher.endpoints.workers[chance.randrange(WARM)]
         if (
--- a/tests/test_ramp_of_parts.py
+++ b/tests/test_ramp_of_parts.py
@@ -82,8 +82,12 @@
             for dispatcher in all_:
                 dispatcher.now = now
                 again = [s for s in dispatcher.endpoints.workers if fleet.booted(int(s.name[1:])) is not None]
-                dispatcher.on_endpoints([(s, WorkerInfo(s.name, booted=BOOT)) for s in again], snapshot=False)
-                dispatcher.on_endpoints([(Worker("cold"), WorkerInfo("cold", booted=BOOT))], snapshot=False)
+                dispatcher.on_endpoints(
+                    [(s, WorkerInfo(s.name, booted_at=BOOT)) for s in again], snapshot=False
+                )
+                dispatcher.on_endpoints(
+                    [(Worker("cold"), WorkerInfo("cold", booted_at=BOOT))], snapshot=False
+                )
         dispatcher = chance.choice(all_)
         dispatcher.now = now
         cold = next((worker for worker in dispatcher.endpoints.workers if worker.name == "cold"), None)
--- a/tests/test_turns.py
+++ b/tests/test_timer_gate.py
@@ -1,23 +1,23 @@
 """Timers after a stall: overdue ones are deferred until pending input was read."""
 
+from lapistrestle.hosting.timer_gate import MAX_DEFERRED_ITERATIONS, STALL_THRESHOLD, TimerGate
 from lapistrestle.hosting.timers import Timers
-from lapistrestle.hosting.turns import MAX_DEFERRED_ITERATIONS, STALL_THRESHOLD, Turns
 
 
 def test_timers_on_time_fire_at_once() -> None:
-    turns = Turns()
-    assert turns.may_fire(1_000, 1_000, 0) and turns.may_fire(2_000 + STALL_THRESHOLD, 2_000, 9)
+    gate = TimerGate()
+    assert gate.may_fire(1_000, 1_000, 0) and gate.may_fire(2_000 + STALL_THRESHOLD, 2_000, 9)
 
 
 def test_overdue_timers_wait_until_nothing_more_is_read() -> None:
-    turns = Turns()
-    assert [turns.may_fire(9_000, 1_000, inputs) for inputs in (5, 8, 9, 9)] == [False, False, False, True]
-    assert turns.may_fire(9_001, 9_001, 9)
+    gate = TimerGate()
+    assert [gate.may_fire(9_000, 1_000, inputs) for inputs in (5, 8, 9, 9)] == [False, False, False, True]
+    assert gate.may_fire(9_001, 9_001, 9)
 
 
 def test_endless_input_defers_timers_for_a_bounded_number_of_iterations() -> None:
-    turns = Turns()
-    fired = [turns.may_fire(9_000, 1_000, inputs) for inputs in range(MAX_DEFERRED_ITERATIONS + 2)]
+    gate = TimerGate()
+    fired = [gate.may_fire(9_000, 1_000, inputs) for inputs in range(MAX_DEFERRED_ITERATIONS + 2)]
     assert fired.index(True) == MAX_DEFERRED_ITERATIONS
 
 
