--- a/lapistrestle/checks/directory.py
+++ b/lapistrestle/checks/directory.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lapistrestle.wire import directory as wire
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 NEVER = float("inf")
 TENTHS = 10  # leases are in tenths of a millisecond, times on the tape in milliseconds
@@ -160,7 +160,7 @@
             if name not in watching.held and self.in_prefix(watching, name):
                 self.hold(watching, name, start)
 
-    def entry(self, watching: Watching, entry: Entry, age: tuple[int, int]) -> None:
+    def entry(self, watching: Watching, entry: RosterEntry, age: tuple[int, int]) -> None:
         """Applies the state of one runner. An edge ignores revisions older than the one that it has."""
         serves = entry.listing == "serving"
         held = watching.held.get(entry.name)
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -11,7 +11,7 @@
 from lapistrestle.edge.following import Address, Known
 from lapistrestle.policy.entities import Function
 from lapistrestle.policy.types import EndpointState, WorkerInfo
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
 class InstanceHandOver:
@@ -21,7 +21,7 @@
         self.edge, self.region = edge, region
         self.parted: dict[str, Known] = {}  # in no prefix any more, while they warm up
 
-    def changed(self, entries: Iterable[Entry]) -> None:
+    def changed(self, entries: Iterable[RosterEntry]) -> None:
         """Instances that are new, or have changed."""
         entries = list(entries)
         for entry in entries:
@@ -37,7 +37,7 @@
         for name in names:
             known = self.edge.following.known.pop(name, None) or self.parted.pop(name, None)
             if known is not None:
-                facts.append(replace(self.edge.following.facts(known), listing=EndpointState.REMOVED))
+                facts.append(replace(self.edge.following.facts(known), endpoint_state=EndpointState.REMOVED))
         self.tell_left(facts)
 
     def forgotten(self, names: Iterable[str]) -> None:
@@ -54,7 +54,7 @@
             warm_at = (known.booted or -self.region.ramp_time) + self.region.ramp_time
             left = warm_at - self.edge.clock() if self.region.ramp_time and known.booted is not None else 0
             listing = EndpointState.DRAINING if left > 0 else EndpointState.REMOVED
-            facts.append(replace(self.edge.following.facts(known), listing=listing))
+            facts.append(replace(self.edge.following.facts(known), endpoint_state=listing))
             if left > 0:
                 self.parted[name] = known
                 self.edge.after(left, self.warmed_up, known)
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -11,16 +11,16 @@
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
 BEAT = 2_000  # tenths of a millisecond
 TELL = 10_000  # between two tellings of counts, and between two looks at what is kept loaded
 UNHEARD = 30_000  # a connection on which no beat was answered for so long is dialled anew
 
 
-class PlannerSpeaker(Speaker):
+class PlannerSpeaker(LineConnection):
     protocol = plans.PLANNER
-    decoder = union(plans.FromPlanner)
+    decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, source: "PlannerSource") -> None:
         super().__init__(source.edge.bounds)
@@ -29,11 +29,11 @@
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name, start=self.source.start_name)
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.source.heard = self.source.edge.clock()
         self.source.beat(None, once=True)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.source.edge.input()
         match message:
             case plans.Plan():
@@ -42,12 +42,12 @@
                 self.source.heard = self.source.edge.clock()
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """It may have been a plan: dial anew and be told all."""
         self.source.edge.passed_over("planner", why)
-        self.cut("unreadable")
+        self.close_with_reason("unreadable")
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.source.lost(self)
 
 
@@ -97,8 +97,8 @@
         return PlannerSpeaker(self)
 
     def beat(self, _: object, once: bool = False) -> None:
-        if self.speaker is not None and self.speaker.greeted and self.edge.clock() - self.heard > UNHEARD:
-            self.speaker.cut("no beat was answered")
+        if self.speaker is not None and self.speaker.is_greeted and self.edge.clock() - self.heard > UNHEARD:
+            self.speaker.close_with_reason("no beat was answered")
         self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         if not once and not self.stopped:
             self.edge.after(BEAT, self.beat, None)
@@ -189,7 +189,7 @@
         edge, module = self.edge, self.edge.host.module
         if self.edge.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
-        function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
+        function = edge.host.registry.function(name, model.method, model.memory_mb, model.lanes)
         if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
             # its prefix is being looked up
@@ -197,16 +197,16 @@
         memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
         for worker in module.orders.function_order(function):
-            if worker.listing.name != "SERVING" or not module.health.healthy(worker):
+            if worker.endpoint_state.name != "SERVING" or not module.health.healthy(worker):
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
             capacity = replicas.WorkerCapacity(
                 0,
-                replicas.replica_limit(size, function.memory),
+                replicas.replica_limit(size, function.memory_mb),
                 warming_up=module.slow_start.share(worker) < 1,
             )
             if (replica := function.replicas.get(worker)) is not None:
-                capacity.loaded = module.copies.believed(replica)
+                capacity.loaded = module.copies.believed_count(replica)
                 capacity.preload_pending = bool(replica.pending_preloads)
                 capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_life // 3
             capacities[capacity] = worker
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -18,16 +18,15 @@
 from scipy import stats
 
 from lapistrestle.deployment.load import DeploymentError
-from lapistrestle.deployment.schema import Shape
+from lapistrestle.deployment.schema import SettingsGroup
 
 CONFIDENCE = 0.95
 FIGURES = ("service", "worst", "p50", "p99", "ok", "tries", "fetches", "calls")
 
 
-class Experiment(Shape):
+class Experiment(SettingsGroup):
     """Content of an experiment's file. `vary`: paths into the day, such as `edges` or
-    `deployment.orders.share`,
-    each with the values to try; all combinations are run."""
+    `deployment.orders.share`, each with the values to try; all combinations are run."""
 
     name: str
     day: Any  # inline, or the path of a script beside the file
--- a/lapistrestle/policy/request_state.py
+++ b/lapistrestle/policy/request_state.py
@@ -1,6 +1,6 @@
-"""The state machine of a request: which input moves it to which state, and what is done then.
+"""State machine of a request: next state and action for each state and event.
 
-An effect may itself give the next input: placing a request gives SENT, WAITS or NOWHERE.
+An action may return the next event: placing a request returns SENT, WAITS_FOR_LOAD or NO_WORKER.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,24 +11,24 @@
 from lapistrestle.policy.types import Outcome, State
 
 
-class Input(Enum):
-    """What happens to a request."""
+class RequestEvent(Enum):
+    """An event in the life of a request."""
 
-    ARRIVED = auto()  # from its client
-    ADMITTED = auto()  # it may be placed
-    SENT = auto()  # an attempt is under way
-    WAITS = auto()  # for a load
-    NOWHERE = auto()  # no worker may have it
-    OK = auto()  # an attempt was answered well
-    NEVER_RAN = auto()  # an attempt ended, and surely did nothing
-    MAY_HAVE_RUN = auto()  # an attempt ended, and may have done something
-    NOT_LOADED = auto()  # an attempt found no copy
-    LOADED = auto()  # the load that it waited for has ended
-    LATE = auto()  # its time is up while it waits
+    RECEIVED = auto()  # from its client
+    ADMITTED = auto()  # by admission control
+    SENT = auto()  # an attempt was sent
+    WAITS_FOR_LOAD = auto()  # it is parked until a load finishes
+    NO_WORKER = auto()  # rejected by admission control, or no worker can take it
+    OK = auto()  # an attempt succeeded
+    NEVER_RAN = auto()  # an attempt failed, and certainly did not run
+    MAY_HAVE_RUN = auto()  # an attempt failed, and may have run
+    NOT_LOADED = auto()  # the worker of an attempt had no loaded copy
+    LOADED = auto()  # the load that it waited for has finished
+    WAIT_EXPIRED = auto()  # no time is left to run it while it is parked
 
 
-class Effect(Enum):
-    """What is done on the way to the next state."""
+class Action(Enum):
+    """Action taken on a transition."""
 
     NOTHING = auto()
     ADMIT = auto()
@@ -39,51 +39,53 @@
     REJECT = auto()
 
 
-# (state, input): (next state, effect). A pair that is not named cannot happen.
-TRANSITIONS: Final[Mapping[tuple[State, Input], tuple[State, Effect]]] = {
-    (State.NEW, Input.ARRIVED): (State.NEW, Effect.ADMIT),
-    (State.NEW, Input.ADMITTED): (State.PLACING, Effect.PLACE),
-    (State.NEW, Input.NOWHERE): (State.OVER, Effect.REJECT),
-    (State.PLACING, Input.SENT): (State.OUT, Effect.NOTHING),
-    (State.PLACING, Input.WAITS): (State.PARKED, Effect.WAIT_FOR_RETRY),
-    (State.PLACING, Input.NOWHERE): (State.OVER, Effect.REJECT),
-    (State.OUT, Input.OK): (State.OVER, Effect.NOTHING),
-    (State.OUT, Input.NEVER_RAN): (State.PLACING, Effect.RETRY),
-    (State.OUT, Input.MAY_HAVE_RUN): (State.PLACING, Effect.RETRY),
-    (State.OUT, Input.NOT_LOADED): (State.PLACING, Effect.ON_NOT_LOADED),
-    (State.PARKED, Input.LOADED): (State.PLACING, Effect.RETRY),
-    (State.PARKED, Input.LATE): (State.OVER, Effect.REJECT),
+# (state, event): (next state, action). Pairs that are not listed cannot occur.
+TRANSITIONS: Final[Mapping[tuple[State, RequestEvent], tuple[State, Action]]] = {
+    (State.NEW, RequestEvent.RECEIVED): (State.NEW, Action.ADMIT),
+    (State.NEW, RequestEvent.ADMITTED): (State.PLACING, Action.PLACE),
+    (State.NEW, RequestEvent.NO_WORKER): (State.OVER, Action.REJECT),
+    (State.PLACING, RequestEvent.SENT): (State.OUT, Action.NOTHING),
+    (State.PLACING, RequestEvent.WAITS_FOR_LOAD): (State.PARKED, Action.WAIT_FOR_RETRY),
+    (State.PLACING, RequestEvent.NO_WORKER): (State.OVER, Action.REJECT),
+    (State.OUT, RequestEvent.OK): (State.OVER, Action.NOTHING),
+    (State.OUT, RequestEvent.NEVER_RAN): (State.PLACING, Action.RETRY),
+    (State.OUT, RequestEvent.MAY_HAVE_RUN): (State.PLACING, Action.RETRY),
+    (State.OUT, RequestEvent.NOT_LOADED): (State.PLACING, Action.ON_NOT_LOADED),
+    (State.PARKED, RequestEvent.LOADED): (State.PLACING, Action.RETRY),
+    (State.PARKED, RequestEvent.WAIT_EXPIRED): (State.OVER, Action.REJECT),
 }
 
-# What the end of an attempt means for its request.
-INPUT_OF_OUTCOME: Final[Mapping[Outcome, Input]] = {
-    Outcome.OK: Input.OK,
-    Outcome.ERROR: Input.MAY_HAVE_RUN,
-    Outcome.REJECTED: Input.NEVER_RAN,
-    Outcome.TIMED_OUT: Input.MAY_HAVE_RUN,
-    Outcome.UNREACHABLE: Input.NEVER_RAN,
-    Outcome.RESET: Input.MAY_HAVE_RUN,
-    Outcome.CANCELLED: Input.MAY_HAVE_RUN,
-    Outcome.NOT_SENT: Input.NEVER_RAN,
-    Outcome.NOT_LOADED: Input.NOT_LOADED,
+# Event of the request for each outcome of an attempt.
+EVENT_OF_OUTCOME: Final[Mapping[Outcome, RequestEvent]] = {
+    Outcome.OK: RequestEvent.OK,
+    Outcome.ERROR: RequestEvent.MAY_HAVE_RUN,
+    Outcome.REJECTED: RequestEvent.NEVER_RAN,
+    Outcome.TIMED_OUT: RequestEvent.MAY_HAVE_RUN,
+    Outcome.UNREACHABLE: RequestEvent.NEVER_RAN,
+    Outcome.RESET: RequestEvent.MAY_HAVE_RUN,
+    Outcome.CANCELLED: RequestEvent.MAY_HAVE_RUN,
+    Outcome.NOT_SENT: RequestEvent.NEVER_RAN,
+    Outcome.NOT_LOADED: RequestEvent.NOT_LOADED,
 }
 
-Handler = Callable[[Request, FunctionReplica | None], Input | None]
+Handler = Callable[[Request, FunctionReplica | None], RequestEvent | None]
 
 
 class RequestStateMachine:
-    """Moves requests along `TRANSITIONS`; `handlers` carry out the effects."""
+    """Applies `TRANSITIONS` to requests; `handlers` carry out the actions."""
 
-    def __init__(self, handlers: Mapping[Effect, Handler]) -> None:
+    def __init__(self, handlers: Mapping[Action, Handler]) -> None:
         self.transitions = {
-            key: (state, handlers.get(effect)) for key, (state, effect) in TRANSITIONS.items()
+            key: (state, handlers.get(action)) for key, (state, action) in TRANSITIONS.items()
         }
 
-    def drive(self, request: Request, given: Input | None, replica: FunctionReplica | None = None) -> None:
-        """Move the request by an input, and by those that its effects give, until there is none. `replica`:
-        where the input comes from, if from a worker. One that is over takes no input.
+    def handle(
+        self, request: Request, event: RequestEvent | None, replica: FunctionReplica | None = None
+    ) -> None:
+        """Apply an event, and those that the actions return, until there is none. `replica` is the origin of
+        the event, if it comes from a worker. Events of a request that is over are ignored.
         """
-        while given is not None and not request.over:
-            request.state, handler = self.transitions[request.state, given]
+        while event is not None and not request.over:
+            request.state, handler = self.transitions[request.state, event]
             request.over = request.state is State.OVER
-            given = handler(request, replica) if handler else None
+            event = handler(request, replica) if handler else None
