--- a/lapistrestle/edge/__init__.py
+++ b/lapistrestle/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The program that answers clients: it hosts the module and does what that decides."""
+"""The edge process: hosts the decision module and carries out its decisions over the network."""
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -1,6 +1,7 @@
-"""The edge without its ways in and out: one module instance, its clock and timers, the workers it may reach.
+"""The protocol-independent part of an edge: one decision module, its clock and timers, and its runners.
 
-It is given a front (clients), a way to speak to runners and sources of the list; each set is one protocol.
+A protocol supplies the front (client connections), the factory of runner handles and the sources of the
+worker list.
 """
 
 import socket
@@ -19,50 +20,56 @@
 from lapistrestle.ticks import SECOND
 
 Log = Callable[..., None]
-LATE = READ_AGAIN  # since the look before: a close may lie behind what is read
-PIECES = 4  # a whole request with the longest body, and what follows it
-MOST_LOGGED = 100  # lines of one kind
-LAST = 300  # tenths of a millisecond: for answers to leave once all is cut short
+LATE = READ_AGAIN  # ticks between two polls; after a longer stall a close may follow the data that is read first
+PIECES = 4  # reads per connection after a stall: a request with the longest body, and what follows it
+MOST_LOGGED = 100  # log lines of one event
+LAST = 300  # ticks that answers may take to be sent once all requests were aborted
 
 
 class Front(Protocol):
-    """Where clients come in."""
+    """Accepts client connections and their requests."""
 
-    def listen(self) -> int: ...  # the port
-    def close(self) -> None: ...  # take no new connections
-    def open(self) -> list[PendingRequest]: ...
-    def owes(self) -> bool: ...  # once stopping: answers that have not left, or what has come and is not read
-    def end(self) -> None: ...  # leave every connection
+    def listen(self) -> int: ...  # returns the port
+    def close(self) -> None: ...  # accept no new connections
+    def open(self) -> list[PendingRequest]: ...  # the requests without a final answer
+    def owes(self) -> bool: ...  # while stopping: whether answers are unsent or received data is unread
+    def end(self) -> None: ...  # close every connection
 
 
 class RunnerHandle(Protocol):
-    """How one runner is spoken to. `address` tells it from another process under its name. What it is asked
-    to do takes as its `connection` whoever can withdraw it."""
+    """The connection, or pool of connections, to one runner process.
+
+    `address` distinguishes the process from others with the same worker name. `send_call`, `send_preload` and
+    `send_health_check` set `connection` of the call or task to the object that can withdraw it.
+    """
 
     address: Any
 
-    def named(self) -> None: ...  # it is on the list now
-    def dropped(self) -> None: ...  # it is gone: what is out may still end
-    def hold_back(self) -> None: ...  # it drains: what waits to be written is not sent
+    def named(self) -> None: ...  # the runner was added to the list
+    def dropped(self) -> None: ...  # the runner was removed; calls in flight may still finish
+    def hold_back(self) -> None: ...  # the runner drains: discard what is queued and not written
     def send_call(self, worker_call: WorkerCall) -> None: ...
     def send_preload(self, task: WorkerTask) -> None: ...
     def unload(self, function: str) -> None: ...
     def send_health_check(self, task: WorkerTask) -> None: ...
-    def end(self) -> None: ...  # leave it at once
+    def end(self) -> None: ...  # close the connections immediately
 
 
 class ListSource(Protocol):
-    """Who tells the list of workers."""
+    """A source of the worker list."""
 
     def start(self) -> None: ...
-    def follow(self) -> None: ...
+    def follow(self) -> None: ...  # subscribe to the list
     def stop(self) -> None: ...
-    def read_now(self) -> None: ...  # what lies unread of it
-    def is_current(self) -> bool: ...  # whether new work may still begin by what it told last
+    def read_now(self) -> None: ...  # process what the socket has received and is not read yet
+    def is_current(self) -> bool: ...  # whether the list is recent enough for new work to start by it
 
 
 class Core:
-    """One front end on one reactor, whose clock must be monotonic: one set back would hold the timers."""
+    """One edge on one reactor. The reactor's clock must be monotonic: a clock set back would delay timers.
+
+    Times are ticks of 0.1 ms on that clock.
+    """
 
     def __init__(
         self, reactor: Any, name: str, settings: Settings, log: Log, seed: int, slack: int = 0,
@@ -76,10 +83,10 @@
         self.runners: dict[str, Any] = {}
         self.counts = dict.fromkeys(("turned away", "unreadable", "passed over", NOT_BEGUN), 0)
         self.stopping = False
-        self.dials_when_used = False  # runners only when something is sent there, else when they are listed
+        self.dials_when_used = False  # connect to a runner on first use instead of when it is listed
         self.stopped: Callable[[], None] | None = None
-        self.answers_until: int | None = None  # once cut short: until when answers may still leave
-        self.inputs = 0  # inputs so far
+        self.answers_until: int | None = None  # once all requests were aborted: deadline for sending answers
+        self.inputs = 0  # network inputs processed so far
         self.turns, self.next_turn, self.turn_at = Turns(), None, -1
         self.front: Front
         self.make_runner: Callable[[str, Any, str], RunnerHandle]
@@ -90,42 +97,51 @@
             reactor.around = self.host.batched
 
     def clock(self) -> int:
-        return int(self.reactor.seconds() * SECOND + 0.001)  # 0.3 ms must not read as 2.99 tenths
+        # the offset absorbs floating-point error: 0.3 ms must become 3 ticks, not 2
+        return int(self.reactor.seconds() * SECOND + 0.001)
 
     def earliest_arrival(self) -> int:
-        """The earliest moment at which what is read now may have come: a program that stood still reads late,
-        and by the sockets' count its RPCs are older than by its own."""
+        """The earliest time at which the data being read now can have arrived.
+
+        That is the time of the previous poll: after a stall of the process, requests were sent long before
+        they are read.
+        """
         looked = getattr(self.reactor, "looked", None)
         return self.clock() if looked is None else int(looked[0] * SECOND)
 
     def unread_for(self, sock: socket.socket, longest: int) -> int:
-        """How long what is read now lay in its socket, `longest` at the most, in tenths of a millisecond, as
-        far as the kernel tells: a client counts its time from when it sent, also while the program stood
-        still."""
+        """How long the data read now has been in the socket's receive buffer, in ticks, at most `longest`.
+
+        The age is the kernel's, 0 where that is unknown. A client's deadline runs from when it sent the
+        request, also while this process is stalled.
+        """
         age = getattr(self.reactor, "unread_for", None)
         if age is None or not longest:
             return 0
         return min(longest, int(age(sock) * SECOND))
 
     def since_look(self) -> int:
-        """How long what is read now may have lain unread at the most; 0 unless the program stood still."""
+        """The longest time for which the data read now can have been unread; 0 unless the process stalled."""
         longest = self.clock() - self.earliest_arrival()
         return longest if longest > LATE else 0
 
     def pieces(self) -> int:
-        """How many pieces of one connection are read at once: all that there are, within bounds, after a
-        standstill. One that ends, and what it brought before, are then met in the same look."""
+        """How many reads are made of one connection per poll.
+
+        One, but after a stall several, so that a request and the close that follows it are seen in the same
+        poll.
+        """
         return PIECES if self.clock() - self.earliest_arrival() > LATE else 1
 
     def start(self) -> int:
-        """Listen, and follow the list. Returns the port."""
+        """Start listening and following the worker list. Returns the port."""
         port = self.front.listen()
         for source in self.sources:
             source.start()
         self.log("listening", port=port, edge=self.name)
         return port
 
-    # turns and timers
+    # timers
 
     def input(self) -> None:
         self.inputs += 1
@@ -156,11 +172,14 @@
             self.host.fire_timers()
         self.timers_changed()
 
-    # the list and the runners
+    # the worker list and the runners
 
     def listed(self, told: Sequence[WorkerInfo], whole: bool) -> None:
-        """A list or a change of it was read. Nothing new begins against it from now on, what waits to be
-        written is taken back, and the module hears of it before whatever else waits to be told."""
+        """Apply a worker list (`whole`) or a change to it.
+
+        From now on no new work is sent to a worker that does not serve, queued lines to it are discarded, and
+        the module gets the list ahead of other queued events.
+        """
         self.gate.listed(told, whole)
         self.host.endpoints_received(told, whole)
         for facts in told:
@@ -168,7 +187,10 @@
                 self.runners[facts.name].hold_back()
 
     def address(self, name: str, address: Any, start: str = "") -> None:
-        """A runner listens here now. At another address it is another process; the old way ends its calls."""
+        """Note the address of a runner; an empty one removes it.
+
+        Another address means another process: the handle of the old one is kept until its calls have ended.
+        """
         runner = self.runners.get(name)
         if runner is not None and (not address or runner.address != address):
             del self.runners[name]
@@ -179,19 +201,20 @@
             runner.named()
 
     def runner(self, name: str) -> Any:
-        """The runner that something is to be sent to; `None` if it is not there."""
+        """The handle to send to the runner by; `None` if there is none."""
         return self.runners.get(name)
 
     def passed_over(self, name: str, why: str) -> None:
+        """Count and log a message of a peer that is ignored."""
         self.count_and_log("passed over", peer=name, why=why[:200])
 
     def count_and_log(self, what: str, **figures: Any) -> None:
-        """Count what may come often, and log the first ones."""
+        """Count an event, and log its first MOST_LOGGED occurrences."""
         self.counts[what] += 1
         if self.counts[what] <= MOST_LOGGED:
             self.log(what, **figures)
 
-    # what the host asks (hosting.transport)
+    # hosting.transport.Transport
 
     def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         pending.client.answer(pending, verdict, retry_after, body)
@@ -242,11 +265,13 @@
 
     def extend_prefix(self, function: FunctionInfo) -> None: ...
 
-    # the end
+    # shutdown
 
     def stop(self, stopped: Callable[[], None]) -> None:
-        """Take nothing new and finish what is out; a second call answers all of it as aborted at once, and
-        waits a little for answers to leave."""
+        """Accept no new requests and finish those that are open, then call `stopped`.
+
+        A second call aborts the open requests and allows their answers LAST ticks to be sent.
+        """
         if self.stopping:
             self.host.abort_all(self.front.open())
             self.answers_until = self.clock() + LAST if self.answers_until is None else self.answers_until
@@ -257,7 +282,7 @@
         self.check_finished()
 
     def check_finished(self, _: object = None) -> None:
-        """Whether all is over: what came until now has its answer, and that has left."""
+        """Finish the shutdown once every request is answered and the answers are sent, or time is up."""
         late = self.answers_until is not None and self.clock() >= self.answers_until
         if late or not (self.host.open_requests or self.front.owes()):
             return self.finish()
