--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -1,4 +1,4 @@
-"""Connections from clients: calls in, answers out."""
+"""Client connections of the JSON lines protocol."""
 
 from typing import Any, Literal
 
@@ -13,7 +13,7 @@
 
 
 class Named(msgspec.Struct):
-    """As much of an unreadable call as tells whose it is."""
+    """The id of a call that can't be decoded as a whole, so that its client can be answered."""
 
     id: str = ""
 
@@ -31,6 +31,8 @@
 
 
 class ClientSpeaker(Speaker):
+    """The connection of one client, with its open requests by call id."""
+
     protocol = wire.CLIENT
     decoder = union(wire.FromClient)
     speaks_first = False
@@ -39,7 +41,7 @@
         super().__init__(edge.bounds)
         self.edge, self.name = edge, f"c{number}"
         self.open: dict[str, PendingRequest] = {}
-        self.read_at = 0  # when it was last read
+        self.read_at = 0  # time of the last read
 
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.edge.name, self.name)
@@ -63,12 +65,14 @@
                 self.say(wire.Fault("a greeting or a call was expected"))
 
     def show(self, what: str) -> None:
+        """Answer an operator's query for the state of the fleet or directory."""
         shown = {"fleet": self.edge.fleet_member, "directory": self.edge.directory}[what]
         if shown is None:
             return self.say(wire.Fault(NOT_SHOWN[what]))
         self.say(wire.Shown(msgspec.Raw(msgspec.json.encode(shown.show()))))
 
     def call(self, call: wire.Call) -> None:
+        """Check a call, route it to a version, and hand it to the host unless it is rejected."""
         edge = self.edge
         if call.id in self.open:
             return self.say(wire.Fault(f"id {call.id} is open on this connection", call.id))
@@ -93,24 +97,26 @@
         if edge.fleet_member is not None:
             key = attempt_key(call.key, call.token, f"{self.name}/{call.id}")
             stay = edge.fleet_member.admit(method, customer, call.repeat, key)
-        if stay is not None:  # nothing of it has left this edge
+        if stay is not None:  # rejected by admission control; no worker has seen it
             edge.counts["turned away"] += 1
             return self.say(wire.Answer(call.id, RequestEnd.REJECTED.value, stay / 10))
         edge.take(self, call, method, customer, left, route)
 
     def is_waiting(self) -> bool:
-        """Whether the client still waits, as far as can be known; its requests are closed if it has gone."""
+        """Whether the client is still connected by all that was received; else its requests are closed."""
         self.read_now()
         return not self.closed
 
     def read_now(self) -> None:
-        """Read what lies unread, its end included, unless that was done within READ_AGAIN: nothing begins for
-        a client that has gone."""
+        """Process unread data and a close of the connection, unless that was done within READ_AGAIN.
+
+        So no work is started for a client that has disconnected.
+        """
         now, read = self.edge.clock(), getattr(self.transport, "doRead", None)
         if read is None or self.closed or now - self.read_at <= READ_AGAIN:
             return
         self.read_at = now
-        if read() is not None:  # why the connection has ended; the reactor ends it in its turn
+        if read() is not None:  # the connection has ended; the reactor closes it later
             self.lost()
 
     def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
@@ -135,7 +141,7 @@
 
 
 class Clients(ServerFactory):
-    """The front of the line protocol."""
+    """The front (core.Front) of the JSON lines protocol."""
 
     noisy = False
 
@@ -162,7 +168,7 @@
         return [t for seat in self.seats for t in seat.open.values()]
 
     def owes(self) -> bool:
-        return False  # its transports write what they hold before they close
+        return False  # Twisted's transports write their buffers before they close
 
     def end(self) -> None:
         for seat in list(self.seats):
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -20,7 +20,7 @@
 from lapistrestle.ticks import SECOND
 
 Log = Callable[..., None]
-LATE = READ_AGAIN  # ticks between two polls; after a longer stall a close may follow the data that is read first
+LATE = READ_AGAIN  # ticks between two polls; after longer stalls a close may be queued behind unread data
 PIECES = 4  # reads per connection after a stall: a request with the longest body, and what follows it
 MOST_LOGGED = 100  # log lines of one event
 LAST = 300  # ticks that answers may take to be sent once all requests were aborted
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -1,6 +1,7 @@
-"""What a front end takes from the roster's lists, and where a runner's own word is newer. No I/O.
+"""The workers that an edge knows, from the roster's lists and from the runners themselves. No I/O.
 
-Which lists are taken: `sources/numbered_list.py`.
+A runner's own notice that it started or drains may be newer than the list. Which lists are applied is decided
+in `sources/numbered_list.py`. Times are ticks of 0.1 ms.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,7 +11,7 @@
 from lapistrestle.sources.numbered_list import ListAction, NumberedList
 from lapistrestle.wire.messages import Change, Entry, Whole
 
-STATES = {  # as the wire names them
+STATES = {  # by their names on the wire
     "serving": EndpointState.SERVING,
     "draining": EndpointState.DRAINING,
     "gone": EndpointState.REMOVED,
@@ -19,20 +20,20 @@
 
 @dataclass(eq=False)
 class Known:
-    """One worker, from the roster and from itself."""
+    """What is known of one worker."""
 
     entry: Entry
-    booted: int | None = None  # of `start`, on our clock; reckoned once: reckoned anew it would drift
-    start: str = ""
-    drains: str = ""  # the start at which the worker itself said that it drains
+    booted: int | None = None  # time of `start` on our clock; computed once, as repeated ones would drift
+    start: str = ""  # id of the process start
+    drains: str = ""  # id of the start for which the runner itself announced that it drains
 
 
-Address = tuple[str, int, str]  # of a worker: name, port, start; port 0: gone
+Address = tuple[str, int, str]  # of a worker: name, port, start id; port 0: removed
 
 
 @dataclass(frozen=True)
 class Taken:
-    """What a list led to."""
+    """What is done with a list or change, and which workers and addresses it changes."""
 
     do: ListAction
     whole: bool = False
@@ -41,7 +42,7 @@
 
 
 class KnownWorkers:
-    """The workers that one front end knows, from whoever tells it of them and from themselves."""
+    """The workers that one edge knows, from any source and from the runners themselves."""
 
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones = {zone: i for i, zone in enumerate(zones)}
@@ -49,7 +50,7 @@
         self.known: dict[str, Known] = {}
 
     def note(self, entries: Iterable[Entry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
-        """What entries say, for the module, and where the workers listen now."""
+        """Apply entries of a list. Returns the workers for the module, and their current addresses."""
         facts, addresses = list[WorkerInfo](), list[Address]()
         for entry in entries:
             known = self.known.get(entry.name)
@@ -64,19 +65,22 @@
         return facts, addresses
 
     def started(self, known: Known, start: str, up_for: float | None, now: int, first: bool) -> bool:
-        """Note a start. The worker's own word, met by connecting, may be ahead of the list or behind it."""
+        """Note a start of a worker; whether it is a new one.
+
+        A runner's greeting may be older or newer than the list: of two starts the later one counts.
+        """
         if start == known.start or not start:
             return False
         booted = None if up_for is None else now - int(up_for * 10)
         if not first and known.booted is not None and booted is not None and booted < known.booted:
-            return False  # an older start: this word is the stale one
+            return False  # the notice is stale: it names an earlier start
         known.start, known.booted = start, booted
         return True
 
     def met(
         self, name: str, start: str, up_for: float | None, draining: bool, now: int
     ) -> tuple[WorkerInfo, ...]:
-        """A runner greeted us. What it says of itself is told to the module at once if it is new."""
+        """Apply a runner's greeting. Returns the worker if the greeting tells something new of it."""
         known = self.known.get(name)
         if known is None:
             return ()
@@ -86,7 +90,7 @@
         return (self.facts(known),) if new else ()
 
     def drains(self, name: str, start: str) -> tuple[WorkerInfo, ...]:
-        """A runner itself said that it drains; a list that still says otherwise is the older word."""
+        """The runner announced that it drains; this takes precedence over a list that has it serving."""
         known = self.known.get(name)
         if known is None or known.start != start:
             return ()
@@ -103,7 +107,7 @@
 
 
 class Following(NumberedList, KnownWorkers):
-    """The roster's list as one front end holds it."""
+    """The roster's list of workers as one edge holds it."""
 
     def __init__(self, zones: list[str], kinds: list[str], log: Callable[[str], None]) -> None:
         NumberedList.__init__(self, log)
@@ -113,7 +117,7 @@
         return len(self.known)
 
     def told(self, message: Whole | Change, now: int) -> Taken:
-        """A list or change came from the roster."""
+        """Apply a list or change received from the roster."""
         do = self.accept(message)
         if do is not ListAction.TAKE:
             return Taken(do)
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -1,4 +1,4 @@
-"""An edge's connections to holders of the directory, numbered by the watcher that has them made."""
+"""An edge's connections to holders of the directory, by the numbers that the watcher assigns."""
 
 from typing import Any, Protocol
 
@@ -13,10 +13,10 @@
 
 
 class Listener(Protocol):
-    """Who is told what becomes of the connections, by their numbers."""
+    """Receives the events of the connections."""
 
     def connected(self, connection: int) -> None: ...  # both ends have greeted
-    def refused(self, connection: int) -> None: ...  # it ended before that
+    def refused(self, connection: int) -> None: ...  # it ended before both ends had greeted
     def disconnected(self, connection: int) -> None: ...
     def heard(self, connection: int, message: Any) -> None: ...
 
@@ -41,7 +41,9 @@
         self.dial.connections.heard(self.dial, message)
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """A line lost may have told of a drain: the watches begin anew on another connection."""
+        """Close the connection: the line may have announced a drain, so the watches restart on
+        another one.
+        """
         self.dial.connections.edge.passed_over("holder", why)
         super().unreadable(line, why)
 
@@ -50,7 +52,7 @@
 
 
 class HolderDial(ClientFactory):
-    """One connection to a copy of a shard, as the watcher numbers it."""
+    """The attempt to connect to one replica of a shard, and the connection made."""
 
     noisy = False
 
@@ -67,7 +69,7 @@
         self.connections.lost(self, greeted=False)
 
     def leave(self) -> None:
-        """What is under way on it is of no use any more, also where the holder does not read."""
+        """Abort the connection: unsent data is of no use any more, and the holder may not read it."""
         if self.speaker is None:
             self.connector.disconnect()
         elif not self.speaker.closed:
@@ -77,17 +79,17 @@
 
 
 class HolderConnections:
-    """All of them. What a connection still says after it was hung up is passed over."""
+    """All connections to holders. Messages of a connection that was closed here are ignored."""
 
     def __init__(self, edge: Any, listener: Listener) -> None:
         self.edge, self.listener = edge, listener
         self.dials: dict[int, HolderDial] = {}
 
     def __len__(self) -> int:
-        """Connections that stand or are being made."""
+        """The number of connections that are open or being made."""
         return len(self.dials)
 
-    # what the watcher asks
+    # the watcher's effects
 
     def dial(self, effect: Dial) -> None:
         """Open a connection."""
@@ -97,32 +99,32 @@
         dial.connector = self.edge.reactor.connectTCP(copy.host, copy.port, dial, timeout=time_out)
 
     def hang_up(self, connection: int) -> None:
-        """Close one; nothing is told of it any more."""
+        """Close a connection; no more events of it are reported."""
         if (dial := self.dials.pop(connection, None)) is not None:
             dial.leave()
 
     def send(self, effect: Send) -> None:
-        """Send a message, where its connection still stands."""
+        """Send a message if its connection is still open."""
         dial = self.dials.get(effect.connection)
         if dial is not None and dial.speaker is not None:
             dial.speaker.say(effect.message)
 
     def close(self) -> None:
-        """Leave all."""
+        """Close all connections."""
         for dial in self.dials.values():
             dial.leave()
         self.dials.clear()
 
-    # what the connections tell
+    # events of the connections
 
     def connected(self, dial: HolderDial) -> None:
-        """A holder greeted."""
+        """Both ends have greeted."""
         if dial.number in self.dials:
             self.edge.input()
             self.listener.connected(dial.number)
 
     def lost(self, dial: HolderDial, greeted: bool) -> None:
-        """A connection ended, or was never made."""
+        """A connection ended, or could not be made."""
         if self.dials.pop(dial.number, None) is None:
             return
         self.edge.input()
@@ -132,7 +134,7 @@
             self.listener.refused(dial.number)
 
     def heard(self, dial: HolderDial, message: Any) -> None:
-        """A holder says something."""
+        """Hand on a message of a holder."""
         if dial.number not in self.dials:
             return
         self.edge.input()
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -1,6 +1,6 @@
-"""What the directory tells of instances, handed on to the module and to the connections to workers.
+"""Applies the directory's changes of instances to the module's list of workers and to their connections.
 
-Times are whole tenths of a millisecond on the edge's clock.
+Times are ticks of 0.1 ms on the edge's clock.
 """
 
 from collections.abc import Iterable
@@ -15,24 +15,25 @@
 
 
 class InstanceHandOver:
-    """Keeps the module's list of workers to the instances in prefixes of functions that are called."""
+    """Limits the module's list of workers to the instances in prefixes of functions that are called."""
 
     def __init__(self, edge: Any, region: RegionEstimate) -> None:
         self.edge, self.region = edge, region
-        self.parted: dict[str, Known] = {}  # in no prefix any more, while they warm up
+        self.parted: dict[str, Known] = {}  # in no prefix any more, and still in slow start
 
     def changed(self, entries: Iterable[Entry]) -> None:
-        """Instances that are new, or have changed."""
+        """Apply new or changed instances."""
         entries = list(entries)
         for entry in entries:
             parted = self.parted.pop(entry.name, None)
-            if parted is not None:  # what the module was told of its start stays as it was reckoned
+            # its start time stays as it was computed, so that the module sees no restart
+            if parted is not None:
                 self.edge.following.known[entry.name] = parted
         facts, addresses = self.edge.following.note(entries, self.edge.clock())
         self.edge.workers_told(facts, addresses)
 
     def gone(self, names: Iterable[str]) -> None:
-        """Rule 3: nothing new goes there. What is out may still end."""
+        """Remove instances. Nothing new is sent to them; calls in flight may still finish."""
         facts = list[WorkerInfo]()
         for name in names:
             known = self.edge.following.known.pop(name, None) or self.parted.pop(name, None)
@@ -41,10 +42,10 @@
         self.tell_left(facts)
 
     def forgotten(self, names: Iterable[str]) -> None:
-        """No prefix names these any more, and no drain of theirs would be heard of: nothing goes there.
+        """Apply that instances are in no prefix any more.
 
-        One that warms up is kept in the module, where what it was sent counts against its budget also when
-        it is met again (rule 4).
+        The directory would not report their drains, so nothing new is sent to them. An instance in slow start
+        stays in the module as draining: what it was sent must count towards its limit if it comes back.
         """
         facts = list[WorkerInfo]()
         for name in names:
@@ -61,18 +62,18 @@
         self.tell_left(facts)
 
     def warmed_up(self, known: Known) -> None:
-        """Nothing that it was sent counts any more."""
+        """The instance's slow start is over: remove it unless it came back."""
         if self.parted.get(known.entry.name) is known:
             self.gone([known.entry.name])
 
     def tell_left(self, facts: list[WorkerInfo]) -> None:
-        """Tell the module, and end the connections."""
+        """Report removed workers to the module, and close their connections."""
         if facts:
             left: list[Address] = [(told.name, 0, "") for told in facts]
             self.edge.workers_told(facts, left)
 
     def rank(self, function: Function, names: tuple[str, ...]) -> None:
-        """Tell the module the function's prefix, as far as its workers are known."""
+        """Pass the function's prefix to the module, limited to known workers."""
         self.edge.host.prefix_received(
             function, [name for name in names if name in self.edge.following.known]
         )
--- a/lapistrestle/edge/keeping.py
+++ b/lapistrestle/edge/keeping.py
@@ -1,4 +1,4 @@
-"""Keeps what the module has learnt in a file and tells it at the start. What outlives a move, it decides."""
+"""Persists the module's learned latency figures, and restores them at start."""
 
 from pathlib import Path
 from typing import Any
@@ -6,11 +6,11 @@
 from lapistrestle.store import learned_state
 from lapistrestle.store.learned_state import LearnedMethod
 
-EACH = 100_000  # tenths of a millisecond between two writings
+EACH = 100_000  # ticks of 0.1 ms between two writes of the file
 
 
 class Keeping:
-    """One edge's. A file that can't be read, or a disk that fails, never stops the edge."""
+    """The file of one edge. An unreadable file or a failing disk is logged and never stops the edge."""
 
     def __init__(self, edge: Any, path: str) -> None:
         self.edge, self.path = edge, Path(path)
@@ -18,7 +18,7 @@
         edge.after(EACH, self.step, None)
 
     def recall(self) -> None:
-        """A method whose deadlines have changed, or that is new, starts afresh."""
+        """Restore the figures from the file, except for methods whose deadlines have changed."""
         try:
             kept = learned_state.read_learned_state(self.path)
         except FileNotFoundError:
@@ -37,18 +37,20 @@
         self.edge.log("kept figures", carried=same, afresh=[m for m in self.edge.methods if m not in same])
 
     def set_aside(self) -> None:
-        """Guards against writing over a file that was never ours: what could not be read is kept beside."""
+        """Rename a file that can't be read, so that the next write does not destroy another program's."""
         try:
             self.path.replace(self.path.with_name(self.path.name + ".unread"))
         except OSError as trouble:
             self.edge.log("learnt figures not kept", why=str(trouble))
 
     def step(self, _: object) -> None:
+        """Write the file now, and again every EACH ticks."""
         if not self.edge.stopping:
             self.write()
             self.edge.after(EACH, self.step, None)
 
     def write(self) -> None:
+        """Write the file. An error is logged."""
         rows = zip(
             self.edge.methods,
             self.edge.settings.methods,
--- a/lapistrestle/edge/linking.py
+++ b/lapistrestle/edge/linking.py
@@ -1,7 +1,9 @@
-"""The life of the connection to one runner: when it is dialled, and what becomes of lines that wait. No I/O.
+"""The state machine of the connection to one runner. No I/O.
 
-Lines for a runner wait here until its greeting has come and while it reads slowly. What waits here has never
-left: it ends as 'unreachable', which proves that it did not run. What was written may have run.
+Decides when the connection is dialled and what happens to the lines to be sent. Lines are queued until the
+runner has greeted, and while its socket accepts no more data. A queued line was never sent, so when the
+connection fails it ends as 'unreachable', which proves that it did not run. A written line may have run.
+Times are ticks of 0.1 ms.
 """
 
 from collections import deque
@@ -13,52 +15,61 @@
 
 Link = Enum("Link", "IDLE DIALING OPEN SLOW RESTING ENDING ENDED")
 Input = Enum("Input", "NAMED WANTED GREETED FAILED BROKE SLOWED EASED DUE DROPPED LAST_ENDED")
-Begun = Enum("Begun", "WRITTEN REFUSED FULL")  # what became of a line that was to begin
+Begun = Enum("Begun", "WRITTEN REFUSED FULL")  # result of an attempt to write a line
 Effect = Callable[["Linking"], None]
 
-FIRST_REST, LONGEST_REST = 1_000, 20_000  # tenths of a millisecond between dials that nobody waits for
+FIRST_REST, LONGEST_REST = 1_000, 20_000  # ticks of backoff between dials while no line is queued
 CLOSED = (Link.ENDING, Link.ENDED)
-MOST_WAITING = 512  # lines; further ones are turned away, since a runner that far behind is as good as full
-PROMPT = 50  # tenths of a millisecond that an order may wait: later it counts in another window (rule 5)
+MOST_WAITING = 512  # queued lines; more are rejected, since a runner that far behind is as good as full
+PROMPT = 50  # ticks that a preload may be queued: sent later, it would count in another budget window
 
 
 class LinkCallbacks:
-    """What the transport does: dial, write a line, close; `ask` is a request to be told DUE after a delay."""
+    """What the state machine asks of the transport, and how it reports the fate of lines by their numbers."""
 
     def dial(self) -> None: ...
     def may_begin(self, work: Any) -> bool:
-        """Asked once, just before the first byte of what begins new work at the runner. What may not begin
-        now is not sent later either."""
+        """Whether work may start at the runner.
+
+        Called once, just before the first byte of its line is written. Work that may not start now is not
+        sent later either.
+        """
         return True
 
     def write(self, line: bytes, number: int = 0) -> bool:
-        """False: none of it has left, nor does; SLOWED was told, and EASED follows."""
+        """Write a line; False if none of it was sent and none will be.
+
+        In that case SLOWED has been reported, and EASED follows once the socket accepts data again.
+        """
         return True
 
     def close(self) -> None: ...
-    def ask(self, delay: int) -> None: ...
-    def never_left(self, numbers: list[int]) -> None: ...  # nobody was met
-    def not_sent(self, numbers: list[int]) -> None: ...  # held back here, which says nothing of the runner
-    def broke(self, numbers: list[int]) -> None: ...
+    def ask(self, delay: int) -> None: ...  # report DUE after the delay
+    def never_left(self, numbers: list[int]) -> None: ...  # never sent: the runner could not be reached
+    def not_sent(self, numbers: list[int]) -> None: ...  # never sent, by a decision of this process
+    def broke(self, numbers: list[int]) -> None: ...  # sent on a connection that was lost; may have run
 
 
 @dataclass(eq=False)
 class Line:
-    """A line for a runner."""
+    """A line to be sent to a runner."""
 
-    number: int  # the host's; 0: no end of it is waited for
-    encode: Callable[[], bytes]  # called when it is written: a time that it tells is of that moment
-    until: int | None = None  # it may not begin later
-    work: Any = None  # what it has the runner begin, an attempt or an order to load; None: nothing
+    number: int  # the host's number of the attempt, preload or health check; 0: no reply is expected
+    encode: Callable[[], bytes]  # called when the line is written, so that a remaining time in it is exact
+    until: int | None = None  # latest time to write it; None: no limit
+    work: Any = None  # the attempt or preload that it starts at the runner, or None
 
     def is_due(self, now: int) -> bool:
-        """Whether it may still begin, as far as time goes."""
+        """Whether the line may still be written at this time."""
         return self.until is None or now <= self.until
 
 
 @dataclass
 class Linking:
-    """One runner's connection. Numbers are the host's, of call-outs, orders and probes."""
+    """The state of one connection to a runner, with its queued and sent lines.
+
+    Lines are known by the host's numbers of attempts, preloads and health checks.
+    """
 
     name: str
     callbacks: LinkCallbacks
@@ -67,8 +78,8 @@
     state: Link = Link.IDLE
     prompt: int = PROMPT
     waiting: deque[Line] = field(default_factory=deque)
-    out: dict[int, None] = field(default_factory=dict)  # written, without an end yet
-    rests: int = 0  # dials that failed in a row
+    out: dict[int, None] = field(default_factory=dict)  # numbers of lines written and not finished
+    rests: int = 0  # consecutive failed dials
 
     def step(self, given: Input) -> None:
         after = LIFE.get((self.state, given))
@@ -77,15 +88,18 @@
         before, (self.state, effects) = self.state, after
         for effect in effects:
             effect(self)
-        again = self.state is Link.RESTING and self.rests > 1  # one that stays away is told once
+        again = self.state is Link.RESTING and self.rests > 1  # further failures in a row are not logged
         if self.state in LOGGED and before is not self.state and not again:
             self.log(f"{self.name} {before.name.lower()} to {self.state.name.lower()}: {len(self.out)} out")
 
-    # what is sent
+    # sending
 
     def send(self, line: Line, prompt: bool = False) -> bool:
-        """Write or keep a line; False if it was turned away. `prompt`: it must go now, or as soon as the
-        connection is made. One that may not begin is told as not sent."""
+        """Write or queue a line; False if it is rejected.
+
+        With `prompt` it must be written now or within `self.prompt` ticks, once the connection is made.
+        A line whose work may not start is reported by `not_sent`.
+        """
         if self.state in CLOSED or len(self.waiting) >= MOST_WAITING:
             return False
         if self.state is Link.OPEN:
@@ -103,7 +117,10 @@
         return True
 
     def begin(self, line: Line) -> Begun:
-        """Write a line, if it may begin now. The list that is asked for that may end this connection."""
+        """Write a line if it may be written now.
+
+        `may_begin` reads the worker list, which may close this connection, so the state is checked after it.
+        """
         if not line.is_due(self.clock()):
             return Begun.REFUSED
         if line.work is not None and not self.callbacks.may_begin(line.work):
@@ -111,8 +128,11 @@
         return Begun.WRITTEN if self.state is Link.OPEN and self.put(line) else Begun.FULL
 
     def put(self, line: Line) -> bool:
-        """Write a line; False if none of it left. It counts as out before it is written: a connection that
-        breaks under the write ends it with the others."""
+        """Write a line; False if none of it was sent.
+
+        It counts as in flight before it is written, so that a connection that breaks during the write reports
+        it as broken together with the others.
+        """
         if line.number:
             self.out[line.number] = None
         if self.callbacks.write(line.encode(), line.number):
@@ -121,7 +141,7 @@
         return False
 
     def cancel_unsent(self, number: int) -> bool:
-        """Take back a line that has not left; False if it has."""
+        """Remove a queued line; False if it has been written."""
         for line in self.waiting:
             if line.number == number:
                 self.waiting.remove(line)
@@ -129,14 +149,14 @@
         return False
 
     def withdraw(self, number: int) -> bool:
-        """As `cancel_unsent`; the end of one that has left is no longer waited for."""
+        """As `cancel_unsent`, but a line that has been written no longer counts as in flight."""
         if self.cancel_unsent(number):
             return True
         self.ended(number)
         return False
 
     def ended(self, number: int) -> bool:
-        """The runner named this number's end; False if it was not out here."""
+        """The runner reported the end of this number; False if it was not in flight here."""
         known = self.out.pop(number, 0) is None
         if self.state is Link.ENDING and not self.out:
             self.step(Input.LAST_ENDED)
@@ -148,7 +168,7 @@
         self.callbacks.dial()
 
     def flush(self) -> None:
-        """Nothing of one turn is lost if the connection slows down half way: the rest goes on waiting."""
+        """Write the queued lines; if the socket accepts no more, the rest stays queued."""
         self.rests, callbacks, refused = 0, self.callbacks, list[int]()
         while self.waiting and self.state is Link.OPEN:
             line = self.waiting.popleft()
@@ -158,34 +178,39 @@
             elif begun is Begun.FULL:
                 self.waiting.appendleft(line)
                 break
-        if self.state in CLOSED:  # by the list that was read before a line
+        if self.state in CLOSED:  # closed by the worker list that `may_begin` read
             refused += self.kept()
         if refused:
             callbacks.not_sent(refused)
 
     def kept(self) -> list[int]:
-        """The numbers of what waits, which waits no longer."""
+        """Empty the queue. Returns the numbers of its lines."""
         numbers = [line.number for line in self.waiting if line.number]
         self.waiting.clear()
         return numbers
 
     def give_back(self) -> None:
-        """What waits has never left, and is not sat on."""
+        """Report all queued lines as unreachable."""
         if numbers := self.kept():
             self.callbacks.never_left(numbers)
 
     def hold_back(self) -> None:
-        """The runner drains: what waits is not sent, though it could be."""
+        """Report all queued lines as not sent: the runner drains, or was removed from the list."""
         if numbers := self.kept():
             self.callbacks.not_sent(numbers)
 
     def break_off(self) -> None:
+        """Report all lines in flight as broken: they may have run."""
         numbers, self.out = list(self.out), {}
         if numbers:
             self.callbacks.broke(numbers)
 
     def rest(self) -> None:
-        """Pauses double; chance spreads front ends that lost the same runner together."""
+        """Back off before the next dial.
+
+        The delay doubles with each failure, plus a jitter, derived from the runner's name and the failure
+        count, so that connections lost together are not dialled again at the same moment.
+        """
         longest = min(LONGEST_REST, FIRST_REST << min(self.rests, 5))
         self.rests += 1
         self.callbacks.ask(longest // 2 + crc32(f"{self.name}:{self.rests}".encode()) % (longest // 2 + 1))
@@ -194,7 +219,7 @@
         self.callbacks.close()
 
     def close_if_done(self) -> None:
-        """Named as gone: what runs there may still end, so the connection stays until it has."""
+        """Close if nothing is in flight; else the connection stays open until the calls at the runner end."""
         if not self.out:
             self.step(Input.LAST_ENDED)
 
@@ -211,7 +236,7 @@
     (Link.DIALING, Input.DROPPED): (Link.ENDED, (_.give_back, _.close)),
     (Link.OPEN, Input.SLOWED): (Link.SLOW, ()),
     (Link.OPEN, Input.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
-    (Link.OPEN, Input.DROPPED): (Link.ENDING, (_.hold_back, _.close_if_done)),  # lines wait amid a flush
+    (Link.OPEN, Input.DROPPED): (Link.ENDING, (_.hold_back, _.close_if_done)),  # queued amid a flush
     (Link.SLOW, Input.EASED): (Link.OPEN, (_.flush,)),
     (Link.SLOW, Input.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
     (Link.SLOW, Input.DROPPED): (Link.ENDING, (_.give_back, _.close_if_done)),
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -1,4 +1,4 @@
-"""Short messages between edges, where settings allow them: datagrams, which may be late or lost."""
+"""Gossip between edges, where the settings allow it, by UDP datagrams: these may be delayed or lost."""
 
 from typing import Any
 
@@ -11,6 +11,8 @@
 
 
 class Peers(DatagramProtocol):
+    """The gossip socket of one edge."""
+
     transport: Any
 
     def __init__(self, edge: Any) -> None:
@@ -21,7 +23,7 @@
             edge.reactor.listenUDP(self.ports[self.me], self, interface="127.0.0.1")
 
     def tell(self, peer: int | None, text: str) -> None:
-        """To one other edge by number, or to all. Nothing tells whether it arrives."""
+        """Send to one other edge by its index, or to all. Delivery is not confirmed."""
         line = wire.encode(wire.Peer(self.me, text))
         for number, port in enumerate(self.ports):
             if number != self.me and peer in (None, number) and self.transport is not None:
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -1,4 +1,4 @@
-"""The edge of the line protocol: its clients, runners, roster and planner, and which version an RPC meets."""
+"""The edge with the JSON lines protocol: clients, runners, roster, planner, and the routing to versions."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import replace
@@ -26,23 +26,25 @@
 
 
 def cost_before(pending: PendingRequest) -> bool:
-    """Whether a call-out of it that has ended cost a worker something: what missed did not."""
+    """Whether an attempt of this request has cost a worker work: those not sent or not loaded did not."""
     return any(c.outcome not in (None, Outcome.NOT_LOADED, Outcome.NOT_SENT) for c in pending.attempts)
 
 
 def faulty(pending: PendingRequest) -> bool:
-    """Whether a worker failed it, and did not only have no room or time for it."""
+    """Whether an attempt failed by a worker's fault, rather than for lack of capacity or time."""
     return any(c.outcome in (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE) for c in pending.attempts)
 
 
 class Edge(Core):
-    """The core with the line protocol's parts, and the versions that a planner tells."""
+    """The core with the parts of the JSON lines protocol, and versions as planned by the planner."""
 
     def __init__(
         self, reactor: Any, deployment: Deployment, log: Log, seed: int | None = None,
         make: Callable[..., Any] = Dispatcher, boot: int | None = None, nonce: int = 0,
     ) -> None:  # fmt: skip
-        """`boot` and `nonce` tell this start of this process from others under its name, in a fleet."""
+        """`boot` and `nonce` distinguish this start of the process from others of the same name in
+        a fleet.
+        """
         place = deployment.dispatcher
         self.deployment, self.bounds = deployment, bounds_of(deployment.listen)
         self.methods = {name: i for i, name in enumerate(deployment.methods)}
@@ -58,7 +60,7 @@
         settings = replace(to_settings(deployment), preload_delay=PROMPT)
         guidance = FleetGuidance()
         self.directory: Any = None
-        if deployment.directory.shards:  # an edge with the whole list does not pay for what a directory needs
+        if deployment.directory.shards:  # imported only where needed, to save memory and start time
             from lapistrestle.directory.region_estimate import RegionEstimate
 
             share, duration = settings.slow_start_share, settings.slow_start_duration
@@ -85,7 +87,7 @@
         fleet = deployment.fleet
         boot = round(reactor.seconds() * 1000) if boot is None else boot
         self.fleet_member: Any = None
-        if fleet.name:  # an edge by itself does not pay for what a fleet needs
+        if fleet.name:  # imported only where needed, to save memory and start time
             from lapistrestle.edge.fleet_member import FleetMember
 
             self.fleet_member = FleetMember(self, fleet, boot, nonce)
@@ -101,9 +103,10 @@
             self.fleet_member.endpoint.leave()
         super().stop(stopped)
 
-    # the list and the runners
+    # the worker list and the runners
 
     def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
+        """Apply a list or change from the roster, as far as its number allows. Returns what was done."""
         taken = self.following.told(message, self.clock())
         if taken.do is ListAction.TAKE:
             self.workers_told(taken.facts, taken.addresses, taken.whole)
@@ -112,30 +115,36 @@
     def workers_told(
         self, told: Sequence[WorkerInfo], addresses: Sequence[Address], whole: bool = False
     ) -> None:
-        """Workers that are new or have changed, and where they listen now."""
+        """Apply new or changed workers, and their current addresses."""
         self.listed(told, whole)
         for name, port, start in addresses:
             self.address(name, port, start)
 
     def list_event(self, news: ListEvent) -> None:
+        """Handle the loss of the roster's connection, or its failure to answer."""
         self.input()
         if self.following.step(news) is ListAction.TELL_FAILED:
             self.host.list_failed()
 
     def runner(self, name: str) -> Any:
-        """With a directory most of the workers that are known are never sent anything: one is dialled when
-        the first line is for it, and its greeting says whether it drains before that line leaves."""
+        """The handle to send to the runner by; `None` if there is none.
+
+        With a directory most known workers never get a call, so a runner is dialled when it is first used.
+        Its greeting tells whether it drains before the first line is sent.
+        """
         runner, known = self.runners.get(name), self.following.known.get(name)
         if runner is None and known is not None and self.dials_when_used and not self.stopping:
             runner = self.runners[name] = self.make_runner(name, known.entry.port, known.start)
         return runner
 
     def runner_met(self, name: str, hello: wire.Hello) -> None:
+        """Apply a runner's greeting, which tells of its start and whether it drains."""
         told = self.following.met(name, hello.start, hello.up_for, hello.draining, self.clock())
         if told:
             self.listed(told, whole=False)
 
     def runner_drains(self, name: str, start: str) -> None:
+        """Apply a runner's own notice that it drains."""
         told = self.following.drains(name, start)
         if told:
             self.listed(told, whole=False)
@@ -143,25 +152,29 @@
     # versions
 
     def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
+        """Choose the version of the function that serves this call."""
         key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(
             call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
         )
 
     def kind(self, method: int) -> str:
+        """The idempotency of a method, as the settings name it."""
         kind: str = self.settings.methods[method].kind
         return kind
 
     def span(self, call: wire.Call) -> bool:
-        """Whether one version knows the tokens of another."""
+        """Whether versions of the function share their idempotency tokens."""
         return self.deployment.methods[call.method].repeats_across_versions
 
     def take(
         self, seat: ClientSpeaker, call: wire.Call, method: int, customer: int, left: int, route: Route,
         moved: bool = False, prior_attempts: int = 0,
     ) -> None:  # fmt: skip
-        """An RPC begins, or begins again under another version. With a directory it may have to wait until
-        it is known where its function is."""
+        """Hand an RPC to the host, for the first time or again under another version.
+
+        With a directory it may have to wait until the prefix of its function is known.
+        """
         load = None if call.load is None else int(call.load * 10)
         waits = False
         if self.directory is not None:
@@ -179,7 +192,7 @@
             seat.open[call.id] = pending
 
     def move(self, pending: PendingRequest) -> None:
-        """An RPC that has not run on a version that is barred now goes to the settled one, in its time."""
+        """Restart an RPC that did not run on a barred version under the settled one, in the time left."""
         call, attempts = pending.message, pending.attempt_count()
         route = self.routing.reroute(pending.function.name, attempt_key(call.key, call.token, pending.tag))
         left = pending.deadline - self.clock()
@@ -188,8 +201,11 @@
         self.take(pending.client, call, pending.method, pending.customer, left, route, True, attempts)
 
     def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None:
-        """How an RPC ended is evidence for or against its version; not where this edge may not send there
-        now, as what ends badly then is no fault of the version. It is a figure of the fleet's, too."""
+        """Count the outcome of an RPC for its version, and for the fleet's admission control.
+
+        A failure does not count against a version that this edge may not send to now: it is not the version's
+        fault.
+        """
         waited = self.directory is not None and self.directory.waiting.leave(pending)
         if self.fleet_member is not None:
             late = self.late(pending)
@@ -204,12 +220,12 @@
             )
 
     def late(self, pending: PendingRequest) -> bool:
-        """Whether it is past its soft deadline now."""
+        """Whether the request is past its soft deadline now."""
         method = self.settings.methods[pending.method]
         stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
         return bool(self.clock() - pending.began > min(method.deadline, stretched))
 
-    # what the host asks (hosting.transport)
+    # hosting.transport.Transport
 
     def send_answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         late = pending.deadline - self.clock() <= 0
@@ -229,6 +245,7 @@
         pending.client.say(wire.Begun(pending.message.id))
 
     def barred(self, name: str) -> bool:
+        """Whether nothing new may be sent to this version of a function."""
         return "@" in name and self.routing.is_barred(name, self.clock())
 
     def send_call(self, worker_call: WorkerCall) -> None:
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -1,6 +1,6 @@
-"""RPCs of an edge that wait until the prefix of their function is known.
+"""RPCs that wait for the directory look-up of their function's prefix.
 
-Each is given back once: when the prefix is known or the look-up has failed, or at its own deadline.
+Each ends its wait once: when the prefix is known, when the look-up has failed, or at its own deadline.
 """
 
 from typing import Any
@@ -10,24 +10,25 @@
 
 
 class WaitingRequests:
-    """They, by function, with their figures. Times are whole tenths of a millisecond on the edge's clock."""
+    """The waiting requests of one edge, by function, with counters. Times are ticks on the edge's clock."""
 
     def __init__(self, edge: Any, lookup_time_out: int) -> None:
-        """`lookup_time_out`: within it every look-up ends, with a prefix or without."""
+        """`lookup_time_out` is the time within which every look-up ends, in ticks."""
         self.edge, self.lookup_time_out = edge, lookup_time_out
-        self.by_function: dict[str, dict[PendingRequest, Timer | None]] = {}  # with its own time-out
+        # with the timer of a deadline that comes before the look-up's timeout
+        self.by_function: dict[str, dict[PendingRequest, Timer | None]] = {}
         self.counts = dict.fromkeys(("waited", "looked up", "failed", "late"), 0)
 
     def __len__(self) -> int:
-        """How many wait."""
+        """The number of waiting requests."""
         return sum(len(requests) for requests in self.by_function.values())
 
     def of(self, function: str) -> list[PendingRequest]:
-        """Those of one function, the first to come first."""
+        """The waiting requests of one function, oldest first."""
         return list(self.by_function.get(function, ()))
 
     def add(self, pending: PendingRequest) -> None:
-        """One waits from now on."""
+        """Add a request."""
         self.counts["waited"] += 1
         now, timer = self.edge.clock(), None
         if pending.deadline < now + self.lookup_time_out:
@@ -35,7 +36,7 @@
         self.by_function.setdefault(pending.function.name, {})[pending] = timer
 
     def leave(self, pending: PendingRequest) -> bool:
-        """It waits no longer, whatever the reason; whether it did."""
+        """Remove a request; whether it was waiting."""
         waiting = self.by_function.get(pending.function.name, {})
         if pending not in waiting:
             return False
@@ -47,7 +48,7 @@
         return True
 
     def looked_up(self, function: str) -> None:
-        """The function's prefix is known, and the module was told it."""
+        """The module has received the function's prefix: resume its requests."""
         waiting = self.of(function)
         self.counts["looked up"] += bool(waiting)
         for pending in waiting:
@@ -55,18 +56,18 @@
             self.edge.host.lookup_finished(pending)
 
     def failed(self, function: str, retry_after: int) -> None:
-        """The function's prefix can't be had now."""
+        """The look-up of the function's prefix failed: reject its requests."""
         self.counts["failed"] += 1
         for pending in self.of(function):
             self.deny(pending, retry_after)
 
     def late(self, pending: PendingRequest) -> None:
-        """Its deadline has come."""
+        """The request's deadline has passed: reject it."""
         self.counts["late"] += 1
         self.deny(pending, self.edge.settings.max_retry_after)
 
     def deny(self, pending: PendingRequest, retry_after: int) -> None:
-        """Answer that it did not run, and when its client may come back."""
+        """Reject a request as not run. `retry_after`, in ticks, is sent to the client as settings allow."""
         settings = self.edge.settings
         told = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
         self.edge.host.reject(pending, told)
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -1,9 +1,10 @@
-"""Whether new work may begin to leave for a worker: rules 1 and 3 at the socket.
+"""The last check before new work is sent to a worker.
 
-The module decides by what it has heard; meanwhile the process may have stood still, with a drain, or the
-close of a client, unread in a socket. So this is asked once more just before the first byte of each attempt
-and of each order to load, whichever way it comes to be written. Placing stays the module's: what may not
-begin ends as not sent. Times are whole tenths of a millisecond.
+Nothing new may be sent to a worker that drains or has left the list, nor for a client that has gone. The
+decision module knows what was read so far, but after a stall of the process a drain notice or a client's
+close may be unread in a socket. So this check reads those sockets and decides again just before the first
+byte of each attempt and each preload. It never picks another worker: work that fails the check ends as not
+sent. Times are ticks of 0.1 ms.
 """
 
 from collections.abc import Sequence
@@ -12,27 +13,30 @@
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 
-READ_AGAIN = 200  # after so long the lists are read again; the protocol page allows 500 on top of any grace
-NOT_BEGUN = "not begun"  # the log line and counter of what was refused here
+READ_AGAIN = 200  # ticks between reads of the sources; the protocol allows 500 on top of any drain grace
+NOT_BEGUN = "not begun"  # the log event and counter of work that failed the check
 
 
 class WorkGate:
-    """The listings of workers as last read, and what may begin by them. `core` is the edge's."""
+    """The workers' states as last read from the list, and which work may start by them."""
 
     def __init__(self, core: Any) -> None:
         self.core = core
         self.listings: dict[str, EndpointState] = {}
-        self.is_reading = False  # what the lists tell may ask for them to be read
+        self.is_reading = False  # guards against recursion: what is read may lead to another check
         self.read_at = -READ_AGAIN - 1
 
     def listed(self, told: Sequence[WorkerInfo], whole: bool) -> None:
-        """A list or a change of it was read."""
+        """Apply a worker list (`whole`) or a change to it."""
         if whole:
             self.listings.clear()
         self.listings.update((facts.name, facts.listing) for facts in told)
 
     def may_begin(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
-        """Whether work may begin at a runner, which may be another process under its worker's name by now."""
+        """Whether work may start at this runner.
+
+        It may not where another process has taken over the worker's name since the work was placed.
+        """
         serves = self.serves(work.worker.name) and self.core.runners.get(work.worker.name) is runner
         if serves and (isinstance(work, WorkerTask) or self.is_wanted(work)):
             return True
@@ -40,15 +44,17 @@
         return False
 
     def serves(self, name: str) -> bool:
-        """Whether the list, read just now, has a worker take new work, and is recent enough to go by."""
+        """Whether the worker takes new work by the current list, and the list is recent enough to rely on."""
         self.read_lists()
         if self.listings.get(name) is not EndpointState.SERVING:
             return False
         return all(source.is_current() for source in self.core.sources)
 
     def read_lists(self) -> None:
-        """Read what lies unread of the lists, unless that was done within READ_AGAIN: one system call in that
-        time is all that a calm day pays."""
+        """Process unread data of the list's sources, unless that was done within READ_AGAIN.
+
+        With the limit the check costs one system call per READ_AGAIN in normal operation.
+        """
         now = self.core.clock()
         if self.is_reading or now - self.read_at <= READ_AGAIN:
             return
@@ -58,13 +64,13 @@
         self.is_reading = False
 
     def is_wanted(self, worker_call: WorkerCall) -> bool:
-        """Whether a client still waits for an attempt that has not begun, with time left for it."""
+        """Whether the client still waits for this attempt and its deadline has not passed."""
         pending = worker_call.pending
         if pending.final or not pending.client.is_waiting():
             return False
         return not pending.final and worker_call.ends_by > self.core.clock()
 
     def refused(self, work: WorkerCall | WorkerTask) -> None:
-        """Count what may not begin, and log the first ones with what the list says."""
+        """Count work that failed the check, and log the first occurrences with the worker's listed state."""
         listing = self.listings.get(work.worker.name, EndpointState.REMOVED).name.lower()
         self.core.count_and_log(NOT_BEGUN, runner=work.worker.name, listing=listing, number=work.number)
