--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -1,9 +1,9 @@
-"""An edge's side of the directory of instances: what its watcher decides is carried out.
+"""An edge's client of the directory of instances.
 
-`directory.watcher` decides what is asked of which holder and what is believed; `choice` decides what becomes
-of each RPC. Here both are told what they need, by the connections (`holders`), the RPCs that wait until their
-function's prefix is known (`waiting`) and the hand-over of instances (`instances`). Times are whole tenths of
-a millisecond on the edge's clock. Imported only where a deployment names a directory.
+`directory.watcher` decides which holders are asked for what, and which answers are valid; this module carries
+out its effects. The connections are in `holders`, RPCs that wait for a look-up in `waiting`, and changes of
+instances are applied by `instances`. Times are ticks of 0.1 ms on the edge's clock. Imported only where a
+deployment has a directory.
 """
 
 from typing import Any
@@ -33,17 +33,17 @@
 from lapistrestle.policy.entities import Function
 from lapistrestle.wire.directory import Renewed
 
-RENEWALS = 3  # within the silence after which a holder is left
+RENEWALS = 3  # heartbeats within the silence after which a holder is considered lost
 
 
 def assignment_of(settings: Directory) -> Assignment:
-    """The copies of each shard that the settings name."""
+    """The replicas of each shard by the settings."""
     shards = [tuple(Copy(c.host, c.port, c.zone) for c in copies) for copies in settings.shards]
     return Assignment(settings.epoch, tuple(shards))
 
 
 def watcher_settings(settings: Directory, dial_time_out: int) -> WatcherSettings:
-    """What the decisions keep to."""
+    """The watcher's settings, from the deployment's. `dial_time_out` is in ticks."""
     return WatcherSettings(
         first_count=settings.first_count,
         lookup_time_out=int(settings.lookup_time_out),
@@ -55,7 +55,7 @@
 
 
 class EdgeDirectory:
-    """Keeps the module's knowledge to the functions that are called, and RPCs waiting until they have one."""
+    """Looks up the prefixes of functions that are called, and holds back RPCs until theirs is known."""
 
     def __init__(self, edge: Any, settings: Directory) -> None:
         self.edge, self.settings = edge, settings
@@ -74,21 +74,21 @@
         self.connections = HolderConnections(edge, self)
         self.waiting = WaitingRequests(edge, int(settings.lookup_time_out))
         self.instances = InstanceHandOver(edge, self.region)
-        self.asked = 0  # since when the message at hand was true
+        self.asked = 0  # time at which the message being processed was valid
         self.acting = False
         self.timer: Timer | None = None
 
-    # as a source of the list
+    # core.ListSource
 
     def start(self) -> None:
         self.act()
 
     def follow(self) -> None: ...
 
-    def read_now(self) -> None: ...  # the reactor reads it
+    def read_now(self) -> None: ...  # left to the reactor
 
     def is_current(self) -> bool:
-        """How old a prefix may be is the watcher's to know, which tells what it can no longer vouch for."""
+        """Always: the watcher itself evicts instances whose state it can no longer rely on."""
         return True
 
     def stop(self) -> None:
@@ -99,38 +99,40 @@
     # RPCs
 
     def ready(self, function: Function, method: str) -> bool:
-        """Whether an RPC of this function can be placed now; else it has to wait."""
+        """Whether the function's prefix is known, so that its RPC can be placed now."""
         prefix = self.watcher.prefix_for(function.name, method, self.edge.clock())
         if prefix is not None and function.prefix is None:
             self.instances.rank(function, prefix.names)
         return prefix is not None
 
     def wait(self, pending: PendingRequest) -> None:
-        """Until `PrefixReady` or `LookupFailed`, which comes within the look-up time-out, or its deadline."""
+        """Have a request wait for `PrefixReady`, `LookupFailed` (within the look-up timeout) or its
+        deadline.
+        """
         self.waiting.add(pending)
         self.act()
 
     def used(self, worker_call: WorkerCall) -> None:
-        """A call-out goes to a worker: its function is in use, up to that worker's place.
+        """Note that a call is sent to a worker: the function's prefix is in use up to the worker's position.
 
-        An order is entered anywhere, so a place near the end is no sign that the prefix is too short: the
-        module says where it is (`more`).
+        The module may start anywhere in the order, so a position near the end does not mean that the prefix
+        is too short; the module asks for more itself (`more`).
         """
         prefix = worker_call.pending.function.prefix or ()
         if worker_call.worker in prefix:
             last = max(0, int(EXTENSION_THRESHOLD * len(prefix)) - 1)
             place = min(prefix.index(worker_call.worker), last)
             self.watcher.function_used(worker_call.pending.function.name, place, self.edge.clock())
-            if self.watcher.effects:  # else nothing is due earlier than it was
+            if self.watcher.effects:  # without effects the next timer is unchanged
                 self.act()
 
     def more(self, function: str) -> None:
-        """The prefix was not enough."""
+        """Ask for a longer prefix."""
         self.watcher.extend_prefix(function, self.edge.clock())
         if self.watcher.effects:
             self.act()
 
-    # what becomes of connections (holders.Listener)
+    # holders.Listener
 
     def connected(self, connection: int) -> None:
         self.watcher.connection_ready(connection, self.edge.clock())
@@ -150,10 +152,10 @@
         self.watcher.message_received(connection, message, now)
         self.act()
 
-    # what the watcher decided
+    # effects of the watcher
 
     def act(self) -> None:
-        """Carry out its effects in order. What that leads to may bring more of them: their turn is later."""
+        """Carry out the watcher's effects in order, and those that arise meanwhile after them."""
         if self.acting:
             return
         self.acting = True
@@ -166,7 +168,7 @@
         self.wake()
 
     def wake(self) -> None:
-        """Be called when more is due. A timer that proves early does no harm."""
+        """Schedule a tick for when the watcher is due next. A tick that comes early does no harm."""
         due = self.watcher.next_due()
         if self.timer is not None and self.timer.when <= due:
             return
@@ -175,6 +177,7 @@
         self.timer = self.edge.after(max(0, due - self.edge.clock()), self.tick, None)
 
     def tick(self, _: object) -> None:
+        """Let the watcher act on the time that has passed."""
         self.timer = None
         if not self.edge.stopping or self.waiting:
             self.watcher.tick(self.edge.clock())
@@ -202,7 +205,7 @@
                 self.region.update(effect.sums, self.asked)
 
     def prefix_ready(self, effect: PrefixReady) -> None:
-        """Tell the module of it, and then of the RPCs that waited for it."""
+        """Pass the prefix to the module, and then resume the RPCs that waited for it."""
         functions = dict.fromkeys(pending.function for pending in self.waiting.of(effect.function))
         if (function := self.edge.host.registry.functions.get(effect.function)) is not None:
             functions[function] = None
@@ -213,7 +216,7 @@
     # operators
 
     def show(self) -> dict[str, Any]:
-        """What an operator sees of it, as plain values."""
+        """The directory client's state for operators, as JSON values."""
         sums = self.region.sums
         return {
             "name": self.edge.name,
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -1,4 +1,4 @@
-"""An edge's part in its fleet: its endpoint towards other edges, and admission by what they say."""
+"""An edge as a member of a fleet: gossip with other edges, shared admission control and shared quotas."""
 
 from typing import Any
 
@@ -20,8 +20,10 @@
 
 
 class FleetMember:
-    """One edge as a member of its fleet, made only where the deployment names one. `boot` grows with each
-    start, `nonce` differs at each."""
+    """One edge as a member of its fleet; created only where the deployment names a fleet.
+
+    `boot` grows with each start of the process, `nonce` is different for each.
+    """
 
     def __init__(self, edge: Any, fleet: Fleet, boot: int, nonce: int) -> None:
         self.edge, self.fleet = edge, fleet
@@ -46,16 +48,17 @@
             edge.clock(),
         )
         self.verdicts = WorkerVerdicts(place.name)
-        self.probers_of: dict[str, list[str]] = {}  # by worker: who probes it while it is suspect
-        self.drawn_from: list[str] = []  # the members from whom they were drawn
-        self.announced: set[Worker] = set()  # those of whom others were told that they are suspect
+        self.probers_of: dict[str, list[str]] = {}  # by worker: the members that probe it while it is ejected
+        self.drawn_from: list[str] = []  # the members that the probers were selected from
+        self.announced: set[Worker] = set()  # workers that were reported to other members as unhealthy
         if fleet.shed:
             self.endpoint.counters, self.endpoint.verdicts = self.admission.counters, self.verdicts
 
         if fleet.loads:
-            longest = max(m.deadline for m in edge.settings.methods)  # that one counts as under way
+            # for which a load may count as in progress
+            longest = max(m.deadline for m in edge.settings.methods)
             settle = max(longest, edge.settings.preload_timeout)
-            # what began on a lease ends within it
+            # the lease outlives the loads started on it
             lends = QuotaSettings(lease_duration=3 * settle, settling_time=settle)
             loads = QuotaShare("loads", fleet.loads, place.of, place.number, lends, edge.clock())
             self.endpoint.quota_leasing = QuotaLeasing(
@@ -64,7 +67,7 @@
             edge.fleet.loads_allowed = self.loads
 
     def loads(self, now: int) -> bool:
-        """Whether one more load of this edge may begin at this moment."""
+        """Whether this edge may start one more load now, by its share of the fleet's quota of loads."""
         lending = self.endpoint.quota_leasing
         assert lending is not None
         if self.loading() < lending.available(now):
@@ -73,7 +76,9 @@
         return False
 
     def loading(self) -> int:
-        """Loads of this edge under way: functions on workers, however many wait for each."""
+        """Loads in progress for this edge: one for each function and worker, however many calls
+        wait for it.
+        """
         return sum(worker.functions_loading for worker in self.edge.host.module.endpoints.workers)
 
     def start(self) -> None:
@@ -82,7 +87,7 @@
         self.update()
 
     def update(self, _: object = None) -> None:
-        """Read the fleet's figures, and hand the module what follows, now and again."""
+        """Update admission control, quotas and verdicts from the fleet's state, every UPDATE_EVERY ticks."""
         if self.edge.stopping:
             return
         if self.endpoint.quota_leasing is not None:
@@ -97,7 +102,7 @@
         self.edge.after(UPDATE_EVERY, self.update, None)
 
     def share_trials(self) -> None:
-        """Tell others what the module found of workers, and the module what others found."""
+        """Exchange verdicts on workers' health between the module and the other members."""
         now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
         members = self.endpoint.membership
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
@@ -114,7 +119,7 @@
                 self.announced.add(worker)
             elif not worker.ejected and worker in self.announced:
                 self.announced.discard(worker)
-                if told is not None and told.prober == me:  # else it was others that found it fit
+                if told is not None and told.prober == me:  # else another member found it healthy
                     self.verdicts.record(worker.name, True, now)
             if worker.ejected:
                 names = self.probers_of.get(worker.name) or select_probers(worker.name, members_by_name)
@@ -131,11 +136,11 @@
     def on_request_finished(
         self, outcome: str, is_late: bool, reached_worker: bool, is_worker_fault: bool
     ) -> None:
-        """As `AdmissionController.on_request_finished`, with the host's word for the outcome."""
+        """As `AdmissionController.on_request_finished`, with the host's name of the outcome."""
         self.admission.on_request_finished(RequestOutcome(outcome), is_late, reached_worker, is_worker_fault)
 
     def loads_shown(self, now: int) -> dict[str, int] | None:
-        """For operators; None where the fleet shares no loads."""
+        """The quota of loads, for operators; None where the fleet shares none."""
         if self.endpoint.quota_leasing is None:
             return None
         of = self.endpoint.quota_leasing.share
@@ -144,7 +149,7 @@
                 "under way": self.loading()}  # fmt: skip
 
     def show(self) -> dict[str, Any]:
-        """For operators (`lapistrestle fleet show --json`)."""
+        """The member's state for operators (`lapistrestle fleet show --json`)."""
         endpoint, members, now = self.endpoint, self.endpoint.membership, self.edge.clock()
         return {
             "name": members.me.name, "fleet": self.fleet.name, "standing": members.state.name.lower(),
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -1,4 +1,7 @@
-"""The connection to the planner: beats out, plans in. What they mean is decided in `rollout.routing`."""
+"""The connection to the planner: heartbeats and reports out, plans in.
+
+`rollout.routing` decides how plans are applied, `rollout.replicas` how many copies of each version are kept.
+"""
 
 from pathlib import Path
 from typing import Any
@@ -13,12 +16,15 @@
 from lapistrestle.wire import plans
 from lapistrestle.wire.lines import Speaker, union
 
-BEAT = 2_000  # tenths of a millisecond
-TELL = 10_000  # between two tellings of counts, and between two looks at what is kept loaded
-UNHEARD = 30_000  # a connection on which no beat was answered for so long is dialled anew
+# Ticks of 0.1 ms:
+BEAT = 2_000  # between two heartbeats
+TELL = 10_000  # between two reports of outcomes and copies
+UNHEARD = 30_000  # a connection without an answered heartbeat for so long is closed and dialled again
 
 
 class PlannerSpeaker(Speaker):
+    """The edge's end of a connection to the planner."""
+
     protocol = plans.PLANNER
     decoder = union(plans.FromPlanner)
 
@@ -43,7 +49,7 @@
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """It may have been a plan: dial anew and be told all."""
+        """Close the connection: the line may have been a plan, and a new connection gets the whole plan."""
         self.source.edge.passed_over("planner", why)
         self.cut("unreadable")
 
@@ -52,13 +58,13 @@
 
 
 class PlannerSource(Source):
-    """Follows the planner at one port and tells it how versions do."""
+    """Follows the planner at one port, and reports to it the outcomes of calls by version."""
 
     def __init__(self, edge: Any, port: int) -> None:
         super().__init__(edge, port)
         self.routing: Routing = edge.routing
-        self.targets: dict[str, replicas.ReplicaTarget] = {}  # by name of a version
-        self.heard = 0  # when a beat was answered last
+        self.targets: dict[str, replicas.ReplicaTarget] = {}  # by versioned name
+        self.heard = 0  # time of the last answered heartbeat
         self.start_name = f"{edge.name}-{edge.clock()}"
         self.began = edge.clock()
         keep = edge.deployment.planner.keep
@@ -68,6 +74,7 @@
         edge.after(TELL, self.tell, None)
 
     def recall(self) -> None:
+        """Restore the persisted plan, if there is one."""
         try:
             kept = self.file.read() if self.file else None
         except (OSError, ValueError) as trouble:
@@ -78,7 +85,7 @@
             self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
 
     def keep_plan(self) -> None:
-        """An edge whose disk fails goes on from what it has in memory."""
+        """Persist the plan. If the disk fails, the edge continues with the plan in memory."""
         if self.file is None:
             return
         routing = self.routing
@@ -91,12 +98,14 @@
             self.edge.log("plan not kept", why=str(trouble))
 
     def unplanned(self) -> bool:
+        """Whether calls must be rejected because the first plan has not been received yet."""
         return self.routing.awaits_first_plan(self.edge.clock() - self.began)
 
     def speak(self) -> PlannerSpeaker:
         return PlannerSpeaker(self)
 
     def beat(self, _: object, once: bool = False) -> None:
+        """Send a heartbeat, and unless `once` schedule the next. Cuts a connection that does not answer."""
         if self.speaker is not None and self.speaker.greeted and self.edge.clock() - self.heard > UNHEARD:
             self.speaker.cut("no beat was answered")
         self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
@@ -104,6 +113,7 @@
             self.edge.after(BEAT, self.beat, None)
 
     def told(self, plan: plans.Plan) -> None:
+        """Apply a plan, persist it, and withdraw what it bars. An outdated plan is ignored."""
         splits = [plans.to_split(share) for share in plan.splits]
         barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
         if barred is None:
@@ -116,7 +126,9 @@
         self.keep_plan()
 
     def withdraw(self, name: str) -> None:
-        """Nothing new goes there from now on: RPCs that wait for its loads move, its copies may go."""
+        """Stop using a barred version: RPCs not sent to it yet go to the settled one, its copies
+        are unloaded.
+        """
         function = self.edge.host.registry.functions.get(name)
         for seat in list(self.edge.seats):
             for pending in list(seat.open.values()):
@@ -127,7 +139,7 @@
             self.edge.unload(replica.worker, function)
 
     def tell(self, _: object) -> None:
-        """How versions do, and keep both of an unsettled function loaded."""
+        """Report outcomes by version, and keep copies of both versions of each function in a rollout."""
         now = self.edge.clock()
         for key, counts in self.routing.recent_counts(now).items():
             self.say(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
@@ -143,10 +155,11 @@
             self.edge.after(TELL, self.tell, None)
 
     def keep(self, split: TrafficSplit) -> tuple[float, str]:
-        """Have the replicas that `rollout.replicas` wants; their weight, and what is missing for more.
+        """Preload the copies that `rollout.replicas` wants for both versions.
 
-        Orders go through the module, so that rules 3 and 5 are kept by the one that counts. Where they are
-        not allowed only calls load; an edge that has met no RPC of the function needs nothing.
+        Returns the candidate's weight that the copies allow, and what is missing for a higher one. Preloads
+        go through the module, which enforces the preload budget and sends none to draining workers. Where
+        preloads are off, copies are loaded by calls only; an edge without calls of the function needs none.
         """
         module, registry = self.edge.host.module, self.edge.host.registry
         module.now = self.edge.clock()
@@ -186,6 +199,7 @@
         return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
     def keep_version(self, name: str, model: Function, busy: float, weight: float) -> replicas.ReplicaStatus:
+        """Preload the copies that one version needs at `weight` of the function's `busy` concurrent calls."""
         edge, module = self.edge, self.edge.host.module
         if self.edge.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -1,4 +1,4 @@
-"""Connections from the edge to its runners: lines out, ends in. `linking` decides what becomes of them."""
+"""Connections to runners in the JSON lines protocol; their state machine is `edge.linking`."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
 
 
 def run_of(worker_call: WorkerCall, now: int) -> wire.Run:
-    """An attempt as the runner is told of it, if that is written `now`."""
+    """The message of an attempt, with the time left to it at `now`."""
     pending, asked = worker_call.pending, worker_call.pending.message
     left = max(1, worker_call.ends_by - now) / 10
     return wire.Run(
@@ -33,6 +33,7 @@
 
 
 def hold_of(task: WorkerTask) -> wire.Hold:
+    """The message of a preload."""
     assert task.function is not None
     function = task.function
     return wire.Hold(task.number, function.name, task.count, function.memory, function.lanes)
@@ -44,7 +45,7 @@
 
 
 def tell(host: ModuleHost, said: wire.Ended | wire.Held | wire.Probed) -> None:
-    """How what the host asked for ended, as the runner says."""
+    """Report to the host how an attempt, preload or health check ended."""
     match said:
         case wire.Ended():
             host.attempt_finished(
@@ -58,7 +59,7 @@
 
 
 class RunnerSpeaker(Speaker):
-    """Our end of one connection to a runner; detached once that connection no longer counts."""
+    """The edge's end of one connection to a runner; `runner` is None once the connection was abandoned."""
 
     protocol = wire.RUNNER
     decoder = union(wire.FromRunner)
@@ -80,7 +81,9 @@
             self.runner.heard(message)
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """One bad line costs no other call: it is passed over; what it may have ended meets its time-out."""
+        """Ignore the line, so that other calls are not affected; a call that it may have ended will
+        time out.
+        """
         if self.runner:
             self.runner.edge.passed_over(self.runner.linking.name, why)
 
@@ -89,7 +92,7 @@
             self.runner.linking.step(Input.SLOWED if slow else Input.EASED)
 
     def pauseProducing(self) -> None:
-        """A runner that reads slowly may still say how calls ended: go on reading."""
+        """Keep reading from a runner that reads slowly: it may still report how calls ended."""
         self.paused = False
 
     def resumeProducing(self) -> None: ...
@@ -102,6 +105,8 @@
 
 
 class Dial(ClientFactory):
+    """One attempt to connect to a runner."""
+
     noisy = False
 
     def __init__(self, runner: "Runner") -> None:
@@ -123,7 +128,7 @@
 
 
 class Runner(LinkCallbacks):
-    """One runner at one address; a start elsewhere makes another."""
+    """The connection to one runner process; a process at another address gets its own object."""
 
     def __init__(self, edge: Any, name: str, port: int, start: str) -> None:
         self.edge, self.address, self.start = edge, port, start
@@ -133,7 +138,7 @@
         self.connector: Any = None
         self.patience: Any = None
 
-    # what the core tells
+    # core.RunnerHandle
 
     def named(self) -> None:
         self.linking.step(Input.NAMED)
@@ -147,7 +152,7 @@
     def end(self) -> None:
         self.drop_speaker()
 
-    # what the host asks
+    # sending
 
     def send_call(self, worker_call: WorkerCall) -> None:
         worker_call.connection = self
@@ -162,7 +167,7 @@
         return self.linking.cancel_unsent(number)
 
     def withdraw(self, number: int, notify: bool) -> bool:
-        """Wait no longer for this number; True if its line never left. `notify` the runner otherwise."""
+        """Stop waiting for this number; True if its line was never sent. Otherwise `notify` the runner."""
         if self.linking.withdraw(number):
             return True
         if notify and self.linking.state in (Link.OPEN, Link.ENDING):
@@ -184,7 +189,7 @@
         if not self.linking.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
             self.host.health_check_finished(task.number, Outcome.REJECTED, NO_REPORT)
 
-    # what the runner says
+    # messages from the runner
 
     @property
     def host(self) -> ModuleHost:
@@ -224,13 +229,13 @@
                 self.edge.passed_over(self.linking.name, f"it could not take a line: {message.why}")
 
     def tell_if(self, known: object, said: Any) -> None:
-        """What ends twice or was never asked is passed over."""
+        """Report a reply to a request in flight; ignore duplicate or unexpected ones."""
         if known:
             tell(self.host, said)
         else:
             self.host.unmatched_reply()
 
-    # what the linking asks (LinkCallbacks)
+    # linking.LinkCallbacks
 
     def dial(self) -> None:
         dial = self.dialling = Dial(self)
@@ -240,7 +245,7 @@
         self.connector = self.edge.reactor.connectTCP("127.0.0.1", self.address, dial, timeout=time_out)
 
     def unmet(self, dial: Dial) -> None:
-        """Half open and silent: a connection without a greeting is none."""
+        """No greeting came within the connect timeout: the connection failed."""
         self.patience = None
         if self.dialling is dial:
             self.drop_speaker()
@@ -252,7 +257,7 @@
         self.patience = None
 
     def drop_speaker(self) -> None:
-        """The connection no longer counts: whatever it may still say is passed over."""
+        """Abandon the connection: further messages on it are ignored."""
         self.stop_patience()
         speaker, self.speaker, dial, self.dialling = self.speaker, None, self.dialling, None
         if dial is not None:
@@ -295,4 +300,5 @@
 
 
 def bounds_of(listen: Any) -> LineBounds:
+    """The limits of connections, from the deployment's `listen` section."""
     return LineBounds(listen.longest_line, listen.unsent, listen.open_calls)
--- a/lapistrestle/edge/running.py
+++ b/lapistrestle/edge/running.py
@@ -1,4 +1,4 @@
-"""Runs a program's reactor until it is stopped: its clock, its signals, its garbage."""
+"""Twisted's reactor as the programs run it: monotonic clock, signals, garbage collection."""
 
 import gc
 import signal
@@ -9,13 +9,15 @@
 from contextlib import nullcontext
 from typing import Any
 
-SETTLE = 0.02  # seconds between the reactor's first turn and the program's beginning
-LAST_RECEIVED = struct.Struct("=52xI")  # of the kernel's tcp_info: milliseconds since the last bytes came
+SETTLE = 0.02  # seconds between the start of the reactor and that of the program
+LAST_RECEIVED = struct.Struct("=52xI")  # tcpi_last_data_recv of the kernel's tcp_info, in milliseconds
 
 
 def unread_for(sock: socket.socket) -> float:
-    """Seconds since the last bytes reached this TCP socket, read or not, to the kernel's some milliseconds; 0
-    where the kernel does not tell."""
+    """Seconds since this TCP socket last received data, whether that was read or not; 0 if unknown.
+
+    The kernel's resolution is a few milliseconds.
+    """
     try:
         told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED.size)
     except OSError:
@@ -25,10 +27,12 @@
 
 
 def reactor_of_now() -> Any:
-    """Twisted's reactor on the monotonic clock: the machine's time may be set while we run. `looked`: when it
-    last turned to its sockets before this time, and this time; what is read now came after the former.
-    `around` is entered for each such look, by whoever sets it. `unread_for`: how long ago a socket's last
-    bytes came."""
+    """Twisted's reactor on the monotonic clock, as the system time may be set while the program runs.
+
+    It gets three attributes. `looked`: the times of the previous poll of the sockets and of the current one;
+    data read now arrived after the former. `around`: a context manager entered for each poll, which the
+    program may set. `unread_for`: the function of this module.
+    """
     from twisted.internet import reactor
 
     made: Any = reactor
@@ -45,13 +49,15 @@
 
 
 def run(reactor: Any, begin: Callable[[], None], signals: Mapping[int, Callable[[], None]]) -> None:
-    """Run until the reactor is stopped; each signal calls what belongs to it, in the reactor's turn.
+    """Run until the reactor is stopped; each signal calls its handler in the reactor's thread.
 
-    It begins, and listens, only once the start is paid for: what a socket takes before that waits for as long
-    as the start still lasts, where its sender could have gone elsewhere at once. One that was killed is asked
-    again under its address within seconds, on a slow core long before it is ready."""
-    # What stands at the start is never garbage, and an RPC leaves no cycle behind: full collections find
-    # next to nothing, yet each holds every RPC up for tens of milliseconds. They still come, but rarely.
+    `begin`, which starts to listen, is called only once the reactor runs. A connection accepted before that
+    would wait until the process is ready, while a refused client can go to another dispatcher at once. After
+    a crash, clients reconnect to the address within seconds; on a slow core that is long before the process
+    is ready.
+    """
+    # Objects that exist at the start are never garbage, and RPCs leave no reference cycles. Full collections
+    # find next to nothing, but each delays all RPCs by tens of milliseconds. So they are made rare.
     gc.freeze()
     gc.set_threshold(50_000, 20, 100)
     for number, call in signals.items():
