--- a/lapistrestle/node/__init__.py
+++ b/lapistrestle/node/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol as one more way in and out of the edge. No decision is made here."""
+"""The edge with the platform's protocols: FastCGI clients, JSON lines to runners, a binary notice board."""
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -22,7 +22,7 @@
     failed: list[int] = []
 
     def begin() -> None:
-        """Start; an address that can't be listened at ends the program."""
+        """Start; if the address can't be bound, end the program with status 1."""
         try:
             node.start()
         except OSError as error:
--- a/lapistrestle/node/client_connection.py
+++ b/lapistrestle/node/client_connection.py
@@ -11,14 +11,14 @@
 from lapistrestle.node.streams import MOST_READS, READ, Stream
 from lapistrestle.ticks import SECOND
 
-MAX_UNSENT = 1_048_576  # bytes towards a client that does not read: more of it is not read meanwhile
-PAUSE_TRUSTED = 500  # tenths of a millisecond for which one that is not read from counts as waiting
-MAX_DISCARDED = 262_144  # bytes read of a connection that is to be closed, once nothing is owed on it
-MAX_DISCARDED_WHILE_OPEN = 67_108_864  # and while requests are open on it: more than the longest body sent
-DISCARDING_TIME_OUT = 20_000  # for answers on a connection that can't be read, in tenths of a millisecond
-MAX_BUFFERED = 65_536  # bytes of half requests that one connection may hold when memory runs short
+MAX_UNSENT = 1_048_576  # bytes unsent to a client, beyond which its connection is not read
+PAUSE_TRUSTED = 500  # ticks of 0.1 ms after a pause of reading until the client may have aborted unnoticed
+MAX_DISCARDED = 262_144  # bytes that a connection being closed may still send, without open requests
+MAX_DISCARDED_WHILE_OPEN = 67_108_864  # the same with open requests: more than the longest body
+DISCARDING_TIME_OUT = 20_000  # ticks after which requests on an unreadable connection are aborted
+MAX_BUFFERED = 65_536  # bytes of incomplete requests that one connection may hold when memory runs short
 STATUS = {RequestEnd.OK: 200, RequestEnd.REJECTED: 503, RequestEnd.ABORTED: 500}  # of a final answer
-TOO_LARGE = (413, 431)  # after which the rest of a connection is not worth reading
+TOO_LARGE = (413, 431)  # statuses after which the connection is closed
 
 REASONS = {
     200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
@@ -30,31 +30,31 @@
 
 
 class Phase(IntEnum):
-    """How a connection comes to its end, in this order; some are left out."""
+    """The phases in which a connection is closed, in this order; some may be skipped."""
 
     SERVING = 0
-    FINISHING = 1  # it ends with the last of its open requests
-    REJECTING = 2  # as FINISHING, and what still comes is rejected
-    DISCARDING = 3  # as FINISHING, and what still comes can't be read
-    HALF_CLOSED = 4  # nothing more is written; read on, as a close with bytes unread would reset the answers
+    FINISHING = 1  # closes after the last of its open requests is answered
+    REJECTING = 2  # as FINISHING, and new requests are rejected
+    DISCARDING = 3  # as FINISHING, and further data is discarded, as it can't be parsed
+    HALF_CLOSED = 4  # writing has ended; reading goes on, as closing with unread data would reset the answers
 
 
 class ConnectionOwner(Protocol):
-    """What a client's connection needs of the front that accepted it."""
+    """What a client connection needs of the front that accepted it."""
 
     core: Core
-    connections: dict["ClientConnection", None]  # that are served
+    connections: dict["ClientConnection", None]  # connections being served
     idle: OrderedDict["ClientConnection", None]  # without an open request, longest idle first
-    closing: OrderedDict["ClientConnection", int]  # being closed, with the time until which each is kept
-    unfinished: dict[str, PendingRequest]  # by id, until the last attempt has ended
-    buffered_bytes: int  # of requests that are not complete, on all connections
+    closing: OrderedDict["ClientConnection", int]  # connections being closed, with the time to close at last
+    unfinished: dict[str, PendingRequest]  # by call id, until the last attempt has ended
+    buffered_bytes: int  # of incomplete requests on all connections
     max_buffered_bytes: float
 
     def request(self, connection: "ClientConnection", request: fastcgi.Request) -> None:
-        """A complete request came."""
+        """Handle a complete request."""
 
     def half_closed(self, connection: "ClientConnection") -> None:
-        """A connection's sending side has been ended; it is read until its client closes."""
+        """Handle that a connection's sending side was shut down; it is read until its client closes."""
 
 
 class ClientConnection(Stream):
@@ -65,30 +65,31 @@
         self.front = front
         self.reader = fastcgi.RecordReader()
         self.requests: dict[int, PendingRequest] = {}
-        self.has_sent_request = False  # it has brought a complete request
+        self.has_sent_request = False  # a complete request was received
         self.phase = Phase.SERVING
         self.phase_since = 0
-        self.is_over_limit = False  # of connections; what it asks is rejected unless there is room by then
+        # accepted beyond the limit; served only if there is room by its first request
+        self.is_over_limit = False
         self.bytes_read = 0
-        self.discarded = 0  # bytes read since it was to be closed
-        self.reads_paused = False  # not read from until the client has read what is unsent
+        self.discarded = 0  # bytes read since the connection began to close
+        self.reads_paused = False  # not read until the client has read what is unsent
         self.reads_paused_since = 0
-        self.receiving = False  # what is read is being acted on: it is closed only after that
+        self.receiving = False  # received data is being processed; closing has to wait until that is done
         self.unsent_seen = 0  # bytes unsent at the last sweep
-        self.unsent_since = 0  # since when as many were
-        self.waited = 0  # tenths of a millisecond for which it may have waited for a descriptor
-        self.since = front.core.clock()  # connected, or without an open request
-        self.buffered_bytes = 0  # bytes of what is not complete
-        self.unread = 0  # tenths of a millisecond for which what is read now lay in the socket
-        self.oldest_partial = 0  # number of the first request that is not complete; 0: none
-        self.partial_since = 0  # since when that is
+        self.unsent_since = 0  # time since which that number has not changed
+        self.waited = 0  # ticks for which the connection may have waited to be accepted
+        self.since = front.core.clock()  # time of the connect, or of the end of its last open request
+        self.buffered_bytes = 0  # bytes of incomplete requests
+        self.unread = 0  # ticks that the data being processed spent in the socket's receive buffer
+        self.oldest_partial = 0  # number of the first incomplete request; 0: none
+        self.partial_since = 0  # time since which that request is incomplete
 
     def pieces(self) -> int:
-        """How many reads are made of it at once."""
+        """How many reads are made per poll."""
         return self.front.core.pieces()
 
     def received(self, data: bytes) -> None:
-        """Bytes came: complete requests go to the front."""
+        """Process received data: complete requests go to the front."""
         self.front.core.input()
         self.bytes_read += len(data)
         if self.phase >= Phase.REJECTING:
@@ -104,13 +105,13 @@
         self.close_if_done()
 
     def read_records(self, data: bytes) -> None:
-        """Hand on what the records say, in their order."""
+        """Parse FastCGI records and handle their events in order."""
         longest = max(self.front.core.since_look(), self.waited)
         self.waited = 0
         unread = self.front.core.unread_for(self.sock, longest)
         events = self.reader.feed(data)
         for event in events:
-            # the kernel tells of the last bytes alone: what came before those may be as old as the look
+            # the kernel knows the age of the last bytes only; earlier ones may be as old as the previous poll
             newest = event is events[-1] and len(data) < READ
             self.unread = unread if newest else longest
             if self.dead:
@@ -134,13 +135,13 @@
                     self.begin_close(Phase.DISCARDING)
 
     def withdraw(self, number: int) -> None:
-        """Drop an open request whose number came again: no answer could be told apart from the other's."""
+        """Drop an open request whose number was used again: the client could not tell the answers apart."""
         pending = self.requests.pop(number, None)
         if pending is not None:
             self.front.core.host.client_gone(pending)
 
     def enforce_bounds(self) -> None:
-        """Keep within bounds what is held for this client."""
+        """Enforce the limits of unsent, buffered and discarded bytes."""
         if self.unsent_bytes > MAX_UNSENT and not self.reads_paused:
             self.reads_paused = True
             self.reads_paused_since = self.front.core.clock()
@@ -159,39 +160,39 @@
             self.drop("sends without end")
 
     def count_buffered(self) -> None:
-        """Take this connection's part in what the front holds of partial requests from its reader."""
+        """Update the front's total of buffered bytes by this connection's."""
         held = self.reader.buffered_bytes()
         self.front.buffered_bytes += held - self.buffered_bytes
         self.buffered_bytes = held
 
     def is_waiting(self) -> bool:
-        """Whether the client is known to wait still. One that is not read from may have aborted meanwhile."""
+        """Whether the client still waits. While reading is paused it may have aborted without notice."""
         self.read_now()
         return not self.reads_paused or self.front.core.clock() - self.reads_paused_since <= PAUSE_TRUSTED
 
     def drained(self) -> None:
-        """All that was to be written has left."""
+        """Resume reading: all data has been sent."""
         if self.reads_paused:
             self.reads_paused = False
             self.watch_reads(True)
         self.close_if_done()
 
     def unread_time(self, now: int) -> int:
-        """How long the client has read nothing of what is unsent, in tenths of a millisecond."""
+        """How long the client has read nothing of the unsent data, in ticks of 0.1 ms."""
         if self.unsent_bytes != self.unsent_seen or not self.unsent_bytes:
             self.unsent_seen = self.unsent_bytes
             self.unsent_since = now
         return now - self.unsent_since
 
     def reject_partial(self, status: int) -> None:
-        """Answer the requests that are not complete; what still comes of them is passed over."""
+        """Answer all incomplete requests with an HTTP status; further records of them are ignored."""
         for number in self.reader.reject_partial():
             self.send(fastcgi.encode_response(number, HEADS[status], b""))
         self.count_buffered()
         self.oldest_partial = 0
 
     def begin_close(self, phase: Phase) -> None:
-        """Close it once all that is open on it has been answered."""
+        """Enter a phase of closing; the connection closes once its open requests are answered."""
         if phase <= self.phase or self.dead:
             return
         self.phase = phase
@@ -201,16 +202,16 @@
         self.close_if_done()
 
     def close_if_done(self) -> None:
-        """Where nothing is owed any more, end the sending side: the client reads all, then closes."""
+        """Shut down the sending side once every answer is sent; the client reads all, then closes."""
         if self.phase in (Phase.SERVING, Phase.HALF_CLOSED) or self.receiving:
             return
         if self.requests or self.unsent or self.dead:
             return
         if self.is_over_limit and self.phase is Phase.REJECTING:
-            return  # its first request may be on its way
+            return  # its first request may be in transit
         if self.phase < Phase.DISCARDING:
             self.receiving = True
-            self.read_on()  # a request may have come meanwhile
+            self.read_on()  # a request may have been received meanwhile
             self.receiving = False
             if self.requests or self.is_half_closed():
                 return
@@ -222,11 +223,11 @@
             self.front.half_closed(self)
 
     def is_half_closed(self) -> bool:
-        """Whether nothing more can be written."""
+        """Whether nothing more can be sent."""
         return self.dead or self.phase is Phase.HALF_CLOSED
 
     def half_close(self) -> None:
-        """End the sending side."""
+        """Shut down the sending side."""
         self.begin_close(Phase.HALF_CLOSED)
         self.discarded = 0
         try:
@@ -235,11 +236,11 @@
             self.drop(error.strerror or "lost")
 
     def read_on(self) -> None:
-        """Read what lies in the socket to its end, within bounds."""
+        """Read all data that the socket has, up to MOST_READS reads."""
         self.read(MOST_READS)
 
     def close_now(self, reason: str) -> None:
-        """Close now, and lose as little as can be of what was written."""
+        """Close immediately, after reading once more so that the close does not reset answers in transit."""
         if self.dead:
             return
         self.is_over_limit = False
@@ -254,7 +255,7 @@
         self.drop(reason)
 
     def aborted(self, number: int) -> None:
-        """The client has aborted a request."""
+        """Handle the client's abort of a request."""
         pending = self.requests.pop(number, None)
         self.reader.request_finished(number)
         self.send(fastcgi.encode_end(number))
@@ -264,7 +265,7 @@
         self.close_if_done()
 
     def reply(self, number: int, status: int, body: bytes = b"", retry_after: int = 0) -> None:
-        """Write an answer. `retry_after` is in tenths of a millisecond; 0: without that header."""
+        """Send an answer. `retry_after` is in ticks of 0.1 ms; 0 omits the header."""
         head = HEADS[status]
         if retry_after:
             head = b"Retry-After: %d\r\n" % max(1, -(-retry_after // SECOND)) + head
@@ -274,7 +275,7 @@
         self.close_if_done()
 
     def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
-        """Write the final answer of a request."""
+        """Send the final answer of a request."""
         message = pending.message
         message.body = b""
         self.requests.pop(message.number, None)
@@ -286,14 +287,14 @@
             self.begin_close(Phase.FINISHING)
 
     def note_idle(self) -> None:
-        """Without an open request it idles from now on."""
+        """Mark the connection as idle if it has no open request."""
         if not self.requests and not self.dead and self.phase < Phase.REJECTING:
             self.since = self.front.core.clock()
             self.front.idle[self] = None
             self.front.idle.move_to_end(self)
 
     def lost(self, reason: str) -> None:
-        """The connection is gone, and with it whoever waited."""
+        """Handle the loss of the connection: its open requests have no client any more."""
         self.front.core.input()
         self.front.connections.pop(self, None)
         self.front.buffered_bytes -= self.buffered_bytes
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -18,11 +18,11 @@
 
 
 class ConfigurationError(Exception):
-    """What can't be used; the text is meant for the person who started the program."""
+    """A configuration that can't be used. The text is for the person who started the program."""
 
 
 class ProcessLimits(Struct):
-    """What the process may use: cores, memory in MB, sockets."""
+    """Resources that the process may use: cores, memory in MB, sockets."""
 
     cores: Annotated[float, Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, Meta(gt=0)] = 192.0
@@ -30,7 +30,7 @@
 
 
 class RunnerEntry(Struct, kw_only=True):
-    """A runner as the file's notices name it; `started_ms` is Unix time, 0: long ago."""
+    """A runner in the file's notices. `started_ms` is Unix time in milliseconds, 0: long ago."""
 
     id: Annotated[str, Meta(pattern=r"^s-[0-9a-f]{8}$")]
     address: Address = field(name="addr")
@@ -43,28 +43,28 @@
 
 
 class EndpointPool(Struct, kw_only=True):
-    """Runners that a notice names; complete where it names them all."""
+    """The runners of a notice: the complete list, or those that changed."""
 
     is_complete: bool = field(name="full")
     runners: list[RunnerEntry] = field(name="servers")
 
 
 class Notice(Struct, kw_only=True):
-    """An event of the notice board that the file has already."""
+    """An event of the notice board, as contained in the file."""
 
     revision: Annotated[int, Meta(ge=0)] = field(name="rev")
     pool: EndpointPool
 
 
 class KnownEndpoints(Struct):
-    """The list of runners as it was when the file was written: events up to a revision."""
+    """The list of runners at the time the file was written: the events up to a revision."""
 
     revision: Annotated[int, Meta(ge=0)] = field(default=0, name="rev")
     notices: list[Notice] = field(default_factory=list)
 
 
-# Of the settings, which are the platform's, what a mistake could hide in: bounds only where a figure beyond
-# them has no meaning. Unknown words pass over, as the module reads them.
+# The part of the platform's settings that is validated: values outside these bounds have no meaning. Unknown
+# keys and words are ignored here, as they are when the settings are translated for the module.
 
 NonNegative = Annotated[float, Meta(ge=0)]  # microseconds, counts and rates
 Fraction = Annotated[float, Meta(ge=0, le=1)]
@@ -90,7 +90,7 @@
 
 
 class RequestLimits(Struct, rename="kebab"):
-    """The settings' limits; the transport's own have the platform's usual figures where they are missing."""
+    """The settings' limits. Those of the transport default to the platform's usual values."""
 
     streams_per_conn: Annotated[int, Meta(ge=1)] = 32
     conn_idle: Annotated[int, Meta(ge=0)] = 15_000_000  # microseconds; 0: closed as soon as it is idle
@@ -105,7 +105,7 @@
 
 
 class RuleSettings(Struct, rename="kebab"):
-    """The rules' figures. Times are microseconds."""
+    """Parameters of the platform's rules. Times are microseconds."""
 
     cold_from: Fraction = 1
     ramp_time: NonNegative = 0
@@ -117,7 +117,7 @@
 
 
 class FamilyInfo(Struct, rename="kebab"):
-    """What the settings say of this family of deployments. Times are microseconds."""
+    """Settings of this family of deployments. Times are microseconds."""
 
     placement_calls: bool = False
     load_period: NonNegative = 0
@@ -131,13 +131,13 @@
 
 
 class Reporting(Struct):
-    """The names of the figures in load reports."""
+    """The names of the values in load reports."""
 
     names: list[str] = field(default_factory=list)
 
 
 class PlatformSettings(Struct, rename="kebab"):
-    """As much of the settings as is checked; the module gets all of them."""
+    """The validated part of the settings; the module gets the whole."""
 
     profiles: Annotated[list[Profile], Meta(min_length=1)]
     tenants: list[Tenant] = field(default_factory=list)
@@ -152,7 +152,7 @@
 
 
 class ConfigurationFile(Struct):
-    """The file as it is written."""
+    """The content of the file."""
 
     name: str
     listen: Address
@@ -164,16 +164,17 @@
 
 
 class Configuration(Struct):
-    """One checked file."""
+    """One validated file."""
 
     file: ConfigurationFile
-    platform: PlatformSettings  # as checked
+    platform: PlatformSettings  # the validated part of the settings
     settings: Settings  # for the module
-    written: float | None = None  # when the file was, in seconds of the Unix clock; None: not known
+    written: float | None = None  # Unix time at which the file was written, in seconds; None: unknown
 
     def age(self, now: float) -> int | None:
-        """How old the file's list of workers is at a Unix time, in tenths of a millisecond; None where that
-        is not known, as with a clock that was set back since.
+        """The age of the file's list of workers at a Unix time, in ticks of 0.1 ms.
+
+        None where it is unknown, also if the clock was set back since.
         """
         if self.written is None or now < self.written:
             return None
@@ -181,7 +182,7 @@
 
     @property
     def report_names(self) -> dict[str, str]:
-        """Names of the figures on the sockets to those that the module knows them by."""
+        """Names of load report values on the wire, mapped to the module's names."""
         names = translation.part(self.file.settings, "reporting").get("names") or []
         socket = {wire: said for said, wire in translation.SAID.items()}
         return {socket.get(name, name): name for name in names} | {name: name for name in names}
@@ -194,11 +195,11 @@
 
 
 def read_configuration(path: str | None) -> Configuration:
-    """Raises ConfigurationError, which names the file, what is wrong and where."""
+    """Read and validate a file. Raises ConfigurationError, which names the file and the fault."""
     if not path:
         raise ConfigurationError("EDGE_CONFIG is not set; it names the file of the configuration")
     try:
-        # the time first: of a file replaced meanwhile the older one counts
+        # before reading: if the file is replaced meanwhile, its age must not be underestimated
         written = Path(path).stat().st_mtime
         raw = Path(path).read_bytes()
     except OSError as error:
@@ -209,15 +210,17 @@
 
 
 def without_nulls(settings: Any) -> Any:
-    """The settings without what is null, which reads as missing."""
+    """The settings without null values, which count as missing."""
     if isinstance(settings, dict):
         return {name: without_nulls(value) for name, value in settings.items() if value is not None}
     return [without_nulls(value) for value in settings] if isinstance(settings, list) else settings
 
 
 def module_settings(file: ConfigurationFile, platform: PlatformSettings) -> Settings:
-    """The settings as the module has them. Without a time to connect, or to wait for a preload's answer, none
-    would ever come: there the time is the platform's usual one, or the longest that a client waits.
+    """The settings for the module.
+
+    A connect timeout or preload timeout of 0 would let no connection or preload succeed. It is replaced by
+    the platform's usual connect timeout, or by the longest deadline of a client.
     """
     longest = max(profile.deadline for profile in platform.profiles)
     return replace(
@@ -228,7 +231,7 @@
 
 
 def parse_configuration(raw: bytes, path: str) -> Configuration:
-    """The configuration of a file's content. Raises ConfigurationError."""
+    """Parse and validate a file's content. Raises ConfigurationError."""
     try:
         file = msgspec.json.decode(raw, type=ConfigurationFile)
         platform = msgspec.convert(without_nulls(file.settings), PlatformSettings)
@@ -240,8 +243,9 @@
 
 
 def configuration_from_environment(environ: Mapping[str, str]) -> Configuration:
-    """As the file says that the environment names; where to listen and the name may stand there too. Raises
-    ConfigurationError.
+    """The configuration from the file that EDGE_CONFIG names.
+
+    EDGE_LISTEN and EDGE_NAME override its address and name. Raises ConfigurationError.
     """
     configuration = read_configuration(environ.get("EDGE_CONFIG"))
     listen = environ.get("EDGE_LISTEN", "")
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -1,8 +1,8 @@
-"""Service discovery on the platform: the watch on the notice board, and the list that it delivers.
+"""Service discovery on the platform: watches the notice board and applies its events to the worker list.
 
-An event is applied once, and only right after the one before. Whatever else comes, or fails to come, leads to
-a new watch from the revision of the last event that came completely. How old the list may be is decided in
-`freshness`. Times are whole tenths of a millisecond.
+Events are applied once and in the order of their revisions. A gap, bad data or silence leads to a new watch
+from the revision of the last event applied. `freshness` decides how long the list may be used without news.
+Times are ticks of 0.1 ms.
 """
 
 import time
@@ -19,24 +19,24 @@
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.ticks import MILLISECOND, SECOND
 
-HEARTBEAT_TIME_OUT = 22_000  # two heartbeats have not come
-FIRST_FRAME_TIME_OUT = 12_000  # the board was asked, and not one heartbeat has come
+HEARTBEAT_TIME_OUT = 22_000  # two heartbeats were missed
+FIRST_FRAME_TIME_OUT = 12_000  # on a new watch, the first heartbeat was missed
 CHECK_INTERVAL = HEARTBEAT_TIME_OUT // 8
 RECONNECT_PAUSE = 1_000
 CONNECT_TIME_OUT = 5_000
-PROGRESS_BYTES = 1_024  # read at once: a long snapshot that is coming in
+PROGRESS_BYTES = 1_024  # a read of this size counts as a sign of life: part of a long snapshot
 
 RevisionOrder = Enum("RevisionOrder", "REPEATED NEXT GAP")
 FrameAction = Enum("FrameAction", "IGNORE APPLY RESUME")
 
-# what is done with a frame, by its kind and how its revision lies to the last one applied
+# what is done with a frame, by its kind and the order of its revision relative to the last one applied
 FRAME_ACTIONS: dict[tuple[FrameKind, RevisionOrder], FrameAction] = {
     (FrameKind.HEARTBEAT, RevisionOrder.REPEATED): FrameAction.IGNORE,
-    (FrameKind.HEARTBEAT, RevisionOrder.NEXT): FrameAction.RESUME,  # it speaks of an event that did not come
+    (FrameKind.HEARTBEAT, RevisionOrder.NEXT): FrameAction.RESUME,  # an event was missed
     (FrameKind.HEARTBEAT, RevisionOrder.GAP): FrameAction.RESUME,
     (FrameKind.SNAPSHOT, RevisionOrder.REPEATED): FrameAction.IGNORE,
     (FrameKind.SNAPSHOT, RevisionOrder.NEXT): FrameAction.APPLY,
-    (FrameKind.SNAPSHOT, RevisionOrder.GAP): FrameAction.APPLY,  # it holds what was missed
+    (FrameKind.SNAPSHOT, RevisionOrder.GAP): FrameAction.APPLY,  # it includes what was missed
     (FrameKind.DELTA, RevisionOrder.REPEATED): FrameAction.IGNORE,
     (FrameKind.DELTA, RevisionOrder.NEXT): FrameAction.APPLY,
     (FrameKind.DELTA, RevisionOrder.GAP): FrameAction.RESUME,
@@ -44,30 +44,30 @@
 
 
 def order_of(revision: int, last: int) -> RevisionOrder:
-    """How a revision lies to the last one applied."""
+    """The order of a revision relative to the last one applied."""
     if revision <= last:
         return RevisionOrder.REPEATED
     return RevisionOrder.NEXT if revision == last + 1 else RevisionOrder.GAP
 
 
 class Watch(Stream):
-    """One connection to the board, which tells what changes from a revision on."""
+    """One connection to the board, which sends the events after a given revision."""
 
     def __init__(self, discovery: "ServiceDiscovery", sock: Any) -> None:
         super().__init__(discovery.core.reactor, sock, dialled=True)
         self.discovery = discovery
         self.decoder = FrameDecoder()
         self.last_received = discovery.core.clock()
-        self.is_answered = False  # a frame has come
+        self.is_answered = False  # a frame was received
 
     def made(self) -> None:
-        """Connected: ask for what is later than the last event applied."""
+        """Request the events after the last one applied."""
         self.last_received = self.discovery.core.clock()
         self.discovery.freshness.watch_started(self.last_received)
         self.send(self.discovery.revision.to_bytes(8, "big"))
 
     def received(self, data: bytes) -> None:
-        """Bytes came: complete frames are handed on."""
+        """Process received data: complete frames are applied."""
         self.discovery.core.input()
         failure = ""
         try:
@@ -84,7 +84,7 @@
             self.drop(failure)
 
     def note_progress(self, has_frame: bool, size: int) -> None:
-        """The board has said something. A few bytes are no sign of life: half a frame may never end."""
+        """Note a sign of life. A few bytes without a complete frame are none: the frame may never end."""
         core = self.discovery.core
         if has_frame or size >= PROGRESS_BYTES:
             self.last_received = core.clock()
@@ -94,12 +94,12 @@
             self.discovery.freshness.frame_received(self.last_received - unread)
 
     def lost(self, reason: str) -> None:
-        """The connection is gone."""
+        """Handle the loss of the connection."""
         self.discovery.watch_lost(self, reason)
 
 
 class ServiceDiscovery:
-    """Watches the board at one address from the last revision on, and hands on its events."""
+    """Watches the board at one address, and applies its events to the core's worker list."""
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
         self.core = core
@@ -110,36 +110,35 @@
         age = configuration.age(time.time())
         grace = core.settings.drain_grace
         self.freshness = ListFreshness(grace, now - 1 if age is None else now - age + grace)
-        self.was_usable = False  # whether new work might begin by the list, as last asked
+        self.was_usable = False  # the last result of `is_current`
         self.watch: Watch | None = None
         self.stopped = False
         self.reconnects_at_once = True
-        self.unix_offset = int(time.time() * SECOND) - core.clock()  # of the Unix clock to ours
+        self.unix_offset = int(time.time() * SECOND) - core.clock()  # from the core's clock to Unix time
         self.zones = {name: i for i, name in enumerate(configuration.platform.zones)}
         self.kinds = {name: i for i, name in enumerate(configuration.platform.models)}
 
     def ready(self) -> bool:
-        """Whether there is a list, and new work may begin by it."""
+        """Whether there is a list that is recent enough for new work."""
         self.core.gate.read_lists()
         return self.revision > 0 and self.is_current()
 
     def start(self) -> None:
-        """Take the list that the file holds, and begin to watch the board."""
+        """Apply the list in the configuration, and start to watch the board."""
         self.apply_known(self.configuration.file.known)
         self.core.after(HEARTBEAT_TIME_OUT, self.check_heartbeat, None)
         self.connect()
 
     def follow(self) -> None:
-        """Nothing: the board is always watched."""
-        # it is always followed
+        """Does nothing: the board is always watched."""
 
     def read_now(self) -> None:
-        """Read what lies unread on the watch."""
+        """Process unread data of the watch."""
         if self.watch is not None and not self.watch.dialling:
             self.watch.read(MOST_READS)
 
     def is_current(self) -> bool:
-        """Whether new work may begin by the last notification of the board; logged where that changes."""
+        """Whether the list is recent enough for new work; a change of that is logged."""
         now = self.core.clock()
         usable = self.address is None or self.freshness.is_usable(
             now
@@ -157,9 +156,9 @@
             self.watch.drop("the dispatcher ends")
 
     def apply_known(self, known: KnownEndpoints) -> None:
-        """Take the events of a configuration that are later than those notified.
+        """Apply the events of a configuration that are later than those received.
 
-        One complete list, or the next change: what lies between must not be passed over.
+        As from the board, these may be a complete list or the next change: no event may be skipped.
         """
         for notice in known.notices:
             order = order_of(notice.revision, self.revision)
@@ -169,7 +168,7 @@
                 self.apply([self.record(entry) for entry in notice.pool.runners], notice.pool.is_complete)
 
     def move_to(self, address: str | None) -> None:
-        """The board is at another address from now on."""
+        """Watch the board at another address from now on."""
         if address is None or address == self.address:
             return
         self.core.log("board moves", to=address, revision=self.revision)
@@ -181,7 +180,7 @@
             self.connect()
 
     def connect(self, _: object = None) -> None:
-        """Begin a watch, unless there is one."""
+        """Start a watch, unless there is one."""
         if self.stopped or self.watch is not None or self.address is None:
             return
         try:
@@ -193,20 +192,20 @@
         self.watch.begin()
 
     def watch_lost(self, watch: Watch, reason: str) -> None:
-        """Connect again: at once after a watch that notified something, else after a pause."""
+        """Connect again: at once after a watch that delivered events, else after a pause."""
         if self.watch is not watch:
             return
         self.watch = None
         if not watch.dialling:
             self.freshness.watch_broke(self.core.earliest_arrival())
         if not self.stopped:
-            if not watch.dialling:  # one that stays away is logged once
+            if not watch.dialling:  # further failures to connect are not logged
                 self.core.log("board lost", reason=reason, revision=self.revision)
             self.core.after(1 if self.reconnects_at_once else RECONNECT_PAUSE, self.connect, None)
             self.reconnects_at_once = False
 
     def check_heartbeat(self, _: object) -> None:
-        """Where heartbeats stay away the watch has ended."""
+        """Drop a watch that has been silent for too long."""
         watch = self.watch
         time_out = HEARTBEAT_TIME_OUT if watch is not None and watch.is_answered else FIRST_FRAME_TIME_OUT
         if watch is not None and not watch.dialling and self.core.clock() - watch.last_received >= time_out:
@@ -215,7 +214,7 @@
             self.core.after(CHECK_INTERVAL, self.check_heartbeat, None)
 
     def receive(self, frame: Frame) -> FrameAction:
-        """A frame is complete."""
+        """Handle a complete frame. Returns what was done with it."""
         action = FRAME_ACTIONS[frame.kind, order_of(frame.revision, self.revision)]
         if action is FrameAction.APPLY:
             self.reconnects_at_once = True
@@ -226,7 +225,10 @@
         return action
 
     def apply(self, records: Sequence[Record], whole: bool) -> None:
-        """In one turn the module hears it, lines that wait for what drains are taken back, and ways open."""
+        """Apply records, or a complete list (`whole`), to the module's workers and the runners' addresses.
+
+        That happens without a return to the reactor: lines queued to draining runners are discarded with it.
+        """
         workers = tuple(self.worker_info(record) for record in records)
         named = {record.name for record in records}
         self.core.listed(workers, whole)
@@ -236,19 +238,19 @@
         for record in records:
             before = at.get(record.address, record.name)
             if before != record.name and record.listing is not EndpointState.REMOVED:
-                self.core.address(before, None)  # one that had this address has gone, notified or not
+                self.core.address(before, None)  # its process is gone, reported or not
             gone = record.listing is EndpointState.REMOVED
             self.core.address(record.name, None if gone else (record.address, record.started))
 
     def worker_info(self, record: Record) -> WorkerInfo:
-        """A record in the module's terms."""
+        """The module's description of a record's worker."""
         booted = record.started * MILLISECOND - self.unix_offset if record.started else None
         return WorkerInfo(
             record.name, record.zone, record.cell, record.kind, record.weight / 1000, record.listing, booted
         )
 
     def record(self, entry: RunnerEntry) -> Record:
-        """A entry of the file, where places and kinds stand by name."""
+        """The record of an entry of the file, where zones, kinds and states have names."""
         host, port = split_address(entry.address)
         number = 0
         for part in host.split("."):
--- a/lapistrestle/node/freshness.py
+++ b/lapistrestle/node/freshness.py
@@ -1,42 +1,40 @@
-"""How long new work may begin by the list of workers as last notified (rule 3). No I/O.
-
-An event counts as notified once it is in the board, whoever is connected. While a watch delivers, nothing is
-missed. Where it no longer does, the pages say from when on what it would have sent counts as notified: 4 s
-after it fell silent or the configuration named another board, 2 s after it broke off, and at once where the
-board was asked anew. The grace of the settings comes on top. Once that has passed in silence nobody knows
-whether a worker drains, so nothing new begins anywhere. Times are whole tenths of a millisecond.
+"""How long new work may be started by the last list of workers without news from the board. No I/O.
+
+Nothing new may be sent to a worker that drains. A drain counts as notified once it is on the board, also
+while this dispatcher is not connected. While a watch delivers frames, nothing is missed. Otherwise the
+protocol says from when on events that were not delivered count as notified: 4 s after the watch fell silent
+or the configuration named another board, 2 s after the connection broke, and at once when the board is asked
+again. The settings' drain grace is added to that. After this time any worker may be draining, so no new work
+is started at all. Times are ticks of 0.1 ms.
 """
 
 from dataclasses import dataclass
 
 from lapistrestle.ticks import SECOND
 
-NOTIFIED_AFTER_SILENCE = 4 * SECOND  # protocol page, "Figures"
-NOTIFIED_AFTER_MOVE = 4 * SECOND  # page of the days, "New configurations and restarts"
-NOTIFIED_AFTER_BREAK = 2 * SECOND  # page of the days, "Bad peers"
+# An event that was not delivered counts as notified so long after:
+NOTIFIED_AFTER_SILENCE = 4 * SECOND  # the last frame received
+NOTIFIED_AFTER_MOVE = 4 * SECOND  # a configuration that names another board
+NOTIFIED_AFTER_BREAK = 2 * SECOND  # the loss of the connection
 
 
 @dataclass
 class ListFreshness:
-    """Until when the list may be used.
-
-    `grace` of the settings, in tenths of a millisecond, is for how long new work may begin at a worker whose
-    drain counts as notified.
-    """
+    """The time until which the list may be used."""
 
-    grace: int
-    usable_until: int  # at a start: the grace after the list of the configuration was written
+    grace: int  # ticks for which new work may still be sent to a worker after its drain counts as notified
+    usable_until: int  # initially the time at which the configuration was written, plus the grace
 
     def is_usable(self, now: int) -> bool:
-        """Whether new work may begin by the list."""
+        """Whether new work may be started by the list."""
         return now <= self.usable_until
 
     def frame_received(self, at: int) -> None:
-        """A complete frame came at this moment: until then nothing was missed."""
+        """A complete frame arrived at this time: nothing was missed until then."""
         self.usable_until = max(self.usable_until, at + NOTIFIED_AFTER_SILENCE + self.grace)
 
     def watch_broke(self, at: int) -> None:
-        """The watch ended, at this moment at the earliest."""
+        """The watch was lost, at this time at the earliest."""
         self.shorten(at + NOTIFIED_AFTER_BREAK)
 
     def board_moved(self, at: int) -> None:
@@ -44,13 +42,13 @@
         self.shorten(at + NOTIFIED_AFTER_MOVE)
 
     def watch_started(self, at: int) -> None:
-        """The board was asked anew: all that is in it counts as notified."""
+        """The board was asked again: all its events count as notified."""
         self.shorten(at)
 
     def event_missed(self, at: int) -> None:
-        """The board holds an event that did not come: it counts as notified, and so may others."""
+        """An event was missed: it counts as notified, and there may be others."""
         self.shorten(at)
 
     def shorten(self, notified_at: int) -> None:
-        """What the board holds counts as notified from this moment on."""
+        """All events on the board count as notified from this time on."""
         self.usable_until = min(self.usable_until, notified_at + self.grace)
