--- a/lapistrestle/node/fastcgi.py
+++ b/lapistrestle/node/fastcgi.py
@@ -1,9 +1,9 @@
-"""FastCGI 1.0 records, bytes to events and back. No I/O.
+"""FastCGI 1.0 records: parsing and encoding. No I/O.
 
 The format is that of the FastCGI specification, version 1.0 (Open Market, 1996).
 
-Bounds hold before anything is kept: a client may send what it likes at full speed. Once bytes can't be read
-as records nothing after them can be either, so a reader that is broken stays so.
+Limits are enforced before data is buffered, as clients are not trusted. After bytes that are no valid record
+the start of the next record is unknown, so the connection can't be parsed any further.
 """
 
 from dataclasses import dataclass, field
@@ -12,24 +12,24 @@
 BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
 RESPONDER = 1
 KEEP_CONN = 1
-COMPLETE, CANT_MULTIPLEX, OVERLOADED, UNKNOWN_ROLE = range(4)  # protocol status of an end
+COMPLETE, CANT_MULTIPLEX, OVERLOADED, UNKNOWN_ROLE = range(4)  # protocol status of an END record
 
 VERSION = 1
-HEAD = Struct(">BBHHBB")  # version, kind, number, bytes of content, of padding, nothing
-MAX_OPEN_REQUESTS = 32  # requests of one connection
-MAX_REJECTED = 1_024  # requests of one connection that were rejected before they were complete
-LONG_LENGTH = 128  # a length from here on takes four bytes, the first with its highest bit set
-BEGIN_BYTES = 8  # content of a record that begins a request
-MAX_PARAMS_BYTES = 16_384  # bytes; the fields of a request take some hundreds
-MAX_BODY_BYTES = 16_384  # bytes
-MAX_RECORD_CONTENT = 65_528  # bytes of one record: the most that is a multiple of eight
+HEAD = Struct(">BBHHBB")  # version, type, request id, content length, padding length, reserved
+MAX_OPEN_REQUESTS = 32  # per connection
+MAX_REJECTED = 1_024  # request ids per connection that were rejected before the request was complete
+LONG_LENGTH = 128  # lengths from here on take four bytes, the first with its highest bit set
+BEGIN_BYTES = 8  # content length of a BEGIN record
+MAX_PARAMS_BYTES = 16_384  # the fields of a usual request take some hundred bytes
+MAX_BODY_BYTES = 16_384
+MAX_RECORD_CONTENT = 65_528  # bytes; the largest multiple of eight that fits a record
 
 
 class MalformedRecordError(Exception):
-    """A record after which nothing on its connection can be read.
+    """A record after which its connection can't be parsed any further.
 
-    The text says what was found; `kind` and `number` where: the record's type and request number. `expected`
-    is what was expected there; `reuses_number` tells that it began a request under an open one's number.
+    `kind` and `number` are the record's type and request id, `found` and `expected` describe the fault.
+    `reuses_number` is set if the record began a request under the id of an open one.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class PartialRequest:
-    """A request that is not complete."""
+    """An incomplete request."""
 
     keep: bool
     params: bytearray = field(default_factory=bytearray)
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request whose last byte has come."""
+    """A complete request."""
 
     number: int
     keep: bool
@@ -65,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MalformedRequest:
-    """A request that can't be used, with the status it is owed; records of it that follow are passed over."""
+    """A request that is rejected with an HTTP status; further records of it are ignored."""
 
     number: int
     status: int
@@ -74,60 +74,60 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestAborted:
-    """The client wants no more of a request."""
+    """The client aborted a request."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class ImmediateReply:
-    """Bytes that are owed at once."""
+    """Bytes to send to the client immediately."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionBroken:
-    """Nothing more can be read on this connection."""
+    """The connection can't be parsed any further."""
 
     message: str
-    number: int = 0  # of the open request whose number was used again; 0: none
+    number: int = 0  # id of the open request whose id was used again; 0: none
 
 
 Event = Request | MalformedRequest | RequestAborted | ImmediateReply | ConnectionBroken
 
 
 class RecordReader:
-    """The requests of one connection, from its bytes.
+    """Parses the records of one connection.
 
-    `partial` holds those that are not complete, `open_requests` those that have and are not finished yet
-    (the host calls `request_finished`).
+    `partial` holds the incomplete requests, `open_requests` the ids of complete requests without a final
+    answer (`request_finished` removes them).
     """
 
     def __init__(self) -> None:
         self.buffer = b""
         self.partial: dict[int, PartialRequest] = {}
         self.open_requests: set[int] = set()
-        self.rejected: set[int] = set()  # ended before they were complete
+        self.rejected: set[int] = set()  # ids of requests rejected or aborted while incomplete
         self.broken = False
 
     def request_finished(self, number: int) -> None:
-        """A request has its answer: its number may be used again."""
+        """A request was answered: its id may be used again."""
         self.open_requests.discard(number)
 
     def reject_partial(self) -> list[int]:
-        """Take nothing more of the requests that are not complete; returns their numbers."""
+        """Reject all incomplete requests. Returns their ids."""
         numbers = list(self.partial)
         self.rejected.update(numbers)
         self.partial.clear()
         return numbers
 
     def buffered_bytes(self) -> int:
-        """Bytes kept of what is not complete."""
+        """Bytes buffered for incomplete records and requests."""
         return len(self.buffer) + sum(len(p.params) + len(p.body) for p in self.partial.values())
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events of the records that are complete now, in order; none once the connection is broken."""
+        """Parse data. Returns the events of the complete records in order; none once parsing has failed."""
         if self.broken:
             return []
         if self.buffer:
@@ -149,7 +149,7 @@
         return events
 
     def break_connection(self, events: list[Event], error: MalformedRecordError) -> list[Event]:
-        """Nothing more is read; what had begun is owed an answer."""
+        """Stop parsing; incomplete requests are reported as malformed, so that they are answered."""
         self.broken = True
         self.buffer = b""
         message = str(error)
@@ -159,7 +159,7 @@
         return events
 
     def read_record(self, kind: int, number: int, content: bytes, events: list[Event]) -> None:
-        """Act on one record. Raises MalformedRecordError where it breaks the connection."""
+        """Handle one record. Raises MalformedRecordError if the connection can't be parsed after it."""
         if kind in (PARAMS, STDIN):
             self.read_piece(kind, number, content, events)
         elif kind == BEGIN:
@@ -176,10 +176,12 @@
             )
 
     def read_piece(self, kind: int, number: int, content: bytes, events: list[Event]) -> None:
-        """Part of a request's fields or body. Raises MalformedRecordError."""
+        """Handle a PARAMS or STDIN record: part of a request's fields or body. Raises
+        MalformedRecordError.
+        """
         partial = self.partial.get(number)
         if partial is None:
-            # late pieces of a request that was rejected, or was aborted, are its own
+            # records of a request that was rejected or aborted may still arrive
             if number not in self.rejected and number not in self.open_requests:
                 raise MalformedRecordError("a piece of no request", kind, number, "an open request's number")
         elif kind == PARAMS:
@@ -188,7 +190,7 @@
             self.read_body(number, partial, content, events)
 
     def abort(self, number: int, events: list[Event]) -> None:
-        """The client wants no more of a request; one that is not known is passed over."""
+        """Handle an ABORT record; one of an unknown request is ignored."""
         if self.partial.pop(number, None) is not None:
             self.rejected.add(number)
             events.append(RequestAborted(number))
@@ -196,7 +198,7 @@
             events.append(RequestAborted(number))
 
     def begin(self, number: int, content: bytes, events: list[Event]) -> None:
-        """A request begins. Raises MalformedRecordError."""
+        """Handle a BEGIN record. Raises MalformedRecordError."""
         reused = number in self.open_requests
         if number == 0 or len(content) != BEGIN_BYTES:
             raise MalformedRecordError("a begin that is none", BEGIN, number, "8 bytes for a request", reused)
@@ -217,13 +219,13 @@
             raise MalformedRecordError(message, BEGIN, number, f"at most {MAX_REJECTED}")
 
     def reject(self, events: list[Event], event: Event, number: int) -> None:
-        """Take nothing more of a request that is not complete."""
+        """Reject an incomplete request with this event; further records of it are ignored."""
         self.partial.pop(number, None)
         self.rejected.add(number)
         events.append(event)
 
     def read_params(self, number: int, partial: PartialRequest, content: bytes, events: list[Event]) -> None:
-        """Part of a request's fields; an empty one ends them. Raises MalformedRecordError."""
+        """Handle part of a request's fields; an empty part ends them. Raises MalformedRecordError."""
         if partial.fields is not None:
             raise MalformedRecordError("fields after their end", PARAMS, number, "a body")
         if content:
@@ -239,7 +241,7 @@
         partial.params = bytearray()
 
     def read_body(self, number: int, partial: PartialRequest, content: bytes, events: list[Event]) -> None:
-        """Part of a request's body; an empty one ends it, and the request is complete."""
+        """Handle part of a request's body; an empty part completes the request."""
         if partial.fields is None:
             self.reject(events, MalformedRequest(number, 400, "a body before the end of the fields"), number)
         elif not content:
@@ -253,13 +255,13 @@
 
 
 def check_version(version: int, kind: int, number: int) -> None:
-    """Raises MalformedRecordError for a record of another version than 1."""
+    """Raises MalformedRecordError unless the record's version is 1."""
     if version != VERSION:
         raise MalformedRecordError(f"version {version} of a record", kind, number, f"version {VERSION}")
 
 
 def decode_length(data: bytes, at: int) -> tuple[int, int]:
-    """A length of one byte or four, and where it ends; -1 where the bytes run out."""
+    """Decode a length of one or four bytes. Returns it and the next position; -1 if the data is too short."""
     if at >= len(data):
         return -1, at
     if data[at] < LONG_LENGTH:
@@ -270,10 +272,11 @@
 
 
 def decode_pairs(data: bytes) -> dict[bytes, bytes] | None:
-    """Names and values; None if the lengths don't fit, or a name comes twice."""
+    """Decode name-value pairs; None if the lengths don't fit the data or a name occurs twice."""
     found, at, end = dict[bytes, bytes](), 0, len(data)
     while at < end:
-        if data[at] < LONG_LENGTH and at + 1 < end and data[at + 1] < LONG_LENGTH:  # the usual
+        # fast path: both lengths are short
+        if data[at] < LONG_LENGTH and at + 1 < end and data[at + 1] < LONG_LENGTH:
             name_size, value_size, at = data[at], data[at + 1], at + 2
         else:
             name_size, at = decode_length(data, at)
@@ -290,27 +293,27 @@
 
 
 def encode_length(length: int) -> bytes:
-    """A length in one byte, or from 128 on in four."""
+    """Encode a length in one byte, or in four from 128 on."""
     return bytes((length,)) if length < LONG_LENGTH else (length | 0x80000000).to_bytes(4, "big")
 
 
 def encode_pair(name: bytes, value: bytes) -> bytes:
-    """A name and its value."""
+    """Encode a name-value pair."""
     return encode_length(len(name)) + encode_length(len(value)) + name + value
 
 
 def encode_record(kind: int, number: int, content: bytes = b"") -> bytes:
-    """One record without padding."""
+    """Encode one record without padding."""
     return HEAD.pack(VERSION, kind, number, len(content), 0, 0) + content
 
 
 def encode_end(number: int, protocol_status: int = COMPLETE) -> bytes:
-    """The record that ends a request."""
+    """Encode the END record of a request."""
     return encode_record(END, number, bytes((0, 0, 0, 0, protocol_status, 0, 0, 0)))
 
 
 def encode_response(number: int, head: bytes, body: bytes) -> bytes:
-    """A complete answer: its head and body in STDOUT records, their end, and the end of the request."""
+    """Encode a complete answer: headers and body in STDOUT records, an empty STDOUT record, and END."""
     output = head + body
     parts = list[bytes]()
     for at in range(0, len(output), MAX_RECORD_CONTENT):
@@ -321,7 +324,7 @@
 
 
 def encode_values_result(content: bytes) -> bytes:
-    """The answer to FCGI_GET_VALUES: those of the names asked for that are known."""
+    """Encode the answer to FCGI_GET_VALUES: the known ones of the requested variables."""
     known = {b"FCGI_MAX_CONNS": b"64", b"FCGI_MAX_REQS": b"2048", b"FCGI_MPXS_CONNS": b"1"}
     asked = decode_pairs(content) or {}
     return encode_record(
@@ -330,5 +333,5 @@
 
 
 def encode_unknown_type(kind: int) -> bytes:
-    """The answer to a management record of a type that is not known."""
+    """Encode the answer to a management record of an unknown type."""
     return encode_record(UNKNOWN, 0, bytes((kind, 0, 0, 0, 0, 0, 0, 0)))
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -17,44 +17,44 @@
 from lapistrestle.node.streams import Listener
 from lapistrestle.ticks import MILLISECOND, SECOND
 
-DEADLINE_MARGIN = 60  # tenths of a millisecond, for the way back and the turn of the loop
-# Tenths of a millisecond:
-FIRST_REQUEST_TIME = 5_000  # a new connection's first request may be on its way for this long
-FIRST_REQUEST_TIME_OUT = 20_000  # a connection that has not brought a complete request by then is closed
-IDLE_TIME_OUT = 60_000  # clients close theirs sooner; who keeps one for good loses it
-SWEEP_INTERVAL = 2_500  # between two looks for connections to close
-CLOSING_TIME_OUT = 10_000  # how long a connection that is being closed may still be read
-
-CLIENT_SOCKETS_SHARE = (9, 20)  # of the process's sockets may go to clients
-CLOSING_DIVISOR = 8  # and one in so many of these to connections that are being closed
+# Ticks of 0.1 ms:
+DEADLINE_MARGIN = 60  # taken off a request's deadline, for the answer's way back and the event loop
+FIRST_REQUEST_TIME = 5_000  # for which a new connection's first request may be in transit
+FIRST_REQUEST_TIME_OUT = 20_000  # after which a connection without a complete request is closed
+IDLE_TIME_OUT = 60_000  # after which idle connections are closed; well-behaved clients close theirs earlier
+SWEEP_INTERVAL = 2_500  # between two sweeps for connections to close
+CLOSING_TIME_OUT = 10_000  # for which a connection being closed is still read
+
+CLIENT_SOCKETS_SHARE = (9, 20)  # the fraction of the process's sockets for clients
+CLOSING_DIVISOR = 8  # one in so many of these is for connections being closed
 BYTES_PER_MB = 1e6
-BUFFERED_DIVISOR = 8  # of the memory limit, one in so many may be held by requests that are not complete
-BODIES_DIVISOR = 4  # and one in so many by the bodies of open requests
+BUFFERED_DIVISOR = 8  # one part in so many of the memory limit is for incomplete requests
+BODIES_DIVISOR = 4  # and one in so many for the bodies of open requests
 MIN_OPEN_REQUESTS = 256  # requests that may be open whatever the memory limit
 
 
 @dataclass(slots=True, eq=False)
 class RunRequest:
-    """A request as it is sent to a runner: parts of its line, made once."""
+    """A request with the parts of its line to a runner, which are encoded once for all attempts."""
 
-    number: int  # on its client's connection
-    keep: bool  # whether the client keeps its connection after the answer
+    number: int  # request id on the client's connection
+    keep: bool  # whether the client keeps its connection open after the answer
     id: bytes
-    head: bytes  # of the line's attributes
-    key: bytes  # of the line's attributes, empty without an idempotency key
+    head: bytes  # JSON of the first attributes
+    key: bytes  # JSON of the idempotency key's attribute; empty without a key
     body: bytes
-    used_connections: list[RunnerConnection] = field(default_factory=list)  # its attempts went by these
+    used_connections: list[RunnerConnection] = field(default_factory=list)  # of its attempts
 
     @classmethod
     def of(cls, call: Invocation, request: fastcgi.Request) -> "RunRequest":
-        """From a checked call."""
+        """Make the request of a validated call."""
         head = b'"queue":"%s","path":"%s"' % (call.method.quoted, call.function)
         key = b',"uniq":"%s"' % call.key if call.key else b""
         return cls(request.number, request.keep, call.id, head, key, request.body)
 
 
 class Front:
-    """Listens, checks requests, hands them to the host."""
+    """Accepts FastCGI connections, validates their requests and hands them to the host."""
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
         self.core = core
@@ -64,25 +64,25 @@
         sockets = configuration.file.limits.sockets * CLIENT_SOCKETS_SHARE[0] // CLIENT_SOCKETS_SHARE[1]
         self.max_closing = max(1, sockets // CLOSING_DIVISOR)
         self.max_connections = max(1, sockets - self.max_closing)
-        # half closed, or over the limit, each with the time until which it is kept; the oldest first
+        # half closed, or over the limit, each with the time to close it at last; oldest first
         self.closing = OrderedDict[ClientConnection, int]()
         memory = configuration.file.limits.memory_mb * BYTES_PER_MB
-        self.buffered_bytes = 0  # of requests that are not complete, on all connections
-        self.max_buffered_bytes = memory / BUFFERED_DIVISOR  # bytes of what is not complete
-        # as many as the memory holds if each brings the longest body
+        self.buffered_bytes = 0  # of incomplete requests on all connections
+        self.max_buffered_bytes = memory / BUFFERED_DIVISOR
+        # the number whose bodies fit the memory if each has the maximum size
         by_memory = max(MIN_OPEN_REQUESTS, int(memory / BODIES_DIVISOR / fastcgi.MAX_BODY_BYTES))
         self.max_open_requests = min(configuration.platform.limits.max_open, by_memory)
         self.listener: Listener | None = None
-        self.ready: Callable[[], bool] = lambda: False  # whether the list stands; the source knows
+        self.ready: Callable[[], bool] = lambda: False  # whether there is a usable worker list
         self.leaving = False
-        self.recent_ids = OrderedDict[str, int]()  # taken in the last window of orders, and when
-        self.unfinished: dict[str, PendingRequest] = {}  # by id, until the last attempt has ended
+        self.recent_ids = OrderedDict[str, int]()  # ids received within the preload window, with the time
+        self.unfinished: dict[str, PendingRequest] = {}  # by call id, until the last attempt has ended
         self.parser = InvocationParser(configuration, core.settings)
 
     # core.Front
 
     def listen(self) -> int:
-        """Listen. Returns the port."""
+        """Start listening. Returns the port."""
         self.listener = Listener(
             self.core.reactor, *self.host_port, self.client_connected, self.free_descriptor
         )
@@ -91,28 +91,33 @@
         return port
 
     def close(self) -> None:
-        """What the machine has accepted for us is ours to answer: closing the listener would reset it."""
+        """Stop listening, once all connections in the accept queue are accepted: closing would reset them."""
         self.drain_listener()
 
     def drain_listener(self) -> bool:
-        """Close the listener once nothing waits at it; False while the machine has no descriptor for that."""
+        """Close the listener if its accept queue can be emptied; False if that fails for lack of
+        descriptors.
+        """
         if self.listener is not None and not self.listener.closed and self.listener.empty():
             self.listener.close()
         return self.listener is None or self.listener.closed
 
     def owes(self) -> bool:
-        """Reads every connection once more: a request that lies unread at the end would be reset with it."""
+        """Whether answers are unsent or connections not accepted.
+
+        Reads every connection once more, as closing a connection with an unread request would reset it.
+        """
         emptied = self.drain_listener()
         for connection in [*self.connections, *self.closing]:
             connection.read_on()
         return not emptied or any(connection.unsent for connection in [*self.connections, *self.closing])
 
     def open(self) -> list[PendingRequest]:
-        """All requests without a final answer."""
+        """The requests without a final answer."""
         return [pending for connection in self.connections for pending in connection.requests.values()]
 
     def end(self) -> None:
-        """Close every connection at once."""
+        """Close every connection immediately."""
         if self.listener is not None:
             self.listener.close()
         for connection in [*self.connections, *self.closing]:
@@ -121,7 +126,7 @@
     # connections
 
     def client_connected(self, sock: socket.socket) -> None:
-        """A client has connected."""
+        """Handle a new connection, and read it at once."""
         assert self.listener is not None
         has_room = self.has_room()
         connection = ClientConnection(self, sock)
@@ -132,15 +137,17 @@
             self.core.counts["turned away"] += 1
             self.answer_over_limit(connection)
         connection.begin()
-        # in this look: it may have come, with all it brings and its end, during a standstill
+        # in this poll: the connection, its requests and its close may all have arrived during a stall
         connection.doRead()
 
     def has_room(self) -> bool:
-        """Whether one more connection may be served; one that carries nothing makes room."""
+        """Whether one more connection may be served, if need be by evicting an idle one."""
         return len(self.connections) < self.max_connections or self.evict_idle()
 
     def answer_over_limit(self, connection: ClientConnection) -> None:
-        """One for which there is no room: its first request, which may be on its way, is answered still."""
+        """Keep a connection beyond the limit for a while, to reject its first request, which may be
+        in transit.
+        """
         self.connections.pop(connection, None)
         self.idle.pop(connection, None)
         connection.is_over_limit = True
@@ -149,7 +156,9 @@
         self.keep_closing(connection)
 
     def admit(self, connection: ClientConnection) -> None:
-        """A connection over the limit has brought a request: it is served if there is room by now."""
+        """Serve a connection that was over the limit, as its first request has come, if there is
+        room by now.
+        """
         connection.is_over_limit = False
         del self.closing[connection]
         if self.has_room():
@@ -159,19 +168,21 @@
             self.keep_closing(connection)
 
     def half_closed(self, connection: ClientConnection) -> None:
-        """One has been half closed, and is read until its client closes."""
+        """Handle that a connection was half closed; it is read until its client closes."""
         self.connections.pop(connection, None)
         if connection not in self.closing:
             self.keep_closing(connection)
 
     def keep_closing(self, connection: ClientConnection) -> None:
-        """Keep one that is being closed, for a while; not too many of them."""
+        """Keep a connection that is being closed for CLOSING_TIME_OUT; the oldest goes if there are
+        too many.
+        """
         if len(self.closing) >= self.max_closing:
             next(iter(self.closing)).close_now("others need the room")
         self.closing[connection] = self.core.clock() + CLOSING_TIME_OUT
 
     def free_descriptor(self) -> bool:
-        """Free one descriptor."""
+        """Close one connection to free a descriptor; False if there is none to close."""
         if not self.closing and not self.evict_idle():
             return False
         if self.closing:
@@ -179,8 +190,10 @@
         return True
 
     def evict_idle(self) -> bool:
-        """Serve one connection less that carries nothing: one that never asked, else the longest idle. One
-        that may be about to ask goes only where there is no other, and counts as over the limit.
+        """Evict one connection without requests; False if there is none.
+
+        Preferred are connections that never sent a request, then the longest idle. A new connection, whose
+        first request may be in transit, is evicted only if there is no other, and treated as over the limit.
         """
         now = self.core.clock()
         free = [connection for connection in self.idle if not connection.reader.partial]
@@ -202,8 +215,9 @@
         return False
 
     def is_unused(self, connection: ClientConnection) -> bool:
-        """Whether nothing has come on it meanwhile: guards what lies unread, which a close would reset
-        together with the answers before it.
+        """Whether the connection can be closed: it has no unsent data and, read once more, no new request.
+
+        Closing a connection with unread data would reset it, and the client would lose earlier answers.
         """
         if connection.unsent:
             return False
@@ -213,7 +227,7 @@
         return not connection.dead and not connection.requests and after == before
 
     def sweep(self, _: object) -> None:
-        """Close what is silent or idles, now and again."""
+        """Close silent and idle connections, every SWEEP_INTERVAL."""
         now = self.core.clock()
         for connection in list(self.connections):
             self.check_connection(connection, now)
@@ -221,11 +235,11 @@
             next(iter(self.closing)).close_now("it stays open")
         over = [tag for tag, pending in self.unfinished.items() if pending.final and not pending.in_flight]
         for tag in over:
-            self.unfinished.pop(tag).attempts.clear()  # they point to each other
+            self.unfinished.pop(tag).attempts.clear()  # breaks a reference cycle
         self.core.after(SWEEP_INTERVAL, self.sweep, None)
 
     def check_connection(self, connection: ClientConnection, now: int) -> None:
-        """Close one that does not read, does not finish what it began, or idles."""
+        """Close a connection that does not read, does not complete its request, or is idle for too long."""
         if connection.unread_time(now) > IDLE_TIME_OUT:
             connection.drop("does not read")
         elif connection.phase is Phase.DISCARDING and now - connection.phase_since > DISCARDING_TIME_OUT:
@@ -239,12 +253,14 @@
             connection.drop("idle" if connection.has_sent_request else "silence")
 
     def idle_limit(self, connection: ClientConnection) -> int:
-        """How long it may be without an open request."""
+        """How long a connection may be without an open request, in ticks."""
         return IDLE_TIME_OUT if connection.has_sent_request else FIRST_REQUEST_TIME_OUT
 
     def seen_recently(self, tag: str) -> bool:
-        """Whether a request of this id came within the window of orders, where an id counts once: guards the
-        ration against clients that send the same again as soon as it is turned away.
+        """Whether a request of this id was received within the preload window.
+
+        An id counts once towards the preload budget, so that clients which resend a rejected call immediately
+        do not increase it.
         """
         now = self.core.clock()
         window_start = now - self.core.settings.preload_window
@@ -257,7 +273,7 @@
     # requests
 
     def request(self, connection: ClientConnection, request: fastcgi.Request) -> None:
-        """A complete request came: the health check, or a call."""
+        """Handle a complete request: the health check, or a call."""
         if connection.is_over_limit:
             self.admit(connection)
         path = request.fields.get(b"SCRIPT_NAME", b"")
@@ -271,13 +287,13 @@
             connection.reply(request.number, error.status, error.message.encode())
 
     def takes_requests(self, connection: ClientConnection) -> bool:
-        """Whether a further request of a connection may be taken now."""
+        """Whether another request of this connection may be accepted now."""
         if self.core.stopping or connection.phase >= Phase.REJECTING:
             return False
         return self.core.host.open_requests < self.max_open_requests and self.ready()
 
     def invoke(self, connection: ClientConnection, request: fastcgi.Request, path: bytes) -> None:
-        """Hand a call to the host. Raises InvalidRequestError where the request can't be used."""
+        """Validate a call and hand it to the host. Raises InvalidRequestError."""
         call = self.parser.parse(request, path)
         tag = call.id.decode()
         if tag in self.unfinished:
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -1,4 +1,4 @@
-"""What a client asks for: the headers of a request checked, strictly, and made into one value."""
+"""Strict validation of a request's headers into an `Invocation`."""
 
 import re
 from math import isfinite
@@ -12,9 +12,8 @@
 MAX_WORK = 600_000.0  # milliseconds
 MAX_MEMORY = 1e6  # MB
 MAX_LANES = 1024
-# milliseconds past its class's deadline, as every time limit on sockets may be
-PATIENCE_TOLERANCE = 50
-LENGTH_DIGITS = 9  # of a content length that is read: more than any body has
+PATIENCE_TOLERANCE = 50  # milliseconds that the protocol allows past any time limit, here the deadline
+LENGTH_DIGITS = 9  # digits of CONTENT_LENGTH that are parsed: more than any body's length has
 
 ID = re.compile(rb"[0-9a-f]{16}")
 KEY = re.compile(rb"[0-9A-Za-z._:-]{1,64}")
@@ -22,10 +21,10 @@
 
 
 class InvalidRequestError(Exception):
-    """A request that can't be used. Its text goes to the client.
+    """A request that is rejected as invalid. Its text is sent to the client.
 
-    `status` is the HTTP status that it is owed; `where` the header or part at fault, `found` what it held
-    (None: it was missing), and `expected` what it should hold.
+    `status` is the HTTP status of the answer, `where` the header or part at fault, `found` its value (None:
+    it is missing), and `expected` describes a valid value.
     """
 
     def __init__(self, status: int, message: str, where: str, found: bytes | None, expected: str) -> None:
@@ -38,16 +37,16 @@
 
 
 class Method(Struct, frozen=True, gc=False):
-    """A class of calls, as the settings name it."""
+    """A class of calls in the settings."""
 
     number: int
     quoted: bytes  # its name within a JSON text
     deadline: float  # milliseconds: the longest that a client may wait
-    has_key: bool  # each call has an idempotency key, by which a repeat is dropped
+    has_key: bool  # calls must have an idempotency key, by which duplicates are dropped
 
 
 class Invocation(Struct, frozen=True, gc=False):
-    """A call that can be used. Spans are milliseconds, as they came."""
+    """A validated call. Times are milliseconds, as the client sent them."""
 
     method: Method
     id: bytes
@@ -63,7 +62,7 @@
 
 
 def parse_number(fields: dict[bytes, bytes], name: bytes, highest: float) -> float | None:
-    """A decimal number of a header, None where it is missing. Raises InvalidRequestError."""
+    """Parse a decimal number from 0 to `highest`; None if it is missing. Raises InvalidRequestError."""
     text = fields.get(name)
     if text is None:
         return None
@@ -77,7 +76,7 @@
 
 
 def parse_attributes(text: bytes) -> dict[bytes, bytes]:
-    """Names and values of `X-Attrs`. Raises InvalidRequestError."""
+    """Parse the names and values of `X-Attrs`. Raises InvalidRequestError."""
     attributes = {}
     for entry in text.split(b";"):
         name, colon, value = entry.partition(b":")
@@ -88,7 +87,7 @@
 
 
 def parse_id(fields: dict[bytes, bytes], field: bytes, header: str) -> bytes:
-    """An id of 16 hexadecimal digits. Raises InvalidRequestError."""
+    """Parse an id of 16 hexadecimal digits. Raises InvalidRequestError."""
     text = fields.get(field, b"")
     if not ID.fullmatch(text):
         raise InvalidRequestError(400, f"{header} is not 16 hex digits", header, text, "16 hex digits")
@@ -96,7 +95,7 @@
 
 
 def parse_repeat(fields: dict[bytes, bytes]) -> bool:
-    """Whether the client sends a call again. Raises InvalidRequestError."""
+    """Whether the client marks the call as a retry. Raises InvalidRequestError."""
     text = fields.get(b"HTTP_X_REPEAT", b"")
     if text not in (b"", b"0", b"1"):
         raise InvalidRequestError(400, "X-Repeat is neither 1 nor absent", "X-Repeat", text, "1 or nothing")
@@ -114,7 +113,7 @@
 
 
 def check_content_length(request: fastcgi.Request) -> None:
-    """Raises InvalidRequestError where the length that was announced is not the body's."""
+    """Raises InvalidRequestError if CONTENT_LENGTH is not the body's length."""
     text = request.fields.get(b"CONTENT_LENGTH", b"")
     if text and (not text.isdigit() or int(text[:LENGTH_DIGITS]) != len(request.body)):
         expected = str(len(request.body))
@@ -122,7 +121,10 @@
 
 
 def checked_lanes(lanes: float | None, attributes: dict[bytes, bytes]) -> int:
-    """How many calls one copy of the function serves at once; by default 1. Raises InvalidRequestError."""
+    """How many calls one copy of the function serves concurrently, 1 by default.
+
+    Raises InvalidRequestError.
+    """
     if lanes is None:
         return 1
     if lanes < 1 or lanes != int(lanes):
@@ -132,7 +134,7 @@
 
 
 def methods_by_path(configuration: Configuration, settings: Settings) -> dict[bytes, Method]:
-    """The classes of calls, by the path that invokes them."""
+    """The classes of calls by their request path."""
     methods = {}
     for number, profile in enumerate(configuration.platform.profiles):
         name, method = profile.name.encode(), settings.methods[number]
@@ -143,7 +145,7 @@
 
 
 class InvocationParser:
-    """Requests to invocations, by the settings of one dispatcher."""
+    """Validates requests by the settings of one dispatcher."""
 
     def __init__(self, configuration: Configuration, settings: Settings) -> None:
         self.methods = methods_by_path(configuration, settings)
@@ -151,7 +153,7 @@
         self.customers = {tenant.name.encode(): number for number, tenant in enumerate(tenants)}
 
     def parse(self, request: fastcgi.Request, path: bytes) -> Invocation:
-        """The call of a request. Raises InvalidRequestError where that can't be used."""
+        """Validate a request. Raises InvalidRequestError."""
         fields = request.fields
         method = self.methods.get(path)
         if method is None:
@@ -189,8 +191,9 @@
         )
 
     def customer(self, name: bytes) -> int:
-        """The customer's number; whom the settings don't share out to has no share: one that names nobody
-        takes nobody's. Raises InvalidRequestError.
+        """The index of a customer in the settings; a call without a customer gets an index after the last.
+
+        Such a call has no share or quota of its own. Raises InvalidRequestError for an unknown name.
         """
         customer = self.customers.get(name, len(self.customers)) if self.customers else 0
         if name and self.customers and customer == len(self.customers):
--- a/lapistrestle/node/notices.py
+++ b/lapistrestle/node/notices.py
@@ -1,6 +1,6 @@
-"""Frames of the notice board: numbered events about workers, bytes to typed values. No I/O.
+"""Decoding of the notice board's frames: numbered events about workers. No I/O.
 
-The format is the protocol page's, "The notice board". Numbers are big-endian and unsigned.
+A frame is its length, a revision, a kind and a sequence of records. Numbers are big-endian and unsigned.
 """
 
 import struct
@@ -10,7 +10,7 @@
 
 from lapistrestle.policy.types import EndpointState
 
-HEAD = struct.Struct(">IQB")  # length of all that follows it, revision, kind
+HEAD = struct.Struct(">IQB")  # length of the rest of the frame, revision, kind
 RECORD = struct.Struct(">IIHBBBHIQ")
 LENGTH_BYTES = 4
 LEAST_LENGTH = HEAD.size - LENGTH_BYTES
@@ -21,19 +21,19 @@
 
 
 class FrameKind(IntEnum):
-    """What a frame holds."""
+    """The content of a frame."""
 
-    HEARTBEAT = 0  # nothing new
-    SNAPSHOT = 1  # the whole list
+    HEARTBEAT = 0  # no records
+    SNAPSHOT = 1  # all workers
     DELTA = 2  # the workers that have changed
 
 
 class FrameError(Exception):
-    """Bytes that are no frame: nothing after them can be read."""
+    """Bytes that are no valid frame; the data after them can't be decoded."""
 
 
 class Record(msgspec.Struct, frozen=True):
-    """A worker as an event has it; `weight` in thousandths, `started` in Unix milliseconds (0: long ago)."""
+    """A worker in an event. `weight` is in thousandths, `started` in Unix milliseconds (0: long ago)."""
 
     id: int
     host: int
@@ -47,25 +47,27 @@
 
     @property
     def listing(self) -> EndpointState:
-        """What it says of the worker. A state that the page does not know, or a port that nobody can listen
-        at, never reads as ready: the rest of its event counts, and this one gets no new work.
+        """The state of the worker.
+
+        A record with an unknown state or port 0 counts as draining, so that the worker gets no new work and
+        the other records of the event still apply.
         """
         listing = LISTINGS[self.state] if self.state < len(LISTINGS) else EndpointState.DRAINING
         return listing if self.port or listing is EndpointState.REMOVED else EndpointState.DRAINING
 
     @property
     def name(self) -> str:
-        """Its id as text has it."""
+        """The worker's name: its id in text form."""
         return f"s-{self.id:08x}"
 
     @property
     def address(self) -> str:
-        """Host and port."""
+        """Host and port as text."""
         return ".".join(str(self.host >> shift & 255) for shift in (24, 16, 8, 0)) + f":{self.port}"
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """One event of the board, or a heartbeat with the revision of the last one."""
+    """One event of the board, or a heartbeat with the revision of the last event."""
 
     revision: int
     kind: FrameKind
@@ -73,14 +75,14 @@
 
 
 class FrameDecoder:
-    """Bytes of one connection to frames."""
+    """Decodes the frames of one connection."""
 
     def __init__(self) -> None:
         self.buffer = b""
-        self.frames: list[Frame] = []  # those of the last bytes
+        self.frames: list[Frame] = []  # decoded by the last `feed`
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that are complete now. Raises FrameError, after which `frames` holds those before it."""
+        """Decode the complete frames. Raises FrameError; `frames` then holds the valid frames before it."""
         data = self.buffer + data
         self.frames = []
         start = 0
@@ -98,7 +100,7 @@
 
 
 def decode_frame(data: bytes) -> Frame:
-    """One whole frame. Raises FrameError."""
+    """Decode one complete frame. Raises FrameError."""
     _, revision, kind = HEAD.unpack_from(data)
     size = len(data) - HEAD.size
     if kind > FrameKind.DELTA or (kind == FrameKind.HEARTBEAT and size) or size % RECORD.size:
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -1,4 +1,4 @@
-"""One dispatcher of the platform: the edge's core with a FastCGI front, runners' pools and the board."""
+"""One dispatcher of the platform: the edge's core with a FastCGI front, connection pools and discovery."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -12,27 +12,31 @@
 from lapistrestle.node.runners import RunnerPools
 from lapistrestle.policy.dispatcher import Dispatcher
 
-# Tenths of a millisecond:
-GUARD_SLACK = 40  # past its deadline at which a request is answered whatever the module does
-ACCEPT_AFTER_SIGTERM = 7_500  # new connections and requests still come for so long
-MAX_COUNTED_DEADLINE = 30_000  # SIGKILL comes no sooner than the longest deadline, counted as this at most,
-KILL_AFTER_DEADLINE = 7_000  # and this after it (page of the days, "New configurations and restarts")
-KILL_MARGIN = 500  # before SIGKILL all that is left is answered
-RELOAD_INTERVAL = 1_000  # between two readings of a configuration that can't be used yet,
-RELOAD_TIME_OUT = 60_000  # for so long; what another board tells counts as notified 4 s after the signal
+# Ticks of 0.1 ms:
+GUARD_SLACK = 40  # after its deadline the host answers a request that the module has not closed
+ACCEPT_AFTER_SIGTERM = 7_500  # for which new connections and requests are still accepted
+# The platform sends SIGKILL no sooner than this after SIGTERM: the longest deadline of a call, of which at
+# most MAX_COUNTED_DEADLINE counts, plus KILL_AFTER_DEADLINE.
+MAX_COUNTED_DEADLINE = 30_000
+KILL_AFTER_DEADLINE = 7_000
+KILL_MARGIN = 500  # before the earliest SIGKILL all open requests are aborted
+# A configuration that can't be used is read again at this interval, for this time. Events of another board
+# that it names count as notified 4 s after the signal.
+RELOAD_INTERVAL = 1_000
+RELOAD_TIME_OUT = 60_000
 
 
 @dataclass(frozen=True)
 class Reload:
-    """A reading of the configuration after a SIGHUP."""
+    """One attempt to read the configuration after a SIGHUP."""
 
-    number: int  # of the signal: a later one takes over
-    tries: int  # before this one
+    number: int  # of the signal; a later signal supersedes it
+    tries: int  # previous attempts
     read: Callable[[], Configuration]
 
 
 class Node:
-    """Puts the parts together, and knows when to begin and when to end."""
+    """The dispatcher process: its parts, start, reload and shutdown."""
 
     def __init__(
         self, reactor: Any, configuration: Configuration, log: Log, make: Callable[..., Any] = Dispatcher
@@ -49,25 +53,23 @@
         self.reloads = 0
 
     def start(self) -> int:
-        """Raises OSError where the address can't be listened at."""
+        """Start listening. Returns the port. Raises OSError if the address can't be bound."""
         port = self.core.start()
         self.pools.start()
         return port
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """A new configuration is in force; what can change in a running dispatcher is where the board is, and
-        which events it has had.
-        """
+        """Apply a new configuration: the board's address and the known workers are all that may change."""
         self.discovery.apply_known(configuration.file.known)
         self.discovery.move_to(configuration.file.board)
 
     def reload(self, read: Callable[[], Configuration]) -> None:
-        """SIGHUP: a file caught half-written is read again, as nobody tells when it is whole."""
+        """Handle SIGHUP: read the configuration, repeatedly if it is invalid, as it may be half-written."""
         self.reloads += 1
         self.try_reload(Reload(self.reloads, 0, read))
 
     def try_reload(self, reload: Reload) -> None:
-        """Read the configuration, and once more a little later where it can't be used."""
+        """Read and apply the configuration; if it is invalid, schedule another attempt."""
         if reload.number != self.reloads:  # another signal came
             return
         try:
@@ -80,9 +82,7 @@
                 self.core.after(RELOAD_INTERVAL, self.try_reload, again)
 
     def shut_down(self, stopped: Callable[[], None]) -> None:
-        """SIGTERM: serve what still comes for a while, then take nothing new and finish what is open, all of
-        it before SIGKILL may come.
-        """
+        """Handle SIGTERM: serve new requests for a while, then finish the open ones, all before SIGKILL."""
         if self.leaving:
             return
         self.leaving = self.front.leaving = True
@@ -93,6 +93,6 @@
         self.core.after(last, self.cut_short, stopped)
 
     def cut_short(self, stopped: Any) -> None:
-        """Answer all that is left: SIGKILL is near."""
+        """Abort the open requests, as SIGKILL may come soon."""
         if not self.core.stopping or self.core.stopped is not None:
             self.core.stop(stopped)
--- a/lapistrestle/node/replies.py
+++ b/lapistrestle/node/replies.py
@@ -1,4 +1,6 @@
-"""Replies of the platform's runners: one JSON object a line, and what each verb means to the module."""
+"""Replies of the platform's runners, one JSON object per line, and the outcomes that their verbs
+stand for.
+"""
 
 import msgspec
 
@@ -18,10 +20,10 @@
 
 
 class ReplyAttributes(msgspec.Struct):
-    """What a reply says beside its content; figures may come as text."""
+    """Attributes of a reply. Numbers may be sent as text."""
 
-    concurrent: Figure = msgspec.field(default=0, name="company")  # other calls that ran beside it
-    copies: Figure = msgspec.field(default=0, name="slots_up")  # of the function that it holds
+    concurrent: Figure = msgspec.field(default=0, name="company")  # other calls that ran at the same time
+    copies: Figure = msgspec.field(default=0, name="slots_up")  # loaded copies of the function
     load_report: str = msgspec.field(default="", name="use")  # "name:figure;..."
 
 
@@ -29,7 +31,7 @@
 
 
 class Reply(msgspec.Struct):
-    """A reply of a runner. `rid` is the request's, `content` base64."""
+    """A reply of a runner. `rid` is the request's id, `content` is in base64."""
 
     verb: str
     rid: str
@@ -41,7 +43,7 @@
 
 
 def parse_reply(line: bytes) -> Reply | None:
-    """The reply of a line; None if it is none."""
+    """Decode a line; None if it is no valid reply."""
     try:
         reply = DECODER.decode(line)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -50,7 +52,7 @@
 
 
 def parse_load_report(text: str, names: dict[str, str]) -> dict[str, float]:
-    """The figures of a load report under the names that the module knows. Raises ValueError."""
+    """Parse a load report. `names` maps its names to the module's. Raises ValueError."""
     found: dict[str, float] = {}
     for entry in text.split(";"):
         name, _, figure = entry.partition(":")
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -1,5 +1,6 @@
-"""One connection to a runner of the platform: JSON lines over a socket. `edge.linking` decides what becomes
-of lines; placing, repeats and health are the module's.
+"""One connection to a runner of the platform, in JSON lines.
+
+`edge.linking` decides when lines are sent; placement, retries and health are the module's.
 """
 
 import binascii
@@ -24,23 +25,21 @@
 from lapistrestle.node.streams import Stream, dial
 from lapistrestle.policy.types import Outcome
 
-MAX_LINE = 131_072  # bytes of the longest line taken: a body of 16 KiB in base64 several times over
-PRELOAD_WAIT = (
-    300  # tenths of a millisecond that a preload may wait for its connection; its window is seconds
-)
+MAX_LINE = 131_072  # bytes of the longest line accepted: several times a body of 16 KiB in base64
+PRELOAD_WAIT = 300  # ticks of 0.1 ms that a preload may be queued; its budget window is seconds long
 NO_CALLBACKS = LinkCallbacks()
 
 
 class ReplySettings(Protocol):
-    """What holds for the connections to all runners."""
+    """Settings of the connections to all runners."""
 
-    idle_limit: int  # tenths of a millisecond without use after which a connection is closed
-    report_names: dict[str, str]  # of a load report's figures, to the names that the module knows
-    reports_concurrency: bool  # whether replies tell how many calls ran beside one
+    idle_limit: int  # ticks without use after which a connection is closed
+    report_names: dict[str, str]  # names in load reports, mapped to the module's names
+    reports_concurrency: bool  # whether replies report how many calls ran at the same time
 
 
 class ConnectionPool(Protocol):
-    """What a connection needs of its pool: whose it is, and to be taken out when it is closed."""
+    """What a connection needs of its pool."""
 
     core: Core
     name: str
@@ -48,37 +47,37 @@
 
     @property
     def pools(self) -> ReplySettings:
-        """What holds for the connections to all runners."""
+        """Settings of the connections to all runners."""
 
     def remove(self, connection: "RunnerConnection") -> None:
-        """It is closed, or was lost."""
+        """Remove a connection that was closed or lost."""
 
 
 class Socket(Stream):
-    """The descriptor beneath a connection to a runner."""
+    """The socket of a connection to a runner."""
 
     def __init__(self, connection: "RunnerConnection", sock: socket.socket) -> None:
         super().__init__(connection.core.reactor, sock, dialled=True)
         self.connection = connection
 
     def made(self) -> None:
-        """The connection is up."""
+        """The connection is established."""
         self.connection.linking.step(Input.GREETED)
 
     def pieces(self) -> int:
-        """How many reads are made of it at once."""
+        """How many reads are made per poll."""
         return self.connection.core.pieces()
 
     def received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Pass received data to the connection."""
         self.connection.received(data)
 
     def drained(self) -> None:
-        """All that waited to be written is."""
+        """All buffered data has been written."""
         self.connection.linking.step(Input.EASED)
 
     def lost(self, reason: str) -> None:
-        """It is gone."""
+        """The socket was closed."""
         self.connection.lost()
 
 
@@ -94,17 +93,17 @@
         self.buffer = b""
         self.by_rid: dict[str, int] = {}
         self.rids: dict[int, str] = {}
-        self.last_used = self.core.clock()  # of its last use
-        self.unsent_numbers = set[int]()  # once lost: what was not written whole
+        self.last_used = self.core.clock()
+        self.unsent_numbers = set[int]()  # once the connection is lost: lines not completely written
 
     def load(self) -> int:
-        """Lines that wait here, and those whose end is awaited."""
+        """The number of lines queued or in flight."""
         return len(self.linking.out) + len(self.linking.waiting)
 
     def send(self, rid: str, line: Line, prompt: bool = False) -> bool:
-        """Send a line as soon as the connection is up, with `prompt` within PRELOAD_WAIT.
+        """Send a line as soon as the connection is open, with `prompt` within PRELOAD_WAIT.
 
-        False if it can't be taken.
+        False if it is rejected.
         """
         self.last_used = self.core.clock()
         self.by_rid[rid] = line.number
@@ -115,25 +114,25 @@
         return False
 
     def is_stale(self) -> bool:
-        """Unused for so long that the runner is about to close it."""
+        """Whether it has been unused for so long that the runner is about to close it."""
         idle = self.core.clock() - self.last_used > self.pools.idle_limit
         return idle and self.linking.state is Link.OPEN and not self.load()
 
     def forget(self, number: int) -> None:
-        """Drop the request id of a number."""
+        """Remove the request id of a number."""
         rid = self.rids.pop(number, None)
         if rid is not None and self.by_rid.get(rid) == number:
             del self.by_rid[rid]
 
     def cancel_unsent(self, number: int) -> bool:
-        """Drop a line that was not written. True if it never left, and now never does."""
+        """Remove a queued line. True if it was not sent, and will not be."""
         if self.linking.cancel_unsent(number):
             self.forget(number)
             return True
         return False
 
     def withdraw(self, number: int, notify: bool) -> bool:
-        """Wait no longer for this number; True if its line never left. `notify` the runner otherwise."""
+        """Stop waiting for this number; True if its line was never sent. Otherwise `notify` the runner."""
         rid = self.rids.get(number)
         self.forget(number)
         if self.linking.withdraw(number):
@@ -143,15 +142,16 @@
         return False
 
     def end_tasks(self) -> None:
-        """The runner is gone, or another process stands under its name: what this one may still say of its
-        loads is nothing that the module should believe of what follows, and nobody waits for it.
+        """End preloads and health checks: the runner is gone, or another process has taken over its name.
+
+        Late replies about this process's loads must not be taken for the new one's.
         """
         for number in [number for number in self.rids if number in self.core.host.tasks]:
             self.withdraw(number, False)
             self.core.host.task_finished_without_reply(number, Outcome.NOT_SENT)
 
     def received(self, data: bytes) -> None:
-        """Bytes came: complete lines are handled, the rest is kept."""
+        """Process received data: complete lines are handled, the rest is buffered."""
         self.core.input()
         lines = (self.buffer + data if self.buffer else data).split(b"\n")
         self.buffer = lines.pop()
@@ -165,13 +165,13 @@
             self.protocol_error("a line without end")
 
     def protocol_error(self, reason: str) -> None:
-        """What follows a bad line can't be trusted: everything on this connection may have run."""
+        """Drop the connection: data after a bad line can't be trusted. All calls on it may have run."""
         self.core.passed_over(self.runner.name, reason)
         if self.stream is not None:
             self.stream.drop(reason)
 
     def handle_line(self, line: bytes) -> bool:
-        """False if the line is no reply."""
+        """Handle a reply; False if the line is no valid reply."""
         reply = parse_reply(line)
         if reply is None:
             return False
@@ -188,13 +188,16 @@
             return False
 
     def reply_received(self, number: int) -> None:
-        """A reply has come: nothing more is awaited under this number."""
+        """Note the reply to a number."""
         self.last_used = self.core.clock()
         self.forget(number)
         self.linking.ended(number)
 
     def attempt_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
-        """The reply to an attempt; False if it is none. Raises ValueError, OverflowError, binascii.Error."""
+        """Handle the reply to an attempt; False if it is invalid.
+
+        Raises ValueError, OverflowError and binascii.Error for invalid values.
+        """
         outcome = ATTEMPT_OUTCOMES.get(reply.verb)
         if outcome is None:
             return False
@@ -204,14 +207,17 @@
         report = (
             parse_load_report(attrs.load_report, self.pools.report_names) if attrs.load_report else NO_REPORT
         )
-        if outcome is Outcome.NOT_SENT:  # the runner had it, so it counts as a try
+        if outcome is Outcome.NOT_SENT:  # the runner received it, so it counts as an attempt
             self.core.host.worker_calls[number].pending.prior_attempts += 1
         self.reply_received(number)
         self.core.host.attempt_finished(number, outcome, body, concurrent=concurrent, report=report)
         return True
 
     def task_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
-        """The reply to a preload or a health check; False if it is none. Raises ValueError, OverflowError."""
+        """Handle the reply to a preload or a health check; False if it is invalid.
+
+        Raises ValueError and OverflowError for invalid values.
+        """
         if reply.verb in HEALTH_CHECK_OUTCOMES:
             report = parse_load_report(attrs.load_report, self.pools.report_names)
             self.reply_received(number)
@@ -225,7 +231,7 @@
         return True
 
     def lost(self) -> None:
-        """The connection is gone."""
+        """Handle the loss of the connection."""
         self.core.input()
         stream = self.stream
         self.stream = None
@@ -238,13 +244,14 @@
         self.release()
 
     def release(self) -> None:
-        """It and its linking point to each other, and the collector hardly ever runs: guards a long life
-        against growth with every connection.
+        """Break the reference cycle with the state machine.
+
+        Garbage collections are rare, so without this memory would grow with every connection.
         """
         self.linking.callbacks = NO_CALLBACKS
 
     def dial(self) -> None:
-        """Begin to connect."""
+        """Start to connect."""
         try:
             self.stream = Socket(self, dial(*split_address(self.runner.address[0])))
         except OSError:
@@ -254,17 +261,17 @@
         self.core.after(self.core.settings.connect_timeout, self.stream.unmade, None)
 
     def undialled(self, _: object) -> None:
-        """No socket could be had."""
+        """Handle that no socket could be created."""
         self.runner.remove(self)
         self.linking.step(Input.FAILED)
         self.release()
 
     def may_begin(self, work: WorkerCall | WorkerTask) -> bool:
-        """Whether new work may begin to leave for the runner now."""
+        """Whether new work may be sent to the runner now."""
         return self.core.gate.may_begin(work, self.runner)
 
     def write(self, line: bytes, number: int = 0) -> bool:
-        """Write a line; False if none of it left. What waits after it slows the link down."""
+        """Write a line; False if none of it was sent. Unless all of it was sent, the connection is slow."""
         if self.stream is None:
             return False
         left = self.stream.offer(line, number)
@@ -273,7 +280,7 @@
         return left
 
     def close(self) -> None:
-        """Close it: it is no longer needed."""
+        """Close the connection."""
         stream, self.stream = self.stream, None
         self.runner.remove(self)
         if stream is not None:
@@ -281,20 +288,20 @@
         self.release()
 
     def ask(self, delay: int) -> None:
-        """Nothing: a lost connection is not dialled anew; another is, when one is needed."""
+        """Does nothing: a lost connection is not dialled again; the pool opens another when needed."""
 
     def never_left(self, numbers: list[int]) -> None:
-        """The connection did not come up."""
+        """Report lines as unreachable: the connection was not established."""
         for number in numbers:
             self.end_without_reply(number, Outcome.UNREACHABLE)
 
     def not_sent(self, numbers: list[int]) -> None:
-        """Held back: the runner serves no more, or nobody waits for it. It says nothing of the runner."""
+        """Report lines as not sent: the runner does not serve, or the client has gone."""
         for number in numbers:
             self.end_without_reply(number, Outcome.NOT_SENT)
 
     def broke(self, numbers: list[int]) -> None:
-        """What was not written whole never ran, what was may have."""
+        """Report lines of a lost connection: those not written completely never ran, the others may have."""
         for number in numbers:
             self.end_without_reply(
                 number, Outcome.UNREACHABLE if number in self.unsent_numbers else Outcome.RESET
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -1,4 +1,4 @@
-"""The pool of connections to each runner of the platform, and all of them together."""
+"""The connection pools to the runners of the platform."""
 
 from base64 import b64encode
 from collections.abc import Collection
@@ -12,15 +12,15 @@
 from lapistrestle.policy.types import Outcome
 from lapistrestle.ticks import MICROSECONDS, MILLISECOND, SECOND
 
-MAX_CONNECTIONS_PER_RUNNER = 16  # more than one: a bad answer ends all that its connection carries
-SWEEP_INTERVAL = SECOND  # between two looks for idle connections
-RUNNER_SOCKETS_SHARE = (2, 5)  # of the process's sockets may go to runners
-NOT_OPEN_PENALTY = 16  # lines that a connection which is not open counts as having more
+MAX_CONNECTIONS_PER_RUNNER = 16  # several, as an invalid reply ends all calls of its connection
+SWEEP_INTERVAL = SECOND  # between two sweeps for idle connections
+RUNNER_SOCKETS_SHARE = (2, 5)  # the fraction of the process's sockets for runners
+NOT_OPEN_PENALTY = 16  # extra lines that a connection counts as having while it is not open
 USABLE = (Link.OPEN, Link.DIALING, Link.SLOW)
 
 
 class Runner:
-    """One start of a runner at one address, and the pool of connections to it."""
+    """The connection pool to one runner process at one address."""
 
     def __init__(self, pools: "RunnerPools", name: str, address: tuple[str, int]) -> None:
         self.pools = pools
@@ -29,37 +29,39 @@
         self.address = address
         self.connections: list[RunnerConnection] = []
 
-    # what the core tells
+    # core.RunnerHandle
 
     def named(self) -> None:
-        """Nothing: it is dialled when first needed; most dispatchers never meet most runners."""
+        """Does nothing: a runner is dialled on first use, as most dispatchers never use most runners."""
 
     def dropped(self) -> None:
-        """It is gone from the list: what is out may still end, preloads and health checks are given up."""
+        """Handle the removal from the list: calls may still finish, preloads and health checks are
+        dropped.
+        """
         for connection in list(self.connections):
             connection.end_tasks()
             connection.linking.step(Input.DROPPED)
 
     def hold_back(self) -> None:
-        """It drains: what waits to be written is not sent."""
+        """Discard queued lines, as the runner drains."""
         for connection in list(self.connections):
             connection.linking.hold_back()
 
     def end(self) -> None:
-        """Close all at once."""
+        """Close all connections immediately."""
         for connection in list(self.connections):
             connection.close()
 
     # the pool
 
     def remove(self, connection: RunnerConnection) -> None:
-        """It is closed, or was lost."""
+        """Remove a connection that was closed or lost."""
         if connection in self.connections:
             self.connections.remove(connection)
             self.pools.connections -= 1
 
     def open_one(self) -> RunnerConnection | None:
-        """One more connection, unless there are as many as may be."""
+        """Open another connection; None if the limit is reached."""
         if len(self.connections) >= MAX_CONNECTIONS_PER_RUNNER or not self.pools.may_open():
             return None
         connection = RunnerConnection(self)
@@ -69,14 +71,16 @@
         return connection
 
     def pick(self, used: Collection[RunnerConnection]) -> RunnerConnection | None:
-        """The connection with the least on it, made or about to be; where that one is busy a further one is
-        opened beside it, so that a bad answer ends little else.
+        """The least loaded connection, not in `used`, that is open or being opened; None if there is none.
+
+        If it has calls in flight another one is opened for later calls, so that an invalid reply ends few
+        calls.
         """
         best: RunnerConnection | None = None
         least, dialling = self.pools.max_calls, False
         for connection in list(self.connections):
             linking = connection.linking
-            if connection.is_stale():  # its runner may be closing it: a call that crosses that may have run
+            if connection.is_stale():  # the runner may be closing it; a call sent meanwhile may have run
                 connection.close()
                 continue
             state, held = linking.state, len(linking.out)
@@ -98,7 +102,7 @@
             self.open_one()
         return best
 
-    # what the host asks
+    # sending
 
     def send_call(self, worker_call: WorkerCall) -> None:
         """Send an attempt."""
@@ -111,7 +115,7 @@
         message.used_connections.append(connection)
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
-        """An attempt as it is sent to the runner, with the time that is left as it is written."""
+        """The line of an attempt, with the time left to it now."""
         message, left = worker_call.pending.message, worker_call.ends_by - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
             message.id, message.head, max(1, left // MILLISECOND), message.key, b64encode(message.body),
@@ -124,7 +128,7 @@
         self.send_task(task, b"HOLD", b',"attrs":' + attrs, task.count > 0)
 
     def send_health_check(self, task: WorkerTask) -> None:
-        """Ask for a report."""
+        """Ask for a load report."""
         self.send_task(task, b"INFO", b"", False)
 
     def send_task(self, task: WorkerTask, verb: bytes, attrs: bytes, prompt: bool) -> None:
@@ -132,18 +136,18 @@
         connection, tag = self.pick([]), f"t{task.number}"
         task.connection = connection
         line = b'{"verb":"%s","rid":"%s"%s}\n' % (verb, tag.encode(), attrs)
-        work = task if task.count else None  # asking, and probing, begins nothing
+        work = task if task.count else None  # a health check starts nothing
         if connection is None or not connection.send(tag, Line(task.number, lambda: line, work=work), prompt):
             self.core.host.task_finished_without_reply(task.number, Outcome.REJECTED)
 
     def unload(self, function: str) -> None:
-        """Have it drop a function; no reply is awaited."""
+        """Have the runner drop a function; no reply is awaited."""
         if connection := self.pick([]):
             connection.linking.send(Line(0, lambda: b'{"verb":"FREE","rid":"%s"}\n' % function.encode()))
 
 
 class RunnerPools:
-    """All connections to runners. Calling it makes the `Runner` of a name and address."""
+    """All connection pools, within the limit of sockets. Calling it creates the pool of a runner."""
 
     def __init__(self, core: Core, configuration: Configuration) -> None:
         limits = configuration.platform.limits
@@ -151,22 +155,22 @@
         self.report_names = configuration.report_names
         self.reports_concurrency = core.settings.reports_concurrency
         idle = limits.conn_idle // MICROSECONDS
-        self.idle_limit = max(idle * 6 // 10, idle - 2 * SECOND)  # before the runner would
+        self.idle_limit = max(idle * 6 // 10, idle - 2 * SECOND)  # before the runner closes it
         self.max_connections = (
             configuration.file.limits.sockets * RUNNER_SOCKETS_SHARE[0] // RUNNER_SOCKETS_SHARE[1]
         )
         self.connections = 0
 
     def __call__(self, name: str, address: Any, start: str = "") -> Runner:
-        """The pool of one start of a runner."""
+        """Create the pool of one runner process."""
         return Runner(self, name, address)
 
     def start(self) -> None:
-        """Begin to close connections that idle."""
+        """Start the sweeps for idle connections."""
         self.core.after(SWEEP_INTERVAL, self.sweep, None)
 
     def sweep(self, _: object) -> None:
-        """Close what its runner is about to close."""
+        """Close connections that their runners are about to close."""
         for runner in self.core.runners.values():
             for connection in list(runner.connections):
                 if connection.is_stale():
@@ -174,7 +178,7 @@
         self.core.after(SWEEP_INTERVAL, self.sweep, None)
 
     def may_open(self) -> bool:
-        """Whether one more may be opened; where none may, one that idles elsewhere makes room."""
+        """Whether another connection may be opened; at the limit, an idle one of another runner is closed."""
         if self.connections < self.max_connections:
             return True
         idle = [
--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -1,8 +1,10 @@
-"""A connection on the reactor that tells what has left.
+"""Sockets on the reactor that tell which data was sent.
 
-Twisted's own transports keep what they are given, and nobody learns how much of it was written. Rules 2 and 3
-hang on just that, so connections of the platform's protocol are descriptors of their own, on the reactor's
-readers and writers. Each reads a bounded piece a turn: a client at full speed must not keep the rest waiting.
+Twisted's transports buffer all data without telling how much of it was written. But whether a request has
+been sent decides whether it may be retried elsewhere, and whether it can still be cancelled when its worker
+drains. So connections of the platform's protocols are file descriptors of their own, registered as readers
+and writers of the reactor. Each reads a limited amount per poll, so that one fast sender can't starve the
+others.
 """
 
 import errno
@@ -16,10 +18,11 @@
 
 TRY_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-PAUSE = 0.1  # seconds without accepting where the machine has no room: readable still, it would spin
-READ = 16_384  # bytes of one connection a turn
-MOST_READS = 64  # pieces that are read at once of what lies unread: all that a client may have open, and more
-FRESH = READ_AGAIN / 10_000  # seconds for which a connection that was read to its end need not be again
+# seconds without accepting after running out of descriptors: the listener stays readable and would spin
+PAUSE = 0.1
+READ = 16_384  # bytes per read
+MOST_READS = 64  # reads of one connection at once: more than all open requests of a client need
+FRESH = READ_AGAIN / 10_000  # seconds after reading all data of a connection until it is read again on demand
 
 
 class Reactor(Protocol):
@@ -32,20 +35,23 @@
         """Call after so many seconds."""
 
     def addReader(self, reader: Any) -> object:
-        """Call `doRead` of it whenever there is something to read."""
+        """Call the reader's `doRead` whenever its descriptor is readable."""
 
     def removeReader(self, reader: Any) -> object:
-        """No longer."""
+        """Stop calling `doRead`."""
 
     def addWriter(self, writer: Any) -> object:
-        """Call `doWrite` of it whenever its socket takes more."""
+        """Call the writer's `doWrite` whenever its descriptor is writable."""
 
     def removeWriter(self, writer: Any) -> object:
-        """No longer."""
+        """Stop calling `doWrite`."""
 
 
 class Stream:
-    """One connected or connecting socket. A subclass gives `received`, `lost` and, where it dials, `made`."""
+    """One connected or connecting socket.
+
+    Subclasses implement `received`, `lost` and, if they dial, `made`.
+    """
 
     def __init__(self, reactor: Reactor, sock: socket.socket, dialled: bool = False) -> None:
         self.reactor = reactor
@@ -53,11 +59,12 @@
         self.dialling = dialled
         self.dead = False
         self.closing = False
-        self.unsent: deque[tuple[bytes, int]] = deque()  # pieces, each with a mark of the sender's own
-        self.offset = 0  # bytes of the first piece that have left
+        # chunks, each with a mark by which the owner knows it
+        self.unsent: deque[tuple[bytes, int]] = deque()
+        self.offset = 0  # bytes of the first chunk that were sent
         self.unsent_bytes = 0
         self.writing = self.reading = False
-        self.read_at = -FRESH  # when it was last read to its end, by the reactor's clock
+        self.read_at = -FRESH  # when all its data was last read, in the reactor's seconds
 
     def begin(self) -> None:
         """Begin to connect, or to read."""
@@ -67,33 +74,33 @@
             self.watch_reads(True)
 
     def watch_reads(self, on: bool) -> None:
-        """Have the reactor tell when there is something to read, or no longer."""
+        """Start or stop watching for data to read."""
         if on is not self.reading and not self.dead:
             self.reading = on
             (self.reactor.addReader if on else self.reactor.removeReader)(self)
 
     def watch_writes(self, on: bool) -> None:
-        """Have the reactor tell when the socket takes more, or no longer."""
+        """Start or stop watching for room to write."""
         if on is not self.writing and not self.dead:
             self.writing = on
             (self.reactor.addWriter if on else self.reactor.removeWriter)(self)
 
-    # what the reactor asks
+    # called by the reactor
 
     def fileno(self) -> int:
         """The socket's descriptor, for the reactor."""
         return self.sock.fileno()
 
     def logPrefix(self) -> str:
-        """The name by which the reactor logs it."""
+        """The name in the reactor's log lines."""
         return type(self).__name__
 
     def doRead(self) -> None:
-        """The reactor: there is something to read."""
+        """The socket is readable."""
         self.read(self.pieces())
 
     def read(self, pieces: int) -> None:
-        """Read what has come, some pieces at the most."""
+        """Read received data, at most so many times."""
         for _ in range(pieces):
             if self.dead or not self.reading:
                 return
@@ -113,12 +120,12 @@
             self.received(data)
 
     def read_now(self) -> None:
-        """Read what lies unread, its end included, unless that was done within FRESH."""
+        """Process unread data and a close of the connection, unless that was done within FRESH."""
         if self.reactor.seconds() - self.read_at > FRESH:
             self.read(MOST_READS)
 
     def doWrite(self) -> None:
-        """The reactor: the connection is made, or the socket takes more."""
+        """The connection is established, or the socket is writable."""
         if self.dead:
             return
         if self.dialling:
@@ -139,13 +146,13 @@
             self.drained()
 
     def connectionLost(self, reason: Any) -> None:
-        """The reactor: the descriptor failed."""
+        """The descriptor failed."""
         self.drop("lost")
 
-    # what its owner asks
+    # called by the owner
 
     def send(self, data: bytes, mark: int = 0) -> None:
-        """Write at once as much as the socket takes; the rest follows when it can."""
+        """Write as much as the socket accepts now; the rest is buffered and sent later."""
         if self.dead:
             return
         self.unsent.append((data, mark))
@@ -154,8 +161,10 @@
             self.flush()
 
     def offer(self, data: bytes, mark: int = 0) -> bool:
-        """As `send`, but where the socket takes nothing of it now nothing is kept either, and `drained` is
-        called once it takes more. False then: what has not begun to leave stays the owner's to take back.
+        """Send data if the socket accepts at least a part of it now; else return False and buffer nothing.
+
+        After False, `drained` is called once the socket is writable. So data that was not sent at all stays
+        with the owner, which can still cancel it.
         """
         if self.dead or self.dialling:
             return False
@@ -168,7 +177,7 @@
         return False
 
     def flush(self) -> None:
-        """Write what waits, as much as the socket takes."""
+        """Write buffered data, as much as the socket accepts."""
         while self.unsent and not self.dead:
             data = self.unsent[0][0]
             try:
@@ -195,19 +204,19 @@
             self.drained()
 
     def close(self) -> None:
-        """Close once all is written."""
+        """Close after all buffered data is written."""
         self.closing = True
         self.watch_reads(False)
         if not self.unsent:
             self.drop("done")
 
     def unmade(self, _: object = None) -> None:
-        """The time to connect is up."""
+        """The connect timeout has passed."""
         if self.dialling:
             self.drop("no connection in time")
 
     def drop(self, reason: str) -> None:
-        """Close now."""
+        """Close immediately, discarding buffered data."""
         if self.dead:
             return
         self.reactor.removeReader(self)
@@ -219,24 +228,24 @@
     # for subclasses
 
     def pieces(self) -> int:
-        """How many to read in this turn."""
+        """How many reads are made per poll."""
         return 1
 
     def made(self) -> None:
-        """The connection was made."""
+        """Called when the connection is established."""
 
     def received(self, data: bytes) -> None:
-        """Bytes came."""
+        """Called with received data."""
 
     def drained(self) -> None:
-        """All that waited has been written."""
+        """Called when all buffered data has been written."""
 
     def lost(self, reason: str) -> None:
-        """The connection is gone, and why."""
+        """Called when the connection is closed, with the reason."""
 
 
 def dial(host: str, port: int) -> socket.socket:
-    """A socket that has begun to connect. Raises OSError where that fails at once."""
+    """Create a socket and start to connect it. Raises OSError if that fails immediately."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
@@ -249,14 +258,14 @@
 
 
 def begin_connecting(sock: socket.socket, host: str, port: int) -> None:
-    """Connect without waiting for it. Raises OSError where that fails at once."""
+    """Connect without blocking. Raises OSError if that fails immediately."""
     code = sock.connect_ex((host, port))
     if code not in (0, errno.EINPROGRESS):
         raise OSError(code, os.strerror(code))
 
 
 class Listener:
-    """Accepts connections, some a turn."""
+    """Accepts connections, at most `EACH` per poll."""
 
     EACH = 64
 
@@ -264,7 +273,7 @@
         self, reactor: Reactor, host: str, port: int, on_connection: Callable[[socket.socket], None],
         on_out_of_descriptors: Callable[[], object] = lambda: None,
     ) -> None:  # fmt: skip
-        """`on_out_of_descriptors` is called where the machine has no descriptor left for one more."""
+        """`on_out_of_descriptors` is called if accepting fails for lack of descriptors or memory."""
         self.reactor = reactor
         self.on_connection = on_connection
         self.on_out_of_descriptors = on_out_of_descriptors
@@ -278,7 +287,7 @@
             self.sock.close()
             raise
         self.closed = False
-        self.full_since: float | None = None  # since then some may wait in the machine's line
+        self.full_since: float | None = None  # time since which connections may wait in the accept queue
         reactor.addReader(self)
 
     def fileno(self) -> int:
@@ -286,17 +295,17 @@
         return self.sock.fileno()
 
     def logPrefix(self) -> str:
-        """The name by which the reactor logs it."""
+        """The name in the reactor's log lines."""
         return "Listener"
 
     def doRead(self) -> None:
-        """The reactor: connections wait."""
+        """There are connections to accept."""
         for _ in range(self.EACH):
             if not self.accept():
                 return
 
     def accept(self) -> bool:
-        """Take one; False if there is none now."""
+        """Accept one connection; False if there is none, or for lack of descriptors."""
         try:
             sock, _addr = self.sock.accept()
         except OSError as error:
@@ -315,11 +324,11 @@
         return True
 
     def waited(self) -> float:
-        """Seconds for which what is accepted now may have waited for a descriptor."""
+        """Seconds for which a connection accepted now may have waited for a descriptor."""
         return 0.0 if self.full_since is None else float(self.reactor.seconds()) - self.full_since
 
     def empty(self) -> bool:
-        """Accept all that waits; False if the machine has no descriptor left for some of it."""
+        """Accept all waiting connections; False if that fails for lack of descriptors."""
         while self.accept():
             continue
         return self.full_since is None
@@ -330,11 +339,11 @@
             self.reactor.addReader(self)
 
     def connectionLost(self, reason: Any) -> None:
-        """The reactor: the descriptor failed."""
+        """The descriptor failed."""
         self.close()
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Stop listening."""
         if not self.closed:
             self.closed = True
             self.reactor.removeReader(self)
