--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Events that cross, on real connections: each test forces the bad order by what is sent and awaited."""
+"""Races between events, on real connections; each test forces the bad order by what it sends and awaits."""
 
 import contextlib
 import errno
@@ -29,19 +29,19 @@
 
 @pytest.fixture
 def stage(stages: Any) -> Any:
-    """One runner: whatever is asked goes there."""
+    """One runner, which gets every call."""
     return stages(runners=1)
 
 
 class Closed:
-    """The runner's machine takes no connection: dials stay without answer until it is opened again."""
+    """The accept queue of a runner's listener is full: connects are not answered until it is opened again."""
 
     def __init__(self, stage: Any, at: int = 0) -> None:
         self.hand, self.runner = stage.hand, stage.runners[at]
         self.listener, self.fill = self.runner.listener, []
         self.hand.removeReader(self.listener)
         self.listener.sock.listen(0)
-        for _ in range(2):  # what the machine takes by itself is used up
+        for _ in range(2):  # fill the accept queue
             end = socket.socket()
             end.setblocking(False)
             end.connect_ex(("127.0.0.1", self.runner.port))
@@ -62,12 +62,12 @@
 
 
 def held(stage: Any) -> Any:
-    """Lines that wait for a connection."""
+    """Lines queued for a connection."""
     return [line for connection in connections(stage) for line in connection.linking.waiting]
 
 
 def slow(stage: Any) -> Any:
-    """The runner reads nothing until its connection is full."""
+    """Make the runner stop reading until its connection is full."""
     client = stage.client()
     first = client.ask()
     stage.hand.until(lambda: client.status(first))
@@ -81,12 +81,12 @@
     return client, line, connection
 
 
-# the client has gone, the line has not
+# the client has gone before the line is sent
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
 def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_gone(stage: Any, how: Any) -> None:
-    """It had gone out when the connection came up, up to a dial's time later."""
+    """Guards against sending the line once the connection is established, up to a connect timeout later."""
     closed, client = Closed(stage), stage.client()
     number = client.ask(method="bill")
     stage.hand.until(lambda: held(stage))
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("how", ["aborts", "times out", "drains"])
 def test_what_a_full_socket_has_not_begun_to_take_is_not_sent_later(stage: Any, how: Any) -> None:
-    """The connection had kept the line, where only its own end could reach it."""
+    """Guards against buffering the line in the connection, where nothing but its close can cancel it."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
     number = client.ask(method="bill", patience="300")
@@ -115,7 +115,7 @@
     elif how == "times out":
         stage.hand.run(0.31)
         stage.hand.until(lambda: client.status(number))
-        assert client.status(number) == 503  # it never left, so to repeat it is harmless
+        assert client.status(number) == 503  # it was never sent, so a retry is safe
     else:
         stage.board.tell(2, 2, stage.row(0, state=1))
         stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
@@ -128,14 +128,14 @@
 
 
 def connected(stage: Any) -> None:
-    """Every runner has a connection that waits for use."""
+    """Open a connection to every runner."""
     for runner in stage.node.core.runners.values():
         runner.open_one()
     stage.hand.until(lambda: all(connection.linking.state is Link.OPEN for connection in connections(stage)))
 
 
 def still(stage: Any, seconds: Any) -> None:
-    """The program stands still while what is under way arrives."""
+    """Stall the program while data in transit arrives."""
     stage.hand.rightNow += seconds
 
 
@@ -144,7 +144,7 @@
 def test_a_request_whose_client_left_during_a_standstill_is_never_begun(
     stage: Any, how: Any, known: Any
 ) -> None:
-    """Request and close lay in the socket together; the request was acted on before the close was read."""
+    """Guards against starting a request whose close is in the socket behind it after a stall."""
     connected(stage)
     listener = stage.node.front.listener
     stage.hand.removeReader(listener)
@@ -166,7 +166,7 @@
 
 
 def test_no_further_attempt_begins_for_a_client_that_left_during_a_standstill(stages: Any) -> None:
-    """The runner's refusal was read, and answered by another attempt, before the client's close."""
+    """Guards against a retry when the runner's rejection is read before the client's close."""
     stage, got = stages(runners=2), []
     connected(stage)
     client, other = stage.client(), stage.client()
@@ -179,7 +179,7 @@
     client.drop("gone")
     connection = next(connection for connection in stage.node.front.connections if connection.requests)
     stage.hand.readers.pop(connection)
-    stage.hand.readers[connection] = None  # its close is met last in the look that brings both
+    stage.hand.readers[connection] = None  # its close is read last in the poll that brings both
     assert other.closed == "" and len(stage.runs()) == 1
     still(stage, 0.3)
     stage.hand.quiet()
@@ -187,7 +187,7 @@
 
 
 def test_a_connection_that_ended_during_a_standstill_is_not_used_again(stages: Any) -> None:
-    """Its answer was read, its end was not: the next call went there and counted as may have run."""
+    """Guards against reusing a connection whose close is unread: the call would count as may have run."""
     stage, got = stages(runners=1), []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client = stage.client()
@@ -221,11 +221,11 @@
     assert len(stage.runs()) == before
 
 
-# repeats
+# retries
 
 
 def test_a_repeat_is_not_sent_after_its_window_though_it_was_decided_within(stages: Any) -> None:
-    """It had waited for its connection and gone out when that came up, whatever the time."""
+    """Guards against a retry that is queued for a connection and sent after the window for duplicates."""
     profiles = [{"name": "publish", "aim": 2500000, "deadline": 5000000, "idempotency": "deduplicated",
                  "dedup-scope": "cell", "repeat-window": 150000}]  # fmt: skip
     stage = stages(runners=2, profiles=profiles)
@@ -247,7 +247,7 @@
 def test_an_answer_that_came_before_its_time_out_counts_whatever_else_came_by_then(
     stage: Any, last: Any
 ) -> None:
-    """After a standstill all lie together: the answer, what follows it, and the time-out that is due."""
+    """After a stall the answer, the data behind it and the due timeout are all processed at once."""
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     number = client.ask(method="bill", patience="2000")
@@ -268,7 +268,7 @@
     closed, client = Closed(stage), stage.client()
     number = client.ask(method="bill")
     stage.hand.until(lambda: held(stage))
-    stage.hand.run(2.1)  # one dial after the other
+    stage.hand.run(2.1)  # several dials in a row time out
     stage.hand.until(lambda: client.status(number) is not None)
     assert client.status(number) == 503 and not held(stage)
     closed.open()
@@ -276,18 +276,18 @@
     assert stage.runs() == [] and client.ends == [number]
 
 
-# the end of the program
+# shutdown
 
 
 def leaving(stage: Any) -> Any:
-    """SIGTERM has come; what is returned holds something once the program has ended."""
+    """Shut down as after SIGTERM. The returned list holds the time once the program has ended."""
     stopped = []
     stage.node.shut_down(lambda: stopped.append(stage.hand.rightNow))
     return stopped
 
 
 def test_an_answer_that_has_not_left_is_whole_before_the_program_ends(stage: Any) -> None:
-    """It ended as soon as no call was open, with answers still in its hands."""
+    """Guards against ending as soon as no call is open, with answers still unsent."""
     client = stage.client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     stage.hand.until(lambda: stage.node.front.connections)
@@ -319,7 +319,7 @@
 
 @pytest.mark.parametrize("how", ["an open connection", "a new one"])
 def test_a_request_that_crosses_the_last_look_is_answered(stage: Any, how: Any) -> None:
-    """It lay unread, or in the listener's line, when all was closed: the close reset it."""
+    """Guards against resetting a request that is unread, or in the accept queue, when all is closed."""
     end: Any = socket.create_connection(("127.0.0.1", stage.port))
     if how == "a new one":
         end.close()
@@ -362,7 +362,7 @@
 def test_the_program_has_ended_before_it_may_be_killed_whatever_the_deadlines(
     stages: Any, deadline: Any, ends: Any
 ) -> None:
-    """The page counts longer deadlines as 3 s; all that is open gets its answer before."""
+    """Deadlines above 3 s count as 3 s for the time of SIGKILL; all open requests are answered before it."""
     micros = int(deadline * 1e6)
     stage = stages(
         runners=1,
@@ -380,7 +380,7 @@
     assert client.status(number) in (500, 503)
 
 
-# what seems idle
+# idle connections
 
 
 @pytest.mark.parametrize("who", ["the sweep", "one that needs the room"])
@@ -389,8 +389,8 @@
     first = client.ask()
     stage.hand.until(lambda: client.status(first))
     stage.hand.rightNow += 7.0  # idle for longer than it may be
-    stage.board.raw(frame(1, 0))  # the board has told that nothing is new all the while
-    second = client.ask()  # on its way before the close
+    stage.board.raw(frame(1, 0))  # the board has sent heartbeats all the while
+    second = client.ask()  # in transit before the close
     if who == "the sweep":
         stage.node.front.sweep(None)
     else:
@@ -402,7 +402,9 @@
 def test_a_runner_that_closes_after_a_second_is_not_met_on_a_connection_it_may_be_closing(
     stages: Any,
 ) -> None:
-    """Connections were looked at once a second, so one idle for most of a second was still used."""
+    """Guards against using a connection that the runner closes: sweeps are a second apart, as its
+    limit is.
+    """
     limits = {"try-limit": 6, "conn-idle": 1_000_000, "dial-timeout": 250_000, "streams-per-conn": 32}
     stage = stages(runners=1, limits=limits)
     lines: list[Any] = []
@@ -418,7 +420,7 @@
     (old,) = stage.runners[0].lines
     stage.hand.run(0.9)
     if stage.runners[0].lines:
-        stage.hand.removeReader(old)  # it is about to close: what comes now is not read
+        stage.hand.removeReader(old)  # it is about to close and reads nothing more
     second = client.ask(method="bill")
     stage.hand.serve(0.01)
     stage.hand.quiet()
@@ -446,7 +448,7 @@
 
 
 def test_half_an_event_and_then_bytes_that_end_nothing_are_asked_anew(stage: Any) -> None:
-    """Any byte had counted as word of the board, though no frame came whole any more."""
+    """Guards against counting any byte as a sign of life, though no complete frame arrives any more."""
     event = frame(2, 2, *[stage.row(0, state=1)] * 400)
     stage.board.events[2] = event
     stage.board.beats = False
@@ -462,7 +464,7 @@
 
 
 def test_an_old_list_that_names_nobody_takes_nobody_away(stage: Any) -> None:
-    """A board that was asked anew and answers from before: what it says was known."""
+    """A board answers a new watch with an old list: its revision has been applied already."""
     stage.board.raw(frame(1, 1))
     stage.hand.quiet()
     assert list(stage.workers()) == ["s-00000001"] and stage.node.core.runners
@@ -503,7 +505,7 @@
 
 
 def test_where_no_descriptor_is_left_the_listener_pauses_and_an_idle_one_makes_room(stage: Any) -> None:
-    """It had stayed readable, and the program had turned around it for nothing."""
+    """Guards against a busy loop: without descriptors the listener stays readable."""
     client, listener, tries = stage.client(), stage.node.front.listener, []
 
     class Full:
@@ -523,11 +525,11 @@
     assert again.status(number) == 200
 
 
-# hand-over
+# replaced processes
 
 
 def test_an_old_process_that_ends_an_order_tells_nothing_of_the_one_in_its_place(stage: Any) -> None:
-    """Its answer had counted as copies that stand at the new one, and what waited had waited for it."""
+    """Guards against taking the old process's reply for copies loaded at the new one."""
     runner, orders = stage.runners[0], []
     runner.loaded = {}
     heard = runner.heard
@@ -539,7 +541,7 @@
     stage.hand.until(lambda: orders)
     line, said = orders[0]
     stage.board.tell(2, 2, stage.row(0, started=1_700_000_000_000))
-    stage.hand.until(lambda: client.status(number))  # at once: nothing is loaded that it could wait for
+    stage.hand.until(lambda: client.status(number))  # at once, as no load is in progress to wait for
     assert client.status(number) == 503
     line.say("200", said["rid"], slots_up=1)
     stage.hand.quiet()
@@ -551,7 +553,7 @@
 
 
 def test_an_address_that_another_runner_has_taken_is_its_alone(stages: Any) -> None:
-    """Calls for the old one had gone to the new one, past all that is known of either."""
+    """Guards against sending calls for the old runner to the new one."""
     stage = stages(runners=2)
     stage.board.tell(2, 2, row(9, stage.runners[0].port))
     stage.hand.until(lambda: "s-00000009" in stage.node.core.runners)
@@ -563,7 +565,7 @@
 
 
 def test_a_runner_that_drains_and_serves_again_was_never_dead(stage: Any) -> None:
-    """Lines held back for the drain had ended as unreachable: all that stood there counted as gone."""
+    """Guards against ending lines discarded for the drain as unreachable: the runner would count as dead."""
     client, line, connection = slow(stage)
     numbers = [client.ask(method="bill") for _ in range(3)]
     stage.hand.until(lambda: connection.linking.waiting)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge on virtual wires: hard cases of clients, runners and roster, line by line."""
+"""The edge on a virtual network: edge cases of clients, runners and roster, message by message."""
 
 from pathlib import Path
 
@@ -109,7 +109,7 @@
         return self.clients[-1]
 
     def runs(self):
-        """What is out at the runners: connection and message."""
+        """The calls that were sent to runners: connection and message."""
         return [(peer, run) for peers in self.runners.values() for peer in peers for run in peer.heard("run")]
 
     def clean(self):
@@ -190,7 +190,7 @@
     for again, second in stage.runs():
         if again is not peer:
             end(again, second)
-    end(peer, run)  # too late: that connection no longer counts
+    end(peer, run)  # too late: the connection was lost
     stage.run()
     assert [a["verdict"] for a in client.heard("answer")] == [verdict] and stage.clean()
 
@@ -261,7 +261,7 @@
     end(peer, run)
     stage.run()
     assert len(client.heard("answer")) == 1 and "is open" in client.heard("fault")[0]["why"]
-    client.say(**CALL, id="1")  # free again
+    client.say(**CALL, id="1")  # the id may be used again
     stage.run()
     assert len(stage.runs()) == 2
 
@@ -440,7 +440,7 @@
 
 
 def test_lines_that_wait_for_a_runner_are_not_sent_once_it_drains(stage):
-    """A runner reads slowly; meanwhile it is told to drain. What waited must never go out later."""
+    """A runner reads slowly and then drains: the lines queued meanwhile must never be sent."""
     stage = Stage(runners=1)
     link = stage.edge.runners["r0"].linking
     stage.edge.runners["r0"].speaker.slowed(True)
@@ -457,12 +457,12 @@
 
 
 def unread(speaker, read):
-    """What lies unread on a connection, as the transport's own reading brings it."""
+    """Have the connection's transport deliver unread data by `read`."""
     speaker.transport.doRead = read
 
 
 def test_a_drain_that_lies_unread_is_heard_before_anything_leaves(stage):
-    """After a standstill the call was read first, and sent to the runner that drains."""
+    """Guards against sending to a draining runner after a stall, when the call is read before the drain."""
     stage = Stage(runners=1)
     speaker, client = stage.edge.source.speaker, stage.client()
     change = {"is": "change", "number": 2, "epoch": "e", "workers": [stage.entry("r0", listing="draining")]}
@@ -475,7 +475,7 @@
 
 
 def test_nothing_begins_for_a_client_whose_close_lies_unread(stage):
-    """A runner's refusal was read first, and a further attempt sent."""
+    """Guards against a retry for a client that has gone, when the runner's rejection is read first."""
     client = stage.client()
     client.say(**CALL, id="1")
     stage.run()
@@ -551,7 +551,10 @@
 
 
 def test_a_burst_after_a_lull_is_no_jam():
-    """What was out, over the pace of the last answers, read as minutes of waiting on an idle fleet."""
+    """Guards against an estimate of minutes of queueing on an idle fleet.
+
+    It arises from dividing the calls in flight by the rate of the last answers, which is low after a lull.
+    """
     stage = Stage(runners=6)
     client = stage.client()
     client.say(**CALL, id="first")
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -1,4 +1,4 @@
-"""An edge with a directory on virtual wires: what it asks of holders, and what waits and stops by it."""
+"""An edge with a directory on a virtual network: look-ups, waiting requests, drains and removals."""
 
 import subprocess
 import sys
@@ -16,13 +16,13 @@
 from lapistrestle.wire.messages import Entry, encode
 
 HELLO = {"is": "hello", "protocol": "lapistrestle.directory", "version": 1, "name": "holder"}
-LEASE = 30_000  # tenths of a millisecond
-LOOKUP = 0.25  # seconds, the default time-out
+LEASE = 30_000  # ticks of 0.1 ms
+LOOKUP = 0.25  # seconds, the default timeout of a look-up
 SECONDS_UP = 3_600
 
 
 class DirectoryStage(Stage):
-    """An edge, two copies of its directory's one shard, and runners; the test plays all but the edge."""
+    """An edge, two replicas of its directory's only shard, and runners; the test plays all but the edge."""
 
     def __init__(self, like="thumbs", runners=3, copies=2, allowed=None, **directory):
         self.reactor = VirtualReactor()
@@ -34,7 +34,7 @@
         deployment.allowed = msgspec.structs.replace(deployment.allowed, **allowed or {})
         self.rosters, self.clients = [], []
         deployment.roster.port = self.outside.listenTCP(0, Listens(self.rosters)).port
-        self.copies = [[] for _ in range(copies)]  # connections to each
+        self.copies = [[] for _ in range(copies)]  # connections to each replica
         ports = [self.outside.listenTCP(0, Listens(made)).port for made in self.copies]
         shards = [[DirectoryCopy(port=port) for port in ports]]
         deployment.directory = Directory(shards=shards, **directory)
@@ -47,7 +47,7 @@
 
     @property
     def holders(self):
-        """Connections to holders that stand."""
+        """Open connections to holders."""
         return [peer for made in self.copies for peer in made if not peer.closed]
 
     def entry(self, name, **more):
@@ -62,7 +62,7 @@
         self.run(0.002)
 
     def watches(self):
-        """Connection and watch, of those that stand."""
+        """The watches on open connections: connection and message."""
         return [(peer, watch) for peer in self.holders for watch in peer.heard("watch")]
 
     def revision(self):
@@ -105,7 +105,7 @@
         return peer, watch
 
     def look_up(self, client, *names, **more):
-        """A first call whose function's prefix is answered; the connection to the holder."""
+        """Make a first call and answer its look-up. Returns the connection to the holder."""
         self.call(client, **more)
         peer, _ = self.answer_watch(*names)
         for name in names or self.runners:
@@ -208,7 +208,7 @@
     client = stage.client()
     stage.call(client)
     peer, _ = stage.answer_watch("r0", "r1")
-    assert stage.edge.host.worker_calls  # it waits for the runner's greeting
+    assert stage.edge.host.worker_calls  # the line is queued until the runner greets
     stage.update(peer, stage.entry("r0", listing="draining"))
     stage.run(0.002)
     for name in ("r0", "r1"):
@@ -286,7 +286,7 @@
 
 
 def test_one_that_warms_up_is_kept_in_the_module_when_no_prefix_names_it(stage):
-    """Else it would be met anew with its budget unspent (rule 4)."""
+    """Otherwise it would be sent more than it can take in slow start, once it is in a prefix again."""
     client, ramp = stage.client(), stage.edge.settings.slow_start_duration
     assert ramp
     stage.call(client)
@@ -331,7 +331,7 @@
 
 
 def test_a_worker_is_dialled_once_something_is_sent_there_and_left_with_its_prefix(stage):
-    """As it was: every worker of every prefix was dialled, seven for each function that is called once."""
+    """Guards against dialling every worker of every prefix: seven connections for a function called once."""
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1", "r2")
     ((_, run),) = stage.runs()
@@ -443,7 +443,7 @@
     ],
 )
 def test_without_a_directory_nothing_of_it_is_imported(imports):
-    """Run alone, as this process has it imported."""
+    """In a process of its own, as this process has imported it."""
     done = subprocess.run(
         [sys.executable, "-c", LAZY.format(imports=imports)],
         cwd=EXAMPLES.parent / "tests",
@@ -456,7 +456,9 @@
 
 
 def test_what_waited_counts_from_when_it_came(stage):
-    """For its soft deadline, and in the budget of orders (rule 5), where one placed at once came later."""
+    """The time of arrival counts for the soft deadline and for the preload budget, not that of the
+    look-up's end.
+    """
     client, module = stage.client(), stage.edge.host.module
     stage.look_up(client, fn="known")
     module.preload_budget.requests.clear()
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""What an edge takes from the roster, and where a runner's own word is newer."""
+"""The edge's list of workers: which lists of the roster are applied, and when a runner's notice is newer."""
 
 import pytest
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -1,4 +1,4 @@
-"""What an edge has learnt, over restarts and a move: which figures carry over, and files that are no use."""
+"""Learned figures over restarts of an edge: which ones are restored, and unusable files."""
 
 import pytest
 from helpers import dispatcher, request
--- a/tests/test_linking.py
+++ b/tests/test_linking.py
@@ -1,4 +1,4 @@
-"""The connection to one runner: what never left and what may have run are told apart."""
+"""The state machine of a runner's connection: lines that were never sent and lines that may have run."""
 
 import pytest
 
@@ -137,14 +137,16 @@
 
 
 def test_a_connection_that_breaks_under_the_write_ends_that_line_with_the_others(open_link):
-    """It had been counted as out only after the write, when nobody would tell its end any more."""
+    """Guards against counting a line as in flight only after the write, when its end is no longer
+    reported.
+    """
     open_link.callbacks.write = lambda line, number=0: open_link.step(Input.BROKE) is None
     send(open_link, 1, b"a")
     assert ("broke", [1]) in open_link.callbacks.acts and not open_link.out
 
 
 def test_a_line_of_which_nothing_left_waits_and_can_be_taken_back(open_link):
-    """A socket without room had kept it, where neither a drain nor a time-out reached it."""
+    """Guards against lines buffered by a full socket, where neither a drain nor a timeout can cancel them."""
 
     def full(line, number=0):
         open_link.step(Input.SLOWED)
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -1,4 +1,4 @@
-"""Days of the operators' standing test in the small: many edges that each see little, in virtual time."""
+"""Scenarios with many edges, each of which sees little traffic, in virtual time."""
 
 from typing import Any
 
@@ -64,7 +64,10 @@
 
 
 def test_a_slow_worker_of_many_edges_is_not_left_for_another_that_is_slow_too() -> None:
-    """As it was: two thirds of the soft deadline, and 24 call-outs of these days given up, which ran on."""
+    """Guards against retrying elsewhere too early while all workers are slow.
+
+    With a threshold of two thirds of the soft deadline, 24 attempts of these days were abandoned but ran on.
+    """
     days = [crowd([{"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": 1.6}], seed) for seed in (1, 3)]
     given_up = sum(run.called_off < 10**9 for played in days for run in played.story.runs)
     assert given_up <= 8 and all(played.breaches() == [] for played in days)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The platform's dispatcher on loopback, with web servers, runners and a board that the test plays."""
+"""The platform's dispatcher on loopback; the test plays web servers, runners and the notice board."""
 
 import gc
 import re
@@ -42,7 +42,7 @@
 
 
 class Stage:
-    """A dispatcher that knows its runners, and everyone it talks to."""
+    """A dispatcher with its board, runners and clients."""
 
     def __init__(self, runners: int = 2, sockets: int = 256, memory_mb: int = 192, **settings: Any) -> None:
         self.hand = Hand()
@@ -156,7 +156,7 @@
 def test_a_setting_out_of_range_is_refused_by_its_name_before_listening(
     group: Any, key: Any, value: Any
 ) -> None:
-    """Some had passed and met the module, others had ended in an error that named nothing."""
+    """Guards against values that reach the module unchecked, and errors that don't name the setting."""
     changed = {key: value}
     if group in ("profiles", "tenants"):
         changed = {group: [{"name": "search", "deadline": 1_000_000} | changed]}
@@ -182,7 +182,7 @@
     assert configuration.platform.limits.try_limit >= 1 and configuration.settings.overload_factor >= 1
     assert (
         configuration.settings.connect_timeout > 0 and configuration.settings.preload_timeout > 0
-    )  # else none would be met
+    )  # 0 would let no connection or preload succeed
     Node(Hand(), configuration, lambda what, **figures: None)
 
 
@@ -238,7 +238,7 @@
 def test_a_patience_some_milliseconds_over_the_deadline_reads_as_the_deadline(
     stage: Any, over: Any, status: Any
 ) -> None:
-    """Usual clients were seen with up to 7 ms more; the page gives every time limit 50 ms."""
+    """Clients exceed it by up to 7 ms; the protocol allows 50 ms on every time limit."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     deadline = stage.node.core.settings.methods[0].deadline / 10
@@ -254,7 +254,7 @@
 
 
 def test_a_request_counts_towards_the_share_of_its_own_tenant(stages: Any) -> None:
-    """All had counted as the first tenant's, whose share then cut off the others (ledger-hall)."""
+    """Guards against counting all requests for the first tenant, whose share would then reject the others."""
     tenants = [{"name": "orchard", "quota-rps": 5.0}, {"name": "mill & sons", "quota-rps": 50.0}]
     stage = stages(tenants=tenants)
     client = stage.client()
@@ -269,7 +269,7 @@
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
-    assert met == [1, 0, 2]  # who names nobody has no share of anybody's
+    assert met == [1, 0, 2]  # a request without a name counts for no tenant
 
 
 def test_the_id_of_an_open_request_is_refused_and_the_first_goes_on(stage: Any) -> None:
@@ -289,7 +289,7 @@
 
 
 def test_an_id_that_comes_again_at_once_counts_once_towards_the_ration_of_orders(stage: Any) -> None:
-    """A client that sends the same again as soon as it is turned away had filled the ration (join+mass)."""
+    """Guards against clients that resend rejected calls at once and so increase the preload budget."""
     client = stage.client()
     for _ in range(40):
         number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
@@ -305,7 +305,7 @@
 
 
 def test_no_runner_is_dialled_before_it_is_needed(stages: Any) -> None:
-    """Dialled as soon as they were named, 15,145 connections were made where 10,470 do (herd+mass)."""
+    """Dialling on listing made 15,145 connections in a large scenario where 10,470 suffice."""
     stage = stages(runners=4)
     stage.hand.run(2)
     assert not any(runner.lines for runner in stage.runners)
@@ -327,7 +327,7 @@
 def test_the_time_for_which_a_request_lay_unread_counts_towards_its_patience(
     stage: Any, still: Any, told: Any, left: Any
 ) -> None:
-    """Bounded by how long the program did not look, and not asked for where it has only just looked."""
+    """The time is bounded by the stall, and not queried if there was none."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     stage.hand.unread_for = lambda sock: told
@@ -446,7 +446,7 @@
     assert client.status(again) == 200
 
 
-# what runners say
+# replies of runners
 
 
 def test_a_spoilt_answer_ends_its_connection_as_may_have_run_and_is_never_served(stage: Any) -> None:
@@ -545,7 +545,7 @@
 
 
 def test_what_waits_for_a_connection_is_taken_back_when_the_runner_drains(stage: Any) -> None:
-    """Rule 3 at the socket: the line had not left, so the RPC goes elsewhere in the same turn."""
+    """The line was not sent, so the RPC goes to another runner at once."""
     runner = stage.node.core.runners["s-00000001"]
     for connection in list(runner.connections):
         connection.close()
@@ -555,7 +555,7 @@
         stage.module.endpoints.ring, key=lambda s: s.name
     )
     number = client.ask(function="1" * 16)
-    stage.hand.readers.pop(listener)  # it accepts nothing: the connection is made, though, by the machine
+    stage.hand.readers.pop(listener)  # accepts nothing, but the kernel establishes the connection
     made = runner.pick([])
     assert made is not None
     stage.board.tell(2, 2, stage.row(0, state=1))
@@ -571,7 +571,7 @@
 
 
 def test_a_runner_named_again_at_its_address_keeps_its_connections(stage: Any) -> None:
-    """Each mention of a runner had replaced its pool, so that a drain dialled it anew."""
+    """Guards against replacing the pool with each event about the runner, so that a drain dials it again."""
     runner, client = stage.node.core.runners["s-00000001"], stage.client()
     numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
@@ -580,13 +580,13 @@
     stage.hand.until(lambda: stage.workers()["s-00000001"].listing is EndpointState.DRAINING)
     assert stage.node.core.runners["s-00000001"] is runner
     assert connections and runner.connections == connections and stage.runners[0].lines == lines
-    stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine went and came back
+    stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine restarted
     stage.hand.until(lambda: not any(connection.stream for connection in connections))
     assert stage.node.core.runners["s-00000001"] is not runner
 
 
 def test_events_count_once_and_a_gap_asks_anew_with_the_last_whole_number(stage: Any) -> None:
-    stage.board.raw(frame(1, 2, stage.row(0, state=2)))  # told before
+    stage.board.raw(frame(1, 2, stage.row(0, state=2)))  # an old event
     stage.hand.quiet()
     assert len(stage.workers()) == 2
     stage.board.events[2] = frame(2, 2, stage.row(0, state=1))
@@ -684,7 +684,7 @@
 
 @pytest.mark.parametrize("end", ["served", "denied after a miss", "left"])
 def test_an_rpc_that_has_ended_waits_for_no_collector(stages: Any, end: Any) -> None:
-    """An RPC and its call-outs point to each other, and the collector is rare: a long life would grow."""
+    """An RPC and its attempts form a reference cycle; garbage collections are rare, so memory would grow."""
     stage, orders = stages(runners=1), []
     runner, client = stage.runners[0], stage.client()
     if end != "served":
@@ -713,14 +713,14 @@
             stage.hand.until(lambda: orders)
             orders[0][0].say("503", orders[0][1]["rid"], slots_up=0)
         stage.hand.until(lambda: client.status(number) is not None)
-        stage.hand.run(3.0)  # its timers have gone
+        stage.hand.run(3.0)  # its timers have fired
         assert len(taken) == 1 and taken[0]() is None
     finally:
         gc.enable()
 
 
 def test_thousands_of_replaced_runners_leave_nothing_behind(stage: Any) -> None:
-    """New ids at the address of one that went: what grows with them is let go."""
+    """New ids at the address of a removed runner: all data of the old ones is freed."""
 
     def held() -> Any:
         core, module = stage.node.core, stage.module
@@ -737,7 +737,7 @@
     client, port = stage.client(), stage.runners[0].port
     before: Any = None
     gc.collect()
-    gc.disable()  # as good as off in service
+    gc.disable()  # collections are very rare in production
     for i in range(1500):
         stage.board.events.clear()
         stage.board.tell(2 + i, 2, row(100 + i, port), row(99 + i if i else 1, port, state=2))
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -1,6 +1,6 @@
-"""A request that was read gets its answer, whatever ends its connection or goes on beside it.
+"""Every request read gets an answer, whatever closes its connection or happens on others.
 
-Real connections; each test forces the bad order by what is sent and awaited.
+On real connections; each test forces the bad order by what it sends and awaits.
 """
 
 import errno
@@ -40,12 +40,12 @@
 
 @pytest.fixture
 def stage(stages: Any) -> Any:
-    """One runner: whatever is asked goes there."""
+    """One runner, which gets every call."""
     return stages(runners=1)
 
 
 def hold_runs(stage: Any) -> list[Any]:
-    """The runners keep their calls; returns them as they come."""
+    """Have the runners not answer. Returns the list of their calls."""
     got: list[Any] = []
     for runner in stage.runners:
         runner.on_run = lambda line, said: got.append((line, said))
@@ -59,14 +59,14 @@
 
 
 def hold_requests(stage: Any) -> list[Any]:
-    """The module decides nothing; returns its requests as they come."""
+    """Have the module decide nothing. Returns the list of its requests."""
     met: list[Any] = []
     stage.module.on_request = met.append
     return met
 
 
 class FullSocket:
-    """A listening socket of a process that has no descriptor left until something holds."""
+    """A listening socket of a process that has no descriptor left until `free` returns true."""
 
     def __init__(self, sock: socket.socket, free: Callable[[], object]) -> None:
         self.sock, self.free = sock, free
@@ -84,7 +84,7 @@
 
 
 def connect(stage: Any) -> WebServer:
-    """A connection that the machine has made and the dispatcher has not met."""
+    """A connection that the kernel has established and the dispatcher has not accepted."""
     stage.hand.removeReader(stage.node.front.listener)
     client = WebServer(stage.hand, stage.port)
     stage.ends.append(client)
@@ -98,7 +98,7 @@
 
 
 def fill(stage: Any) -> list[WebServer]:
-    """As many connections as may be, each with an open request."""
+    """Open the maximum number of connections, each with an open request."""
     crowd: list[WebServer] = []
     for _ in range(stage.node.front.max_connections):
         crowd.append(stage.client())
@@ -108,7 +108,7 @@
 
 
 def slow_reader(stage: Any) -> tuple[WebServer, Any]:
-    """A client whose connection holds little and who reads nothing until told to."""
+    """A client with small socket buffers that reads nothing until told to."""
     client = stage.client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32_768)
     stage.hand.until(lambda: stage.node.front.connections)
@@ -132,7 +132,7 @@
     stage.hand.quiet()
 
 
-# an ill-formed neighbour on the same connection
+# malformed requests beside valid ones on the same connection
 
 
 def test_an_open_request_is_answered_before_its_connection_ends_for_what_cannot_be_read(stage: Any) -> None:
@@ -175,7 +175,7 @@
 
 
 def test_a_client_that_closes_after_what_cannot_be_read_is_met_as_gone(stages: Any) -> None:
-    """No further attempt begins for it, though its bytes count no more."""
+    """No retry is started for it, though its data is discarded."""
     stage = stages(runners=2)
     client, got = stage.client(), hold_runs(stage)
     client.ask()
@@ -197,7 +197,7 @@
     large = client.ask(body=b"x" * 20_000) if bad == "body" else client.ask(HTTP_X_LONG="x" * 20_000)
     stage.hand.until(lambda: client.status(large) is not None)
     assert client.status(large) in (413, 431)
-    late = client.ask(id="9b1f03aa5c7e2d41")  # it may not know yet
+    late = client.ask(id="9b1f03aa5c7e2d41")  # the client may not know yet
     stage.hand.quiet()
     answer_all(stage, got)
     stage.hand.until(lambda: client.closed)
@@ -245,12 +245,12 @@
 
 
 def test_a_request_behind_one_without_keep_conn_is_answered(stage: Any) -> None:
-    """The connection was closed, and by that reset, with the next request unread on it."""
+    """Guards against closing, and so resetting, a connection with another request unread."""
     client, got = stage.client(), hold_runs(stage)
     client.send(request(1).replace(begin(1), begin(1, keep=0)))
     stage.hand.until(lambda: got)
     (connection,) = stage.node.front.connections
-    stage.hand.removeReader(connection)  # what comes now is met after the answer that is on its way
+    stage.hand.removeReader(connection)  # data that arrives now is read after the answer is sent
     client.last = 1
     client.ask()
     answer_all(stage, got[:1])
@@ -263,7 +263,7 @@
 
 
 def test_what_cannot_be_read_any_more_is_discarded_within_bounds(stage: Any) -> None:
-    """Also of a client that does not mind that its connection was shut."""
+    """Also of a client that goes on sending after the shutdown of its connection."""
     sent = 0
     with socket.create_connection(("127.0.0.1", stage.port)) as client:
         stage.hand.quiet()
@@ -284,7 +284,7 @@
 
 
 def test_a_connection_that_parts_reads_a_flood_without_recursion(stage: Any) -> None:
-    """Each piece read had led to the next one from within."""
+    """Guards against each read starting the next one recursively."""
     depths: list[int] = []
     client = stage.client()
     (connection,) = stage.node.front.connections
@@ -305,7 +305,7 @@
 
 
 def test_a_client_that_reads_late_gets_every_answer(stage: Any) -> None:
-    """With 1 MiB unsent its connection was dropped, with what it had asked."""
+    """Guards against dropping the connection, with its open requests, at 1 MiB of unsent data."""
     client, connection = slow_reader(stage)
     asked = []
     for _ in range(120):
@@ -318,7 +318,7 @@
 
 
 def test_no_further_attempt_begins_for_a_client_that_aborts_while_it_does_not_read(stages: Any) -> None:
-    """It is not read from meanwhile, so that nobody knows whether it still waits."""
+    """Its connection is not read meanwhile, so whether it still waits is unknown."""
     stage, held = stages(runners=2), list[Any]()
     for runner in stage.runners:
         runner.on_run = lambda line, said: held.append((line, said))
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("when", ["before it is met", "soon after"])
 def test_a_request_on_a_connection_over_the_limit_is_answered(stages: Any, when: str) -> None:
-    """It was closed unread: a new connection's first request had been a free case."""
+    """Guards against closing a connection over the limit without reading its first request."""
     stage = stages(runners=1, sockets=64)
     hold_requests(stage)
     crowd = fill(stage)
@@ -399,7 +399,7 @@
 def test_a_new_connection_that_makes_room_for_others_has_its_first_request_answered(
     stages: Any, new: str
 ) -> None:
-    """Of a crowd that was all new the oldest was closed, though its request was on its way."""
+    """Guards against evicting the oldest of many new connections while its first request is in transit."""
     stage = stages(runners=1, sockets=64)
     first = stage.client()
     crowd = [stage.client() for _ in range(stage.node.front.max_connections)]
@@ -428,7 +428,7 @@
 
 
 def test_the_listeners_line_is_answered_at_the_end_though_no_descriptor_is_left(stage: Any) -> None:
-    """What the machine had accepted was reset with the listener."""
+    """Guards against closing the listener, which resets the connections in its accept queue."""
     idle = stage.client()
     late = connect(stage)
     late.ask(id="9b1f03aa5c7e2d41")
@@ -459,11 +459,11 @@
     assert got[0][1]["attrs"]["budget"] <= 1000 - 400
 
 
-# the end of the program
+# shutdown
 
 
 def test_all_requests_that_lie_unread_at_the_end_are_answered(stage: Any) -> None:
-    """The last look read 16 KiB of each connection, and reset the rest."""
+    """Guards against reading only 16 KiB of each connection at the end and resetting the rest."""
     client = stage.client()
     stage.hand.quiet()
     stopped = leaving(stage)
@@ -497,7 +497,7 @@
     assert client.status(half) == 503
 
 
-# trouble beside it
+# faults of other parties
 
 
 @pytest.mark.parametrize("event", ["arrived", "ended", "woken"])
@@ -567,7 +567,7 @@
 
 
 def test_parting_connections_do_not_outlive_their_time(stage: Any) -> None:
-    """A peer that neither reads nor closes keeps no descriptor."""
+    """A peer that neither reads nor closes does not hold a descriptor forever."""
     client, connection = slow_reader(stage)
     client.ask(body=BODY)
     client.send(JUNK)
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -1,8 +1,8 @@
-"""Rule 3 over real processes: past the grace no RUN and no HOLD begins at a worker that drains or is gone.
+"""Over real processes: after the grace no RUN and no HOLD is sent to a worker that drains or was removed.
 
-Several dispatchers run side by side, each with a board and workers of its own in this process. One clock
-stamps when each event entered the board and when the first byte of each RUN and HOLD came. The order of two
-events is forced by what is written while the dispatchers are stopped by SIGSTOP, never by a pause.
+Several dispatchers run in parallel, each with its own board and workers, which this process plays. One clock
+gives the times at which an event entered the board and at which the first byte of a RUN or HOLD arrived. The
+order of events is forced by what is written while the dispatchers are stopped by SIGSTOP, never by sleeping.
 """
 
 import json
@@ -30,19 +30,19 @@
     row,
 )
 
-GRACE = 0.3  # seconds, of the settings
-SLACK = 0.05  # seconds by which the protocol page widens each limit
-PAST = GRACE + SLACK + 0.1  # seconds for which a dispatcher is stopped at the least
+GRACE = 0.3  # seconds; the settings' drain grace
+SLACK = 0.05  # seconds that the protocol allows past each time limit
+PAST = GRACE + SLACK + 0.1  # seconds for which a dispatcher is stopped at least
 SERVING, DRAINING, GONE = range(3)
 WHOLE, CHANGES = 1, 2
 DISPATCHERS = 3
 PORT = 10_080
-SYN_SENT = "02"  # of a connection in the kernel's table
+SYN_SENT = "02"  # state of a connection in /proc/net/tcp
 
 
 @dataclass(frozen=True)
 class Started:
-    """A RUN or a HOLD of copies, and when its first byte came at a worker."""
+    """A RUN or a HOLD of copies, and when its first byte arrived at a worker."""
 
     worker: int
     what: str
@@ -59,7 +59,7 @@
 
 
 class StampedLine(Line):
-    """Stamps the first byte of each line."""
+    """Records the time of the first byte of each line."""
 
     began = 0.0
 
@@ -71,7 +71,7 @@
 
 
 class StampedRunner(RunnerEnd):
-    """Keeps when each RUN and each HOLD of copies began to come."""
+    """Records when each RUN and each HOLD of copies began to arrive."""
 
     def __init__(self, hand: Any, number: Any) -> None:
         super().__init__(hand)
@@ -90,7 +90,7 @@
 
 
 class StampedBoard(BoardEnd):
-    """Keeps when each event entered it."""
+    """Records when each event entered it."""
 
     def __init__(self, hand: Any) -> None:
         super().__init__(hand)
@@ -98,7 +98,9 @@
         self.answers = True
 
     def enter(self, number: Any, kind: Any, workers: Any, before: bytes = b"") -> None:
-        """An event about some workers: their numbers, states and ports. `before` is written ahead of it."""
+        """Send an event about some workers: their numbers, states and ports. `before` is written
+        ahead of it.
+        """
         now = time.monotonic()
         self.told += [Told(worker, state, now) for worker, state, _ in workers]
         if before:
@@ -108,12 +110,12 @@
     def taken(self, sock: Any) -> None:
         if self.answers:
             super().taken(sock)
-        else:  # connected, and told nothing
+        else:  # connected, but nothing is sent
             self.unanswered = [*getattr(self, "unanswered", []), sock]
 
 
 def late_starts(told: Any, started: Any) -> Any:
-    """What began at a worker past the grace after an event said that it drains or is gone, by the stamps."""
+    """What was started at a worker later than the grace after an event that it drains or was removed."""
     late = []
     for start in started:
         since = None
@@ -158,7 +160,7 @@
         )  # fmt: skip
 
     def known(self) -> Any:
-        """The list as the file of the configuration has it."""
+        """The list of workers in the form of the configuration file."""
         servers = [
             {"id": f"s-{worker.number:08x}", "addr": f"127.0.0.1:{worker.port}", "zone": "here",
              "kind": "std", "cell": 0, "state": "SERVING", "weight": 1, "started_ms": 0}
@@ -167,7 +169,7 @@
         return {"rev": 1, "notices": [{"rev": 1, "pool": {"version": 1, "full": True, "servers": servers}}]}
 
     def ready(self) -> Any:
-        """Whether it answers that it is."""
+        """Whether its health check succeeds."""
         with suppress(OSError):
             client = WebServer(self.hand, self.port, self.host)
             health = client.ask(script="/_health")
@@ -184,7 +186,7 @@
         return client
 
     def connected(self) -> Any:
-        """A client's connection that the dispatcher has taken."""
+        """A client connection that the dispatcher has accepted."""
         client = WebServer(self.hand, self.port, self.host)
         health = client.ask(script="/_health")
         assert self.hand.follow(lambda: client.status(health) is not None)
@@ -217,8 +219,9 @@
 
 
 def own_host() -> Any:
-    """An address of this process alone on loopback: a port found free on one that all use may be taken by the
-    time that the dispatcher listens.
+    """A loopback address of this process alone.
+
+    On a shared address a port that was free may be taken by the time the dispatcher listens.
     """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16 & 63)}.{pid >> 8 & 255}.{pid & 255}"
@@ -230,7 +233,7 @@
 
 
 def dialling(port: Any) -> Any:
-    """How many connections to a port of this machine have been begun and not been answered."""
+    """How many connects to a port of this machine are unanswered."""
     with open("/proc/net/tcp") as table:
         rows = [line.split() for line in table.readlines()[1:]]
     return sum(cells[2].endswith(f":{port:04X}") and cells[3] == SYN_SENT for cells in rows)
@@ -255,7 +258,7 @@
 
 
 def stopped(hand: Any, nodes: Any, write: Any) -> Any:
-    """Stop all dispatchers, write to each, and let them go on once what was told is past its grace."""
+    """Stop all dispatchers, call `write` for each, and continue them after the grace. Returns late starts."""
     for node in nodes:
         node.stop()
     for node in nodes:
@@ -270,7 +273,7 @@
 
 
 def home_of(hand: Any, node: Any) -> Any:
-    """The worker that serves the function of the tests; the others have a connection each as well."""
+    """The worker that serves the tests' function."""
     node.ask()
     assert hand.follow(node.answered)
     (home,) = [worker for worker in node.workers if worker.started]
@@ -285,7 +288,7 @@
 def test_requests_that_came_before_the_drain_in_a_standstill_go_elsewhere(
     side_by_side: Any, state: Any, backlog: Any
 ) -> None:
-    """Requests and the event lay in their sockets together; the requests were read, and placed, first."""
+    """Requests and the event are unread in their sockets; the requests are read and placed first."""
     hand, nodes = side_by_side()
     homes = {node: home_of(hand, node) for node in nodes}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
@@ -303,7 +306,7 @@
 def test_what_a_worker_turned_away_in_a_standstill_does_not_go_to_one_that_drains(
     side_by_side: Any, verb: Any
 ) -> None:
-    """The answer was read, and a further attempt or an order to load begun, before the event was read."""
+    """The reply is read, and a retry or preload started, before the event is read."""
     hand, nodes = side_by_side()
     homes = {node: home_of(hand, node) for node in nodes}
     held: dict[Any, Any] = {}
@@ -328,7 +331,7 @@
 def test_a_connection_that_came_up_in_a_standstill_carries_nothing_to_one_that_drains(
     side_by_side: Any,
 ) -> None:
-    """What waited for the connection left as soon as that was seen to be up, before the event was read."""
+    """Lines queued for the connection are sent once it is established, before the event is read."""
     hand, nodes = side_by_side(workers=1, **{"dial-timeout": 5_000_000})
     crowds = [machine_full(hand, node.workers[0]) for node in nodes]
     before = {node: dialling(node.workers[0].port) for node in nodes}
@@ -348,11 +351,11 @@
         end.close()
 
 
-CROWD = 2  # connections that fill a listener's line
+CROWD = 2  # connections that fill a listener's accept queue
 
 
 def machine_full(hand: Any, worker: Any) -> Any:
-    """Its machine takes no further connection."""
+    """Fill the worker's accept queue, so that further connects are not answered."""
     hand.removeReader(worker.listener)
     worker.listener.sock.listen(0)
     crowd = [socket.socket() for _ in range(CROWD)]
@@ -365,7 +368,7 @@
 def test_a_start_with_an_old_list_sends_nothing_before_the_board_has_told_what_is_newer(
     side_by_side: Any,
 ) -> None:
-    """The file was written before the worker drained; the board takes the connection and tells nothing."""
+    """The file was written before the worker drained; the board accepts the connection and sends nothing."""
     hand, nodes = side_by_side(workers=1, started=False, known=Node.known)
     for node in nodes:
         node.board.answers = False
@@ -382,7 +385,7 @@
 
 
 def reachable(node: Any) -> Any:
-    """It listens, ready or not."""
+    """Whether it listens, ready or not."""
     with suppress(OSError), socket.create_connection((node.host, node.port)):
         return True
     return False
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -1,4 +1,4 @@
-"""How old the list of workers may be, and what is asked just before a line leaves (rules 1 and 3)."""
+"""How old the list of workers may be, and the last check before a line is sent."""
 
 import json
 import os
@@ -19,15 +19,15 @@
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.platform import BoardEnd, frame, row
 
-SECOND = 10_000  # tenths of a millisecond
-SILENT, BROKEN, MOVED = 4.0, 2.0, 4.0  # seconds after which what the board would have told counts as told
+SECOND = 10_000  # ticks
+SILENT, BROKEN, MOVED = 4.0, 2.0, 4.0  # seconds after which undelivered events count as notified
 SHORTENED = {
     "watch_broke": BROKEN,
     "board_moved": MOVED,
     "watch_started": 0,
     "event_missed": 0,
-}  # seconds, by what happened
-GRACE = 2.0  # seconds, as the settings of `Stage` have it
+}  # seconds until undelivered events count as notified, by method
+GRACE = 2.0  # seconds; the drain grace in the settings of `Stage`
 DRAINING = 1
 
 
@@ -35,7 +35,7 @@
 
 
 def asked(stage: Any, client: Any = None, **fields: Any) -> Any:
-    """The status of one more request."""
+    """Send a request and return its status."""
     client = client or stage.client()
     number = client.ask(id=os.urandom(8).hex(), **fields)
     stage.hand.until(lambda: client.status(number) is not None)
@@ -59,7 +59,9 @@
 def test_whatever_happened_the_list_is_never_used_past_what_counts_as_told_and_the_grace(
     grace: Any, words: Any
 ) -> None:
-    """Told at the latest: 4 s after the last frame, 2 s after a break, at once where asked since then."""
+    """Undelivered events count as notified 4 s after the last frame, 2 s after a break, at once
+    when asked again.
+    """
     freshness, now, told = ListFreshness(grace, usable_until=grace), 0, 0
     for word, pause in words:
         now += pause
@@ -76,7 +78,7 @@
 
 
 def usable_for(stage: Any, most: float = 12.0) -> Any:
-    """When from now on a request was served last, in seconds, asked every tenth of one; None: always."""
+    """For how many seconds requests, sent every 0.1 s, are served; None: all the time."""
     began = last = stage.hand.rightNow
     while stage.hand.rightNow < began + most:
         runs = len(stage.runs())
@@ -90,12 +92,12 @@
 
 
 def test_a_board_that_is_silent_again_when_asked_anew_ends_new_work_a_grace_later(stage: Any) -> None:
-    """It took the new connection and told nothing: what is in it counts as told from then on."""
+    """It accepts the new connection and sends nothing: its events count as notified from then on."""
     stage.board.beats = False
     taken: list[Any] = []
     stage.board.listener.on_connection = taken.append
     lasted = usable_for(stage)
-    assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked anew after 2.2 to 2.5 s
+    assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked again after 2.2 to 2.5 s
     assert asked(stage, script="/_health") == 503
 
 
@@ -137,7 +139,7 @@
 
 
 def written(stage: Any, tmp_path: Any, **more: Any) -> Any:
-    """The file of the configuration."""
+    """Write a configuration file."""
     path = tmp_path / "config.json"
     file = {"name": "n3", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS} | more
     path.write_text(json.dumps(file))
@@ -155,7 +157,9 @@
 def test_a_file_that_is_whole_within_the_time_of_a_move_is_read_in_time(
     stage: Any, tmp_path: Any, whole_after: Any
 ) -> None:
-    """It was read again after 0.1, 0.3, 0.7, 1.5, 3.1 and 6.3 s: the last is past 4 s and most graces."""
+    """Guards against retries at growing intervals (0.1 to 6.3 s), the last of which comes after 4 s
+    and the grace.
+    """
     began, second = stage.hand.rightNow, BoardEnd(stage.hand)
     whole = read_configuration(str(written(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
 
@@ -172,7 +176,7 @@
 
 
 def test_a_new_configuration_brings_the_later_events_that_it_holds(stage: Any, tmp_path: Any) -> None:
-    """They were passed over: a drain that stood in the file was waited for until the new board told it."""
+    """Guards against ignoring a drain in the file until the new board sends it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
     stage.node.apply_configuration(read_configuration(str(path)))
@@ -202,7 +206,7 @@
 def test_a_file_replaced_while_it_is_read_is_as_old_as_the_one_before(
     stage: Any, tmp_path: Any, monkeypatch: Any
 ) -> None:
-    """Its age was taken after it was read: of an older list the newer file's."""
+    """Guards against taking the age after reading: an older list would get the newer file's age."""
     path, read_bytes = written(stage, tmp_path), Path.read_bytes
 
     def replaced(self: Path) -> bytes:
@@ -216,7 +220,7 @@
 
 
 def test_without_a_board_the_list_of_the_file_holds(stage: Any, tmp_path: Any) -> None:
-    """Nobody tells anything that it could miss."""
+    """Without a board there are no events to miss."""
     known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(stage)]}}]}
     configuration = read_configuration(str(written(stage, tmp_path, known=known)))
     node = Node(stage.hand, configuration, lambda what, **figures: None)
@@ -225,11 +229,13 @@
     assert node.discovery.ready()
 
 
-# what a frame may hold
+# the content of frames
 
 
 def test_a_record_that_cannot_be_used_costs_the_others_of_its_event_nothing(stages: Any) -> None:
-    """One out of range, and the event was asked for again for ever: no later drain was heard."""
+    """Guards against requesting an event with an invalid record again forever, so that no later
+    drain arrives.
+    """
     stage = stages()
     stage.board.tell(2, 2, stage.row(0, state=7), row(9, 0), stage.row(1, state=DRAINING))
     stage.board.tell(3, 2, row(8, 1234, zone=200, kind=200, state=2))
@@ -250,7 +256,7 @@
 
 
 def late_between_decision_and_write(stage: Any, meanwhile: Any) -> None:
-    """The process stands still after the module has decided and before anything is written."""
+    """Stall the process after the module has decided and before anything is written."""
     sent = stage.node.core.send_call
 
     def run(worker_call: Any) -> None:
@@ -294,7 +300,7 @@
 
 
 def test_the_last_of_many_requests_is_not_begun_for_a_client_that_closed_behind_them(stage: Any) -> None:
-    """After a standstill 64 KiB were read at once: what lay behind them, the close too, some looks later."""
+    """Guards against reading only 64 KiB after a stall, and the close behind them some polls later."""
     client = stage.client()
     assert asked(stage, client) == 200
     stage.hand.readers.pop(next(iter(stage.node.front.connections)))
@@ -310,13 +316,13 @@
 
 
 def test_a_socket_that_eases_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
-    """What waited for room left as soon as there was some, before the event of the same look was read."""
+    """Guards against sending queued lines once there is room, before the event of the same poll is read."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
     client.ask(method="bill", patience="3000")
     stage.hand.until(lambda: connection.linking.state is Link.SLOW)
     watch = discovery_of(stage).watch
-    stage.hand.readers.pop(watch)  # the reactor turns to it last
+    stage.hand.readers.pop(watch)  # the reactor reads it last
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
     still(stage, 0.3)
     stage.hand.addReader(line)
@@ -342,7 +348,7 @@
 
 
 def test_an_order_is_not_sent_to_one_that_drains_behind_a_standstill(stage: Any) -> None:
-    """A miss was read first, and the order that followed it left before the event was read."""
+    """Guards against a preload after a miss, sent before the event is read."""
     stage.runners[0].loaded, got = {}, []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client = stage.client()
@@ -352,18 +358,18 @@
     line.say("404", said["rid"])
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)
-    stage.hand.readers[watch] = None  # met last in the look that brings both
+    stage.hand.readers[watch] = None  # read last in the poll that brings both
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
     still(stage, 3.0)
     stage.hand.until(lambda: client.status(number) is not None)
     assert [said for said in stage.runners[0].others if said["verb"] == "HOLD"] == []
 
 
-# the time that is passed on
+# the time left that is sent to runners
 
 
 def test_the_time_passed_on_is_what_is_left_as_the_line_is_written(stage: Any) -> None:
-    """It was written into the line before the connection was up: 0.2 s of them were gone by then."""
+    """Guards against encoding the time left before the connection is established, here 0.2 s later."""
     closed, client = Closed(stage), stage.client()
     client.ask(patience="1000")
     stage.hand.until(lambda: held(stage))
@@ -388,7 +394,7 @@
 
 
 def test_many_requests_on_one_connection_each_have_what_their_client_has_left(stage: Any) -> None:
-    """Of several that lay unread the older ones had counted as new as the last."""
+    """Guards against counting older unread requests as recent as the last one."""
     client = stage.client()
     assert asked(stage, client) == 200
     connection = next(iter(stage.node.front.connections))
@@ -396,7 +402,7 @@
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
     still(stage, 0.3)
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
-    stage.hand.unread_for = lambda sock: 0.0  # the kernel tells of the last bytes alone
+    stage.hand.unread_for = lambda sock: 0.0  # the kernel knows the age of the last bytes only
     stage.hand.looked = (stage.hand.rightNow - 0.3, stage.hand.rightNow)
     stage.hand.rightNow += 0.001
     connection.read(1)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""The dispatcher as the platform starts it: a process, its environment, its signals."""
+"""The dispatcher process as the platform starts it: environment, signals, restarts."""
 
 import gc
 import json
@@ -83,7 +83,7 @@
     world.until(lambda: other.asked)
     assert other.asked[0] == 1 and world.call("9b1f03aa5c7e2d42")[0] == 200
     node.send_signal(signal.SIGTERM)
-    assert world.call("9b1f03aa5c7e2d43")[0] == 200  # connections still come
+    assert world.call("9b1f03aa5c7e2d43")[0] == 200  # new connections are still accepted
     world.until(lambda: node.poll() is not None)
     assert node.returncode == 0
     other.listener.close()
@@ -106,7 +106,9 @@
 def test_idle_clients_that_fill_the_descriptors_leave_the_board_the_runners_and_others_theirs(
     world: Any,
 ) -> None:
-    """Discovery is down at the start, the limit is the process's own, and more come than fit."""
+    """Discovery is down at the start, and more clients connect than the process's limit of
+    descriptors allows.
+    """
     world.told["limits"] = {"sockets": 64}
     world.told["known"] = {"rev": 0, "notices": []}
     world.write(world.told)
@@ -133,7 +135,7 @@
 
 
 def test_restarts_in_turn_under_load_lose_no_request(world: Any) -> None:
-    """As the platform does it: new connections for 0.3 s after SIGTERM, requests on open ones 0.2 s more."""
+    """As on the platform: new connections for 0.3 s after SIGTERM, requests on open ones for 0.2 s more."""
     ports, hand = [free_port() for _ in range(3)], world.hand
     asked: list[Any] = []
     world.runner.on_run = lambda line, said: hand.callLater(0.05, world.runner.answer, line, said)
@@ -149,7 +151,7 @@
         return client
 
     def again(clients: Any) -> None:
-        """On each connection whose last request has its answer."""
+        """Send another request on each connection whose last one was answered."""
         for client in clients:
             if client.status(client.last) is not None:
                 ask(client=client)
@@ -182,7 +184,7 @@
 @pytest.mark.parametrize("list_stands", [True, False])
 @pytest.mark.parametrize("signals", ["TERM", "INT", "TERM TERM", "TERM INT", "HUP TERM", "TERM HUP"])
 def test_it_ends_with_zero_whatever_signals_come_together(world: Any, list_stands: Any, signals: Any) -> None:
-    """Also before it is ready, while the board that should make it so is dialled in vain."""
+    """Also before it is ready, while the board can't be reached."""
     if not list_stands:
         world.board.listener.close()
     node = world.start()
@@ -194,7 +196,9 @@
 
 
 def test_it_listens_only_after_the_reactors_first_turn(monkeypatch: Any) -> None:
-    """Killed dispatchers that came back held what came meanwhile for most of a second (herd+mass)."""
+    """Guards against accepting connections before the restarted process can serve them, most of a
+    second later.
+    """
 
     class Turning(Hand):
         def callWhenRunning(self, call: Any, *args: Any) -> None:
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -1,6 +1,6 @@
-"""Rules on clients over real processes that are stopped: none who has left is served, times are those left.
+"""Over real processes that are stopped: nothing is started for clients that have gone, and deadlines hold.
 
-The dispatchers, boards and workers are those of `test_node_drains`; judged is what came at the workers.
+Uses the dispatchers, boards and workers of `test_node_drains`, and checks what arrives at the workers.
 """
 
 import os
@@ -14,25 +14,25 @@
 
 __all__ = ["side_by_side"]  # the fixture
 
-SLACK_MS = 150  # by which the time passed on may be over what the client has left
+SLACK_MS = 150  # milliseconds by which the budget sent to a worker may exceed the client's time left
 
 
 class Asked:
-    """Requests of side-effecting calls, each with the moment at which its client sent it."""
+    """Requests of side-effecting calls, each with the time at which its client sent it."""
 
     def __init__(self, hand: Any) -> None:
         self.hand = hand
         self.sent: dict[Any, Any] = {}
 
     def ask(self, client: Any, patience_ms: int = 9_000) -> Any:
-        """Send one; returns its id."""
+        """Send a request. Returns its id."""
         id_ = os.urandom(8).hex()
         self.sent[id_] = time.monotonic(), patience_ms
         client.ask(id=id_, method="bill", patience=str(patience_ms))
         return id_
 
     def over(self, runs: Any) -> Any:
-        """Runs that were told more time than their client had left as they began to come."""
+        """Runs with a larger budget than their client had left when they began to arrive."""
         late = []
         for worker, said, began in runs:
             if said["rid"] in self.sent:
@@ -44,7 +44,7 @@
 
 
 def runs_of(node: Any) -> Any:
-    """What came at the workers, with the stamps of the first bytes."""
+    """The RUNs that arrived at the workers, with the times of their first bytes."""
     runs = []
     for worker in node.workers:
         stamps = [start.at for start in worker.started if start.what == "RUN"]
@@ -53,7 +53,7 @@
 
 
 def stand_still(hand: Any, nodes: Any, meanwhile: Any) -> None:
-    """Stop all, act, and let them go on after a while."""
+    """Stop all dispatchers, call `meanwhile` for each, and continue them after a while."""
     for node in nodes:
         node.stop()
     past = time.monotonic() + PAST
@@ -65,14 +65,14 @@
 
 
 def alive(node: Any) -> Any:
-    """It answers a request that comes behind all that is tested."""
+    """Whether it answers a request that is sent after all others."""
     node.ask()
     return node.hand.follow(node.answered)
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
 def test_nothing_begins_for_clients_that_left_in_a_standstill(side_by_side: Any, how: Any) -> None:
-    """Several requests on one connection, the longest bodies among them; some are still wanted."""
+    """Several requests per connection, with the longest bodies; some clients still wait."""
     hand, nodes = side_by_side()
     asked, left, wanted = Asked(hand), set(), {}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
@@ -101,7 +101,7 @@
 
 
 def test_no_further_attempt_begins_for_clients_that_left_in_a_standstill(side_by_side: Any) -> None:
-    """A worker turned the first one away; its answer lies before the client's close."""
+    """A worker rejects the first attempt; its reply is queued before the client's close."""
     hand, nodes = side_by_side()
     asked = Asked(hand)
     held: dict[Any, Any] = {}
@@ -130,7 +130,7 @@
 
 
 def test_the_time_passed_on_is_at_most_what_the_client_has_left(side_by_side: Any) -> None:
-    """Requests come all through a standstill, on one connection and on several, new ones among them."""
+    """Requests are sent during the whole stall, on old connections and new ones."""
     hand, nodes = side_by_side()
     asked = Asked(hand)
     for node in nodes:
