--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
-def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_gone(stage: Any, how: Any) -> None:
+def test_a_line_queued_for_a_connection_is_not_sent_once_its_client_has_gone(stage: Any, how: Any) -> None:
     """Guards against sending the line once the connection is established, up to a connect timeout later."""
     closed, client = Closed(stage), stage.client()
     number = client.ask(method="bill")
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "times out", "drains"])
-def test_what_a_full_socket_has_not_begun_to_take_is_not_sent_later(stage: Any, how: Any) -> None:
+def test_a_line_that_a_full_socket_did_not_accept_is_not_sent_later(stage: Any, how: Any) -> None:
     """Guards against buffering the line in the connection, where nothing but its close can cancel it."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
 @pytest.mark.parametrize("known", [True, False], ids=["an old connection", "a new one"])
-def test_a_request_whose_client_left_during_a_standstill_is_never_begun(
+def test_a_request_whose_client_disconnected_during_a_stall_is_never_started(
     stage: Any, how: Any, known: Any
 ) -> None:
     """Guards against starting a request whose close is in the socket behind it after a stall."""
@@ -165,7 +165,7 @@
     assert stage.runs() == [] and stage.host.counts["left"] == 1 and stage.host.open_requests == 0
 
 
-def test_no_further_attempt_begins_for_a_client_that_left_during_a_standstill(stages: Any) -> None:
+def test_no_retry_is_started_for_a_client_that_disconnected_during_a_stall(stages: Any) -> None:
     """Guards against a retry when the runner's rejection is read before the client's close."""
     stage, got = stages(runners=2), []
     connected(stage)
@@ -186,7 +186,7 @@
     assert len(stage.runs()) == 1 and stage.host.counts["left"] == 1
 
 
-def test_a_connection_that_ended_during_a_standstill_is_not_used_again(stages: Any) -> None:
+def test_a_connection_closed_during_a_stall_is_not_used_again(stages: Any) -> None:
     """Guards against reusing a connection whose close is unread: the call would count as may have run."""
     stage, got = stages(runners=1), []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
@@ -203,7 +203,7 @@
     assert client.status(first) == 200 and client.status(second) == 200
 
 
-def test_what_waits_for_a_load_is_not_sent_once_its_client_has_gone(stage: Any) -> None:
+def test_a_call_waiting_for_a_load_is_not_sent_once_its_client_has_gone(stage: Any) -> None:
     stage.runners[0].loaded, orders = {}, []
     stage.runners[0].heard = lambda line, said, heard=stage.runners[0].heard: (
         orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
@@ -224,7 +224,7 @@
 # retries
 
 
-def test_a_repeat_is_not_sent_after_its_window_though_it_was_decided_within(stages: Any) -> None:
+def test_a_retry_decided_within_its_window_is_not_sent_after_it(stages: Any) -> None:
     """Guards against a retry that is queued for a connection and sent after the window for duplicates."""
     profiles = [{"name": "publish", "aim": 2500000, "deadline": 5000000, "idempotency": "deduplicated",
                  "dedup-scope": "cell", "repeat-window": 150000}]  # fmt: skip
@@ -244,9 +244,7 @@
 
 
 @pytest.mark.parametrize("last", ["reset", "more"])
-def test_an_answer_that_came_before_its_time_out_counts_whatever_else_came_by_then(
-    stage: Any, last: Any
-) -> None:
+def test_an_answer_received_before_its_timeout_counts_whatever_follows_it(stage: Any, last: Any) -> None:
     """After a stall the answer, the data behind it and the due timeout are all processed at once."""
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
@@ -264,7 +262,7 @@
     assert client.status(number) == 200 and client.ends == [number] and len(stage.runs()) == 1
 
 
-def test_a_connection_that_comes_up_after_its_dial_was_given_up_carries_nothing(stage: Any) -> None:
+def test_nothing_is_sent_on_a_connection_established_after_its_dial_timed_out(stage: Any) -> None:
     closed, client = Closed(stage), stage.client()
     number = client.ask(method="bill")
     stage.hand.until(lambda: held(stage))
@@ -286,7 +284,7 @@
     return stopped
 
 
-def test_an_answer_that_has_not_left_is_whole_before_the_program_ends(stage: Any) -> None:
+def test_unsent_answers_are_sent_before_the_program_ends(stage: Any) -> None:
     """Guards against ending as soon as no call is open, with answers still unsent."""
     client = stage.client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -318,7 +316,7 @@
 
 
 @pytest.mark.parametrize("how", ["an open connection", "a new one"])
-def test_a_request_that_crosses_the_last_look_is_answered(stage: Any, how: Any) -> None:
+def test_a_request_that_arrives_after_the_last_poll_is_answered(stage: Any, how: Any) -> None:
     """Guards against resetting a request that is unread, or in the accept queue, when all is closed."""
     end: Any = socket.create_connection(("127.0.0.1", stage.port))
     if how == "a new one":
@@ -359,7 +357,7 @@
 @pytest.mark.parametrize(
     ("deadline", "ends"), [(60.0, 3.7), (5.0, 3.7), (2.0, 2.7), (0.2, 0.9), (0.05, 0.75)]
 )
-def test_the_program_has_ended_before_it_may_be_killed_whatever_the_deadlines(
+def test_the_program_ends_before_sigkill_whatever_the_deadlines(
     stages: Any, deadline: Any, ends: Any
 ) -> None:
     """Deadlines above 3 s count as 3 s for the time of SIGKILL; all open requests are answered before it."""
@@ -384,7 +382,7 @@
 
 
 @pytest.mark.parametrize("who", ["the sweep", "one that needs the room"])
-def test_a_connection_on_which_a_request_lies_unread_is_not_idle(stage: Any, who: Any) -> None:
+def test_a_connection_with_an_unread_request_is_not_idle(stage: Any, who: Any) -> None:
     client = stage.client()
     first = client.ask()
     stage.hand.until(lambda: client.status(first))
@@ -399,7 +397,7 @@
     assert client.status(second) == 200
 
 
-def test_a_runner_that_closes_after_a_second_is_not_met_on_a_connection_it_may_be_closing(
+def test_a_connection_that_its_runner_may_be_closing_is_not_used(
     stages: Any,
 ) -> None:
     """Guards against using a connection that the runner closes: sweeps are a second apart, as its
@@ -430,7 +428,7 @@
     assert client.status(second) == 200 and lines[1] is not old
 
 
-def test_a_connection_to_be_closed_after_one_answer_is_kept_for_the_others_open_on_it(stage: Any) -> None:
+def test_a_connection_without_keep_conn_stays_open_for_its_other_requests(stage: Any) -> None:
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client.send(request(1).replace(begin(1), begin(1, keep=0)))
@@ -447,7 +445,7 @@
 # the list
 
 
-def test_half_an_event_and_then_bytes_that_end_nothing_are_asked_anew(stage: Any) -> None:
+def test_bytes_that_complete_no_event_lead_to_a_new_watch(stage: Any) -> None:
     """Guards against counting any byte as a sign of life, though no complete frame arrives any more."""
     event = frame(2, 2, *[stage.row(0, state=1)] * 400)
     stage.board.events[2] = event
@@ -463,7 +461,7 @@
     assert stage.board.asked == [0, 1]
 
 
-def test_an_old_list_that_names_nobody_takes_nobody_away(stage: Any) -> None:
+def test_an_old_empty_list_removes_nobody(stage: Any) -> None:
     """A board answers a new watch with an old list: its revision has been applied already."""
     stage.board.raw(frame(1, 1))
     stage.hand.quiet()
@@ -474,7 +472,7 @@
     assert client.status(number) == 200
 
 
-def test_a_list_that_moves_while_it_is_dialled_is_met_at_its_new_address_alone(stage: Any) -> None:
+def test_a_board_that_moves_while_it_is_dialled_is_watched_at_its_new_address_only(stage: Any) -> None:
     first, second = BoardEnd(stage.hand), BoardEnd(stage.hand)
     stage.hand.removeReader(first.listener)
     for board in (first, second):
@@ -504,7 +502,7 @@
 # descriptors
 
 
-def test_where_no_descriptor_is_left_the_listener_pauses_and_an_idle_one_makes_room(stage: Any) -> None:
+def test_without_descriptors_the_listener_pauses_and_an_idle_connection_is_closed(stage: Any) -> None:
     """Guards against a busy loop: without descriptors the listener stays readable."""
     client, listener, tries = stage.client(), stage.node.front.listener, []
 
@@ -528,7 +526,7 @@
 # replaced processes
 
 
-def test_an_old_process_that_ends_an_order_tells_nothing_of_the_one_in_its_place(stage: Any) -> None:
+def test_a_preload_reply_of_a_replaced_process_is_not_applied_to_the_new_one(stage: Any) -> None:
     """Guards against taking the old process's reply for copies loaded at the new one."""
     runner, orders = stage.runners[0], []
     runner.loaded = {}
@@ -552,7 +550,7 @@
     )
 
 
-def test_an_address_that_another_runner_has_taken_is_its_alone(stages: Any) -> None:
+def test_an_address_taken_over_by_another_runner_is_used_for_that_one_only(stages: Any) -> None:
     """Guards against sending calls for the old runner to the new one."""
     stage = stages(runners=2)
     stage.board.tell(2, 2, row(9, stage.runners[0].port))
@@ -564,7 +562,7 @@
     assert {client.status(n) for n in numbers} <= {200, 503}
 
 
-def test_a_runner_that_drains_and_serves_again_was_never_dead(stage: Any) -> None:
+def test_a_runner_that_drains_and_serves_again_does_not_count_as_failed(stage: Any) -> None:
     """Guards against ending lines discarded for the drain as unreachable: the runner would count as dead."""
     client, line, connection = slow(stage)
     numbers = [client.ask(method="bill") for _ in range(3)]
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -142,7 +142,7 @@
     assert stage.clean()
 
 
-def test_the_greeting_names_protocol_and_version_and_a_wrong_one_is_told(stage):
+def test_the_greeting_has_protocol_and_version_and_a_wrong_one_is_rejected(stage):
     client = stage.client()
     assert client.got[0]["protocol"] == "lapistrestle.client" and client.got[0]["you"] == "c1"
     for hello in ({"protocol": "other", "version": 1}, {"protocol": "lapistrestle.client", "version": 9}):
@@ -153,7 +153,7 @@
         assert "spoken here" in stage.clients[-1].heard("bye")[0]["why"] and stage.clients[-1].closed
 
 
-def test_a_runner_that_answers_twice_or_what_was_never_asked(stage):
+def test_duplicate_and_unexpected_replies_of_a_runner_are_ignored(stage):
     client = stage.client()
     client.say(**CALL, id="1")
     stage.run()
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize(("method", "verdict"), [("charge", "aborted"), ("preview", "ok")])
-def test_a_runner_whose_connection_breaks_while_calls_run_there(stage, method, verdict):
+def test_a_connection_lost_during_a_call_aborts_or_retries_by_its_idempotency(stage, method, verdict):
     client = stage.client()
     client.say(**CALL | {"method": method}, id="1")
     stage.run()
@@ -195,7 +195,7 @@
     assert [a["verdict"] for a in client.heard("answer")] == [verdict] and stage.clean()
 
 
-def test_a_call_taken_in_the_instant_in_which_its_client_closes(stage):
+def test_a_call_received_together_with_the_close_of_its_client(stage):
     client = stage.client()
     client.say(**CALL, id="1")
     client.transport.loseConnection()
@@ -207,7 +207,7 @@
     assert stage.clean() and stage.edge.host.counts["left"] == 1
 
 
-def test_an_answer_in_the_instant_of_the_deadline_is_the_only_one(stage):
+def test_an_answer_at_the_deadline_is_sent_once(stage):
     client = stage.client()
     client.say(**CALL | {"method": "charge", "left": 500}, id="1")
     stage.run()
@@ -219,7 +219,7 @@
     assert len(client.heard("answer")) == 1 and stage.clean()
 
 
-def test_a_call_whose_time_is_up_is_denied_at_once(stage):
+def test_a_call_without_time_left_is_denied_at_once(stage):
     client = stage.client()
     client.say(**CALL | {"left": 0}, id="1")
     stage.run()
@@ -238,7 +238,7 @@
         (msgspec.json.encode(CALL | {"id": "7", "left": -1}) + b"\n", "Expected `float` >= 0.0"),
     ],
 )  # fmt: skip
-def test_a_line_that_cannot_be_taken_is_told_and_costs_no_other_call(stage, line, why):
+def test_an_invalid_line_gets_a_fault_and_does_not_affect_other_calls(stage, line, why):
     client = stage.client()
     client.say(**CALL, id="before")
     client.raw(line)
@@ -266,7 +266,7 @@
     assert len(stage.runs()) == 2
 
 
-def test_a_line_of_ten_megabytes_ends_its_connection_alone(stage):
+def test_a_line_of_ten_megabytes_closes_only_its_connection(stage):
     client, other = stage.client(), stage.client()
     other.say(**CALL, id="1")
     for _ in range(160):
@@ -286,7 +286,7 @@
     assert stage.clean() and stage.edge.host.counts["taken"] <= 10_000
 
 
-def test_calls_beyond_what_a_connection_may_have_open_are_denied_at_once():
+def test_calls_beyond_the_limit_of_a_connection_are_denied_at_once():
     stage = Stage(open_calls=3)
     client = stage.client()
     for number in range(5):
@@ -296,7 +296,7 @@
     assert denied[-2:] == ["3", "4"] and stage.edge.counts["turned away"] >= 2 - len(denied[:-2])
 
 
-def test_a_client_that_stops_reading_holds_bounded_bytes_and_is_cut():
+def test_a_client_that_stops_reading_has_bounded_unsent_bytes_and_is_cut():
     stage = Stage(unsent=100_000)
     client = stage.client()
     client.transport.pauseProducing()
@@ -317,7 +317,7 @@
     assert stage.clean()
 
 
-def test_a_runner_named_as_gone_may_still_end_its_calls(stage):
+def test_a_removed_runner_may_still_finish_its_calls(stage):
     client = stage.client()
     client.say(**CALL, id="1")
     stage.run()
@@ -360,7 +360,7 @@
     assert peers[-1].closed and "was expected" in peers[-1].heard("bye")[0]["why"]
 
 
-def test_a_gap_in_the_list_asks_anew_and_a_garbled_line_too(stage):
+def test_a_gap_in_the_list_or_a_garbled_line_requests_the_whole_list(stage):
     stage.change(5, stage.entry("r0"))
     stage.run()
     assert len(stage.roster.heard("ask")) == 1
@@ -385,7 +385,7 @@
     assert [a["verdict"] for a in client.heard("answer") if a["id"] == "2"] == ["denied"]
 
 
-def test_the_roster_is_dialled_anew_when_it_breaks(stage):
+def test_the_roster_is_dialled_again_when_its_connection_breaks(stage):
     stage.roster.transport.abortConnection()
     stage.run(0.3)
     assert len(stage.rosters) == 2
@@ -405,7 +405,7 @@
     assert client.heard("answer")[0]["verdict"] == "denied" and not stage.runs()
 
 
-def test_what_came_during_a_stand_still_is_met_before_the_timers_that_were_due_in_it(stage):
+def test_input_of_a_stall_is_processed_before_the_timers_due_in_it(stage):
     client = stage.client()
     client.say(**CALL | {"method": "charge", "left": 2000}, id="1")
     stage.run()
@@ -419,7 +419,7 @@
     assert [a["verdict"] for a in client.heard("answer")] == ["ok"] and stage.clean()
 
 
-def test_the_first_stop_finishes_what_is_out_and_the_second_aborts_it(stage):
+def test_the_first_stop_finishes_open_calls_and_the_second_aborts_them(stage):
     client, stopped = stage.client(), []
     client.say(**CALL, id="1")
     client.say(**CALL, id="2")
@@ -439,7 +439,7 @@
     assert stopped == [1] and verdicts == ["aborted", "denied", "ok"]
 
 
-def test_lines_that_wait_for_a_runner_are_not_sent_once_it_drains(stage):
+def test_queued_lines_are_not_sent_once_the_runner_drains(stage):
     """A runner reads slowly and then drains: the lines queued meanwhile must never be sent."""
     stage = Stage(runners=1)
     link = stage.edge.runners["r0"].linking
@@ -461,7 +461,7 @@
     speaker.transport.doRead = read
 
 
-def test_a_drain_that_lies_unread_is_heard_before_anything_leaves(stage):
+def test_an_unread_drain_is_processed_before_a_call_is_sent(stage):
     """Guards against sending to a draining runner after a stall, when the call is read before the drain."""
     stage = Stage(runners=1)
     speaker, client = stage.edge.source.speaker, stage.client()
@@ -474,7 +474,7 @@
     assert stage.edge.counts["not begun"] == 1
 
 
-def test_nothing_begins_for_a_client_whose_close_lies_unread(stage):
+def test_no_retry_is_sent_for_a_client_whose_close_is_unread(stage):
     """Guards against a retry for a client that has gone, when the runner's rejection is read first."""
     client = stage.client()
     client.say(**CALL, id="1")
@@ -488,7 +488,7 @@
     assert len(stage.runs()) == 1 and stage.clean() and stage.edge.host.counts["left"] == 1
 
 
-def test_a_streamed_answer_is_the_clients_from_its_beginning(stage):
+def test_a_streamed_answer_has_no_deadline_once_it_has_begun(stage):
     streamed = msgspec.structs.replace(stage.edge.deployment.methods["preview"], streamed=True)
     stage = Stage(methods={"preview": streamed})
     client = stage.client()
@@ -505,7 +505,7 @@
     assert [a["verdict"] for a in client.heard("answer")] == ["ok"] and stage.clean()
 
 
-def test_edges_hear_each_other_and_pass_over_what_is_no_message():
+def test_edges_receive_gossip_and_ignore_invalid_datagrams():
     stage = Stage()
     told = []
     stage.edge.host.module.on_gossip = lambda peer, text: told.append((peer, text))
@@ -525,7 +525,7 @@
     assert [h["text"] for h in heard] == ["x" * 256, "to all"] and heard[0]["sender"] == 0
 
 
-def test_where_the_list_must_be_asked_for_it_is_asked_again_in_time():
+def test_a_polled_list_is_requested_again_in_time():
     stage = Stage(roster={"mode": "asked", "ask_within": 100_000})
     assert stage.rosters[-1].heard("follow")
     before = len(stage.roster.heard("follow"))
@@ -533,7 +533,7 @@
     assert len(stage.roster.heard("follow")) - before in (3, 4)
 
 
-def test_probes_and_unloads_reach_the_runner_and_their_ends_the_module(stage):
+def test_probes_and_unloads_reach_the_runner_and_their_results_the_module(stage):
     probed, host = [], stage.edge.host
     host.module.on_health_check = lambda worker, outcome, took, report: probed.append(
         (worker.name, outcome.name, report)
@@ -550,7 +550,7 @@
     assert probed == [("nobody", "UNREACHABLE", {}), ("r0", "OK", {"backlog": 2.0}), ("r1", "TIMED_OUT", {})]
 
 
-def test_a_burst_after_a_lull_is_no_jam():
+def test_a_burst_after_a_lull_is_not_rejected_as_overload():
     """Guards against an estimate of minutes of queueing on an idle fleet.
 
     It arises from dividing the calls in flight by the rate of the last answers, which is low after a lull.
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -124,7 +124,7 @@
     return [(a["id"], a["verdict"]) for a in client.heard("answer")]
 
 
-def test_it_asks_nobody_before_the_first_call_and_never_the_roster(stage):
+def test_no_holder_is_asked_before_the_first_call_and_the_roster_never(stage):
     stage.run(5.0)
     assert not stage.rosters and not any(stage.copies)
 
@@ -155,7 +155,7 @@
     assert len(stage.watches()) == 1
 
 
-def test_a_look_up_without_answer_ends_in_a_denial_within_its_time_out():
+def test_a_look_up_without_answer_denies_the_call_within_its_timeout():
     stage = DirectoryStage(allowed={"retry_after": 20_000})
     client = stage.client()
     stage.call(client)
@@ -166,7 +166,7 @@
     assert stage.clean() and not stage.edge.directory.waiting
 
 
-def test_where_no_holder_can_be_reached_the_denial_comes_at_once():
+def test_a_call_is_denied_at_once_if_no_holder_can_be_reached():
     stage = DirectoryStage(copies=1)
     client = stage.client()
     stage.outside.listeners[1].close()  # the holder's
@@ -185,7 +185,7 @@
     assert verdicts(client) == [("1", "denied")] and stage.clean()
 
 
-def test_a_client_that_leaves_while_its_call_waits_is_forgotten(stage):
+def test_the_waiting_calls_of_a_disconnected_client_are_dropped(stage):
     client, other = stage.client(), stage.client()
     stage.call(client, id="1")
     stage.call(other, id="1")
@@ -204,7 +204,7 @@
     assert run["rpc"] == "c2/1"
 
 
-def test_a_drain_told_by_the_holder_stops_new_work_and_holds_lines_back(stage):
+def test_a_drain_reported_by_the_holder_stops_new_work_and_discards_queued_lines(stage):
     client = stage.client()
     stage.call(client)
     peer, _ = stage.answer_watch("r0", "r1")
@@ -219,7 +219,7 @@
     assert not [run for p, run in stage.runs() if p in stage.runners["r0"]]
 
 
-def test_what_is_gone_gets_nothing_new_and_what_is_out_there_may_still_end(stage):
+def test_a_removed_instance_gets_nothing_new_and_may_finish_its_calls(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
     ((runner, run),) = stage.runs()
@@ -235,7 +235,7 @@
     assert [run["rpc"] for p, run in stage.runs() if p in stage.runners["r1"]] == ["c1/2"]
 
 
-def test_the_runner_s_own_word_of_a_drain_counts(stage):
+def test_a_runner_s_own_notice_of_a_drain_counts(stage):
     client = stage.client()
     stage.look_up(client, "r0", "r1")
     stage.runners["r0"][-1].say(**{"is": "draining"})
@@ -253,7 +253,7 @@
     assert worker.booted > before and stage.edge.following.known["r0"].start == "r0#1"
 
 
-def test_one_that_is_gone_and_comes_back_stands_in_the_prefix_again(stage):
+def test_an_instance_that_comes_back_is_in_the_prefix_again(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
     for runner, run in stage.runs():
@@ -268,7 +268,7 @@
     assert workers["r0"].listing is EndpointState.SERVING
 
 
-def test_a_function_not_called_is_watched_no_more_and_its_instances_are_dropped():
+def test_the_watch_of_an_unused_function_ends_and_its_instances_are_dropped():
     stage = DirectoryStage(idle=40_000)
     client = stage.client()
     stage.look_up(client, "r0", "r1")
@@ -285,7 +285,7 @@
     assert set(stage.edge.following.known) == {"r0", "r1"}
 
 
-def test_one_that_warms_up_is_kept_in_the_module_when_no_prefix_names_it(stage):
+def test_an_instance_in_slow_start_stays_in_the_module_without_a_prefix(stage):
     """Otherwise it would be sent more than it can take in slow start, once it is in a prefix again."""
     client, ramp = stage.client(), stage.edge.settings.slow_start_duration
     assert ramp
@@ -315,7 +315,7 @@
     assert "r1" not in stage.edge.host.registry.workers or cold.listing is EndpointState.REMOVED
 
 
-def test_a_longer_prefix_is_asked_for_where_the_known_one_is_used_up(stage):
+def test_a_longer_prefix_is_requested_when_the_known_one_is_used_up(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch("r0", complete=False)
@@ -330,7 +330,7 @@
     assert [worker.name for worker in function.prefix] == list(stage.runners)
 
 
-def test_a_worker_is_dialled_once_something_is_sent_there_and_left_with_its_prefix(stage):
+def test_a_worker_is_dialled_on_first_use_and_closed_with_its_prefix(stage):
     """Guards against dialling every worker of every prefix: seven connections for a function called once."""
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1", "r2")
@@ -345,7 +345,7 @@
     assert not stage.edge.runners and stage.runners[used][-1].closed
 
 
-def test_a_worker_that_drains_says_so_before_the_line_that_it_was_dialled_for(stage):
+def test_a_drain_in_the_greeting_comes_before_the_first_line_is_sent(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch()
@@ -364,7 +364,7 @@
     assert verdicts(client) == [("1", "ok")] and stage.clean()
 
 
-def test_a_yet_longer_prefix_waits_for_what_the_last_one_brings(stage):
+def test_a_further_extension_of_the_prefix_waits_for_the_previous_one(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch("r0", complete=False)
@@ -388,7 +388,7 @@
     assert ask_for_more()[1]["count"] == 2 * watch["count"]
 
 
-def test_the_module_is_told_the_region_s_sums(stage):
+def test_the_module_receives_the_region_s_sums(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0")
     stage.run(0.25)
@@ -399,7 +399,7 @@
     assert 300.0 <= module.slow_start.warm_size() < 310.0
 
 
-def test_an_operator_sees_what_the_edge_knows_of_its_directory(stage):
+def test_an_operator_can_query_the_state_of_the_directory(stage):
     client = stage.client()
     stage.look_up(client, "r0", "r1")
     client.say(**{"is": "look", "what": "directory"})
@@ -408,7 +408,7 @@
     assert shown["body"]["instances"] == 2 and shown["body"]["shards reached"] == 1
 
 
-def test_an_edge_without_a_directory_says_so():
+def test_an_edge_without_a_directory_answers_with_a_fault():
     stage = Stage()
     client = stage.client()
     client.say(**{"is": "look", "what": "directory"})
@@ -416,7 +416,7 @@
     assert "directory" in client.heard("fault")[0]["why"]
 
 
-def test_stopping_answers_what_still_waits(stage):
+def test_stopping_answers_waiting_calls(stage):
     client = stage.client()
     stage.call(client)
     stopped = []
@@ -455,7 +455,7 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_what_waited_counts_from_when_it_came(stage):
+def test_a_call_that_waited_counts_from_its_arrival(stage):
     """The time of arrival counts for the soft deadline and for the preload budget, not that of the
     look-up's end.
     """
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -26,13 +26,13 @@
     return made
 
 
-def test_changes_follow_and_repeats_pass(list_: Following) -> None:
+def test_changes_in_sequence_are_applied_and_repeats_ignored(list_: Following) -> None:
     taken = list_.told(change(6, Entry("a", 1000, start="a#0", listing="draining")), 1_000_000)
     assert taken.do is ListAction.TAKE and taken.facts[0].listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).do is ListAction.PASS
 
 
-def test_a_gap_asks_once_and_a_whole_list_mends_it(list_: Following) -> None:
+def test_a_gap_requests_the_whole_list_once_and_that_resolves_it(list_: Following) -> None:
     assert list_.told(change(8, A), 1_000_000).do is ListAction.ASK
     assert list_.told(change(9, A), 1_000_000).do is ListAction.PASS
     taken = list_.told(whole(9, B), 1_000_000)
@@ -40,36 +40,36 @@
     assert list_.mode is ListState.STEADY
 
 
-def test_a_list_that_jumps_back_counts_only_when_said_twice(list_: Following) -> None:
+def test_a_list_that_jumps_back_is_applied_only_when_received_twice(list_: Following) -> None:
     assert list_.told(whole(3, A), 1_000_000).do is ListAction.ASK
     assert list_.told(whole(3, A), 1_000_000).do is ListAction.TAKE
     assert list_.number == 3
 
 
-def test_one_stale_list_does_not_bring_back_what_is_gone(list_: Following) -> None:
+def test_one_stale_list_does_not_bring_back_removed_workers(list_: Following) -> None:
     list_.told(change(6, Entry("a", listing="gone", start="a#0")), 1_000_000)
     assert list_.told(whole(5, A, B), 1_000_000).do is ListAction.ASK
     assert list_.told(whole(6, B), 1_000_000).do is ListAction.TAKE
     assert set(list_.known) == {"b"}
 
 
-def test_numbers_that_begin_anew_are_taken_with_their_list(list_: Following) -> None:
+def test_numbers_that_restart_are_accepted_with_their_whole_list(list_: Following) -> None:
     assert list_.told(change(1, A, epoch="f"), 1_000_000).do is ListAction.ASK
     assert list_.told(whole(1, A, epoch="f"), 1_000_000).do is ListAction.TAKE
 
 
-def test_an_empty_list_binds(list_: Following) -> None:
+def test_an_empty_list_removes_all_workers(list_: Following) -> None:
     taken = list_.told(whole(6), 1_000_000)
     assert taken.do is ListAction.TAKE and taken.whole and not list_.known
 
 
-def test_a_start_is_reckoned_once(list_: Following) -> None:
+def test_the_time_of_a_start_is_computed_once(list_: Following) -> None:
     before = list_.known["a"].booted
     taken = list_.told(change(6, Entry("a", 1000, start="a#0", up_for=61_007.0)), 1_010_000)
     assert taken.facts[0].booted == before == 1_000_000 - 600_000
 
 
-def test_a_runners_own_word_is_newer_than_the_list(list_: Following) -> None:
+def test_a_runners_greeting_is_newer_than_the_list(list_: Following) -> None:
     (facts,) = list_.met("a", "a#1", 500.0, False, 1_000_000)
     assert facts.booted == 995_000
     taken = list_.told(change(6, A), 1_000_000)
@@ -77,7 +77,7 @@
     assert list_.met("a", "a#1", 900.0, False, 1_004_000) == ()
 
 
-def test_a_runner_that_says_it_drains_is_believed_until_it_starts_anew(list_: Following) -> None:
+def test_a_runners_notice_of_a_drain_holds_until_its_next_start(list_: Following) -> None:
     (facts,) = list_.drains("a", "a#0")
     assert facts.listing is EndpointState.DRAINING
     assert list_.told(change(6, A), 1_000_000).facts[0].listing is EndpointState.DRAINING
@@ -86,5 +86,5 @@
     assert list_.drains("a", "a#0") == () and list_.drains("nobody", "x") == ()
 
 
-def test_the_table_says_what_to_do_with_every_news() -> None:
+def test_the_table_covers_every_state_and_event() -> None:
     assert set(TRANSITIONS) == {(mode, news) for mode in ListState for news in ListEvent}
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -31,7 +31,7 @@
     return stage.logs[-1]
 
 
-def test_the_first_seconds_after_a_switch_know_what_a_usual_rpc_takes(stage, path):
+def test_a_new_process_starts_with_the_learned_latency(stage, path):
     learned_state.write_learned_state(path, learned_methods(stage))
     module = stage.edge.host.module
     before = module.latency.typical(0)
@@ -45,7 +45,7 @@
     )
 
 
-def test_a_kept_figure_counts_as_one_sample():
+def test_a_restored_figure_counts_as_one_sample():
     made = dispatcher()
     made.latency.restore([(900.0, 40.0)] + [(0.0, 0.0)] * 2)
     made.latency.by_method[0].add(made.now, 1_100)
@@ -56,7 +56,7 @@
     assert heavy.scale == 1.5
 
 
-def test_a_method_with_other_deadlines_starts_afresh(stage, path):
+def test_a_method_with_other_deadlines_is_not_restored(stage, path):
     learned_state.write_learned_state(path, learned_methods(stage, soft=1))
     before = stage.edge.host.module.latency.typical(0)
     Keeping(stage.edge, str(path))
@@ -77,7 +77,7 @@
         ),
     ],
 )
-def test_a_file_that_is_no_use_is_said_and_the_edge_starts_afresh(stage, path, data, why):
+def test_an_unusable_file_is_logged_and_nothing_is_restored(stage, path, data, why):
     if data is not None:
         path.write_bytes(data)
     before = stage.edge.host.module.latency.learned()
@@ -95,13 +95,13 @@
     assert said(stage)[0] == "learnt figures not kept"
 
 
-def test_the_setting_is_checked_and_absent_keeps_nothing(stage):
+def test_the_setting_is_checked_and_without_it_nothing_is_persisted(stage):
     assert stage.edge.keeping is None
     with pytest.raises(DeploymentError, match=r"x.json5.*dispatcher.keep.*is 5; expected text"):
         shaped({"methods": {}, "dispatcher": {"keep": 5}}, Deployment, "", "x.json5")
 
 
-def test_the_usual_time_of_a_load_reaches_the_module_from_the_line(stage):
+def test_the_usual_load_time_in_a_call_reaches_the_module(stage):
     client = stage.client()
     for id_, more, kept in (("1", {}, None), ("2", {"load": 1200.0}, 12_000), ("3", {}, 12_000)):
         client.say(**CALL, id=id_, **more)
@@ -112,7 +112,7 @@
     assert client.heard("fault") and stage.edge.host.registry.functions["f"].load == 12_000
 
 
-def test_an_edge_that_stops_writes_what_it_has_learnt_and_the_next_one_starts_from_it(stage, path):
+def test_a_stopping_edge_persists_learned_figures_and_the_next_restores_them(stage, path):
     stage.edge.keeping = Keeping(stage.edge, str(path))
     client = stage.client()
     client.say(**CALL, id="1")
--- a/tests/test_linking.py
+++ b/tests/test_linking.py
@@ -53,7 +53,7 @@
     return link
 
 
-def test_lines_wait_for_the_greeting_and_then_go_in_order(link):
+def test_lines_are_queued_until_the_greeting_and_sent_in_order(link):
     assert send(link, 1, b"a") and send(link, 2, b"b")
     assert link.callbacks.acts == ["dial"] and link.state is Link.DIALING
     link.step(Input.GREETED)
@@ -61,13 +61,13 @@
 
 
 @pytest.mark.parametrize("why", [Input.FAILED, Input.BROKE])
-def test_what_waits_for_a_connection_that_fails_never_left(link, why):
+def test_lines_queued_for_a_failed_connection_were_never_sent(link, why):
     send(link, 1, b"a")
     link.step(why)
     assert ("never left", [1]) in link.callbacks.acts and not link.out and link.state is Link.RESTING
 
 
-def test_what_was_written_may_have_run_when_the_connection_breaks(open_link):
+def test_written_lines_may_have_run_when_the_connection_breaks(open_link):
     send(open_link, 1, b"a")
     open_link.step(Input.SLOWED)
     send(open_link, 2, b"b")
@@ -78,7 +78,7 @@
     ]
 
 
-def test_a_runner_that_is_gone_keeps_its_connection_until_its_calls_end(open_link):
+def test_a_removed_runner_keeps_its_connection_until_its_calls_end(open_link):
     send(open_link, 1, b"a")
     open_link.step(Input.DROPPED)
     assert open_link.state is Link.ENDING and "close" not in open_link.callbacks.acts
@@ -96,12 +96,12 @@
     assert not link.withdraw(2) and not link.out
 
 
-def test_a_runner_too_far_behind_takes_no_more(link):
+def test_a_full_queue_rejects_further_lines(link):
     assert all(send(link, n + 1, b"x") for n in range(MOST_WAITING))
     assert not send(link, 0, b"y")
 
 
-def test_rests_grow_up_to_a_limit_and_end_where_somebody_waits(link):
+def test_backoff_grows_up_to_a_limit_and_ends_when_a_line_is_queued(link):
     link.step(Input.NAMED)
     rests = []
     for _ in range(9):
@@ -114,7 +114,7 @@
     assert link.state is Link.DIALING
 
 
-def test_an_order_that_had_to_wait_is_given_back_and_not_sent_late(link):
+def test_a_preload_queued_for_too_long_is_not_sent(link):
     send(link, 1, b"call")
     send(link, 2, b"order", prompt=True)
     link.step(Input.GREETED)
@@ -130,13 +130,13 @@
     assert not send(link, 5, b"order", prompt=True) and send(link, 6, b"call")
 
 
-def test_every_state_has_a_way_out_and_the_table_names_only_known_effects():
+def test_every_state_but_the_last_can_be_left_and_every_one_reached():
     states = {state for state, _ in LIFE}
     assert states == set(Link) - {Link.ENDED}
     assert {after for after, _ in LIFE.values()} == set(Link) - {Link.IDLE}
 
 
-def test_a_connection_that_breaks_under_the_write_ends_that_line_with_the_others(open_link):
+def test_a_connection_that_breaks_during_a_write_reports_that_line_too(open_link):
     """Guards against counting a line as in flight only after the write, when its end is no longer
     reported.
     """
@@ -145,7 +145,7 @@
     assert ("broke", [1]) in open_link.callbacks.acts and not open_link.out
 
 
-def test_a_line_of_which_nothing_left_waits_and_can_be_taken_back(open_link):
+def test_a_line_of_which_nothing_was_sent_is_queued_and_can_be_cancelled(open_link):
     """Guards against lines buffered by a full socket, where neither a drain nor a timeout can cancel them."""
 
     def full(line, number=0):
@@ -160,7 +160,7 @@
     assert open_link.callbacks.acts == [b"b"] and list(open_link.out) == [2]
 
 
-def test_a_line_that_may_not_begin_after_a_moment_is_not_sent_then(link):
+def test_a_line_is_not_sent_after_its_latest_time(link):
     send(link, 1, b"repeat", until=link_clock[0] + 500)
     send(link, 2, b"first")
     link_clock[0] += 501
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -56,14 +56,14 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_the_rules_hold_and_half_is_served_through_it(name: str) -> None:
+def test_no_rule_is_broken_and_half_of_the_calls_are_served(name: str) -> None:
     played = crowd(DAYS[name], seed=2)
     calls = [c for c in played.story.calls if 3_000 < c.at < 13_000]
     first = sum(not c.message.repeat for c in calls)
     assert played.breaches() == [] and len(ok(calls)) > 0.5 * first
 
 
-def test_a_slow_worker_of_many_edges_is_not_left_for_another_that_is_slow_too() -> None:
+def test_no_attempt_is_abandoned_for_another_worker_while_all_are_slow() -> None:
     """Guards against retrying elsewhere too early while all workers are slow.
 
     With a threshold of two thirds of the soft deadline, 24 attempts of these days were abandoned but ran on.
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -123,7 +123,7 @@
     assert said["attrs"]["queue"] == "bill" and 1900 < said["attrs"]["budget"] < 2000
 
 
-def test_a_limit_that_is_null_reads_as_missing() -> None:
+def test_a_null_limit_counts_as_missing() -> None:
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
@@ -153,7 +153,7 @@
         ("", "me", -1),
     ],
 )
-def test_a_setting_out_of_range_is_refused_by_its_name_before_listening(
+def test_a_setting_out_of_range_is_rejected_by_its_name_before_listening(
     group: Any, key: Any, value: Any
 ) -> None:
     """Guards against values that reach the module unchecked, and errors that don't name the setting."""
@@ -170,7 +170,7 @@
 
 @pytest.mark.parametrize("group", ["limits", "rules", "family-info", "reporting", "tenants", "zones"])
 @pytest.mark.parametrize("how", ["missing", "null", "all null"])
-def test_what_the_settings_leave_out_or_null_has_its_meaning(group: Any, how: Any) -> None:
+def test_missing_and_null_settings_have_defaults(group: Any, how: Any) -> None:
     settings: dict[str, Any] = {**SETTINGS, group: None}
     usual: Any = SETTINGS.get(group)
     if how == "all null" and isinstance(usual, dict):
@@ -186,7 +186,7 @@
     Node(Hand(), configuration, lambda what, **figures: None)
 
 
-def test_health_is_told_only_once_the_list_stands(stages: Any) -> None:
+def test_the_health_check_fails_until_there_is_a_list(stages: Any) -> None:
     stage = stages(runners=0)
     client = stage.client()
     first, early = client.ask(script="/_health"), client.ask()
@@ -221,7 +221,7 @@
         ({"HTTP_X_REPEAT": "yes"}, 400),
     ],
 )
-def test_what_cannot_be_used_is_answered_at_once_and_meets_no_runner(
+def test_an_invalid_request_is_answered_at_once_and_reaches_no_runner(
     stage: Any, fields: Any, status: Any
 ) -> None:
     client = stage.client()
@@ -235,7 +235,7 @@
 
 
 @pytest.mark.parametrize(("over", "status"), [(0, 503), (2, 503), (7, 503), (50, 503), (51, 400)])
-def test_a_patience_some_milliseconds_over_the_deadline_reads_as_the_deadline(
+def test_a_patience_some_milliseconds_over_the_deadline_counts_as_the_deadline(
     stage: Any, over: Any, status: Any
 ) -> None:
     """Clients exceed it by up to 7 ms; the protocol allows 50 ms on every time limit."""
@@ -272,7 +272,7 @@
     assert met == [1, 0, 2]  # a request without a name counts for no tenant
 
 
-def test_the_id_of_an_open_request_is_refused_and_the_first_goes_on(stage: Any) -> None:
+def test_the_id_of_an_open_request_is_rejected_and_the_first_continues(stage: Any) -> None:
     kept = []
     for runner in stage.runners:
         runner.on_run = lambda line, said: kept.append((line, said))
@@ -288,7 +288,7 @@
     assert first.body(one) == b"done" and len(kept) == 1
 
 
-def test_an_id_that_comes_again_at_once_counts_once_towards_the_ration_of_orders(stage: Any) -> None:
+def test_an_id_sent_again_at_once_counts_once_towards_the_preload_budget(stage: Any) -> None:
     """Guards against clients that resend rejected calls at once and so increase the preload budget."""
     client = stage.client()
     for _ in range(40):
@@ -315,7 +315,7 @@
     assert sum(len(runner.lines) for runner in stage.runners) == 1
 
 
-def test_what_was_read_after_a_standstill_may_have_come_during_it(stage: Any) -> None:
+def test_a_request_read_after_a_stall_counts_from_the_previous_poll(stage: Any) -> None:
     client = stage.client()
     number = client.ask()
     stage.hand.rightNow += 0.8
@@ -324,7 +324,7 @@
 
 
 @pytest.mark.parametrize(("still", "told", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
-def test_the_time_for_which_a_request_lay_unread_counts_towards_its_patience(
+def test_the_time_for_which_a_request_was_unread_counts_towards_its_patience(
     stage: Any, still: Any, told: Any, left: Any
 ) -> None:
     """The time is bounded by the stall, and not queried if there was none."""
@@ -342,7 +342,7 @@
     assert left - 0.02 <= stage.hand.rightNow - read <= left + 0.01
 
 
-def test_two_requests_under_one_number_end_that_connection_alone(stage: Any) -> None:
+def test_two_requests_under_one_id_close_only_that_connection(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     bad, good = stage.client(), stage.client()
@@ -367,7 +367,7 @@
     assert not stage.node.front.connections
 
 
-def test_a_body_too_long_is_refused_without_reading_it_all(stage: Any) -> None:
+def test_a_body_too_long_is_rejected_without_reading_it_all(stage: Any) -> None:
     client = stage.client()
     number = client.ask(whole=False)
     for _ in range(8):
@@ -376,7 +376,7 @@
     assert not stage.runs() and not stage.node.front.connections
 
 
-def test_half_requests_of_a_crowd_are_bounded_together(stages: Any) -> None:
+def test_incomplete_requests_of_many_connections_are_bounded_together(stages: Any) -> None:
     stage = stages(memory_mb=4)
     crowd = [stage.client() for _ in range(6)]
     for client in crowd:
@@ -395,7 +395,7 @@
     assert stage.node.front.buffered_bytes == 0
 
 
-def test_half_a_request_and_silent_connections_are_closed_within_three_seconds(stage: Any) -> None:
+def test_connections_silent_or_with_an_incomplete_request_are_closed_within_three_seconds(stage: Any) -> None:
     silent, half, good = stage.client(), stage.client(), stage.client()
     half.ask(whole=False)
     done = good.ask()
@@ -403,7 +403,7 @@
     assert silent.closed and half.closed and good.status(done) == 200 and not good.closed
 
 
-def test_hundreds_of_silent_connections_leave_the_usual_clients_theirs(stages: Any) -> None:
+def test_many_silent_connections_do_not_affect_regular_clients(stages: Any) -> None:
     stage = stages(sockets=64)
     usual = stage.client()
     usual.ask()
@@ -418,7 +418,7 @@
     assert usual.status(number) == 200 and sum(bool(c.closed) for c in crowd) > 20
 
 
-def test_more_than_are_allowed_at_once_are_refused_as_harmless_to_repeat(stage: Any) -> None:
+def test_requests_over_the_limit_of_a_connection_are_rejected_as_overloaded(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -429,7 +429,7 @@
     assert len(stage.node.front.open()) <= 32
 
 
-def test_a_request_taken_back_ends_and_its_number_is_free(stage: Any) -> None:
+def test_an_aborted_request_ends_and_its_id_is_free(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -449,7 +449,7 @@
 # replies of runners
 
 
-def test_a_spoilt_answer_ends_its_connection_as_may_have_run_and_is_never_served(stage: Any) -> None:
+def test_a_malformed_reply_closes_its_connection_and_its_calls_may_have_run(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
     client = stage.client()
@@ -463,7 +463,7 @@
 
 
 @pytest.mark.parametrize("ahead", [b'{"verb":"200","rid":"ffffffffffffffff","content":"AAAA"}\n', b""])
-def test_a_stray_answer_and_a_second_copy_are_passed_over(stage: Any, ahead: Any) -> None:
+def test_unexpected_and_duplicate_replies_are_ignored(stage: Any, ahead: Any) -> None:
     def play(line: Any, said: Any) -> None:
         line.send(ahead)
         line.say("200", said["rid"], b"mine")
@@ -492,7 +492,7 @@
     assert all(len(w.buffer) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
 
 
-def test_a_reset_after_the_whole_line_is_no_proof_and_a_side_effect_is_not_sent_again(stage: Any) -> None:
+def test_a_call_with_side_effects_is_not_retried_after_a_reset(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: line.reset()
     client = stage.client()
@@ -517,7 +517,7 @@
     assert stage.runs()[0]["attrs"]["uniq"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def test_two_call_outs_of_one_rpc_to_one_runner_never_share_a_connection(stages: Any) -> None:
+def test_two_attempts_of_one_rpc_at_one_runner_never_share_a_connection(stages: Any) -> None:
     stage, got = stages(runners=1), []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client = stage.client()
@@ -536,7 +536,7 @@
     assert client.body(1) == b"first"
 
 
-def test_a_probe_names_its_figures_as_the_settings_do(stage: Any) -> None:
+def test_load_reports_use_the_names_of_the_settings(stage: Any) -> None:
     told = []
     stage.module.on_health_check = lambda worker, outcome, took, report: told.append(report)
     stage.host.health_check(next(iter(stage.workers().values())))
@@ -544,7 +544,7 @@
     assert told == [{"outstanding": 7.0, "utilization": 0.61}]
 
 
-def test_what_waits_for_a_connection_is_taken_back_when_the_runner_drains(stage: Any) -> None:
+def test_a_line_queued_for_a_connection_is_cancelled_when_the_runner_drains(stage: Any) -> None:
     """The line was not sent, so the RPC goes to another runner at once."""
     runner = stage.node.core.runners["s-00000001"]
     for connection in list(runner.connections):
@@ -570,7 +570,7 @@
 # the board
 
 
-def test_a_runner_named_again_at_its_address_keeps_its_connections(stage: Any) -> None:
+def test_a_runner_listed_again_at_its_address_keeps_its_connections(stage: Any) -> None:
     """Guards against replacing the pool with each event about the runner, so that a drain dials it again."""
     runner, client = stage.node.core.runners["s-00000001"], stage.client()
     numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
@@ -585,7 +585,7 @@
     assert stage.node.core.runners["s-00000001"] is not runner
 
 
-def test_events_count_once_and_a_gap_asks_anew_with_the_last_whole_number(stage: Any) -> None:
+def test_events_are_applied_once_and_a_gap_leads_to_a_new_watch(stage: Any) -> None:
     stage.board.raw(frame(1, 2, stage.row(0, state=2)))  # an old event
     stage.hand.quiet()
     assert len(stage.workers()) == 2
@@ -598,13 +598,13 @@
 
 
 @pytest.mark.parametrize("bad", [b"\xff" * 20, frame(2, 9), frame(2, 2, b"x" * 26), frame(7, 0)])
-def test_a_bad_frame_asks_anew(stage: Any, bad: Any) -> None:
+def test_a_bad_frame_leads_to_a_new_watch(stage: Any, bad: Any) -> None:
     stage.board.raw(bad)
     stage.hand.run(0.01)
     assert stage.board.asked == [0, 1]
 
 
-def test_half_an_event_and_a_break_lose_nothing(stage: Any) -> None:
+def test_a_connection_lost_amid_an_event_loses_nothing(stage: Any) -> None:
     event = frame(2, 2, stage.row(0, state=1))
     stage.board.events[2] = event
     stage.board.raw(event[:20])
@@ -615,13 +615,13 @@
     assert stage.board.asked[-1] == 1
 
 
-def test_a_silent_board_is_asked_anew(stage: Any) -> None:
+def test_a_silent_board_is_watched_again(stage: Any) -> None:
     stage.board.beats = False
     stage.hand.run(3.6)
     assert len(stage.board.asked) >= 2
 
 
-def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_numbers(stage: Any) -> None:
+def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_revision(stage: Any) -> None:
     other = BoardEnd(stage.hand)
     stage.configuration.file.board = f"127.0.0.1:{other.port}"
     stage.node.apply_configuration(stage.configuration)
@@ -635,7 +635,7 @@
         follower.drop("over")
 
 
-def test_at_the_end_new_connections_are_served_for_a_while_and_open_calls_are_finished(stage: Any) -> None:
+def test_after_sigterm_new_connections_are_served_for_a_while_and_open_calls_finished(stage: Any) -> None:
     kept, stopped = [], []
     stage.node.shut_down(lambda: stopped.append(1))
     stage.hand.run(0.4)
@@ -656,7 +656,7 @@
     assert late.body(slow) == b"late" and stopped == [1]
 
 
-def test_beliefs_of_load_agree_with_the_sockets_at_quiet_moments(stage: Any) -> None:
+def test_the_module_s_calls_in_flight_agree_with_the_sockets(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -683,7 +683,7 @@
 
 
 @pytest.mark.parametrize("end", ["served", "denied after a miss", "left"])
-def test_an_rpc_that_has_ended_waits_for_no_collector(stages: Any, end: Any) -> None:
+def test_a_finished_rpc_is_freed_without_garbage_collection(stages: Any, end: Any) -> None:
     """An RPC and its attempts form a reference cycle; garbage collections are rare, so memory would grow."""
     stage, orders = stages(runners=1), []
     runner, client = stage.runners[0], stage.client()
@@ -719,7 +719,7 @@
         gc.enable()
 
 
-def test_thousands_of_replaced_runners_leave_nothing_behind(stage: Any) -> None:
+def test_thousands_of_replaced_runners_leak_nothing(stage: Any) -> None:
     """New ids at the address of a removed runner: all data of the old ones is freed."""
 
     def held() -> Any:
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -135,7 +135,7 @@
 # malformed requests beside valid ones on the same connection
 
 
-def test_an_open_request_is_answered_before_its_connection_ends_for_what_cannot_be_read(stage: Any) -> None:
+def test_an_open_request_is_answered_before_its_connection_closes_for_invalid_data(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     number = client.ask(method="bill")
     stage.hand.until(lambda: got)
@@ -146,14 +146,14 @@
     assert client.status(number) == 200 and client.ends == [number]
 
 
-def test_a_whole_request_right_before_what_cannot_be_read_is_answered(stage: Any) -> None:
+def test_complete_requests_right_before_invalid_data_are_answered(stage: Any) -> None:
     client = stage.client()
     client.send(request(1) + request(2) + JUNK)
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and client.status(2) == 200
 
 
-def test_what_cannot_be_read_ends_its_connection_in_time_though_a_runner_is_silent(stage: Any) -> None:
+def test_invalid_data_closes_its_connection_in_time_though_a_runner_is_silent(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     number = client.ask(method="bill", patience="4000")
     stage.hand.until(lambda: got)
@@ -162,7 +162,7 @@
     assert client.closed and client.status(number) in (500, 503)
 
 
-def test_of_two_requests_under_one_number_neither_is_served_and_others_are_answered(stage: Any) -> None:
+def test_of_two_requests_under_one_id_neither_is_served_and_others_are_answered(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     doubled, other = client.ask(), client.ask()
     stage.hand.until(lambda: len(got) == 2)
@@ -174,7 +174,7 @@
     assert stage.host.counts["left"] == 1
 
 
-def test_a_client_that_closes_after_what_cannot_be_read_is_met_as_gone(stages: Any) -> None:
+def test_a_client_that_closes_after_invalid_data_counts_as_disconnected(stages: Any) -> None:
     """No retry is started for it, though its data is discarded."""
     stage = stages(runners=2)
     client, got = stage.client(), hold_runs(stage)
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("bad", ["body", "fields"])
-def test_a_request_too_large_leaves_its_neighbours_their_answers(stage: Any, bad: str) -> None:
+def test_a_request_too_large_does_not_affect_others_on_its_connection(stage: Any, bad: str) -> None:
     client, got = stage.client(), hold_runs(stage)
     number = client.ask()
     stage.hand.until(lambda: got)
@@ -204,7 +204,7 @@
     assert client.status(number) == 200 and client.status(late) in (200, 503)
 
 
-def test_half_a_request_that_falls_silent_leaves_its_neighbours_their_answers(stage: Any) -> None:
+def test_an_incomplete_request_does_not_affect_others_on_its_connection(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     number, half = client.ask(method="bill", patience="4000"), client.ask(whole=False)
     stage.hand.until(lambda: got)
@@ -215,7 +215,7 @@
     assert client.status(number) == 200
 
 
-def test_a_connection_that_holds_too_much_has_its_open_requests_answered(stages: Any) -> None:
+def test_a_connection_closed_for_its_buffered_bytes_has_its_open_requests_answered(stages: Any) -> None:
     stage = stages(runners=1, memory_mb=4)
     client, got = stage.client(), hold_runs(stage)
     halves: list[int] = []
@@ -234,7 +234,7 @@
     assert all(client.status(half) in (None, 503) for half in halves) and client.status(halves[0]) == 503
 
 
-def test_answers_in_the_kernel_are_not_lost_to_a_reset_by_what_lies_unread(stage: Any) -> None:
+def test_answers_are_not_lost_to_a_reset_for_unread_data(stage: Any) -> None:
     client, _ = slow_reader(stage)
     numbers = ask_in_turn(stage, client, 8)
     client.send(JUNK + bytes(60_000))
@@ -262,7 +262,7 @@
     assert client.status(1) == 200 and client.status(2) in (200, 503)
 
 
-def test_what_cannot_be_read_any_more_is_discarded_within_bounds(stage: Any) -> None:
+def test_data_after_invalid_data_is_discarded_within_bounds(stage: Any) -> None:
     """Also of a client that goes on sending after the shutdown of its connection."""
     sent = 0
     with socket.create_connection(("127.0.0.1", stage.port)) as client:
@@ -283,7 +283,7 @@
     assert stage.node.front.buffered_bytes == 0 and not stage.node.front.closing
 
 
-def test_a_connection_that_parts_reads_a_flood_without_recursion(stage: Any) -> None:
+def test_a_closing_connection_reads_a_flood_without_recursion(stage: Any) -> None:
     """Guards against each read starting the next one recursively."""
     depths: list[int] = []
     client = stage.client()
@@ -317,7 +317,7 @@
     assert [client.status(number) for number in asked] == [200] * 120
 
 
-def test_no_further_attempt_begins_for_a_client_that_aborts_while_it_does_not_read(stages: Any) -> None:
+def test_no_retry_is_started_for_a_client_that_aborts_while_it_does_not_read(stages: Any) -> None:
     """Its connection is not read meanwhile, so whether it still waits is unknown."""
     stage, held = stages(runners=2), list[Any]()
     for runner in stage.runners:
@@ -350,7 +350,7 @@
     assert connection.dead and stage.host.open_requests == 0
 
 
-def test_a_connection_with_an_answer_on_its_way_makes_no_room_for_others(stage: Any) -> None:
+def test_a_connection_with_an_unsent_answer_is_not_evicted(stage: Any) -> None:
     client, connection = slow_reader(stage)
     numbers = ask_in_turn(stage, client, 20)
     assert connection.unsent
@@ -396,9 +396,7 @@
 
 
 @pytest.mark.parametrize("new", ["a silent one", "one that asks"])
-def test_a_new_connection_that_makes_room_for_others_has_its_first_request_answered(
-    stages: Any, new: str
-) -> None:
+def test_an_evicted_new_connection_has_its_first_request_answered(stages: Any, new: str) -> None:
     """Guards against evicting the oldest of many new connections while its first request is in transit."""
     stage = stages(runners=1, sockets=64)
     first = stage.client()
@@ -412,7 +410,7 @@
     assert len(stage.node.front.connections) <= stage.node.front.max_connections
 
 
-def test_a_crowd_over_the_limit_is_bounded_and_told(stages: Any) -> None:
+def test_connections_over_the_limit_are_bounded_and_closed(stages: Any) -> None:
     stage = stages(runners=1, sockets=64)
     met = hold_requests(stage)
     kept = fill(stage)
@@ -427,7 +425,7 @@
     stage.hand.until(lambda: all(client.status(1) == 503 for client in kept))
 
 
-def test_the_listeners_line_is_answered_at_the_end_though_no_descriptor_is_left(stage: Any) -> None:
+def test_the_accept_queue_is_answered_at_shutdown_though_no_descriptor_is_left(stage: Any) -> None:
     """Guards against closing the listener, which resets the connections in its accept queue."""
     idle = stage.client()
     late = connect(stage)
@@ -442,7 +440,7 @@
     assert late.status(1) in (200, 503) and stopped
 
 
-def test_the_time_in_the_line_of_a_full_listener_counts_towards_the_patience(stage: Any) -> None:
+def test_the_time_in_the_accept_queue_counts_towards_the_patience(stage: Any) -> None:
     got, full = hold_runs(stage), False
     stage.hand.unread_for = lambda sock: 0.4
     client = connect(stage)
@@ -462,7 +460,7 @@
 # shutdown
 
 
-def test_all_requests_that_lie_unread_at_the_end_are_answered(stage: Any) -> None:
+def test_all_unread_requests_at_shutdown_are_answered(stage: Any) -> None:
     """Guards against reading only 16 KiB of each connection at the end and resetting the rest."""
     client = stage.client()
     stage.hand.quiet()
@@ -486,7 +484,7 @@
     assert all(client.status(number) in (200, 503) for number in numbers)
 
 
-def test_half_a_request_at_the_end_is_refused(stage: Any) -> None:
+def test_an_incomplete_request_at_shutdown_is_rejected(stage: Any) -> None:
     client = stage.client()
     stopped = leaving(stage)
     stage.hand.run(0.7)
@@ -501,7 +499,7 @@
 
 
 @pytest.mark.parametrize("event", ["arrived", "ended", "woken"])
-def test_a_fault_of_the_module_leaves_the_request_one_final_answer(stage: Any, event: str) -> None:
+def test_an_error_in_the_module_leaves_the_request_one_final_answer(stage: Any, event: str) -> None:
     def fault(*args: Any) -> None:
         raise RuntimeError("planted")
 
@@ -517,7 +515,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["silent", "spoilt", "reset", "cut"])
-def test_trouble_of_a_runner_leaves_each_request_one_final_answer_by_its_deadline(
+def test_a_fault_of_a_runner_leaves_each_request_one_final_answer_by_its_deadline(
     stages: Any, trouble: str
 ) -> None:
     stage = stages(runners=2)
@@ -545,7 +543,7 @@
     assert sorted(client.ends) == numbers and stage.host.open_requests == 0
 
 
-def test_a_flood_beside_it_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
+def test_a_flood_of_others_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
     stage = stages(runners=1, sockets=64)
     hold_runs(stage)
     usual = stage.client()
@@ -566,7 +564,7 @@
     assert sorted(usual.ends) == numbers and stage.host.open_requests == 0
 
 
-def test_parting_connections_do_not_outlive_their_time(stage: Any) -> None:
+def test_closing_connections_are_closed_after_a_time(stage: Any) -> None:
     """A peer that neither reads nor closes does not hold a descriptor forever."""
     client, connection = slow_reader(stage)
     client.ask(body=BODY)
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -285,7 +285,7 @@
 
 @pytest.mark.parametrize("state", [DRAINING, GONE], ids=["drains", "is gone"])
 @pytest.mark.parametrize("backlog", [b"", FILLER], ids=["at once", "behind a backlog"])
-def test_requests_that_came_before_the_drain_in_a_standstill_go_elsewhere(
+def test_requests_received_before_the_drain_in_a_stall_go_elsewhere(
     side_by_side: Any, state: Any, backlog: Any
 ) -> None:
     """Requests and the event are unread in their sockets; the requests are read and placed first."""
@@ -303,9 +303,7 @@
 
 
 @pytest.mark.parametrize("verb", ["503", "404"])
-def test_what_a_worker_turned_away_in_a_standstill_does_not_go_to_one_that_drains(
-    side_by_side: Any, verb: Any
-) -> None:
+def test_no_retry_after_a_stall_goes_to_a_draining_worker(side_by_side: Any, verb: Any) -> None:
     """The reply is read, and a retry or preload started, before the event is read."""
     hand, nodes = side_by_side()
     homes = {node: home_of(hand, node) for node in nodes}
@@ -328,7 +326,7 @@
     assert stopped(hand, nodes, write) == []
 
 
-def test_a_connection_that_came_up_in_a_standstill_carries_nothing_to_one_that_drains(
+def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_in_a_stall(
     side_by_side: Any,
 ) -> None:
     """Lines queued for the connection are sent once it is established, before the event is read."""
@@ -365,7 +363,7 @@
     return crowd
 
 
-def test_a_start_with_an_old_list_sends_nothing_before_the_board_has_told_what_is_newer(
+def test_a_start_with_an_old_list_sends_nothing_before_the_board_answers(
     side_by_side: Any,
 ) -> None:
     """The file was written before the worker drained; the board accepts the connection and sends nothing."""
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -91,7 +91,7 @@
     return None
 
 
-def test_a_board_that_is_silent_again_when_asked_anew_ends_new_work_a_grace_later(stage: Any) -> None:
+def test_a_board_silent_on_a_new_watch_stops_new_work_after_the_grace(stage: Any) -> None:
     """It accepts the new connection and sends nothing: its events count as notified from then on."""
     stage.board.beats = False
     taken: list[Any] = []
@@ -101,14 +101,14 @@
     assert asked(stage, script="/_health") == 503
 
 
-def test_a_board_that_is_gone_ends_new_work_within_the_time_of_a_break_and_a_grace(stage: Any) -> None:
+def test_a_lost_board_stops_new_work_after_the_time_of_a_break_and_the_grace(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
     lasted = usable_for(stage)
     assert lasted is not None and BROKEN + GRACE - 0.3 < lasted < BROKEN + GRACE + 0.001
 
 
-def test_work_goes_on_with_the_first_word_of_a_board_that_is_back(stage: Any) -> None:
+def test_work_continues_with_the_first_frame_of_a_board_that_is_back(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
     assert usable_for(stage) is not None
@@ -123,14 +123,14 @@
     back.cut()
 
 
-def test_a_break_that_is_mended_at_once_costs_no_request(stage: Any) -> None:
+def test_a_reconnect_without_delay_rejects_no_request(stage: Any) -> None:
     for _ in range(3):
         stage.board.cut()
         stage.hand.run(0.01)
         assert usable_for(stage, most=1.5) is None
 
 
-def test_a_calm_board_is_always_recent_enough(stage: Any) -> None:
+def test_a_board_with_heartbeats_is_always_recent_enough(stage: Any) -> None:
     assert usable_for(stage, most=15.0) is None
     assert stage.board.asked == [0]
 
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("whole_after", [0.05, 0.65, 3.3, 3.9])
-def test_a_file_that_is_whole_within_the_time_of_a_move_is_read_in_time(
+def test_a_file_completed_within_the_time_of_a_move_is_read_in_time(
     stage: Any, tmp_path: Any, whole_after: Any
 ) -> None:
     """Guards against retries at growing intervals (0.1 to 6.3 s), the last of which comes after 4 s
@@ -175,7 +175,7 @@
     second.cut()
 
 
-def test_a_new_configuration_brings_the_later_events_that_it_holds(stage: Any, tmp_path: Any) -> None:
+def test_later_events_in_a_new_configuration_are_applied(stage: Any, tmp_path: Any) -> None:
     """Guards against ignoring a drain in the file until the new board sends it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
@@ -185,9 +185,7 @@
     )
 
 
-def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(
-    stage: Any, tmp_path: Any
-) -> None:
+def test_events_in_a_configuration_after_a_gap_are_not_applied(stage: Any, tmp_path: Any) -> None:
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     stage.node.apply_configuration(
         read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events})))
@@ -232,7 +230,7 @@
 # the content of frames
 
 
-def test_a_record_that_cannot_be_used_costs_the_others_of_its_event_nothing(stages: Any) -> None:
+def test_an_invalid_record_does_not_affect_the_others_of_its_event(stages: Any) -> None:
     """Guards against requesting an event with an invalid record again forever, so that no later
     drain arrives.
     """
@@ -269,7 +267,7 @@
 
 
 @pytest.mark.parametrize("state", [1, 2], ids=["drains", "is gone"])
-def test_a_standstill_between_the_decision_and_the_write_sends_nothing_to_one_that_drains(
+def test_after_a_stall_between_decision_and_write_nothing_is_sent_to_a_draining_worker(
     stage: Any, state: Any
 ) -> None:
     assert asked(stage) == 200
@@ -280,7 +278,7 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
-def test_a_standstill_between_the_decision_and_the_write_begins_nothing_for_a_client_that_left(
+def test_after_a_stall_between_decision_and_write_nothing_is_sent_for_a_disconnected_client(
     stage: Any, how: Any
 ) -> None:
     assert asked(stage) == 200
@@ -299,7 +297,7 @@
     assert len(stage.runs()) == 1 and not stage.host.worker_calls
 
 
-def test_the_last_of_many_requests_is_not_begun_for_a_client_that_closed_behind_them(stage: Any) -> None:
+def test_none_of_many_requests_is_started_for_a_client_that_closed_behind_them(stage: Any) -> None:
     """Guards against reading only 64 KiB after a stall, and the close behind them some polls later."""
     client = stage.client()
     assert asked(stage, client) == 200
@@ -315,7 +313,7 @@
     assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
 
-def test_a_socket_that_eases_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
+def test_nothing_is_sent_to_a_draining_worker_on_a_socket_writable_after_a_stall(stage: Any) -> None:
     """Guards against sending queued lines once there is room, before the event of the same poll is read."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
@@ -332,7 +330,7 @@
     assert len(stage.runs()) == before and not stage.host.worker_calls
 
 
-def test_a_connection_that_comes_up_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
+def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_during_a_stall(stage: Any) -> None:
     closed, client = Closed(stage), stage.client()
     client.ask(method="bill", patience="3000")
     stage.hand.until(lambda: held(stage))
@@ -347,7 +345,7 @@
     assert stage.runs() == [] and not stage.host.worker_calls
 
 
-def test_an_order_is_not_sent_to_one_that_drains_behind_a_standstill(stage: Any) -> None:
+def test_no_preload_is_sent_to_a_draining_worker_after_a_stall(stage: Any) -> None:
     """Guards against a preload after a miss, sent before the event is read."""
     stage.runners[0].loaded, got = {}, []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
@@ -368,7 +366,7 @@
 # the time left that is sent to runners
 
 
-def test_the_time_passed_on_is_what_is_left_as_the_line_is_written(stage: Any) -> None:
+def test_the_budget_sent_is_the_time_left_when_the_line_is_written(stage: Any) -> None:
     """Guards against encoding the time left before the connection is established, here 0.2 s later."""
     closed, client = Closed(stage), stage.client()
     client.ask(patience="1000")
@@ -380,7 +378,7 @@
     assert 0 < said["attrs"]["budget"] <= 800
 
 
-def test_what_has_no_time_left_as_the_connection_comes_up_is_not_sent(stages: Any) -> None:
+def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(stages: Any) -> None:
     usual: Any = SETTINGS["limits"]
     stage = stages(runners=1, limits=usual | {"dial-timeout": 5_000_000})
     closed, client = Closed(stage), stage.client()
@@ -393,7 +391,7 @@
     assert stage.runs() == []
 
 
-def test_many_requests_on_one_connection_each_have_what_their_client_has_left(stage: Any) -> None:
+def test_each_of_many_requests_on_a_connection_has_its_own_time_left(stage: Any) -> None:
     """Guards against counting older unread requests as recent as the last one."""
     client = stage.client()
     assert asked(stage, client) == 200
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -69,7 +69,7 @@
     made.end()
 
 
-def test_it_serves_moves_to_a_new_board_and_ends_with_zero(world: Any) -> None:
+def test_it_serves_moves_to_a_new_board_and_exits_with_zero(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
     status, client = world.call("9b1f03aa5c7e2d41")
@@ -89,7 +89,7 @@
     other.listener.close()
 
 
-def test_a_configuration_caught_half_written_is_read_again_without_another_signal(world: Any) -> None:
+def test_a_half_written_configuration_is_read_again_without_another_signal(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
     other = BoardEnd(world.hand)
@@ -103,7 +103,7 @@
     other.listener.close()
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_the_board_the_runners_and_others_theirs(
+def test_idle_clients_that_use_up_the_descriptors_do_not_affect_others(
     world: Any,
 ) -> None:
     """Discovery is down at the start, and more clients connect than the process's limit of
@@ -134,7 +134,7 @@
     board.listener.close()
 
 
-def test_restarts_in_turn_under_load_lose_no_request(world: Any) -> None:
+def test_rolling_restarts_under_load_lose_no_request(world: Any) -> None:
     """As on the platform: new connections for 0.3 s after SIGTERM, requests on open ones for 0.2 s more."""
     ports, hand = [free_port() for _ in range(3)], world.hand
     asked: list[Any] = []
@@ -183,7 +183,7 @@
 
 @pytest.mark.parametrize("list_stands", [True, False])
 @pytest.mark.parametrize("signals", ["TERM", "INT", "TERM TERM", "TERM INT", "HUP TERM", "TERM HUP"])
-def test_it_ends_with_zero_whatever_signals_come_together(world: Any, list_stands: Any, signals: Any) -> None:
+def test_it_exits_with_zero_whatever_signals_are_combined(world: Any, list_stands: Any, signals: Any) -> None:
     """Also before it is ready, while the board can't be reached."""
     if not list_stands:
         world.board.listener.close()
@@ -227,7 +227,7 @@
         (None, {"EDGE_LISTEN": "nowhere"}, 2, "EDGE_LISTEN"),
     ],
 )
-def test_what_it_cannot_start_with_is_told_in_one_line(
+def test_a_failure_to_start_is_reported_in_one_line(
     world: Any, told: Any, more: Any, code: Any, says: Any
 ) -> None:
     if told:
@@ -243,7 +243,7 @@
     assert len(lines) == 1 and says in lines[0]
 
 
-def test_what_is_switched_off_is_not_imported() -> None:
+def test_unused_packages_are_not_imported() -> None:
     code = "import lapistrestle.node.__main__, sys; print(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     loaded = told.stdout.split()
@@ -253,7 +253,7 @@
     assert not [name for name in loaded if name.startswith(tuple(f"lapistrestle.{part}" for part in off))]
 
 
-def test_the_kernel_tells_how_long_bytes_lay_unread() -> None:
+def test_the_kernel_reports_how_long_data_was_unread() -> None:
     listener = socket.create_server(("127.0.0.1", 0))
     sender = socket.create_connection(listener.getsockname())
     receiver, _ = listener.accept()
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
-def test_nothing_begins_for_clients_that_left_in_a_standstill(side_by_side: Any, how: Any) -> None:
+def test_nothing_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any, how: Any) -> None:
     """Several requests per connection, with the longest bodies; some clients still wait."""
     hand, nodes = side_by_side()
     asked, left, wanted = Asked(hand), set(), {}
@@ -100,7 +100,7 @@
         assert wanted[node] in came and not came & left
 
 
-def test_no_further_attempt_begins_for_clients_that_left_in_a_standstill(side_by_side: Any) -> None:
+def test_no_retry_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any) -> None:
     """A worker rejects the first attempt; its reply is queued before the client's close."""
     hand, nodes = side_by_side()
     asked = Asked(hand)
@@ -129,7 +129,7 @@
         assert runs.count(held[node][1]["rid"]) == 1
 
 
-def test_the_time_passed_on_is_at_most_what_the_client_has_left(side_by_side: Any) -> None:
+def test_the_budget_sent_is_at_most_the_client_s_time_left(side_by_side: Any) -> None:
     """Requests are sent during the whole stall, on old connections and new ones."""
     hand, nodes = side_by_side()
     asked = Asked(hand)
@@ -152,7 +152,7 @@
         assert len(runs_of(node)) > 6 and asked.over(runs_of(node)) == []
 
 
-def test_the_judge_sees_too_much_time() -> None:
+def test_the_check_detects_a_budget_that_is_too_large() -> None:
     asked = Asked(None)
     asked.sent["a"] = 10.0, 1_000
 
