--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -9,7 +9,7 @@
 
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.sources.numbered_list import ListAction, NumberedList
-from lapistrestle.wire.messages import Change, Entry, Whole
+from lapistrestle.wire.messages import RosterEntry, RosterSnapshot, RosterUpdate
 
 STATES = {  # by their names on the wire
     "serving": EndpointState.SERVING,
@@ -22,7 +22,7 @@
 class Known:
     """What is known of one worker."""
 
-    entry: Entry
+    entry: RosterEntry
     booted: int | None = None  # time of `start` on our clock; computed once, as repeated ones would drift
     start: str = ""  # id of the process start
     drains: str = ""  # id of the start for which the runner itself announced that it drains
@@ -49,7 +49,7 @@
         self.kinds = {kind: i for i, kind in enumerate(kinds)}
         self.known: dict[str, Known] = {}
 
-    def note(self, entries: Iterable[Entry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
+    def note(self, entries: Iterable[RosterEntry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
         """Apply entries of a list. Returns the workers for the module, and their current addresses."""
         facts, addresses = list[WorkerInfo](), list[Address]()
         for entry in entries:
@@ -116,12 +116,12 @@
     def size(self) -> int:
         return len(self.known)
 
-    def told(self, message: Whole | Change, now: int) -> Taken:
+    def told(self, message: RosterSnapshot | RosterUpdate, now: int) -> Taken:
         """Apply a list or change received from the roster."""
         do = self.accept(message)
         if do is not ListAction.TAKE:
             return Taken(do)
-        whole = isinstance(message, Whole)
+        whole = isinstance(message, RosterSnapshot)
         gone = {}
         if whole:
             if not message.workers and self.known:
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -7,7 +7,7 @@
 
 from lapistrestle.wire import messages as wire
 
-DECODER = msgspec.json.Decoder(wire.Peer)
+DECODER = msgspec.json.Decoder(wire.PeerMessage)
 
 
 class Peers(DatagramProtocol):
@@ -24,7 +24,7 @@
 
     def tell(self, peer: int | None, text: str) -> None:
         """Send to one other edge by its index, or to all. Delivery is not confirmed."""
-        line = wire.encode(wire.Peer(self.me, text))
+        line = wire.encode(wire.PeerMessage(self.me, text))
         for number, port in enumerate(self.ports):
             if number != self.me and peer in (None, number) and self.transport is not None:
                 self.transport.write(line, ("127.0.0.1", port))
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -14,7 +14,7 @@
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
-from lapistrestle.wire.lines import Speaker, union
+from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
 # Ticks of 0.1 ms:
 BEAT = 2_000  # between two heartbeats
@@ -22,11 +22,11 @@
 UNHEARD = 30_000  # a connection without an answered heartbeat for so long is closed and dialled again
 
 
-class PlannerSpeaker(Speaker):
+class PlannerSpeaker(LineConnection):
     """The edge's end of a connection to the planner."""
 
     protocol = plans.PLANNER
-    decoder = union(plans.FromPlanner)
+    decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, source: "PlannerSource") -> None:
         super().__init__(source.edge.bounds)
@@ -35,11 +35,11 @@
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name, start=self.source.start_name)
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.source.heard = self.source.edge.clock()
         self.source.beat(None, once=True)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.source.edge.input()
         match message:
             case plans.Plan():
@@ -48,12 +48,12 @@
                 self.source.heard = self.source.edge.clock()
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
-    def unreadable(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Close the connection: the line may have been a plan, and a new connection gets the whole plan."""
         self.source.edge.passed_over("planner", why)
-        self.cut("unreadable")
+        self.close_with_reason("unreadable")
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         self.source.lost(self)
 
 
@@ -106,8 +106,8 @@
 
     def beat(self, _: object, once: bool = False) -> None:
         """Send a heartbeat, and unless `once` schedule the next. Cuts a connection that does not answer."""
-        if self.speaker is not None and self.speaker.greeted and self.edge.clock() - self.heard > UNHEARD:
-            self.speaker.cut("no beat was answered")
+        if self.speaker is not None and self.speaker.is_greeted and self.edge.clock() - self.heard > UNHEARD:
+            self.speaker.close_with_reason("no beat was answered")
         self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
         if not once and not self.stopped:
             self.edge.after(BEAT, self.beat, None)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -105,7 +105,7 @@
 
     # the worker list and the runners
 
-    def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
+    def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         """Apply a list or change from the roster, as far as its number allows. Returns what was done."""
         taken = self.following.told(message, self.clock())
         if taken.do is ListAction.TAKE:
@@ -155,7 +155,7 @@
         """Choose the version of the function that serves this call."""
         key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(
-            call.function, key, self.kind(method), call.repeat, self.clock(), self.span(call)
+            call.function, key, self.kind(method), call.is_retry, self.clock(), self.span(call)
         )
 
     def kind(self, method: int) -> str:
@@ -175,7 +175,7 @@
 
         With a directory it may have to wait until the prefix of its function is known.
         """
-        load = None if call.load is None else int(call.load * 10)
+        load = None if call.load_time is None else int(call.load_time * 10)
         waits = False
         if self.directory is not None:
             function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
@@ -183,8 +183,8 @@
         pending = self.host.request_received(
             client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
             customer=customer, time_left=left, memory=call.memory, lanes=call.lanes,
-            work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.repeat, route=route,
-            load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
+            work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.is_retry,
+            route=route, load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
         )  # fmt: skip
         if waits:
             self.directory.wait(pending)
@@ -242,7 +242,7 @@
         pending.client.answer(pending, verdict, retry_after, body)
 
     def stream_started(self, pending: PendingRequest) -> None:
-        pending.client.say(wire.Begun(pending.message.id))
+        pending.client.send_message(wire.StreamStarted(pending.message.id))
 
     def barred(self, name: str) -> bool:
         """Whether nothing new may be sent to this version of a function."""
