--- a/lapistrestle/directory/__init__.py
+++ b/lapistrestle/directory/__init__.py
@@ -1,1 +1,1 @@
-"""The directory of instances: which instances a function has, in shards that dispatchers watch."""
+"""The directory of instances: which instances serve a function, in shards that dispatchers watch."""
--- a/lapistrestle/directory/byte_rate.py
+++ b/lapistrestle/directory/byte_rate.py
@@ -1,14 +1,14 @@
-"""Bytes a second that a program has sent, for operators."""
+"""Send rate of a process in bytes per second, for operators."""
 
 from collections import deque
 
 from lapistrestle.ticks import SECOND
 
-RATE_SECONDS = 10  # whole seconds that the mean and the most are taken over
+RATE_SECONDS = 10  # whole seconds over which the mean and the maximum are computed
 
 
 class ByteRateMeter:
-    """Counts bytes by whole seconds of a clock in ticks of a tenth of a millisecond."""
+    """Counts bytes per whole second. Times are ticks of 0.1 ms."""
 
     def __init__(self, now: int) -> None:
         self.first_second = now // SECOND
@@ -16,7 +16,7 @@
         self.total = 0
 
     def add(self, size: int, now: int) -> None:
-        """So many bytes were sent now."""
+        """Count `size` bytes sent now."""
         second = now // SECOND
         self.total += size
         if self.seconds and self.seconds[-1][0] == second:
@@ -26,7 +26,7 @@
             self.seconds.popleft()
 
     def rates(self, now: int) -> tuple[float, int]:
-        """The mean over the last whole seconds, and the most in one of them, in bytes a second."""
+        """Mean and maximum over the last whole seconds, in bytes per second."""
         second = now // SECOND
         sizes = [size for at, size in self.seconds if second - RATE_SECONDS <= at < second]
         span = max(1, min(RATE_SECONDS, second - self.first_second))
--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -1,9 +1,9 @@
-"""The instances that a watcher knows: those of its prefixes, and a bounded memory of those it knew before.
+"""The watcher's cache of instances: those in its prefixes, and a bounded number that were in one before.
 
-Holders of different shards may be at different revisions, and each instance may be sent by several of them.
-The entry of the newest revision holds for each. What is remembered of an instance that left all prefixes
-keeps a holder that is behind from bringing back an older incarnation; where that memory is full, its oldest
-item goes, and nothing older than that item's revision is taken from any holder from then on.
+Holders of different shards may be at different revisions, and several of them may send the same instance: the
+entry with the newest revision wins. Instances that are in no prefix any more are retired, not removed,
+so that a holder that is behind can't bring back an older incarnation. When too many are retired, the oldest
+is evicted, and from then on snapshots older than its revision are rejected (`floor`).
 """
 
 from collections.abc import Iterable
@@ -20,48 +20,48 @@
 
 @dataclass(eq=False, slots=True)
 class CachedInstance:
-    """An instance, and from which revision this is known."""
+    """An instance entry with the revision that it was received at."""
 
     entry: Entry
     revision: Revision
-    dated_at: int  # when `up_for` was true, on the watcher's clock
-    functions: set[str] = field(default_factory=set)  # that have it in their prefix
+    dated_at: int  # when `entry.up_for` was correct, on the watcher's clock
+    functions: set[str] = field(default_factory=set)  # functions whose prefix contains the instance
 
     @property
     def gone(self) -> bool:
-        """Whether a holder has said that it is gone."""
+        """Whether a holder has reported that the instance is gone."""
         return self.entry.listing == "gone"
 
 
 @dataclass(slots=True)
 class WatchEvent:
-    """What one message has changed."""
+    """Changes in the cache since the last `take_event`; the dicts are ordered sets of names."""
 
     changed: dict[str, Entry] = field(default_factory=dict)
     gone: dict[str, None] = field(default_factory=dict)
     forgotten: dict[str, None] = field(default_factory=dict)
-    functions: dict[str, None] = field(default_factory=dict)  # whose prefixes may be shown otherwise now
+    functions: dict[str, None] = field(default_factory=dict)  # functions whose prefix has to be published
 
 
 class CachedInstances:
-    """All instances that a watcher knows."""
+    """All instances that a watcher has cached."""
 
     def __init__(self, revisions: Revisions, most_retired: int) -> None:
         self.revisions = revisions
         self.most_retired = most_retired
         self.known = dict[str, CachedInstance]()
-        self.retired = dict[str, CachedInstance]()  # in no prefix any more, the oldest first
-        self.floor: Revision | None = None  # nothing older is taken
+        self.retired = dict[str, CachedInstance]()  # in no prefix any more, oldest first
+        self.floor: Revision | None = None  # snapshots of an older revision are rejected
         self.event = WatchEvent()
 
     def take_event(self) -> WatchEvent:
-        """What has changed since the last call."""
+        """Return the changes since the last call."""
         event = self.event
         self.event = WatchEvent()
         return event
 
     def apply_entry(self, entry: Entry, revision: Revision, now: int) -> None:
-        """Take an entry that a holder has sent; one of an older revision is passed over."""
+        """Apply an entry received from a holder; one with an older revision is ignored."""
         known = self.known.get(entry.name) or self.restore(entry.name, now)
         if known is None:
             self.known[entry.name] = CachedInstance(entry, revision, now)
@@ -81,7 +81,7 @@
             self.event.functions.update(dict.fromkeys(known.functions))
 
     def restore(self, name: str, now: int) -> CachedInstance | None:
-        """Bring back what is remembered of an instance that is named again."""
+        """Move an instance back from `retired` to `known`; `None` if it was not retired."""
         known = self.retired.pop(name, None)
         if known is None:
             return None
@@ -94,7 +94,7 @@
         return known
 
     def current_entries(self, names: Iterable[str], now: int) -> tuple[Entry, ...]:
-        """These instances as of now; nothing where one of them is not known or gone."""
+        """The entries of these instances, as of now; empty if one of them is unknown or gone."""
         entries = list[Entry]()
         for name in names:
             known = self.known.get(name)
@@ -104,7 +104,7 @@
         return tuple(entries)
 
     def mark_gone(self, name: str, revision: Revision) -> None:
-        """Take from a holder that an instance is gone, unless something newer is known."""
+        """Mark an instance as gone, unless a newer revision of it is cached."""
         known = self.known.get(name) or self.retired.get(name)
         if known is None or known.gone or self.revisions.is_older(revision, known.revision):
             return
@@ -117,11 +117,11 @@
     def replace_prefix(
         self, function: str, before: Iterable[str], after: Iterable[str], revision: Revision, now: int
     ) -> None:
-        """A function's prefix has become another one, at this revision."""
+        """Update which instances the prefix of a function contains, as of this revision."""
         old, new = set(before), set(after)
         for name in new - old:
             known = self.known.get(name) or self.restore(name, now)
-            if known is None:  # named, but gone by the time the batch was made
+            if known is None:  # in the prefix, but gone by the time the holder made the batch
                 known = self.known[name] = CachedInstance(Entry(name, listing="gone"), revision, now)
             known.functions.add(function)
         for name in old - new:
@@ -130,7 +130,7 @@
                 known.functions.discard(function)
 
     def retire(self, names: Iterable[str]) -> None:
-        """Those of these instances that no prefix has any more go into the memory."""
+        """Retire those of these instances that are in no prefix any more, within `max_retired`."""
         for name in names:
             known = self.known.get(name)
             if known is None or known.functions:
@@ -145,12 +145,12 @@
                 self.floor = oldest.revision
 
     def usable(self, names: Iterable[str]) -> tuple[str, ...]:
-        """Those that are known and not gone."""
+        """Those of these names that are known and not gone, in the same order."""
         return tuple(name for name in names if name in self.known and not self.known[name].gone)
 
 
 def aged(entry: Entry, age: int) -> Entry:
-    """An entry whose `up_for` was true so long ago, with that of now."""
+    """An entry with `up_for` advanced by `age` ticks."""
     if entry.up_for is None or age <= 0:
         return entry
     return msgspec.structs.replace(entry, up_for=min(LONGEST_UP_FOR, entry.up_for + age / MILLISECOND))
--- a/lapistrestle/directory/digests.py
+++ b/lapistrestle/directory/digests.py
@@ -1,4 +1,4 @@
-"""A short mark of all that a prefix tells, so that a holder and a watcher see whether they have the same."""
+"""Digest of a prefix, by which a holder and a watcher see whether they have the same one."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -10,16 +10,16 @@
 
 
 def undated(entry: Entry) -> Instance:
-    """As it crosses the wire, without the time since its start, which differs each time it is sent."""
+    """The entry as encoded on the wire, without `up_for`, which differs each time it is sent."""
     return Instance(
         entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing, entry.start
     )
 
 
 def digest_of(entries: Iterable[Entry], complete: bool) -> str:
-    """Covers the order, every field of each entry but `up_for`, and whether the prefix is the complete order.
+    """Digest of the entries in order, without `up_for`, and of whether the prefix is the complete order.
 
-    8 bytes of BLAKE2b as hexadecimal digits: two prefixes of one function share it by chance once in 2^64.
+    8 bytes of BLAKE2b in hexadecimal: two prefixes of one function collide with a probability of 2^-64.
     """
     encoded = msgspec.json.encode(([undated(entry) for entry in entries], complete))
     return blake2b(encoded, digest_size=DIGEST_BYTES).hexdigest()
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -1,6 +1,6 @@
-"""What the directory's decisions want done, and their settings. Times are whole tenths of a millisecond.
+"""Effects of the directory's state machines (`ShardHolder` and `DirectoryWatcher`), and their settings.
 
-The program around a decision carries its effects out in the order in which they stand.
+The process around a state machine performs its effects in order. Times are whole ticks of 0.1 ms.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 from lapistrestle.wire.directory import RegionSums
 from lapistrestle.wire.messages import Entry, Message
 
-# effects of a holder; a session is one connection of a watcher, numbered by the program
+# effects of a holder; a session is one connection of a watcher, numbered by the holder's process
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseSession:
-    """Close a session; it is forgotten already, and `disconnected` need not be called for it."""
+    """Close a session. The holder has removed it already: `session_closed` need not be called."""
 
     session: int
     reason: str
@@ -31,18 +31,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AskRoster:
-    """Ask the roster for the complete list: the holder can't tell how old its knowledge is."""
+    """Request the complete list from the roster: the holder can't tell whether its data is current."""
 
 
 HolderEffect = SendTo | CloseSession | AskRoster
 
 
-# effects of a watcher; a connection is numbered by the watcher
+# effects of a watcher; connections are numbered by the watcher
 
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Open a connection to a copy of a shard: `connected`, or `refused`, is to follow."""
+    """Open a connection to a replica; to be answered by `connection_ready` or `connection_failed`."""
 
     connection: int
     shard: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HangUp:
-    """Close a connection; it is forgotten already, and no event of it need be reported any more."""
+    """Close a connection. The watcher has removed it already: its events need not be reported."""
 
     connection: int
 
@@ -66,16 +66,16 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesChanged:
-    """Instances that are new to this dispatcher, or have changed. Comes before a prefix that names them."""
+    """Instances that are new to this dispatcher or have changed. Precedes any prefix that contains them."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class PrefixReady:
-    """A function's prefix is known, or has changed: names of its instances in order.
+    """A function's prefix was received or has changed: names of its instances in order.
 
-    All of them came with `InstancesChanged`, some may drain. `complete`: there are no further ones.
+    All of them were sent with `InstancesChanged`; some may drain. `complete`: no further instances exist.
     """
 
     function: str
@@ -85,21 +85,21 @@
 
 @dataclass(frozen=True, slots=True)
 class InstancesGone:
-    """The directory says that these are gone: rule 3 holds from here on."""
+    """The directory reports these as gone: nothing new may be sent to them from now on, preloads included."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class InstancesForgotten:
-    """No prefix in use names these any more. They may serve on; what is open there may end there."""
+    """No prefix contains these any more. They may still serve, and open calls there may finish."""
 
     names: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LookupFailed:
-    """No prefix can be had for this function now; after `retry_after` it may be asked for again."""
+    """No prefix is available for this function now; it may be requested again after `retry_after` ticks."""
 
     function: str
     retry_after: int
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SumsChanged:
-    """Sums of the region, about once a second."""
+    """New sums over the region's instances; sent about once a second."""
 
     sums: RegionSums
 
@@ -130,44 +130,44 @@
 
 @dataclass(frozen=True, slots=True)
 class HolderSettings:
-    """What a holder keeps to. Bytes are those of encoded lines, as estimated before they are encoded."""
+    """Settings of a holder. Bytes are estimates of the encoded lines' length (`message_sizes`)."""
 
-    shards: frozenset[int] = frozenset({0})  # those that it holds
-    shard_count: int = 1  # of all
+    shards: frozenset[int] = frozenset({0})  # served by this holder
+    shard_count: int = 1  # of the whole assignment
     epoch: int = 1  # of the assignment
-    oldest_epoch: int = 1  # of watchers that are still served, while an assignment is replaced
+    oldest_epoch: int = 1  # watches of older epochs are refused; below `epoch` during a change of assignment
     lease: int = 3 * SECOND
-    urgent_delay: int = 50 * MILLISECOND  # before drains and departures are sent
-    batch_delay: int = 500 * MILLISECOND  # before other changes are sent, coalesced
-    session_bytes: int = 4_000  # a second, for changes that are not urgent
-    total_bytes: int = 8_000_000  # a second, the same over all sessions
-    snapshot_rate: int = 10_000  # snapshots a second: 20 us of decisions each, a fifth of a core
+    urgent_delay: int = 50 * MILLISECOND  # before drains and removals are sent
+    batch_delay: int = 500 * MILLISECOND  # for which other changes are coalesced
+    session_bytes: int = 4_000  # per second and session, for changes that are not urgent
+    total_bytes: int = 8_000_000  # per second over all sessions
+    snapshot_rate: int = 10_000  # per second; at 20 us each they take a fifth of a core
     snapshot_burst: int = 2_500
-    longest_retry: int = 2 * SECOND  # that a watcher is asked to wait for a snapshot
-    standstill: int = 300 * MILLISECOND  # without a call: the holder itself stood still
-    roster_silence: int = 5 * SECOND  # of the roster: it is asked for the complete list
-    roster_patience: int = 2 * SECOND  # for that list; then the roster counts as lost
+    longest_retry: int = 2 * SECOND  # longest `retry_after` of a `Busy` answer
+    standstill: int = 300 * MILLISECOND  # a longer gap between calls means that the process itself stalled
+    roster_silence: int = 5 * SECOND  # without a message from the roster: a complete list is requested
+    roster_patience: int = 2 * SECOND  # time-out of that request; then the roster counts as lost
     most_sessions: int = 8_192
-    most_watches: int = 8_192  # of one session
-    ramp_time: int = 0  # until a started instance has its whole capacity; 0: at once
-    cold_share: float = 1.0  # of its capacity when it has just started
+    most_watches: int = 8_192  # per session
+    ramp_time: int = 0  # slow start: time until an instance has its full capacity; 0: at once
+    cold_share: float = 1.0  # fraction of its capacity that an instance has when it starts
 
 
 @dataclass(frozen=True, slots=True)
 class WatcherSettings:
-    """What a watcher keeps to."""
+    """Settings of a watcher."""
 
-    first_count: int = 8  # instances that a first look-up asks for
+    first_count: int = 8  # instances requested by the first lookup of a function
     lookup_time_out: int = 250 * MILLISECOND
-    heartbeat: int = 200 * MILLISECOND  # between two renewals
-    silence: int = 600 * MILLISECOND  # without a message: the next copy is tried
-    stale: int = 1 * SECOND  # age of a holder's knowledge at which another copy is looked for
+    heartbeat: int = 200 * MILLISECOND  # interval of lease renewals
+    silence: int = 600 * MILLISECOND  # a request unanswered for so long: fail over to the next replica
+    stale: int = 1 * SECOND  # age of a holder's data at which another replica is tried
     dial_time_out: int = 300 * MILLISECOND
-    idle: int = 120 * SECOND  # a function unused for so long is watched no more
-    extension_pause: int = 500 * MILLISECOND  # between two extensions of one prefix
-    rebalance: int = 300 * SECOND  # about so long with another copy, then the first choice is tried again
-    first_pause: int = 50 * MILLISECOND  # at the most, before the next copy is dialled; doubles
-    longest_pause: int = 2 * SECOND
-    most_functions: int = 16_384  # watched at once; a look-up of a further one fails
-    most_pending: int = 4_096  # look-ups without answer
-    most_retired: int = 4_096  # instances remembered so that older entries of them are not believed
+    idle: int = 120 * SECOND  # a function unused for so long is unwatched
+    extension_pause: int = 500 * MILLISECOND  # minimum interval between two extensions of one prefix
+    rebalance: int = 300 * SECOND  # mean time with another replica before the preferred one is tried again
+    first_pause: int = 50 * MILLISECOND  # upper bound of the first backoff before dialling; it doubles
+    longest_pause: int = 2 * SECOND  # upper bound of the backoff
+    most_functions: int = 16_384  # watched at once; a lookup of a further one fails
+    most_pending: int = 4_096  # lookups without an answer
+    most_retired: int = 4_096  # instances remembered after they left all prefixes, to reject older entries
--- a/lapistrestle/directory/hash_ring.py
+++ b/lapistrestle/directory/hash_ring.py
@@ -1,11 +1,11 @@
-"""The one order of instances that each function has, the same at every program that knows the instances.
+"""The order of instances of each function, the same in every process that has the same instances.
 
-Consistent hashing with virtual points (Karger et al. 1997): an instance has points on a ring, as many as its
-size asks for, and a function's order is made by probing the ring at places that its name draws, one after
-the other; each probe yields the next instance clockwise. An instance met again is passed over. So a prefix of
-`count` costs about `count` searches of the ring, each of them short, and never a walk over all instances.
+Consistent hashing with virtual nodes (Karger et al. 1997): an instance has points on a ring, in proportion to
+its size. A function's order results from probing the ring at a pseudo-random sequence of positions seeded by
+the function's name; each probe yields the next instance clockwise, duplicates are skipped. A prefix of
+`count` instances therefore costs about `count` short searches of the ring, never a scan of all instances.
 
-An instance that comes or goes changes orders only where its own points are hit.
+Adding or removing an instance changes only the orders whose probes hit its points.
 """
 
 from collections.abc import Iterator
@@ -16,20 +16,20 @@
 
 from lapistrestle.directory.ring_positions import RingPositions
 
-POINTS_PER_SIZE = 16  # of an instance of size 1
-MOST_POINTS = 4_096  # of one instance, whatever its size
-PROBES_PER_PLACE = 8  # may meet instances met before; then the ring is walked on from the last of them
-DIGEST = Struct("<8Q")  # the numbers in one digest, the same on every machine
-INSTANCE, FUNCTION = b"instance", b"function"  # keep the two kinds of draws apart
+POINTS_PER_SIZE = 16  # virtual nodes of an instance of size 1
+MOST_POINTS = 4_096  # per instance, whatever its size
+PROBES_PER_PLACE = 8  # probes that may yield duplicates; then the ring is scanned from the last probe on
+DIGEST = Struct("<8Q")  # eight 64-bit positions per digest, in the same byte order on every machine
+INSTANCE, FUNCTION = b"instance", b"function"  # BLAKE2b personalisation: separates the two kinds of hashes
 
 
 def points_for(size: float) -> int:
-    """How many points an instance of this size has: at least one."""
+    """The number of points of an instance of this size: at least one."""
     return max(1, min(MOST_POINTS, round(size * POINTS_PER_SIZE)))
 
 
 def draws(name: str, kind: bytes) -> Iterator[int]:
-    """The endless sequence of positions that a name draws on the ring."""
+    """The infinite pseudo-random sequence of ring positions of a name."""
     block, encoded = 0, name.encode()
     while True:
         salt = block.to_bytes(8, "big")
@@ -39,10 +39,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """One place of an order.
+    """One element of an order.
 
-    `looked_from`: the positions from which the ring was searched since the place before. A new point changes
-    the order up to here only if it lies between one of them and the point that was found from it.
+    `looked_from`: the positions from which the ring was searched since the previous element. A new point
+    changes the order up to here only if it lies between one of them and the point found from there.
     """
 
     name: str
@@ -51,18 +51,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Arc:
-    """A stretch of the ring, both ends included, that may pass the ring's end."""
+    """An arc of the ring, both ends included; it may wrap around."""
 
     first: int
     last: int
 
 
 class InstanceRing:
-    """All instances of a region, and the order in which each function uses them."""
+    """The ring of all instances of a region, and the order of them for each function."""
 
     def __init__(self) -> None:
         self.points = RingPositions()
-        self.point_counts = dict[str, int]()  # how many points each instance has
+        self.point_counts = dict[str, int]()  # points of each instance
 
     def __len__(self) -> int:
         return len(self.point_counts)
@@ -72,11 +72,11 @@
 
     @property
     def steps(self) -> int:
-        """Entries looked at since the start, for tests of the cost."""
+        """Entries visited since the start, for tests of the cost."""
         return self.points.steps
 
     def insert(self, name: str, size: float) -> None:
-        """Add an instance, or give one another size: points are added or taken, none of the others moves."""
+        """Add an instance or change its size: only its own points are added or removed."""
         before, after = self.point_counts.get(name, 0), points_for(size)
         self.point_counts[name] = after
         for position in islice(draws(name, INSTANCE), before, after):
@@ -85,17 +85,17 @@
             self.points.discard(position, name)
 
     def remove(self, name: str) -> None:
-        """Take an instance out; one that is not there does no harm."""
+        """Remove an instance; a missing one is ignored."""
         for position in islice(draws(name, INSTANCE), self.point_counts.pop(name, 0)):
             self.points.discard(position, name)
 
     def arcs(self, name: str) -> Iterator[Arc]:
-        """The stretches of the ring that an instance has taken from those behind its points."""
+        """The arcs that an instance took over from its successors on the ring when it was added."""
         for position in islice(draws(name, INSTANCE), self.point_counts.get(name, 0)):
             yield Arc(self.points.before(position, name), position)
 
     def places(self, function: str) -> Iterator[Place]:
-        """A function's order, from the first place on, as far as it is asked for."""
+        """A function's order, computed lazily."""
         seen = set[str]()
         probes = draws(function, FUNCTION)
         while len(seen) < len(self.point_counts):
@@ -104,7 +104,7 @@
             yield place
 
     def next_place(self, probes: Iterator[int], seen: set[str]) -> Place:
-        """The next instance that is not among those seen; there must be one."""
+        """The next instance that is not in `seen`. Raises `LookupError` if all are."""
         looked_from = list[int]()
         for probe in islice(probes, PROBES_PER_PLACE - 1):
             looked_from.append(probe)
@@ -120,5 +120,5 @@
         raise LookupError("all instances of the ring have been seen")
 
     def prefix(self, function: str, count: int) -> list[str]:
-        """The first instances of a function's order: `count` of them, or all there are."""
+        """The first `count` instances of a function's order, or all if there are fewer."""
         return [place.name for place in islice(self.places(function), count)]
--- a/lapistrestle/directory/holder_counts.py
+++ b/lapistrestle/directory/holder_counts.py
@@ -1,18 +1,18 @@
-"""What a holder's program counts for operators."""
+"""Counters of a holder's process, for operators."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class HolderCounts:
-    """Counts since the start of the program."""
+    """Counters since the start of the process."""
 
-    closed_sessions: int = 0  # by the holder's decisions
+    closed_sessions: int = 0  # closed by the holder
     slow_connections_cut: int = 0
     unreadable_lines: int = 0
 
     def as_report(self) -> dict[str, int]:
-        """Under the names that operators' tools read."""
+        """The counters under the names that operators' tools read."""
         return {
             "turned away": self.closed_sessions,
             "cut as slow": self.slow_connections_cut,
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -1,7 +1,7 @@
-"""What holders send to a watcher: which of it is believed, and what it changes.
+"""Validation of the messages that holders send to a watcher, and their effect on its cache.
 
-An older epoch is not taken, nor a snapshot older than what the shard's holders sent before. A batch is taken
-once and in sequence; a gap leads to fresh snapshots.
+Snapshots of an older epoch, or older than what the shard's holders sent before, are rejected. Each batch is
+applied once and in sequence; after a gap new snapshots are requested.
 """
 
 from collections.abc import Callable
@@ -31,12 +31,12 @@
 )
 from lapistrestle.wire.messages import Entry
 
-MOST_OUTDATED_SNAPSHOTS = 3  # in a row, before another copy is tried
-OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a holder that is behind is asked again
+MOST_OUTDATED_SNAPSHOTS = 3  # consecutive ones, before another replica is tried
+OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a watch is requested again from a holder that is behind
 
 
 class HolderMessages:
-    """Applies what holders send to the cache, and leaves holders that can't be relied on."""
+    """Applies holders' messages to the cache, and fails over from holders that are behind or refuse."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
     ) -> None:
         """`epoch`: of the assignment."""
         self.settings = settings
-        self.epoch_seen = epoch  # the latest one; snapshots of an older one are not taken
+        self.epoch_seen = epoch  # the highest seen; snapshots of an older epoch are rejected
         self.cache = cache
         self.connections = connections
         self.requests = requests
@@ -74,16 +74,16 @@
             case Refused():
                 self.apply_refusal(connection, message, now)
             case InspectResponse():
-                pass  # only operators ask for one
+                pass  # answers operators only
 
     def record_epoch(self, epoch: int) -> None:
-        """An assignment of this epoch is known to exist."""
+        """Record that an assignment of this epoch exists."""
         self.epoch_seen = max(self.epoch_seen, epoch)
 
     # the sequence of batches
 
     def in_sequence(self, connection: HolderConnection, sequence: int, now: int) -> bool:
-        """Whether a batch follows the last one. A gap has all functions asked for anew."""
+        """Whether a batch follows the last one. After a gap all functions are requested again."""
         if sequence == connection.sequence + 1:
             connection.sequence = sequence
             return True
@@ -93,7 +93,7 @@
         return False
 
     def resync(self, connection: HolderConnection, reason: str, now: int) -> None:
-        """Ask for fresh snapshots of all functions of a connection."""
+        """Request new snapshots of all functions of a connection."""
         self.log(f"shard {connection.shard} asks for all {len(connection.watches)} watches anew: {reason}")
         connection.watches.clear()
         connection.pending_requests.clear()
@@ -102,7 +102,7 @@
             self.requests.send(connection, function, now)
 
     def record_source(self, connection: HolderConnection, revision: Revision, now: int) -> None:
-        """Note the roster's epoch that a holder speaks of; it never goes back to an earlier one."""
+        """Record the roster's epoch in a holder's message; a holder never returns to an earlier epoch."""
         if connection.source is not None and connection.source != revision.source:
             self.cache.revisions.record_superseded([connection.source], revision.source, now)
         connection.source = revision.source
@@ -110,7 +110,7 @@
     # snapshots
 
     def apply_snapshot(self, connection: HolderConnection, snapshot: Snapshot | Unchanged, now: int) -> None:
-        """Take a complete prefix: sent now, or what was cached when the watch was sent."""
+        """Apply the answer to a watch: a snapshot, or that the prefix cached at the request is current."""
         if not self.in_sequence(connection, snapshot.sequence, now):
             return
         pending = self.requests.answered(connection, snapshot.id)
@@ -141,7 +141,7 @@
     def retry_outdated(
         self, connection: HolderConnection, function: CachedFunction, revision: Revision, now: int
     ) -> None:
-        """Ask a holder that is behind another one again soon; leave it if it stays so."""
+        """Retry a holder that is behind after a short delay; fail over if it stays behind."""
         connection.outdated_snapshots += 1
         most = MOST_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
         if connection.outdated_snapshots >= most:
@@ -157,7 +157,7 @@
         snapshot: Snapshot | Unchanged,
         now: int,
     ) -> None:
-        """Note that the holder can be relied on, and that its changes of this watch are taken from now on."""
+        """Record the lease and the revision, and apply changes of this watch from now on."""
         function = pending.function
         shard = self.shard_of(connection)
         connection.outdated_snapshots = 0
@@ -171,7 +171,7 @@
         function.watch = snapshot.id
 
     def store_prefix(self, pending: PendingRequest, snapshot: Snapshot | Unchanged, now: int) -> None:
-        """Put the instances and the prefix into the cache."""
+        """Store the instances and the prefix in the cache."""
         if isinstance(snapshot, Snapshot):
             entries: list[Entry] = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
             complete = snapshot.complete
@@ -187,7 +187,7 @@
     # changes
 
     def apply_update(self, connection: HolderConnection, update: Update, now: int) -> None:
-        """Take a batch of changes. After a gap instances are taken, but no changes of prefixes."""
+        """Apply a batch of changes. After a gap, instances are applied but not changes of prefixes."""
         is_new = update.sequence > connection.sequence
         in_sequence = self.in_sequence(connection, update.sequence, now)
         if not is_new or not connection.has_answered:
@@ -208,7 +208,7 @@
     def apply_prefix_change(
         self, connection: HolderConnection, change: PrefixChange, revision: Revision, now: int
     ) -> None:
-        """Change one watch's prefix; one that the change does not fit is asked for anew."""
+        """Apply a change to one watch's prefix; if it doesn't fit, request a new snapshot."""
         function = connection.watches.get(change.id)
         if function is None:
             return
@@ -226,7 +226,7 @@
     # other answers
 
     def apply_renewal(self, connection: HolderConnection, renewed: Renewed, now: int) -> None:
-        """Take the answer to a renewal; a batch that was lost before it shows by its number."""
+        """Handle the answer to a renewal; its sequence number shows whether a batch was lost."""
         connection.renewed(renewed.sent_at, renewed.lease)
         self.record_source(connection, renewed.revision, now)
         if renewed.sequence != connection.sequence:
@@ -241,7 +241,7 @@
         self.connections.leave_if_stale(connection, renewed.age, now)
 
     def postpone(self, connection: HolderConnection, busy: Busy, now: int) -> None:
-        """Ask a holder again that has more to send than it may; calls that can't wait so long fail."""
+        """Schedule a retry at an overloaded holder; fail the lookup if its deadline is earlier."""
         pending = self.requests.answered(connection, busy.id)
         if pending is None:
             return
@@ -251,7 +251,7 @@
             self.lookups.fail(function.name, busy.retry_after)
 
     def apply_refusal(self, connection: HolderConnection, refused: Refused, now: int) -> None:
-        """Leave a holder that does not serve a watch, or ask again later if it has too many of them."""
+        """Fail over from a holder that does not serve a watch; retry later if it has too many watches."""
         pending = self.requests.answered(connection, refused.id)
         if pending is None:
             return
@@ -267,5 +267,5 @@
         self.connections.fail_over(self.shard_of(connection), reason, now)
 
     def shard_of(self, connection: HolderConnection) -> Shard:
-        """The shard that a connection is for."""
+        """The shard of a connection."""
         return self.connections.shards[connection.shard]
--- a/lapistrestle/directory/holder_settings.py
+++ b/lapistrestle/directory/holder_settings.py
@@ -1,13 +1,13 @@
-"""A holder's settings file, translated to what its decisions keep to."""
+"""Conversion of a holder's settings file to `HolderSettings`."""
 
 from lapistrestle.deployment.schema import HolderDeployment
 from lapistrestle.directory.effects import HolderSettings
 
-BURSTS_A_SECOND = 4  # a quarter of a second's snapshots may be sent at once
+BURSTS_A_SECOND = 4  # the burst is a quarter of a second's snapshots
 
 
 def holder_settings(made: HolderDeployment) -> HolderSettings:
-    """The settings of a `ShardHolder`, from the file of a holder."""
+    """The settings of a `ShardHolder`, from a holder's settings file."""
     directory = made.directory
     serve = made.serve
     workers = made.workers
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -1,4 +1,4 @@
-"""All instances of a region as the roster tells them: entries, times of start, and sums over them."""
+"""All instances of a region as received from the roster: entries, start times and sums."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -13,26 +13,26 @@
 
 
 class ChangeKind(Enum):
-    """What an entry of a list says of an instance."""
+    """How an entry differs from the instance known so far."""
 
     NEW = auto()
-    URGENT = auto()  # it drains, was restarted or has another address
+    URGENT = auto()  # drains, restarted, or has another address
     CHANGED = auto()
     SAME = auto()
 
 
 @dataclass(eq=False, slots=True)
 class RegionInstance:
-    """One instance. `entry` has no `up_for`: that is counted from `booted`, on the holder's clock."""
+    """One instance. `entry` has no `up_for`: it is computed from `booted`, on the holder's clock."""
 
     entry: WireInstance
     booted: int | None
-    urgent_at: int = -(10**15)  # when a change of it was urgent last
+    urgent_at: int = -(10**15)  # when its last urgent change is sent, at the earliest
     dated_at: int = -1
     dated: WireInstance | None = None
 
     def entry_at(self, now: int) -> WireInstance:
-        """The entry as it is sent at this moment."""
+        """The entry as sent now, with `up_for`."""
         if self.booted is None:
             return self.entry
         if self.dated is None or self.dated_at != now:
@@ -47,19 +47,19 @@
 
 @dataclass(slots=True)
 class Changes:
-    """What a list or a change came to, by name."""
+    """Names of the instances that a list or a change affected, by kind."""
 
-    entered: list[str] = field(default_factory=list)  # new on the ring, or with further points
+    entered: list[str] = field(default_factory=list)  # new, or of another size: points on the ring changed
     left: list[str] = field(default_factory=list)
-    urgent: list[str] = field(default_factory=list)  # drain, restarted, or moved to another address
+    urgent: list[str] = field(default_factory=list)  # drain, restarted, or have another address
     other: list[str] = field(default_factory=list)
 
 
 class RegionCapacity:
-    """Sums of size and warmth, kept up with each change.
+    """Sums over the serving instances: count, size, and size weighted by slow start.
 
-    Young instances are kept by the second of their start, so that their warmth costs as many steps as the
-    ramp has seconds.
+    Instances in slow start are grouped by the second of their start, so that computing the warm size takes as
+    many steps as the ramp has seconds.
     """
 
     def __init__(self, ramp_time: int, cold_share: float) -> None:
@@ -67,10 +67,10 @@
         self.cold_share = cold_share
         self.serving = 0
         self.size = 0.0
-        self.by_second = dict[int, float]()  # sizes by second of start, as far back as the ramp reaches
+        self.by_second = dict[int, float]()  # sum of sizes by second of start, within the ramp
 
     def count(self, instance: RegionInstance, sign: int) -> None:
-        """Add an instance that serves, or take it out again."""
+        """Add (`sign` 1) or subtract (-1) an instance, if it serves."""
         if instance.entry.listing != "serving":
             return
         self.serving += sign
@@ -80,7 +80,7 @@
             self.by_second[second] = self.by_second.get(second, 0.0) + sign * instance.entry.size
 
     def warm(self, now: int) -> float:
-        """The size of instances that serve, each times its warmth by now."""
+        """The sum of the sizes of serving instances, each times its current fraction of capacity."""
         missing = 0.0
         for second in [s for s in self.by_second if now - s * SECOND >= self.ramp_time + SECOND]:
             del self.by_second[second]
@@ -91,7 +91,7 @@
 
 
 class RegionInstances:
-    """The region's instances, and the ring of them."""
+    """The region's instances and their hash ring."""
 
     def __init__(self, ramp_time: int = 0, cold_share: float = 1.0) -> None:
         self.ring = InstanceRing()
@@ -99,17 +99,17 @@
         self.capacity = RegionCapacity(ramp_time, cold_share)
 
     def serves(self, name: str) -> bool:
-        """Whether an instance that is known serves, and does not drain."""
+        """Whether a known instance serves and does not drain."""
         return self.known[name].entry.listing == "serving"
 
     def sums(self, now: int) -> RegionSums:
-        """Sums over all instances, as they are sent to watchers."""
+        """Sums over all instances, as sent to watchers."""
         capacity = self.capacity
         size, warm = round(capacity.size, 3), round(capacity.warm(now), 3)
         return RegionSums(size, warm, capacity.serving, len(self.known))
 
     def apply(self, entries: Iterable[Entry], complete: bool, now: int) -> Changes:
-        """Take a list, or a change of some."""
+        """Apply a complete list or a change. After a complete list, instances not in it are removed."""
         changes = Changes()
         named = set[str]()
         for entry in entries:
@@ -121,7 +121,7 @@
         return changes
 
     def take(self, entry: Entry, now: int, changes: Changes) -> None:
-        """Take one entry of a list, and note in `changes` what it came to."""
+        """Apply one entry, and record the result in `changes`."""
         known = self.known.get(entry.name)
         if entry.listing == "gone":
             if known is not None:
@@ -147,7 +147,7 @@
             (changes.urgent if change_kind is ChangeKind.URGENT else changes.other).append(entry.name)
 
     def change_kind(self, known: RegionInstance | None, entry: Entry) -> ChangeKind:
-        """What an entry says of an instance that is (not) known so far."""
+        """How an entry differs from the instance known so far, if any."""
         if known is None:
             return ChangeKind.NEW
         old = known.entry
@@ -166,5 +166,5 @@
 
 
 def booted_at(entry: Entry, now: int) -> int | None:
-    """When it started, on the clock of `now`; `None`: not known."""
+    """When the instance started, on the clock of `now`; `None` if unknown."""
     return None if entry.up_for is None else now - int(entry.up_for * MILLISECOND)
--- a/lapistrestle/directory/leases.py
+++ b/lapistrestle/directory/leases.py
@@ -1,7 +1,7 @@
-"""Leases on watches: renewal of one connection's lease, and when it counts as lost.
+"""Leases on watches: renewal, and detection of a lost connection.
 
-A lease (Gray, Cheriton 1989) counts from the moment before its request was sent, so that the watcher stops
-relying on its watches before the holder forgets them.
+A lease (Gray, Cheriton 1989) starts when its request is sent, so that it expires at the watcher before the
+holder removes the watches.
 """
 
 from collections.abc import Callable
@@ -13,20 +13,20 @@
 
 
 class LeaseRenewal:
-    """Renews the leases of connections, one request for all watches of a connection."""
+    """Renews leases, with one request for all watches of a connection."""
 
     def __init__(self, settings: WatcherSettings, emit: Callable[[WatcherEffect], None]) -> None:
         self.settings = settings
         self.emit = emit
 
     def renew(self, connection: HolderConnection, now: int) -> None:
-        """Send a renewal, and plan the next one."""
+        """Send a renewal, and schedule the next one."""
         connection.renewals.append(now)
         connection.renew_at = now + self.settings.heartbeat
         self.emit(Send(connection.number, Renew(now)))
 
     def loss(self, connection: HolderConnection, now: int) -> str:
-        """Why the holder can't be relied on any more: no lease, or silence. Empty: it can be."""
+        """Why the connection counts as lost: the lease expired, or no answer came. Empty: it does not."""
         if now >= connection.lease_until:
             return "the lease is over"
         silent = now - connection.silent_since()
@@ -35,6 +35,6 @@
         return ""
 
     def next_due(self, connection: HolderConnection) -> int:
-        """When a renewal is to be sent, or the connection counts as lost, whichever is earlier."""
+        """When the next renewal is due or the connection counts as lost, whichever is earlier."""
         silence = connection.silent_since() + self.settings.silence
         return min(connection.renew_at, connection.lease_until, silence)
--- a/lapistrestle/directory/message_sizes.py
+++ b/lapistrestle/directory/message_sizes.py
@@ -1,10 +1,10 @@
-"""About how long encoded messages are, without encoding them."""
+"""Estimates of the length of encoded messages, without encoding them."""
 
 from collections.abc import Iterable
 
 from lapistrestle.wire.directory import Instance, Snapshot, Update
 
-# bytes of JSON around the names themselves
+# bytes of JSON in addition to the names
 LINE_BYTES = 110
 ENTRY_BYTES = 40
 CHANGE_BYTES = 45
@@ -13,7 +13,7 @@
 
 
 def entries_bytes(entries: Iterable[Instance]) -> int:
-    """Bytes of a list of instances on the wire, estimated."""
+    """Estimated bytes of a list of instances on the wire."""
     size = 0
     for entry in entries:
         size += ENTRY_BYTES + len(entry.name) + len(entry.zone) + len(entry.kind) + len(entry.start)
@@ -21,7 +21,7 @@
 
 
 def line_bytes(message: Snapshot | Update) -> int:
-    """Bytes of a line on the wire, estimated."""
+    """Estimated bytes of a message on the wire."""
     size = LINE_BYTES + entries_bytes(message.entries)
     if isinstance(message, Update):
         size += sum(len(name) + QUOTES_BYTES for name in message.gone)
--- a/lapistrestle/directory/prefix_cache.py
+++ b/lapistrestle/directory/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The functions that a dispatcher calls, with their prefixes, and the instances in these prefixes."""
+"""Cache of the functions that a dispatcher calls, their prefixes, and the instances in these."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class PrefixCache:
-    """What is known of functions and instances, and what of it the edge has been notified of."""
+    """Cached functions and instances, and the notifications of the edge about them."""
 
     def __init__(self, most_retired: int, lookups: Lookups, emit: Callable[[WatcherEffect], None]) -> None:
         """`most_retired`: instances remembered after they left all prefixes."""
@@ -26,17 +26,17 @@
         self.emit = emit
         self.revisions = Revisions()
         self.instances = CachedInstances(self.revisions, most_retired)
-        self.functions = OrderedDict[str, CachedFunction]()  # the one used longest ago first
+        self.functions = OrderedDict[str, CachedFunction]()  # least recently used first
 
     def record_use(self, function: CachedFunction, now: int) -> None:
-        """A call uses this function: it is the last one to be removed as unused."""
+        """Record that a call uses this function, which makes it the most recently used one."""
         self.functions.move_to_end(function.name)
         function.used_at = now
 
     def replace_prefix(
         self, function: CachedFunction, names: tuple[str, ...], complete: bool, revision: Revision, now: int
     ) -> None:
-        """Set a function's prefix as a holder has sent it at this revision."""
+        """Set a function's prefix to the one that a holder sent at this revision."""
         before = function.names
         function.names = names
         function.complete = complete
@@ -45,12 +45,12 @@
         self.instances.event.functions[function.name] = None
 
     def remove(self, function: CachedFunction, now: int) -> None:
-        """Forget a function and its prefix. The edge hears of instances that no prefix has any more."""
+        """Remove a function's prefix; instances that are in no other prefix are retired."""
         self.instances.replace_prefix(function.name, function.names, (), Revision(), now)
         self.instances.retire(function.names)
 
     def publish(self) -> None:
-        """Notify the edge of what has changed: instances ahead of the prefixes that name them."""
+        """Notify the edge of changes, of instances before the prefixes that contain them."""
         event = self.instances.take_event()
         if event.changed:
             self.emit(InstancesChanged(tuple(event.changed.values())))
@@ -64,7 +64,7 @@
             self.emit(InstancesForgotten(tuple(event.forgotten)))
 
     def publish_prefix(self, function: CachedFunction) -> None:
-        """Notify the edge of a prefix, if a look-up waits for it or it differs from what the edge has."""
+        """Notify the edge of a prefix, if a lookup waits for it or it differs from the last one sent."""
         names = self.instances.usable(function.names)
         waited = self.lookups.finish(function)
         if not waited and (names, function.complete) == (function.published, function.published_complete):
--- a/lapistrestle/directory/prefixes.py
+++ b/lapistrestle/directory/prefixes.py
@@ -1,4 +1,4 @@
-"""Prefixes of an order, and how one becomes another."""
+"""Prefixes of a function's order, and differences between them."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prefix:
-    """The beginning of a function's order: names in order, and whether there are no further ones."""
+    """The first instances of a function's order; `complete`: there are no further ones."""
 
     names: tuple[str, ...] = ()
     complete: bool = False
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """What turns one prefix into another: some names leave, then others enter, by rising position."""
+    """A change from one prefix to another: names are removed, then others inserted by rising position."""
 
     removed: tuple[str, ...]
     inserted: tuple[tuple[int, str], ...]
 
     @property
     def size(self) -> int:
-        """Names that leave or enter."""
+        """Number of names removed or inserted."""
         return len(self.removed) + len(self.inserted)
 
 
 class RevisionGapError(Exception):
-    """A change doesn't fit the prefix that it is for: an earlier one was lost.
+    """A change doesn't fit the prefix that it is for: an earlier change was lost.
 
-    `expected` and `found`: names, or the position, by what of the change `problem` is about.
+    `expected` and `found` are numbers of names, or a length and a position, as `problem` says.
     """
 
     def __init__(self, problem: str, expected: int, found: int) -> None:
@@ -40,10 +40,10 @@
 
 
 def difference(before: Sequence[str], after: Sequence[str]) -> Difference:
-    """From one order of names to another; a name that moves leaves and enters again."""
+    """The difference between two orders of names; a name that moves is removed and inserted again."""
     wanted = set(after)
     remaining = [name for name in before if name in wanted]
-    unplaced = set(remaining)  # of `remaining`: those not met yet, and not moved
+    unplaced = set(remaining)  # of `remaining`: those not reached yet, and not moved
     removed = [name for name in before if name not in wanted]
     inserted = list[tuple[int, str]]()
     at = 0
@@ -70,26 +70,26 @@
 
 
 def change_message(watch: int, change: Difference, after: Prefix) -> PrefixChange:
-    """The wire message of one watch's change."""
+    """The wire message for a change of one watch's prefix."""
     inserted = [PlacedInstance(position, name) for position, name in change.inserted]
     return PrefixChange(watch, len(after.names), list(change.removed), inserted, after.complete)
 
 
 def apply_change(names: Sequence[str], change: PrefixChange) -> tuple[str, ...]:
-    """The names after a change. Raises `RevisionGapError` where the result can't be the sender's."""
+    """The names after a change. Raises `RevisionGapError` if the result can't be the sender's prefix."""
     removed = set(change.removed)
     after = [name for name in names if name not in removed]
     left = len(names) - len(after)
     if left != len(removed):
-        problem = f"{len(removed)} were to leave {len(names)}, {left} did"
+        problem = f"{len(removed)} of {len(names)} names should be removed, {left} were"
         raise RevisionGapError(problem, len(removed), left)
     for placed in change.inserted:
         if placed.position > len(after):
-            problem = f"position {placed.position} is past the {len(after)} that there are"
+            problem = f"position {placed.position} is beyond the {len(after)} names of the prefix"
             raise RevisionGapError(problem, len(after), placed.position)
         after.insert(placed.position, placed.name)
     different = len(set(after))
     if len(after) != change.length or different != len(after):
-        problem = f"{len(after)} names, {different} different, where {change.length} should be"
+        problem = f"{len(after)} names, {different} of them distinct, instead of {change.length}"
         raise RevisionGapError(problem, change.length, different)
     return tuple(after)
--- a/lapistrestle/directory/region_estimate.py
+++ b/lapistrestle/directory/region_estimate.py
@@ -1,6 +1,6 @@
-"""Sums over all instances of a region, as a dispatcher that knows a part of them estimates them by now.
+"""Estimate of the sums over all instances of a region, at a dispatcher that knows only some of them.
 
-Times are whole tenths of a millisecond on the dispatcher's clock.
+Times are whole ticks of 0.1 ms on the dispatcher's clock.
 """
 
 from collections.abc import Callable
@@ -10,39 +10,39 @@
 
 
 class RegionEstimate:
-    """Sums over all instances of the region, for the module, whose list is a part of them (fact `region`)."""
+    """Sums over the region for the decision module, whose endpoint list has only a part of the instances."""
 
     def __init__(self, clock: Callable[[], int], cold_share: float, ramp_time: int) -> None:
-        """`cold_share` and `ramp_time`: how the capacity of an instance grows after its start."""
+        """`cold_share` and `ramp_time` describe slow start, as in `HolderSettings`."""
         self.clock = clock
         self.cold_share = cold_share
         self.ramp_time = ramp_time
         self.sums: RegionSums | None = None
-        self.since = 0  # when the sums were true at the latest
+        self.since = 0  # the latest time at which the sums were correct
 
     def update(self, sums: RegionSums, since: int) -> None:
-        """Take a holder's sums, true `since` then. One that has only just started knows of none."""
+        """Take a holder's sums, as of `since`. A holder that has just started has no instances: ignored."""
         if sums.serving:
             self.sums = sums
             self.since = since
 
     @property
     def size(self) -> float:
-        """Of all that serve; 0 until it is known."""
+        """Total size of all serving instances; 0 until it is known."""
         return self.sums.size if self.sums is not None else 0.0
 
     @property
     def count(self) -> int:
-        """Instances, those that drain among them; 0 until it is known."""
+        """Number of instances, draining ones included; 0 until it is known."""
         return self.sums.instances if self.sums is not None else 0
 
     @property
     def warm_size(self) -> float:
-        """By now at most, of all that serve, each times its warmth; infinite until it is known.
+        """Upper bound of the total size, each instance weighted by slow start; infinite until it is known.
 
-        A cold instance is allowed what warm ones answer for each unit of this size, so a sum that is too
-        small would let all dispatchers together send it too much. Since the sum was asked for each instance
-        has warmed up by so much at most, and none beyond its size.
+        A cold instance is sent in proportion to what warm ones answer per unit of this size, so an estimate
+        that is too small would let all dispatchers together overload it. The sum is therefore extrapolated
+        from `since` as if every instance were still in slow start, up to the total size.
         """
         if self.sums is None:
             return inf
--- a/lapistrestle/directory/revisions.py
+++ b/lapistrestle/directory/revisions.py
@@ -1,53 +1,53 @@
-"""Which of two revisions is the newer, as far as a watcher can tell."""
+"""The order of revisions, as far as a watcher can tell."""
 
 from collections.abc import Sequence
 
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 
-MOST_SOURCES = 64  # that are remembered, the latest
-REVERSAL = 15 * SECOND  # longer than a holder takes to notice that its roster is gone
+MOST_SOURCES = 64  # the latest ones; older ones are forgotten
+REVERSAL = 15 * SECOND  # longer than a holder takes to detect that its roster is gone
 
 
 class Revisions:
-    """Sources in the order in which they superseded one another, as far as holders have reported.
+    """Sources (epochs of the roster) in the order in which they superseded one another.
 
-    Revisions of one source are ordered by their number. A source that is new to this watcher is taken for
-    newer than all before it: the roster began anew. One that was superseded stays so, but where the order was
-    learnt the wrong way round, from a holder that was behind. That shows when a holder tells which sources
-    it saw end, or goes over from one to another (it never goes back); or when nobody has spoken of the
-    present source for so long that a holder which says that it hears its roster must be right.
+    Revisions of one source are ordered by their number. A source that is new to this watcher counts as newer
+    than all others: the roster was restarted. The order may have been learned wrongly from a holder that was
+    behind; it is corrected when a holder reports which sources it saw superseded or changes from one source
+    to another (holders never go back), or when no holder has reported the current source for `REVERSAL`, so
+    that a holder connected to its roster must be right.
     """
 
     def __init__(self) -> None:
-        self.order = list[str]()  # the last one is the present one
-        self.last_heard_at = dict[str, int]()  # when a holder last spoke of each
+        self.order = list[str]()  # oldest first; the last one is current
+        self.last_heard_at = dict[str, int]()  # when a holder last reported each source
 
     def is_older(self, one: Revision, other: Revision) -> bool:
-        """Whether `one` is older than `other`, which this watcher has seen."""
+        """Whether `one` is older than `other`, whose source this watcher has seen."""
         if one.source == other.source:
             return one.number < other.number
         return self.rank(one.source) < self.rank(other.source)
 
     def rank(self, source: str) -> int:
-        """The higher, the newer. What was never seen here is taken for new."""
+        """Position in the order: the higher, the newer. An unseen source counts as the newest."""
         return self.order.index(source) if source in self.last_heard_at else len(self.order)
 
     def record_seen(self, source: str, now: int) -> None:
-        """Word of this source was taken."""
+        """Record that a message with this source was accepted."""
         if source not in self.last_heard_at:
             self.insert(source, len(self.order), now)
         self.last_heard_at[source] = max(now, self.last_heard_at[source])
 
     def insert(self, source: str, at: int, now: int) -> None:
-        """Enter a source that was not met before, at this place of the order."""
+        """Insert a source not seen before at this position of the order."""
         self.order.insert(at, source)
         self.last_heard_at[source] = now
         while len(self.order) > MOST_SOURCES:
             del self.last_heard_at[self.order.pop(0)]
 
     def record_superseded(self, sources: Sequence[str], by: str, now: int) -> None:
-        """A holder saw these end, one after the other, before the one that it speaks of now."""
+        """Record that a holder saw `sources` superseded in this order, the last one by `by`."""
         later = by
         for source in reversed(sources):
             if source not in self.last_heard_at:
@@ -59,16 +59,16 @@
             later = source
 
     def after_known(self, sources: Sequence[str], source: str) -> int:
-        """Behind the last of the sources ahead of this one that is known here; first, if none is."""
+        """The position after the last known one of the sources that precede `source`; 0 if none is known."""
         earlier = sources[: sources.index(source)]
         ahead = [self.rank(known) for known in earlier if known in self.last_heard_at]
         return max(ahead, default=-1) + 1
 
     def is_acceptable(self, source: str, age: int, now: int) -> bool:
-        """Whether knowledge of this source may be taken from a holder that this watcher has just met.
+        """Whether a snapshot with this source may be accepted.
 
-        `age` is 0 where the holder hears its roster. Where it doesn't, a source not heard of here may well be
-        an old one.
+        `age` is 0 if the holder is connected to its roster. Otherwise a source that is unknown here may be an
+        old one.
         """
         if not self.order or source == self.order[-1]:
             return True
--- a/lapistrestle/directory/ring_positions.py
+++ b/lapistrestle/directory/ring_positions.py
@@ -1,9 +1,8 @@
-"""A sorted table of positions on a ring of 64 bits, each with an owner.
+"""A sorted table of positions on a 64-bit ring, each with an owner.
 
-Positions are hashes, so they lie evenly: the ring is divided into equal stretches, a bucket each, and a
-bucket stays short. Looking one up costs the search of a bucket, adding one the shift of a bucket's few
-entries. The number of buckets follows the number of positions; dividing all of them costs one pass, once a
-doubling.
+Positions are hashes and therefore evenly distributed: the ring is divided into equal ranges, one bucket each,
+and buckets stay short. A lookup searches one bucket, an insertion shifts the entries of one. The number of
+buckets follows the number of positions; splitting all buckets takes one pass for each doubling.
 """
 
 from array import array
@@ -13,12 +12,12 @@
 RING_BITS = 64
 RING = 1 << RING_BITS
 LEAST_BUCKET_BITS = 4
-FULLEST = 64  # positions a bucket on the average; beyond it each is divided
-EMPTIEST = 8  # below it neighbours are merged
+FULLEST = 64  # mean positions per bucket above which all buckets are split
+EMPTIEST = 8  # mean below which neighbouring buckets are merged
 
 
 class Bucket:
-    """The positions of one stretch, rising, those alike by owner."""
+    """The positions of one range in rising order, equal ones by owner."""
 
     __slots__ = ("owners", "positions")
 
@@ -27,41 +26,41 @@
         self.owners: list[str] = [] if owners is None else owners
 
     def place(self, position: int, owner: str) -> int:
-        """Where this pair is, or would be."""
+        """The index of this pair, or the one to insert it at."""
         i = bisect_left(self.positions, position)
         while i < len(self.owners) and self.positions[i] == position and self.owners[i] < owner:
             i += 1
         return i
 
     def divided(self, at: int) -> tuple["Bucket", "Bucket"]:
-        """The pairs below a position, and those from it on."""
+        """Two buckets: the pairs below position `at`, and those from it on."""
         i = bisect_left(self.positions, at)
         low = Bucket(self.positions[:i], self.owners[:i])
         return low, Bucket(self.positions[i:], self.owners[i:])
 
     def merged(self, other: "Bucket") -> "Bucket":
-        """The pairs of this bucket and of the one after it."""
+        """The pairs of this bucket followed by those of its successor."""
         return Bucket(self.positions + other.positions, self.owners + other.owners)
 
 
 class RingPositions:
-    """Positions and their owners, in the order of the ring. The same pair may be held once only."""
+    """A set of pairs of position and owner, in the order of the ring."""
 
     def __init__(self) -> None:
         self.bits = LEAST_BUCKET_BITS
         self.buckets = [Bucket() for _ in range(1 << self.bits)]
         self.count = 0
-        self.steps = 0  # entries and empty buckets looked at since the start, for tests of the cost
+        self.steps = 0  # entries and empty buckets visited since the start, for tests of the cost
 
     def __len__(self) -> int:
         return self.count
 
     def bucket_of(self, position: int) -> Bucket:
-        """The bucket of the stretch that a position is in."""
+        """The bucket whose range contains a position."""
         return self.buckets[position >> (RING_BITS - self.bits)]
 
     def add(self, position: int, owner: str) -> None:
-        """Hold a pair; one that is held already does no harm."""
+        """Add a pair; one that is there already is ignored."""
         bucket = self.bucket_of(position)
         i = bucket.place(position, owner)
         if i < len(bucket.owners) and bucket.positions[i] == position and bucket.owners[i] == owner:
@@ -73,7 +72,7 @@
             self.divide()
 
     def discard(self, position: int, owner: str) -> None:
-        """Hold a pair no more."""
+        """Remove a pair; a missing one is ignored."""
         bucket = self.bucket_of(position)
         i = bucket.place(position, owner)
         if i >= len(bucket.owners) or bucket.positions[i] != position or bucket.owners[i] != owner:
@@ -84,7 +83,7 @@
             self.merge()
 
     def divide(self) -> None:
-        """Double the number of buckets."""
+        """Split each bucket in two."""
         self.bits += 1
         width = 1 << (RING_BITS - self.bits)
         old = self.buckets
@@ -93,13 +92,13 @@
             self.buckets.extend(bucket.divided((2 * i + 1) * width))
 
     def merge(self) -> None:
-        """Halve the number of buckets."""
+        """Merge each two neighbouring buckets."""
         self.bits -= 1
         low, high = self.buckets[::2], self.buckets[1::2]
         self.buckets = [one.merged(other) for one, other in zip(low, high, strict=True)]
 
     def clockwise(self, position: int) -> Iterator[tuple[int, str]]:
-        """All pairs from this position on, once around the ring."""
+        """All pairs from this position on, clockwise, once around the ring."""
         first = position >> (RING_BITS - self.bits)
         start = bisect_left(self.buckets[first].positions, position)
         yield from self.part(first, start, None)
@@ -108,7 +107,7 @@
         yield from self.part(first, 0, start)
 
     def part(self, number: int, start: int, end: int | None) -> Iterator[tuple[int, str]]:
-        """The pairs of one bucket, from one index up to another."""
+        """The pairs of one bucket with index in [`start`, `end`)."""
         bucket = self.buckets[number]
         self.steps += 1
         for i in range(start, len(bucket.owners) if end is None else end):
@@ -116,7 +115,7 @@
             yield bucket.positions[i], bucket.owners[i]
 
     def before(self, position: int, owner: str) -> int:
-        """The position of the pair ahead of this one, which is held; its own where there is no other."""
+        """The position of the pair before this one, which must be there; its own if there is no other."""
         number = position >> (RING_BITS - self.bits)
         i = self.buckets[number].place(position, owner)
         while i == 0:
@@ -126,7 +125,7 @@
         return self.buckets[number].positions[i - 1]
 
     def owners_within(self, first: int, last: int) -> Iterator[str]:
-        """Owners of the positions from `first` to `last`, both included; over the ring's end if need be."""
+        """Owners of the positions from `first` to `last`, both included; the range may wrap around."""
         length = (last - first) % RING
         for position, owner in self.clockwise(first):
             if (position - first) % RING > length:
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -1,8 +1,8 @@
-"""How sure a holder may be that what it knows of the region is what the roster knows now.
+"""Whether a holder's copy of the roster's list is current.
 
-A holder that has stood still can't tell what it missed, so it answers no look-up and renews no lease until
-the roster has answered a request that was sent afterwards. A roster that has been silent for long is asked,
-too, since a connection that was cut looks like one on which nothing happens.
+A holder whose process has stalled can't tell what it missed, so it answers no lookup and renews no lease
+until the roster has answered a request that was sent after the stall. A roster that has been silent for too
+long is sent a request, too, since a broken connection can't be distinguished from one without traffic.
 """
 
 from collections.abc import Callable
@@ -13,16 +13,16 @@
 
 
 class FreshnessState(Enum):
-    """How sure the holder may be; the values are those of reports to operators and of the log."""
+    """Whether the holder's list is current; the values appear in reports to operators and in the log."""
 
-    EMPTY = "blank"  # no list has come yet
+    EMPTY = "blank"  # no list received yet
     FRESH = "fresh"
-    DISCONNECTED = "cut"  # from the roster: what is known may be old
-    CATCHING_UP = "catching_up"  # after a standstill, until the roster has answered
+    DISCONNECTED = "cut"  # from the roster: the list may be outdated
+    CATCHING_UP = "catching_up"  # after a stall, until the roster has answered
 
 
 class FreshnessEvent(Enum):
-    """What changes the state; the values are those of the log."""
+    """An event that may change the state; the values appear in the log."""
 
     CURRENT_LIST = "current list"
     ROSTER_LOST = "roster lost"
@@ -44,12 +44,12 @@
     (FreshnessState.CATCHING_UP, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
 }
 
-TICKS_PER_ENTRY_READ = 0.05  # tenths of a millisecond that the program may need to read each entry of a list
-TICKS_PER_NEW_INSTANCE = 1.0  # and to enter each new instance
+TICKS_PER_ENTRY_READ = 0.05  # allowance for decoding each entry of a list
+TICKS_PER_NEW_INSTANCE = 1.0  # allowance for adding each new instance
 
 
 class RosterFreshness:
-    """The state, the requests that the roster has not answered, and what follows for watchers."""
+    """The state, and the requests that the roster has not answered yet. Times are ticks of 0.1 ms."""
 
     def __init__(
         self,
@@ -63,24 +63,24 @@
         self.log = log
         self.state = FreshnessState.EMPTY
         self.last_call_at = now
-        self.extra_allowance = 0  # further time until the next call, for work that a call has made
-        self.last_heard_at = now  # when the last list or change came
-        self.outdated_since = now  # from when on it may be old
-        self.is_connected = False  # to the roster, as far as is known
-        self.open_requests = 0  # requests without answer; a list answers one
+        self.extra_allowance = 0  # added to the stall threshold for the work of the last call
+        self.last_heard_at = now  # when the last list or change was received
+        self.outdated_since = now  # since when the list may be outdated
+        self.is_connected = False  # to the roster, as far as known
+        self.open_requests = 0  # unanswered requests; each complete list answers one
         self.requested_at = now
 
     @property
     def may_answer(self) -> bool:
-        """Whether look-ups may be answered and leases renewed."""
+        """Whether lookups may be answered and leases renewed."""
         return self.state is FreshnessState.FRESH or self.state is FreshnessState.DISCONNECTED
 
     def age(self, now: int) -> int:
-        """Ticks for which the holder has not been sure to hear its roster; 0 while it hears it."""
+        """Ticks since the list was last known to be current; 0 while it is."""
         return 0 if self.state is FreshnessState.FRESH else max(0, now - self.outdated_since)
 
     def transition(self, event: FreshnessEvent, now: int, outdated_since: int) -> None:
-        """Note an event; if freshness ends with it, what is known may be old from `outdated_since` on."""
+        """Handle an event; if the list ceases to be current, `outdated_since` says since when."""
         before = self.state
         self.state = TRANSITIONS[before, event]
         if self.state is not before:
@@ -92,7 +92,7 @@
             )
 
     def record_call(self, now: int, entries: int = 0) -> None:
-        """The program calls, with so many entries: it comes late if it stood still."""
+        """Detect a stall of the process by a late call; `entries` is the length of the list received."""
         extra_allowance = (
             self.settings.standstill + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
         )
@@ -109,13 +109,13 @@
         self.request_from_roster()
 
     def snapshot_requested(self, now: int) -> None:
-        """One more complete list is to come."""
+        """Record that a complete list was requested from the roster."""
         self.is_connected = True
         self.open_requests = self.open_requests + 1
         self.requested_at = now
 
     def list_applied(self, complete: bool, entries: int, entered: int, now: int) -> None:
-        """A list or a change was taken."""
+        """Record that a list or a change was applied; `entered`: new instances in it."""
         self.last_heard_at = now
         self.is_connected = True
         self.extra_allowance = int(entries * TICKS_PER_ENTRY_READ + entered * TICKS_PER_NEW_INSTANCE)
@@ -125,7 +125,7 @@
                 self.transition(FreshnessEvent.CURRENT_LIST, now, now)
 
     def snapshot_discarded(self, now: int) -> None:
-        """A complete list was not taken: one request is answered by it, and the last one is sent again."""
+        """Record that a complete list was discarded; if it answered the last open request, send a new one."""
         if not self.open_requests:
             return
         self.open_requests -= 1
@@ -133,13 +133,13 @@
             self.request_snapshot(now)
 
     def roster_lost(self, now: int) -> None:
-        """The connection to the roster is over, and every question on it."""
+        """Handle the end of the connection to the roster, and of all requests on it."""
         self.open_requests = 0
         self.is_connected = False
         self.transition(FreshnessEvent.ROSTER_LOST, now, now)
 
     def tick(self, now: int) -> None:
-        """Notice a roster that is silent or does not answer."""
+        """Detect a roster that is silent or does not answer."""
         if self.state is not FreshnessState.FRESH:
             return
         if self.open_requests:
@@ -149,8 +149,8 @@
             self.request_snapshot(now)
 
     def next_due(self) -> int:
-        """When to be called at the latest, so that a late call means a standstill, and a silent roster is
-        noticed however often others call.
+        """The latest time of the next call: early enough that a late one means a stall, and no later than
+        the time-outs of the roster.
         """
         due = self.last_call_at + self.settings.standstill // 3
         if self.state is not FreshnessState.FRESH:
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -1,6 +1,6 @@
-"""A holder's subscription to the roster: its numbered lists, handed on to the holder's decisions.
+"""A holder's subscription to the roster: passes lists and changes on to its `ShardHolder`.
 
-Times are ticks of a tenth of a millisecond on the program's clock.
+Times are ticks of 0.1 ms on the process's clock.
 """
 
 from collections.abc import Callable
@@ -15,22 +15,22 @@
 from lapistrestle.wire.messages import Change, Entry, Hello, Whole
 
 DIAL_TIME_OUT = 2_500  # ticks for the connection to the roster and its greeting
-LONGEST_LINE = 134_217_728  # bytes: a complete list of 380,000 instances is 50 MB
+LONGEST_LINE = 134_217_728  # bytes; a complete list of 380,000 instances takes 50 MB
 
 
 class RosterInstances(NumberedList):
-    """The roster's list by its numbers; the entries themselves are kept by the decisions."""
+    """Tracks the numbers of the roster's lists; the entries themselves are stored by `ShardHolder`."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
         super().__init__(log)
         self.names = set[str]()
 
     def size(self) -> int:
-        """Instances that are known now."""
+        """Number of instances known now."""
         return len(self.names)
 
     def record(self, entries: list[Entry], complete: bool) -> None:
-        """Note who is there, after a list or change was accepted. `complete`: whom it omits is gone."""
+        """Update the names after a list or change was accepted. `complete`: names not in it are gone."""
         if complete:
             if not entries and self.names:
                 self.log(f"list empty at {self.number}: all {len(self.names)} count as gone")
@@ -43,7 +43,7 @@
 
 
 class RosterSubscription:
-    """Follows the roster for a holder: what a `RosterSource` asks of a `RosterFollower`."""
+    """Subscribes a holder to the roster; implements `RosterFollower`."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         passed_over: Callable[[str, str], None],
         log: Callable[[str], None],
     ) -> None:
-        """`act` carries out what the holder decided; `passed_over` counts lines that can't be read."""
+        """`act` performs the holder's effects; `passed_over` counts lines that can't be decoded."""
         self.reactor = reactor
         self.name = name
         self.holder = holder
@@ -75,25 +75,25 @@
         self.source.start()
 
     def stop(self) -> None:
-        """Leave the roster; the end of the connection is no loss then."""
+        """Close the connection; its end does not count as a loss of the roster."""
         self.stopped = True
         self.source.stop()
 
     def request_snapshot(self) -> None:
-        """Ask the roster for the complete list."""
+        """Request the complete list from the roster."""
         self.source.ask()
 
-    # what a `RosterSource` asks of whoever follows the roster
+    # RosterFollower
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Any:
-        """Have a function called after so many ticks; the reactor's handle of it."""
+        """Call a function after `delay` ticks. Returns the reactor's handle."""
         return self.reactor.callLater(delay / SECOND, call, arg)
 
     def input(self) -> None:
-        """Something has come from the roster; the holder notes its calls itself."""
+        """Data was received from the roster; the holder detects stalls at its own calls."""
 
     def list_received(self, message: Whole | Change) -> ListAction:
-        """A list or change has come: what is done with it."""
+        """Handle a list or change. Returns what is to be done with it."""
         do = self.list.accept(message)
         complete = isinstance(message, Whole)
         now = self.clock()
@@ -109,12 +109,12 @@
         return do
 
     def list_followed(self) -> None:
-        """The connection to the roster stands, and the complete list was asked for."""
+        """The connection is established, and the complete list was requested."""
         self.holder.snapshot_requested(self.clock())
         self.act()
 
     def list_event(self, news: ListEvent) -> None:
-        """The connection is lost, or the roster can't answer."""
+        """Handle a lost connection, or a roster that can't answer."""
         if self.stopped:
             return
         if self.list.step(news) is ListAction.TELL_FAILED:
@@ -133,13 +133,13 @@
         self.source.edge.list_followed()
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """What can't be read may have answered a request: only a new connection has none open."""
+        """Reconnect: the line may have answered a request, and only a new connection has none open."""
         self.source.edge.passed_over("roster", why)
         self.cut(f"unreadable line: {why}")
 
 
 class HolderRosterSource(RosterSource):
-    """Follows the roster, and notifies the decisions whenever a complete list is asked for."""
+    """The holder's client of the roster; its owner also learns when a complete list is requested."""
 
     edge: RosterSubscription
 
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -1,7 +1,6 @@
-"""A holder of the directory as a program: it carries out what `ShardHolder` decides. Decides nothing itself.
+"""The process of a directory holder: performs I/O for `ShardHolder`, which makes all decisions.
 
-Times are ticks of a tenth of a millisecond on the reactor's clock, which must be monotonic, unless stated
-otherwise.
+Times are ticks of 0.1 ms on the reactor's clock, which must be monotonic, unless stated otherwise.
 """
 
 from collections.abc import Callable
@@ -19,17 +18,17 @@
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import InspectResponse, WatcherMessage
 
-CLOSING_TIME = 1.0  # seconds at the end for what was written to leave
-MOST_LOGGED = 100  # unreadable lines that are logged one by one
+CLOSING_TIME = 1.0  # seconds for unsent data to be sent at shutdown
+MOST_LOGGED = 100  # undecodable lines that are logged; further ones are only counted
 LONGEST_LOGGED = 200  # characters of the reason
-CLOCK_ROUNDING = 0.001  # ticks: a time that floating point keeps just under a tick counts as that tick
+CLOCK_ROUNDING = 0.001  # ticks; a time that floating point yields just below a tick counts as that tick
 
 
 class HolderProgram:
     """One holder on one reactor."""
 
     def __init__(self, reactor: Any, settings: HolderDeployment, log: Log, seed: int = 0) -> None:
-        """`seed` spreads the times at which busy watchers are asked to come back."""
+        """`seed` is for the jitter of retry times given to watchers while the holder is busy."""
         serve = settings.serve
         self.reactor = reactor
         self.settings = settings
@@ -56,7 +55,7 @@
         return int(self.reactor.seconds() * SECOND + CLOCK_ROUNDING)
 
     def start(self) -> int:
-        """Listen, and follow the roster. Returns the port."""
+        """Listen, and subscribe to the roster. Returns the port."""
         factory, port = WatcherFactory(self.sessions), self.settings.serve.port
         self.listening = self.reactor.listenTCP(port, factory, backlog=1024, interface="127.0.0.1")
         made: int = self.listening.getHost().port
@@ -67,12 +66,12 @@
         return made
 
     def passed_over(self, name: str, why: str) -> None:
-        """A line of this peer could not be read."""
+        """Count and log a line of a peer that could not be decoded."""
         self.counts.unreadable_lines += 1
         if self.counts.unreadable_lines <= MOST_LOGGED:
             self.log("passed over", peer=name, why=why[:LONGEST_LOGGED])
 
-    # what the sessions report
+    # SessionListener
 
     def session_opened(self, session: int) -> None:
         """A watcher has connected and greeted."""
@@ -90,20 +89,20 @@
         self.act()
 
     def connection_ended(self) -> None:
-        """A connection is over; the last one may be what the end waits for."""
+        """A connection has ended; at shutdown, stop after the last one."""
         if self.stopping:
             self.finish_if_idle()
 
-    # turns
+    # effects and timer
 
     def act(self) -> None:
-        """Carry out what was decided, and be called when more is due."""
+        """Perform the holder's effects, and schedule its next tick."""
         for effect in self.holder.take_effects():
             self.carry_out(effect)
         self.schedule_turn()
 
     def carry_out(self, effect: HolderEffect) -> None:
-        """Do what one effect says."""
+        """Perform one effect."""
         match effect:
             case SendTo():
                 self.sessions.send(effect.session, effect.message)
@@ -113,7 +112,7 @@
                 self.roster.request_snapshot()
 
     def schedule_turn(self) -> None:
-        """Be called when the holder's next work is due."""
+        """Schedule the timer for the holder's next deadline."""
         due = self.holder.next_due()
         if self.stopping or (self.next_turn is not None and self.turn_at <= due):
             return
@@ -124,7 +123,7 @@
         self.next_turn = self.reactor.callLater(delay, self.turn)
 
     def turn(self) -> None:
-        """Let the holder do what is due."""
+        """Handle the timer: let the holder do what is due."""
         self.next_turn = None
         self.holder.tick(self.clock())
         self.act()
@@ -132,11 +131,11 @@
     # operators
 
     def inspect(self, function: str) -> InspectResponse:
-        """The answer to an operator."""
+        """The answer to an operator's request."""
         return InspectResponse(msgspec.Raw(msgspec.json.encode(self.report(function))))
 
     def report(self, function: str) -> dict[str, Any]:
-        """What the decisions know, and what only the connections show, as plain values."""
+        """The holder's state and figures of its connections, as plain values."""
         now = self.clock()
         freshness = self.holder.freshness
         mean, most = self.sessions.meter.rates(now)
@@ -163,10 +162,10 @@
             **self.holder.inspect(function),
         }
 
-    # the end
+    # shutdown
 
     def stop(self, stopped: Callable[[], None]) -> None:
-        """Tell every watcher, which goes to the next copy at once, and end. A second call doesn't wait."""
+        """Close all sessions, so that watchers fail over at once, and stop. A second call doesn't wait."""
         if self.stopping:
             self.finish()
             return
@@ -180,12 +179,12 @@
         self.finish_if_idle()
 
     def finish_if_idle(self) -> None:
-        """End now if no session is open."""
+        """Finish the shutdown if no session is open."""
         if not len(self.sessions):
             self.finish()
 
     def finish(self) -> None:
-        """End; a further call does nothing."""
+        """Finish the shutdown; further calls have no effect."""
         stopped = self.stopped
         self.stopped = None
         if stopped is not None:
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -1,4 +1,4 @@
-"""What a holder keeps for each connection of a watcher, and the batches that it sends there."""
+"""A holder's sessions (connections of watchers), and the batches of changes sent on them."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -18,7 +18,7 @@
     Update,
 )
 
-BURST_SECONDS = 4  # of a session's bytes that may be saved up
+BURST_SECONDS = 4  # burst of a session, in seconds of its byte rate
 
 
 @dataclass(eq=False, slots=True)
@@ -28,45 +28,45 @@
     number: int
     lease_until: int
     byte_limit: TokenBucket
-    sequence: int = 0  # of the last snapshot or batch
-    watches: dict[int, str] = field(default_factory=dict)  # functions by watch id
-    ids: dict[str, int] = field(default_factory=dict)  # and the other way round
-    changed_instances: dict[str, bool] = field(default_factory=dict)  # to be sent, and whether urgently
-    changed_functions: dict[str, None] = field(default_factory=dict)  # whose prefix is to be sent
-    due: int = NEVER  # the next batch
-    sums_at: int = -NEVER  # when sums were sent last
+    sequence: int = 0  # number of the last snapshot or batch
+    watches: dict[int, str] = field(default_factory=dict)  # function by watch id
+    ids: dict[str, int] = field(default_factory=dict)  # watch id by function
+    changed_instances: dict[str, bool] = field(default_factory=dict)  # to be sent; whether urgently
+    changed_functions: dict[str, None] = field(default_factory=dict)  # functions whose prefix is to be sent
+    due: int = NEVER  # when the next batch is sent
+    sums_at: int = -NEVER  # when the region's sums were last sent
 
     def next_sequence(self) -> int:
-        """Count up and return the number of the next snapshot or batch."""
+        """Return the number of the next snapshot or batch."""
         self.sequence += 1
         return self.sequence
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is to be sent."""
+        """Whether there is nothing to send."""
         return not self.changed_instances and not self.changed_functions
 
 
 class Sessions:
-    """All sessions, those whose lease ends first ahead, and when each is to be sent its next batch."""
+    """All sessions ordered by the end of their lease, and a heap of the times of their next batches."""
 
     def __init__(self) -> None:
         self.all = OrderedDict[int, Session]()
-        self.dues = list[tuple[int, int]]()  # a heap; an item that is not its session's `due` is void
+        self.dues = list[tuple[int, int]]()  # a heap of (time, session), stale unless the session's `due`
 
     def open(self, number: int, lease_until: int, bytes_per_second: int, now: int) -> Session:
-        """Begin a session, whose lease ends at `lease_until` unless it is renewed."""
+        """Open a session, whose lease ends at `lease_until` unless renewed."""
         bucket = TokenBucket.full(bytes_per_second, bytes_per_second * BURST_SECONDS, now)
         session = self.all[number] = Session(number, lease_until, bucket)
         return session
 
     def renew(self, session: Session, lease_until: int) -> None:
-        """Extend a session's lease up to this time."""
+        """Extend a session's lease to `lease_until`."""
         session.lease_until = lease_until
         self.all.move_to_end(session.number)
 
     def expired(self, now: int) -> list[Session]:
-        """Sessions whose lease is over."""
+        """Sessions whose lease has expired."""
         found = list[Session]()
         for session in self.all.values():
             if session.lease_until > now:
@@ -75,13 +75,13 @@
         return found
 
     def due_by(self, session: Session, at: int) -> None:
-        """Let this session's next batch be sent at this time at the latest."""
+        """Schedule this session's next batch for `at`, unless it is due earlier."""
         if at < session.due:
             session.due = at
             heappush(self.dues, (at, session.number))
 
     def take_due(self, now: int) -> list[Session]:
-        """Sessions whose batch is due, which is then none's any more."""
+        """Return the sessions whose batch is due, and clear their due times."""
         due = list[Session]()
         while self.dues and self.dues[0][0] <= now:
             at, number = heappop(self.dues)
@@ -92,7 +92,7 @@
         return due
 
     def next_due(self) -> int:
-        """When the next batch is due; `NEVER` where none is."""
+        """When the next batch is due; `NEVER` if none is scheduled."""
         while self.dues:
             at, number = self.dues[0]
             session = self.all.get(number)
@@ -107,19 +107,19 @@
 
 
 class Batches:
-    """Makes the updates of sessions."""
+    """Builds the updates sent on sessions."""
 
     def __init__(self, instances: RegionInstances, watched: WatchedFunctions) -> None:
         self.instances = instances
         self.watched = watched
 
     def urgent_update(self, session: Session, revision: Revision, now: int) -> Update | None:
-        """Drains and departures alone, for a session that may not be sent more."""
+        """An update with drains and removals only, for a session over its byte limit."""
         names = [name for name, urgent in session.changed_instances.items() if urgent][:MOST_IN_A_BATCH]
         return self.make_update(session, names, [], revision, now) if names else None
 
     def full_update(self, session: Session, revision: Revision, now: int) -> Update | None:
-        """Everything that there is to send, as far as it fits one batch."""
+        """An update with everything to be sent, as far as it fits in one batch; urgent changes first."""
         if session.idle:
             return None
         urgent_first = sorted(session.changed_instances, key=lambda name: not session.changed_instances[name])
@@ -151,7 +151,7 @@
         revision: Revision,
         now: int,
     ) -> Update:
-        """One batch of these instances and changes, which the session then has."""
+        """Build an update from these instances and prefix changes, and clear the instances as sent."""
         entries, gone = list[Instance](), list[str]()
         for name in names:
             session.changed_instances.pop(name, None)
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -1,4 +1,4 @@
-"""Which copy of each shard a watcher is connected to: dialling, failover, fresher copies."""
+"""A watcher's connections to replicas of shards: dialling, failover, and choice of fresher replicas."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,15 +9,15 @@
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.ticks import MILLISECOND, NEVER, SECOND
 
-AVOIDANCE_TIME = 10 * SECOND  # for which a copy found stale or unreachable is not changed over to
-MOST_DOUBLINGS = 2  # of the pause between two moves for freshness, where all copies are as stale
-MOST_DIAL_DOUBLINGS = 16  # of the pause before a dial; `longest_pause` bounds it long before
+AVOIDANCE_TIME = 10 * SECOND  # for which a replica found stale or unreachable is not switched to
+MOST_DOUBLINGS = 2  # of the delay between two changes of replica for freshness, when all are stale
+MOST_DIAL_DOUBLINGS = 16  # of the dial backoff; `longest_pause` bounds it long before
 
 
 class ShardConnections:
-    """The shards whose functions are used here, each with one connection at most.
+    """The shards with functions used here, each with at most one connection.
 
-    Connections are numbered in `Dial`, never twice.
+    Connections are numbered in `Dial`; no number is used twice.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         emit: Callable[[WatcherEffect], None],
         log: Callable[[str], None],
     ) -> None:
-        """`name` and `zone` order the copies; `jitter` spreads pauses; `lookups` fail without a copy."""
+        """`name` and `zone` determine the order of replicas; `jitter` spreads delays."""
         self.name = name
         self.zone = zone
         self.assignment = assignment
@@ -44,10 +44,10 @@
         self.connections = dict[int, HolderConnection]()
         self.last_connection = 0
 
-    # the functions of shards
+    # functions of a shard
 
     def add_function(self, function: CachedFunction) -> Shard:
-        """Enter a function in its shard, which is begun with its first function."""
+        """Add a function to its shard, which is created for its first function."""
         shard = self.shards.get(function.shard)
         if shard is None:
             copies = self.assignment.copies_for(function.shard, self.name, self.zone)
@@ -56,11 +56,11 @@
         return shard
 
     def remove_function(self, function: CachedFunction) -> None:
-        """Take a function out of its shard; a shard without functions needs no connection."""
+        """Remove a function from its shard."""
         self.shards[function.shard].functions.pop(function.name, None)
 
     def release_if_unused(self, shard: Shard) -> None:
-        """Close the connection of a shard without functions."""
+        """Close the connection of a shard that has no functions."""
         if not shard.functions:
             self.hang_up(shard)
             shard.dial_at = NEVER
@@ -68,7 +68,7 @@
     def replace_assignment(
         self, assignment: Assignment, functions: Iterable[CachedFunction], now: int
     ) -> None:
-        """Give up all connections, divide the functions over the new shards, and dial their copies."""
+        """Close all connections, redistribute the functions over the new shards, and dial their replicas."""
         for shard in self.shards.values():
             self.hang_up(shard)
         self.assignment = assignment
@@ -82,10 +82,10 @@
         for shard in self.shards.values():
             self.dial_if_due(shard, now)
 
-    # dialling and hanging up
+    # opening and closing connections
 
     def dial_if_due(self, shard: Shard, now: int) -> None:
-        """Dial the copy whose turn it is, unless the shard has a connection, must wait or is not used."""
+        """Dial the selected replica, unless the shard has a connection, is in backoff or has no functions."""
         if shard.connection is not None or shard.dial_at > now or not shard.functions:
             return
         self.last_connection += 1
@@ -97,7 +97,7 @@
         self.emit(Dial(connection.number, shard.number, copy))
 
     def hang_up(self, shard: Shard) -> None:
-        """Give up the shard's connection; what is cached stays."""
+        """Close the shard's connection; cached prefixes stay."""
         connection = shard.connection
         shard.connection = None
         if connection is not None and self.connections.pop(connection.number, None) is not None:
@@ -107,9 +107,9 @@
             function.pending_watch = -1
 
     def mark_ready(self, number: int, now: int) -> HolderConnection | None:
-        """A connection stands; `None` where it is not known or stood before.
+        """Mark a connection as established; `None` if it is unknown or was established before.
 
-        With a copy that is not the first choice, a time is drawn at which the first one is tried again.
+        If the replica is not the preferred one, a random time is chosen at which that one is tried again.
         """
         connection = self.connections.get(number)
         if connection is None or connection.is_ready:
@@ -122,7 +122,7 @@
         return connection
 
     def excuse_silence(self, now: int) -> None:
-        """Count no silence from before now, after a standstill of the dispatcher itself."""
+        """Ignore silence before now, after the dispatcher itself was stalled."""
         for connection in self.connections.values():
             connection.silence_counted_from = now
             connection.dialled_at = now
@@ -130,13 +130,13 @@
     # failover
 
     def fail_connection(self, number: int, reason: str, now: int) -> None:
-        """A connection has ended by itself; one that is not known does no harm."""
+        """Handle the end of a connection; an unknown one is ignored."""
         connection = self.connections.pop(number, None)
         if connection is not None:
             self.fail_over(self.shards[connection.shard], reason, now)
 
     def fail_over(self, shard: Shard, reason: str, now: int) -> None:
-        """Go on to the next copy after a failure; the pause before it grows with failures in a row."""
+        """Switch to the next replica after a failure, with exponential backoff and jitter."""
         connection = shard.connection
         self.hang_up(shard)
         shard.failures += 1
@@ -153,7 +153,7 @@
             self.lookups.fail_pending(shard.functions, shard.dial_at - now)
 
     def change_over(self, shard: Shard, to: int, reason: str, now: int) -> None:
-        """Go to the copy at place `to`, which may be better, though this one answers."""
+        """Switch to the replica with index `to`, which may be better, though the current one answers."""
         self.log(f"shard {shard.number} changes over from copy {shard.at} to {to}: {reason}")
         self.hang_up(shard)
         shard.at = to
@@ -161,7 +161,7 @@
         self.dial_if_due(shard, now)
 
     def rebalance_if_due(self, shard: Shard, connection: HolderConnection, now: int) -> bool:
-        """Go back to the copy of the first choice when its time has come; whether that was done."""
+        """Return to the preferred replica if that is due. Returns whether it was done."""
         if now < connection.rebalance_at:
             return False
         connection.rebalance_at = NEVER
@@ -173,9 +173,10 @@
     # freshness
 
     def leave_if_stale(self, connection: HolderConnection, age: int, now: int) -> None:
-        """Try another copy, if none was lately found no better, where the holder may not hear its roster.
+        """Switch to another replica if the holder's data is stale.
 
-        `age`: ticks for which the holder has not been sure to hear it.
+        Replicas that were recently found stale or unreachable are skipped. `age`: ticks since the holder's
+        list was last known to be current.
         """
         shard = self.shards[connection.shard]
         if not age:
@@ -194,11 +195,11 @@
                 return
 
     def is_avoided(self, shard: Shard, copy: Copy, now: int) -> bool:
-        """Whether a copy was lately found stale or unreachable."""
+        """Whether a replica was recently found stale or unreachable."""
         return now - shard.avoided.get(copy, -NEVER) < AVOIDANCE_TIME
 
     def limit_moves(self, shard: Shard, now: int) -> None:
-        """Count a move. After a round of all copies in vain each further one waits about twice as long."""
+        """Count a change of replica. After all were tried in vain, the delay before the next one doubles."""
         shard.freshness_moves += 1
         rounds = shard.freshness_moves - len(shard.copies) + 1
         if rounds < 0:
@@ -212,7 +213,7 @@
     # for operators
 
     def reachable_shards(self) -> int:
-        """Shards with a holder that answers."""
+        """Number of shards with a holder that answers."""
         shards = self.shards.values()
         return sum(shard.connection is not None and shard.connection.has_answered for shard in shards)
 
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -1,10 +1,10 @@
-"""A holder of shards of the directory: all instances of its region, and the watches on its functions.
+"""The state machine of a directory holder: all instances of its region, and the watches on functions.
 
-Events in, effects out (`take_effects`), the clock handed in; every other call returns nothing. Times are
-whole ticks of a tenth of a millisecond on the holder's own clock.
+Free of I/O: events are method calls that get the current time, and their results are the effects returned by
+`take_effects`. Times are whole ticks of 0.1 ms on the holder's own clock.
 
-What a change of an instance costs is in proportion to the watches that were sent the instance, or are to be
-sent it now (`watched_functions.py`); what a look-up costs does not depend on the number of instances
+The cost of a change of an instance is proportional to the number of watches that were sent the instance or
+have to be sent it (`watched_functions.py`); the cost of a lookup is independent of the number of instances
 (`hash_ring.py`).
 """
 
@@ -42,19 +42,19 @@
 )
 from lapistrestle.wire.messages import Entry, Message
 
-BURST = 2.0  # seconds of the holder's bytes that may be saved up
-LONGEST_DEBT = SECOND  # of sending, before look-ups that calls wait for are put off, too
-UNCHANGED_COST = 0.6  # of a snapshot: 12 us of decisions and coding, where a snapshot takes 20
-MOST_INSPECTED = 64  # instances in an answer to an operator
+BURST = 2.0  # burst of all sessions together, in seconds of the byte rate
+LONGEST_DEBT = SECOND  # wait for the byte limit above which even lookups that calls wait for are postponed
+UNCHANGED_COST = 0.6  # in snapshots: it takes 12 us of processor time, a snapshot 20
+MOST_INSPECTED = 64  # instances listed in an answer to an operator
 
 
 class ShardHolder:
-    """Decides what each watcher is sent."""
+    """Decides which messages each watcher is sent."""
 
     def __init__(
         self, settings: HolderSettings, seed: int, now: int, log: Callable[[str], None] = lambda _: None
     ) -> None:
-        """`seed` spreads the times at which busy watchers are asked to come back."""
+        """`seed` is for the jitter of retry times given to watchers while the holder is busy."""
         self.settings = settings
         self.log = log
         self.effects = list[HolderEffect]()
@@ -64,13 +64,13 @@
         self.batches = Batches(self.instances, self.watched)
         self.freshness = RosterFreshness(settings, now, lambda: self.effects.append(AskRoster()), log)
         self.revision = Revision()
-        self.superseded = list[str]()  # sources before the present one
+        self.superseded = list[str]()  # earlier sources, oldest first
         rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.longest_retry
         self.snapshot_limit = SnapshotRateLimit(rate, burst, longest, now, Jitter(seed))
         self.byte_limit = TokenBucket.full(settings.total_bytes, settings.total_bytes * BURST, now)
 
     def take_effects(self) -> list[HolderEffect]:
-        """What is to be done since the last call, in order."""
+        """Return the effects since the last call, in order."""
         effects = self.effects
         self.effects = []
         return effects
@@ -80,9 +80,9 @@
     def instances_changed(
         self, entries: Iterable[Entry], complete: bool, revision: Revision, now: int
     ) -> None:
-        """A list (`complete`: one not named is gone) or a change was taken from the roster.
+        """Apply a list (`complete`: instances not in it are gone) or a change from the roster.
 
-        Called for what `sources/numbered_list.py` says to take only, so in order and without gaps.
+        Called in order and without gaps, which `sources/numbered_list.py` ensures.
         """
         listed = list(entries)
         self.freshness.record_call(now, len(listed))
@@ -96,7 +96,7 @@
         self.freshness.list_applied(complete, len(listed), len(changes.entered), now)
 
     def start_over(self, revision: Revision) -> None:
-        """The roster's numbers went back under the same epoch: no session may see its revision go back."""
+        """Close all sessions: the roster's number went back within its epoch, which no watcher may see."""
         self.log(
             f"roster back from {self.revision.number} to {revision.number}: {len(self.sessions.all)} closed"
         )
@@ -104,29 +104,29 @@
             self.close(session, "the roster went back")
 
     def snapshot_requested(self, now: int) -> None:
-        """The program itself has asked the roster for a complete list: on connecting, or because of a gap.
+        """The process itself requested a complete list, on connecting or because of a gap.
 
-        Not to be called for `AskRoster`. Without it a list that was on its way while the holder stood still
-        would pass for the answer to what the holder asks when it wakes.
+        Not to be called for `AskRoster`. Without this call, a list that was in flight during a stall would be
+        mistaken for the answer to the request that the holder sends after the stall.
         """
         self.freshness.record_call(now)
         self.freshness.snapshot_requested(now)
 
     def snapshot_discarded(self, now: int) -> None:
-        """A complete list has come that is not taken; it is no answer that the holder can go by."""
+        """A complete list was received but discarded, so the request that it answered stays unanswered."""
         self.freshness.record_call(now)
         self.freshness.snapshot_discarded(now)
 
     def roster_lost(self, now: int) -> None:
-        """The connection to the roster is gone, or the roster says that it can't answer.
+        """The connection to the roster was lost, or the roster can't answer.
 
-        Until the next complete list the age of the holder's knowledge grows, and watchers are notified of it.
+        Until the next complete list the age of the holder's data grows, and watchers are told the age.
         """
         self.freshness.record_call(now)
         self.freshness.roster_lost(now)
 
     def queue_changes(self, changes: Changes, now: int) -> None:
-        """Note for each session what it is to be sent of these changes, and by when."""
+        """Queue these changes on the sessions concerned, with the time by which they are sent."""
         for function, watch in self.watched.recompute_changed(self.watched.affected_functions(changes)):
             session = self.sessions.all[watch.session]
             session.changed_functions[function.name] = None
@@ -139,7 +139,7 @@
             self.notify_of(name, now + self.settings.batch_delay, False)
 
     def urgent_due(self, name: str, now: int) -> int:
-        """When a drain is sent: soon, but for one that flaps no more often than other changes."""
+        """When an urgent change is sent: soon, but of a flapping instance only as often as other changes."""
         instance = self.instances.known.get(name)
         if instance is None:
             return now + self.settings.urgent_delay
@@ -148,7 +148,7 @@
         return due
 
     def notify_of(self, name: str, due: int, urgent: bool) -> None:
-        """Note for each session that was sent an instance that it is to be sent again, by `due`."""
+        """Queue an instance on each session that was sent it before, to be sent by `due`."""
         for watch in self.watched.watches_sent(name):
             session = self.sessions.all[watch.session]
             session.changed_instances[name] = urgent or session.changed_instances.get(name, False)
@@ -157,7 +157,7 @@
     # watchers
 
     def session_opened(self, session: int, now: int) -> None:
-        """A watcher has connected and greeted; the program numbers its sessions and uses no number twice."""
+        """A watcher has connected and greeted. Session numbers must be unique."""
         self.freshness.record_call(now)
         if len(self.sessions.all) >= self.settings.most_sessions:
             self.effects.append(
@@ -167,7 +167,7 @@
         self.sessions.open(session, now + self.settings.lease, self.settings.session_bytes, now)
 
     def session_closed(self, session: int, now: int) -> None:
-        """A session is over; one that is not known (any more) does no harm."""
+        """A session has ended; an unknown one is ignored."""
         self.freshness.record_call(now)
         known = self.sessions.all.get(session)
         if known is not None:
@@ -180,7 +180,7 @@
             self.watched.unwatch(function, session.number)
 
     def close(self, session: Session, reason: str) -> None:
-        """Close a session, and have the program close its connection."""
+        """Remove a session, and have its connection closed."""
         self.forget(session)
         self.effects.append(CloseSession(session.number, reason))
 
@@ -206,7 +206,7 @@
         self.effects.append(SendTo(session.number, message))
 
     def watch(self, session: Session, request: Watch, now: int) -> None:
-        """Answer a watch: a snapshot, `Unchanged`, a time to come back, or a refusal."""
+        """Answer a watch: with a snapshot, `Unchanged`, a retry time, or a refusal."""
         if request.id in session.watches:
             return  # answered already
         refused = self.refusal_of(session, request)
@@ -228,12 +228,12 @@
         self.answer(session, request, now)
 
     def in_debt(self, request: Watch, now: int) -> bool:
-        """Whether so many bytes were sent lately that this snapshot has to wait."""
+        """Whether this snapshot has to wait because of the byte limit."""
         allowed = LONGEST_DEBT if not request.has_prefix else 0
         return not request.digest and self.byte_limit.wait(now) > allowed
 
     def answer(self, session: Session, request: Watch, now: int) -> None:
-        """Send the prefix of a watch, or that the watcher has it."""
+        """Send the prefix of a watch, or `Unchanged` if the watcher has it already."""
         answer = self.watched.answer(request.function, request.count, now)
         sequence, lease, age = session.next_sequence(), self.settings.lease, self.freshness.age(now)
         if answer.digest == request.digest:
@@ -253,7 +253,7 @@
         self.send(session, snapshot)
 
     def refusal_of(self, session: Session, request: Watch) -> Refused | None:
-        """The refusal of a watch that is not served here; `None` where it is."""
+        """The refusal of a watch; `None` if it can be served."""
         settings = self.settings
         if request.epoch > settings.epoch:
             return Refused(request.id, RefusalReason.NEW_EPOCH, settings.epoch)
@@ -279,7 +279,7 @@
             self.watched.unwatch(function, session.number)
 
     def renew(self, session: Session, request: Renew, now: int) -> None:
-        """A holder that doesn't know how old its knowledge is keeps silent, so that the watcher leaves it."""
+        """Renew a lease. No answer is sent while catching up, so that the watcher fails over."""
         if not self.freshness.may_answer:
             return
         self.sessions.renew(session, now + self.settings.lease)
@@ -292,7 +292,7 @@
         self.send(session, Renewed(request.sent_at, lease, sequence, self.revision, age, sums))
 
     def configure(self, settings: HolderSettings, now: int) -> None:
-        """Settings of another epoch; of an older one they aren't taken."""
+        """Apply new settings; those of an older epoch are ignored."""
         self.freshness.record_call(now)
         if settings.epoch < self.settings.epoch:
             self.log(f"settings of epoch {settings.epoch} not taken, {self.settings.epoch} holds")
@@ -304,14 +304,14 @@
                 self.close(session, f"epoch {settings.epoch} holds")
 
     def outdated(self, session: Session, function: str) -> bool:
-        """Whether the settings that hold now don't serve a session's watch any more."""
+        """Whether a session's watch is not served any more under the current settings."""
         watch = self.watched.functions[function].watches[session.number]
         return watch.epoch < self.settings.oldest_epoch or watch.shard not in self.settings.shards
 
     # time
 
     def tick(self, now: int) -> None:
-        """To be called when `next_due` has come, or soon after: leases lapse, batches are sent."""
+        """Expire leases and send batches; to be called at `next_due` or soon after."""
         self.freshness.record_call(now)
         self.freshness.tick(now)
         for session in self.sessions.expired(now):
@@ -320,7 +320,7 @@
             self.flush(session, now)
 
     def flush(self, session: Session, now: int) -> None:
-        """Send what is due, as far as the bounds on bytes allow; what is urgent goes in any case."""
+        """Send a batch within the byte limits; urgent changes are sent regardless of them."""
         wait = max(session.byte_limit.wait(now), self.byte_limit.wait(now))
         make = self.batches.urgent_update if wait else self.batches.full_update
         update = make(session, self.revision, now)
@@ -335,13 +335,13 @@
             self.sessions.due_by(session, now + (self.settings.urgent_delay if urgent else wait))
 
     def next_due(self) -> int:
-        """When `tick` is to be called next; it may have become earlier after any other call."""
+        """When `tick` is to be called next; any other call may make it earlier."""
         return min(self.sessions.next_due(), self.sessions.next_expiry(), self.freshness.next_due())
 
     # for operators
 
     def inspect(self, function: str = "") -> dict[str, Any]:
-        """What is known, as plain values: of one function, or figures of the whole."""
+        """The state as plain values: of one function, or of the whole holder."""
         report: dict[str, Any] = {
             "revision": msgspec.to_builtins(self.revision),
             "knowledge": self.freshness.state.value,
--- a/lapistrestle/directory/watch_requests.py
+++ b/lapistrestle/directory/watch_requests.py
@@ -1,4 +1,4 @@
-"""Watches that are sent to holders: the requests without an answer, and those to be sent again later."""
+"""Watch requests to holders: unanswered ones, and those to be retried."""
 
 from collections.abc import Callable, Iterable
 from heapq import heappop, heappush
@@ -12,18 +12,18 @@
 
 
 class WatchRequests:
-    """Numbers and sends watches, matches answers to them, and keeps the times of retries."""
+    """Numbers and sends watch requests, matches answers to them, and schedules retries."""
 
     def __init__(self, instances: CachedInstances, epoch: int, emit: Callable[[WatcherEffect], None]) -> None:
-        """`epoch`: of the assignment, sent with each watch."""
+        """`epoch`: of the assignment; sent with each request."""
         self.instances = instances
         self.epoch = epoch
         self.emit = emit
         self.last_watch = 0
-        self.retries = list[tuple[int, str]]()  # a heap; void if not its function's `retry_at`
+        self.retries = list[tuple[int, str]]()  # a heap of (time, function), stale unless `retry_at`
 
     def send(self, connection: HolderConnection, function: CachedFunction, now: int) -> None:
-        """Ask for a snapshot of a function's prefix."""
+        """Request a snapshot of a function's prefix."""
         self.last_watch += 1
         function.pending_watch = self.last_watch
         function.retry_at = NEVER
@@ -38,19 +38,19 @@
     def send_if_connected(
         self, connection: HolderConnection | None, function: CachedFunction, now: int
     ) -> None:
-        """Ask for a snapshot now; without a connection it is asked for once there is one."""
+        """Request a snapshot now; without a connection it is requested when one is established."""
         if connection is not None and connection.is_ready and function.pending_watch < 0:
             self.send(connection, function, now)
 
     def send_all(self, connection: HolderConnection, functions: Iterable[CachedFunction], now: int) -> None:
-        """Ask for a snapshot of each function, those that calls wait for first."""
+        """Request a snapshot of each function, those that calls wait for first."""
         for function in sorted(functions, key=lambda function: (function.has_prefix, function.deadline)):
             self.send(connection, function, now)
 
     def digest(self, pending: PendingRequest, now: int) -> str:
-        """Digest of the prefix that is cached, where it is to be watched again; else empty.
+        """The digest of the cached prefix if the function has one but no watch; else empty.
 
-        The entries that it covers are kept with the request, for the answer `Unchanged`.
+        The entries that it covers are stored with the request, for the answer `Unchanged`.
         """
         function = pending.function
         if not function.has_prefix or function.watch >= 0:
@@ -60,14 +60,14 @@
         return digest_of(pending.entries, pending.complete) if pending.entries else ""
 
     def answered(self, connection: HolderConnection, watch: int) -> PendingRequest | None:
-        """The request that an answer belongs to, which is pending no more; `None` where none is known."""
+        """Remove and return the request that an answer belongs to; `None` if there is none."""
         pending = connection.pending_requests.pop(watch, None)
         if pending is not None:
             pending.function.pending_watch = -1
         return pending
 
     def cancel(self, connection: HolderConnection, function: CachedFunction) -> None:
-        """Withdraw all watches of a function on a connection."""
+        """Cancel all watches of a function on a connection."""
         for watch in (function.watch, function.pending_watch):
             if watch >= 0:
                 self.emit(Send(connection.number, Unwatch(watch)))
@@ -75,17 +75,17 @@
         connection.pending_requests.pop(function.pending_watch, None)
 
     def schedule_retry(self, function: CachedFunction, at: int) -> None:
-        """Have a function asked for again at this time."""
+        """Schedule another request for a function at this time."""
         function.retry_at = at
         heappush(self.retries, (at, function.name))
 
     def take_due(self, now: int) -> list[tuple[int, str]]:
-        """Retries that are due, as time and function name; void ones are among them."""
+        """Remove and return the retries that are due, as time and function name, stale ones included."""
         due = list[tuple[int, str]]()
         while self.retries and self.retries[0][0] <= now:
             due.append(heappop(self.retries))
         return due
 
     def next_due(self) -> int:
-        """When the next retry is due; `NEVER` where none is."""
+        """When the next retry is due; `NEVER` if none is scheduled."""
         return self.retries[0][0] if self.retries else NEVER
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -1,9 +1,9 @@
-"""The functions that are watched at a holder, and which of them a change of an instance touches.
+"""The functions watched at a holder, and which of them a change of an instance affects.
 
-Two indexes make a change cost what it touches and no more. One leads from an instance to the functions that
-have it in a prefix that some watcher was sent, or is to be sent. The other keeps the positions on the ring
-from which the prefixes of watched functions were searched: a new instance takes stretches of the ring from
-the points behind it, and touches the functions with a position in one of them.
+Two indexes keep the cost of a change proportional to the functions that it affects. The first maps an
+instance to the functions with a prefix, sent or to be sent, that contains it. The second holds the ring
+positions from which the prefixes of watched functions were searched: a new instance takes over arcs of the
+ring, and affects the functions with a position in one of these arcs.
 """
 
 from collections import Counter
@@ -18,9 +18,9 @@
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import LONGEST_PREFIX, Instance
 
-MOST_MEMBERS = 4 * LONGEST_PREFIX  # of one function in the index, before what nobody was sent is pruned
-MOST_PER_SERVING = 4  # instances in a prefix for each that was asked for, where many drain
-ANSWER_LIFETIME = 60 * SECOND  # that an answer is used for
+MOST_MEMBERS = 4 * LONGEST_PREFIX  # indexed instances of a function above which unsent ones are pruned
+MOST_PER_SERVING = 4  # instances in a prefix per serving one requested, if many drain
+ANSWER_LIFETIME = 60 * SECOND  # for which an encoded answer is shared
 
 EMPTY_PREFIX = Prefix()
 
@@ -39,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What every watcher that asks for a prefix is sent, until an instance in it changes."""
+    """The answer to all watches of a prefix, shared until an instance in it changes."""
 
     entries: list[Instance]
     complete: bool
-    size: int  # bytes, estimated
+    size: int  # estimated bytes
     digest: str
-    at: int  # when the entries' `up_for` was true
+    at: int  # when the entries' `up_for` was correct
 
 
 @dataclass(eq=False)
@@ -54,17 +54,17 @@
 
     name: str
     watches: dict[int, SessionWatch] = field(default_factory=dict)  # by session
-    counts: Counter[int] = field(default_factory=Counter)  # how many watches ask for each count
+    counts: Counter[int] = field(default_factory=Counter)  # number of watches by requested count
     prefixes: dict[int, Prefix] = field(default_factory=dict)  # by count
-    answers: dict[int, Answer] = field(default_factory=dict)  # by count, of the present prefixes
-    positions: frozenset[int] = frozenset()  # that the prefixes were searched from
-    members: set[str] = field(default_factory=set)  # in the index of instances
+    answers: dict[int, Answer] = field(default_factory=dict)  # by count, for the current prefixes
+    positions: frozenset[int] = frozenset()  # from which the ring was searched for the prefixes
+    members: set[str] = field(default_factory=set)  # instances indexed for this function
     length: int = 0  # of the longest prefix
-    behind: set[int] = field(default_factory=set)  # sessions that were not sent the latest prefix
+    behind: set[int] = field(default_factory=set)  # sessions that have not been sent the latest prefix
     differences: dict[tuple[Prefix, Prefix], Difference] = field(default_factory=dict)
 
     def difference(self, before: Prefix, after: Prefix) -> Difference:
-        """Computed once for all watchers that make the same step."""
+        """The difference of two prefixes, computed once for all watchers that need the same."""
         step = before, after
         if step not in self.differences:
             self.differences[step] = difference(before.names, after.names)
@@ -77,16 +77,16 @@
     def __init__(self, instances: RegionInstances) -> None:
         self.instances = instances
         self.functions = dict[str, WatchedFunction]()
-        self.functions_by_instance = dict[str, set[str]]()  # instance to functions
+        self.functions_by_instance = dict[str, set[str]]()  # names of functions by instance
         self.positions = RingPositions()
-        self.complete = set[str]()  # functions whose longest prefix is the whole order: any new one enters
+        self.complete = set[str]()  # functions with a complete prefix, which any new instance enters
         self.by_length = dict[int, set[str]]()  # functions by the length of their longest prefix
         self.recomputed = 0  # prefixes computed so far, for tests of the cost
 
     # watches
 
     def watch(self, function: str, watch: SessionWatch) -> Prefix:
-        """Start a watch, in place of the same session's earlier one. Returns the prefix to be sent."""
+        """Start a watch, replacing the session's earlier one. Returns the prefix to be sent."""
         known = self.functions.get(function)
         if known is None:
             known = self.functions[function] = WatchedFunction(function)
@@ -104,7 +104,7 @@
         return watch.sent_prefix
 
     def answer(self, function: str, count: int, now: int) -> Answer:
-        """The answer to a watch of this count, made once for all who ask."""
+        """The answer to a watch of this count, shared by all watchers."""
         known = self.functions[function]
         answer = known.answers.get(count)
         if answer is None or now - answer.at > ANSWER_LIFETIME:
@@ -116,7 +116,7 @@
         return answer
 
     def unwatch(self, function: str, session: int) -> None:
-        """End a session's watch of a function; one that is not known does no harm."""
+        """End a session's watch of a function; an unknown one is ignored."""
         known = self.functions.get(function)
         watch = known.watches.pop(session, None) if known is not None else None
         if known is None or watch is None:
@@ -128,7 +128,7 @@
             self.forget(known)
 
     def release_count(self, known: WatchedFunction, count: int) -> None:
-        """One watch fewer asks for this count: without any its prefix is not kept."""
+        """Count one watch of this count less; the last one removes the prefix."""
         known.counts[count] -= 1
         if not known.counts[count]:
             del known.counts[count]
@@ -136,7 +136,7 @@
             known.answers.pop(count, None)
 
     def forget(self, known: WatchedFunction) -> None:
-        """Remove a function that nobody watches."""
+        """Remove a function that has no watches."""
         self.index_positions(known, frozenset())
         self.index_members(known, set())
         self.complete.discard(known.name)
@@ -144,7 +144,7 @@
         del self.functions[known.name]
 
     def mark_current(self, known: WatchedFunction, session: int) -> None:
-        """A session was sent the latest prefix, or watches no more."""
+        """Record that a session was sent the latest prefix or ended its watch."""
         known.behind.discard(session)
         if not known.behind:
             known.differences.clear()
@@ -153,7 +153,7 @@
     # instances
 
     def affected_functions(self, changes: Changes) -> set[str]:
-        """Functions whose prefixes may have changed; the ring has the changes already."""
+        """Functions whose prefixes may have changed. The ring must have been updated already."""
         functions = set[str]()
         for name in (*changes.left, *changes.urgent, *changes.other, *changes.entered):
             functions |= self.functions_by_instance.get(name, set())
@@ -170,7 +170,7 @@
         return functions
 
     def recompute_changed(self, functions: Iterable[str]) -> list[tuple[WatchedFunction, SessionWatch]]:
-        """Compute these functions' prefixes anew. Returns the watches that were sent other ones."""
+        """Recompute these functions' prefixes. Returns the watches that were sent a different prefix."""
         behind = list[tuple[WatchedFunction, SessionWatch]]()
         for name in sorted(functions):
             known = self.functions[name]
@@ -180,19 +180,19 @@
                     known.behind.add(watch.session)
                     behind.append((known, watch))
                 elif watch.session in known.behind:
-                    known.behind.discard(watch.session)  # it came back to what was sent
+                    known.behind.discard(watch.session)  # the prefix is again the one that was sent
             if not known.behind:
                 self.mark_current(known, -1)
         return behind
 
     def watches_sent(self, name: str) -> list[SessionWatch]:
-        """Watches whose watcher was sent this instance."""
+        """Watches that were sent this instance."""
         functions = sorted(self.functions_by_instance.get(name, ()))
         watches = (watch for function in functions for watch in self.functions[function].watches.values())
         return [watch for watch in watches if name in watch.sent_prefix.names]
 
     def recompute(self, known: WatchedFunction) -> None:
-        """Walk the order as far as the longest count asks, and cut the prefixes from it."""
+        """Compute the prefixes from the order, walked as far as the largest count requires."""
         self.recomputed += 1
         missing = sorted(known.counts)
         names, positions, serving = list[str](), list[int](), 0
@@ -219,7 +219,7 @@
             self.index_members(known, sent_names | set(names))
 
     def index_length(self, known: WatchedFunction, length: int) -> None:
-        """Keep the index by length of the longest prefix."""
+        """Update the index by length of the longest prefix."""
         if length == known.length:
             return
         functions = self.by_length.get(known.length, set())
@@ -231,7 +231,7 @@
         known.length = length
 
     def index_positions(self, known: WatchedFunction, positions: frozenset[int]) -> None:
-        """Keep the index of ring positions that prefixes were searched from."""
+        """Update the index of ring positions from which prefixes were searched."""
         for position in known.positions - positions:
             self.positions.discard(position, known.name)
         for position in positions - known.positions:
@@ -239,7 +239,7 @@
         known.positions = positions
 
     def index_members(self, known: WatchedFunction, members: set[str]) -> None:
-        """Keep the index from instance to functions."""
+        """Update the index from instances to functions."""
         for name in known.members - members:
             functions = self.functions_by_instance[name]
             functions.discard(known.name)
@@ -251,5 +251,5 @@
 
 
 def longest_prefix(count: int) -> int:
-    """How many instances a prefix has at the most, for so many that serve."""
+    """The maximum number of instances in a prefix with `count` serving ones."""
     return min(MOST_PER_SERVING * count, LONGEST_PREFIX)
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -1,12 +1,13 @@
-"""A dispatcher's side of the directory: the prefixes of the functions that it calls, and nothing else.
+"""The state machine of a directory client: it caches the prefixes of the functions that a dispatcher calls.
 
-Events in, effects out (`take_effects`), the clock handed in. Times are whole ticks of a tenth of a
-millisecond on the dispatcher's own clock; a lease counts from the moment before its request was sent.
+Free of I/O: events are method calls that get the current time, and their results are the effects returned by
+`take_effects`. Times are whole ticks of 0.1 ms on the dispatcher's own clock; a lease starts when its request
+is sent.
 
-The parts: look-ups that calls wait for (`lookups.py`), watches sent to holders (`watch_requests.py`), leases
-(`leases.py`), connections and failover (`shard_connections.py`), what is cached (`prefix_cache.py`) and what
-of the holders' messages is taken (`holder_messages.py`). Without a holder all that is cached stays, and
-look-ups of other functions fail.
+Its parts: lookups that calls wait for (`lookups.py`), watch requests (`watch_requests.py`), leases
+(`leases.py`), connections and failover (`shard_connections.py`), the cache (`prefix_cache.py`) and the
+validation of holders' messages (`holder_messages.py`). Without a reachable holder the cache stays in use, and
+lookups of other functions fail.
 """
 
 from collections import OrderedDict
@@ -27,13 +28,13 @@
 from lapistrestle.ticks import NEVER, SECOND
 from lapistrestle.wire.directory import LONGEST_PREFIX, HolderMessage
 
-EXTENSION_THRESHOLD = 0.75  # of a prefix: a call beyond it has a longer one asked for
-SHRINK_BELOW = 4  # a prefix of which less than one part in so many is used is cut to half
-STANDSTILL_HEARTBEATS = 2  # without a call: the dispatcher itself stood still
+EXTENSION_THRESHOLD = 0.75  # of a prefix; a call beyond it triggers the request of a longer one
+SHRINK_BELOW = 4  # a prefix of which less than 1/4 is used is halved
+STANDSTILL_HEARTBEATS = 2  # a longer gap between calls means that the dispatcher itself was stalled
 
 
 class DirectoryWatcher:
-    """Decides what is asked of which holder, and what of the answers is believed."""
+    """Decides what is requested from which holder, and which answers are accepted."""
 
     def __init__(
         self,
@@ -45,7 +46,7 @@
         now: int,
         log: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """`name` spreads watchers over copies; it is the same after a restart. `seed` draws the jitter."""
+        """`name` spreads watchers over replicas and must survive a restart. `seed` is for jitter."""
         self.name = name
         self.settings = settings
         self.log = log
@@ -70,50 +71,50 @@
         self.effects.append(effect)
 
     def take_effects(self) -> list[WatcherEffect]:
-        """What is to be done since the last call, in order."""
+        """Return the effects since the last call, in order."""
         effects = self.effects
         self.effects = []
         return effects
 
-    # what is known
+    # state
 
     @property
     def assignment(self) -> Assignment:
-        """The assignment of shards to copies that holds."""
+        """The current assignment of shards to replicas."""
         return self.shard_connections.assignment
 
     @property
     def shards(self) -> dict[int, Shard]:
-        """Shards of which functions are used here, by number."""
+        """Shards with functions used here, by number."""
         return self.shard_connections.shards
 
     @property
     def connections(self) -> dict[int, HolderConnection]:
-        """Connections that stand or are dialled, by number."""
+        """Established and pending connections, by number."""
         return self.shard_connections.connections
 
     @property
     def functions(self) -> OrderedDict[str, CachedFunction]:
-        """Functions that are watched, by name, the one used longest ago first."""
+        """Watched functions by name, least recently used first."""
         return self.cache.functions
 
     @property
     def instances(self) -> CachedInstances:
-        """Instances in the prefixes of these functions."""
+        """Instances in the prefixes of the watched functions."""
         return self.cache.instances
 
     def reachable_shards(self) -> int:
-        """Shards with a holder that answers."""
+        """Number of shards with a holder that answers."""
         return self.shard_connections.reachable_shards()
 
     # calls
 
     def prefix_for(self, function: str, method: str, now: int) -> Prefix | None:
-        """A call needs this function: its prefix if one is cached.
+        """The cached prefix of a function that a call needs, or `None` if there is none.
 
-        Else `None`; then exactly one of `PrefixReady` and `LookupFailed` follows among the effects: within
-        the look-up time-out, or at once where no holder can be reached. Further calls of the same function
-        meanwhile share that look-up.
+        In the latter case exactly one of the effects `PrefixReady` and `LookupFailed` follows: within the
+        lookup time-out, or at once if no holder can be reached. Further calls of the same function share the
+        pending lookup.
         """
         self.record_call(now)
         cached = self.functions.get(function)
@@ -130,7 +131,7 @@
         return None
 
     def watch_function(self, name: str, method: str, now: int) -> CachedFunction:
-        """Begin to watch a function."""
+        """Start watching a function."""
         number = self.assignment.shard_of(name)
         function = CachedFunction(name, method, number, self.settings.first_count, now)
         self.functions[name] = function
@@ -143,7 +144,7 @@
         return function
 
     def wait_for_prefix(self, function: CachedFunction, now: int) -> None:
-        """A call waits for this function from now on; it fails at once where no copy can be reached."""
+        """Start a lookup of this function; it fails at once if no replica can be reached."""
         shard = self.shards[function.shard]
         if shard.unreachable:
             self.lookups.fail(function.name, max(0, min(shard.dial_at, now + SECOND) - now))
@@ -151,9 +152,9 @@
         self.lookups.begin(function, now)
 
     def function_used(self, function: str, position: int, now: int) -> None:
-        """A call went to the instance at this position of the prefix.
+        """Record that a call was sent to the instance at this position of the prefix.
 
-        The function stays watched; where the position is near the end, a longer prefix is asked for, and
+        The function stays watched. If the position is near the end, a longer prefix is requested, and
         `PrefixReady` follows if there is one.
         """
         cached = self.functions.get(function)
@@ -165,10 +166,11 @@
             self.extend_prefix(function, now)
 
     def extend_prefix(self, function: str, now: int) -> bool:
-        """The prefix was not enough for a call; whether a longer one is (already) asked for.
+        """Request a longer prefix, since this one was not enough for a call.
 
-        What a longer one brings must show before a yet longer one is asked for: else each jam would have the
-        whole fleet listed within a few round trips.
+        Returns whether a longer one is (already) requested. Extensions are spaced by `extension_pause`, so
+        that each takes effect before the next one: otherwise an overload would extend the prefix to all instances
+        within a few round trips.
         """
         self.record_call(now)
         cached = self.functions.get(function)
@@ -186,13 +188,13 @@
         return True
 
     def send_watch_if_connected(self, function: CachedFunction, now: int) -> None:
-        """Ask the function's holder for its prefix, if there is a connection to one."""
+        """Request the function's prefix from its shard's holder, if one is connected."""
         self.requests.send_if_connected(self.shards[function.shard].connection, function, now)
 
-    # the assignment, and connections as numbered by `Dial`
+    # assignment, and events of the connections numbered by `Dial`
 
     def replace_assignment(self, assignment: Assignment, now: int) -> None:
-        """The settings name other copies. An assignment of an older epoch is not taken."""
+        """Switch to a new assignment; one that is not of a higher epoch is ignored."""
         self.record_call(now)
         if assignment.epoch <= self.assignment.epoch:
             self.log(f"assignment {assignment.epoch} not taken, {self.assignment.epoch} holds")
@@ -203,7 +205,7 @@
         self.shard_connections.replace_assignment(assignment, self.functions.values(), now)
 
     def connection_ready(self, connection: int, now: int) -> None:
-        """The connection stands and both ends have greeted."""
+        """A connection is established: both ends have greeted."""
         self.record_call(now)
         ready = self.shard_connections.mark_ready(connection, now)
         if ready is not None:
@@ -211,17 +213,17 @@
             self.requests.send_all(ready, self.shards[ready.shard].functions.values(), now)
 
     def connection_failed(self, connection: int, now: int) -> None:
-        """The connection could not be opened."""
+        """A connection could not be opened."""
         self.record_call(now)
         self.shard_connections.fail_connection(connection, "can't be reached", now)
 
     def connection_lost(self, connection: int, now: int) -> None:
-        """The connection broke, or the holder closed it."""
+        """A connection broke, or the holder closed it."""
         self.record_call(now)
         self.shard_connections.fail_connection(connection, "connection lost", now)
 
     def message_received(self, connection: int, message: HolderMessage, now: int) -> None:
-        """A holder has sent a message; on a connection that is given up it is passed over."""
+        """A holder has sent a message; on a closed connection it is ignored."""
         self.record_call(now)
         known = self.connections.get(connection)
         if known is not None:
@@ -230,14 +232,14 @@
     # time
 
     def record_call(self, now: int) -> None:
-        """The program calls. After a standstill of its own it can't count the silence of others."""
+        """Detect a stall of the dispatcher by a late call; silence of holders during one doesn't count."""
         gap = now - self.last_call_at
         self.last_call_at = max(now, self.last_call_at)
         if gap > STANDSTILL_HEARTBEATS * self.settings.heartbeat:
             self.shard_connections.excuse_silence(now)
 
     def tick(self, now: int) -> None:
-        """To be called when `next_due` has come, or soon after."""
+        """Handle time-outs and retries; to be called at `next_due` or soon after."""
         self.record_call(now)
         self.lookups.expire(now)
         self.retry_due_watches(now)
@@ -251,7 +253,7 @@
         self.cache.publish()
 
     def retry_due_watches(self, now: int) -> None:
-        """Ask again for the functions whose time has come."""
+        """Request the functions again whose retry is due."""
         for at, name in self.requests.take_due(now):
             function = self.functions.get(name)
             if function is not None and function.retry_at == at:
@@ -259,7 +261,7 @@
                 self.send_watch_if_connected(function, now)
 
     def check_shard(self, shard: Shard, now: int) -> None:
-        """What the passing of time means for a shard's connection."""
+        """Handle the deadlines of a shard's connection: dial, fail over, rebalance or renew the lease."""
         connection = shard.connection
         if connection is None:
             self.shard_connections.dial_if_due(shard, now)
@@ -278,7 +280,7 @@
             self.leases.renew(connection, now)
 
     def remove_idle_functions(self, now: int) -> None:
-        """Watch functions no more that were unused for long."""
+        """Unwatch functions that have been unused for the idle time."""
         while self.functions:
             function = next(iter(self.functions.values()))
             if now - function.used_at < self.settings.idle:
@@ -286,7 +288,7 @@
             self.unwatch_function(function)
 
     def shrink_prefix(self, function: CachedFunction, now: int) -> None:
-        """Ask for a shorter prefix where little of a long one was used since the last review."""
+        """Request a shorter prefix if little of a long one was used since the last review."""
         used = function.furthest_used
         function.furthest_used = 0
         is_long = function.count > self.settings.first_count
@@ -295,7 +297,7 @@
             self.send_watch_if_connected(function, now)
 
     def unwatch_function(self, function: CachedFunction) -> None:
-        """Watch a function no more."""
+        """Stop watching a function."""
         shard = self.shards[function.shard]
         del self.functions[function.name]
         self.shard_connections.remove_function(function)
@@ -306,7 +308,7 @@
         self.shard_connections.release_if_unused(shard)
 
     def next_due(self) -> int:
-        """When `tick` is to be called next; it may have become earlier after any other call."""
+        """When `tick` is to be called next; any other call may make it earlier."""
         dues = [self.last_call_at + self.settings.heartbeat, self.review_at]
         if self.functions:
             dues.append(next(iter(self.functions.values())).used_at + self.settings.idle)
@@ -316,7 +318,7 @@
         return min(dues)
 
     def shard_due(self, shard: Shard) -> int:
-        """When a shard's connection is to be looked after next."""
+        """When a shard's connection has its next deadline."""
         connection = shard.connection
         if connection is None:
             return shard.dial_at if shard.functions else NEVER
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -1,6 +1,6 @@
-"""A holder's connections to watchers and operators: lines in and out, and the session of each.
+"""A holder's connections to watchers and operators, one session each.
 
-Times are ticks of a tenth of a millisecond on the program's clock.
+Times are ticks of 0.1 ms on the process's clock.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class SessionListener(Protocol):
-    """Whom the sessions are for: the program around the holder's decisions."""
+    """Receives the events of sessions; implemented by the holder's process."""
 
     stopping: bool
 
@@ -32,61 +32,61 @@
         """A watcher has sent a message."""
 
     def session_closed(self, session: int) -> None:
-        """A watcher's connection is over, which the program has not closed itself."""
+        """A watcher's connection has ended that the holder did not close itself."""
 
     def connection_ended(self) -> None:
-        """A connection is over, whoever closed it."""
+        """A connection has ended, whoever closed it."""
 
     def inspect(self, function: str) -> wire.InspectResponse:
-        """The answer to an operator."""
+        """The answer to an operator's request."""
 
     def passed_over(self, name: str, why: str) -> None:
-        """A line of a peer could not be read."""
+        """A line of a peer could not be decoded."""
 
 
 class WatcherSessions:
-    """The sessions of watchers by number; no number is used twice."""
+    """Sessions by number; no number is used twice."""
 
     def __init__(
         self, listener: SessionListener, holder: str, unsent_bytes: int, counts: HolderCounts, log: Log
     ) -> None:
-        """`holder`: its name in greetings. `unsent_bytes`: beyond so many a slow connection is cut."""
+        """`holder`: name in greetings. `unsent_bytes`: a connection with more unsent bytes is closed."""
         self.listener = listener
         self.holder = holder
         self.unsent_bytes = unsent_bytes
         self.counts = counts
         self.log = log
         self.speakers = dict[int, WatcherSpeaker]()
-        self.opened = 0  # so far
-        self.slow = set[int]()  # sessions that read more slowly than is written
+        self.opened = 0  # since the start
+        self.slow = set[int]()  # sessions that read more slowly than the holder writes
         self.meter = ByteRateMeter(listener.clock())
 
     def __len__(self) -> int:
-        """Sessions that are open."""
+        """Number of open sessions."""
         return len(self.speakers)
 
     def send(self, session: int, message: Message) -> None:
-        """Send a message, where the session is still open."""
+        """Send a message if the session is still open."""
         speaker = self.speakers.get(session)
         if speaker is not None:
             speaker.say(message)
 
     def close(self, session: int, reason: str) -> None:
-        """Close a session by the holder's decision; nothing more is said of it."""
+        """Close a session at the holder's request; `session_closed` is not called for it."""
         speaker = self.speakers.pop(session, None)
         if speaker is not None:
             self.counts.closed_sessions += 1
             speaker.cut(reason)
 
     def close_all(self, reason: str) -> None:
-        """Tell all watchers that the holder leaves, and close their connections."""
+        """Close all connections with a reason."""
         for speaker in list(self.speakers.values()):
             speaker.cut(reason)
 
-    # what the connections report
+    # events of the connections
 
     def greeted(self, speaker: "WatcherSpeaker") -> None:
-        """Both ends of a connection have greeted: a session begins, unless the holder stops."""
+        """Both ends have greeted: open a session, unless the holder is stopping."""
         if self.listener.stopping:
             speaker.cut("the holder stops")
             return
@@ -96,21 +96,21 @@
         self.listener.session_opened(speaker.session)
 
     def received(self, speaker: "WatcherSpeaker", message: Any) -> None:
-        """A message has come. Operators are answered here, in the program's own words."""
+        """Handle a message; requests of operators are answered here."""
         if isinstance(message, wire.InspectRequest):
             speaker.say(self.listener.inspect(message.function))
             return
         self.listener.session_message(speaker.session, message)
 
     def ended(self, speaker: "WatcherSpeaker") -> None:
-        """A connection is over."""
+        """A connection has ended."""
         self.slow.discard(speaker.session)
         if self.speakers.pop(speaker.session, None) is not None:
             self.listener.session_closed(speaker.session)
         self.listener.connection_ended()
 
     def slowed(self, speaker: "WatcherSpeaker", slow: bool) -> None:
-        """A watcher has begun, or ceased, to read more slowly than it is written to."""
+        """A watcher has started or ceased to read more slowly than the holder writes."""
         self.slow.discard(speaker.session)
         if slow:
             self.slow.add(speaker.session)
@@ -118,13 +118,13 @@
         self.log("watcher slow" if slow else "watcher reads", watcher=speaker.name, **figures)
 
     def cut_as_slow(self, speaker: "WatcherSpeaker", reason: str) -> None:
-        """A connection is cut while too much waits to be read."""
+        """Count and log a connection that is closed because of too many unsent bytes."""
         self.counts.slow_connections_cut += 1
         self.log("watcher cut", watcher=speaker.name, why=reason, waiting=speaker.waiting)
 
 
 class WatcherSpeaker(Speaker):
-    """The holder's end of a connection, of a dispatcher or an operator."""
+    """The holder's end of a connection to a dispatcher or an operator."""
 
     protocol = wire.DIRECTORY
     decoder = union(wire.FromWatcher)
@@ -133,7 +133,7 @@
     def __init__(self, sessions: WatcherSessions) -> None:
         super().__init__(LineBounds(waiting=sessions.unsent_bytes))
         self.sessions = sessions
-        self.session = 0  # before the greeting
+        self.session = 0  # 0 before the greeting
         self.name = ""
 
     def greeting(self) -> Hello:
@@ -164,22 +164,22 @@
         super().cut(why)
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """What can't be read may have been a watch: the watcher begins anew."""
+        """Close the connection: the undecodable line may have been a watch request."""
         self.sessions.listener.passed_over(self.name, why)
         super().unreadable(line, why)
 
     def slowed(self, slow: bool) -> None:
-        """The peer has begun, or ceased, to read too slowly."""
+        """The peer has started or ceased to read too slowly."""
         if self.session:
             self.sessions.slowed(self, slow)
 
     def lost(self) -> None:
-        """The connection is over."""
+        """The connection has ended."""
         self.sessions.ended(self)
 
 
 class WatcherFactory(ServerFactory):
-    """Makes the holder's ends of connections."""
+    """Builds the holder's ends of connections."""
 
     noisy = False
 
@@ -187,5 +187,5 @@
         self.sessions = sessions
 
     def buildProtocol(self, addr: Any) -> WatcherSpeaker:
-        """A protocol for a connection that was accepted."""
+        """A protocol for an accepted connection."""
         return WatcherSpeaker(self.sessions)
