--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -169,8 +169,8 @@
         """Request a longer prefix, since this one was not enough for a call.
 
         Returns whether a longer one is (already) requested. Extensions are spaced by `extension_pause`, so
-        that each takes effect before the next one: otherwise an overload would extend the prefix to all instances
-        within a few round trips.
+        that each takes effect before the next one: otherwise an overload would extend the prefix to all
+        instances within a few round trips.
         """
         self.record_call(now)
         cached = self.functions.get(function)
--- a/lapistrestle/fleet/__init__.py
+++ b/lapistrestle/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatchers among themselves: SWIM membership, gossiped counters, and leases of shared quotas."""
+"""Coordination among dispatchers: SWIM membership, gossiped counters, and leases of shared quotas."""
--- a/lapistrestle/fleet/dissemination.py
+++ b/lapistrestle/fleet/dissemination.py
@@ -1,7 +1,7 @@
-"""How membership updates spread: piggybacked on every datagram, and by pages of whole tables. Free of I/O.
+"""Dissemination of membership updates: piggybacked on datagrams, and by table pages. Free of I/O.
 
 Piggybacking is SWIM's infection-style dissemination (section 4.1); the pages are an anti-entropy exchange
-(Demers et al., PODC 1987) for what no datagram brought.
+(Demers et al., PODC 1987) for updates that were lost.
 """
 
 from collections.abc import Iterable
@@ -14,31 +14,31 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-RETRANSMIT_FACTOR = 4  # a record is piggybacked so often, times the decimal logarithm of the size
-CANDIDATES = 24  # records weighed for one datagram: bounds the work of each
+RETRANSMIT_FACTOR = 4  # transmissions of a record, times the decimal logarithm of the fleet's size
+CANDIDATES = 24  # records considered per datagram: bounds the cost of each
 PAYLOAD_BYTES = wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES  # left for records
 
 
 class MembershipTransport(Protocol):
-    """What membership can do to the world."""
+    """The effects of membership; implemented by `GossipEndpoint`."""
 
     def send(self, host: str, port: int, message: wire.Message, records: tuple[MemberRecord, ...]) -> None:
-        """Send a datagram; nothing tells whether it arrives."""
+        """Send a datagram; delivery is not guaranteed."""
 
     def on_member_changed(self, member: Member) -> None:
-        """Another record of a member holds, or the member was forgotten."""
+        """A member's record was replaced, or the member was forgotten."""
 
     def log(self, text: str) -> None:
         """Write one log line."""
 
 
 def retransmit_limit(size: int) -> int:
-    """How often a record is piggybacked in a fleet of that size (SWIM's lambda log n)."""
+    """How often a record is piggybacked in a fleet of this size (SWIM's lambda log n)."""
     return RETRANSMIT_FACTOR * ceil(log10(size + 9))
 
 
 class Outbox:
-    """Sends messages with records piggybacked on them. Pings are numbered in order."""
+    """Sends messages with piggybacked records, and numbers pings."""
 
     def __init__(self, transport: MembershipTransport, table: MemberTable) -> None:
         self.transport = transport
@@ -46,7 +46,7 @@
         self.ping_number = 0  # of the latest ping
 
     def ping(self, host: str, port: int, member: Member | None = None) -> int:
-        """Ping an address; its `member` also gets the record that it has to refute. Returns the number."""
+        """Ping an address; a suspected `member` there also gets the record to refute. Returns the number."""
         self.ping_number += 1
         self.transport.send(host, port, wire.Ping(self.ping_number), self.piggyback(member))
         return self.ping_number
@@ -58,11 +58,11 @@
     def reply(
         self, receiver: MemberRecord, message: wire.Message, records: tuple[MemberRecord, ...] = ()
     ) -> None:
-        """Send a message with just these records."""
+        """Send a message with these records only."""
         self.transport.send(receiver.host, receiver.port, message, records)
 
     def piggyback(self, receiver: Member | None) -> tuple[MemberRecord, ...]:
-        """Records for one datagram: what the receiver has to refute, then those transmitted least."""
+        """Records for one datagram: the one that the receiver has to refute, then the least transmitted."""
         limit = retransmit_limit(self.table.size)
         buffer = self.table.dissemination_buffer
         records = list[MemberRecord]()
@@ -82,13 +82,13 @@
 
 
 def least_transmitted(member: Member) -> tuple[int, int]:
-    """Order of piggybacking: the least transmitted first, of these the latest changed."""
+    """Sort key for piggybacking: the least transmitted first, among these the latest changed."""
     return member.transmissions, -member.status_since
 
 
 @dataclass(frozen=True)
 class TableRead:
-    """A member table that is being read page by page: whose, and after which name the next page begins."""
+    """A member table that is being read page by page; the next page begins after the name `after`."""
 
     host: str
     port: int
@@ -96,31 +96,31 @@
 
 
 class TableSync:
-    """Requests and sends pages of member tables, so that what no datagram brought becomes known too."""
+    """Requests and sends pages of member tables, so that lost updates are repaired."""
 
     def __init__(self, outbox: Outbox, table: MemberTable) -> None:
         self.outbox = outbox
         self.table = table
-        self.table_read: TableRead | None = None  # under way
-        self.cursor = ""  # after which name the next single page begins
+        self.table_read: TableRead | None = None  # the one in progress
+        self.cursor = ""  # name after which the next single page begins
 
     def read_table(self, of: MemberRecord) -> None:
-        """Begin to read another member's table from its first page to its last."""
+        """Start reading another member's whole table."""
         self.table_read = TableRead(of.host, of.port, "")
         self.request_next_page()
 
     def request_next_page(self) -> None:
-        """Request the next page of the table being read, or the same again where it was lost."""
+        """Request the next page of the table being read; repeats the request if the answer was lost."""
         if self.table_read is not None:
             request = wire.PageRequest(self.table_read.after)
             self.outbox.transport.send(self.table_read.host, self.table_read.port, request, ())
 
     def request_page(self, of: MemberRecord) -> None:
-        """Request one page from another member, the next in turn."""
+        """Request one page from another member, after the last one received."""
         self.outbox.reply(of, wire.PageRequest(self.cursor))
 
     def on_page(self, page: wire.TablePage, records: Iterable[MemberRecord]) -> None:
-        """A page arrived; the caller applies its records."""
+        """Handle a page; the caller applies its records."""
         last = max((record.name for record in records), default=page.after)
         self.cursor = last if page.more else ""
         reading = self.table_read
@@ -130,7 +130,7 @@
             self.request_next_page()
 
     def send_page(self, receiver: Member, after: str) -> None:
-        """Send the records of members whose names follow, as many as fit into a datagram."""
+        """Send the records of members with names after `after`, as many as fit in a datagram."""
         members = self.table.members
         names = sorted(name for name in members if name > after and name != receiver.name)
         records = list[MemberRecord]()
--- a/lapistrestle/fleet/failure_detector.py
+++ b/lapistrestle/fleet/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector (section 3.1), free of I/O: one member is probed a period, first directly."""
+"""SWIM's failure detector (section 3.1), free of I/O: probes one member per protocol period."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,11 +12,11 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-MAX_RELAYED_PINGS = 64  # open at once on behalf of others: guards against one that requests without end
+MAX_RELAYED_PINGS = 64  # concurrent pings on behalf of others: guards against a member that floods requests
 
 
 class ProbePhase(Enum):
-    """How far the probe of this period is."""
+    """The phase of this period's probe."""
 
     IDLE = 1
     DIRECT = 2  # the target was pinged
@@ -25,7 +25,7 @@
 
 
 class ProbeEvent(Enum):
-    """What moves a probe on."""
+    """An event that advances a probe."""
 
     PERIOD_BEGAN = 1
     PING_TIMED_OUT = 2
@@ -37,7 +37,7 @@
     """A ping on behalf of another member."""
 
     requester: MemberRecord
-    number: int  # of the requester's own ping
+    number: int  # number of the requester's own ping
     deadline: int  # when a nack is due, in ticks
 
 
@@ -55,7 +55,7 @@
         on_no_members: Callable[[], None],
         now: int,
     ) -> None:
-        """`apply` takes up a suspicion; `on_no_members` is called where there is nobody to probe."""
+        """`apply` receives suspicions; `on_no_members` is called if there is no member to probe."""
         self.settings = settings
         self.table = table
         self.outbox = outbox
@@ -66,20 +66,20 @@
         self.now = now
         self.phase = ProbePhase.IDLE
         self.target: Member | None = None
-        self.ping_number = -1  # of the ping that was sent to the target
+        self.ping_number = -1  # number of the last ping sent to the target
         self.pinged_at = now
         self.ping_deadline = -1
-        self.probe_order: list[Member] = []  # yet to be probed in this round, the next one last
+        self.probe_order: list[Member] = []  # still to be probed in this round, the next one last
         self.relayed_pings: dict[int, RelayedPing] = {}  # by number of our ping
 
     def handle(self, event: ProbeEvent, now: int) -> None:
-        """Move the probe under way."""
+        """Advance the current probe."""
         self.now = now
         self.phase, effect = TRANSITIONS[self.phase, event]
         effect(self)
 
     def interrupt(self) -> bool:
-        """Give up an open probe after a standstill of our own, whose silence says nothing of others.
+        """Abandon an open probe after a stall of this process, since its time-out proves nothing.
 
         Returns whether a probe was open.
         """
@@ -89,14 +89,14 @@
         return was_open
 
     def deadlines(self) -> list[int]:
-        """When the ping under way or a relayed one times out."""
+        """When the current ping and the relayed ones time out."""
         own = [self.ping_deadline] if self.phase is ProbePhase.DIRECT else []
         return own + [relayed.deadline for relayed in self.relayed_pings.values()]
 
     # effects of the transitions
 
     def ping_next(self) -> None:
-        """Ping the next member, round-robin in a random order drawn anew each round (SWIM, section 4.3)."""
+        """Ping the next member, round-robin in an order that is shuffled each round (SWIM, section 4.3)."""
         while self.probe_order and not (self.probe_order[-1].is_known and self.probe_order[-1].is_live):
             self.probe_order.pop()
         if not self.probe_order:
@@ -113,7 +113,7 @@
         self.ping_number = self.outbox.ping(record.host, record.port, self.target)
 
     def ping_indirectly(self) -> None:
-        """Have other members ping the target, which has not answered us."""
+        """Have other members ping the target, which has not answered directly."""
         target = self.target
         assert target is not None
         others = [member for member in self.table.live() if member is not target]
@@ -123,10 +123,10 @@
             request = wire.PingRequest(self.ping_number, target.name, record.host, record.port)
             self.outbox.send(relay, request)
         if relays:
-            self.health.worsen()  # until one of them sends a nack: then it hears us
+            self.health.worsen()  # undone by a nack, which proves that a relay receives our messages
 
     def suspect_target(self) -> None:
-        """Suspect the target, from which nobody has had an ack, and probe the next."""
+        """Suspect the target, since no ack was received directly or by relays, and probe the next member."""
         target = self.target
         assert target is not None
         if target.is_known and target.status is MemberStatus.ALIVE:
@@ -138,13 +138,13 @@
         self.ping_next()
 
     def on_target_acknowledged(self) -> None:
-        """The target has answered, so our own links work."""
+        """The target has answered, so our own network and process work."""
         self.health.improve()
 
     # messages
 
     def on_ack(self, member: Member, number: int, now: int) -> None:
-        """An ack of our own ping, or of a relayed one, which is passed on with the target's record."""
+        """Handle an ack of our own ping, or of a relayed one, which is forwarded with the target's record."""
         is_open = self.phase in (ProbePhase.DIRECT, ProbePhase.INDIRECT)
         if number == self.ping_number and is_open and member is self.target:
             self.handle(ProbeEvent.ACK_RECEIVED, now)
@@ -153,19 +153,19 @@
             self.outbox.reply(relayed.requester, wire.Ack(relayed.number), (member.record,))
 
     def on_nack(self, number: int) -> None:
-        """A relay hears us, though not the target: the silence is not ours."""
+        """Handle a nack: the relay receives our messages, so the missing ack is not our fault."""
         if number == self.ping_number and self.phase is ProbePhase.INDIRECT:
             self.health.improve()
 
     def on_ping_request(self, requester: MemberRecord, request: wire.PingRequest, now: int) -> None:
-        """Ping a member on behalf of another."""
+        """Ping a member on behalf of another one."""
         if len(self.relayed_pings) < MAX_RELAYED_PINGS:
             number = self.outbox.ping(request.host, request.port)
             deadline = now + self.settings.ping_timeout
             self.relayed_pings[number] = RelayedPing(requester, request.seq, deadline)
 
     def expire_relayed_pings(self, now: int) -> None:
-        """Send a nack for each relayed ping that was not answered in time."""
+        """Send a nack for each relayed ping that has timed out."""
         expired = [n for n, relayed in self.relayed_pings.items() if now >= relayed.deadline]
         for number in expired:
             relayed = self.relayed_pings.pop(number)
--- a/lapistrestle/fleet/gossip_counters.py
+++ b/lapistrestle/fleet/gossip_counters.py
@@ -1,9 +1,9 @@
-"""Counters that dispatchers gossip: they only grow, and are held by process. Free of I/O (docs/fleet.md).
+"""Grow-only counters that dispatchers gossip, one set per process. Free of I/O (docs/fleet.md).
 
 This is the grow-only counter of Shapiro et al., "Conflict-Free Replicated Data Types" (SSS 2011): the newest
-snapshot of a process holds, so a lost, doubled, late or reordered datagram changes nothing but ages. Rates
-come from two snapshots of one process, by its own clock. What a process counts for is bounded three ways: by
-the snapshot's age, by what one dispatcher can do at all, and by what the others do.
+snapshot of a process wins, so lost, duplicated, late or reordered datagrams affect only its age. Rates are
+computed from two snapshots of one process, by its own clock. The contribution of a process is limited by the
+snapshot's age, by the maximum rate of one dispatcher, and by the median rate of all.
 """
 
 from collections import deque
@@ -21,31 +21,31 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import CounterSnapshot, ProcessId
 
-MAX_OVER_MEDIAN = 100.0  # bound of one process's rate over the median: fifty times is known to happen
-MIN_REPORTERS = 3  # under which there is no median to hold a rate against
-TRANSMISSIONS = 3  # of a snapshot by each that holds it: one in twenty misses it, and gets the next
-MAX_SAMPLES = 8  # kept of each process
-SAMPLES_IN_WINDOW = MAX_SAMPLES - 3  # kept ones are at least this part of the rate window apart
-CANDIDATES = 40  # snapshots of others weighed for one datagram: bounds the work of each
+MAX_OVER_MEDIAN = 100.0  # limit of one process's rate in medians; fifty times the median does occur
+MIN_REPORTERS = 3  # below which rates are not compared with the median
+TRANSMISSIONS = 3  # of a snapshot by each process that has it: 1 in 20 processes misses it and gets the next
+MAX_SAMPLES = 8  # stored per process
+SAMPLES_IN_WINDOW = MAX_SAMPLES - 3  # stored samples are at least a rate window divided by this apart
+CANDIDATES = 40  # snapshots of others considered per datagram: bounds the cost of each
 
-Rates = npt.NDArray[np.float64]  # by counter, a second
+Rates = npt.NDArray[np.float64]  # by counter, per second
 
 
 @dataclass(frozen=True)
 class CounterSettings:
-    """When snapshots are sent, and for how long they count. Durations are whole ticks of 0.1 ms."""
+    """When snapshots are sent, and how long they are valid. Durations are whole ticks of 0.1 ms."""
 
     send_interval: int = SECOND // 2
-    refresh_interval: int = SECOND  # between two snapshots of one's own counters
-    full_weight_age: int = 3 * SECOND  # up to which a snapshot counts in full
-    expiry_age: int = 10 * SECOND  # from which on it counts for nothing
-    rate_window: int = 2 * SECOND  # over which rates are taken at the least, by the reporter's clock
-    max_rate: float = 100_000.0  # of any counter, a second: what one dispatcher can do at all
-    max_datagrams: int = 10  # of one round of gossip
+    refresh_interval: int = SECOND  # between two snapshots of a process's own counters
+    full_weight_age: int = 3 * SECOND  # up to which a snapshot has full weight
+    expiry_age: int = 10 * SECOND  # from which on a snapshot has no weight
+    rate_window: int = 2 * SECOND  # minimum interval for rates, by the reporter's clock
+    max_rate: float = 100_000.0  # per second and counter: more than one dispatcher can do
+    max_datagrams: int = 10  # per round of gossip
 
 
 class Sample(NamedTuple):
-    """Counters at one moment of the reporter's clock."""
+    """Counters at one time of the reporter's clock."""
 
     at: int
     counts: tuple[int, ...]
@@ -53,28 +53,28 @@
 
 @dataclass(eq=False)
 class Reporter:
-    """One process, as far as its counters are known."""
+    """One process and its counters, as far as known."""
 
     process_id: ProcessId
     snapshot: CounterSnapshot  # the newest
-    valid_at: int  # on our clock: when the newest snapshot was taken, at the latest
-    transmissions: int = 0  # of the newest snapshot, by us
+    valid_at: int  # the latest time, on our clock, at which the newest snapshot was taken
+    transmissions: int = 0  # of the newest snapshot by this process
     samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
-    rates: Rates | None = None  # by its own clock; None while there is one snapshot
+    rates: Rates | None = None  # by its own clock; None if there is only one snapshot
 
     def add_snapshot(self, snapshot: CounterSnapshot, now: int, rate_window: int) -> None:
-        """Take up a newer snapshot of the same process."""
+        """Store a newer snapshot of the same process."""
         self.snapshot = snapshot
         self.valid_at = now - snapshot.age
         self.transmissions = 0
         shortest = rate_window // SAMPLES_IN_WINDOW
         if len(self.samples) > 1 and self.samples[-1].at - self.samples[-2].at < shortest:
-            self.samples.pop()  # so that the kept ones span the window however often it reports
+            self.samples.pop()  # so that the stored ones span the window however often it reports
         self.samples.append(Sample(snapshot.at, snapshot.counts))
         self.update_rates(rate_window)
 
     def update_rates(self, rate_window: int) -> None:
-        """Compute the rates from the newest sample and one a window before it."""
+        """Compute the rates between the newest sample and one at least a window older."""
         newest = self.samples[-1]
         earlier = (s for s in reversed(self.samples) if newest.at - s.at >= rate_window)
         first = next(earlier, self.samples[0])
@@ -86,22 +86,22 @@
 
 @dataclass(frozen=True)
 class FleetStatistics:
-    """What the fleet does, and how far that is known."""
+    """Aggregated counters of the fleet, and how complete they are."""
 
-    rates: Mapping[str, float]  # by counter, a second
-    totals: Mapping[str, int]  # the counters added up
-    counted: int  # members that are in them; the others are too old or never heard
+    rates: Mapping[str, float]  # by counter, per second
+    totals: Mapping[str, int]  # sums by counter
+    counted: int  # members included; snapshots of the others are too old or were never received
     size: int  # of the fleet
-    age: int  # of the oldest snapshot counted, in ticks
+    age: int  # of the oldest snapshot included, in ticks
 
 
 class GossipCounters:
-    """The counters of this process, and the newest that is known of the others'."""
+    """The counters of this process, and the newest snapshots of the others."""
 
     def __init__(
         self, columns: Sequence[str], process_id: ProcessId, settings: CounterSettings, now: int
     ) -> None:
-        """`columns` names the counters, the same and in the same order at every dispatcher of a layout."""
+        """`columns` names the counters, in an order that all dispatchers of a layout share."""
         self.columns = {name: i for i, name in enumerate(columns)}
         self.settings = settings
         self.layout = crc32("\n".join(columns).encode())
@@ -109,18 +109,18 @@
         self.counts = [0] * len(columns)
         self.seq = 0
         self.refreshed_at = now
-        self.reporters: dict[str, Reporter] = {}  # by name, oneself among them
-        self.rejected = 0  # snapshots and datagrams that can not be right
+        self.reporters: dict[str, Reporter] = {}  # by name, this process included
+        self.rejected = 0  # invalid snapshots, and datagrams of another layout
         self.refresh_own(now)
 
     def add(self, column: str, amount: int = 1) -> None:
-        """Add to a counter of one's own; a negative amount counts as none."""
+        """Add to one of this process's counters; a negative amount is ignored."""
         self.counts[self.columns[column]] += max(0, amount)
 
     # snapshots to send
 
     def refresh_own(self, now: int) -> None:
-        """Take a new snapshot of one's own counters."""
+        """Take a new snapshot of this process's counters."""
         self.seq += 1
         self.refreshed_at = now
         snapshot = CounterSnapshot(*self.process_id, self.seq, now, 0, tuple(self.counts))
@@ -128,7 +128,7 @@
         own.add_snapshot(snapshot, now, self.settings.rate_window)
 
     def snapshots_to_send(self, now: int, free_bytes: int) -> list[CounterSnapshot]:
-        """One's own snapshot, and of the others' those least transmitted, as many as fit."""
+        """This process's snapshot, then the least transmitted ones of others, as many as fit."""
         if now - self.refreshed_at >= self.settings.refresh_interval:
             self.refresh_own(now)
         others = [
@@ -150,10 +150,10 @@
         return snapshots
 
     def datagrams_per_round(self, size: int, snapshot_bytes: int) -> int:
-        """How many datagrams to send in one round of gossip.
+        """The number of datagrams to send in one round of gossip.
 
-        So many that all snapshots get round within two refreshes of a fleet of that size, and no more than
-        the bound: beyond it statistics get older, not dearer.
+        Enough to spread all snapshots of a fleet of this size within two refresh intervals, but no more than
+        `max_datagrams`: in larger fleets statistics get older rather than more expensive.
         """
         per_datagram = max(1, (wire.MAX_DATAGRAM_BYTES - wire.ENVELOPE_BYTES) // max(1, snapshot_bytes))
         settings = self.settings
@@ -164,7 +164,7 @@
     # snapshots received
 
     def on_snapshots(self, layout: int, snapshots: Collection[CounterSnapshot], now: int) -> None:
-        """Snapshots arrived, the sender's own and others that it passes on."""
+        """Handle received snapshots, the sender's own and others that it forwards."""
         if layout != self.layout:
             self.rejected += 1
             return
@@ -173,23 +173,23 @@
                 self.accept(snapshot, now)
 
     def accept(self, snapshot: CounterSnapshot, now: int) -> None:
-        """Take a snapshot up if it is newer than the one held of its process."""
+        """Store a snapshot if it is newer than the known one of its process."""
         process_id = (snapshot.name, snapshot.boot, snapshot.nonce)
         reporter = self.reporters.get(snapshot.name)
         is_old_process = reporter is not None and process_id < reporter.process_id
         if len(snapshot.counts) != len(self.columns) or is_old_process:
             return
-        if reporter is None or process_id > reporter.process_id:  # a restart counts from zero again
+        if reporter is None or process_id > reporter.process_id:  # a restarted process counts from zero
             reporter = Reporter(process_id, snapshot, now - snapshot.age)
             reporter.samples.append(Sample(snapshot.at, snapshot.counts))
             self.reporters[snapshot.name] = reporter
             return
         held = reporter.snapshot
-        if snapshot.seq == held.seq:  # by a shorter way it is known to be younger
+        if snapshot.seq == held.seq:  # it came by a shorter path, so its age is known better
             reporter.valid_at = max(reporter.valid_at, min(now, now - snapshot.age))
             return
         if snapshot.seq < held.seq:
-            return  # late
+            return  # arrived late
         has_shrunk = any(new < old for old, new in zip(held.counts, snapshot.counts, strict=True))
         if has_shrunk or snapshot.at <= held.at:  # guards against a faulty reporter
             self.rejected += 1
@@ -197,19 +197,19 @@
         reporter.add_snapshot(snapshot, now, self.settings.rate_window)
 
     def forget(self, name: str) -> None:
-        """Drop what is known of a member that is forgotten."""
+        """Remove the counters of a forgotten member."""
         self.reporters.pop(name, None)
 
     # statistics
 
     def age_weight(self, reporter: Reporter, now: int) -> float:
-        """What a reporter counts for: 1 up to `full_weight_age`, falling to 0 at `expiry_age`."""
+        """Weight of a reporter: 1 up to `full_weight_age`, falling linearly to 0 at `expiry_age`."""
         full, expiry = self.settings.full_weight_age, self.settings.expiry_age
         age = now - reporter.valid_at
         return min(1.0, max(0.0, (expiry - age) / (expiry - full)))
 
     def statistics(self, now: int, is_present: Callable[[str], bool], size: int) -> FleetStatistics:
-        """Those of oneself, as they are, and of all others that are present, each within its bounds."""
+        """Statistics of this process and all others that are present, weighted and limited."""
         own = self.own_rates()
         reported = [own]
         weights = list[float]()
@@ -230,7 +230,7 @@
         return self.by_column(rates, totals, 1 + len(weights), size, oldest)
 
     def rate_bounds(self, by_reporter: Rates) -> Rates:
-        """The greatest rate of each counter that one reporter counts for."""
+        """The limit of each counter's rate for one reporter."""
         bounds = np.full(by_reporter.shape[1], float(self.settings.max_rate))
         if len(by_reporter) >= MIN_REPORTERS:
             median = np.median(by_reporter, axis=0)
@@ -238,11 +238,11 @@
         return bounds
 
     def own_statistics(self) -> FleetStatistics:
-        """Those of oneself only."""
+        """Statistics of this process only."""
         return self.by_column(self.own_rates(), self.counts, 1, 1, 0)
 
     def own_rates(self) -> Rates:
-        """Rates of oneself; 0 while there is one snapshot."""
+        """Rates of this process; 0 while there is only one snapshot."""
         rates = self.reporters[self.process_id[0]].rates
         return np.zeros(len(self.columns)) if rates is None else rates
 
@@ -256,5 +256,5 @@
 
 
 def least_transmitted(reporter: Reporter) -> tuple[int, int]:
-    """Order of sending: the least transmitted first, of these the youngest."""
+    """Sort key for sending: the least transmitted first, among these the youngest."""
     return reporter.transmissions, -reporter.valid_at
--- a/lapistrestle/fleet/gossip_endpoint.py
+++ b/lapistrestle/fleet/gossip_endpoint.py
@@ -1,4 +1,4 @@
-"""The UDP socket between dispatchers: datagrams in and out, and the timer of what this package decides."""
+"""The UDP socket for messages between dispatchers, and the timer of membership and gossip."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
@@ -19,47 +19,47 @@
 
 
 class VerdictGossip(Protocol):
-    """Passes on which workers were found healthy (`overload.worker_verdicts`)."""
+    """Gossips the results of workers' health checks (`overload.worker_verdicts`)."""
 
     def on_verdicts(self, verdicts: Iterable[wire.WorkerVerdict], now: int) -> None:
-        """Verdicts of others arrived."""
+        """Handle verdicts of other dispatchers."""
 
     def to_send(self, now: int, limit: int) -> tuple[wire.WorkerVerdict, ...]:
-        """Those still to be passed on, so many at the most."""
+        """At most `limit` verdicts that are still to be forwarded."""
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def stop(self) -> None:
         """Cancel it."""
 
 
 class Runtime(Protocol):
-    """What the program provides: an edge, or a test's stand-in for one. Times are whole ticks of 0.1 ms."""
+    """What the process provides: an edge, or a test's stand-in for one. Times are whole ticks of 0.1 ms."""
 
     reactor: Any  # of Twisted, or a virtual one with the same methods
 
     def clock(self) -> int:
-        """The time now."""
+        """The current time."""
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
-        """Call once with `arg`, after so long."""
+        """Call once with `arg`, after `delay` ticks."""
 
     def input(self) -> None:
-        """Something arrived at a socket."""
+        """Data was received on a socket."""
 
     def passed_over(self, name: str, why: str) -> None:
-        """What arrived under that name can not be used."""
+        """Input from `name` could not be decoded."""
 
     def log(self, what: str, **figures: Any) -> None:
         """Write one log line."""
 
 
 class GossipEndpoint(DatagramProtocol):
-    """One dispatcher's end of its fleet.
+    """One dispatcher's connection to its fleet.
 
-    `counters`, `verdicts` and `quota_leasing` are set by whoever has more to gossip than membership.
+    `counters`, `verdicts` and `quota_leasing` are set by an owner that uses more than membership.
     """
 
     transport: Any  # set by Twisted while the port is open
@@ -74,11 +74,11 @@
         nonce: int,
         seed: int,
     ) -> None:
-        """`boot` grows with each start of a process, `nonce` differs at each."""
+        """`boot` rises and `nonce` differs with each start of a process."""
         self.runtime = runtime
         self.settings = settings
         self.seed = seed
-        self.random = SeededRandom(seed, "tell")  # for the receivers of counters
+        self.random = SeededRandom(seed, "tell")  # selects the receivers of counters
         port = settings.advertised_port or settings.port
         me = MemberRecord(name, boot, nonce, 0, MemberStatus.ALIVE, settings.host, port, zone)
         self.membership = Membership(self, settings, me, seed, runtime.clock())
@@ -94,17 +94,17 @@
         self.datagrams_rejected = 0
 
     def start(self) -> None:
-        """Listen, and join through the seeds."""
+        """Listen, and join the fleet through the seeds."""
         self.runtime.reactor.listenUDP(self.settings.port, self, interface=INTERFACE)
         self.membership.start(self.runtime.clock())
         self.schedule()
 
     def leave(self) -> None:
-        """Tell others that this process leaves."""
+        """Notify other members that this process leaves."""
         self.membership.leave(self.runtime.clock())
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Handle a datagram; one that can not be decoded is counted and ignored."""
+        """Handle a datagram; one that can't be decoded is counted and ignored."""
         self.runtime.input()
         self.datagrams_received += 1
         try:
@@ -119,7 +119,7 @@
         self.schedule()
 
     def dispatch(self, sender: MemberRecord, message: wire.Message, now: int) -> None:
-        """Hand on a message that is not about membership."""
+        """Pass on a message that is not about membership."""
         if isinstance(message, wire.CounterGossip) and self.counters is not None:
             self.counters.on_snapshots(message.layout, message.snapshots, now)
             if self.verdicts is not None:
@@ -128,7 +128,7 @@
             self.quota_leasing.on_message(sender, message, now)
 
     def schedule(self) -> None:
-        """Have `run_due` called when something is due next; there is one timer at a time."""
+        """Schedule `run_due` for the next deadline; there is one timer at a time."""
         due = self.membership.next_deadline
         if self.counters is not None:
             due = min(due, self.counters_sent_at + self.counters.settings.send_interval)
@@ -140,7 +140,7 @@
         self.timer = self.runtime.after(max(1, due - self.runtime.clock()), self.run_due, None)
 
     def run_due(self, _: object = None) -> None:
-        """Do what is due: probes, and counters to others."""
+        """Do what is due: membership, and sending of counters."""
         self.timer = None
         now = self.runtime.clock()
         if now >= self.membership.next_deadline:
@@ -152,7 +152,7 @@
         self.schedule()
 
     def send_counters(self, counters: GossipCounters, now: int) -> None:
-        """Send counters to a few members, drawn anew each time."""
+        """Send counters to a few members, selected at random each time."""
         is_member = self.membership.state is LocalState.MEMBER
         receivers = list(self.membership.live()) if is_member else []
         own = counters.reporters[counters.process_id[0]].snapshot
@@ -165,7 +165,7 @@
             message = wire.CounterGossip(counters.layout, tuple(snapshots), verdicts)
             self.send(receiver.record.host, receiver.record.port, message, ())
 
-    # what membership asks for (dissemination.MembershipTransport)
+    # dissemination.MembershipTransport
 
     def send(self, host: str, port: int, message: wire.Message, records: tuple[MemberRecord, ...]) -> None:
         """Send one datagram."""
@@ -181,12 +181,12 @@
         self.send(receiver.host, receiver.port, message, ())
 
     def on_member_changed(self, member: Member) -> None:
-        """Drop the counters of a member that was forgotten."""
+        """Remove the counters of a member that was forgotten."""
         if self.counters is not None and not member.is_known:
             self.counters.forget(member.name)
 
     def is_present(self, name: str) -> bool:
-        """Whether that member counts as present."""
+        """Whether a member counts as present."""
         member = self.membership.members.get(name)
         return member is not None and member.is_live
 
--- a/lapistrestle/fleet/member_table.py
+++ b/lapistrestle/fleet/member_table.py
@@ -1,7 +1,7 @@
-"""What one member believes of all others, free of I/O.
+"""One member's table of all others, free of I/O.
 
-Of two records of one member the one with the greater precedence overrides, whichever came first (SWIM,
-section 4.2). So lost, doubled and late datagrams lead to the same table.
+Of two records of one member the one with the greater precedence overrides, in whatever order they are
+received (SWIM, section 4.2). So lost, duplicated and late datagrams lead to the same table.
 """
 
 from collections.abc import Callable
@@ -11,15 +11,15 @@
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
 MAX_CONFIRMATIONS = 3  # independent suspicions after which the shortest timeout holds (Lifeguard's K)
-INITIAL_TRANSMISSIONS_OF_DEAD = 4  # of one that was dead before we heard of it: hardly worth passing on
+INITIAL_TRANSMISSIONS_OF_DEAD = 4  # of a member first learned of as dead, whose record has low priority
 
 
 class LocalState(Enum):
-    """What this member itself is in its fleet."""
+    """This member's own state in its fleet."""
 
     JOINING = 1  # no other member has answered yet
     MEMBER = 2
-    DISPLACED = 3  # another process has this member's name
+    DISPLACED = 3  # another process uses this member's name
     LEFT = 4
 
 
@@ -28,14 +28,14 @@
 
 @dataclass(eq=False)
 class Member:
-    """Another member, as far as it is known."""
+    """Another member, as far as known."""
 
     record: MemberRecord
     status_since: int  # when its status last changed, in ticks on our clock
-    last_heard_at: int = -1  # when it last sent us a datagram itself; -1: never
-    transmissions: int = 0  # how often this record was piggybacked
+    last_heard_at: int = -1  # when it last sent us a datagram; -1: never
+    transmissions: int = 0  # how often its record was piggybacked
     suspected_by: set[str] = field(default_factory=set)  # members that suspect it independently
-    is_known: bool = True  # False once it was forgotten
+    is_known: bool = True  # False once it was removed from the table
 
     @property
     def name(self) -> str:
@@ -44,7 +44,7 @@
 
     @property
     def status(self) -> MemberStatus:
-        """What is believed of it."""
+        """Its status according to its record."""
         return self.record.status
 
     @property
@@ -54,17 +54,17 @@
 
 
 class MemberTable:
-    """One member's beliefs of all others, and its own record and state."""
+    """One member's records of all others, and its own record and state."""
 
     def __init__(self, me: MemberRecord, on_member_changed: Callable[[Member], None]) -> None:
-        """`me` is one's own record; `on_member_changed` is called when a record overrides or is forgotten."""
+        """`me` is our own record; `on_member_changed` is called when a record is replaced or removed."""
         self.me = me
         self.on_member_changed = on_member_changed
         self.state = LocalState.JOINING
         self.members: dict[str, Member] = {}
-        self.dissemination_buffer: dict[Member, None] = {}  # whose records are still to be piggybacked
+        self.dissemination_buffer: dict[Member, None] = {}  # records still to be piggybacked
         self.suspected: dict[Member, None] = {}
-        self.sorted_live: list[Member] | None = []  # None: to be computed anew
+        self.sorted_live: list[Member] | None = []  # None: must be recomputed
 
     def live(self) -> list[Member]:
         """Other members that count as present, by name."""
@@ -74,11 +74,11 @@
 
     @property
     def size(self) -> int:
-        """How many count as present, oneself included; 0 for one that is displaced or has left."""
+        """Number of members present, this one included; 0 if it is displaced or has left."""
         return 1 + len(self.live()) if self.state in ACTIVE_STATES else 0
 
     def apply(self, record: MemberRecord, now: int) -> None:
-        """Take up a record of another member if it overrides the one held."""
+        """Apply a record of another member if it overrides the current one."""
         member = self.members.get(record.name)
         if member is None:
             member = self.insert(record, now)
@@ -97,7 +97,7 @@
         self.on_member_changed(member)
 
     def insert(self, record: MemberRecord, now: int) -> Member:
-        """Add a member of which nothing was known."""
+        """Add an unknown member."""
         member = Member(record, now)
         self.members[record.name] = member
         self.sorted_live = None
@@ -130,7 +130,7 @@
         self.dissemination_buffer[member] = None
 
     def forget(self, before: int) -> None:
-        """Drop members that have been dead or gone since before that moment."""
+        """Remove members that have been dead or left since before that time."""
         expired = [m for m in self.members.values() if not m.is_live and m.status_since < before]
         for member in expired:
             del self.members[member.name]
--- a/lapistrestle/fleet/membership.py
+++ b/lapistrestle/fleet/membership.py
@@ -1,8 +1,9 @@
 """SWIM membership with Lifeguard's local health, free of I/O (sources and cases: docs/fleet.md).
 
-A driver hands in datagrams (`on_message`) and calls `tick` at `next_deadline`; what is to be done goes to a
-`MembershipTransport`. Only a member itself raises its incarnation. Beliefs of others are in `member_table`,
-probes in `failure_detector`, their timeouts in `suspicion`, and how updates spread in `dissemination`.
+The owner passes in datagrams (`on_message`) and calls `tick` at `next_deadline`; effects go to a
+`MembershipTransport`. Only a member itself raises its incarnation. Records of others are in `member_table`,
+probes in `failure_detector`, suspicion time-outs in `suspicion`, and the spreading of updates in
+`dissemination`.
 """
 
 from collections.abc import Iterable
@@ -16,11 +17,11 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord, MemberStatus
 
-MAX_SEEDS_AT_START = 5  # pinged at once
+MAX_SEEDS_AT_START = 5  # seeds pinged at once
 
 
 class Membership:
-    """One dispatcher's part in its fleet."""
+    """One dispatcher's membership in its fleet."""
 
     def __init__(
         self,
@@ -52,29 +53,29 @@
         self.next_period = now
         self.periods = 0
         self.reconnects = 0
-        self.name_holder: MemberRecord | None = None  # another process that has taken our name
+        self.name_holder: MemberRecord | None = None  # another process that uses our name
         self.name_holder_heard_at = now
 
-    # what others read
+    # state
 
     @property
     def me(self) -> MemberRecord:
-        """The record that this member gives of itself."""
+        """This member's own record."""
         return self.table.me
 
     @property
     def state(self) -> LocalState:
-        """What this member itself is in its fleet."""
+        """This member's own state in its fleet."""
         return self.table.state
 
     @property
     def members(self) -> dict[str, Member]:
-        """Other members that are known, by name."""
+        """Other known members, by name."""
         return self.table.members
 
     @property
     def size(self) -> int:
-        """How many count as present, oneself included; 0 for one that is displaced or has left."""
+        """Number of members present, this one included; 0 if it is displaced or has left."""
         return self.table.size
 
     def live(self) -> list[Member]:
@@ -88,7 +89,7 @@
         return min([self.next_period, *self.detector.deadlines(), *suspicions])
 
     def suspicion_deadline(self, member: Member) -> int:
-        """When a suspect counts as dead."""
+        """When a suspect is declared dead."""
         return suspicion_deadline(member, self.size, self.settings, self.health)
 
     # start and leave
@@ -101,7 +102,7 @@
         self.next_period = now + self.settings.protocol_period // 4
 
     def leave(self, now: int) -> None:
-        """Tell some members directly that this process leaves; it is not taken back."""
+        """Notify some members directly that this process leaves, for good."""
         if self.state in ACTIVE_STATES:
             self.now = now
             self.table.me = wire.replace(self.me, status=MemberStatus.LEFT)
@@ -117,7 +118,7 @@
             self.transport.log(f"fleet {state.name.lower()}: {reason}, {figures}")
 
     def on_no_members(self) -> None:
-        """There is nobody to probe: join anew."""
+        """There is no member to probe: join again."""
         if self.state is LocalState.MEMBER:
             self.set_state(LocalState.JOINING, "nobody else is there")
 
@@ -126,7 +127,7 @@
     def on_message(
         self, sender: MemberRecord, message: wire.Message, records: Iterable[MemberRecord], now: int
     ) -> None:
-        """A datagram of this fleet arrived."""
+        """Handle a datagram of this fleet."""
         self.now = now
         if self.state is LocalState.LEFT or sender.process_id == self.me.process_id:
             return
@@ -140,7 +141,7 @@
         member = self.members.get(sender.name)
         if self.state is LocalState.DISPLACED or member is None:
             return
-        if member.record.process_id != sender.process_id:  # another has its name, and it has to hear of that
+        if member.record.process_id != sender.process_id:  # another process has its name: notify the sender
             if isinstance(message, wire.Ping):
                 self.outbox.reply(sender, wire.Ack(0), (member.record,))
             return
@@ -148,14 +149,14 @@
         joins = self.state is LocalState.JOINING and member.is_live
         if joins:
             self.set_state(LocalState.MEMBER, f"{member.name} answers")
-        if (joins or was_dead) and member.is_live:  # it may know of many that we don't, or hold dead
+        if (joins or was_dead) and member.is_live:  # it may know members that we don't, or consider dead
             self.sync.read_table(sender)
         self.dispatch(member, sender, message, records)
 
     def dispatch(
         self, member: Member, sender: MemberRecord, message: wire.Message, records: Iterable[MemberRecord]
     ) -> None:
-        """Handle a message by its type; those of counters and leases concern others."""
+        """Handle a message by its type; those of counters and leases are handled elsewhere."""
         match message:
             case wire.Ping(number):
                 self.outbox.send(member, wire.Ack(number))
@@ -171,14 +172,14 @@
                 self.sync.on_page(message, records)
 
     def apply(self, record: MemberRecord) -> None:
-        """Take up a record if it overrides the one held."""
+        """Apply a record if it overrides the current one."""
         if record.name == self.me.name:
             self.apply_to_self(record)
         else:
             self.table.apply(record, self.now)
 
     def apply_to_self(self, record: MemberRecord) -> None:
-        """Refute what others believe of us with a higher incarnation, or find that our name is taken."""
+        """Refute a record of us with a higher incarnation, or detect that another process uses our name."""
         if record.process_id == self.me.process_id:
             is_wrong = record.status > MemberStatus.ALIVE and record.incarnation >= self.me.incarnation
             if is_wrong and self.state in ACTIVE_STATES:
@@ -193,16 +194,16 @@
     # another process under our name
 
     def on_name_conflict(self, sender: MemberRecord, message: wire.Message) -> None:
-        """Another process sends under our name, which the record with the greater precedence keeps."""
+        """Another process uses our name: the record with the greater precedence keeps it."""
         if self.name_holder is not None and sender.process_id == self.name_holder.process_id:
             self.name_holder_heard_at = self.now
         if sender.precedence > self.me.precedence:
             self.yield_name(sender)
-        elif isinstance(message, wire.Ping):  # it has to hear of us
+        elif isinstance(message, wire.Ping):  # so that it learns of us
             self.outbox.reply(sender, wire.Ack(message.seq))
 
     def yield_name(self, holder: MemberRecord) -> None:
-        """Leave our name to another process."""
+        """Yield our name to another process."""
         if self.name_holder is None or holder.precedence > self.name_holder.precedence:
             self.name_holder = holder
             self.name_holder_heard_at = self.now
@@ -213,7 +214,7 @@
                 self.transport.on_member_changed(member)
 
     def ping_name_holder(self) -> None:
-        """Ping the process that took our name; a name that nobody answers to is ours again."""
+        """Ping the process that uses our name; if it doesn't answer for long, take the name back."""
         holder = self.name_holder
         assert holder is not None
         longest = self.settings.suspicion_multiplier * MAX_SUSPICION_FACTOR * self.settings.protocol_period
@@ -229,7 +230,7 @@
     # time
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Do what is due at `next_deadline`."""
         before = self.now
         self.now = now
         if self.state is LocalState.LEFT:
@@ -257,7 +258,7 @@
                 self.apply(wire.replace(member.record, status=MemberStatus.DEAD, suspected_by=""))
 
     def begin_period(self) -> None:
-        """Probe the next member; every few periods ping an absent one, and read a page of another's table."""
+        """Probe the next member; every few periods ping an absent one, and request a page of a table."""
         self.periods += 1
         self.next_period = self.now + self.health.scale(self.settings.protocol_period)
         if self.state is LocalState.DISPLACED:
@@ -274,9 +275,9 @@
         self.table.forget(self.now - self.settings.retention)
 
     def ping_absent(self) -> None:
-        """Ping a seed or dead member, each in turn.
+        """Ping a seed or dead member, round-robin.
 
-        Without it the halves of a partition that each hold the other dead would never meet again.
+        Otherwise the halves of a partition, each of which considers the other dead, would never rejoin.
         """
         addresses = self.absent_addresses()
         if addresses:
@@ -286,7 +287,7 @@
             self.outbox.ping(host, port, member)
 
     def absent_addresses(self) -> list[Address]:
-        """Seeds and dead members at whose address nobody counts as present, each once."""
+        """Addresses of seeds and dead members at which no member is present, without duplicates."""
         members = self.members.values()
         occupied = {(m.record.host, m.record.port) for m in members if m.is_live}
         occupied.add((self.me.host, self.me.port))
--- a/lapistrestle/fleet/quota_leasing.py
+++ b/lapistrestle/fleet/quota_leasing.py
@@ -1,8 +1,8 @@
-"""Which member is asked for units of a quota, and when: between `quota_share` and the datagrams.
+"""Requests and grants of quota leases among dispatchers. Free of I/O.
 
-A dispatcher that uses its whole share requests units from another member, drawn anew each time; that one
-leases out half of what it does not need. What was borrowed goes back as soon as it is not needed. No message
-is waited for: a lost request is made again elsewhere, the lease of a lost grant ends by itself. Free of I/O.
+A dispatcher that uses its whole share requests units from another member, selected at random each time; that
+one leases out half of what it does not need. Borrowed units are returned as soon as they are not needed. No
+answer is awaited: a lost request is repeated to another member, and the lease of a lost grant expires.
 """
 
 from collections.abc import Callable, Sequence
@@ -12,8 +12,8 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import MemberRecord
 
-SendLeaseMessage = Callable[[MemberRecord, wire.LeaseMessage], None]  # to whom, and what
-REQUESTED_PART = 4  # a request is for the share over this, one unit at the least
+SendLeaseMessage = Callable[[MemberRecord, wire.LeaseMessage], None]  # receiver, message
+REQUESTED_PART = 4  # a request is for 1/4 of the available units, at least for one
 
 
 class QuotaLeasing:
@@ -22,26 +22,26 @@
     def __init__(
         self, share: QuotaShare, units_in_use: Callable[[], int], send: SendLeaseMessage, seed: int
     ) -> None:
-        """`units_in_use` counts at the moment of a request: what is in use by then is not leased out."""
+        """`units_in_use` is called at each request, so that units in use are not leased out."""
         self.share = share
         self.units_in_use = units_in_use
         self.send = send
         self.random = SeededRandom(seed, "lend")
-        self.shortage = 0  # units that could not be had since the last update
+        self.shortage = 0  # units wanted but not available since the last update
 
     def available(self, now: int) -> int:
-        """Units that may be in use now; to be asked at each use."""
+        """Units that may be in use now; to be checked at each use."""
         return self.share.available(now)
 
     def record_shortage(self) -> None:
-        """Record that one more unit was wanted than may be used."""
+        """Record that a unit was wanted but not available."""
         self.shortage += 1
 
     def update(self, live: Sequence[MemberRecord], is_member: bool, now: int) -> None:
-        """Request units that are short, and return unneeded ones.
+        """Request units if they are short, and return unneeded ones.
 
-        `live` are the other members that count as present. One that is itself no member of its fleet uses
-        nothing, since another process may have its name and number.
+        `live` are the other members present. A process that is not a member of its fleet uses no units, since
+        another process may have its name and member index.
         """
         share = self.share
         in_use = self.units_in_use()
@@ -63,7 +63,7 @@
                 self.send(live_by_id[process_id], message)
 
     def on_message(self, sender: MemberRecord, message: wire.LeaseMessage, now: int) -> None:
-        """A lease message arrived."""
+        """Handle a lease message."""
         process_id = sender.process_id
         self.share.record_use(self.units_in_use(), now)
         match message:
--- a/lapistrestle/fleet/quota_share.py
+++ b/lapistrestle/fleet/quota_share.py
@@ -1,14 +1,14 @@
-"""Shares of a quota whose sum never exceeds it, at any moment, free of I/O (docs/fleet.md).
+"""Shares of a quota whose sum never exceeds it at any time, free of I/O (docs/fleet.md).
 
-The quota is divided by number: each dispatcher owns its units, and no other ever counts on them. Units follow
-demand by leases (Gray, Cheriton, SOSP 1989). The lender uses less before it sends the grant, and more again
-only when the lease is over by its own clock, counted from when the request came; the borrower counts the
-lease from when it *sent* the request, and both allow for clock drift. So nothing that is lost, late or
-doubled, no crash and no standstill makes two use the same unit. While a dispatcher is down, its own units
-are unused.
+The quota is divided by member index: each dispatcher owns its units exclusively. Units follow demand by
+leases (Gray, Cheriton, SOSP 1989). The lender reduces its use before it sends the grant, and uses the units
+again only when the lease has expired on its own clock, counted from the receipt of the request; the borrower
+counts the lease from when it *sent* the request, and both allow for clock drift. So no lost, late or
+duplicated message, no crash and no stall makes two dispatchers use the same unit. While a dispatcher is down,
+its own units are unused.
 
-A process that starts does not know what the one before it has leased out. It has only the reserved part of
-its units, which is never leased, until the longest lease is over.
+A process that starts does not know what its predecessor has leased out. Until the longest lease has expired
+it uses only the reserved part of its units, which is never leased out.
 """
 
 from collections import deque
@@ -18,39 +18,39 @@
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.fleet import LeaseGrant, LeaseRequest, LeaseReturn, ProcessId
 
-MAX_OPEN_REQUESTS = 8  # of one's own
-MAX_LEASES = 256  # granted at once: guards against one that requests without end
+MAX_OPEN_REQUESTS = 8  # of one dispatcher
+MAX_LEASES = 256  # granted at once: guards against a member that floods requests
 
-LeaseKey = tuple[ProcessId, int]  # the other side, and the number of the borrower's request
+LeaseKey = tuple[ProcessId, int]  # the other process, and the number of the borrower's request
 
 
 @dataclass(frozen=True)
 class QuotaSettings:
-    """How long leases last. Durations are whole ticks of 0.1 ms."""
+    """Durations and limits of leases. Durations are whole ticks of 0.1 ms."""
 
     lease_duration: int = 4 * SECOND
-    settling_time: int = SECOND  # use counts for so long after it: a rate's window, or work in flight
-    clock_drift: float = 0.1  # no clock is wrong by more than this part
-    reserved_part: float = 0.5  # of one's own units: never leased out
+    settling_time: int = SECOND  # use counts for so long afterwards: a rate window, or work in flight
+    clock_drift: float = 0.1  # maximum drift of a clock, as a fraction
+    reserved_part: float = 0.5  # fraction of own units that is never leased out
 
 
 @dataclass(frozen=True)
 class Lease:
-    """Units leased out or borrowed, until a moment of the clock of whoever holds this record."""
+    """Units leased out or borrowed, until a time on the local clock."""
 
     units: int
     until: int
 
 
 class OpenRequest(NamedTuple):
-    """A request of one's own that was not answered yet."""
+    """An own request that was not answered yet."""
 
     lender: ProcessId
     requested_at: int
 
 
 class UseSample(NamedTuple):
-    """Units in use at one moment."""
+    """Units in use at one time."""
 
     at: int
     units: int
@@ -62,7 +62,7 @@
     def __init__(
         self, name: str, total_units: int, members: int, member_index: int, settings: QuotaSettings, now: int
     ) -> None:
-        """`total_units` are divided over `members`; an index outside them owns none."""
+        """`total_units` are divided over `members`; a member index out of range owns none."""
         self.name = name
         self.settings = settings
         self.own_units = 0
@@ -70,21 +70,21 @@
             next_start = total_units * (member_index + 1) // members
             self.own_units = next_start - total_units * member_index // members
         self.reserved = int(self.own_units * settings.reserved_part)
-        self.full_from = now + self.longest_lease()  # before it, the process before us may have leases out
+        self.full_from = now + self.longest_lease()  # before it, leases of the previous process may be valid
         self.leased_out: dict[LeaseKey, Lease] = {}
         self.borrowed: dict[LeaseKey, Lease] = {}
         self.open_requests: dict[int, OpenRequest] = {}  # by number
-        self.uses: deque[UseSample] = deque()  # units falling, so that the first is the peak
-        self.last_number = now  # so that no number of the process before comes again
+        self.uses: deque[UseSample] = deque()  # units decreasing, so that the first is the peak
+        self.last_number = now  # so that no request number of the previous process is reused
         self.demand = 0  # units wanted
-        self.is_suspended = False  # displaced or left: nothing may be used
+        self.is_suspended = False  # displaced or left: no units may be used
 
     def longest_lease(self) -> int:
-        """After so long by one's own clock no lease that was requested before is used by anybody."""
+        """Time on the local clock after which every lease requested before has expired everywhere."""
         return int(self.settings.lease_duration * (1 + self.settings.clock_drift)) + 1
 
     def available(self, now: int) -> int:
-        """Units that may be in use now. To be asked at each use: after a standstill there are fewer."""
+        """Units that may be in use now; to be checked at each use, since leases may expire during a stall."""
         if self.is_suspended:
             return 0
         own = self.own_units if now >= self.full_from else self.reserved
@@ -101,25 +101,25 @@
         return sum(lease.units for lease in self.borrowed.values())
 
     def record_use(self, units: int, now: int) -> None:
-        """Record that so many units are in use now."""
+        """Record the units in use now."""
         while self.uses and self.uses[-1].units <= units:
             self.uses.pop()
         self.uses.append(UseSample(now, units))
 
     def peak_use(self, now: int) -> int:
-        """The most units in use within the settling time."""
+        """The maximum of units in use within the settling time."""
         while len(self.uses) > 1 and self.uses[1].at <= now - self.settings.settling_time:
             self.uses.popleft()
         return max((sample.units for sample in self.uses), default=0)
 
     def headroom(self, now: int) -> int:
-        """Units available that were not in use within the settling time."""
+        """Available units that were not in use within the settling time."""
         return max(0, self.available(now) - self.peak_use(now))
 
     # as a borrower
 
     def request_lease(self, lender: ProcessId, units: int, now: int) -> LeaseRequest | None:
-        """A request for units; None where too many requests are open."""
+        """Create a request for units; None if too many requests are open or the share is suspended."""
         duration = self.settings.lease_duration
         self.open_requests = {
             number: request
@@ -133,9 +133,9 @@
         return LeaseRequest(self.name, self.last_number, now, units)
 
     def on_grant(self, lender: ProcessId, grant: LeaseGrant, now: int) -> None:
-        """Borrow the units of a grant, once, and counted from when they were requested.
+        """Borrow the units of a grant, once, with a lease that starts at the request.
 
-        A grant to the process before us, under a number of ours, is told apart by when that one requested it.
+        A grant to the previous process under the same request number differs in the time of the request.
         """
         request = self.open_requests.get(grant.number)
         if request != (lender, grant.requested_at) or grant.quota != self.name:
@@ -148,7 +148,7 @@
             self.borrowed[lender, grant.number] = Lease(grant.units, until)
 
     def return_unneeded(self, now: int) -> list[tuple[ProcessId, LeaseReturn]]:
-        """Give up leases that are neither needed nor were in use of late; returns what to send to whom."""
+        """Give up leases that are not needed and were not in use recently. Returns receivers and messages."""
         headroom = self.headroom(now)
         returns = list[tuple[ProcessId, LeaseReturn]]()
         for (lender, number), lease in list(self.borrowed.items()):
@@ -161,9 +161,9 @@
     # as a lender
 
     def grant_lease(self, borrower: ProcessId, request: LeaseRequest, now: int) -> LeaseGrant | None:
-        """Lease out half of what is neither needed nor reserved; None: nothing.
+        """Lease out half of what is neither needed nor reserved; None if nothing is.
 
-        A request that comes twice is granted once.
+        A duplicate request gets the same grant again.
         """
         known = self.leased_out.get((borrower, request.number))
         if known is not None and now < known.until:
@@ -181,11 +181,11 @@
         return self.grant(request, units)
 
     def grant(self, request: LeaseRequest, units: int) -> LeaseGrant:
-        """The answer to a request that leases out so many units."""
+        """The grant of `units` for a request."""
         duration = self.settings.lease_duration
         return LeaseGrant(self.name, request.number, request.requested_at, units, duration)
 
     def on_return(self, borrower: ProcessId, message: LeaseReturn) -> None:
-        """A lease is over before its time."""
+        """End a lease that the borrower returns early."""
         if message.quota == self.name:
             self.leased_out.pop((borrower, message.number), None)
--- a/lapistrestle/fleet/seeded_random.py
+++ b/lapistrestle/fleet/seeded_random.py
@@ -1,4 +1,4 @@
-"""Seeded pseudo-random numbers: each is crc32 over the seed and a counter, so that runs repeat."""
+"""Seeded pseudo-random numbers, each the crc32 of seed and counter, so that runs are reproducible."""
 
 from collections.abc import Sequence
 from typing import TypeVar
@@ -8,14 +8,14 @@
 
 
 class SeededRandom:
-    """A sequence of numbers that follows from a seed, and a stream's name where one seed has several."""
+    """A sequence determined by a seed, and by a stream name if one seed is used for several."""
 
     def __init__(self, seed: int, stream: str = "") -> None:
         self.prefix = f"{seed}:{stream}:" if stream else f"{seed}:"
-        self.count = 0  # of numbers drawn
+        self.count = 0  # numbers generated
 
     def below(self, bound: int) -> int:
-        """A number from 0 up to, not including, `bound`; 0 where that is less than 1."""
+        """An integer in [0, bound); 0 if `bound` is less than 1."""
         self.count += 1
         return crc32(f"{self.prefix}{self.count}".encode()) % max(1, bound)
 
@@ -24,7 +24,7 @@
         return self.below(2**32) / 2**32
 
     def sample(self, items: Sequence[T], count: int) -> list[T]:
-        """That many of the items, or all if they are fewer, each at most once, in the order drawn."""
+        """`count` of the items without repetition, or all if there are fewer, in random order."""
         remaining = list(items)
         chosen = list[T]()
         while remaining and len(chosen) < count:
--- a/lapistrestle/fleet/settings.py
+++ b/lapistrestle/fleet/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a dispatcher's part in its fleet. Durations are whole ticks of 0.1 ms."""
+"""Settings of a dispatcher's fleet membership. Durations are whole ticks of 0.1 ms."""
 
 from dataclasses import dataclass
 
@@ -14,21 +14,21 @@
     The terms are SWIM's (Das, Gupta, Motivala, DSN 2002): one member is probed in each protocol period.
     """
 
-    protocol_period: int = SECOND  # must be well over the longest round trip between two members
-    ping_timeout: int = 3_000  # for an ack, before other members are asked to ping
-    indirect_probes: int = 3  # members that are asked to ping (SWIM's k)
+    protocol_period: int = SECOND  # must be well above the longest round trip between two members
+    ping_timeout: int = 3_000  # for an ack, before indirect probes
+    indirect_probes: int = 3  # members asked to ping the target (SWIM's k)
     suspicion_multiplier: int = 4  # shortest suspicion, in periods times log10 of the fleet's size
     reconnect_periods: int = 2  # between two pings of a dead member or seed, so that partitions heal
-    sync_periods: int = 10  # between two requests for a page of another's member table
-    retention: int = 600 * SECOND  # after which a member that is dead or left is forgotten
+    sync_periods: int = 10  # between two requests for a page of a member table
+    retention: int = 600 * SECOND  # after which a dead or left member is removed
     seeds: tuple[Address, ...] = ()  # members through which the fleet is joined
 
 
 @dataclass(frozen=True, kw_only=True)
 class FleetSettings(MembershipSettings):
-    """Membership, and where this member is reached."""
+    """Membership settings, and this member's addresses."""
 
-    fleet: str  # its name: datagrams of other fleets are rejected
+    fleet: str  # name; datagrams of other fleets are rejected
     port: int  # on which this member listens
-    advertised_port: int | None = None  # on which others reach it, if that is another
+    advertised_port: int | None = None  # on which others reach it, if different
     host: str = "127.0.0.1"
--- a/lapistrestle/sources/__init__.py
+++ b/lapistrestle/sources/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to programs whose lists are followed, and the numbering of these lists."""
+"""Clients of the processes that an edge or holder subscribes to, and the sequencing of the roster's lists."""
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -1,11 +1,10 @@
-"""The numbers of a roster's lists: which list or change is taken, and when the whole list is asked for.
+"""Sequencing of a roster's messages: which are applied, and when a complete list is requested. Free of I/O.
 
-No I/O.
-
-A whole list begins, each change counts one up. A number that does not follow means asking for the whole list
-anew; a list that jumps back is taken only when the roster says the same twice, or says that its numbers began
-anew: one stale reply must not bring back workers that are gone. An empty whole list is taken as it stands,
-since being told that a worker is gone binds (rule 3); the log says so.
+The roster sends a complete list first, then changes whose numbers rise by one. After a gap the complete list
+is requested again. A complete list with a lower number than before is applied only if the roster sends that
+number twice or with a new epoch: a single stale reply must not bring back workers that are gone. An empty
+complete list is applied like any other, since nothing new may be sent to workers that have left the
+list; it is logged.
 """
 
 from collections.abc import Callable
@@ -15,36 +14,36 @@
 
 
 class ListState(Enum):
-    """What a follower has of the list. Logs and reports show the names in lower case."""
+    """State of the received list. Logs and reports show the names in lower case."""
 
-    BLANK = auto()  # no list yet, or none that can be relied on
-    ASKING = auto()  # the whole list is asked for
-    STEADY = auto()  # each change follows the last one
+    BLANK = auto()  # no list received, or the connection was lost before the requested one
+    ASKING = auto()  # the complete list is requested
+    STEADY = auto()  # in sequence: each change has followed the last one
 
 
 class ListEvent(Enum):
-    """How a message's number lies to the last one taken, or what has become of the connection."""
+    """A message, classified by its number relative to the last one applied, or a change of the connection."""
 
-    WHOLE = auto()  # a whole list that is not older
-    BACK = auto()  # a whole list whose number has jumped back
-    AGAIN = auto()  # the same, said a second time
-    NEXT = auto()  # the change that follows
-    REPEAT = auto()  # a change that was taken before
-    GAP = auto()  # a change after one that was lost
-    CUT = auto()  # the connection is lost
-    FAILED = auto()  # it could not be made, or the roster can't answer
+    WHOLE = auto()  # a complete list with the same or a higher number, or with a new epoch
+    BACK = auto()  # a complete list with a lower number
+    AGAIN = auto()  # the same lower number a second time
+    NEXT = auto()  # the change with the next number
+    REPEAT = auto()  # a change with an earlier or the same number
+    GAP = auto()  # a change after a missing one, or with another epoch
+    CUT = auto()  # the connection was lost
+    FAILED = auto()  # the connection could not be established, or the roster can't answer
 
 
 class ListAction(Enum):
-    """What a follower does with an event."""
+    """What the receiver does after an event."""
 
-    TAKE = auto()  # the list or change
-    ASK = auto()  # for the whole list
-    PASS = auto()  # nothing
-    TELL_FAILED = auto()  # that the roster can't be relied on
+    TAKE = auto()  # apply the list or change
+    ASK = auto()  # request the complete list
+    PASS = auto()  # ignore the message
+    TELL_FAILED = auto()  # report that the roster is unavailable
 
 
-# what is done with a list or a change, by what is known and how its number lies to the last one taken
+# next state and action by state and event
 TRANSITIONS: dict[tuple[ListState, ListEvent], tuple[ListState, ListAction]] = {
     (ListState.BLANK, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
     (ListState.BLANK, ListEvent.BACK): (ListState.STEADY, ListAction.TAKE),
@@ -74,9 +73,9 @@
 
 
 class NumberedList:
-    """The numbers of one roster's lists as one follower has taken them: a front end, or a directory's holder.
+    """Sequence state of one roster's list at one receiver: an edge, or a holder of the directory.
 
-    A subclass keeps what the lists say, and tells its `size` for the log.
+    A subclass stores the entries, and implements `size` for the log.
     """
 
     def __init__(self, log: Callable[[str], None]) -> None:
@@ -84,14 +83,14 @@
         self.mode = ListState.BLANK
         self.number = -1
         self.epoch = ""
-        self.back: tuple[str, int] | None = None  # a list that jumped back, seen once
+        self.back: tuple[str, int] | None = None  # epoch and number of the last list with a lower number
 
     def size(self) -> int:
-        """Workers that are known now."""
+        """Number of workers in the list."""
         raise NotImplementedError
 
     def accept(self, message: Whole | Change) -> ListAction:
-        """What is to be done with a list or change; one that is taken is the newest from now on."""
+        """Handle a list or change. Returns what is to be done with it; one to be applied sets the number."""
         do = self.step(self.news(message))
         if do is ListAction.TAKE:
             self.number = message.number
@@ -100,7 +99,7 @@
         return do
 
     def news(self, message: Whole | Change) -> ListEvent:
-        """How a message's number lies to the last one taken."""
+        """Classify a message by its epoch and number."""
         same = message.epoch == self.epoch
         if isinstance(message, Whole):
             if not same or message.number >= self.number:
@@ -114,7 +113,7 @@
         return ListEvent.NEXT if step == 1 else ListEvent.REPEAT if step <= 0 else ListEvent.GAP
 
     def step(self, news: ListEvent) -> ListAction:
-        """Note an event: what is to be done with it. A change of mode is logged."""
+        """Apply an event to the state and return the action. A change of state is logged."""
         before = self.mode
         self.mode, do = TRANSITIONS[self.mode, news]
         if self.mode is not before:
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -1,4 +1,4 @@
-"""A connection that the edge keeps to one program, dialled anew whenever it breaks."""
+"""A client that reconnects whenever its connection is lost."""
 
 from typing import Any
 
@@ -8,11 +8,11 @@
 from lapistrestle.wire.lines import Speaker
 from lapistrestle.wire.messages import Message
 
-PAUSE = 2_000  # tenths of a millisecond between two dials
+RECONNECT_DELAY = 2_000  # ticks of 0.1 ms
 
 
 class Source(ClientFactory):
-    """A subclass gives `speak`, and hears of `up` and `down`."""
+    """Keeps one connection to a port on loopback. A subclass implements `speak`, and may override `down`."""
 
     noisy = False
 
@@ -23,61 +23,61 @@
         self.stopped = False
 
     def follow(self) -> None:
-        """Ask for the list anew, where the protocol knows of that."""
+        """Request the list again, if the protocol supports that."""
 
     def read_now(self) -> None:
-        """Read what lies unread, ahead of the reactor's turn. The end of the connection is left to that."""
+        """Read pending data now, without waiting for the reactor, which handles the end of the connection."""
         read = getattr(self.speaker.transport, "doRead", None) if self.speaker is not None else None
         if read is not None:
             read()
 
     def is_current(self) -> bool:
-        """A worker's own word on its connection, which says that it drains, goes before any list."""
+        """Whether new calls may be started by the last list: always, as workers report drains themselves."""
         return True
 
     def start(self, _: object = None) -> None:
-        """Dial, unless it was stopped."""
+        """Connect, unless the client was stopped."""
         if not self.stopped:
             time_out = self.edge.connect_timeout / 10_000
             self.edge.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
 
     def stop(self) -> None:
-        """Close the connection, and dial no more."""
+        """Close the connection and don't reconnect."""
         self.stopped = True
         if self.speaker is not None:
             self.speaker.transport.loseConnection()
 
     def buildProtocol(self, addr: Any) -> Speaker:
-        """Our end of a connection that was made; it has the dial time-out to greet."""
+        """Our end of a new connection; the peer has to greet within the connect time-out."""
         self.speaker = self.speak()
         self.edge.after(self.edge.connect_timeout, self.unmet, self.speaker)
         return self.speaker
 
     def unmet(self, speaker: Speaker) -> None:
-        """Half open and silent: dial anew."""
+        """Abort a connection on which the peer has not greeted in time; it is then dialled again."""
         if self.speaker is speaker and not speaker.greeted:
             speaker.transport.abortConnection()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Dial again after a pause."""
+        """Reconnect after a delay."""
         self.down(False)
-        self.edge.after(PAUSE, self.start, None)
+        self.edge.after(RECONNECT_DELAY, self.start, None)
 
     def lost(self, speaker: Speaker) -> None:
-        """The connection is over: dial again after a pause."""
+        """Handle the end of a connection: reconnect after a delay."""
         if self.speaker is speaker:
             self.speaker = None
             self.down(True)
-            self.edge.after(PAUSE, self.start, None)
+            self.edge.after(RECONNECT_DELAY, self.start, None)
 
     def say(self, message: Message) -> None:
-        """Send a message, where both ends have greeted."""
+        """Send a message, if both ends have greeted; else it is dropped."""
         if self.speaker is not None and self.speaker.greeted:
             self.speaker.say(message)
 
     def speak(self) -> Speaker:
-        """Our end of a new connection."""
+        """Build our end of a new connection."""
         raise NotImplementedError
 
     def down(self, was_up: bool) -> None:
-        """The connection is lost (`was_up`), or could not be made."""
+        """The connection was lost (`was_up`) or could not be established."""
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -1,4 +1,4 @@
-"""The connection to the roster: its lists handed on."""
+"""Client of the roster: passes its lists on to a `RosterFollower`."""
 
 from typing import Any, Protocol
 
@@ -19,11 +19,11 @@
         self.source = source
 
     def greeting(self) -> wire.Hello:
-        """The follower's greeting."""
+        """The client's greeting."""
         return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name)
 
     def met(self, hello: wire.Hello) -> None:
-        """The roster has greeted: follow its list."""
+        """The roster has greeted: subscribe to its list, unless that is done on request only."""
         if not self.source.edge.endpoints_polled or self.source.wanted:
             self.say(wire.Follow())
 
@@ -32,52 +32,52 @@
         self.source.heard(message)
 
     def unreadable(self, line: bytes, why: str) -> None:
-        """A line lost may have been a change: the whole list is asked for anew."""
+        """The undecodable line may have been a change: request the complete list."""
         self.source.edge.passed_over("roster", why)
         self.say(wire.Ask())
 
     def lost(self) -> None:
-        """The connection is over."""
+        """The connection has ended."""
         self.source.lost(self)
 
 
 class RosterFollower(Protocol):
-    """For whom a `RosterSource` follows the roster: an edge, or a holder of the directory."""
+    """The owner of a `RosterSource`: an edge, or a holder of the directory."""
 
     name: str
     bounds: LineBounds  # of the connection
     connect_timeout: int  # ticks
-    endpoints_polled: bool  # the list is followed for a time, and then asked for again
+    endpoints_polled: bool  # the list is requested periodically instead of subscribed to on connecting
 
     def input(self) -> None:
-        """Something has come from the roster."""
+        """Data was received from the roster."""
 
     def list_received(self, message: wire.Whole | wire.Change) -> ListAction:
-        """A list or change has come: what is done with it."""
+        """Handle a list or change. Returns what is to be done with it."""
 
     def list_event(self, news: ListEvent) -> None:
-        """The connection is lost, or the roster can't answer."""
+        """Handle a lost or failed connection, or a roster that can't answer."""
 
     def passed_over(self, name: str, why: str) -> None:
-        """A line of this peer could not be read."""
+        """A line of this peer could not be decoded."""
 
 
 class RosterSource(Source):
-    """Follows the roster at one port."""
+    """A client of the roster at one port."""
 
     edge: RosterFollower
     wanted = False
 
     def ask(self) -> None:
-        """Have the whole list once more."""
+        """Request the complete list."""
         self.say(wire.Ask())
 
     def speak(self) -> RosterSpeaker:
-        """Our end of a new connection."""
+        """Build our end of a new connection."""
         return RosterSpeaker(self)
 
     def follow(self) -> None:
-        """Ask for the list, now and with each new connection."""
+        """Subscribe to the list, now and on each new connection."""
         self.wanted = True
         self.say(wire.Follow())
 
@@ -91,5 +91,5 @@
             self.edge.list_event(ListEvent.FAILED)
 
     def down(self, was_up: bool) -> None:
-        """The connection is lost (`was_up`), or could not be made."""
+        """The connection was lost (`was_up`) or could not be established."""
         self.edge.list_event(ListEvent.CUT if was_up else ListEvent.FAILED)
