--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -95,7 +95,7 @@
         return [m for _, s, m in self.sent if isinstance(m, kind) and session in (None, s)]
 
 
-def test_a_watch_is_answered_by_the_true_prefix():
+def test_a_watch_is_answered_with_the_expected_prefix():
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
@@ -106,7 +106,7 @@
     assert (snapshot.sequence, snapshot.complete, snapshot.revision) == (1, False, wire.Revision("e1", 1))
 
 
-def test_instances_that_drain_stay_in_their_place_and_the_prefix_grows_by_others():
+def test_draining_instances_keep_their_position_and_the_prefix_is_extended():
     made = Directory()
     made.connect(1)
     watch = made.watch(1, "f", 4)
@@ -120,7 +120,7 @@
     assert [placed.position for placed in change.inserted] == [4]
 
 
-def test_a_drain_and_a_departure_are_sent_within_a_tenth_of_a_second_other_changes_in_batches():
+def test_drains_and_removals_are_sent_within_100_ms_and_other_changes_in_batches():
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
@@ -139,7 +139,7 @@
     assert made.sent[-1][0] - began <= SECOND
 
 
-def test_an_instance_that_flaps_is_told_of_at_most_once_a_batch():
+def test_a_flapping_instance_is_sent_at_most_once_per_batch():
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
@@ -152,7 +152,7 @@
     assert 10 <= len(told) <= 20 * SECOND // made.holder.settings.batch_delay + 2
 
 
-def test_word_of_a_flapping_instances_drain_still_comes_within_the_second():
+def test_a_drain_of_a_flapping_instance_is_sent_within_a_second():
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
@@ -168,7 +168,7 @@
     assert at - began < SECOND and update.entries[0].start == "2"
 
 
-def test_changes_of_instances_outside_a_prefix_cost_its_watchers_nothing():
+def test_changes_outside_a_prefix_cause_no_recomputation_and_no_update():
     made = Directory(200)
     made.connect(1)
     made.watch(1, "f", 4)
@@ -196,7 +196,7 @@
     return watched.recomputed - before[0], steps - before[1]
 
 
-def test_the_work_of_a_change_is_in_proportion_to_the_prefixes_that_it_touches():
+def test_the_cost_of_a_change_is_proportional_to_the_affected_prefixes():
     """200 functions of 4 instances: with ten times the instances a change touches a tenth of the prefixes,
     and the steps that remain, 16 points to be placed twice, don't grow.
     """
@@ -205,13 +205,13 @@
     assert large[1] < 1.5 * small[1]
 
 
-def test_the_measure_of_a_changes_work_catches_a_scan_over_all_watches(monkeypatch):
+def test_the_cost_measure_detects_a_scan_over_all_watches(monkeypatch):
     monkeypatch.setattr(WatchedFunctions, "affected_functions", lambda self, changes: set(self.functions))
     small, large = work_of_one_change(400), work_of_one_change(1_000)
     assert large[0] >= small[0] / 4
 
 
-def test_prefixes_follow_every_change_as_if_made_anew():
+def test_prefixes_after_each_change_equal_recomputed_ones():
     made = Directory(30, snapshot_burst=10_000)
     made.connect(1)
     for i in range(30):
@@ -231,7 +231,7 @@
                 assert prefix == true_prefix(truth, name, count)
 
 
-def test_bytes_a_second_are_bounded_but_for_what_is_urgent():
+def test_bytes_per_second_are_limited_except_for_urgent_changes():
     made = Directory(300, session_bytes=1_000, snapshot_burst=10_000)
     made.connect(1)
     for i in range(60):
@@ -256,7 +256,7 @@
     assert len(mine) > 100 and len(told) > 100
 
 
-def test_the_estimate_of_bytes_is_near_the_encoded_length():
+def test_the_estimated_size_is_close_to_the_encoded_length():
     made = Directory(100, snapshot_burst=1_000)
     made.connect(1)
     for i in range(20):
@@ -271,7 +271,7 @@
     assert encoded == pytest.approx(estimated, rel=0.25)
 
 
-def test_a_batch_has_bounded_entries_and_nothing_is_lost_by_that(monkeypatch):
+def test_batches_are_limited_in_entries_without_losing_changes(monkeypatch):
     monkeypatch.setattr("lapistrestle.directory.sessions.MOST_IN_A_BATCH", 10)
     made = Directory(200, snapshot_burst=1_000, session_bytes=10**7)
     made.connect(1)
@@ -287,7 +287,7 @@
         assert names[watch] == made.holder.watched.functions[function].prefixes[4].names
 
 
-def test_snapshots_are_admitted_at_a_rate_and_the_others_told_times_that_are_spread():
+def test_snapshots_are_admitted_at_the_rate_and_retry_times_are_spread():
     snapshot_limit = SnapshotRateLimit(1_000, 100, 2 * SECOND, 0, Jitter(1))
     waits = [snapshot_limit.retry_after(0) for _ in range(5_000)]
     assert waits.count(0) == 100
@@ -299,7 +299,7 @@
     assert 0.3 < in_half / sum(wait > SECOND for wait in told) < 0.7
 
 
-def test_a_busy_holder_says_when_to_ask_again_and_keeps_the_earlier_watch():
+def test_a_busy_holder_sends_a_retry_time_and_keeps_the_earlier_watch():
     made = Directory(snapshot_burst=1, snapshot_rate=10)
     made.connect(1)
     first = made.watch(1, "f", 2)
@@ -309,7 +309,7 @@
     assert made.holder.watched.functions["f"].watches[1].id == first
 
 
-def test_a_watch_that_is_not_renewed_lapses_with_its_session():
+def test_an_unrenewed_watch_expires_with_its_session():
     made = Directory()
     for session in (1, 2):
         made.connect(session)
@@ -322,7 +322,7 @@
     assert not len(made.holder.watched.positions) and not made.holder.watched.by_length
 
 
-def test_a_connection_that_says_nothing_is_closed_after_a_lease():
+def test_a_silent_connection_is_closed_after_the_lease():
     made = Directory()
     made.connect(1)
     made.run(4 * SECOND)
@@ -341,7 +341,7 @@
     )
 
 
-def test_calls_that_wait_are_answered_before_watches_that_are_only_renewed():
+def test_lookups_of_waiting_calls_take_precedence_over_other_watches():
     snapshot_limit = SnapshotRateLimit(1_000, 100, 2 * SECOND, 0, Jitter(1))
     renewed = [snapshot_limit.retry_after(0, waiting=False) for _ in range(1_000)]
     assert renewed.count(0) == 50
@@ -350,7 +350,7 @@
     assert SnapshotRateLimit(10, 1, SECOND, 0, Jitter(1)).retry_after(0, waiting=False) == 0
 
 
-def test_snapshots_wait_while_the_holder_has_sent_too_many_bytes():
+def test_snapshots_are_postponed_over_the_byte_limit():
     made = Directory(snapshot_burst=1_000, total_bytes=10_000)
     made.connect(1)
     for i in range(200):
@@ -372,7 +372,7 @@
     return made.sent[-1][2]
 
 
-def test_a_watcher_that_has_the_prefix_is_told_so_and_of_changes_from_then_on():
+def test_a_watcher_with_the_same_digest_is_sent_unchanged_and_later_updates():
     made = Directory()
     made.connect(1)
     made.connect(2)
@@ -389,7 +389,7 @@
 
 
 @pytest.mark.parametrize("change", ["draining", "gone", "replaced", "moved", "resized"])
-def test_a_prefix_of_which_anything_has_changed_is_told_as_a_whole(change):
+def test_a_prefix_with_any_change_is_sent_as_a_snapshot(change):
     made = Directory()
     made.connect(1)
     made.connect(2)
@@ -413,7 +413,7 @@
     return msgspec.structs.replace(told, **fields)
 
 
-def test_a_shared_answer_says_since_when_its_entries_are_dated():
+def test_a_shared_answer_states_the_age_of_its_entries():
     made = Directory()
     made.connect(1)
     made.connect(2)
@@ -425,7 +425,7 @@
     assert first.entries == second.entries and (first.up_for_age, second.up_for_age) == (0, SECOND)
 
 
-def test_an_older_epoch_is_served_while_assignments_are_replaced_and_refused_after():
+def test_an_older_epoch_is_served_during_a_change_of_assignment_and_refused_later():
     made = Directory()
     made.connect(1)
     made.watch(1, "f", epoch=EPOCH)
@@ -441,7 +441,7 @@
     assert made.holder.settings.epoch == EPOCH + 1
 
 
-def test_a_holder_that_stood_still_answers_nothing_before_it_has_heard_its_roster():
+def test_a_stalled_holder_answers_only_after_a_new_list_from_its_roster():
     made = Directory()
     made.connect(1)
     made.watch(1, "f")
@@ -462,7 +462,7 @@
     assert made.of(wire.Snapshot) and made.of(wire.Renewed)
 
 
-def test_a_list_that_was_under_way_before_a_standstill_is_not_the_answer_after_it():
+def test_a_list_requested_before_a_stall_does_not_end_the_stall():
     made = Directory()
     made.connect(1)
     made.holder.snapshot_requested(made.now)
@@ -475,7 +475,7 @@
     assert made.of(wire.Snapshot)
 
 
-def test_a_holder_without_its_roster_says_how_old_its_knowledge_is():
+def test_a_holder_disconnected_from_its_roster_reports_the_age_of_its_data():
     made = Directory()
     made.connect(1)
     made.run(SECOND, renew=[1])
@@ -488,7 +488,7 @@
     assert made.of(wire.Snapshot)[-1].age == 0
 
 
-def test_a_silent_roster_is_asked_and_counts_as_lost_without_an_answer():
+def test_a_silent_roster_is_sent_a_request_and_counts_as_lost_without_an_answer():
     made = Directory()
     made.connect(1)
     made.run(6 * SECOND, renew=[1])
@@ -498,7 +498,7 @@
     assert made.of(wire.Renewed)[-1].age >= 7 * SECOND
 
 
-def test_reading_a_long_list_is_no_standstill():
+def test_decoding_a_long_list_does_not_count_as_a_stall():
     made = Directory()
     made.run(SECOND)
     many = [entry(i) for i in range(60_000)]
@@ -513,7 +513,7 @@
     assert made.asked == 1
 
 
-def test_numbers_that_go_back_under_one_epoch_close_all_sessions():
+def test_a_lower_number_within_an_epoch_closes_all_sessions():
     made = Directory()
     made.connect(1)
     made.watch(1, "f")
@@ -521,7 +521,7 @@
     assert 1 in made.closed and made.holder.revision.number == 0
 
 
-def test_sums_of_the_region_follow_each_change():
+def test_region_sums_are_updated_by_each_change():
     made = Directory(10, ramp_time=10 * SECOND, cold_share=0.2)
     assert made.holder.instances.sums(0) == wire.RegionSums(10.0, pytest.approx(2.8, abs=0.9), 10, 10)
     made.tell([entry(0, listing="draining"), entry(1, size=3.0), entry(2, listing="gone")])
@@ -534,7 +534,7 @@
     assert sum(m.sums is not None for m in made.of(wire.Renewed)) == 2
 
 
-def test_show_tells_a_functions_order_and_the_holders_figures():
+def test_inspect_returns_a_functions_order_and_the_holders_figures():
     made = Directory()
     made.connect(1)
     made.watch(1, "f", 4)
@@ -641,7 +641,7 @@
     return made.connect()
 
 
-def test_after_a_change_of_copy_what_is_held_needs_not_be_told_again():
+def test_after_a_failover_an_unchanged_prefix_is_not_sent_again():
     made = Dispatcher()
     connection = ready(made)
     first = made.sent(wire.Watch)[0]
@@ -657,7 +657,7 @@
     assert made.wanted() == Prefix(("w2", "w3"), False)
 
 
-def test_that_nothing_has_changed_is_not_believed_of_an_older_revision():
+def test_unchanged_of_an_older_revision_is_rejected():
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9)
@@ -666,7 +666,7 @@
     assert made.watcher.functions["f"].watch < 0 and made.wanted() == Prefix(("w1", "w2", "w3"), False)
 
 
-def test_what_was_held_when_the_watch_was_sent_is_what_has_not_changed():
+def test_unchanged_refers_to_the_entries_cached_when_the_watch_was_sent():
     made = Dispatcher()
     other = moved(made, ready(made))
     known = made.watcher.instances
@@ -677,7 +677,7 @@
     assert [known.known[f"w{n}"].revision.number for n in (1, 2, 3)] == [5, 4, 4]
 
 
-def test_times_since_the_start_count_from_when_they_were_true():
+def test_up_for_is_advanced_by_its_age_in_the_message():
     made = Dispatcher()
     assert made.wanted() is None
     made.snapshot(made.connect(), [1], up_for_age=5_000)
@@ -685,7 +685,7 @@
     assert told.entries[0].up_for == 1_500.0
 
 
-def test_a_first_call_dials_asks_and_is_told_its_prefix():
+def test_a_first_call_dials_and_requests_its_prefix():
     made = Dispatcher()
     ready(made)
     assert made.of(directory.PrefixReady) == [directory.PrefixReady("f", ("w1", "w2", "w3"), False)]
@@ -696,7 +696,7 @@
     assert (watch.function, watch.count, watch.epoch, watch.method) == ("f", 8, EPOCH, "m")
 
 
-def test_a_look_up_without_answer_fails_once_and_in_time():
+def test_an_unanswered_lookup_fails_once_after_its_time_out():
     made = Dispatcher()
     made.wanted()
     made.connect()
@@ -706,7 +706,7 @@
     assert len(failed) == 1 and 2_500 <= failed[0][0] <= 2_510 and failed[0][1].retry_after > 0
 
 
-def test_with_no_holder_what_is_known_serves_on_and_other_look_ups_fail_at_once():
+def test_without_a_holder_cached_prefixes_stay_and_other_lookups_fail_at_once():
     made = Dispatcher()
     connection = ready(made)
     made.watcher.connection_lost(connection, made.now)
@@ -726,7 +726,7 @@
     assert made.wanted("g") == Prefix(("w4", "w5"), False)
 
 
-def test_dials_in_vain_grow_apart_and_differ_between_watchers():
+def test_failed_dials_back_off_with_jitter_that_differs_between_watchers():
     times = []
     for seed in range(2):
         made = Dispatcher()
@@ -741,7 +741,7 @@
     assert times[0] != times[1]
 
 
-def test_the_lease_counts_from_before_the_question():
+def test_a_lease_starts_when_its_request_is_sent():
     made = Dispatcher(heartbeat=SECOND // 5, silence=10 * SECOND)
     connection = ready(made)
     asked = made.sent(wire.Renew)[-1].sent_at
@@ -750,7 +750,7 @@
     assert made.watcher.connections[connection].lease_until == asked + 3 * SECOND
 
 
-def test_an_answer_that_comes_after_its_lease_renews_nothing():
+def test_an_answer_after_the_end_of_its_lease_is_ignored():
     made = Dispatcher(silence=10 * SECOND)
     connection = ready(made)
     asked = made.sent(wire.Renew)[-1].sent_at
@@ -761,7 +761,7 @@
     assert made.watcher.connections.get(connection) is None and "the lease is over" in made.logs[-1]
 
 
-def test_a_silent_holder_is_left_within_the_second_for_the_next_copy():
+def test_a_silent_holder_is_failed_over_from_within_a_second():
     made = Dispatcher()
     connection = ready(made)
     made.answer_renewals(connection)
@@ -774,7 +774,7 @@
     assert made.of(directory.PrefixReady) == [directory.PrefixReady("f", ("w1", "w2", "w3"), False)]
 
 
-def test_an_older_epoch_is_not_taken():
+def test_a_snapshot_of_an_older_epoch_is_rejected():
     made = Dispatcher()
     made.wanted()
     connection = made.connect()
@@ -782,7 +782,7 @@
     assert not made.of(directory.PrefixReady) and made.of(directory.HangUp)
 
 
-def test_once_an_epoch_was_heard_of_those_before_it_are_not_taken():
+def test_snapshots_are_rejected_once_a_higher_epoch_was_reported():
     made = Dispatcher()
     made.wanted()
     connection = made.connect()
@@ -800,7 +800,7 @@
     assert made.watcher.assignment.epoch == EPOCH + 1
 
 
-def test_an_older_revision_is_not_taken_from_another_copy():
+def test_a_snapshot_of_an_older_revision_is_rejected_after_a_failover():
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9, [entry(1, start="2")])
@@ -814,7 +814,7 @@
     assert made.wanted() == Prefix(("w1", "w4"), False)
 
 
-def test_a_copy_that_stays_behind_is_left():
+def test_a_replica_that_stays_behind_is_failed_over_from():
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 9)
@@ -828,7 +828,7 @@
     assert made.watcher.connections.get(other) is None
 
 
-def test_a_superseded_source_is_not_taken_again():
+def test_a_snapshot_of_a_superseded_source_is_rejected():
     made = Dispatcher()
     connection = ready(made)
     made.watcher.connection_lost(connection, made.now)
@@ -842,7 +842,7 @@
     assert made.wanted() == Prefix(("w5", "w6"), False)
 
 
-def test_a_gap_leads_to_fresh_snapshots_and_its_batch_is_not_applied():
+def test_after_a_gap_new_snapshots_are_requested_and_the_batch_is_not_applied():
     made = Dispatcher()
     connection = ready(made)
     watch = made.sent(wire.Watch)[-1].id
@@ -867,7 +867,7 @@
     assert made.wanted() == Prefix(("w9", "w1", "w2", "w3"), False)
 
 
-def test_a_lost_last_batch_shows_at_the_next_renewal():
+def test_a_lost_last_batch_is_detected_at_the_next_renewal():
     made = Dispatcher()
     connection = ready(made)
     made.sequence[connection] += 1
@@ -875,7 +875,7 @@
     assert len(made.sent(wire.Watch)) == 2
 
 
-def test_a_change_that_does_not_fit_has_its_function_asked_for_anew():
+def test_a_change_that_does_not_fit_causes_a_new_request():
     made = Dispatcher()
     connection = ready(made)
     change = wire.PrefixChange(made.sent(wire.Watch)[-1].id, 3, ["w7"], [])
@@ -883,7 +883,7 @@
     assert len(made.sent(wire.Watch)) == 2 and made.wanted() == Prefix(("w1", "w2", "w3"), False)
 
 
-def test_gone_is_told_at_once_and_an_older_word_does_not_bring_it_back():
+def test_a_gone_instance_is_reported_at_once_and_an_older_entry_does_not_restore_it():
     made = Dispatcher()
     connection = ready(made)
     made.wanted("g")
@@ -900,7 +900,7 @@
     assert second.instances.usable(["w2"]) == ("w2",)
 
 
-def test_an_instance_replaced_at_its_address_is_told_as_another():
+def test_an_instance_restarted_at_its_address_is_published_as_changed():
     made = Dispatcher()
     connection = ready(made)
     made.update(connection, 2, [entry(2, "2")])
@@ -908,7 +908,7 @@
     assert [(e.name, e.start) for e in last] == [("w2", "2")]
 
 
-def test_word_that_changes_nothing_is_not_told_again():
+def test_an_unchanged_entry_is_not_published_again():
     made = Dispatcher()
     connection = ready(made)
     before = len(made.effects)
@@ -916,7 +916,7 @@
     assert len(made.effects) == before
 
 
-def test_use_near_the_end_asks_for_twice_as_many_and_a_complete_prefix_for_no_more():
+def test_use_near_the_end_doubles_the_prefix_unless_it_is_complete():
     made = Dispatcher(first_count=4)
     assert made.wanted() is None
     connection = made.connect()
@@ -935,7 +935,7 @@
     assert not made.watcher.extend_prefix("f", made.now)
 
 
-def test_a_function_unused_for_the_idle_time_is_watched_no_more():
+def test_a_function_unused_for_the_idle_time_is_unwatched():
     made = Dispatcher(idle=5 * SECOND)
     connection = ready(made)
     while made.now < 6 * SECOND:
@@ -947,7 +947,7 @@
     assert not made.watcher.functions and not made.watcher.instances.known
 
 
-def test_what_is_remembered_is_bounded():
+def test_cached_state_is_bounded():
     made = Dispatcher(most_retired=3, most_functions=5, most_pending=2)
     connection = ready(made)
     for i in range(10):
@@ -962,7 +962,7 @@
     assert made.watcher.instances.floor == wire.Revision("e1", 25)
 
 
-def test_busy_fails_a_look_up_that_can_not_wait_so_long_and_asks_again():
+def test_busy_fails_a_lookup_that_would_time_out_and_schedules_a_retry():
     made = Dispatcher()
     made.wanted()
     connection = made.connect()
@@ -976,7 +976,7 @@
     assert made.wanted() == Prefix(("w1",), False)
 
 
-def test_a_holder_without_its_roster_is_left_for_a_copy_that_may_be_fresher_but_not_to_and_fro():
+def test_a_stale_holder_is_left_for_another_replica_without_flapping():
     made = Dispatcher()
     connection = ready(made)
     made.answer_renewals(connection, age=2 * SECOND)
@@ -1003,7 +1003,7 @@
     return moves, connection
 
 
-def test_where_all_copies_are_as_stale_the_pauses_between_moves_grow_and_it_is_said_once():
+def test_when_all_replicas_are_stale_moves_back_off_and_are_logged_once():
     made = Dispatcher(idle=1_000 * SECOND, rebalance=1_000 * SECOND)
     moves, _ = stale_days(made, ready(made), 400)
     gaps = [after - before for before, after in pairwise(moves)]
@@ -1014,7 +1014,7 @@
     assert made.wanted() == Prefix(("w1", "w2", "w3"), False)
 
 
-def test_after_a_copy_that_hears_its_roster_the_next_stale_one_is_left_at_once():
+def test_after_a_fresh_replica_the_next_stale_one_is_left_at_once():
     made = Dispatcher()
     _, connection = stale_days(made, ready(made), 60)
     made.answer_renewals(connection)
@@ -1026,7 +1026,7 @@
     assert connection not in made.watcher.connections
 
 
-def test_a_dispatcher_that_stood_still_counts_no_silence_of_others():
+def test_a_stalled_dispatcher_does_not_count_the_silence_of_holders():
     made = Dispatcher()
     connection = ready(made)
     made.answer_renewals(connection)
@@ -1041,7 +1041,7 @@
     assert connection in made.watcher.connections
 
 
-def test_sums_are_told_when_they_change():
+def test_region_sums_are_published_when_they_change():
     made = Dispatcher()
     connection = ready(made)
     sums = wire.RegionSums(10.0, 9.0, 8, 11)
@@ -1051,7 +1051,7 @@
     assert made.of(directory.SumsChanged) == [directory.SumsChanged(sums)]
 
 
-def test_sources_are_ordered_by_what_holders_saw():
+def test_sources_are_ordered_by_the_supersessions_that_holders_report():
     known = Revisions()
     known.record_seen("e1", 0)
     known.record_seen("e3", 0)
@@ -1079,7 +1079,7 @@
 
 @pytest.mark.parametrize("trouble", ["none", "stall", "kill", "cut", "cut from roster"])
 @pytest.mark.parametrize("seed", range(4))
-def test_word_of_a_drain_reaches_its_watchers_within_the_second_though_a_holder_fails(trouble, seed):
+def test_a_drain_reaches_its_watchers_within_a_second_despite_a_holder_fault(trouble, seed):
     world = World(seed, Plan(copies=2), CALM)
     world.weather = replace(CALM, calls=8.0, changes=0)
     world.day(4)
@@ -1109,7 +1109,7 @@
     assert not world.breaches.found
 
 
-def test_all_dispatchers_of_a_zone_at_once_are_answered_in_turn_by_both_copies():
+def test_all_dispatchers_of_a_zone_starting_at_once_are_served_by_both_replicas():
     """325 start within a tenth of a second, with 6 functions each; a copy sends 1,000 snapshots a second."""
     holder = HolderSettings(snapshot_rate=1_000, snapshot_burst=100)
     world = World(1, Plan(watchers=325, copies=2, shards=1, functions=12, holder=holder), CALM)
@@ -1129,7 +1129,7 @@
     assert len(lookups) + failed == 325 * 6 and lookups[-1] <= 2_500
 
 
-def test_what_a_watcher_holds_does_not_grow_with_instances_or_with_functions_of_others():
+def test_a_watchers_state_does_not_grow_with_instances_or_functions_of_others():
     def held(instances, functions):
         plan = Plan(watchers=2, instances=instances, functions=functions)
         world = World(3, plan, CALM)
@@ -1145,7 +1145,7 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_random_days_end_with_the_truth_and_without_a_breach(seed):
+def test_random_schedules_converge_without_violations(seed):
     world = play(seed, rough=8, calm=18)
     assert world.breaches.found == []
     assert sum(world.counts.values()) >= 4
@@ -1155,7 +1155,7 @@
     return [breach for seed in seeds for breach in play(seed, rough=8, calm=18).breaches.found]
 
 
-def test_a_lost_change_is_caught(monkeypatch):
+def test_checks_detect_a_lost_change(monkeypatch):
     made = Batches.full_update
 
     def lose(self, session, revision, now):
@@ -1193,11 +1193,11 @@
     return world
 
 
-def test_a_lease_counts_from_the_question_though_answers_come_late():
+def test_a_lease_starts_at_its_request_even_if_answers_are_late():
     assert held_answers().breaches.found == []
 
 
-def test_a_lease_that_counts_from_the_answer_is_caught(monkeypatch):
+def test_checks_detect_a_lease_counted_from_the_answer(monkeypatch):
     made = HolderMessages.apply_renewal
 
     def renewed(self, connection, message, now):
@@ -1208,7 +1208,7 @@
     assert any("lease that lapsed" in breach for breach in held_answers().breaches.found)
 
 
-def test_an_older_epoch_that_is_taken_is_caught(monkeypatch):
+def test_checks_detect_an_accepted_older_epoch(monkeypatch):
     made = HolderMessages.apply_snapshot
     ask = WatchRequests.send
 
@@ -1227,7 +1227,7 @@
     assert any("older epoch" in breach for breach in breaches_of(range(0, 9, 3)))
 
 
-def test_a_batch_taken_out_of_turn_is_caught(monkeypatch):
+def test_checks_detect_a_batch_applied_out_of_sequence(monkeypatch):
     def in_turn(self, connection, sequence, now):
         connection.sequence = sequence
         return True
@@ -1249,7 +1249,7 @@
     assert any(" after batch " in breach for breach in found)
 
 
-def test_a_holder_that_answers_at_once_after_a_standstill_is_caught(monkeypatch):
+def test_checks_detect_a_holder_that_answers_right_after_a_stall(monkeypatch):
     def called(self, now, entries=0):
         self.last_call_at = now
 
@@ -1257,18 +1257,18 @@
     assert any("before it stood still" in breach for breach in breaches_of(range(3)))
 
 
-def test_word_of_an_older_revision_that_is_taken_is_caught(monkeypatch):
+def test_checks_detect_an_accepted_older_revision(monkeypatch):
     monkeypatch.setattr(Revisions, "is_older", lambda self, one, other: False)
     monkeypatch.setattr(Revisions, "is_acceptable", lambda self, source, age, now: True)
     assert any(" goes back " in breach for breach in breaches_of(range(6)))
 
 
-def test_that_nothing_has_changed_said_of_what_has_changed_is_caught(monkeypatch):
+def test_checks_detect_a_wrong_unchanged(monkeypatch):
     for module in ("watched_functions", "watch_requests"):
         monkeypatch.setattr(f"lapistrestle.directory.{module}.digest_of", lambda entries, complete: "same")
     assert any(" after batch " in breach for breach in breaches_of(range(6)))
 
 
-def test_a_lost_change_shows_in_the_length_of_the_prefix():
+def test_a_lost_change_is_detected_by_the_prefix_length():
     with pytest.raises(RevisionGapError):
         apply_change(("a", "b"), wire.PrefixChange(1, 3, ["a"], [wire.PlacedInstance(0, "c")]))
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -76,7 +76,7 @@
     return [breach.says for breach in judged.breaches], judged.figures["longest way to an edge, ms"]
 
 
-def test_word_within_a_second_is_in_time_and_measured():
+def test_a_drain_reported_within_a_second_is_in_time_and_measured():
     tape = Tape()
     tape.snapshot(10, W)
     tape.roster(1_000, DRAINS)
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("never", [False, True])
-def test_late_word_and_none_are_breaches(never):
+def test_a_late_or_missing_report_of_a_drain_is_a_violation(never):
     tape = Tape()
     tape.snapshot(10, W)
     tape.roster(1_000, DRAINS)
@@ -95,7 +95,7 @@
     assert len(breaches) == 1 and f"{EDGE} holds {RUNNER} by word of {HOLDER}" in breaches[0]
 
 
-def test_word_that_it_is_gone_counts_from_the_rosters():
+def test_a_removal_is_timed_from_the_rosters_message():
     tape = Tape()
     tape.snapshot(10, W)
     tape.roster(1_000, msgspec.structs.replace(W, listing="gone"))
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize(("begin", "end", "late"), [(900, 1_800, 0), (1_200, 1_900, 0), (1_200, 1_250, 1)])
-def test_a_cut_or_a_stand_still_gives_its_time_back_and_no_more(begin, end, late):
+def test_a_network_cut_or_a_stall_extends_the_deadline_by_its_duration(begin, end, late):
     for away in ("cut", "still"):
         tape = Tape()
         tape.snapshot(10, W)
@@ -119,7 +119,7 @@
         assert len(prompt(tape)[0]) == late, away
 
 
-def test_a_cut_while_the_holder_stands_still_gives_its_time_back_once():
+def test_overlapping_cut_and_stall_extend_the_deadline_once():
     tape = Tape()
     tape.snapshot(10, W)
     tape.put(1_200, HOLDER, "stalled")
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_who_is_told_that_nothing_has_changed_relies_on_the_new_connection_too(told):
+def test_after_unchanged_an_edge_relies_on_the_new_connection(told):
     tape = Tape(renewals=False)
     tape.snapshot(10, W)
     tape.put(400, "link", "close")
@@ -149,14 +149,14 @@
     assert late == [] if told else late == [True]
 
 
-def test_a_holder_that_tells_what_it_knows_to_be_old_is_caught():
+def test_checks_detect_a_holder_that_sends_outdated_entries():
     tape = Tape()
     tape.roster(1_000, DRAINS)
     tape.snapshot(2_500, W, number=2)
     assert len(prompt(tape)[0]) == 1
 
 
-def test_nobody_need_tell_of_what_left_the_prefix_or_whose_lease_lapsed():
+def test_no_report_is_due_after_removal_from_the_prefix_or_lease_expiry():
     tape = Tape()
     tape.snapshot(10, W)
     tape.update(900, removed=["w"])
@@ -172,7 +172,7 @@
     return [breach.says for breach in drains_kept(tape.story()).breaches]
 
 
-def test_rule_3_counts_from_the_holders_word():
+def test_drains_are_timed_from_the_holders_message():
     tape = Tape()
     tape.snapshot(10, W)
     tape.roster(1_000, DRAINS)
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("how", ["gone", "replaced", "left out of a whole order"])
-def test_rule_3_takes_every_word_of_an_end(how):
+def test_every_report_of_an_end_stops_new_calls(how):
     tape = Tape()
     tape.snapshot(10, W)
     if how == "gone":
@@ -201,7 +201,7 @@
     assert len(kept(tape)) == 1
 
 
-def test_an_older_holders_word_takes_nothing_back_and_ends_nothing():
+def test_a_holder_that_is_behind_neither_revokes_a_drain_nor_ends_a_start():
     tape = Tape()
     tape.open("late", "holder-1")
     tape.snapshot(10, W)
@@ -218,7 +218,7 @@
     assert kept(tape) == []  # it did not tell that the newer start is gone
 
 
-def test_a_roster_that_began_anew_is_newer_whatever_its_numbers():
+def test_a_new_roster_epoch_supersedes_higher_numbers():
     tape = Tape()
     tape.snapshot(10, W, number=1)
     tape.roster(500, W, number=0, epoch="e2")
@@ -241,14 +241,14 @@
     return {breach.rule for breach in played.breaches()}
 
 
-def test_a_day_with_a_directory_keeps_all_rules_and_its_words_are_counted():
+def test_a_day_with_a_directory_keeps_all_rules_and_its_reports_are_counted():
     played = Played(directory_day([REPLACED]))
     figures = directory_prompt(played.story).figures
     assert rules_broken(played) == set() and figures["words of drains or ends"] > 20
     assert 0 < figures["longest way to an edge, ms"] < 200
 
 
-def test_a_holder_that_sits_on_word_of_a_drain_is_caught(monkeypatch):
+def test_checks_detect_a_holder_that_delays_a_drain(monkeypatch):
     made = server.holder_settings
     late = 15_000  # tenths of a millisecond
     slow = lambda settings: replace(made(settings), urgent_delay=late, batch_delay=late)  # noqa: E731
@@ -256,7 +256,7 @@
     assert rules_broken(Played(directory_day([REPLACED]))) == {"directory told in time"}
 
 
-def test_an_edge_that_does_not_listen_to_its_holders_is_caught():
+def test_checks_detect_an_edge_that_ignores_its_holders():
     def make(reactor, deployment, log):
         edge = Edge(reactor, deployment, log)
         facts = edge.following.facts
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_one_trouble_alone(kind):
+def test_each_fault_alone(kind):
     played = play(troubles=[{"kind": kind}])
     judged(played)
     assert played.world.crowd.counts["ok"] > 0.75 * played.world.crowd.counts["wishes"]
@@ -41,14 +41,14 @@
 
 @pytest.mark.parametrize("beside", BESIDE)
 @pytest.mark.parametrize("holder", HOLDERS)
-def test_a_trouble_of_the_directory_beside_one_of_the_fleet(holder, beside):
+def test_a_directory_fault_combined_with_a_fleet_fault(holder, beside):
     troubles = [{"kind": holder, "share": 0.5}, {"kind": beside, "at": "4 s", "share": 0.4}]
     judged(play("slots", troubles))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("holder", HOLDERS)
-def test_drains_reach_edges_while_the_directory_changes_over(holder, seed):
+def test_drains_reach_edges_during_repeated_failovers(holder, seed):
     """Half of the holders fail again and again while the fleet is replaced in turn."""
     again = [{"kind": holder, "at": f"{at} s", "lasts": "1.2 s", "share": 0.5} for at in (2, 4, 6, 8)]
     played = play("archive", [{"kind": "deploy", "at": "2 s", "lasts": "7 s", "share": 0.8}, *again], seed)
@@ -56,7 +56,7 @@
 
 
 @pytest.mark.parametrize("like", ["thumbs", "slots", "archive"])
-def test_without_any_holder_what_is_known_serves_on(like):
+def test_without_any_holder_cached_prefixes_serve_on(like):
     troubles = [{"kind": "holder_kill", "at": "4 s", "lasts": "5 s", "share": 1.0}]
     played = play(like, troubles)
     judged(played)
@@ -81,7 +81,7 @@
     assert len(waits) > 20 and max(waits) < 20.0
 
 
-def test_all_edges_back_at_once_meet_a_directory_that_comes_back_too():
+def test_all_edges_and_half_of_the_holders_restart_together():
     troubles = [
         {"kind": "edge_kill", "at": "4 s", "lasts": "1 s", "share": 1.0},
         {"kind": "holder_kill", "at": "4 s", "lasts": "2 s", "share": 0.5},
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_a_fleet_replaced_at_once_is_not_pushed_over_by_dispatchers_that_each_see_a_part(seed):
+def test_a_fleet_replaced_at_once_is_not_overloaded_by_dispatchers_with_partial_views(seed):
     troubles = [
         {"kind": "deploy", "at": "6 s", "lasts": "1 s", "share": 0.4},
         {"kind": "preempt", "at": "8.6 s", "lasts": "0.4 s", "share": 0.8},
@@ -103,7 +103,7 @@
     judged(play("thumbs", troubles, seed, {"first_count": 2}, **more))
 
 
-def test_a_short_prefix_grows_where_it_is_not_enough_and_serves_no_worse_than_the_whole_list():
+def test_a_short_prefix_is_extended_and_serves_as_well_as_the_complete_list():
     """Three functions take all of a busy fleet, from prefixes of one worker each."""
     days = [day("thumbs", seed=seed, traffic={"rate": 120, "functions": 3}) for seed in (1, 2, 3)]
     short = [Played(with_directory(script, first_count=1)) for script in days]
@@ -117,7 +117,7 @@
     assert mean(serve(p.story).total for p in short) >= mean(serve(p.story).total for p in whole) - LOST
 
 
-def test_an_edge_holds_only_the_workers_of_what_it_calls():
+def test_an_edge_knows_only_the_workers_of_functions_that_it_calls():
     fleet = {"quick": {"count": 60, "cores": 4, "speed": 1.4, "memory": 8000}}
     traffic = {"rate": 40, "functions": 3}
     played = play("thumbs", directory={"first_count": 4}, fleet=fleet, traffic=traffic)
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("like", ["thumbs", "slots", "archive"])
-def test_a_calm_day_loses_nothing(like):
+def test_a_day_without_faults_is_served_as_well_as_with_the_complete_list(like):
     """At a size where the whole list fits too. Over 20 days of 40 s each the mean difference was measured as
     -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these are few and short.
     """
@@ -146,7 +146,7 @@
     assert mean(serve(p.story).total for p in told) >= mean(serve(p.story).total for p in whole) - LOST
 
 
-def test_waiting_calls_are_on_the_tape_as_any_other():
+def test_calls_that_wait_for_a_prefix_are_answered_once():
     """The first calls of a day wait for their prefix, and none of them is answered late or twice."""
     played = play("thumbs", length="3 s")
     first = [c for c in played.story.calls if c.at < 1_500]
@@ -157,7 +157,7 @@
     )
 
 
-def test_a_version_is_loaded_first_and_settles_where_its_prefix_was_looked_up(tmp_path):
+def test_a_version_is_preloaded_and_settles_with_a_prefix_from_the_directory(tmp_path):
     played = Rolled(with_directory(rollout_script(length="80 s")), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
@@ -166,7 +166,7 @@
     assert ok > 0.97 * len(played.story.calls)
 
 
-def test_a_look_up_that_fails_is_no_evidence_against_a_version(tmp_path):
+def test_a_failed_lookup_is_no_evidence_against_a_version(tmp_path):
     """The candidate's prefix can't be had from its first call on: it waits, and is not turned back."""
     troubles = [{"kind": "holder_kill", "at": "1.9 s", "lasts": "8 s", "share": 1.0}]
     played = Rolled(with_directory(rollout_script(troubles, length="16 s")), tmp_path / "j")
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -30,7 +30,7 @@
 
 
 @given(FLEETS, FUNCTION, st.randoms(use_true_random=False))
-def test_the_order_does_not_depend_on_the_way_to_the_fleet(fleet, function, random):
+def test_the_order_is_independent_of_the_history_of_the_fleet(fleet, function, random):
     """Inserted in another order, with others that came, grew, shrank and left in between."""
     names = list(fleet)
     random.shuffle(names)
@@ -46,7 +46,7 @@
 
 
 @given(FLEETS, FUNCTION)
-def test_an_order_has_each_instance_once_and_shorter_prefixes_begin_longer_ones(fleet, function):
+def test_an_order_has_each_instance_once_and_prefixes_are_nested(fleet, function):
     ring = ring_of(fleet)
     whole = ring.prefix(function, len(fleet) + 3)
     assert sorted(whole) == sorted(fleet)
@@ -55,7 +55,7 @@
 
 
 @given(FLEETS, FUNCTION, st.integers(1, 10), st.data())
-def test_an_instance_that_leaves_changes_only_prefixes_that_it_is_in(fleet, function, count, data):
+def test_a_removed_instance_changes_only_prefixes_that_contained_it(fleet, function, count, data):
     leaver = data.draw(st.sampled_from(sorted(fleet)))
     ring = ring_of(fleet)
     before = ring.prefix(function, count)
@@ -70,7 +70,7 @@
 
 
 @given(FLEETS, FUNCTION, st.integers(1, 10), SIZES)
-def test_an_instance_that_comes_changes_only_prefixes_that_it_enters(fleet, function, count, size):
+def test_an_added_instance_changes_only_prefixes_that_it_enters(fleet, function, count, size):
     ring = ring_of(fleet)
     before = ring.prefix(function, count)
     ring.insert("newcomer", size)
@@ -78,7 +78,7 @@
     assert after == before or "newcomer" in after
 
 
-def test_one_change_in_a_large_fleet_moves_few_prefixes_and_little_in_them():
+def test_one_change_in_a_large_fleet_affects_few_prefixes_and_little_in_them():
     ring = many(1_000)
     functions = [f"f{i}" for i in range(2_000)]
     before = {function: ring.prefix(function, 8) for function in functions}
@@ -98,7 +98,7 @@
 
 
 @given(FLEETS, st.sampled_from([0.25, 0.5, 2.0, 4.0]), FUNCTION)
-def test_a_new_points_arc_holds_a_position_that_each_changed_prefix_was_searched_from(fleet, size, function):
+def test_each_changed_prefix_was_searched_from_an_arc_of_a_new_point(fleet, size, function):
     """What the holder's index relies on."""
     ring = ring_of(fleet)
     before = [place for place, _ in zip(ring.places(function), range(4), strict=False)]
@@ -113,7 +113,7 @@
 
 
 @pytest.mark.parametrize("count", [50, 1_000])
-def test_first_places_are_shared_out_by_size_within_bounds(count):
+def test_first_positions_are_distributed_by_size(count):
     """Over 16 points to each unit of size the share of one instance has a relative deviation of about a
     quarter: none is home to 2.2 times its part, and half of the size has half of the functions by a tenth."""
     fleet = {f"w{i}": (0.5, 1.0, 2.0, 4.0)[i % 4] for i in range(count)}
@@ -138,13 +138,13 @@
     return (ring.steps - before) / functions
 
 
-def test_a_look_up_takes_as_many_steps_in_a_large_fleet_as_in_a_small_one():
+def test_the_cost_of_a_lookup_is_independent_of_the_fleets_size():
     steps = [steps_of_look_ups(many(count)) for count in (100, 1_000, 10_000)]
     assert max(steps) < 1.5 * min(steps)
     assert max(steps) < 4 * 8
 
 
-def test_the_count_of_steps_catches_a_scan():
+def test_the_step_count_detects_a_scan():
     class Scanning(InstanceRing):
         def next_place(self, probes, seen):
             list(self.points.clockwise(0))
@@ -159,14 +159,14 @@
     assert steps_of_look_ups(rings[1], 8, 10) > 5 * steps_of_look_ups(rings[0], 8, 10)
 
 
-def test_a_longer_prefix_costs_in_proportion():
+def test_the_cost_of_a_prefix_is_proportional_to_its_length():
     ring = many(5_000)
     assert steps_of_look_ups(ring, 64, 50) < 12 * steps_of_look_ups(ring, 8, 50)
 
 
 @settings(max_examples=50)
 @given(st.lists(st.tuples(st.integers(0, RING - 1), st.sampled_from("abc"), st.booleans()), max_size=300))
-def test_the_table_of_points_is_a_sorted_set(steps):
+def test_the_table_of_positions_is_a_sorted_set(steps):
     table, pairs = RingPositions(), set()
     for position, owner, add in steps:
         if add:
@@ -187,7 +187,7 @@
         ]
 
 
-def test_the_table_divides_and_merges_its_buckets():
+def test_the_table_splits_and_merges_its_buckets():
     table = RingPositions()
     positions = [position for position, _ in zip(draws("w", INSTANCE), range(20_000), strict=False)]
     for position in positions:
@@ -198,7 +198,7 @@
     assert len(table.buckets) <= 64 and [p for p, _ in table.clockwise(0)] == sorted(positions[:100])
 
 
-def test_draws_are_the_same_for_ever():
+def test_hash_positions_are_stable_across_releases():
     """Programs of different releases share the order, so these numbers may not change."""
     first = [position for position, _ in zip(draws("w1", INSTANCE), range(9), strict=False)]
     assert (first[0], first[8]) == (FIRST_DRAW, NINTH_DRAW)
@@ -210,7 +210,7 @@
 
 
 @given(NAMES, NAMES)
-def test_a_difference_turns_one_prefix_into_the_other(before, after):
+def test_applying_a_difference_yields_the_other_prefix(before, after):
     change = difference(before, after)
     message = change_message(3, change, Prefix(tuple(after), True))
     assert apply_change(tuple(before), message) == tuple(after)
@@ -225,7 +225,7 @@
 
 
 @given(NAMES, NAMES, NAMES)
-def test_a_change_for_another_prefix_is_noticed_or_fits(before, after, other):
+def test_a_change_for_another_prefix_is_rejected_or_has_the_right_length(before, after, other):
     """A change is taken for a prefix of which it tells too much or too little only if the result has the
     length that the sender told."""
     message = change_message(3, difference(before, after), Prefix(tuple(after), True))
@@ -235,7 +235,7 @@
         assert other != before
 
 
-def test_watchers_are_spread_over_copies_and_stay_where_they_are_if_one_goes():
+def test_watchers_are_spread_over_replicas_and_keep_their_order_if_one_is_removed():
     copies = tuple(Copy("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
     assignment, smaller = Assignment(1, (copies,)), Assignment(2, (copies[:2],))
     first = {i: assignment.copies_for(0, f"edge-{i}") for i in range(900)}
@@ -246,13 +246,13 @@
         assert smaller.copies_for(0, f"edge-{i}") == left
 
 
-def test_a_copy_in_the_own_zone_comes_first_twice_as_often():
+def test_a_replica_in_the_own_zone_comes_first_twice_as_often():
     copies = tuple(Copy("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
     own = sum(Assignment(1, (copies,)).copies_for(0, f"edge-{i}", "b")[0].zone == "b" for i in range(2_000))
     assert 900 < own < 1_100
 
 
-def test_functions_are_divided_evenly_over_shards():
+def test_functions_are_distributed_evenly_over_shards():
     assignment = Assignment(1, ((), (), (), ()))
     counts = Counter(assignment.shard_of(f"function-{i}") for i in range(8_000))
     assert sorted(counts) == [0, 1, 2, 3] and all(1_800 < count < 2_200 for count in counts.values())
--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -158,7 +158,7 @@
         each.end()
 
 
-def test_a_holder_by_hand(directory):
+def test_a_holder_process_with_a_scripted_watcher(directory):
     here = directory()
     edge = here.watcher()
     edge.watch()
@@ -186,7 +186,7 @@
     assert none.returncode == 1 and "no answer from a holder" in none.stderr
 
 
-def test_an_edge_tells_what_it_holds_of_the_directory(directory, tmp_path):
+def test_an_edge_reports_its_state_of_the_directory(directory, tmp_path):
     here = directory(holders=2)
     made = json5.loads((EXAMPLES / "slots.json5").read_text())
     copies = [{"port": port} for port in here.ports]
@@ -210,7 +210,7 @@
         edge.kill()
 
 
-def test_what_a_holder_cannot_be_started_with_is_said(directory, tmp_path):
+def test_errors_at_the_start_of_a_holder_are_reported(directory, tmp_path):
     here = directory()
     taken = command("directory", "serve", here.settings(0))
     assert taken.returncode == 1 and "can't listen" in taken.stderr
@@ -222,7 +222,7 @@
     assert "roster.port: is missing" in command("directory", "serve", file).stderr
 
 
-def test_a_holder_that_is_killed_breaks_off_and_its_successor_knows_all(directory):
+def test_after_a_kill_another_replica_and_a_restarted_holder_serve_the_same(directory):
     here = directory(holders=2)
     edge = here.watcher(0)
     edge.watch()
@@ -243,7 +243,7 @@
     assert not any("Traceback" in line for child in here.old for line in child.lines())
 
 
-def test_an_old_holder_that_wakes_says_nothing_old(directory):
+def test_a_resumed_holder_sends_nothing_outdated(directory):
     here = directory()
     edge = here.watcher()
     edge.watch()
@@ -267,7 +267,7 @@
     assert "knowledge fresh" in modes[-1]
 
 
-def test_a_roster_that_is_gone_shows_in_the_age_and_the_next_one_is_followed(directory):
+def test_a_lost_roster_shows_in_the_age_and_its_successor_is_followed(directory):
     here = directory()
     port = str(here.roster.known)
     here.roster.kill()
@@ -288,7 +288,7 @@
     assert renewed["asked"] == 5 and renewed.get("age", 0) == 0
 
 
-def test_all_watchers_back_at_once_are_answered_and_the_holder_stays_small(directory):
+def test_all_watchers_connecting_at_once_are_answered_with_bounded_memory(directory):
     here = directory(instances=40)
     edges = [here.watcher() for _ in range(120)]
     for edge in edges:
@@ -396,7 +396,7 @@
     assert watches_again(tmp_path, end) == EDGES
 
 
-def test_a_day_in_which_holders_stand_still_and_wake_old(tmp_path):
+def test_a_day_in_which_holders_stall_and_resume(tmp_path):
     story = played(tmp_path, [STILL, REPLACED, DEPLOYED])
     begin, end = since(story, "holder_stall")
     assert unanswered(story) == [] and told(story) > 0
@@ -405,7 +405,7 @@
     assert watches_again(tmp_path, end) == EDGES
 
 
-def test_a_day_in_which_edges_lose_every_holder(tmp_path):
+def test_a_day_in_which_edges_are_cut_from_all_holders(tmp_path):
     story = played(tmp_path, [CUT, REPLACED, DEPLOYED])
     assert unanswered(story) == [] and len(story.cuts) == 2 * 3
     begin, end = since(story, "directory_cut")
@@ -417,7 +417,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 @pytest.mark.parametrize("trouble", [KILLED, STILL, CUT])
-def test_the_same_in_virtual_time_serves_at_least_half(trouble, seed):
+def test_the_same_faults_in_virtual_time_serve_at_least_half(trouble, seed):
     """What is served depends on the machine where edges are processes, and on nothing else here. Nearly all
     runners are replaced in these six seconds; of the first tries 0.54 to 0.88 went well when measured.
     """
@@ -426,7 +426,7 @@
     assert share_ok(played.story, since(played.story, trouble["kind"])[0]) > 0.5
 
 
-def test_a_day_in_which_all_edges_are_back_at_once(tmp_path):
+def test_a_day_in_which_all_edges_restart_at_once(tmp_path):
     killed = {"kind": "edge_kill", "at": "1500 ms", "lasts": "500 ms", "share": 1.0}
     story = played(tmp_path, [killed, DEPLOYED])
     assert unanswered(story) == []
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -162,7 +162,7 @@
     )
 
 
-def test_two_holders_have_the_same_order_whatever_they_heard_first():
+def test_two_holders_have_the_same_order_independent_of_history():
     one, other = Rig(), Rig(count=0)
     for number in reversed(range(12)):
         other.note(entry(f"w{number}"))
@@ -172,7 +172,7 @@
         assert orders[0] == orders[1] and len(orders[0]) == 12
 
 
-def test_an_instance_that_flaps_is_not_told_each_time():
+def test_a_flapping_instance_is_not_sent_each_time():
     rig = Rig()
     edge = rig.watcher()
     edge.watch()
@@ -201,7 +201,7 @@
     assert not edge.of(wire.Snapshot)
 
 
-def test_a_lost_roster_shows_in_the_age_and_a_new_one_in_the_source():
+def test_a_lost_roster_shows_in_the_age_and_its_successor_in_the_source():
     rig = Rig()
     edge = rig.watcher()
     edge.watch()
@@ -221,7 +221,7 @@
     assert any("knowledge cut" in text for text in said) and "knowledge fresh" in said[-1]
 
 
-def test_a_holder_that_stood_still_answers_only_once_it_has_caught_up():
+def test_a_stalled_holder_answers_only_after_catching_up():
     rig = Rig()
     edge = rig.watcher()
     edge.watch()
@@ -245,7 +245,7 @@
     assert edge.of(wire.Snapshot)[-1].id == 3
 
 
-def test_a_watcher_that_does_not_read_is_cut_and_holds_up_nobody():
+def test_a_watcher_that_does_not_read_is_disconnected_without_delaying_others():
     lease, count, unsent = Span(600_000), 300, 65_536
     rig = Rig(count, {"bytes_per_second": 10_000_000, "lease": lease}, unsent=unsent)
     slow, edge = rig.watcher("slow"), rig.watcher("edge-1")
@@ -266,7 +266,7 @@
     assert {e.start for e in edge.of(wire.Update)[-1].entries} == {f"w{n}#{turns}" for n in range(count)}
 
 
-def test_a_connection_too_many_and_a_line_that_is_none_are_closed():
+def test_connections_over_the_limit_and_with_undecodable_lines_are_closed():
     rig = Rig(connections=2)
     edges = [rig.watcher(f"edge-{n}") for n in range(3)]
     rig.run(0.1)
@@ -279,7 +279,7 @@
     assert edges[1].of(wire.Snapshot)
 
 
-def test_another_protocol_is_told_so():
+def test_a_connection_with_another_protocol_is_closed():
     rig = Rig()
     edge = Watcher(rig, "edge-0")
     rig.reactor.run(rig.reactor.seconds() + 0.0004)
@@ -288,7 +288,7 @@
     assert edge.over and rig.program.report("")["sessions"] == 0
 
 
-def test_a_watch_that_is_not_renewed_lapses():
+def test_an_unrenewed_watch_expires():
     rig = Rig()
     quiet, edge = rig.watcher("quiet"), rig.watcher("edge-1")
     for watcher in (quiet, edge):
@@ -297,7 +297,7 @@
     assert quiet.over and "lease" in quiet.bye and not edge.over
 
 
-def test_all_watchers_at_once_are_admitted_at_the_stated_rate():
+def test_all_watchers_at_once_are_admitted_at_the_configured_rate():
     rig = Rig(count=30, snapshots_per_second=200)
     edges = [Watcher(rig, f"edge-{n}") for n in range(100)]
     rig.run(0.01)
@@ -325,7 +325,7 @@
     assert rig.program.report("")["snapshots refused as busy"] > 0
 
 
-def test_one_that_stops_says_so_to_all_and_ends():
+def test_a_stopping_holder_notifies_all_watchers_and_ends():
     rig = Rig()
     edges = [rig.watcher(f"edge-{n}") for n in range(3)]
     ended = []
@@ -340,7 +340,7 @@
     assert len(ended) == 1
 
 
-def test_one_whose_watchers_do_not_read_ends_all_the_same():
+def test_a_stopping_holder_ends_even_if_its_watchers_do_not_read():
     rig = Rig()
     edge = rig.watcher()
     edge.process.stall()
@@ -369,7 +369,7 @@
     program.act()
 
 
-def test_a_list_that_the_program_asked_for_before_a_standstill_does_not_end_it():
+def test_a_list_requested_before_a_stall_does_not_end_it():
     program = Rig().program
     listed = program.roster.list
     program.roster.source.heard(Change(listed.number + 2, [], listed.epoch))  # a gap: it is asked for
@@ -380,7 +380,7 @@
     assert program.holder.freshness.may_answer
 
 
-def test_a_list_asked_for_on_connecting_does_not_end_a_standstill_after_it():
+def test_a_list_requested_on_connecting_does_not_end_a_later_stall():
     program = Rig().program
     program.holder.roster_lost(program.clock())
     speaker = program.roster.source.speaker
@@ -392,7 +392,7 @@
     assert program.holder.freshness.may_answer
 
 
-def test_a_list_that_is_passed_over_has_another_one_asked_for():
+def test_a_discarded_list_causes_another_request():
     program = Rig().program
     standstill(program)
     listed, source = program.roster.list, program.roster.source
@@ -404,7 +404,7 @@
     assert program.holder.freshness.may_answer
 
 
-def test_an_unreadable_line_of_the_roster_has_the_connection_begin_anew():
+def test_an_undecodable_line_of_the_roster_causes_a_reconnect():
     rig = Rig()
     first = rig.program.roster.source.speaker
     first.unreadable(b"{", "cut off")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -85,7 +85,7 @@
 )  # fmt: skip
 
 
-def test_who_says_that_a_member_is_there_accuses_it_of_nothing() -> None:
+def test_an_alive_record_does_not_count_as_a_suspicion() -> None:
     """Said twice, with a name beside it, it had counted as an accuser of the suspicion that followed."""
     members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
     for status, by in ((MemberStatus.ALIVE, "x"), (MemberStatus.ALIVE, "x"), (MemberStatus.SUSPECT, "y")):
@@ -94,7 +94,7 @@
 
 
 @given(st.lists(records, max_size=12), st.randoms())
-def test_claims_lead_to_one_belief_in_any_order_and_doubled(told: list[MemberRecord], random: Random) -> None:
+def test_records_in_any_order_lead_to_the_same_table(told: list[MemberRecord], random: Random) -> None:
     other = [*told, *random.sample(told, len(told) // 2)]
     random.shuffle(other)
     beliefs = []
@@ -111,7 +111,7 @@
 
 
 @given(st.lists(records, max_size=12))
-def test_leaving_is_not_taken_back_within_a_boot_and_nobody_else_raises_an_incarnation(
+def test_a_left_process_stays_left_and_only_members_raise_their_incarnation(
     told: list[MemberRecord],
 ) -> None:
     members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
@@ -124,7 +124,7 @@
         assert held.incarnation in {c.incarnation for c in told if c.process_id == held.process_id}
 
 
-def test_the_suspected_refutes_and_doubts_itself(made: Made) -> None:
+def test_a_suspected_member_refutes_and_lowers_its_local_health(made: Made) -> None:
     members, _ = made
     meet(members, "b")
     members.on_message(
@@ -135,7 +135,7 @@
     assert members.me.incarnation == 1  # refuted already
 
 
-def test_further_accusers_shorten_a_suspicion_and_doubt_lengthens_it(made: Made) -> None:
+def test_confirmations_shorten_a_suspicion_and_poor_local_health_lengthens_it(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c", "d", "e", "f")
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="c"))
@@ -160,7 +160,7 @@
     return members.detector.target, members.detector.ping_deadline
 
 
-def test_others_are_asked_before_one_is_accused(made: Made) -> None:
+def test_indirect_probes_precede_a_suspicion(made: Made) -> None:
     members, transport = made
     meet(members, "b", "c", "d")
     target, late = probing(members)
@@ -172,7 +172,7 @@
     assert target.record.status is MemberStatus.SUSPECT and target.suspected_by == {"a"}
 
 
-def test_an_answer_through_another_saves_it(made: Made) -> None:
+def test_an_ack_by_a_relay_prevents_a_suspicion(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c", "d")
     target, late = probing(members)
@@ -184,7 +184,7 @@
     assert target.status is MemberStatus.ALIVE
 
 
-def test_an_old_answer_saves_nobody(made: Made) -> None:
+def test_an_ack_of_an_earlier_ping_does_not_prevent_a_suspicion(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c")
     target, late = probing(members)
@@ -194,7 +194,7 @@
     assert target.status is MemberStatus.SUSPECT
 
 
-def test_who_stood_still_accuses_nobody_and_gives_suspects_their_time(made: Made) -> None:
+def test_a_stalled_member_suspects_nobody_and_extends_suspicions(made: Made) -> None:
     members, _ = made
     meet(members, "b", "c")
     members.apply(record("c", 0, MemberStatus.SUSPECT, suspected_by="b"))
@@ -204,14 +204,14 @@
     assert members.health.score >= 1 and "a" not in members.members["c"].suspected_by
 
 
-def test_doubt_is_bounded(made: Made) -> None:
+def test_the_local_health_score_is_bounded(made: Made) -> None:
     members, _ = made
     for _ in range(20):
         members.health.worsen()
     assert members.health.score == MAX_LOCAL_HEALTH
 
 
-def test_a_relay_pings_for_another_and_says_so_when_nobody_answers(made: Made) -> None:
+def test_a_relay_pings_the_target_and_sends_a_nack_without_an_answer(made: Made) -> None:
     members, transport = made
     meet(members, "b", "c")
     members.on_message(record("b"), wire.PingRequest(77, "c", "127.0.0.1", 1_099), (), 10)
@@ -224,7 +224,7 @@
     assert (record("b").port, wire.Nack(78)) in transport.messages(wire.Nack)
 
 
-def test_the_answer_through_a_relay_counts_as_the_target_s() -> None:
+def test_an_ack_by_a_relay_counts_as_the_targets() -> None:
     """The relay speaks in its own name, with the target's claim beside it."""
     cluster = Cluster(3)
     a, b, c = cluster.many(3)
@@ -234,7 +234,7 @@
     assert cluster.agreed() and not any("dead" in line for t in (a, b, c) for line in runtime_of(t).logs)
 
 
-def test_a_page_stays_within_a_datagram_and_goes_on() -> None:
+def test_table_pages_fit_in_a_datagram_and_continue() -> None:
     transport = Written()
     members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     names = [f"{i:03d}" + "x" * 60 for i in range(60)]
@@ -254,7 +254,7 @@
     assert read == names
 
 
-def test_a_namesake_with_the_greater_start_keeps_the_name(made: Made) -> None:
+def test_of_two_processes_with_one_name_the_later_boot_keeps_it(made: Made) -> None:
     members, transport = made
     meet(members, "b")
     members.on_message(record("a", boot=2, nonce=9), wire.Ping(1), (), 10)
@@ -268,7 +268,7 @@
     assert later.state is LocalState.JOINING and transport2.messages(wire.Ack)  # the other hears of us
 
 
-def test_a_name_whose_holder_is_dead_is_taken_up_though_the_clock_went_back(made: Made) -> None:
+def test_the_name_of_a_dead_process_is_taken_over_despite_a_clock_set_back(made: Made) -> None:
     members, _ = made
     meet(members, "b")
     members.on_message(
@@ -295,13 +295,13 @@
     assert {m.record.zone for m in cluster.endpoints["e-12"].membership.live()} == {"z0", "z1", "z2"}
 
 
-def test_a_dead_one_is_missed_by_all_within_the_stated_time(twelve: Cluster) -> None:
+def test_a_dead_member_is_detected_by_all_within_the_documented_time(twelve: Cluster) -> None:
     cluster = twelve
     cluster.kill("e-3")
     assert cluster.until(cluster.agreed, 60) < 25  # docs/operate/fleet.md
 
 
-def test_leaving_is_known_at_once(twelve: Cluster) -> None:
+def test_a_leave_is_known_to_all_within_four_seconds(twelve: Cluster) -> None:
     cluster = twelve
     cluster.endpoints["e-4"].leave()
     cluster.run(0.1)
@@ -309,7 +309,7 @@
     assert cluster.until(cluster.agreed, 30, 0.25) < 4
 
 
-def test_halves_of_a_partition_meet_again(twelve: Cluster) -> None:
+def test_the_halves_of_a_partition_rejoin(twelve: Cluster) -> None:
     cluster = twelve
     names = list(cluster.endpoints)
     ports = [cluster.endpoints[n].settings.port for n in names]
@@ -321,7 +321,7 @@
     assert cluster.until(cluster.agreed, 60) < 20
 
 
-def test_a_restart_under_the_same_name_takes_its_own_place(twelve: Cluster) -> None:
+def test_a_restarted_process_takes_over_its_name(twelve: Cluster) -> None:
     cluster = twelve
     cluster.kill("e-5")
     cluster.add("e-5", ("e-0",))
@@ -330,14 +330,14 @@
     assert cluster.agreed() and boots == {cluster.endpoints["e-5"].membership.me.boot}
 
 
-def test_so_does_one_whose_clock_was_set_back(twelve: Cluster) -> None:
+def test_a_restarted_process_takes_over_its_name_despite_a_clock_set_back(twelve: Cluster) -> None:
     cluster = twelve
     cluster.kill("e-6")
     cluster.add("e-6", ("e-0",), boot=5)
     assert cluster.until(cluster.agreed, 120) < 60  # displaced by its own shadow, until nobody answers for it
 
 
-def test_two_processes_under_one_name_leave_one_member(twelve: Cluster) -> None:
+def test_of_two_processes_with_one_name_one_is_displaced(twelve: Cluster) -> None:
     cluster = twelve
     old = cluster.endpoints["e-8"]
     new = cluster.add("e-8", ("e-0",), port=41_000)
@@ -349,7 +349,7 @@
     assert cluster.until(cluster.agreed, 120) < 90  # the name falls back to the one that still runs
 
 
-def test_twenty_percent_lost_doubled_and_late_kill_nobody() -> None:
+def test_loss_duplication_and_delay_of_datagrams_declare_nobody_dead() -> None:
     cluster = Cluster(7)
     cluster.links.lost, cluster.links.doubled, cluster.links.delays = 0.2, 0.2, (100, 60_000)
     cluster.many(8)
@@ -358,7 +358,7 @@
     assert not any(" dead" in line for t in cluster.endpoints.values() for line in runtime_of(t).logs)
 
 
-def test_one_that_stands_still_two_seconds_in_four_kills_nobody_and_is_back_soon() -> None:
+def test_a_member_that_stalls_repeatedly_declares_nobody_dead_and_recovers() -> None:
     cluster = Cluster(9)
     cluster.many(8)
     cluster.run(10)
@@ -374,7 +374,7 @@
     assert away <= 3
 
 
-def test_one_whose_datagrams_do_not_get_out_is_dead_and_the_rest_agree() -> None:
+def test_a_member_that_can_not_send_is_declared_dead_by_all() -> None:
     cluster = Cluster(11)
     cluster.many(6)
     cluster.run(10)
@@ -387,7 +387,7 @@
     assert cluster.until(cluster.agreed, 60) < 20
 
 
-def test_another_fleet_or_version_is_refused_by_name() -> None:
+def test_datagrams_of_another_fleet_or_version_are_rejected() -> None:
     cluster = Cluster(13)
     a = cluster.add("e-0")
     cluster.add("e-1", ("e-0",), fleet="other")
@@ -410,7 +410,7 @@
     return sent, max(t.bytes_sent - b for t, (_, b) in zip(endpoints, before, strict=True)) / 30
 
 
-def test_what_a_member_spends_does_not_grow_with_the_fleet() -> None:
+def test_the_traffic_of_a_member_does_not_grow_with_the_fleet() -> None:
     small, large = cost(6), cost(48)
     assert large[0] < 1.5 * small[0] < 6
     assert large[1] < 1_200
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -102,7 +102,7 @@
     return view.get(name) in ("alive", "suspect")
 
 
-def test_edges_that_are_killed_stopped_and_started_anew(edges: Edges) -> None:
+def test_edges_that_are_killed_stalled_and_restarted(edges: Edges) -> None:
     names = {n: f"edge-{n}" for n in range(4)}
     edges.until(lambda: all(sum(there(edges.view(n), name) for name in names.values()) == 3 for n in names))
     edges.children[3].kill()  # SIGKILL
@@ -126,7 +126,7 @@
     assert not any("Traceback" in line for line in lines)
 
 
-def test_two_processes_under_one_name_leave_one_member(edges: Edges) -> None:
+def test_of_two_processes_with_one_name_one_is_displaced(edges: Edges) -> None:
     edges.until(lambda: len(edges.view(0)) == 3)
     old, edges.ports = edges.children[3], [*edges.ports[:3], *free_ports(1)]
     edges.start(3)
@@ -143,7 +143,7 @@
         old.kill()
 
 
-def test_the_look_of_an_edge_without_a_fleet_says_so(tmp_path: Path) -> None:
+def test_fleet_show_reports_an_edge_without_a_fleet(tmp_path: Path) -> None:
     made = json5.loads((EXAMPLES / "slots.json5").read_text())
     made["listen"] = {"port": 0}
     (tmp_path / "d.json5").write_text(json.dumps(made))
@@ -162,7 +162,7 @@
                 child.kill()
 
 
-def test_a_wrong_fleet_is_named(tmp_path: Path) -> None:
+def test_invalid_fleet_settings_are_reported(tmp_path: Path) -> None:
     from lapistrestle.command.main import main
 
     file = tmp_path / "d.json5"
@@ -183,7 +183,7 @@
 ]
 
 
-def test_a_day_of_processes_with_what_they_say_broken_keeps_the_rules(tmp_path: Path) -> None:
+def test_a_day_of_processes_with_faults_between_edges_keeps_the_rules(tmp_path: Path) -> None:
     script = fleet_day(TROUBLES, length="6 s", edges=4, traffic={"rate": 30, "functions": 8})
     script["deployment"]["listen"] = {"port": 7100, "margin": "300 ms"}  # this machine may be busy
     script["deployment"]["fleet"]["loads"] = 40
@@ -197,7 +197,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_same_in_virtual_time_twice_byte_for_byte(seed: int) -> None:
+def test_the_same_faults_in_virtual_time_yield_the_same_tape_twice(seed: int) -> None:
     script = fleet_day(TROUBLES, length="12 s", edges=8, seed=seed)
     first, second = Played(script), Played(script)
     assert first.breaches() == [] and first.tape == second.tape
@@ -216,11 +216,11 @@
     return sum(any(outcome == "error" for _, _, outcome in run.ends) for run in late)
 
 
-def test_few_edges_try_what_fails_and_the_others_take_their_word() -> None:
+def test_gossiped_verdicts_reduce_attempts_at_failing_runners() -> None:
     assert 0 < trials(fleet=True) < 0.6 * trials(fleet=False)
 
 
-def test_after_a_burst_far_over_capacity_the_fleet_is_back_and_keeps_the_rules() -> None:
+def test_the_fleet_recovers_from_a_burst_far_over_capacity() -> None:
     burst = [{"kind": "burst", "at": "8 s", "lasts": "10 s", "factor": 16}]
     played = Played(fleet_day(burst, length="36 s", edges=3, seed=3, traffic={"rate": 60, "functions": 20}))
     calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.repeat]
@@ -233,7 +233,7 @@
 
 
 @pytest.mark.parametrize(("factor", "also"), [(12, []), (6, [ERRORS])])
-def test_the_door_opens_again_at_once_when_a_burst_is_over(factor: int, also: list[dict[str, Any]]) -> None:
+def test_admission_recovers_at_once_after_a_burst(factor: int, also: list[dict[str, Any]]) -> None:
     """As it was: a level from figures of the burst let in 7 a second of the 160 that came after it, what was
     done fell, and errors of half the runners passed for a capacity that shrank with each step.
     """
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("second", [STILL, KILLED])
-def test_an_edge_that_stands_still_twice_or_is_killed_meanwhile_is_read_rightly(
+def test_overlapping_stalls_and_a_kill_of_an_edge_are_recorded_correctly(
     second: dict[str, Any],
 ) -> None:
     """As it was: the tape held an edge for still that had gone on, and rule 5 for broken."""
--- a/tests/test_gossip_counters.py
+++ b/tests/test_gossip_counters.py
@@ -50,7 +50,7 @@
 
 
 @given(st.lists(ways, min_size=1, max_size=40), st.randoms())
-def test_lost_doubled_late_and_reordered_rows_count_nothing_twice(
+def test_lost_duplicated_late_and_reordered_snapshots_count_nothing_twice(
     ways: list[tuple[int, int]], random: Random
 ) -> None:
     """Whatever reaches us of a process that counts 50 a second, in whatever order: 50, or unknown."""
@@ -66,7 +66,7 @@
     assert figures.counted == 1 + (figures.rates["asked"] > 0)
 
 
-def test_rates_follow_the_teller_s_own_clock() -> None:
+def test_rates_are_computed_by_the_reporters_clock() -> None:
     made = digests()
     steady(made, "b", 100, 8)
     steady(made, "c", 100, 8, drift=1.05)
@@ -74,7 +74,7 @@
     assert rates["asked"] == pytest.approx(100 + 100 / 1.05)
 
 
-def test_a_restart_counts_from_nothing_and_the_one_before_no_more() -> None:
+def test_a_restarted_process_counts_from_zero_and_replaces_its_predecessor() -> None:
     made = digests()
     steady(made, "b", 100, 8)
     made.on_snapshots(made.layout, [snapshot("b", 2, 1, 5, 0, (7, 0))], 8 * SECOND)
@@ -85,7 +85,7 @@
     assert made.statistics(9 * SECOND, everyone, 2).rates["asked"] == pytest.approx(10)
 
 
-def test_figures_age_out_and_absent_ones_count_nothing() -> None:
+def test_snapshots_expire_and_absent_members_are_ignored() -> None:
     made = digests()
     steady(made, "b", 100, 8)
     seen = [made.statistics((8 + s) * SECOND, everyone, 2).rates["asked"] for s in (0, 3, 6, 9, 10)]
@@ -93,7 +93,7 @@
     assert made.statistics(8 * SECOND, lambda name: False, 2).rates["asked"] == 0
 
 
-def test_age_grows_on_the_way_and_a_shorter_way_makes_younger() -> None:
+def test_ages_grow_when_forwarded_and_a_shorter_path_lowers_them() -> None:
     made = digests()
     made.on_snapshots(made.layout, [snapshot(seq=1, at=1, age=4 * SECOND)], 10 * SECOND)
     assert made.reporters["b"].valid_at == 6 * SECOND
@@ -103,14 +103,14 @@
 
 
 @pytest.mark.parametrize(("at", "counts"), [(10**7, (3, 0)), (1, (10**6, 10**6)), (10**7, (10**6,))])
-def test_what_can_not_be_is_refused(at: int, counts: tuple[int, ...]) -> None:
+def test_invalid_snapshots_are_rejected(at: int, counts: tuple[int, ...]) -> None:
     made = digests()
     steady(made, "b", 100, 6)
     made.on_snapshots(made.layout, [snapshot(seq=9, at=at, counts=counts)], 6 * SECOND)
     assert made.statistics(6 * SECOND, everyone, 2).rates["asked"] == pytest.approx(100)
 
 
-def test_one_that_tells_nonsense_moves_the_figure_by_its_own_part_only() -> None:
+def test_a_faulty_reporter_contributes_no_more_than_its_limit() -> None:
     made = digests(max_rate=5_000.0)
     for name in "bcdefg":
         steady(made, name, 10, 8)
@@ -137,7 +137,7 @@
     assert made.rejected == 1 and "b" not in made.reporters
 
 
-def test_a_telling_fits_its_room_and_passes_on_what_was_told_least() -> None:
+def test_datagrams_fit_their_size_and_forward_the_least_transmitted() -> None:
     made = digests()
     for i in range(100):
         made.on_snapshots(made.layout, [snapshot(f"m{i:02d}", seq=1, at=1, counts=(2**60, 2**60))], 0)
@@ -149,6 +149,6 @@
     assert max(map(seen.count, seen)) == min(map(seen.count, seen)) and len(set(seen)) == 100
 
 
-def test_the_count_of_datagrams_is_bounded_whatever_the_size() -> None:
+def test_the_number_of_datagrams_is_bounded() -> None:
     made = digests()
     assert [made.datagrams_per_round(n, 150) for n in (2, 40, 200, 500, 5_000)] == [1, 5, 10, 10, 10]
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -58,7 +58,7 @@
         assert sum(min(u, m.available(self.now)) for u, m in zip(self.use, self.made, strict=True)) <= WHOLE
 
 
-def test_one_that_needs_more_borrows_and_what_is_not_needed_goes_back() -> None:
+def test_a_short_member_borrows_and_returns_unneeded_units() -> None:
     ring = Ring(4)
     most = 0
     for _ in range(40):
@@ -72,14 +72,14 @@
 
 
 @given(st.lists(st.tuples(st.lists(st.integers(0, 9), min_size=4, max_size=4), st.booleans()), max_size=60))
-def test_whoever_wants_what_the_sum_stays_within_the_whole(steps: list[tuple[list[int], bool]]) -> None:
+def test_the_sum_stays_within_the_quota_for_any_demand(steps: list[tuple[list[int], bool]]) -> None:
     ring = Ring(4)
     for wants, lost in steps:
         ring.lost = lost
         ring.step(wants)
 
 
-def test_what_was_put_to_use_since_the_last_look_is_not_lent() -> None:
+def test_units_in_use_since_the_last_update_are_not_leased() -> None:
     ring = Ring(2)
     for _ in range(12):
         ring.step([0, 0])
@@ -88,13 +88,13 @@
     assert ring.messages == [] and ring.made[1].available(ring.now) == 4
 
 
-def test_one_that_is_no_member_uses_nothing() -> None:
+def test_a_displaced_member_uses_no_units() -> None:
     ring = Ring(2)
     ring.made[0].update([], False, SECOND)
     assert ring.made[0].available(SECOND) == 0
 
 
-def test_a_word_for_another_allowance_changes_nothing() -> None:
+def test_a_message_for_another_quota_is_ignored() -> None:
     ring = Ring(2)
     for _ in range(20):
         ring.step([8, 0])
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(("loads", "within"), [(WHOLE, True), (0, False)])
-def test_loads_under_way_of_all_edges_stay_within_the_whole_whatever_breaks(loads: int, within: bool) -> None:
+def test_concurrent_loads_of_all_edges_stay_within_the_quota_despite_faults(loads: int, within: bool) -> None:
     """Without the bound the same day has more under way, so that the day shows something."""
     Watched.living, Watched.most = (), 0
     script = fleet_day(TROUBLES, length="26 s", edges=4, seed=3, traffic={"rate": 80, "functions": 60})
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -115,7 +115,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.integers(2, 6))
-def test_the_sum_never_passes_the_whole(seed: int, count: int) -> None:
+def test_the_sum_never_exceeds_the_quota(seed: int, count: int) -> None:
     assert Schedule(seed, count).run(400) <= WHOLE
 
 
@@ -182,11 +182,11 @@
 
 
 @pytest.mark.parametrize("planted", PLANTED)
-def test_a_planted_fault_passes_the_whole(planted: type[QuotaShare]) -> None:
+def test_an_injected_fault_exceeds_the_quota(planted: type[QuotaShare]) -> None:
     assert any(Schedule(seed, 4, planted).run(400) > WHOLE for seed in range(400))
 
 
-def test_need_moves_units_and_they_come_back() -> None:
+def test_units_are_leased_on_demand_and_returned() -> None:
     a, b = (QuotaShare("loads", 100, 2, i, SETTINGS, 0) for i in (0, 1))
     now = 10_000
     assert (a.available(now), b.available(now)) == (50, 50)
@@ -204,7 +204,7 @@
     assert a.available(now + 1_100) == 50
 
 
-def test_what_is_kept_is_never_lent_and_a_start_has_it_at_once() -> None:
+def test_reserved_units_are_never_leased_and_available_at_once_after_a_start() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     assert a.available(0) == 25 and a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 50), 0) is None
     now = a.full_from
@@ -212,7 +212,7 @@
     assert sum(g.units for g in given if g) == 25 and a.available(now) == 25
 
 
-def test_a_loan_that_nobody_returns_comes_back_by_the_clock() -> None:
+def test_an_unreturned_lease_expires() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     now = a.full_from
     lent = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
@@ -220,7 +220,7 @@
     assert a.available(now + a.longest_lease() - 1) == 40 and a.available(now + a.longest_lease()) == 50
 
 
-def test_the_cuts_add_up_exactly_and_a_strange_number_has_none() -> None:
+def test_shares_add_up_to_the_quota_and_an_unknown_member_has_none() -> None:
     for of in (1, 3, 7, 200, 333):
         assert sum(QuotaShare("x", WHOLE, of, i, SETTINGS, 0).own_units for i in range(of)) == WHOLE
     assert QuotaShare("x", WHOLE, 3, 5, SETTINGS, 0).available(10**9) == 0
