--- a/benchmarks/directory_holder.py
+++ b/benchmarks/directory_holder.py
@@ -1,9 +1,9 @@
-"""One holder of the directory as a process, with as many instances as asked for: how long it takes to take
-the whole list, what memory that needs, and how fast it answers look-ups.
+"""Measures a directory holder as a process with a given number of instances: time to load the complete list,
+memory, and latency of lookups.
 
     python benchmarks/directory_holder.py 10000 76000
 
-Loopback only; the roster is a thread here that sends one list. Ends by itself.
+Loopback only; the roster is a thread of this process that sends one list. Terminates by itself.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 def entry(number: int) -> messages.Entry:
-    """An instance with names as long as usual ones, of a size from 1 to 4."""
+    """An instance with names of typical length and a size from 1 to 4."""
     name = f"worker-{number:06d}"
     return messages.Entry(
         name, 20_000 + number % 40_000, f"zone-{number % 12}", number % 50, "quad", 1.0 + number % 4,
@@ -36,7 +36,7 @@
 
 
 class Roster:
-    """Sends the whole list to whoever follows or asks."""
+    """Sends the complete list in answer to each subscription or request."""
 
     def __init__(self, instances: int) -> None:
         self.list = messages.encode(messages.Whole(1, [entry(n) for n in range(instances)], "e1")) + b"\n"
@@ -82,7 +82,7 @@
 
 
 def wait_until_known(port: int) -> None:
-    """Until the holder has taken the whole list. Raises TimeoutError."""
+    """Wait until the holder has applied the complete list. Raises TimeoutError after `PATIENCE`."""
     until = time.monotonic() + PATIENCE
     while time.monotonic() < until:
         watcher = Watcher(port)
@@ -94,7 +94,7 @@
 
 
 def measure(instances: int, folder: Path) -> str:
-    """One size, as a row of a table."""
+    """Measure one size. Returns a row of the table."""
     roster, (port,) = Roster(instances), free_tcp_ports(1)
     settings = {"directory": {"shards": [[{"port": port}]]}, "serve": {"port": port},
                 "roster": {"port": roster.port}}  # fmt: skip
--- a/benchmarks/directory_schedules.py
+++ b/benchmarks/directory_schedules.py
@@ -2,7 +2,7 @@
 
     python benchmarks/directory_schedules.py --seeds 1000
 
-What is broken is named with its seed; one is played again by --first N --seeds 1.
+Violations are printed with their seed; replay one with --first N --seeds 1.
 """
 
 import time
@@ -13,7 +13,7 @@
 
 from lapistrestle.standins.directory_world import play
 
-SHOWN = 3  # breaches of one seed
+SHOWN = 3  # violations printed per seed
 
 
 def judged(seed: int) -> tuple[int, list[str], dict[str, int], list[int], int]:
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -18,7 +18,7 @@
 
     BLANK = auto()  # no list received, or the connection was lost before the requested one
     ASKING = auto()  # the complete list is requested
-    STEADY = auto()  # in sequence: each change has followed the last one
+    STEADY = auto()  # each change has followed the last one
 
 
 class ListEvent(Enum):
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The directory: what holders send and what watchers believe, each rule by itself and in random days."""
+"""The state machines of holder and watcher, each rule by itself and in random schedules."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -39,7 +39,7 @@
 
 
 class Directory:
-    """A holder with sessions, driven by hand."""
+    """A `ShardHolder` with a manual clock; collects its effects."""
 
     def __init__(self, instances=20, **settings):
         self.now = 0
@@ -182,7 +182,7 @@
 
 
 def work_of_one_change(instances, ring=InstanceRing):
-    """Prefixes computed and steps on the ring for a hundred instances that go and come back, one by one."""
+    """Prefixes computed and ring entries visited while 100 instances are removed and added again."""
     made = Directory(instances, snapshot_burst=10_000)
     made.connect(1)
     for i in range(200):
@@ -197,8 +197,8 @@
 
 
 def test_the_cost_of_a_change_is_proportional_to_the_affected_prefixes():
-    """200 functions of 4 instances: with ten times the instances a change touches a tenth of the prefixes,
-    and the steps that remain, 16 points to be placed twice, don't grow.
+    """200 functions of 4 instances: with ten times the instances a change affects a tenth of the prefixes,
+    and the remaining steps, inserting and removing 16 points, don't grow.
     """
     small, large = work_of_one_change(400), work_of_one_change(4_000)
     assert large[0] < small[0] / 4
@@ -293,7 +293,7 @@
     assert waits.count(0) == 100
     told = sorted(wait for wait in waits if wait)
     assert told[-1] <= 2 * SECOND
-    for tenth in range(1, 10):  # of the second after the burst: a hundred each, as many as are admitted
+    for tenth in range(1, 10):  # of the second after the burst: 100 each, the admitted rate
         assert 90 <= sum(tenth * 1_000 <= wait < (tenth + 1) * 1_000 for wait in told) <= 110
     in_half = sum(wait < 15_000 for wait in told if wait > SECOND)
     assert 0.3 < in_half / sum(wait > SECOND for wait in told) < 0.7
@@ -346,7 +346,7 @@
     renewed = [snapshot_limit.retry_after(0, waiting=False) for _ in range(1_000)]
     assert renewed.count(0) == 50
     waiting = [snapshot_limit.retry_after(0) for _ in range(100)]
-    assert waiting[:50] == [0] * 50 and max(waiting) <= 500  # nor behind those in the others' queue
+    assert waiting[:50] == [0] * 50 and max(waiting) <= 500  # not queued behind the others
     assert SnapshotRateLimit(10, 1, SECOND, 0, Jitter(1)).retry_after(0, waiting=False) == 0
 
 
@@ -360,7 +360,7 @@
 
 
 def digest_for(made, session, function, count=4):
-    """What a watcher would say that has what is told now."""
+    """A snapshot and the digest that a watcher with this prefix would send."""
     made.watch(session, function, count)
     snapshot = made.of(wire.Snapshot, session)[-1]
     return snapshot, digest_of(snapshot.entries, snapshot.complete)
@@ -502,7 +502,7 @@
     made = Directory()
     made.run(SECOND)
     many = [entry(i) for i in range(60_000)]
-    made.now += 3_200  # a third of a second, as long as reading so many may take
+    made.now += 3_200  # a third of a second, which decoding so many entries may take
     made.tell(many, whole=True)
     assert made.asked == 0
     made.now += 30_000
@@ -549,7 +549,7 @@
 
 
 class Dispatcher:
-    """A watcher whose holders are played by hand."""
+    """A `DirectoryWatcher` with a manual clock and scripted holders."""
 
     def __init__(self, copies=COPIES, **settings):
         self.now = 0
@@ -618,7 +618,7 @@
 
 
 def ready(dispatcher):
-    """A watcher that knows f."""
+    """Have the watcher cache the prefix of f. Returns the connection."""
     assert dispatcher.wanted() is None
     connection = dispatcher.connect()
     dispatcher.snapshot(connection, [1, 2, 3])
@@ -626,7 +626,7 @@
 
 
 def unchanged(made, connection, number=1, source="e1", **more):
-    """The answer to the last watch: the watcher has the prefix."""
+    """Answer the last watch with `Unchanged`."""
     made.sequence[connection] += 1
     id, revision = made.sent(wire.Watch)[-1].id, wire.Revision(source, number)
     sequence = made.sequence[connection]
@@ -634,7 +634,7 @@
 
 
 def moved(made, connection):
-    """The same watcher at another copy, with what it knows."""
+    """Lose the connection and connect to another replica, with the cache intact."""
     made.watcher.connection_lost(connection, made.now)
     made.collect()
     made.run(100 * MILLISECOND)
@@ -670,7 +670,7 @@
     made = Dispatcher()
     other = moved(made, ready(made))
     known = made.watcher.instances
-    known.apply_entry(wire.compact(entry(1, "2")), wire.Revision("e1", 5), made.now)  # another shard's holder
+    known.apply_entry(wire.compact(entry(1, "2")), wire.Revision("e1", 5), made.now)  # by another shard
     known.apply_entry(wire.compact(entry(2, "2")), wire.Revision("e1", 3), made.now)
     unchanged(made, other, number=4)
     assert [known.known[f"w{n}"].entry.start for n in (1, 2, 3)] == ["2", "1", "1"]
@@ -990,7 +990,7 @@
 
 
 def stale_days(made, connection, seconds):
-    """All copies are cut off from the roster; when the watcher moves, in tenths of a millisecond."""
+    """All replicas are cut off from the roster. Returns the times of moves, in ticks, and the connection."""
     moves, began = [], made.now
     while made.now - began < seconds * SECOND:
         made.run(SECOND // 10)
@@ -1007,7 +1007,7 @@
     made = Dispatcher(idle=1_000 * SECOND, rebalance=1_000 * SECOND)
     moves, _ = stale_days(made, ready(made), 400)
     gaps = [after - before for before, after in pairwise(moves)]
-    assert moves[0] <= SECOND // 5  # a copy that may be fresher is tried at once
+    assert moves[0] <= SECOND // 5  # a replica that may be fresher is tried at once
     assert 10 * SECOND <= gaps[0] <= 20.1 * SECOND <= 2 * gaps[1] + SECOND
     assert all(40 * SECOND <= gap <= 80.1 * SECOND for gap in gaps[2:]) and len(moves) <= 10
     assert sum("no more for" in line for line in made.logs) == 1
@@ -1059,7 +1059,7 @@
     assert known.order == ["e1", "e2", "e3"]
     assert not known.is_acceptable("e2", 0, 100) and known.is_acceptable("e3", 900, 100)
     assert known.is_acceptable("e4", 0, 100) and not known.is_acceptable("e4", 900, 100)
-    late = Revisions()  # met the new source first
+    late = Revisions()  # sees the new source first
     late.record_seen("e2", 0)
     late.record_seen("e1", 0)
     assert late.is_older(wire.Revision("e2", 9), wire.Revision("e1", 1))
@@ -1072,7 +1072,7 @@
 
 
 def drained(world, name):
-    """Drain an instance; the watchers whose prefixes have it."""
+    """Drain an instance. Returns the watchers whose prefixes contain it."""
     world.roster.note(msgspec.structs.replace(world.roster.entries[name], listing="draining"))
     return [w for w in world.watchers if any(name in f.names for f in w.decisions.functions.values())]
 
@@ -1097,7 +1097,7 @@
     elif trouble == "cut from roster":
         world.roster.break_off(holder)
         world.cut_from_roster.add(holder.copy)
-        world.day(2.5)  # it says so, and watchers go over to the other copy
+        world.day(2.5)  # the holder reports it, and watchers switch to the other replica
     name = next(iter(world.watchers[0].decisions.functions.values())).names[0]
     started = world.time.now
     watching = drained(world, name)
@@ -1110,7 +1110,7 @@
 
 
 def test_all_dispatchers_of_a_zone_starting_at_once_are_served_by_both_replicas():
-    """325 start within a tenth of a second, with 6 functions each; a copy sends 1,000 snapshots a second."""
+    """325 start within 100 ms, with 6 functions each; a replica sends 1,000 snapshots per second."""
     holder = HolderSettings(snapshot_rate=1_000, snapshot_burst=100)
     world = World(1, Plan(watchers=325, copies=2, shards=1, functions=12, holder=holder), CALM)
     world.weather = replace(CALM, calls=0, changes=0)
@@ -1169,7 +1169,7 @@
 
 
 def held_answers():
-    """Answers to renewals are held for 2.4 s, then come; questions stay held, so leases lapse."""
+    """Answers to renewals are delayed by 2.4 s; later requests are lost, so that leases expire."""
     settings = WatcherSettings(first_count=4, silence=20 * SECOND)
     world = World(2, Plan(watchers=2, settings=settings), CALM)
     world.weather = replace(CALM, calls=8.0, changes=0)
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -1,4 +1,4 @@
-"""What the checks read from a tape with a directory: whose word binds an edge, and how long it took."""
+"""The checks of a tape with a directory: which reports of drains bind an edge, and their delay."""
 
 from dataclasses import replace
 
@@ -19,11 +19,11 @@
 HEADER = {"tape": 1, "edges": [EDGE], "holders": [HOLDER], "rules": {"drain_grace": 1000}}
 W = Entry("w", 9001, start=RUNNER)
 DRAINS = Entry("w", 9001, start=RUNNER, listing="draining")
-LEASE = 30_000  # tenths of a millisecond
+LEASE = 30_000  # ticks of 0.1 ms
 
 
 class Tape:
-    """A tape written by hand; times in milliseconds."""
+    """A hand-written tape; times in milliseconds."""
 
     def __init__(self, renewals=True):
         self.events = [HEADER]
@@ -71,7 +71,7 @@
 
 
 def prompt(tape):
-    """Breaches of the second, and the longest way in milliseconds."""
+    """Violations of the one-second limit, and the longest delay in milliseconds."""
     judged = directory_prompt(tape.story())
     return [breach.says for breach in judged.breaches], judged.figures["longest way to an edge, ms"]
 
@@ -215,7 +215,7 @@
     tape.snapshot(10, W, number=4)
     tape.snapshot(20, Entry("w", 9000, start="w#before"), number=3, link="late")
     tape.run(2_500)
-    assert kept(tape) == []  # it did not tell that the newer start is gone
+    assert kept(tape) == []  # it did not report the newer start as gone
 
 
 def test_a_new_roster_epoch_supersedes_higher_numbers():
@@ -250,7 +250,7 @@
 
 def test_checks_detect_a_holder_that_delays_a_drain(monkeypatch):
     made = server.holder_settings
-    late = 15_000  # tenths of a millisecond
+    late = 15_000  # ticks of 0.1 ms
     slow = lambda settings: replace(made(settings), urgent_delay=late, batch_delay=late)  # noqa: E731
     monkeypatch.setattr(server, "holder_settings", slow)
     assert rules_broken(Played(directory_day([REPLACED]))) == {"directory told in time"}
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -1,4 +1,4 @@
-"""Whole paths in virtual time with a directory of instances: the five rules from the tape, and service."""
+"""Days in virtual time with a directory: the five rules, checked on the tape, and the service level."""
 
 from statistics import mean
 
@@ -15,7 +15,7 @@
 HOLDERS = ("holder_stall", "holder_kill", "directory_cut")
 BESIDE = ("deploy", "crash", "preempt", "zone_loss", "hot_key", "roster_restart", "discovery_stale",
           "balancer_stall", "edge_kill", "burst")  # fmt: skip
-LOST = 0.005  # of the service, that a directory may cost on a calm day
+LOST = 0.005  # loss of service that a directory may cause on a day without faults
 
 
 def play(like="thumbs", troubles=(), seed=1, directory=None, **more):
@@ -27,7 +27,7 @@
 
 
 def asked_by_edges(played):
-    """What edges said to the roster: nothing."""
+    """Connections of edges to the roster; there should be none."""
     return [c for c in played.story.connections.values() if c.kind == "roster" and c.edge.startswith("edge")]
 
 
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("holder", HOLDERS)
 def test_drains_reach_edges_during_repeated_failovers(holder, seed):
-    """Half of the holders fail again and again while the fleet is replaced in turn."""
+    """Half of the holders fail repeatedly during a rolling replacement of the fleet."""
     again = [{"kind": holder, "at": f"{at} s", "lasts": "1.2 s", "share": 0.5} for at in (2, 4, 6, 8)]
     played = play("archive", [{"kind": "deploy", "at": "2 s", "lasts": "7 s", "share": 0.8}, *again], seed)
     judged(played)
@@ -67,7 +67,7 @@
 
 
 def test_without_any_holder_new_functions_are_denied_at_once():
-    """Every call has its final answer, and those that were denied were not kept waiting."""
+    """Every call gets its final answer, and denied calls do not wait."""
     troubles = [
         {"kind": "holder_kill", "at": "3 s", "lasts": "5 s", "share": 1.0},
         {"kind": "scan", "at": "4 s", "lasts": "3 s", "share": 0.5},
@@ -104,7 +104,7 @@
 
 
 def test_a_short_prefix_is_extended_and_serves_as_well_as_the_complete_list():
-    """Three functions take all of a busy fleet, from prefixes of one worker each."""
+    """Three functions use a whole busy fleet, starting with prefixes of one worker each."""
     days = [day("thumbs", seed=seed, traffic={"rate": 120, "functions": 3}) for seed in (1, 2, 3)]
     short = [Played(with_directory(script, first_count=1)) for script in days]
     for played in short:
@@ -136,8 +136,9 @@
 
 @pytest.mark.parametrize("like", ["thumbs", "slots", "archive"])
 def test_a_day_without_faults_is_served_as_well_as_with_the_complete_list(like):
-    """At a size where the whole list fits too. Over 20 days of 40 s each the mean difference was measured as
-    -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these are few and short.
+    """At a size at which the complete list is usable, too. Over 20 days of 40 s each the mean difference of
+    service is -0.0001 (standard error 0.0008), -0.0001 (0.0005) and 0.0004 (0.0002); these days are fewer
+    and shorter.
     """
     days = [day(like, seed=seed) for seed in (1, 2, 3)]
     whole, told = [Played(script) for script in days], [Played(with_directory(script)) for script in days]
@@ -147,7 +148,7 @@
 
 
 def test_calls_that_wait_for_a_prefix_are_answered_once():
-    """The first calls of a day wait for their prefix, and none of them is answered late or twice."""
+    """The first calls of a day wait for a prefix; each is on the tape with exactly one answer."""
     played = play("thumbs", length="3 s")
     first = [c for c in played.story.calls if c.at < 1_500]
     assert first and all(len(c.answers) == 1 for c in first)
@@ -167,7 +168,7 @@
 
 
 def test_a_failed_lookup_is_no_evidence_against_a_version(tmp_path):
-    """The candidate's prefix can't be had from its first call on: it waits, and is not turned back."""
+    """The candidate's prefix is unavailable from its first call on: the rollout waits and continues."""
     troubles = [{"kind": "holder_kill", "at": "1.9 s", "lasts": "8 s", "share": 1.0}]
     played = Rolled(with_directory(rollout_script(troubles, length="16 s")), tmp_path / "j")
     assert played.breaches() == []
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -1,4 +1,4 @@
-"""The order of instances: alike everywhere, little moved by a change, fair by size, found in few steps."""
+"""The order of instances: deterministic, stable under changes, proportional to size, and cheap to compute."""
 
 from collections import Counter
 
@@ -31,7 +31,7 @@
 
 @given(FLEETS, FUNCTION, st.randoms(use_true_random=False))
 def test_the_order_is_independent_of_the_history_of_the_fleet(fleet, function, random):
-    """Inserted in another order, with others that came, grew, shrank and left in between."""
+    """Insert in another order, and add, resize and remove other instances in between."""
     names = list(fleet)
     random.shuffle(names)
     other = ring_of({f"x{i}": 1.0 for i in range(5)})
@@ -86,7 +86,7 @@
     after = {function: ring.prefix(function, 8) for function in functions}
     moved = [function for function in functions if before[function] != after[function]]
     assert {function for function in functions if "w500" in before[function]} == set(moved)
-    assert len(moved) < 4 * 8 * len(functions) / 1_000  # four times an even share
+    assert len(moved) < 4 * 8 * len(functions) / 1_000  # four times the mean
     for function in moved:
         kept = [name for name in before[function] if name != "w500"]
         in_both = [name for name in after[function] if name in kept]
@@ -99,7 +99,7 @@
 
 @given(FLEETS, st.sampled_from([0.25, 0.5, 2.0, 4.0]), FUNCTION)
 def test_each_changed_prefix_was_searched_from_an_arc_of_a_new_point(fleet, size, function):
-    """What the holder's index relies on."""
+    """The holder's index of ring positions relies on this."""
     ring = ring_of(fleet)
     before = [place for place, _ in zip(ring.places(function), range(4), strict=False)]
     ring.insert("newcomer", size)
@@ -114,8 +114,8 @@
 
 @pytest.mark.parametrize("count", [50, 1_000])
 def test_first_positions_are_distributed_by_size(count):
-    """Over 16 points to each unit of size the share of one instance has a relative deviation of about a
-    quarter: none is home to 2.2 times its part, and half of the size has half of the functions by a tenth."""
+    """With 16 points per unit of size the share of one instance has a relative deviation of about a quarter: no
+    instance has 2.2 times its share, and half of the total size has half of the functions within a tenth."""
     fleet = {f"w{i}": (0.5, 1.0, 2.0, 4.0)[i % 4] for i in range(count)}
     ring = ring_of(fleet)
     functions = 40 * count
@@ -199,7 +199,7 @@
 
 
 def test_hash_positions_are_stable_across_releases():
-    """Programs of different releases share the order, so these numbers may not change."""
+    """Processes of different releases must compute the same order, so these numbers may not change."""
     first = [position for position, _ in zip(draws("w1", INSTANCE), range(9), strict=False)]
     assert (first[0], first[8]) == (FIRST_DRAW, NINTH_DRAW)
     assert shard_of("berth", 7) == BERTH_SHARD
@@ -226,8 +226,8 @@
 
 @given(NAMES, NAMES, NAMES)
 def test_a_change_for_another_prefix_is_rejected_or_has_the_right_length(before, after, other):
-    """A change is taken for a prefix of which it tells too much or too little only if the result has the
-    length that the sender told."""
+    """A change that was made for another prefix is accepted only if the result has the length that the sender
+    stated."""
     message = change_message(3, difference(before, after), Prefix(tuple(after), True))
     try:
         assert len(apply_change(tuple(other), message)) == len(after)
--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -1,4 +1,4 @@
-"""Holders of the directory as processes: by hand, killed, stopped and awake again; and days that do so."""
+"""Directory holders as processes: scripted, killed, stalled and resumed, and days with these faults."""
 
 import json
 import re
@@ -20,12 +20,12 @@
 from lapistrestle.wire.directory import DIRECTORY
 from lapistrestle.wire.messages import Entry
 
-PATIENCE = 20.0  # seconds; bounds a wait, and passes no test
+PATIENCE = 20.0  # seconds; time-out of a wait, after which the test fails
 ENTRY_FIELDS = tuple(field.name for field in msgspec.structs.fields(Entry))
 
 
 class Watcher:
-    """A scripted watcher on a socket, which waits for what it is told."""
+    """A scripted watcher on a blocking socket."""
 
     def __init__(self, port, name="edge-0"):
         self.socket = socket.create_connection(("127.0.0.1", port), PATIENCE)
@@ -40,18 +40,18 @@
         self.say("watch", id=id, shard=shard, epoch=epoch, function=function, count=count)
 
     def next(self):
-        """The next message. Raises EOFError where the connection ends, TimeoutError where none comes."""
+        """The next message. Raises EOFError if the connection ended, TimeoutError if there is none."""
         line = self.lines.readline()
         if not line:
             raise EOFError(self.heard[-1:])
         message = json.loads(line)
-        if "entries" in message:  # an array each, on this wire
+        if "entries" in message:  # each is encoded as an array
             message["entries"] = [dict(zip(ENTRY_FIELDS, row, strict=False)) for row in message["entries"]]
         self.heard.append(message)
         return message
 
     def until(self, kind, holds=lambda message: True):
-        """The next message of that kind for which it holds, all others read and kept."""
+        """The next message of that kind that satisfies `holds`; earlier ones are stored in `heard`."""
         end = time.monotonic() + PATIENCE
         while time.monotonic() < end:
             message = self.next()
@@ -64,7 +64,7 @@
 
 
 class Directory:
-    """A roster and some holders of one shard, as processes."""
+    """A roster and holders of one shard, as processes."""
 
     def __init__(self, folder, holders=1, instances=12):
         self.folder, self.ports = folder, free_tcp_ports(holders)
@@ -85,7 +85,7 @@
         part.replace(self.folder / "w.json5")
 
     def change(self, name, **more):
-        """The roster tells this of a worker; `gone`: nothing any more."""
+        """Change a worker at the roster; `gone` removes it."""
         if more.pop("gone", False):
             del self.workers[name]
         else:
@@ -119,7 +119,7 @@
         return Watcher(self.ports[number])
 
     def show(self, number=0, function=""):
-        """What `lapistrestle directory show --json` prints, without a process for each look."""
+        """What `lapistrestle directory show --json` prints, without starting a process."""
         watcher = self.watcher(number)
         watcher.say("show", function=function)
         shown = watcher.until("shown")["body"]
@@ -127,7 +127,7 @@
         return shown
 
     def until(self, holds):
-        """Wait for it, within a bound."""
+        """Wait until the condition holds. Raises AssertionError after `PATIENCE`."""
         end = time.monotonic() + PATIENCE
         while time.monotonic() < end:
             if holds():
@@ -199,7 +199,7 @@
     try:
         port = edge.wait_port()
         call = ("--port", port, "--fn", "f", "--method", "check-slot", "--customer", "yard")
-        command("call", *call)  # no runner listens; it is denied, and its function is watched
+        command("call", *call)  # no runner listens: the call is denied, but its function is watched
         said = command("directory", "watched", "--port", port)
         assert said.returncode == 0 and "edge-0, epoch 1; 1 of 1 shards reached" in said.stdout
         assert "8 instances of 1 functions; 0 requests wait" in said.stdout and "1 looked up" in said.stdout
@@ -230,7 +230,7 @@
     here.children[0].kill()  # SIGKILL
     with pytest.raises((EOFError, ConnectionError)):
         edge.until("update")
-    other = here.watcher(1)  # the other copy has the same order
+    other = here.watcher(1)  # the other replica has the same order
     other.watch()
     assert [entry["name"] for entry in other.until("snapshot")["entries"]] == names
     here.change(names[0], gone=True)
@@ -253,7 +253,7 @@
     edge.say("renew", asked=1)
     edge.watch(id=2, function="g", count=12)
     here.change(first, start=f"{first}#1", port=9002)
-    here.until(lambda: time.monotonic() > stopped + 0.5)  # for longer than passes for a pause
+    here.until(lambda: time.monotonic() > stopped + 0.5)  # longer than the stall threshold
     here.children[0].resume()
     edge.until("update", lambda update: any(e["start"] == f"{first}#1" for e in update["entries"]))
     late = [message for message in edge.heard if message["is"] in ("renewed", "snapshot")][1:]
@@ -274,7 +274,7 @@
     here.until(lambda: here.show()["knowledge"] == "cut")
     edge = here.watcher()
     edge.watch()
-    assert edge.until("snapshot")["age"] > 0  # what is known serves on, and says how old it is
+    assert edge.until("snapshot")["age"] > 0  # the list stays in use, with its age
     here.workers["w0"]["listing"] = "draining"
     here.write()
     workers = str(here.folder / "w.json5")
@@ -316,12 +316,12 @@
     [{"port": 2, "zone": "middle"}, {"port": 3, "zone": "south"}],
     [{"port": 3, "zone": "south"}, {"port": 1, "zone": "north"}],
 ]
-REPLACED = {"kind": "preempt", "at": "2 s", "lasts": "2 s", "share": 0.4}  # runners, while holders are away
+REPLACED = {"kind": "preempt", "at": "2 s", "lasts": "2 s", "share": 0.4}  # runners, while holders fail
 DEPLOYED = {"kind": "deploy", "at": "500 ms", "lasts": "2 s", "share": 0.5}
 
 
 def script(troubles, seed=1, margin="300 ms", **traffic):
-    """A day of three edges and three holders of three shards, each shard held twice."""
+    """A day with three edges, and three holders of three shards with two replicas each."""
     deployment = json5.loads((EXAMPLES / "slots.json5").read_text())
     deployment["listen"] = {"port": 0, "margin": margin}
     deployment["directory"] = {"shards": SHARDS}
@@ -331,14 +331,14 @@
 
 
 def script_of_processes(troubles):
-    """The same where the machine may be busy: answers are out earlier, and clients do not come back, as a
-    last try has a few milliseconds left, which another process may take away. In virtual time they do.
+    """The same for real processes on a machine that may be busy: a larger margin before deadlines, and no
+    client retries, since a last retry may have only a few milliseconds left. In virtual time clients retry.
     """
     return script(troubles, margin="600 ms", retries=0)
 
 
 def played(folder, troubles):
-    """The story of such a day on real sockets, its programs being processes."""
+    """Run such a day with real processes and sockets. Returns its trace."""
     path, tape = folder / "day.json5", folder / "day.tape"
     path.write_text(json.dumps(script_of_processes(troubles)))
     result = command("day", "run", path, "--tape", tape, "--verbose")
@@ -351,33 +351,33 @@
 
 
 def since(story, kind):
-    """When a trouble of this kind began, and ended; all edges were up before."""
+    """Start and end of the fault of this kind; there is exactly one."""
     ((at, lasts),) = [(at, lasts) for at, said, lasts in story.troubles if said == kind]
     return at, at + lasts
 
 
 def share_ok(story, begin, end=NEVER):
-    """Of the first tries of clients between these times, the part that went well; there were some."""
+    """The fraction of first attempts between these times that succeeded; there must be more than 20."""
     calls = [call for call in story.calls if begin < call.at < end and not call.message.repeat]
     assert len(calls) > 20
     return sum(any(a.verdict == "ok" for _, _, a in call.answers) for call in calls) / len(calls)
 
 
 def watches_again(folder, at):
-    """The edges whose watches some holder renewed after that time, as their sockets saw it."""
+    """The edges that received the renewal of a lease after that time."""
     lines = [event for event in read(folder / "day.tape") if event.get("is") == ">"]
     return {e["on"].partition("/")[0] for e in lines if e["at"] > at * 1000 and '"is":"renewed"' in e["line"]}
 
 
 def unanswered(story):
-    """Calls without any answer whose client waited for it, at an edge that was not killed."""
+    """Calls without an answer whose client waited until the deadline, at an edge that was not killed."""
     waited = [c for c in story.calls if not c.answers and c.left >= c.deadline and c.deadline < story.end]
-    closing = 500  # milliseconds in which a client may still write to an edge that was killed
+    closing = 500  # milliseconds in which a client may still write to a killed edge
     return [c.message.id for c in waited if not story.killed(c.edge, c.at - closing, c.deadline)]
 
 
 def told(story):
-    """How many words of drains and ends edges had from holders."""
+    """The number of reports of drains and ends that edges received from holders."""
     return directory_prompt(story).figures["words of drains or ends"]
 
 
@@ -411,15 +411,15 @@
     begin, end = since(story, "directory_cut")
     alone = {edge for edge, _ in story.cuts}
     served = [c for c in story.calls if c.edge in alone and begin + 700 < c.at < end - 200 and c.answers]
-    assert any(c.answers[0][2].verdict == "ok" for c in served)  # what is known serves on
+    assert any(c.answers[0][2].verdict == "ok" for c in served)  # cached prefixes stay in use
     assert share_ok(story, end) > 0 and watches_again(tmp_path, end) == EDGES
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 @pytest.mark.parametrize("trouble", [KILLED, STILL, CUT])
 def test_the_same_faults_in_virtual_time_serve_at_least_half(trouble, seed):
-    """What is served depends on the machine where edges are processes, and on nothing else here. Nearly all
-    runners are replaced in these six seconds; of the first tries 0.54 to 0.88 went well when measured.
+    """In virtual time the result is independent of the machine's load. Nearly all runners are replaced within
+    these six seconds, and 0.54 to 0.88 of the first attempts succeed.
     """
     played = Played(script([trouble, REPLACED, DEPLOYED], seed))
     assert played.breaches() == [] and unanswered(played.story) == []
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -1,4 +1,4 @@
-"""A holder's program on wires in memory: what it sends to scripted watchers, and what it bounds."""
+"""A holder's process on in-memory connections: its messages to scripted watchers, and its limits."""
 
 import pytest
 from twisted.internet.protocol import ClientFactory
@@ -28,7 +28,7 @@
 
 
 class Watcher(ClientFactory):
-    """A watcher that says what a test has it say, and keeps what it hears."""
+    """A scripted watcher that stores received messages."""
 
     noisy = False
 
@@ -77,7 +77,7 @@
 
 
 class Rig:
-    """A roster, one holder and any watchers in virtual time."""
+    """A roster, a holder and watchers in virtual time."""
 
     def __init__(self, count=12, directory=None, **serve):
         self.reactor = VirtualReactor()
@@ -112,14 +112,14 @@
         self.roster.note(told, self.reactor.seconds(), now=True)
 
     def restart_all(self, start):
-        """All instances are replaced, told in one list."""
+        """Restart all instances, reported in one list."""
         booted = self.reactor.seconds()
         self.roster.told = {name: (entry(name, start), booted) for name in self.roster.told}
         self.roster.number += 1
         self.roster.say_all(self.roster.whole())
 
     def keep(self, watchers, seconds, every=0.2):
-        """Let time pass while these renew their watches."""
+        """Run for some time while these watchers renew their leases."""
         until = self.reactor.seconds() + seconds
         while self.reactor.seconds() < until:
             for watcher in watchers:
@@ -140,11 +140,11 @@
     assert len(snapshot.entries) == 4 and not snapshot.complete and snapshot.lease == 30_000
     first, second = edge.names()[:2]
     rig.note(entry(first, listing="draining"))
-    rig.run(0.1)  # word of a drain doesn't wait for the next batch
+    rig.run(0.1)  # a drain is sent ahead of the next batch
     (update,) = edge.of(wire.Update)
     assert update.sequence == snapshot.sequence + 1 and update.revision.number == 13
     told = {e.name: e.listing for e in update.entries}
-    assert told.pop(first) == "draining"  # another one that serves enters in its place
+    assert told.pop(first) == "draining"  # a serving instance is added to the prefix
     assert len(told) == 1 and not set(told) & set(edge.names())
     rig.note(entry(second, listing="gone"))
     rig.run(1.0)
@@ -208,7 +208,7 @@
     rig.keep([edge], 1.0)
     assert edge.of(wire.Renewed)[-1].age == 0 and edge.of(wire.Renewed)[-1].sums is None
     assert any(r.sums is not None and r.sums.serving == 12 for r in edge.of(wire.Renewed))
-    rig.roster.weather.silent = True  # begins anew, and doesn't answer for a second
+    rig.roster.weather.silent = True  # restarts, and doesn't answer for a second
     rig.roster.begin_anew()
     rig.keep([edge], 1.0)
     assert edge.of(wire.Renewed)[-1].age > 5_000
@@ -259,7 +259,7 @@
         rig.restart_all(turns)
         rig.keep([edge], 0.6)
     (cut,) = rig.logged("watcher cut")
-    assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over it
+    assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over the limit
     assert rig.logged("watcher slow") == [{"watcher": "slow", "slow": 1, "sessions": 2}]
     assert rig.program.counts.slow_connections_cut == 1 and rig.program.sessions.slow == set()
     assert not edge.over and rig.program.report("")["sessions"] == 1
@@ -364,7 +364,7 @@
 
 
 def standstill(program):
-    """The next event comes a second late."""
+    """Simulate a stall: the next event is a second late."""
     program.holder.message_received(0, wire.Renew(0), program.clock() + 10_000)
     program.act()
 
@@ -372,9 +372,9 @@
 def test_a_list_requested_before_a_stall_does_not_end_it():
     program = Rig().program
     listed = program.roster.list
-    program.roster.source.heard(Change(listed.number + 2, [], listed.epoch))  # a gap: it is asked for
-    standstill(program)  # the holder asks on its own
-    program.roster.source.heard(whole_of(program))  # the answer to the first question
+    program.roster.source.heard(Change(listed.number + 2, [], listed.epoch))  # a gap: the list is requested
+    standstill(program)  # the holder sends a request of its own
+    program.roster.source.heard(whole_of(program))  # the answer to the first request
     assert not program.holder.freshness.may_answer
     program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
@@ -384,7 +384,7 @@
     program = Rig().program
     program.holder.roster_lost(program.clock())
     speaker = program.roster.source.speaker
-    speaker.met(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
+    speaker.met(Hello(ROSTER, 1, "roster"))  # the connection is established: the list is requested
     standstill(program)
     program.roster.source.heard(whole_of(program))
     assert not program.holder.freshness.may_answer
@@ -397,8 +397,8 @@
     standstill(program)
     listed, source = program.roster.list, program.roster.source
     before = listed.number
-    source.heard(Whole(before - 1, [], listed.epoch))  # goes back: the same must be said twice
-    source.heard(Whole(before - 2, [], listed.epoch))  # passed over
+    source.heard(Whole(before - 1, [], listed.epoch))  # a lower number, which has to be sent twice
+    source.heard(Whole(before - 2, [], listed.epoch))  # discarded
     assert program.holder.freshness.open_requests == 1
     program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Membership among dispatchers: claims by property, single decisions, and many in virtual time."""
+"""Membership of dispatchers: properties of records, single decisions, and fleets in virtual time."""
 
 from random import Random
 from typing import Any, TypeVar
@@ -29,7 +29,7 @@
 
 
 class Written:
-    """A transport that writes down."""
+    """A transport that records messages and log lines."""
 
     def __init__(self) -> None:
         self.sent: list[Sent] = []
@@ -86,7 +86,7 @@
 
 
 def test_an_alive_record_does_not_count_as_a_suspicion() -> None:
-    """Said twice, with a name beside it, it had counted as an accuser of the suspicion that followed."""
+    """A repeated alive record with a `suspected_by` counted as a confirmation of the next suspicion."""
     members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
     for status, by in ((MemberStatus.ALIVE, "x"), (MemberStatus.ALIVE, "x"), (MemberStatus.SUSPECT, "y")):
         members.apply(MemberRecord("b", 1, 1, 1, status, "127.0.0.1", 9, "", by))
@@ -148,13 +148,13 @@
     assert members.suspicion_deadline(suspect) < two < alone
     certain = members.suspicion_deadline(suspect)
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="e"))
-    assert members.suspicion_deadline(suspect) == certain  # said twice by one is said once
+    assert members.suspicion_deadline(suspect) == certain  # a repeated suspicion by one member counts once
     members.health.score = 1
     assert members.suspicion_deadline(suspect) - suspect.status_since == 2 * (certain - suspect.status_since)
 
 
 def probing(members: Membership) -> tuple[Member, int]:
-    """The first ping of a period, answered by nobody, and the clock at its time-out."""
+    """Start a probe. Returns its target and the time-out of the ping."""
     members.tick(members.next_period)
     assert members.detector.target is not None
     return members.detector.target, members.detector.ping_deadline
@@ -225,7 +225,7 @@
 
 
 def test_an_ack_by_a_relay_counts_as_the_targets() -> None:
-    """The relay speaks in its own name, with the target's claim beside it."""
+    """The relay sends the ack as itself, with the target's record piggybacked."""
     cluster = Cluster(3)
     a, b, c = cluster.many(3)
     assert cluster.until(cluster.agreed, 10) < 10
@@ -261,11 +261,11 @@
     assert members.state is LocalState.DISPLACED and members.size == 0
     asked = len(transport.sent)
     members.on_message(record("b"), wire.Ping(5), (), 20)
-    assert not transport.messages(wire.Ack)[asked:]  # it speaks to nobody as a member
+    assert not transport.messages(wire.Ack)[asked:]  # a displaced process does not answer as a member
     transport2 = Written()
     later = Membership(transport2, MembershipSettings(), record("a", boot=3), 1, 0)
     later.on_message(record("a", boot=2, nonce=9), wire.Ping(4), (), 10)
-    assert later.state is LocalState.JOINING and transport2.messages(wire.Ack)  # the other hears of us
+    assert later.state is LocalState.JOINING and transport2.messages(wire.Ack)  # the other is notified
 
 
 def test_the_name_of_a_dead_process_is_taken_over_despite_a_clock_set_back(made: Made) -> None:
@@ -277,7 +277,7 @@
     assert members.state is LocalState.MEMBER and members.me.boot == 51
 
 
-# many of them, in virtual time
+# fleets in virtual time
 
 
 @pytest.fixture
@@ -334,7 +334,7 @@
     cluster = twelve
     cluster.kill("e-6")
     cluster.add("e-6", ("e-0",), boot=5)
-    assert cluster.until(cluster.agreed, 120) < 60  # displaced by its own shadow, until nobody answers for it
+    assert cluster.until(cluster.agreed, 120) < 60  # displaced by its own earlier record until that expires
 
 
 def test_of_two_processes_with_one_name_one_is_displaced(twelve: Cluster) -> None:
@@ -346,7 +346,7 @@
     assert cluster.agreed() and not any("dead" in line for line in runtime_of(new).logs)
     new.runtime.reactor.kill()
     cluster.endpoints["e-8"] = old
-    assert cluster.until(cluster.agreed, 120) < 90  # the name falls back to the one that still runs
+    assert cluster.until(cluster.agreed, 120) < 90  # the process that still runs takes the name back
 
 
 def test_loss_duplication_and_delay_of_datagrams_declare_nobody_dead() -> None:
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -1,4 +1,4 @@
-"""Edges of one fleet as processes: killed, stopped, started anew, cut apart; and days that do so."""
+"""Edges of one fleet as processes: killed, stalled, restarted, partitioned; and days with these faults."""
 
 import json
 import socket
@@ -33,7 +33,7 @@
 
 
 def look(port: int) -> Any:
-    """What `lapistrestle fleet show --json` prints, without a process for each look."""
+    """What `lapistrestle fleet show --json` prints, without starting a process."""
     hello = {"is": "hello", "protocol": CLIENT, "version": VERSION}
     said = "".join(json.dumps(message) + "\n" for message in (hello, {"is": "look", "what": "fleet"}))
     with socket.create_connection(("127.0.0.1", port), 10) as client:
@@ -45,7 +45,7 @@
 
 
 class Edges:
-    """Some edges as processes, each with its own port for the others."""
+    """Edges as processes, each with its own gossip port."""
 
     def __init__(self, folder: Path, count: int) -> None:
         self.folder, self.ports = folder, free_ports(count)
@@ -77,7 +77,7 @@
         return {m["name"]: m["is"] for m in self.show(number)["members"]}
 
     def until(self, holds: Callable[[], bool], seconds: float = 40.0) -> None:
-        """Wait for it, within a bound."""
+        """Wait until the condition holds. Raises AssertionError after that many seconds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if holds():
@@ -114,13 +114,13 @@
     told = command("fleet", "show", "--port", edges.children[0].wait_port())
     assert told.returncode == 0 and "edge-0 is member of harbour" in told.stdout
     assert "loads: 0 under way, 1 may be (cut 2, lent 0, borrowed 0)" in told.stdout
-    edges.children[2].resume()  # it finds itself dead, and says that it is not
+    edges.children[2].resume()  # it learns that it was declared dead, and refutes that
     edges.until(lambda: all(edges.view(n).get("edge-2") == "alive" for n in (0, 1)))
     edges.start(3)  # the same name, another process
     edges.until(lambda: all(edges.view(n).get("edge-3") == "alive" for n in (0, 1, 2)))
     assert edges.show(3)["standing"] == "member" and edges.show(3)["size"] == 4
-    assert edges.show(3)["loads"]["may"] == 1 and edges.show(3)["loads"]["cut"] == 3  # ten by four
-    assert edges.children[1].stop() == 0  # SIGTERM: it says that it leaves
+    assert edges.show(3)["loads"]["may"] == 1 and edges.show(3)["loads"]["cut"] == 3  # its part of ten
+    assert edges.children[1].stop() == 0  # SIGTERM: it announces that it leaves
     edges.until(lambda: all(edges.view(n).get("edge-1") == "left" for n in (0, 2, 3)))
     lines = [line for child in edges.children.values() for line in child.lines()]
     assert not any("Traceback" in line for line in lines)
@@ -205,7 +205,7 @@
 
 
 def trials(fleet: bool) -> int:
-    """Call-outs that eight edges send in six seconds to runners that answer with errors all the time."""
+    """Attempts that eight edges send within six seconds to runners that fail every call."""
     wrong = [{"kind": "fast_errors", "at": "3 s", "lasts": "9 s", "share": 0.3}]
     script = fleet_day(wrong, length="12 s", edges=8, seed=4, traffic={"rate": 160, "functions": 12})
     if not fleet:
@@ -234,8 +234,8 @@
 
 @pytest.mark.parametrize(("factor", "also"), [(12, []), (6, [ERRORS])])
 def test_admission_recovers_at_once_after_a_burst(factor: int, also: list[dict[str, Any]]) -> None:
-    """As it was: a level from figures of the burst let in 7 a second of the 160 that came after it, what was
-    done fell, and errors of half the runners passed for a capacity that shrank with each step.
+    """Guards against an admission level that stays at the burst's figures: it admitted 7 of 160 requests per
+    second after the burst, throughput fell further, and errors of half the runners counted as lost capacity.
     """
     burst = {"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": factor}
     script = fleet_day([burst, *also], length="14 s", edges=8, seed=5, traffic={"rate": 160, "functions": 12})
@@ -253,7 +253,7 @@
 def test_overlapping_stalls_and_a_kill_of_an_edge_are_recorded_correctly(
     second: dict[str, Any],
 ) -> None:
-    """As it was: the tape held an edge for still that had gone on, and rule 5 for broken."""
+    """Guards against a tape that recorded a running edge as stalled, which broke the rule on preloads."""
     first = {"kind": "balancer_stall", "at": "1.5 s", "lasts": "3 s", "share": 1.0}
     script = fleet_day([first, second | {"share": 1.0}], length="12 s", edges=2, traffic={"rate": 200})
     played = Played(script)
--- a/tests/test_gossip_counters.py
+++ b/tests/test_gossip_counters.py
@@ -1,4 +1,4 @@
-"""What dispatchers tell one another: counters by property, and their bounds."""
+"""Gossiped counters of dispatchers: properties and limits."""
 
 from random import Random
 from typing import Any
@@ -38,7 +38,7 @@
 def steady(
     made: GossipCounters, name: str, rate: int, until: int, seed: int = 0, boot: int = 1, drift: float = 1.0
 ) -> None:
-    """Rows of one that counts `rate` a second, told each second."""
+    """Snapshots of a process that counts `rate` per second, received each second."""
     for second in range(until + 1):
         at = 10**6 + int(second * SECOND * drift)
         made.on_snapshots(
@@ -53,7 +53,7 @@
 def test_lost_duplicated_late_and_reordered_snapshots_count_nothing_twice(
     ways: list[tuple[int, int]], random: Random
 ) -> None:
-    """Whatever reaches us of a process that counts 50 a second, in whatever order: 50, or unknown."""
+    """Whatever snapshots arrive of a process that counts 50 per second, its rate is 50 or unknown."""
     made = digests()
     told = [(seq, seq * SECOND + delay) for seq, delay in ways]
     told.sort(key=lambda way: way[1] + random.randrange(SECOND))
@@ -80,7 +80,7 @@
     made.on_snapshots(made.layout, [snapshot("b", 2, 1, 5, 0, (7, 0))], 8 * SECOND)
     made.on_snapshots(
         made.layout, [snapshot("b", 1, 99, 10**7, 0, (10**6, 0))], 8 * SECOND
-    )  # late, of the boot before
+    )  # late, of the previous process
     made.on_snapshots(made.layout, [snapshot("b", 2, 2, 5 + SECOND, 0, (17, 0))], 9 * SECOND)
     assert made.statistics(9 * SECOND, everyone, 2).rates["asked"] == pytest.approx(10)
 
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -1,4 +1,4 @@
-"""Loads that all edges of a fleet share: who borrows of whom, and that their sum stays within the whole."""
+"""A quota of loads shared by all edges of a fleet: leases among them, and the limit of the sum."""
 
 from collections.abc import Callable
 from functools import partial
@@ -21,7 +21,7 @@
 
 
 class Ring:
-    """Some dispatchers with one clock and links that lose what they are told to."""
+    """Dispatchers with a common clock, and links that lose all messages while `lost` is set."""
 
     def __init__(self, count: int) -> None:
         self.now, self.lost, self.use = 0, False, [0] * count
@@ -43,7 +43,7 @@
             self.messages.append((sender, int(to.name[2:]), message))
 
     def step(self, wants: list[int]) -> None:
-        """Half a second: each wants so many, uses what it may, and looks; then the words arrive."""
+        """Advance by half a second: each uses units up to its demand and updates; then messages arrive."""
         self.now += SECOND // 2
         for i, (made, want) in enumerate(zip(self.made, wants, strict=True)):
             part = made.available(self.now)
@@ -64,7 +64,7 @@
     for _ in range(40):
         ring.step([8, 0, 0, 0])
         most = max(most, ring.use[0])
-    assert most >= 4  # its own 2, and of the 1 that each of three others lends, those that are not settling
+    assert most >= 4  # its own 2, and those of the 1 leased by each of three others that are not settling
     for _ in range(10):
         ring.step([0, 0, 0, 0])
     assert [made.available(ring.now) for made in ring.made] == [2, 2, 2, 2]
@@ -83,7 +83,7 @@
     ring = Ring(2)
     for _ in range(12):
         ring.step([0, 0])
-    ring.use[1] = 4  # all of it, begun since
+    ring.use[1] = 4  # all units, since the last update
     ring.made[1].on_message(ring.records[0], LeaseRequest("loads", 1, ring.now, 2), ring.now)
     assert ring.messages == [] and ring.made[1].available(ring.now) == 4
 
@@ -109,7 +109,7 @@
 
 
 class Watched(Dispatcher):
-    """Writes down the most loads that all instances of a day had under way at one moment."""
+    """Records the maximum number of concurrent loads of all edges of a day."""
 
     living: ClassVar[tuple["Watched", ...]] = ()
     most: ClassVar[int] = 0
@@ -148,11 +148,11 @@
 
 @pytest.mark.parametrize(("loads", "within"), [(WHOLE, True), (0, False)])
 def test_concurrent_loads_of_all_edges_stay_within_the_quota_despite_faults(loads: int, within: bool) -> None:
-    """Without the bound the same day has more under way, so that the day shows something."""
+    """Without the limit the same day has more concurrent loads, which shows that the limit matters."""
     Watched.living, Watched.most = (), 0
     script = fleet_day(TROUBLES, length="26 s", edges=4, seed=3, traffic={"rate": 80, "functions": 60})
     script["deployment"]["fleet"]["loads"] = loads
     script["deployment"]["dispatcher"] |= {"of": 4}
-    script["deployment"]["orders"]["time_out"] = "3 s"  # loans are three times as long, and begin after that
+    script["deployment"]["orders"]["time_out"] = "3 s"  # leases are three times as long, and start after that
     played = Played(script, partial(Edge, make=Watched))
     assert played.breaches() == [] and (Watched.most <= WHOLE) == within
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -1,4 +1,4 @@
-"""Parts of a whole: their sum never passes it, under any schedule; and faults planted in them are caught."""
+"""Shares of a quota: their sum never exceeds it under any schedule, and injected faults are detected."""
 
 import random
 from typing import Any
@@ -12,12 +12,12 @@
 
 WHOLE, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
 
-Datagram = tuple[int, ProcessId, int, ProcessId, LeaseMessage]  # to whom, from whom, what
-Use = tuple[float, int]  # what one has begun to use: until when (true time), units
+Datagram = tuple[int, ProcessId, int, ProcessId, LeaseMessage]  # receiver, sender, message
+Use = tuple[float, int]  # end of the use (true time), units
 
 
 class Schedule:
-    """Some dispatchers, each with a clock that runs wrong, and datagrams that come when chance says."""
+    """Dispatchers with drifting clocks, and datagrams that are lost, duplicated and delayed at random."""
 
     def __init__(self, seed: int, count: int = 4, kind: type[QuotaShare] = QuotaShare) -> None:
         self.random, self.kind, self.now = random.Random(seed), kind, 0
@@ -64,7 +64,7 @@
         return self.total()
 
     def run(self, steps: int) -> int:
-        """The most that all together had, at any step."""
+        """Run steps. Returns the maximum of `total` so far."""
         for _ in range(steps):
             self.step()
         return self.worst
@@ -104,7 +104,7 @@
                 there.on_return(sender, message)
 
     def total(self) -> int:
-        """What may be used or is used by all together, at this true moment."""
+        """Units that all dispatchers together use or may use at this true time."""
         parts = 0
         for i, one in enumerate(self.all):
             used = sum(units for until, units in self.holds[i] if until > self.now)
@@ -120,14 +120,14 @@
 
 
 class OutBeforeBack(QuotaShare):
-    """Planted: what is given back is handed out again though the borrower may still use it."""
+    """Fault: an expired lease is used again though the borrower may still use it."""
 
     def longest_lease(self) -> int:
         return int(self.settings.lease_duration * 0.7)
 
 
 class CountsFromAnswer(QuotaShare):
-    """Planted: the borrower counts from when the answer came, not from when it asked."""
+    """Fault: the borrower counts the lease from the grant, not from its request."""
 
     def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         if self.open_requests.get(message.number) == (lender, message.requested_at):
@@ -138,14 +138,14 @@
 
 
 class LendsWhatIsInUse(QuotaShare):
-    """Planted: what was in use a moment ago counts as spare."""
+    """Fault: units in use within the settling time are leased out."""
 
     def peak_use(self, now: int) -> int:
         return 0
 
 
 class TakesTwice(QuotaShare):
-    """Planted: a doubled answer counts twice."""
+    """Fault: a duplicate grant counts twice."""
 
     def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         self.borrowed[lender, message.number * 1_000 + len(self.borrowed)] = Lease(
@@ -154,7 +154,7 @@
 
 
 class MixesUpItsLives(QuotaShare):
-    """Planted: an answer to the process before, under the same number, is taken for one's own."""
+    """Fault: a grant to the previous process with the same request number is accepted."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -171,7 +171,7 @@
 
 
 class ForgetsAtStart(QuotaShare):
-    """Planted: a process that starts takes its whole cut at once, whatever the one before it had lent."""
+    """Fault: a new process uses its whole share at once, whatever its predecessor leased out."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
