--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -94,7 +94,7 @@
 
     def resync(self, connection: HolderConnection, reason: str, now: int) -> None:
         """Request new snapshots of all functions of a connection."""
-        self.log(f"shard {connection.shard} asks for all {len(connection.watches)} watches anew: {reason}")
+        self.log(f"shard {connection.shard}: requesting all {len(connection.watches)} watches: {reason}")
         connection.watches.clear()
         connection.pending_requests.clear()
         for function in self.shard_of(connection).functions.values():
@@ -145,7 +145,7 @@
         connection.outdated_snapshots += 1
         most = MOST_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
         if connection.outdated_snapshots >= most:
-            reason = f"its knowledge is older: {revision.source} {revision.number}"
+            reason = f"its data is older: {revision.source} {revision.number}"
             self.connections.fail_over(self.shard_of(connection), reason, now)
             return
         self.requests.schedule_retry(function, now + OUTDATED_RETRY_PAUSE)
@@ -215,7 +215,7 @@
         try:
             names = apply_change(function.names, change)
         except RevisionGapError as error:
-            self.log(f"{function.name} is asked for anew: {error}")
+            self.log(f"requesting {function.name} again: {error}")
             del connection.watches[change.id]
             function.watch = -1
             current = self.connections.shards[function.shard].connection
--- a/lapistrestle/directory/leases.py
+++ b/lapistrestle/directory/leases.py
@@ -28,10 +28,10 @@
     def loss(self, connection: HolderConnection, now: int) -> str:
         """Why the connection counts as lost: the lease expired, or no answer came. Empty: it does not."""
         if now >= connection.lease_until:
-            return "the lease is over"
+            return "the lease expired"
         silent = now - connection.silent_since()
         if silent >= self.settings.silence:
-            return f"silent for {silent / MILLISECOND:.0f} ms"
+            return f"no answer for {silent / MILLISECOND:.0f} ms"
         return ""
 
     def next_due(self, connection: HolderConnection) -> int:
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -88,7 +88,7 @@
                 self.outdated_since = outdated_since
             text = f"knowledge {self.state.value}: {event.value}"
             self.log(
-                f"{text}, {(now - self.last_heard_at) / MILLISECOND:.0f} ms after the last word of the roster"
+                f"{text}, {(now - self.last_heard_at) / MILLISECOND:.0f} ms after the roster's last message"
             )
 
     def record_call(self, now: int, entries: int = 0) -> None:
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -33,7 +33,7 @@
         """Update the names after a list or change was accepted. `complete`: names not in it are gone."""
         if complete:
             if not entries and self.names:
-                self.log(f"list empty at {self.number}: all {len(self.names)} count as gone")
+                self.log(f"empty list at {self.number}: all {len(self.names)} instances count as gone")
             self.names.clear()
         for entry in entries:
             if entry.listing == "gone":
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -146,15 +146,15 @@
         if connection is not None:
             shard.avoided[connection.copy] = now
             known = sum(function.has_prefix for function in shard.functions.values())
-            figures = f"{known} of {len(shard.functions)} functions known, {shard.failures} failures"
-            self.log(f"shard {shard.number} leaves {address_of(connection.copy)}: {reason}; {figures}")
+            figures = f"{known} of {len(shard.functions)} functions cached, {shard.failures} failures"
+            self.log(f"shard {shard.number}: leaving {address_of(connection.copy)}: {reason}; {figures}")
         shard.select_next_copy()
         if shard.unreachable:
             self.lookups.fail_pending(shard.functions, shard.dial_at - now)
 
     def change_over(self, shard: Shard, to: int, reason: str, now: int) -> None:
         """Switch to the replica with index `to`, which may be better, though the current one answers."""
-        self.log(f"shard {shard.number} changes over from copy {shard.at} to {to}: {reason}")
+        self.log(f"shard {shard.number}: switching from replica {shard.at} to {to}: {reason}")
         self.hang_up(shard)
         shard.at = to
         shard.dial_at = now
@@ -167,7 +167,7 @@
         connection.rebalance_at = NEVER
         if self.is_avoided(shard, shard.copies[0], now):
             return False
-        self.change_over(shard, 0, "the first choice is tried again", now)
+        self.change_over(shard, 0, "trying the preferred replica again", now)
         return True
 
     # freshness
@@ -191,7 +191,7 @@
             at = (shard.at + step) % len(shard.copies)
             if not self.is_avoided(shard, shard.copies[at], now):
                 self.limit_moves(shard, now)
-                self.change_over(shard, at, f"knowledge {age / MILLISECOND:.0f} ms old", now)
+                self.change_over(shard, at, f"data {age / MILLISECOND:.0f} ms old", now)
                 return
 
     def is_avoided(self, shard: Shard, copy: Copy, now: int) -> bool:
@@ -207,7 +207,7 @@
         pause = AVOIDANCE_TIME << min(rounds, MOST_DOUBLINGS)
         shard.next_move_at = now + pause + self.jitter.below(pause)
         if not rounds:
-            text = f"the last of {len(shard.copies)} copies is tried for fresher knowledge, then no more for"
+            text = f"trying the last of {len(shard.copies)} replicas for fresher data, then no more for"
             self.log(f"shard {shard.number}: {text} {(shard.next_move_at - now) / SECOND:.0f} s")
 
     # for operators
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -295,9 +295,9 @@
         """Apply new settings; those of an older epoch are ignored."""
         self.freshness.record_call(now)
         if settings.epoch < self.settings.epoch:
-            self.log(f"settings of epoch {settings.epoch} not taken, {self.settings.epoch} holds")
+            self.log(f"settings of epoch {settings.epoch} ignored: epoch {self.settings.epoch} is current")
             return
-        self.log(f"epoch {settings.epoch} in place of {self.settings.epoch}")
+        self.log(f"epoch {settings.epoch} replaces {self.settings.epoch}")
         self.settings = settings
         for session in list(self.sessions.all.values()):
             if any(self.outdated(session, function) for function in session.ids):
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -197,9 +197,9 @@
         """Switch to a new assignment; one that is not of a higher epoch is ignored."""
         self.record_call(now)
         if assignment.epoch <= self.assignment.epoch:
-            self.log(f"assignment {assignment.epoch} not taken, {self.assignment.epoch} holds")
+            self.log(f"assignment {assignment.epoch} ignored: epoch {self.assignment.epoch} is current")
             return
-        self.log(f"assignment {assignment.epoch} in place of {self.assignment.epoch}")
+        self.log(f"assignment {assignment.epoch} replaces {self.assignment.epoch}")
         self.requests.epoch = assignment.epoch
         self.messages.record_epoch(assignment.epoch)
         self.shard_connections.replace_assignment(assignment, self.functions.values(), now)
@@ -215,7 +215,7 @@
     def connection_failed(self, connection: int, now: int) -> None:
         """A connection could not be opened."""
         self.record_call(now)
-        self.shard_connections.fail_connection(connection, "can't be reached", now)
+        self.shard_connections.fail_connection(connection, "connection failed", now)
 
     def connection_lost(self, connection: int, now: int) -> None:
         """A connection broke, or the holder closed it."""
@@ -268,7 +268,7 @@
             return
         if not connection.is_ready:
             if now - connection.dialled_at >= self.settings.dial_time_out:
-                self.shard_connections.fail_over(shard, "no connection in time", now)
+                self.shard_connections.fail_over(shard, "connection timed out", now)
             return
         loss = self.leases.loss(connection, now)
         if loss:
--- a/lapistrestle/fleet/failure_detector.py
+++ b/lapistrestle/fleet/failure_detector.py
@@ -131,7 +131,7 @@
         assert target is not None
         if target.is_known and target.status is MemberStatus.ALIVE:
             waited = self.now - self.pinged_at
-            self.outbox.transport.log(f"{target.name} suspect: no answer in {waited}")
+            self.outbox.transport.log(f"{target.name} suspect: no ack for {waited} ticks")
         if target.is_known and target.is_live:
             me = self.table.me.name
             self.apply(wire.replace(target.record, status=MemberStatus.SUSPECT, suspected_by=me))
--- a/lapistrestle/fleet/membership.py
+++ b/lapistrestle/fleet/membership.py
@@ -108,19 +108,19 @@
             self.table.me = wire.replace(self.me, status=MemberStatus.LEFT)
             for member in self.random.sample(self.live(), retransmit_limit(self.size)):
                 self.outbox.send(member, wire.Ack(0))
-            self.set_state(LocalState.LEFT, "left in order")
+            self.set_state(LocalState.LEFT, "orderly leave")
 
     def set_state(self, state: LocalState, reason: str) -> None:
         """Change this member's state, with a log line."""
         if state is not self.state:
             self.table.state = state
-            figures = f"{self.size} there, doubt {self.health.score}"
+            figures = f"{self.size} members, local health {self.health.score}"
             self.transport.log(f"fleet {state.name.lower()}: {reason}, {figures}")
 
     def on_no_members(self) -> None:
         """There is no member to probe: join again."""
         if self.state is LocalState.MEMBER:
-            self.set_state(LocalState.JOINING, "nobody else is there")
+            self.set_state(LocalState.JOINING, "no other member is present")
 
     # messages
 
@@ -148,7 +148,7 @@
         member.last_heard_at = now
         joins = self.state is LocalState.JOINING and member.is_live
         if joins:
-            self.set_state(LocalState.MEMBER, f"{member.name} answers")
+            self.set_state(LocalState.MEMBER, f"{member.name} answered")
         if (joins or was_dead) and member.is_live:  # it may know members that we don't, or consider dead
             self.sync.read_table(sender)
         self.dispatch(member, sender, message, records)
@@ -208,7 +208,7 @@
             self.name_holder = holder
             self.name_holder_heard_at = self.now
         if self.state in ACTIVE_STATES:
-            reason = f"another process is {holder.name}, at port {holder.port}"
+            reason = f"another process uses the name {holder.name}, at port {holder.port}"
             self.set_state(LocalState.DISPLACED, reason)
             for member in self.members.values():
                 self.transport.on_member_changed(member)
@@ -222,7 +222,7 @@
             self.table.me = wire.replace(self.me, boot=holder.boot + 1)
             self.name_holder = None
             self.table.state = LocalState.JOINING
-            self.transport.log(f"fleet joining: nobody answers as {holder.name} at port {holder.port}")
+            self.transport.log(f"fleet joining: no answer from {holder.name} at port {holder.port}")
             self.ping_absent()
         else:
             self.outbox.ping(holder.host, holder.port)
@@ -252,8 +252,8 @@
         """Declare suspects dead that have not refuted in time."""
         for member in list(self.table.suspected):
             if self.now >= self.suspicion_deadline(member):
-                silent = f"silent for {self.now - member.status_since}"
-                doubt = f"{len(member.suspected_by)} accuse it, doubt {self.health.score}"
+                silent = f"suspected for {self.now - member.status_since} ticks"
+                doubt = f"{len(member.suspected_by)} suspect it, local health {self.health.score}"
                 self.transport.log(f"{member.name} dead: {silent}, {doubt}")
                 self.apply(wire.replace(member.record, status=MemberStatus.DEAD, suspected_by=""))
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -758,7 +758,7 @@
     made.now += 2_000
     made.hear(connection, wire.Renewed(asked, 3 * SECOND, 1, wire.Revision("e1", 1)))
     made.run(10)
-    assert made.watcher.connections.get(connection) is None and "the lease is over" in made.logs[-1]
+    assert made.watcher.connections.get(connection) is None and "the lease expired" in made.logs[-1]
 
 
 def test_a_silent_holder_is_failed_over_from_within_a_second():
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -114,8 +114,8 @@
 
 @pytest.mark.parametrize("count", [50, 1_000])
 def test_first_positions_are_distributed_by_size(count):
-    """With 16 points per unit of size the share of one instance has a relative deviation of about a quarter: no
-    instance has 2.2 times its share, and half of the total size has half of the functions within a tenth."""
+    """With 16 points per unit of size the share of one instance has a relative deviation of about a quarter:
+    none has 2.2 times its share, and half of the size has half of the functions within a tenth."""
     fleet = {f"w{i}": (0.5, 1.0, 2.0, 4.0)[i % 4] for i in range(count)}
     ring = ring_of(fleet)
     functions = 40 * count
