--- a/lapistrestle/directory/digests.py
+++ b/lapistrestle/directory/digests.py
@@ -6,17 +6,17 @@
 import msgspec
 
 from lapistrestle.wire.directory import DIGEST_BYTES, Instance
-from lapistrestle.wire.messages import Entry
+from lapistrestle.wire.messages import RosterEntry
 
 
-def undated(entry: Entry) -> Instance:
+def undated(entry: RosterEntry) -> Instance:
     """The entry as encoded on the wire, without `up_for`, which differs each time it is sent."""
     return Instance(
         entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing, entry.start
     )
 
 
-def digest_of(entries: Iterable[Entry], complete: bool) -> str:
+def digest_of(entries: Iterable[RosterEntry], complete: bool) -> str:
     """Digest of the entries in order, without `up_for`, and of whether the prefix is the complete order.
 
     8 bytes of BLAKE2b in hexadecimal: two prefixes of one function collide with a probability of 2^-64.
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -40,7 +40,7 @@
     Watch,
     WatcherMessage,
 )
-from lapistrestle.wire.messages import Entry, Message
+from lapistrestle.wire.messages import Message, RosterEntry
 
 BURST = 2.0  # burst of all sessions together, in seconds of the byte rate
 LONGEST_DEBT = SECOND  # wait for the byte limit above which even lookups that calls wait for are postponed
@@ -78,7 +78,7 @@
     # the roster
 
     def instances_changed(
-        self, entries: Iterable[Entry], complete: bool, revision: Revision, now: int
+        self, entries: Iterable[RosterEntry], complete: bool, revision: Revision, now: int
     ) -> None:
         """Apply a list (`complete`: instances not in it are gone) or a change from the roster.
 
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum, auto
 
-from lapistrestle.wire.messages import Change, Whole
+from lapistrestle.wire.messages import RosterSnapshot, RosterUpdate
 
 
 class ListState(Enum):
@@ -89,7 +89,7 @@
         """Number of workers in the list."""
         raise NotImplementedError
 
-    def accept(self, message: Whole | Change) -> ListAction:
+    def accept(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
         """Handle a list or change. Returns what is to be done with it; one to be applied sets the number."""
         do = self.step(self.news(message))
         if do is ListAction.TAKE:
@@ -98,10 +98,10 @@
             self.back = None
         return do
 
-    def news(self, message: Whole | Change) -> ListEvent:
+    def news(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
         """Classify a message by its epoch and number."""
         same = message.epoch == self.epoch
-        if isinstance(message, Whole):
+        if isinstance(message, RosterSnapshot):
             if not same or message.number >= self.number:
                 return ListEvent.WHOLE
             again = self.back == (message.epoch, message.number)
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -5,7 +5,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from lapistrestle.wire.lines import Speaker
+from lapistrestle.wire.json_lines import LineConnection
 from lapistrestle.wire.messages import Message
 
 RECONNECT_DELAY = 2_000  # ticks of 0.1 ms
@@ -19,7 +19,7 @@
     def __init__(self, edge: Any, port: int) -> None:
         self.edge = edge
         self.port = port
-        self.speaker: Speaker | None = None
+        self.speaker: LineConnection | None = None
         self.stopped = False
 
     def follow(self) -> None:
@@ -47,15 +47,15 @@
         if self.speaker is not None:
             self.speaker.transport.loseConnection()
 
-    def buildProtocol(self, addr: Any) -> Speaker:
+    def buildProtocol(self, addr: Any) -> LineConnection:
         """Our end of a new connection; the peer has to greet within the connect time-out."""
         self.speaker = self.speak()
         self.edge.after(self.edge.connect_timeout, self.unmet, self.speaker)
         return self.speaker
 
-    def unmet(self, speaker: Speaker) -> None:
+    def unmet(self, speaker: LineConnection) -> None:
         """Abort a connection on which the peer has not greeted in time; it is then dialled again."""
-        if self.speaker is speaker and not speaker.greeted:
+        if self.speaker is speaker and not speaker.is_greeted:
             speaker.transport.abortConnection()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
@@ -63,7 +63,7 @@
         self.down(False)
         self.edge.after(RECONNECT_DELAY, self.start, None)
 
-    def lost(self, speaker: Speaker) -> None:
+    def lost(self, speaker: LineConnection) -> None:
         """Handle the end of a connection: reconnect after a delay."""
         if self.speaker is speaker:
             self.speaker = None
@@ -72,10 +72,10 @@
 
     def say(self, message: Message) -> None:
         """Send a message, if both ends have greeted; else it is dropped."""
-        if self.speaker is not None and self.speaker.greeted:
-            self.speaker.say(message)
+        if self.speaker is not None and self.speaker.is_greeted:
+            self.speaker.send_message(message)
 
-    def speak(self) -> Speaker:
+    def speak(self) -> LineConnection:
         """Build our end of a new connection."""
         raise NotImplementedError
 
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -223,7 +223,7 @@
 def test_the_fleet_recovers_from_a_burst_far_over_capacity() -> None:
     burst = [{"kind": "burst", "at": "8 s", "lasts": "10 s", "factor": 16}]
     played = Played(fleet_day(burst, length="36 s", edges=3, seed=3, traffic={"rate": 60, "functions": 20}))
-    calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.repeat]
+    calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.is_retry]
     ok = sum(bool(c.answers) and c.answers[0][2].verdict == "ok" for c in calls)
     assert played.breaches() == [] and ok > 0.95 * len(calls)
     assert any("figures together" in str(m["figures"]) for m in played.logged("fleet"))
@@ -242,7 +242,7 @@
     played = Played(script)
     calls = [c for c in played.story.calls if 10_000 < c.at < 14_000]
     ok = sum(bool(c.answers) and c.answers[0][2].verdict == "ok" for c in calls)
-    assert played.breaches() == [] and ok > 0.9 * sum(not c.message.repeat for c in calls)
+    assert played.breaches() == [] and ok > 0.9 * sum(not c.message.is_retry for c in calls)
 
 
 STILL = {"kind": "balancer_stall", "at": "2 s", "lasts": "4 s"}
