--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -11,15 +11,15 @@
 from contextlib import contextmanager
 from typing import Any
 
-from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.effects import (
-    AskRoster,
+    CloseConnection,
     CloseSession,
     Dial,
-    HangUp,
     HolderSettings,
     LookupFailed,
     PrefixReady,
+    RequestRosterSnapshot,
     Send,
     SendTo,
     WatcherSettings,
@@ -49,7 +49,7 @@
     def __init__(
         self,
         reactor: VirtualReactor,
-        copy: Copy,
+        copy: ShardReplica,
         settings: HolderSettings,
         seed: int,
         one_way: int,
@@ -163,7 +163,7 @@
                 lines.append((effect.session, encode(effect.message) + b"\n"))
             elif isinstance(effect, CloseSession):
                 lines.append((effect.session, None))
-            elif isinstance(effect, AskRoster):
+            elif isinstance(effect, RequestRosterSnapshot):
                 self.asks += 1
                 self.reactor.at(2 * self.one_way, self.answer_roster)
         return lines
@@ -201,7 +201,7 @@
         zone: str,
         assignment: Assignment,
         settings: WatcherSettings,
-        holders: dict[Copy, HolderNode],
+        holders: dict[ShardReplica, HolderNode],
         seed: int,
         one_way: int,
     ) -> None:
@@ -316,9 +316,9 @@
                     self.bytes_out += len(line)
                     self.reactor.at(self.one_way, holder.arrive, session, line)
             case Dial():
-                holder = self.holders[effect.copy]
+                holder = self.holders[effect.replica]
                 self.reactor.at(2 * self.one_way, holder.connect, self, effect.connection)
-            case HangUp():
+            case CloseConnection():
                 if effect.connection in self.links:
                     holder, session = self.links.pop(effect.connection)
                     self.reactor.at(self.one_way, holder.leave, session)
@@ -357,7 +357,9 @@
     ) -> None:
         self.reactor = VirtualReactor()
         self.one_way, self.seed, self.zones = one_way, seed, zones
-        copies = tuple(Copy("127.0.0.1", FIRST_PORT + n, zones[n % len(zones)]) for n in range(holders))
+        copies = tuple(
+            ShardReplica("127.0.0.1", FIRST_PORT + n, zones[n % len(zones)]) for n in range(holders)
+        )
         self.assignment = Assignment(1, (copies,) * shards)
         self.watcher_settings = watcher_settings or WatcherSettings()
         settings = HolderSettings(shards=frozenset(range(shards)), shard_count=shards, **holder_settings)
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -407,7 +407,7 @@
 def source_heard(line: bytes) -> None:
     """A whole plan, from its line on."""
     source = PlannerSource(HollowPlannedEdge(), 1)
-    speaker = source.speak()
+    speaker = source.make_connection()
     message = speaker.decoder.decode(line)
     source.told(message)
 
@@ -470,7 +470,7 @@
     """Whether an edge's speaker takes the whole plan of so many functions as it comes."""
     edge = HollowPlannedEdge()
     source = PlannerSource(edge, 1)
-    speaker = source.speak()
+    speaker = source.make_connection()
     speaker.makeConnection(CountingTransport(Traffic()))  # type: ignore[no-untyped-call]
     speaker.paused = False
     hello = wire.Hello(plans.PLANNER, wire.VERSION, "planner")
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -16,7 +16,7 @@
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.edge.following import Following
 from lapistrestle.sources.numbered_list import ListAction
-from lapistrestle.sources.roster import RosterSpeaker as EdgeSpeaker
+from lapistrestle.sources.roster import RosterConnection as EdgeSpeaker
 from lapistrestle.standins.roster import RosterFactory, RosterStandIn
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineLimits, message_decoder
@@ -53,7 +53,7 @@
 
 def heard_whole(line: bytes) -> None:
     following = Following(ZONES, KINDS, lambda text: None)
-    assert following.told(DECODER.decode(line), SECOND).do is ListAction.TAKE
+    assert following.told(DECODER.decode(line), SECOND).do is ListAction.APPLY
 
 
 def change_line(number: int, instance: int) -> bytes:
@@ -61,7 +61,7 @@
 
 
 def heard_change(following: Following, line: bytes) -> None:
-    assert following.told(DECODER.decode(line), SECOND).do is ListAction.TAKE
+    assert following.told(DECODER.decode(line), SECOND).do is ListAction.APPLY
 
 
 def heard_changes(following: Following, lines: list[bytes], count: int) -> None:
--- a/benchmarks/scale/roles/dispatcher_directory.py
+++ b/benchmarks/scale/roles/dispatcher_directory.py
@@ -67,7 +67,7 @@
 def region_of(instances: int, holders: int, seed: int, given: Assumptions) -> Region:
     one_way = round(given.network.in_region_seconds * MILLION)
     settings = WatcherSettings(
-        first_count=given.prefix, idle=round(given.directory.watch_idle_seconds * SECOND)
+        first_count=given.prefix, idle_timeout=round(given.directory.watch_idle_seconds * SECOND)
     )
     shards = given.directory.shards
     return Region(hollow.entries(instances), holders, shards, seed, one_way, watcher_settings=settings)
--- a/lapistrestle/directory/assignment.py
+++ b/lapistrestle/directory/assignment.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Copy:
+class ShardReplica:
     """A replica of a shard: the address of a holder that serves it."""
 
     host: str
@@ -26,13 +26,13 @@
     """The replicas of each shard. Of two assignments the one with the higher epoch is valid."""
 
     epoch: int = 0
-    shards: tuple[tuple[Copy, ...], ...] = ()
+    shards: tuple[tuple[ShardReplica, ...], ...] = ()
 
     def shard_of(self, function: str) -> int:
         """The number of the function's shard; there must be at least one shard."""
         return shard_of(function, len(self.shards))
 
-    def copies_for(self, shard: int, watcher: str, zone: str = "") -> tuple[Copy, ...]:
+    def copies_for(self, shard: int, watcher: str, zone: str = "") -> tuple[ShardReplica, ...]:
         """A shard's replicas in the order in which this watcher tries them.
 
         Weighted rendezvous hashing (Thaler, Ravishankar 1998): watchers are spread over the replicas,
@@ -41,7 +41,7 @@
         return tuple(sorted(self.shards[shard], key=lambda copy: rank(copy, watcher, zone)))
 
 
-def rank(copy: Copy, watcher: str, zone: str) -> float:
+def rank(copy: ShardReplica, watcher: str, zone: str) -> float:
     """Sort key, the lowest is tried first: an exponential variate divided by the replica's weight."""
     text = f"{copy.host} {copy.port} {watcher}".encode()
     draw = (int.from_bytes(blake2b(text, digest_size=8, person=b"copy").digest()) + 1) / (2**64 + 1)
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -6,7 +6,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.assignment import ShardReplica
 from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import RosterEntry
@@ -50,7 +50,7 @@
 
     number: int
     shard: int
-    copy: Copy
+    copy: ShardReplica
     dialled_at: int
     is_ready: bool = False  # both ends have greeted
     has_answered: bool = False  # a snapshot received on it was accepted
@@ -89,7 +89,7 @@
     """A shard with at least one function that this dispatcher calls."""
 
     number: int
-    copies: tuple[Copy, ...]  # in the order in which they are tried
+    copies: tuple[ShardReplica, ...]  # in the order in which they are tried
     at: int = 0  # index of the replica that is connected or tried next
     connection: HolderConnection | None = None
     functions: dict[str, CachedFunction] = field(default_factory=dict)
@@ -98,7 +98,9 @@
     freshness_moves: int = 0  # consecutive changes of replica that found no fresher one
     next_move_at: int = 0  # earliest time of the next change of replica for freshness
     floor: Revision | None = None  # of the last message accepted; older snapshots are rejected
-    avoided: dict[Copy, int] = field(default_factory=dict)  # stale or unreachable replicas, and since when
+    avoided: dict[ShardReplica, int] = field(
+        default_factory=dict
+    )  # stale or unreachable replicas, and since when
 
     @property
     def unreachable(self) -> bool:
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.assignment import ShardReplica
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import RegionSums
 from lapistrestle.wire.messages import Message, RosterEntry
@@ -30,11 +30,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskRoster:
+class RequestRosterSnapshot:
     """Request the complete list from the roster: the holder can't tell whether its data is current."""
 
 
-HolderEffect = SendTo | CloseSession | AskRoster
+HolderEffect = SendTo | CloseSession | RequestRosterSnapshot
 
 
 # effects of a watcher; connections are numbered by the watcher
@@ -46,11 +46,11 @@
 
     connection: int
     shard: int
-    copy: Copy
+    replica: ShardReplica
 
 
 @dataclass(frozen=True, slots=True)
-class HangUp:
+class CloseConnection:
     """Close a connection. The watcher has removed it already: its events need not be reported."""
 
     connection: int
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InstancesForgotten:
+class InstancesEvicted:
     """No prefix contains these any more. They may still serve, and open calls there may finish."""
 
     names: tuple[str, ...]
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SumsChanged:
+class RegionSumsChanged:
     """New sums over the region's instances; sent about once a second."""
 
     sums: RegionSums
@@ -114,14 +114,14 @@
 
 WatcherEffect = (
     Dial
-    | HangUp
+    | CloseConnection
     | Send
     | InstancesChanged
     | PrefixReady
     | InstancesGone
-    | InstancesForgotten
+    | InstancesEvicted
     | LookupFailed
-    | SumsChanged
+    | RegionSumsChanged
 )
 
 
@@ -144,7 +144,9 @@
     snapshot_rate: int = 10_000  # per second; at 20 us each they take a fifth of a core
     snapshot_burst: int = 2_500
     longest_retry: int = 2 * SECOND  # longest `retry_after` of a `Busy` answer
-    standstill: int = 300 * MILLISECOND  # a longer gap between calls means that the process itself stalled
+    stall_threshold: int = (
+        300 * MILLISECOND
+    )  # a longer gap between calls means that the process itself stalled
     roster_silence: int = 5 * SECOND  # without a message from the roster: a complete list is requested
     roster_patience: int = 2 * SECOND  # time-out of that request; then the roster counts as lost
     most_sessions: int = 8_192
@@ -158,16 +160,18 @@
     """Settings of a watcher."""
 
     first_count: int = 8  # instances requested by the first lookup of a function
-    lookup_time_out: int = 250 * MILLISECOND
+    lookup_timeout: int = 250 * MILLISECOND
     heartbeat: int = 200 * MILLISECOND  # interval of lease renewals
-    silence: int = 600 * MILLISECOND  # a request unanswered for so long: fail over to the next replica
+    silence_timeout: int = (
+        600 * MILLISECOND
+    )  # a request unanswered for so long: fail over to the next replica
     stale: int = 1 * SECOND  # age of a holder's data at which another replica is tried
-    dial_time_out: int = 300 * MILLISECOND
-    idle: int = 120 * SECOND  # a function unused for so long is unwatched
+    dial_timeout: int = 300 * MILLISECOND
+    idle_timeout: int = 120 * SECOND  # a function unused for so long is unwatched
     extension_pause: int = 500 * MILLISECOND  # minimum interval between two extensions of one prefix
     rebalance: int = 300 * SECOND  # mean time with another replica before the preferred one is tried again
     first_pause: int = 50 * MILLISECOND  # upper bound of the first backoff before dialling; it doubles
     longest_pause: int = 2 * SECOND  # upper bound of the backoff
     most_functions: int = 16_384  # watched at once; a lookup of a further one fails
     most_pending: int = 4_096  # lookups without an answer
-    most_retired: int = 4_096  # instances remembered after they left all prefixes, to reject older entries
+    max_retired: int = 4_096  # instances remembered after they left all prefixes, to reject older entries
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.directory.cached_instances import aged
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest, Shard
-from lapistrestle.directory.effects import SumsChanged, WatcherEffect, WatcherSettings
+from lapistrestle.directory.effects import RegionSumsChanged, WatcherEffect, WatcherSettings
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.directory.prefix_cache import PrefixCache
 from lapistrestle.directory.prefixes import RevisionGapError, apply_change
@@ -235,7 +235,7 @@
             connection.sequence = max(connection.sequence, renewed.sequence)
         if renewed.sums is not None and renewed.sums != self.sums:
             self.sums = renewed.sums
-            self.emit(SumsChanged(renewed.sums))
+            self.emit(RegionSumsChanged(renewed.sums))
         if connection.has_answered:
             self.cache.revisions.record_seen(renewed.revision.source, now)
         self.connections.leave_if_stale(connection, renewed.age, now)
--- a/lapistrestle/directory/leases.py
+++ b/lapistrestle/directory/leases.py
@@ -30,11 +30,11 @@
         if now >= connection.lease_until:
             return "the lease expired"
         silent = now - connection.silent_since()
-        if silent >= self.settings.silence:
+        if silent >= self.settings.silence_timeout:
             return f"no answer for {silent / MILLISECOND:.0f} ms"
         return ""
 
     def next_due(self, connection: HolderConnection) -> int:
         """When the next renewal is due or the connection counts as lost, whichever is earlier."""
-        silence = connection.silent_since() + self.settings.silence
+        silence = connection.silent_since() + self.settings.silence_timeout
         return min(connection.renew_at, connection.lease_until, silence)
--- a/lapistrestle/directory/lookups.py
+++ b/lapistrestle/directory/lookups.py
@@ -23,9 +23,9 @@
     def begin(self, function: CachedFunction, now: int) -> None:
         """Start a lookup of this function; fails at once if too many are pending."""
         if len(self.pending) >= self.settings.most_pending:
-            self.fail(function.name, self.settings.lookup_time_out)
+            self.fail(function.name, self.settings.lookup_timeout)
             return
-        function.deadline = now + self.settings.lookup_time_out
+        function.deadline = now + self.settings.lookup_timeout
         self.pending[function.name] = function
 
     def fail(self, name: str, retry_after: int) -> None:
@@ -33,7 +33,7 @@
         function = self.pending.pop(name, None)
         if function is not None:
             function.deadline = NEVER
-        spread = self.jitter.below(self.settings.lookup_time_out)
+        spread = self.jitter.below(self.settings.lookup_timeout)
         self.emit(LookupFailed(name, max(self.settings.first_pause, retry_after) + spread))
 
     def fail_pending(self, names: Container[str], retry_after: int) -> None:
@@ -49,14 +49,14 @@
     def abandon(self, function: CachedFunction) -> None:
         """Fail the lookup of a function that is no longer watched."""
         if self.pending.pop(function.name, None) is not None:
-            self.emit(LookupFailed(function.name, self.settings.lookup_time_out))
+            self.emit(LookupFailed(function.name, self.settings.lookup_timeout))
 
     def expire(self, now: int) -> None:
         """Fail the lookups that have timed out."""
         for name, function in list(self.pending.items()):
             if function.deadline > now:
                 break
-            self.fail(name, self.settings.lookup_time_out)
+            self.fail(name, self.settings.lookup_timeout)
 
     def next_due(self) -> int:
         """When the oldest lookup times out; `NEVER` if none is pending."""
--- a/lapistrestle/directory/prefix_cache.py
+++ b/lapistrestle/directory/prefix_cache.py
@@ -7,7 +7,7 @@
 from lapistrestle.directory.connection_state import CachedFunction
 from lapistrestle.directory.effects import (
     InstancesChanged,
-    InstancesForgotten,
+    InstancesEvicted,
     InstancesGone,
     PrefixReady,
     WatcherEffect,
@@ -61,7 +61,7 @@
             if function is not None and function.has_prefix:
                 self.publish_prefix(function)
         if event.forgotten:
-            self.emit(InstancesForgotten(tuple(event.forgotten)))
+            self.emit(InstancesEvicted(tuple(event.forgotten)))
 
     def publish_prefix(self, function: CachedFunction) -> None:
         """Notify the edge of a prefix, if a lookup waits for it or it differs from the last one sent."""
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -94,7 +94,7 @@
     def record_call(self, now: int, entries: int = 0) -> None:
         """Detect a stall of the process by a late call; `entries` is the length of the list received."""
         extra_allowance = (
-            self.settings.standstill + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
+            self.settings.stall_threshold + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
         )
         if now - self.last_call_at > extra_allowance:
             self.transition(FreshnessEvent.STOOD_STILL, now, self.last_call_at)
@@ -152,7 +152,7 @@
         """The latest time of the next call: early enough that a late one means a stall, and no later than
         the time-outs of the roster.
         """
-        due = self.last_call_at + self.settings.standstill // 3
+        due = self.last_call_at + self.settings.stall_threshold // 3
         if self.state is not FreshnessState.FRESH:
             return due
         if self.open_requests:
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.sources.numbered_list import ListAction, ListEvent, NumberedList
-from lapistrestle.sources.roster import RosterSource, RosterSpeaker
+from lapistrestle.sources.roster import RosterConnection, RosterSource
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.json_lines import LineLimits
@@ -81,7 +81,7 @@
 
     def request_snapshot(self) -> None:
         """Request the complete list from the roster."""
-        self.source.ask()
+        self.source.request_snapshot()
 
     # RosterFollower
 
@@ -97,13 +97,15 @@
         do = self.list.accept(message)
         complete = isinstance(message, RosterSnapshot)
         now = self.clock()
-        if do is ListAction.TAKE:
+        if do is ListAction.APPLY:
             self.list.record(message.workers, complete)
             revision = Revision(message.epoch, message.number)
             self.holder.instances_changed(message.workers, complete, revision, now)
-        elif do is ListAction.ASK and not complete:  # a complete one answers a request: as many stay open
+        elif (
+            do is ListAction.REQUEST_SNAPSHOT and not complete
+        ):  # a complete one answers a request: as many stay open
             self.holder.snapshot_requested(now)
-        elif do is ListAction.PASS and complete:
+        elif do is ListAction.IGNORE and complete:
             self.holder.snapshot_discarded(now)
         self.act()
         return do
@@ -117,12 +119,12 @@
         """Handle a lost connection, or a roster that can't answer."""
         if self.stopped:
             return
-        if self.list.step(news) is ListAction.TELL_FAILED:
+        if self.list.handle_event(news) is ListAction.REPORT_FAILURE:
             self.holder.roster_lost(self.clock())
             self.act()
 
 
-class HolderRosterSpeaker(RosterSpeaker):
+class HolderRosterConnection(RosterConnection):
     """The holder's end of the connection to the roster."""
 
     source: "HolderRosterSource"
@@ -130,19 +132,19 @@
     def greeting_received(self, hello: Hello) -> None:
         """The roster has greeted."""
         super().greeting_received(hello)
-        self.source.edge.list_followed()
+        self.source.owner.list_followed()
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Reconnect: the line may have answered a request, and only a new connection has none open."""
-        self.source.edge.passed_over("roster", why)
+        self.source.owner.passed_over("roster", why)
         self.close_with_reason(f"unreadable line: {why}")
 
 
 class HolderRosterSource(RosterSource):
     """The holder's client of the roster; its owner also learns when a complete list is requested."""
 
-    edge: RosterSubscription
+    owner: RosterSubscription
 
-    def speak(self) -> HolderRosterSpeaker:
+    def make_connection(self) -> HolderRosterConnection:
         """The holder's end of a new connection."""
-        return HolderRosterSpeaker(self)
+        return HolderRosterConnection(self)
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lapistrestle.deployment.schema import HolderDeployment
-from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, SendTo
+from lapistrestle.directory.effects import CloseSession, HolderEffect, RequestRosterSnapshot, SendTo
 from lapistrestle.directory.holder_counts import HolderCounts
 from lapistrestle.directory.holder_settings import holder_settings
 from lapistrestle.directory.roster_subscription import RosterSubscription
@@ -108,7 +108,7 @@
                 self.sessions.send(effect.session, effect.message)
             case CloseSession():
                 self.sessions.close(effect.session, effect.reason)
-            case AskRoster():
+            case RequestRosterSnapshot():
                 self.roster.request_snapshot()
 
     def schedule_turn(self) -> None:
@@ -155,7 +155,7 @@
             "bytes a second": round(mean, 1),
             "most bytes in a second": most,
             "bytes": self.sessions.meter.total,
-            "list": self.roster.list.mode.name.lower(),
+            "list": self.roster.list.state.value,
             "age ms": freshness.age(now) / MILLISECOND,
             "roster heard ms ago": (now - freshness.last_heard_at) / MILLISECOND,
             **self.counts.as_report(),
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Iterable
 
-from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, Shard
-from lapistrestle.directory.effects import Dial, HangUp, WatcherEffect, WatcherSettings
+from lapistrestle.directory.effects import CloseConnection, Dial, WatcherEffect, WatcherSettings
 from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.ticks import MILLISECOND, NEVER, SECOND
@@ -101,7 +101,7 @@
         connection = shard.connection
         shard.connection = None
         if connection is not None and self.connections.pop(connection.number, None) is not None:
-            self.emit(HangUp(connection.number))
+            self.emit(CloseConnection(connection.number))
         for function in shard.functions.values():
             function.watch = -1
             function.pending_watch = -1
@@ -194,7 +194,7 @@
                 self.change_over(shard, at, f"data {age / MILLISECOND:.0f} ms old", now)
                 return
 
-    def is_avoided(self, shard: Shard, copy: Copy, now: int) -> bool:
+    def is_avoided(self, shard: Shard, copy: ShardReplica, now: int) -> bool:
         """Whether a replica was recently found stale or unreachable."""
         return now - shard.avoided.get(copy, -NEVER) < AVOIDANCE_TIME
 
@@ -218,6 +218,6 @@
         return sum(shard.connection is not None and shard.connection.has_answered for shard in shards)
 
 
-def address_of(copy: Copy) -> str:
+def address_of(copy: ShardReplica) -> str:
     """Host and port of a copy, for the log."""
     return f"{copy.host}:{copy.port}"
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -15,7 +15,13 @@
 import msgspec
 
 from lapistrestle.directory.assignment import shard_of
-from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, HolderSettings, SendTo
+from lapistrestle.directory.effects import (
+    CloseSession,
+    HolderEffect,
+    HolderSettings,
+    RequestRosterSnapshot,
+    SendTo,
+)
 from lapistrestle.directory.instances import Changes, RegionInstances
 from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.message_sizes import LINE_BYTES, line_bytes
@@ -62,7 +68,9 @@
         self.watched = WatchedFunctions(self.instances)
         self.sessions = Sessions()
         self.batches = Batches(self.instances, self.watched)
-        self.freshness = RosterFreshness(settings, now, lambda: self.effects.append(AskRoster()), log)
+        self.freshness = RosterFreshness(
+            settings, now, lambda: self.effects.append(RequestRosterSnapshot()), log
+        )
         self.revision = Revision()
         self.superseded = list[str]()  # earlier sources, oldest first
         rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.longest_retry
@@ -106,8 +114,8 @@
     def snapshot_requested(self, now: int) -> None:
         """The process itself requested a complete list, on connecting or because of a gap.
 
-        Not to be called for `AskRoster`. Without this call, a list that was in flight during a stall would be
-        mistaken for the answer to the request that the holder sends after the stall.
+        Not to be called for `RequestRosterSnapshot`. Without this call, a list that was in flight during a
+        stall would be mistaken for the answer to the request that the holder sends after the stall.
         """
         self.freshness.record_call(now)
         self.freshness.snapshot_requested(now)
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -202,7 +202,7 @@
             names.append(place.name)
             positions.extend(place.looked_from)
             serving += self.instances.serves(place.name)
-            while missing and (serving >= missing[0] or len(names) >= longest_prefix(missing[0])):
+            while missing and (serving >= missing[0] or len(names) >= max_prefix_length(missing[0])):
                 complete = len(names) == len(self.instances.ring)
                 known.prefixes[missing.pop(0)] = Prefix(tuple(names), complete)
             if not missing:
@@ -250,6 +250,6 @@
         known.members = members
 
 
-def longest_prefix(count: int) -> int:
+def max_prefix_length(count: int) -> int:
     """The maximum number of instances in a prefix with `count` serving ones."""
     return min(MOST_PER_SERVING * count, LONGEST_PREFIX)
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -53,7 +53,7 @@
         self.effects = list[WatcherEffect]()
         self.jitter = Jitter(seed)
         self.lookups = Lookups(settings, self.jitter, self.emit)
-        self.cache = PrefixCache(settings.most_retired, self.lookups, self.emit)
+        self.cache = PrefixCache(settings.max_retired, self.lookups, self.emit)
         self.requests = WatchRequests(self.cache.instances, assignment.epoch, self.emit)
         self.leases = LeaseRenewal(settings, self.emit)
         self.shard_connections = ShardConnections(
@@ -64,7 +64,7 @@
             self.emit, log,
         )  # fmt: skip
         self.last_call_at = now
-        self.review_at = now + settings.idle
+        self.review_at = now + settings.idle_timeout
 
     def emit(self, effect: WatcherEffect) -> None:
         """Add an effect to those that `take_effects` returns."""
@@ -247,7 +247,7 @@
             self.check_shard(shard, now)
         self.remove_idle_functions(now)
         if now >= self.review_at:
-            self.review_at = now + self.settings.idle
+            self.review_at = now + self.settings.idle_timeout
             for function in self.functions.values():
                 self.shrink_prefix(function, now)
         self.cache.publish()
@@ -267,7 +267,7 @@
             self.shard_connections.dial_if_due(shard, now)
             return
         if not connection.is_ready:
-            if now - connection.dialled_at >= self.settings.dial_time_out:
+            if now - connection.dialled_at >= self.settings.dial_timeout:
                 self.shard_connections.fail_over(shard, "connection timed out", now)
             return
         loss = self.leases.loss(connection, now)
@@ -283,7 +283,7 @@
         """Unwatch functions that have been unused for the idle time."""
         while self.functions:
             function = next(iter(self.functions.values()))
-            if now - function.used_at < self.settings.idle:
+            if now - function.used_at < self.settings.idle_timeout:
                 break
             self.unwatch_function(function)
 
@@ -311,7 +311,7 @@
         """When `tick` is to be called next; any other call may make it earlier."""
         dues = [self.last_call_at + self.settings.heartbeat, self.review_at]
         if self.functions:
-            dues.append(next(iter(self.functions.values())).used_at + self.settings.idle)
+            dues.append(next(iter(self.functions.values())).used_at + self.settings.idle_timeout)
         dues.append(self.lookups.next_due())
         dues.append(self.requests.next_due())
         dues.extend(self.shard_due(shard) for shard in self.shards.values())
@@ -323,5 +323,5 @@
         if connection is None:
             return shard.dial_at if shard.functions else NEVER
         if not connection.is_ready:
-            return connection.dialled_at + self.settings.dial_time_out
+            return connection.dialled_at + self.settings.dial_timeout
         return min(self.leases.next_due(connection), connection.rebalance_at)
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -9,17 +9,17 @@
 from typing import Any
 
 from lapistrestle.deployment.schema import Directory
-from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.effects import (
+    CloseConnection,
     Dial,
-    HangUp,
     InstancesChanged,
-    InstancesForgotten,
+    InstancesEvicted,
     InstancesGone,
     LookupFailed,
     PrefixReady,
+    RegionSumsChanged,
     Send,
-    SumsChanged,
     WatcherEffect,
     WatcherSettings,
 )
@@ -38,7 +38,7 @@
 
 def assignment_of(settings: Directory) -> Assignment:
     """The copies of each shard that the settings name."""
-    shards = [tuple(Copy(c.host, c.port, c.zone) for c in copies) for copies in settings.shards]
+    shards = [tuple(ShardReplica(c.host, c.port, c.zone) for c in copies) for copies in settings.shards]
     return Assignment(settings.epoch, tuple(shards))
 
 
@@ -46,11 +46,11 @@
     """What the decisions keep to."""
     return WatcherSettings(
         first_count=settings.first_count,
-        lookup_time_out=int(settings.lookup_time_out),
+        lookup_timeout=int(settings.lookup_time_out),
         heartbeat=int(settings.silence) // RENEWALS,
-        silence=int(settings.silence),
-        dial_time_out=dial_time_out,
-        idle=int(settings.idle),
+        silence_timeout=int(settings.silence),
+        dial_timeout=dial_time_out,
+        idle_timeout=int(settings.idle),
     )
 
 
@@ -184,7 +184,7 @@
         match effect:
             case Dial():
                 self.connections.dial(effect)
-            case HangUp():
+            case CloseConnection():
                 self.connections.hang_up(effect.connection)
             case Send():
                 self.connections.send(effect)
@@ -192,13 +192,13 @@
                 self.instances.changed(effect.entries)
             case InstancesGone():
                 self.instances.gone(effect.names)
-            case InstancesForgotten():
+            case InstancesEvicted():
                 self.instances.forgotten(effect.names)
             case PrefixReady():
                 self.prefix_ready(effect)
             case LookupFailed():
                 self.waiting.failed(effect.function, effect.retry_after)
-            case SumsChanged():
+            case RegionSumsChanged():
                 self.region.update(effect.sums, self.asked)
 
     def prefix_ready(self, effect: PrefixReady) -> None:
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/following.py
@@ -115,7 +115,7 @@
     def told(self, message: RosterSnapshot | RosterUpdate, now: int) -> Taken:
         """A list or change came from the roster."""
         do = self.accept(message)
-        if do is not ListAction.TAKE:
+        if do is not ListAction.APPLY:
             return Taken(do)
         whole = isinstance(message, RosterSnapshot)
         gone = {}
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -93,7 +93,7 @@
         """Open a connection."""
         dial = self.dials[effect.connection] = HolderDial(self, effect.connection)
         time_out = self.edge.connect_timeout / SECOND
-        copy = effect.copy
+        copy = effect.replica
         dial.connector = self.edge.reactor.connectTCP(copy.host, copy.port, dial, timeout=time_out)
 
     def hang_up(self, connection: int) -> None:
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -7,7 +7,7 @@
 from lapistrestle.rollout import replicas
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout_types import TrafficSplit, versioned_name
-from lapistrestle.sources.reconnecting import Source
+from lapistrestle.sources.reconnecting import ReconnectingSource
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -23,35 +23,35 @@
     decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, source: "PlannerSource") -> None:
-        super().__init__(source.edge.bounds)
+        super().__init__(source.owner.bounds)
         self.source = source
 
     def greeting(self) -> wire.Hello:
-        return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name, start=self.source.start_name)
+        return wire.Hello(self.protocol, wire.VERSION, self.source.owner.name, start=self.source.start_name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.source.heard = self.source.edge.clock()
+        self.source.heard = self.source.owner.clock()
         self.source.beat(None, once=True)
 
     def message_received(self, message: Any) -> None:
-        self.source.edge.input()
+        self.source.owner.input()
         match message:
             case plans.Plan():
                 self.source.told(message)
             case plans.Heartbeat():
-                self.source.heard = self.source.edge.clock()
+                self.source.heard = self.source.owner.clock()
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """It may have been a plan: dial anew and be told all."""
-        self.source.edge.passed_over("planner", why)
+        self.source.owner.passed_over("planner", why)
         self.close_with_reason("unreadable")
 
     def connection_lost(self) -> None:
-        self.source.lost(self)
+        self.source.connection_lost(self)
 
 
-class PlannerSource(Source):
+class PlannerSource(ReconnectingSource):
     """Follows the planner at one port and tells it how versions do."""
 
     def __init__(self, edge: Any, port: int) -> None:
@@ -71,11 +71,11 @@
         try:
             kept = self.file.read() if self.file else None
         except (OSError, ValueError) as trouble:
-            return self.edge.log("kept plan can't be read", why=str(trouble))
+            return self.owner.log("kept plan can't be read", why=str(trouble))
         if kept is not None:
             splits = [plans.to_split(share) for share in kept.splits]
             self.routing.restore_plan(kept.epoch, kept.number, splits, kept.barred)
-            self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
+            self.owner.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
 
     def keep_plan(self) -> None:
         """An edge whose disk fails goes on from what it has in memory."""
@@ -88,49 +88,53 @@
                 PersistedPlan(routing.epoch, routing.number, shares, sorted(routing.barred_names))
             )
         except OSError as trouble:
-            self.edge.log("plan not kept", why=str(trouble))
+            self.owner.log("plan not kept", why=str(trouble))
 
     def unplanned(self) -> bool:
-        return self.routing.awaits_first_plan(self.edge.clock() - self.began)
+        return self.routing.awaits_first_plan(self.owner.clock() - self.began)
 
-    def speak(self) -> PlannerSpeaker:
+    def make_connection(self) -> PlannerSpeaker:
         return PlannerSpeaker(self)
 
     def beat(self, _: object, once: bool = False) -> None:
-        if self.speaker is not None and self.speaker.is_greeted and self.edge.clock() - self.heard > UNHEARD:
-            self.speaker.close_with_reason("no beat was answered")
-        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
+        if (
+            self.connection is not None
+            and self.connection.is_greeted
+            and self.owner.clock() - self.heard > UNHEARD
+        ):
+            self.connection.close_with_reason("no beat was answered")
+        self.send_message(plans.Heartbeat(self.owner.clock(), self.routing.number))
         if not once and not self.stopped:
-            self.edge.after(BEAT, self.beat, None)
+            self.owner.after(BEAT, self.beat, None)
 
     def told(self, plan: plans.Plan) -> None:
         splits = [plans.to_split(share) for share in plan.splits]
         barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
         if barred is None:
-            self.edge.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
+            self.owner.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
             return
-        self.edge.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
+        self.owner.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
         for name in barred:
             self.withdraw(name)
-        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
+        self.send_message(plans.Heartbeat(self.owner.clock(), self.routing.number))
         self.keep_plan()
 
     def withdraw(self, name: str) -> None:
         """Nothing new goes there from now on: RPCs that wait for its loads move, its copies may go."""
-        function = self.edge.host.registry.functions.get(name)
-        for seat in list(self.edge.seats):
+        function = self.owner.host.registry.functions.get(name)
+        for seat in list(self.owner.seats):
             for pending in list(seat.open.values()):
                 if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
-                    self.edge.host.retract(pending)
-                    self.edge.move(pending)
+                    self.owner.host.retract(pending)
+                    self.owner.move(pending)
         for replica in list(function.replicas.values()) if function is not None else ():
-            self.edge.unload(replica.worker, function)
+            self.owner.unload(replica.worker, function)
 
     def tell(self, _: object) -> None:
         """How versions do, and keep both of an unsettled function loaded."""
-        now = self.edge.clock()
+        now = self.owner.clock()
         for key, counts in self.routing.recent_counts(now).items():
-            self.say(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
+            self.send_message(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
         names = {versioned_name(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
         self.targets = {name: target for name, target in self.targets.items() if name in names}
@@ -138,9 +142,9 @@
             weight, shortage = self.keep(split)
             loading = replicas.rollout_phase(split) is replicas.RolloutPhase.LOADING
             if loading and self.routing.lease.is_usable(now):
-                self.say(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
+                self.send_message(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
         if not self.stopped:
-            self.edge.after(TELL, self.tell, None)
+            self.owner.after(TELL, self.tell, None)
 
     def keep(self, split: TrafficSplit) -> tuple[float, str]:
         """Have the replicas that `rollout.replicas` wants; their weight, and what is missing for more.
@@ -148,15 +152,15 @@
         Orders go through the module, so that rules 3 and 5 are kept by the one that counts. Where they are
         not allowed only calls load; an edge that has met no RPC of the function needs nothing.
         """
-        module, registry = self.edge.host.module, self.edge.host.registry
-        module.now = self.edge.clock()
+        module, registry = self.owner.host.module, self.owner.host.registry
+        module.now = self.owner.clock()
         versions = (split.candidate, split.settled)
         known = [
             function
             for name in (*versions, "")
             if (function := registry.functions.get(versioned_name(split.function, name))) is not None
         ]
-        if not known or not self.edge.settings.may_preload:
+        if not known or not self.owner.settings.may_preload:
             return split.next_weight, ""
         model = known[-1]
         busy = sum(
@@ -186,8 +190,8 @@
         return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
 
     def keep_version(self, name: str, model: Function, busy: float, weight: float) -> replicas.ReplicaStatus:
-        edge, module = self.edge, self.edge.host.module
-        if self.edge.barred(name) or not weight:
+        edge, module = self.owner, self.owner.host.module
+        if self.owner.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
         function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
         if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -75,7 +75,7 @@
             self.sources.append(self.directory)
         elif deployment.roster.port:
             self.source = RosterSource(self, deployment.roster.port)
-            self.source.wanted = self.settings.endpoints_polled
+            self.source.is_subscribed = self.settings.endpoints_polled
             self.sources.append(self.source)
         if deployment.planner.port:
             self.planner = PlannerSource(self, deployment.planner.port)
@@ -105,7 +105,7 @@
 
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         taken = self.following.told(message, self.clock())
-        if taken.do is ListAction.TAKE:
+        if taken.do is ListAction.APPLY:
             self.workers_told(taken.facts, taken.addresses, taken.whole)
         return taken.do
 
@@ -119,7 +119,7 @@
 
     def list_event(self, news: ListEvent) -> None:
         self.input()
-        if self.following.step(news) is ListAction.TELL_FAILED:
+        if self.following.handle_event(news) is ListAction.REPORT_FAILURE:
             self.host.list_failed()
 
     def runner(self, name: str) -> Any:
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -232,7 +232,7 @@
         self.later(self.message_received, message)
 
     def message_received(self, message: Any) -> None:
-        if self.edge.list_received(message) is ListAction.ASK:
+        if self.edge.list_received(message) is ListAction.REQUEST_SNAPSHOT:
             self.later(self.follow)
 
     def break_off(self) -> None:
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -14,61 +14,61 @@
 
 
 class ListState(Enum):
-    """State of the received list. Logs and reports show the names in lower case."""
+    """State of the received list. The values are shown in logs and reports."""
 
-    BLANK = auto()  # no list received, or the connection was lost before the requested one
-    ASKING = auto()  # the complete list is requested
-    STEADY = auto()  # each change has followed the last one
+    UNKNOWN = "blank"  # no list received, or the connection was lost before the requested one
+    REQUESTED = "asking"  # the complete list is requested
+    IN_SEQUENCE = "steady"  # each change has followed the last one
 
 
 class ListEvent(Enum):
     """A message, classified by its number relative to the last one applied, or a change of the connection."""
 
-    WHOLE = auto()  # a complete list with the same or a higher number, or with a new epoch
-    BACK = auto()  # a complete list with a lower number
-    AGAIN = auto()  # the same lower number a second time
-    NEXT = auto()  # the change with the next number
-    REPEAT = auto()  # a change with an earlier or the same number
-    GAP = auto()  # a change after a missing one, or with another epoch
-    CUT = auto()  # the connection was lost
-    FAILED = auto()  # the connection could not be established, or the roster can't answer
+    SNAPSHOT = "whole"  # a complete list with the same or a higher number, or with a new epoch
+    NUMBER_WENT_BACK = "back"  # a complete list with a lower number
+    WENT_BACK_AGAIN = "again"  # the same lower number a second time
+    NEXT_CHANGE = "next"  # the change with the next number
+    DUPLICATE_CHANGE = "repeat"  # a change with an earlier or the same number
+    GAP = "gap"  # a change after a missing one, or with another epoch
+    DISCONNECTED = "cut"  # the connection was lost
+    FAILED = "failed"  # the connection could not be established, or the roster can't answer
 
 
 class ListAction(Enum):
     """What the receiver does after an event."""
 
-    TAKE = auto()  # apply the list or change
-    ASK = auto()  # request the complete list
-    PASS = auto()  # ignore the message
-    TELL_FAILED = auto()  # report that the roster is unavailable
+    APPLY = auto()  # apply the list or change
+    REQUEST_SNAPSHOT = auto()  # request the complete list
+    IGNORE = auto()  # ignore the message
+    REPORT_FAILURE = auto()  # report that the roster is unavailable
 
 
 # next state and action by state and event
 TRANSITIONS: dict[tuple[ListState, ListEvent], tuple[ListState, ListAction]] = {
-    (ListState.BLANK, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
-    (ListState.BLANK, ListEvent.BACK): (ListState.STEADY, ListAction.TAKE),
-    (ListState.BLANK, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
-    (ListState.BLANK, ListEvent.NEXT): (ListState.ASKING, ListAction.ASK),
-    (ListState.BLANK, ListEvent.REPEAT): (ListState.ASKING, ListAction.ASK),
-    (ListState.BLANK, ListEvent.GAP): (ListState.ASKING, ListAction.ASK),
-    (ListState.BLANK, ListEvent.CUT): (ListState.BLANK, ListAction.TELL_FAILED),
-    (ListState.BLANK, ListEvent.FAILED): (ListState.BLANK, ListAction.TELL_FAILED),
-    (ListState.STEADY, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
-    (ListState.STEADY, ListEvent.BACK): (ListState.ASKING, ListAction.ASK),
-    (ListState.STEADY, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
-    (ListState.STEADY, ListEvent.NEXT): (ListState.STEADY, ListAction.TAKE),
-    (ListState.STEADY, ListEvent.REPEAT): (ListState.STEADY, ListAction.PASS),
-    (ListState.STEADY, ListEvent.GAP): (ListState.ASKING, ListAction.ASK),
-    (ListState.STEADY, ListEvent.CUT): (ListState.STEADY, ListAction.TELL_FAILED),
-    (ListState.STEADY, ListEvent.FAILED): (ListState.STEADY, ListAction.TELL_FAILED),
-    (ListState.ASKING, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
-    (ListState.ASKING, ListEvent.BACK): (ListState.ASKING, ListAction.PASS),
-    (ListState.ASKING, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
-    (ListState.ASKING, ListEvent.NEXT): (ListState.ASKING, ListAction.TAKE),
-    (ListState.ASKING, ListEvent.REPEAT): (ListState.ASKING, ListAction.PASS),
-    (ListState.ASKING, ListEvent.GAP): (ListState.ASKING, ListAction.PASS),
-    (ListState.ASKING, ListEvent.CUT): (ListState.BLANK, ListAction.TELL_FAILED),
-    (ListState.ASKING, ListEvent.FAILED): (ListState.BLANK, ListAction.TELL_FAILED),
+    (ListState.UNKNOWN, ListEvent.SNAPSHOT): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.UNKNOWN, ListEvent.NUMBER_WENT_BACK): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.UNKNOWN, ListEvent.WENT_BACK_AGAIN): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.UNKNOWN, ListEvent.NEXT_CHANGE): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.UNKNOWN, ListEvent.DUPLICATE_CHANGE): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.UNKNOWN, ListEvent.GAP): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.UNKNOWN, ListEvent.DISCONNECTED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
+    (ListState.UNKNOWN, ListEvent.FAILED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
+    (ListState.IN_SEQUENCE, ListEvent.SNAPSHOT): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.IN_SEQUENCE, ListEvent.NUMBER_WENT_BACK): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.IN_SEQUENCE, ListEvent.WENT_BACK_AGAIN): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.IN_SEQUENCE, ListEvent.NEXT_CHANGE): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.IN_SEQUENCE, ListEvent.DUPLICATE_CHANGE): (ListState.IN_SEQUENCE, ListAction.IGNORE),
+    (ListState.IN_SEQUENCE, ListEvent.GAP): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.IN_SEQUENCE, ListEvent.DISCONNECTED): (ListState.IN_SEQUENCE, ListAction.REPORT_FAILURE),
+    (ListState.IN_SEQUENCE, ListEvent.FAILED): (ListState.IN_SEQUENCE, ListAction.REPORT_FAILURE),
+    (ListState.REQUESTED, ListEvent.SNAPSHOT): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.REQUESTED, ListEvent.NUMBER_WENT_BACK): (ListState.REQUESTED, ListAction.IGNORE),
+    (ListState.REQUESTED, ListEvent.WENT_BACK_AGAIN): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.REQUESTED, ListEvent.NEXT_CHANGE): (ListState.REQUESTED, ListAction.APPLY),
+    (ListState.REQUESTED, ListEvent.DUPLICATE_CHANGE): (ListState.REQUESTED, ListAction.IGNORE),
+    (ListState.REQUESTED, ListEvent.GAP): (ListState.REQUESTED, ListAction.IGNORE),
+    (ListState.REQUESTED, ListEvent.DISCONNECTED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
+    (ListState.REQUESTED, ListEvent.FAILED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
 }
 
 
@@ -80,7 +80,7 @@
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self.log = log
-        self.mode = ListState.BLANK
+        self.state = ListState.UNKNOWN
         self.number = -1
         self.epoch = ""
         self.back: tuple[str, int] | None = None  # epoch and number of the last list with a lower number
@@ -91,32 +91,34 @@
 
     def accept(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
         """Handle a list or change. Returns what is to be done with it; one to be applied sets the number."""
-        do = self.step(self.news(message))
-        if do is ListAction.TAKE:
+        do = self.handle_event(self.classify(message))
+        if do is ListAction.APPLY:
             self.number = message.number
             self.epoch = message.epoch
             self.back = None
         return do
 
-    def news(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
+    def classify(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
         """Classify a message by its epoch and number."""
         same = message.epoch == self.epoch
         if isinstance(message, RosterSnapshot):
             if not same or message.number >= self.number:
-                return ListEvent.WHOLE
+                return ListEvent.SNAPSHOT
             again = self.back == (message.epoch, message.number)
             self.back = (message.epoch, message.number)
-            return ListEvent.AGAIN if again else ListEvent.BACK
+            return ListEvent.WENT_BACK_AGAIN if again else ListEvent.NUMBER_WENT_BACK
         if not same:
             return ListEvent.GAP
         step = message.number - self.number
-        return ListEvent.NEXT if step == 1 else ListEvent.REPEAT if step <= 0 else ListEvent.GAP
+        return (
+            ListEvent.NEXT_CHANGE if step == 1 else ListEvent.DUPLICATE_CHANGE if step <= 0 else ListEvent.GAP
+        )
 
-    def step(self, news: ListEvent) -> ListAction:
+    def handle_event(self, news: ListEvent) -> ListAction:
         """Apply an event to the state and return the action. A change of state is logged."""
-        before = self.mode
-        self.mode, do = TRANSITIONS[self.mode, news]
-        if self.mode is not before:
-            mode, why = self.mode.name.lower(), news.name.lower()
+        before = self.state
+        self.state, do = TRANSITIONS[self.state, news]
+        if self.state is not before:
+            mode, why = self.state.value, news.value
             self.log(f"list {mode}: {why} at {self.number}, {self.size()} known")
         return do
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -3,28 +3,28 @@
 from typing import Any, Protocol
 
 from lapistrestle.sources.numbered_list import ListAction, ListEvent
-from lapistrestle.sources.reconnecting import Source
+from lapistrestle.sources.reconnecting import ReconnectingSource
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 
-class RosterSpeaker(LineConnection):
+class RosterConnection(LineConnection):
     """Our end of the connection to the roster."""
 
     protocol = wire.ROSTER
     decoder = message_decoder(wire.FromRoster)
 
     def __init__(self, source: "RosterSource") -> None:
-        super().__init__(source.edge.bounds)
+        super().__init__(source.owner.bounds)
         self.source = source
 
     def greeting(self) -> wire.Hello:
         """The client's greeting."""
-        return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name)
+        return wire.Hello(self.protocol, wire.VERSION, self.source.owner.name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
         """The roster has greeted: subscribe to its list, unless that is done on request only."""
-        if not self.source.edge.endpoints_polled or self.source.wanted:
+        if not self.source.owner.endpoints_polled or self.source.is_subscribed:
             self.send_message(wire.RosterSubscribe())
 
     def message_received(self, message: Any) -> None:
@@ -33,12 +33,12 @@
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """The undecodable line may have been a change: request the complete list."""
-        self.source.edge.passed_over("roster", why)
+        self.source.owner.passed_over("roster", why)
         self.send_message(wire.RosterRequest())
 
     def connection_lost(self) -> None:
         """The connection has ended."""
-        self.source.lost(self)
+        self.source.connection_lost(self)
 
 
 class RosterFollower(Protocol):
@@ -62,34 +62,34 @@
         """A line of this peer could not be decoded."""
 
 
-class RosterSource(Source):
+class RosterSource(ReconnectingSource):
     """A client of the roster at one port."""
 
-    edge: RosterFollower
-    wanted = False
+    owner: RosterFollower
+    is_subscribed = False
 
-    def ask(self) -> None:
+    def request_snapshot(self) -> None:
         """Request the complete list."""
-        self.say(wire.RosterRequest())
+        self.send_message(wire.RosterRequest())
 
-    def speak(self) -> RosterSpeaker:
+    def make_connection(self) -> RosterConnection:
         """Build our end of a new connection."""
-        return RosterSpeaker(self)
+        return RosterConnection(self)
 
     def follow(self) -> None:
         """Subscribe to the list, now and on each new connection."""
-        self.wanted = True
-        self.say(wire.RosterSubscribe())
+        self.is_subscribed = True
+        self.send_message(wire.RosterSubscribe())
 
     def heard(self, message: Any) -> None:
         """The roster has sent a message."""
         if isinstance(message, wire.RosterSnapshot | wire.RosterUpdate):
-            self.edge.input()
-            if self.edge.list_received(message) is ListAction.ASK:
-                self.say(wire.RosterRequest())
+            self.owner.input()
+            if self.owner.list_received(message) is ListAction.REQUEST_SNAPSHOT:
+                self.send_message(wire.RosterRequest())
         elif isinstance(message, wire.RosterUnavailable):
-            self.edge.list_event(ListEvent.FAILED)
+            self.owner.list_event(ListEvent.FAILED)
 
-    def down(self, was_up: bool) -> None:
+    def on_disconnected(self, was_up: bool) -> None:
         """The connection was lost (`was_up`) or could not be established."""
-        self.edge.list_event(ListEvent.CUT if was_up else ListEvent.FAILED)
+        self.owner.list_event(ListEvent.DISCONNECTED if was_up else ListEvent.FAILED)
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -5,7 +5,7 @@
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.directory.prefixes import Prefix
-from lapistrestle.directory.watched_functions import longest_prefix
+from lapistrestle.directory.watched_functions import max_prefix_length
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.ticks import NEVER
 from lapistrestle.wire.directory import Revision
@@ -55,7 +55,7 @@
         elif isinstance(effect, directory.InstancesGone):
             for name in effect.names:
                 self.told_gone(name, now)
-        elif isinstance(effect, directory.InstancesForgotten):
+        elif isinstance(effect, directory.InstancesEvicted):
             for name in effect.names:
                 self.entries.pop(name, None)
         elif isinstance(effect, directory.PrefixReady):
@@ -125,7 +125,7 @@
     """The prefix by its definition, from a ring that was made anew."""
     names, serving = list[str](), 0
     for known in truth.ring.places(function):
-        if serving >= count or len(names) >= longest_prefix(count):
+        if serving >= count or len(names) >= max_prefix_length(count):
             break
         names.append(known.name)
         serving += truth.serves(known.name)
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lapistrestle.directory import effects as directory
-from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.assignment import ShardReplica
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watcher import DirectoryWatcher
@@ -105,7 +105,7 @@
 class Holder(Program):
     """A holder process around the decisions."""
 
-    def __init__(self, world: "World", copy: Copy, settings: HolderSettings) -> None:
+    def __init__(self, world: "World", copy: ShardReplica, settings: HolderSettings) -> None:
         super().__init__(world)
         self.world: World = world
         self.copy, self.settings = copy, settings
@@ -143,10 +143,10 @@
             return
         now = self.world.time.now
         taken = self.following.told(message, now)
-        if taken.do is ListAction.ASK:
+        if taken.do is ListAction.REQUEST_SNAPSHOT:
             self.decisions.snapshot_requested(now)
             self.ask_roster()
-        if taken.do is ListAction.TAKE:
+        if taken.do is ListAction.APPLY:
             whole = isinstance(message, wire.RosterSnapshot)
             if whole:
                 self.current_as_of = sent
@@ -182,7 +182,7 @@
 
     def woke(self) -> None:
         slept = self.world.time.now - self.stalled_at
-        if slept > self.settings.standstill + NOTICED:
+        if slept > self.settings.stall_threshold + NOTICED:
             self.woken = self.world.time.now
 
     def tick(self) -> None:
@@ -196,7 +196,7 @@
         self.plan_tick(self.decisions.next_due())
 
     def carry_out(self, effect: directory.HolderEffect) -> None:
-        if isinstance(effect, directory.AskRoster):
+        if isinstance(effect, directory.RequestRosterSnapshot):
             self.ask_roster()
             return
         connection = self.connections.get(effect.session)
@@ -366,7 +366,7 @@
         now = self.world.time.now
         for effect in self.decisions.take_effects():
             self.carry_out(effect)
-        self.view.check_waiting(self.settings.lookup_time_out, now)
+        self.view.check_waiting(self.settings.lookup_timeout, now)
         check_floors(self.decisions, self.floors, self.world.roster.epochs, now, self.world.breaches)
         for connection in self.decisions.connections.values():
             self.check_connection(connection.number)
@@ -386,7 +386,7 @@
     def carry_out(self, effect: directory.WatcherEffect) -> None:
         if isinstance(effect, directory.Dial):
             self.world.dial(self, effect)
-        elif isinstance(effect, directory.HangUp):
+        elif isinstance(effect, directory.CloseConnection):
             if effect.connection in self.connections:
                 self.connections[effect.connection].close_by_watcher()
         elif isinstance(effect, directory.Send):
--- a/lapistrestle/standins/directory_world.py
+++ b/lapistrestle/standins/directory_world.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapistrestle.directory import effects as directory
-from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.instances import RegionInstances
 from lapistrestle.standins.directory_checks import Breaches, check_end
@@ -48,7 +48,9 @@
     shards: int = 2
     instances: int = 24
     functions: int = 12
-    settings: WatcherSettings = field(default_factory=lambda: WatcherSettings(first_count=4, idle=8 * SECOND))
+    settings: WatcherSettings = field(
+        default_factory=lambda: WatcherSettings(first_count=4, idle_timeout=8 * SECOND)
+    )
     holder: HolderSettings = field(default_factory=HolderSettings)
     old_holder: bool = False  # one more copy of each shard, of an older epoch
 
@@ -60,8 +62,8 @@
         self.plan, self.weather = plan or Plan(), weather or Weather()
         self.chance, self.time, self.breaches = random.Random(seed), Time(), Breaches()
         self.sessions = 0
-        self.cut_from_roster = set[Copy]()
-        self.cut_pairs = set[tuple[str, Copy]]()
+        self.cut_from_roster = set[ShardReplica]()
+        self.cut_pairs = set[tuple[str, ShardReplica]]()
         self.roster = Roster(self)
         self.counts = dict[str, int]()  # of faults
         self.make_fleet()
@@ -75,8 +77,8 @@
 
     def make_holders(self) -> None:
         plan = self.plan
-        copies = [Copy("127.0.0.1", 7_000 + i, ZONES[i % len(ZONES)]) for i in range(plan.copies)]
-        old = [Copy("127.0.0.1", 6_999, ZONES[0])] if plan.old_holder else []
+        copies = [ShardReplica("127.0.0.1", 7_000 + i, ZONES[i % len(ZONES)]) for i in range(plan.copies)]
+        old = [ShardReplica("127.0.0.1", 6_999, ZONES[0])] if plan.old_holder else []
         self.assignment = Assignment(2, tuple((*copies, *old) for _ in range(plan.shards)))
         shards = frozenset(range(plan.shards))
         settings = replace(plan.holder, epoch=2, oldest_epoch=2, shards=shards, shard_count=plan.shards)
@@ -102,7 +104,7 @@
         return (watcher.name, holder.copy) in self.cut_pairs
 
     def dial(self, watcher: Watcher, dial: directory.Dial) -> None:
-        holder, life = self.holders[dial.copy], watcher.life
+        holder, life = self.holders[dial.replica], watcher.life
         if not holder.alive:
             self.time.after(20, lambda: watcher.deliver(lambda: self.refuse(watcher, life, dial.connection)))
         elif not self.is_cut(watcher, holder):
@@ -275,9 +277,9 @@
 def random_day(seed: int) -> World:
     """A day drawn from its number: odd ones rough, even ones wild. Every third has holders of an older epoch,
     every fifth watchers that remember next to nothing of instances that they don't use."""
-    settings = WatcherSettings(first_count=4, idle=8 * SECOND)
+    settings = WatcherSettings(first_count=4, idle_timeout=8 * SECOND)
     if seed % 5 == 0:
-        settings = replace(settings, most_retired=4)
+        settings = replace(settings, max_retired=4)
     plan = Plan(copies=2 + seed % 2, settings=settings, old_holder=seed % 3 == 0)
     return World(seed, plan, ROUGH if seed % 2 else WILD)
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lapistrestle.directory import effects as directory
-from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.digests import digest_of, undated
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.hash_ring import InstanceRing
@@ -30,7 +30,7 @@
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import RosterEntry, encode
 
-COPIES = (Copy("127.0.0.1", 7_001), Copy("127.0.0.1", 7_002))
+COPIES = (ShardReplica("127.0.0.1", 7_001), ShardReplica("127.0.0.1", 7_002))
 EPOCH = 3
 
 
@@ -738,13 +738,13 @@
             made.watcher.connection_failed(made.of(directory.Dial)[-1].connection, made.now)
             made.run(3 * SECOND)
         dials = [at for at, e in made.effects if isinstance(e, directory.Dial)]
-        assert len(dials) < 40 and {e.copy for e in made.of(directory.Dial)} == set(COPIES)
+        assert len(dials) < 40 and {e.replica for e in made.of(directory.Dial)} == set(COPIES)
         times.append(dials)
     assert times[0] != times[1]
 
 
 def test_a_lease_starts_when_its_request_is_sent():
-    made = Dispatcher(heartbeat=SECOND // 5, silence=10 * SECOND)
+    made = Dispatcher(heartbeat=SECOND // 5, silence_timeout=10 * SECOND)
     connection = ready(made)
     asked = made.sent(wire.Renew)[-1].sent_at
     made.now += SECOND // 4
@@ -753,7 +753,7 @@
 
 
 def test_an_answer_after_the_end_of_its_lease_is_ignored():
-    made = Dispatcher(silence=10 * SECOND)
+    made = Dispatcher(silence_timeout=10 * SECOND)
     connection = ready(made)
     asked = made.sent(wire.Renew)[-1].sent_at
     made.run(29_000)
@@ -770,7 +770,7 @@
     silent = made.now
     made.run(SECOND)
     dials = [(at, e) for at, e in made.effects if isinstance(e, directory.Dial)]
-    assert dials[1][0] - silent < 9_000 and dials[1][1].copy != dials[0][1].copy
+    assert dials[1][0] - silent < 9_000 and dials[1][1].replica != dials[0][1].replica
     other = made.connect()
     made.snapshot(other, [1, 2, 3], number=2)
     assert made.of(directory.PrefixReady) == [directory.PrefixReady("f", ("w1", "w2", "w3"), False)]
@@ -781,7 +781,7 @@
     made.wanted()
     connection = made.connect()
     made.snapshot(connection, [1], epoch=EPOCH - 1)
-    assert not made.of(directory.PrefixReady) and made.of(directory.HangUp)
+    assert not made.of(directory.PrefixReady) and made.of(directory.CloseConnection)
 
 
 def test_snapshots_are_rejected_once_a_higher_epoch_was_reported():
@@ -938,19 +938,19 @@
 
 
 def test_a_function_unused_for_the_idle_time_is_unwatched():
-    made = Dispatcher(idle=5 * SECOND)
+    made = Dispatcher(idle_timeout=5 * SECOND)
     connection = ready(made)
     while made.now < 6 * SECOND:
         made.run(SECOND // 10)
         if made.watcher.connections:
             made.answer_renewals(connection)
-    assert made.sent(wire.Unwatch) and made.of(directory.HangUp)
-    assert made.of(directory.InstancesForgotten)[-1].names == ("w1", "w2", "w3")
+    assert made.sent(wire.Unwatch) and made.of(directory.CloseConnection)
+    assert made.of(directory.InstancesEvicted)[-1].names == ("w1", "w2", "w3")
     assert not made.watcher.functions and not made.watcher.instances.known
 
 
 def test_cached_state_is_bounded():
-    made = Dispatcher(most_retired=3, most_functions=5, most_pending=2)
+    made = Dispatcher(max_retired=3, most_functions=5, most_pending=2)
     connection = ready(made)
     for i in range(10):
         made.wanted(f"g{i}")
@@ -982,7 +982,7 @@
     made = Dispatcher()
     connection = ready(made)
     made.answer_renewals(connection, age=2 * SECOND)
-    assert [d.copy for d in made.of(directory.Dial)] == list(made.watcher.shards[0].copies)
+    assert [d.replica for d in made.of(directory.Dial)] == list(made.watcher.shards[0].copies)
     other = made.connect()
     made.snapshot(other, [1, 2, 3], age=2 * SECOND)
     for _ in range(20):
@@ -1006,7 +1006,7 @@
 
 
 def test_when_all_replicas_are_stale_moves_back_off_and_are_logged_once():
-    made = Dispatcher(idle=1_000 * SECOND, rebalance=1_000 * SECOND)
+    made = Dispatcher(idle_timeout=1_000 * SECOND, rebalance=1_000 * SECOND)
     moves, _ = stale_days(made, ready(made), 400)
     gaps = [after - before for before, after in pairwise(moves)]
     assert moves[0] <= SECOND // 5  # a replica that may be fresher is tried at once
@@ -1050,7 +1050,7 @@
     made.answer_renewals(connection, sums=sums)
     made.run(SECOND // 5)
     made.answer_renewals(connection, sums=sums)
-    assert made.of(directory.SumsChanged) == [directory.SumsChanged(sums)]
+    assert made.of(directory.RegionSumsChanged) == [directory.RegionSumsChanged(sums)]
 
 
 def test_sources_are_ordered_by_the_supersessions_that_holders_report():
@@ -1172,7 +1172,7 @@
 
 def held_answers():
     """Answers to renewals are delayed by 2.4 s; later requests are lost, so that leases expire."""
-    settings = WatcherSettings(first_count=4, silence=20 * SECOND)
+    settings = WatcherSettings(first_count=4, silence_timeout=20 * SECOND)
     world = World(2, Plan(watchers=2, settings=settings), CALM)
     world.weather = replace(CALM, calls=8.0, changes=0)
     world.day(2.03)
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.directory.assignment import Assignment, Copy, shard_of
+from lapistrestle.directory.assignment import Assignment, ShardReplica, shard_of
 from lapistrestle.directory.hash_ring import INSTANCE, InstanceRing, draws, points_for
 from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change, change_message, difference
 from lapistrestle.directory.ring_positions import RING, RingPositions
@@ -236,7 +236,7 @@
 
 
 def test_watchers_are_spread_over_replicas_and_keep_their_order_if_one_is_removed():
-    copies = tuple(Copy("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
+    copies = tuple(ShardReplica("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
     assignment, smaller = Assignment(1, (copies,)), Assignment(2, (copies[:2],))
     first = {i: assignment.copies_for(0, f"edge-{i}") for i in range(900)}
     chosen = Counter(order[0] for order in first.values())
@@ -247,7 +247,7 @@
 
 
 def test_a_replica_in_the_own_zone_comes_first_twice_as_often():
-    copies = tuple(Copy("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
+    copies = tuple(ShardReplica("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
     own = sum(Assignment(1, (copies,)).copies_for(0, f"edge-{i}", "b")[0].zone == "b" for i in range(2_000))
     assert 900 < own < 1_100
 
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -385,7 +385,7 @@
 def test_a_list_requested_on_connecting_does_not_end_a_later_stall():
     program = Rig().program
     program.holder.roster_lost(program.clock())
-    speaker = program.roster.source.speaker
+    speaker = program.roster.source.connection
     speaker.greeting_received(
         Hello(ROSTER, 1, "roster")
     )  # the connection is established: the list is requested
@@ -410,9 +410,9 @@
 
 def test_an_undecodable_line_of_the_roster_causes_a_reconnect():
     rig = Rig()
-    first = rig.program.roster.source.speaker
+    first = rig.program.roster.source.connection
     first.unreadable_line_received(b"{", "cut off")
     rig.run(2.0)
-    assert rig.program.roster.source.speaker is not first
+    assert rig.program.roster.source.connection is not first
     assert rig.program.counts.unreadable_lines == 1
     assert rig.program.holder.freshness.age(rig.program.clock()) == 0
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -464,7 +464,7 @@
 def test_a_drain_that_lies_unread_is_heard_before_anything_leaves(stage):
     """After a standstill the call was read first, and sent to the runner that drains."""
     stage = Stage(runners=1)
-    speaker, client = stage.edge.source.speaker, stage.client()
+    speaker, client = stage.edge.source.connection, stage.client()
     change = {"is": "change", "number": 2, "epoch": "e", "workers": [stage.entry("r0", listing="draining")]}
     unread(speaker, lambda: speaker.dataReceived(msgspec.json.encode(change) + b"\n"))
     stage.run(0.1)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -28,39 +28,39 @@
 
 def test_changes_follow_and_repeats_pass(list_: Following) -> None:
     taken = list_.told(change(6, RosterEntry("a", 1000, start="a#0", listing="draining")), 1_000_000)
-    assert taken.do is ListAction.TAKE and taken.facts[0].listing is EndpointState.DRAINING
-    assert list_.told(change(6, A), 1_000_000).do is ListAction.PASS
+    assert taken.do is ListAction.APPLY and taken.facts[0].listing is EndpointState.DRAINING
+    assert list_.told(change(6, A), 1_000_000).do is ListAction.IGNORE
 
 
 def test_a_gap_asks_once_and_a_whole_list_mends_it(list_: Following) -> None:
-    assert list_.told(change(8, A), 1_000_000).do is ListAction.ASK
-    assert list_.told(change(9, A), 1_000_000).do is ListAction.PASS
+    assert list_.told(change(8, A), 1_000_000).do is ListAction.REQUEST_SNAPSHOT
+    assert list_.told(change(9, A), 1_000_000).do is ListAction.IGNORE
     taken = list_.told(whole(9, B), 1_000_000)
-    assert taken.do is ListAction.TAKE and taken.whole and ("a", 0, "") in taken.addresses
-    assert list_.mode is ListState.STEADY
+    assert taken.do is ListAction.APPLY and taken.whole and ("a", 0, "") in taken.addresses
+    assert list_.state is ListState.IN_SEQUENCE
 
 
 def test_a_list_that_jumps_back_counts_only_when_said_twice(list_: Following) -> None:
-    assert list_.told(whole(3, A), 1_000_000).do is ListAction.ASK
-    assert list_.told(whole(3, A), 1_000_000).do is ListAction.TAKE
+    assert list_.told(whole(3, A), 1_000_000).do is ListAction.REQUEST_SNAPSHOT
+    assert list_.told(whole(3, A), 1_000_000).do is ListAction.APPLY
     assert list_.number == 3
 
 
 def test_one_stale_list_does_not_bring_back_what_is_gone(list_: Following) -> None:
     list_.told(change(6, RosterEntry("a", listing="gone", start="a#0")), 1_000_000)
-    assert list_.told(whole(5, A, B), 1_000_000).do is ListAction.ASK
-    assert list_.told(whole(6, B), 1_000_000).do is ListAction.TAKE
+    assert list_.told(whole(5, A, B), 1_000_000).do is ListAction.REQUEST_SNAPSHOT
+    assert list_.told(whole(6, B), 1_000_000).do is ListAction.APPLY
     assert set(list_.known) == {"b"}
 
 
 def test_numbers_that_begin_anew_are_taken_with_their_list(list_: Following) -> None:
-    assert list_.told(change(1, A, epoch="f"), 1_000_000).do is ListAction.ASK
-    assert list_.told(whole(1, A, epoch="f"), 1_000_000).do is ListAction.TAKE
+    assert list_.told(change(1, A, epoch="f"), 1_000_000).do is ListAction.REQUEST_SNAPSHOT
+    assert list_.told(whole(1, A, epoch="f"), 1_000_000).do is ListAction.APPLY
 
 
 def test_an_empty_list_binds(list_: Following) -> None:
     taken = list_.told(whole(6), 1_000_000)
-    assert taken.do is ListAction.TAKE and taken.whole and not list_.known
+    assert taken.do is ListAction.APPLY and taken.whole and not list_.known
 
 
 def test_a_start_is_reckoned_once(list_: Following) -> None:
