--- a/lapistrestle/directory/assignment.py
+++ b/lapistrestle/directory/assignment.py
@@ -32,7 +32,7 @@
         """The number of the function's shard; there must be at least one shard."""
         return shard_of(function, len(self.shards))
 
-    def copies_for(self, shard: int, watcher: str, zone: str = "") -> tuple[ShardReplica, ...]:
+    def replicas_for(self, shard: int, watcher: str, zone: str = "") -> tuple[ShardReplica, ...]:
         """A shard's replicas in the order in which this watcher tries them.
 
         Weighted rendezvous hashing (Thaler, Ravishankar 1998): watchers are spread over the replicas,
--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapistrestle.directory.digests import undated
+from lapistrestle.directory.digests import without_up_for
 from lapistrestle.directory.revisions import Revisions
 from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.directory import LONGEST_UP_FOR, Revision
@@ -24,7 +24,7 @@
 
     entry: RosterEntry
     revision: Revision
-    dated_at: int  # when `entry.up_for` was correct, on the watcher's clock
+    up_for_at: int  # when `entry.up_for` was correct, on the watcher's clock
     functions: set[str] = field(default_factory=set)  # functions whose prefix contains the instance
 
     @property
@@ -48,7 +48,7 @@
 
     def __init__(self, revisions: Revisions, most_retired: int) -> None:
         self.revisions = revisions
-        self.most_retired = most_retired
+        self.max_retired = most_retired
         self.known = dict[str, CachedInstance]()
         self.retired = dict[str, CachedInstance]()  # in no prefix any more, oldest first
         self.floor: Revision | None = None  # snapshots of an older revision are rejected
@@ -72,8 +72,8 @@
         before = known.entry
         known.entry = entry
         known.revision = revision
-        known.dated_at = now
-        if undated(before) == undated(entry):
+        known.up_for_at = now
+        if without_up_for(before) == without_up_for(entry):
             return
         self.event.changed[entry.name] = entry
         self.event.gone.pop(entry.name, None)
@@ -87,8 +87,8 @@
             return None
         self.known[name] = known
         self.event.forgotten.pop(name, None)
-        known.entry = aged(known.entry, now - known.dated_at)
-        known.dated_at = now
+        known.entry = advance_up_for(known.entry, now - known.up_for_at)
+        known.up_for_at = now
         if not known.gone:
             self.event.changed[name] = known.entry
         return known
@@ -100,7 +100,7 @@
             known = self.known.get(name)
             if known is None or known.gone:
                 return ()
-            entries.append(aged(known.entry, now - known.dated_at))
+            entries.append(advance_up_for(known.entry, now - known.up_for_at))
         return tuple(entries)
 
     def mark_gone(self, name: str, revision: Revision) -> None:
@@ -139,7 +139,7 @@
             self.event.changed.pop(name, None)
             if not known.gone:
                 self.event.forgotten[name] = None
-        while len(self.retired) > self.most_retired:
+        while len(self.retired) > self.max_retired:
             oldest = self.retired.pop(next(iter(self.retired)))
             if self.floor is None or self.revisions.is_older(self.floor, oldest.revision):
                 self.floor = oldest.revision
@@ -149,7 +149,7 @@
         return tuple(name for name in names if name in self.known and not self.known[name].gone)
 
 
-def aged(entry: RosterEntry, age: int) -> RosterEntry:
+def advance_up_for(entry: RosterEntry, age: int) -> RosterEntry:
     """An entry with `up_for` advanced by `age` ticks."""
     if entry.up_for is None or age <= 0:
         return entry
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -50,7 +50,7 @@
 
     number: int
     shard: int
-    copy: ShardReplica
+    replica: ShardReplica
     dialled_at: int
     is_ready: bool = False  # both ends have greeted
     has_answered: bool = False  # a snapshot received on it was accepted
@@ -72,7 +72,7 @@
             sent.append(next(iter(self.pending_requests.values())).sent_at)
         return max(min(sent), self.silence_counted_from) if sent else NEVER
 
-    def renewed(self, sent_at: int, lease: int) -> None:
+    def record_renewal(self, sent_at: int, lease: int) -> None:
         """Handle the answer to a renewal, which answers all earlier ones, too."""
         while self.renewals and self.renewals[0] <= sent_at:
             self.renewals.popleft()
@@ -89,14 +89,14 @@
     """A shard with at least one function that this dispatcher calls."""
 
     number: int
-    copies: tuple[ShardReplica, ...]  # in the order in which they are tried
-    at: int = 0  # index of the replica that is connected or tried next
+    replicas: tuple[ShardReplica, ...]  # in the order in which they are tried
+    replica_index: int = 0  # index of the replica that is connected or tried next
     connection: HolderConnection | None = None
     functions: dict[str, CachedFunction] = field(default_factory=dict)
     dial_at: int = NEVER
     failures: int = 0  # consecutive
     freshness_moves: int = 0  # consecutive changes of replica that found no fresher one
-    next_move_at: int = 0  # earliest time of the next change of replica for freshness
+    next_freshness_move_at: int = 0  # earliest time of the next change of replica for freshness
     floor: Revision | None = None  # of the last message accepted; older snapshots are rejected
     avoided: dict[ShardReplica, int] = field(
         default_factory=dict
@@ -105,8 +105,8 @@
     @property
     def unreachable(self) -> bool:
         """Whether every replica has failed since the last success."""
-        return self.failures >= len(self.copies)
+        return self.failures >= len(self.replicas)
 
     def select_next_copy(self) -> None:
         """Select the next replica, cyclically."""
-        self.at = (self.at + 1) % len(self.copies)
+        self.replica_index = (self.replica_index + 1) % len(self.replicas)
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -143,14 +143,14 @@
     total_bytes: int = 8_000_000  # per second over all sessions
     snapshot_rate: int = 10_000  # per second; at 20 us each they take a fifth of a core
     snapshot_burst: int = 2_500
-    longest_retry: int = 2 * SECOND  # longest `retry_after` of a `Busy` answer
+    max_retry_after: int = 2 * SECOND  # longest `retry_after` of a `Busy` answer
     stall_threshold: int = (
         300 * MILLISECOND
     )  # a longer gap between calls means that the process itself stalled
-    roster_silence: int = 5 * SECOND  # without a message from the roster: a complete list is requested
-    roster_patience: int = 2 * SECOND  # time-out of that request; then the roster counts as lost
-    most_sessions: int = 8_192
-    most_watches: int = 8_192  # per session
+    roster_idle_timeout: int = 5 * SECOND  # without a message from the roster: a complete list is requested
+    roster_response_timeout: int = 2 * SECOND  # time-out of that request; then the roster counts as lost
+    max_sessions: int = 8_192
+    max_watches: int = 8_192  # per session
     ramp_time: int = 0  # slow start: time until an instance has its full capacity; 0: at once
     cold_share: float = 1.0  # fraction of its capacity that an instance has when it starts
 
@@ -165,13 +165,15 @@
     silence_timeout: int = (
         600 * MILLISECOND
     )  # a request unanswered for so long: fail over to the next replica
-    stale: int = 1 * SECOND  # age of a holder's data at which another replica is tried
+    stale_age: int = 1 * SECOND  # age of a holder's data at which another replica is tried
     dial_timeout: int = 300 * MILLISECOND
     idle_timeout: int = 120 * SECOND  # a function unused for so long is unwatched
-    extension_pause: int = 500 * MILLISECOND  # minimum interval between two extensions of one prefix
-    rebalance: int = 300 * SECOND  # mean time with another replica before the preferred one is tried again
-    first_pause: int = 50 * MILLISECOND  # upper bound of the first backoff before dialling; it doubles
-    longest_pause: int = 2 * SECOND  # upper bound of the backoff
-    most_functions: int = 16_384  # watched at once; a lookup of a further one fails
-    most_pending: int = 4_096  # lookups without an answer
+    extension_interval: int = 500 * MILLISECOND  # minimum interval between two extensions of one prefix
+    rebalance_interval: int = (
+        300 * SECOND
+    )  # mean time with another replica before the preferred one is tried again
+    initial_backoff: int = 50 * MILLISECOND  # upper bound of the first backoff before dialling; it doubles
+    max_backoff: int = 2 * SECOND  # upper bound of the backoff
+    max_functions: int = 16_384  # watched at once; a lookup of a further one fails
+    max_pending: int = 4_096  # lookups without an answer
     max_retired: int = 4_096  # instances remembered after they left all prefixes, to reject older entries
--- a/lapistrestle/directory/hash_ring.py
+++ b/lapistrestle/directory/hash_ring.py
@@ -16,16 +16,16 @@
 
 from lapistrestle.directory.ring_positions import RingPositions
 
-POINTS_PER_SIZE = 16  # virtual nodes of an instance of size 1
-MOST_POINTS = 4_096  # per instance, whatever its size
-PROBES_PER_PLACE = 8  # probes that may yield duplicates; then the ring is scanned from the last probe on
+POINTS_PER_UNIT_SIZE = 16  # virtual nodes of an instance of size 1
+MAX_POINTS = 4_096  # per instance, whatever its size
+PROBES_PER_INSTANCE = 8  # probes that may yield duplicates; then the ring is scanned from the last probe on
 DIGEST = Struct("<8Q")  # eight 64-bit positions per digest, in the same byte order on every machine
 INSTANCE, FUNCTION = b"instance", b"function"  # BLAKE2b personalisation: separates the two kinds of hashes
 
 
 def points_for(size: float) -> int:
     """The number of points of an instance of this size: at least one."""
-    return max(1, min(MOST_POINTS, round(size * POINTS_PER_SIZE)))
+    return max(1, min(MAX_POINTS, round(size * POINTS_PER_UNIT_SIZE)))
 
 
 def draws(name: str, kind: bytes) -> Iterator[int]:
@@ -41,12 +41,12 @@
 class Place:
     """One element of an order.
 
-    `looked_from`: the positions from which the ring was searched since the previous element. A new point
+    `searched_from`: the positions from which the ring was searched since the previous element. A new point
     changes the order up to here only if it lies between one of them and the point found from there.
     """
 
     name: str
-    looked_from: tuple[int, ...]
+    searched_from: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,31 +92,31 @@
     def arcs(self, name: str) -> Iterator[Arc]:
         """The arcs that an instance took over from its successors on the ring when it was added."""
         for position in islice(draws(name, INSTANCE), self.point_counts.get(name, 0)):
-            yield Arc(self.points.before(position, name), position)
+            yield Arc(self.points.predecessor(position, name), position)
 
     def places(self, function: str) -> Iterator[Place]:
         """A function's order, computed lazily."""
         seen = set[str]()
         probes = draws(function, FUNCTION)
         while len(seen) < len(self.point_counts):
-            place = self.next_place(probes, seen)
+            place = self.next_instance(probes, seen)
             seen.add(place.name)
             yield place
 
-    def next_place(self, probes: Iterator[int], seen: set[str]) -> Place:
+    def next_instance(self, probes: Iterator[int], seen: set[str]) -> Place:
         """The next instance that is not in `seen`. Raises `LookupError` if all are."""
-        looked_from = list[int]()
-        for probe in islice(probes, PROBES_PER_PLACE - 1):
-            looked_from.append(probe)
+        searched_from = list[int]()
+        for probe in islice(probes, PROBES_PER_INSTANCE - 1):
+            searched_from.append(probe)
             name = next(self.points.clockwise(probe))[1]
             if name not in seen:
-                return Place(name, tuple(looked_from))
+                return Place(name, tuple(searched_from))
         last = next(probes)
-        looked_from.append(last)
+        searched_from.append(last)
         for position, name in self.points.clockwise(last):
             if name not in seen:
-                return Place(name, tuple(looked_from))
-            looked_from.append(position)
+                return Place(name, tuple(searched_from))
+            searched_from.append(position)
         raise LookupError("all instances of the ring have been seen")
 
     def prefix(self, function: str, count: int) -> list[str]:
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from lapistrestle.directory.cached_instances import aged
+from lapistrestle.directory.cached_instances import advance_up_for
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest, Shard
 from lapistrestle.directory.effects import RegionSumsChanged, WatcherEffect, WatcherSettings
 from lapistrestle.directory.lookups import Lookups
@@ -31,8 +31,8 @@
 )
 from lapistrestle.wire.messages import RosterEntry
 
-MOST_OUTDATED_SNAPSHOTS = 3  # consecutive ones, before another replica is tried
-OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a watch is requested again from a holder that is behind
+MAX_OUTDATED_SNAPSHOTS = 3  # consecutive ones, before another replica is tried
+OUTDATED_RETRY_DELAY = 100 * MILLISECOND  # before a watch is requested again from a holder that is behind
 
 
 class HolderMessages:
@@ -128,7 +128,7 @@
         self.accept_snapshot(connection, pending, snapshot, now)
         self.store_prefix(pending, snapshot, now)
         self.cache.publish()
-        self.connections.leave_if_stale(connection, snapshot.age, now)
+        self.connections.switch_if_stale(connection, snapshot.age, now)
 
     def is_outdated(self, shard: Shard, revision: Revision, age: int, now: int) -> bool:
         """Whether a snapshot is older than what the shard's holders sent before."""
@@ -143,12 +143,12 @@
     ) -> None:
         """Retry a holder that is behind after a short delay; fail over if it stays behind."""
         connection.outdated_snapshots += 1
-        most = MOST_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
+        most = MAX_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
         if connection.outdated_snapshots >= most:
             reason = f"its data is older: {revision.source} {revision.number}"
             self.connections.fail_over(self.shard_of(connection), reason, now)
             return
-        self.requests.schedule_retry(function, now + OUTDATED_RETRY_PAUSE)
+        self.requests.schedule_retry(function, now + OUTDATED_RETRY_DELAY)
 
     def accept_snapshot(
         self,
@@ -173,10 +173,12 @@
     def store_prefix(self, pending: PendingRequest, snapshot: Snapshot | Unchanged, now: int) -> None:
         """Store the instances and the prefix in the cache."""
         if isinstance(snapshot, Snapshot):
-            entries: list[RosterEntry] = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
+            entries: list[RosterEntry] = [
+                advance_up_for(entry, snapshot.up_for_age) for entry in snapshot.entries
+            ]
             complete = snapshot.complete
         else:
-            entries = [aged(entry, now - pending.sent_at) for entry in pending.entries]
+            entries = [advance_up_for(entry, now - pending.sent_at) for entry in pending.entries]
             complete = pending.complete
         for entry in entries:
             self.cache.instances.apply_entry(entry, snapshot.revision, now)
@@ -227,7 +229,7 @@
 
     def apply_renewal(self, connection: HolderConnection, renewed: Renewed, now: int) -> None:
         """Handle the answer to a renewal; its sequence number shows whether a batch was lost."""
-        connection.renewed(renewed.sent_at, renewed.lease)
+        connection.record_renewal(renewed.sent_at, renewed.lease)
         self.record_source(connection, renewed.revision, now)
         if renewed.sequence != connection.sequence:
             reason = f"batch {renewed.sequence} lost after {connection.sequence}"
@@ -238,7 +240,7 @@
             self.emit(RegionSumsChanged(renewed.sums))
         if connection.has_answered:
             self.cache.revisions.record_seen(renewed.revision.source, now)
-        self.connections.leave_if_stale(connection, renewed.age, now)
+        self.connections.switch_if_stale(connection, renewed.age, now)
 
     def postpone(self, connection: HolderConnection, busy: Busy, now: int) -> None:
         """Schedule a retry at an overloaded holder; fail the lookup if its deadline is earlier."""
@@ -257,9 +259,9 @@
             return
         function = pending.function
         if refused.reason == RefusalReason.TOO_MANY_WATCHES:
-            self.requests.schedule_retry(function, now + self.settings.longest_pause)
+            self.requests.schedule_retry(function, now + self.settings.max_backoff)
             if function.name in self.lookups.pending:
-                self.lookups.fail(function.name, self.settings.longest_pause)
+                self.lookups.fail(function.name, self.settings.max_backoff)
             return
         if refused.reason == RefusalReason.OLD_EPOCH:
             self.record_epoch(refused.epoch)
--- a/lapistrestle/directory/holder_settings.py
+++ b/lapistrestle/directory/holder_settings.py
@@ -3,7 +3,7 @@
 from lapistrestle.deployment.schema import HolderDeployment
 from lapistrestle.directory.effects import HolderSettings
 
-BURSTS_A_SECOND = 4  # the burst is a quarter of a second's snapshots
+BURSTS_PER_SECOND = 4  # the burst is a quarter of a second's snapshots
 
 
 def holder_settings(made: HolderDeployment) -> HolderSettings:
@@ -20,8 +20,8 @@
         session_bytes=directory.bytes_per_second,
         total_bytes=serve.bytes_per_second,
         snapshot_rate=max(1, round(serve.snapshots_per_second)),
-        snapshot_burst=max(1, round(serve.snapshots_per_second / BURSTS_A_SECOND)),
-        most_sessions=serve.connections,
+        snapshot_burst=max(1, round(serve.snapshots_per_second / BURSTS_PER_SECOND)),
+        max_sessions=serve.connections,
         ramp_time=int(workers.ramp),
         cold_share=workers.cold_share,
     )
--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from lapistrestle.directory.digests import undated
+from lapistrestle.directory.digests import without_up_for
 from lapistrestle.directory.hash_ring import InstanceRing
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import LONGEST_UP_FOR, RegionSums
@@ -26,31 +26,31 @@
     """One instance. `entry` has no `up_for`: it is computed from `booted`, on the holder's clock."""
 
     entry: WireInstance
-    booted: int | None
-    urgent_at: int = -(10**15)  # when its last urgent change is sent, at the earliest
-    dated_at: int = -1
-    dated: WireInstance | None = None
+    started_at: int | None
+    last_urgent_due: int = -(10**15)  # when its last urgent change is sent, at the earliest
+    sent_entry_at: int = -1
+    sent_entry: WireInstance | None = None
 
     def entry_at(self, now: int) -> WireInstance:
         """The entry as sent now, with `up_for`."""
-        if self.booted is None:
+        if self.started_at is None:
             return self.entry
-        if self.dated is None or self.dated_at != now:
+        if self.sent_entry is None or self.sent_entry_at != now:
             e = self.entry
-            up_for = min(LONGEST_UP_FOR, max(0, now - self.booted) / MILLISECOND)
-            self.dated = WireInstance(
+            up_for = min(LONGEST_UP_FOR, max(0, now - self.started_at) / MILLISECOND)
+            self.sent_entry = WireInstance(
                 e.name, e.port, e.zone, e.cell, e.kind, e.size, e.listing, e.start, up_for
             )  # fmt: skip
-            self.dated_at = now
-        return self.dated
+            self.sent_entry_at = now
+        return self.sent_entry
 
 
 @dataclass(slots=True)
 class Changes:
     """Names of the instances that a list or a change affected, by kind."""
 
-    entered: list[str] = field(default_factory=list)  # new, or of another size: points on the ring changed
-    left: list[str] = field(default_factory=list)
+    added: list[str] = field(default_factory=list)  # new, or of another size: points on the ring changed
+    removed: list[str] = field(default_factory=list)
     urgent: list[str] = field(default_factory=list)  # drain, restarted, or have another address
     other: list[str] = field(default_factory=list)
 
@@ -75,8 +75,8 @@
             return
         self.serving += sign
         self.size += sign * instance.entry.size
-        if instance.booted is not None and self.ramp_time:
-            second = instance.booted // SECOND
+        if instance.started_at is not None and self.ramp_time:
+            second = instance.started_at // SECOND
             self.by_second[second] = self.by_second.get(second, 0.0) + sign * instance.entry.size
 
     def warm(self, now: int) -> float:
@@ -114,35 +114,35 @@
         named = set[str]()
         for entry in entries:
             named.add(entry.name)
-            self.take(entry, now, changes)
+            self.apply_entry(entry, now, changes)
         if complete:
             for name in [name for name in self.known if name not in named]:
-                self.drop(name, changes)
+                self.remove(name, changes)
         return changes
 
-    def take(self, entry: RosterEntry, now: int, changes: Changes) -> None:
+    def apply_entry(self, entry: RosterEntry, now: int, changes: Changes) -> None:
         """Apply one entry, and record the result in `changes`."""
         known = self.known.get(entry.name)
         if entry.listing == "gone":
             if known is not None:
-                self.drop(entry.name, changes)
+                self.remove(entry.name, changes)
             return
         change_kind = self.change_kind(known, entry)
         if change_kind is ChangeKind.SAME:
             return
         sized = known is None or known.entry.size != entry.size
         if known is None:
-            known = self.known[entry.name] = RegionInstance(undated(entry), booted_at(entry, now))
+            known = self.known[entry.name] = RegionInstance(without_up_for(entry), start_time(entry, now))
         else:
             self.capacity.count(known, -1)
-            if entry.start != known.entry.start or known.booted is None:
-                known.booted = booted_at(entry, now)
-            known.entry = undated(entry)
-            known.dated = None
+            if entry.start != known.entry.start or known.started_at is None:
+                known.started_at = start_time(entry, now)
+            known.entry = without_up_for(entry)
+            known.sent_entry = None
         self.capacity.count(known, +1)
         if sized:
             self.ring.insert(entry.name, entry.size)
-            changes.entered.append(entry.name)
+            changes.added.append(entry.name)
         if change_kind is not ChangeKind.NEW:
             (changes.urgent if change_kind is ChangeKind.URGENT else changes.other).append(entry.name)
 
@@ -158,13 +158,13 @@
         same = (entry.size, entry.cell, entry.kind) == (old.size, old.cell, old.kind)
         return ChangeKind.SAME if same else ChangeKind.CHANGED
 
-    def drop(self, name: str, changes: Changes) -> None:
+    def remove(self, name: str, changes: Changes) -> None:
         """Remove an instance that is gone."""
         self.capacity.count(self.known.pop(name), -1)
         self.ring.remove(name)
-        changes.left.append(name)
+        changes.removed.append(name)
 
 
-def booted_at(entry: RosterEntry, now: int) -> int | None:
+def start_time(entry: RosterEntry, now: int) -> int | None:
     """When the instance started, on the clock of `now`; `None` if unknown."""
     return None if entry.up_for is None else now - int(entry.up_for * MILLISECOND)
--- a/lapistrestle/directory/leases.py
+++ b/lapistrestle/directory/leases.py
@@ -25,7 +25,7 @@
         connection.renew_at = now + self.settings.heartbeat
         self.emit(Send(connection.number, Renew(now)))
 
-    def loss(self, connection: HolderConnection, now: int) -> str:
+    def loss_reason(self, connection: HolderConnection, now: int) -> str:
         """Why the connection counts as lost: the lease expired, or no answer came. Empty: it does not."""
         if now >= connection.lease_until:
             return "the lease expired"
--- a/lapistrestle/directory/lookups.py
+++ b/lapistrestle/directory/lookups.py
@@ -20,9 +20,9 @@
         self.emit = emit
         self.pending = dict[str, CachedFunction]()  # by name
 
-    def begin(self, function: CachedFunction, now: int) -> None:
+    def start(self, function: CachedFunction, now: int) -> None:
         """Start a lookup of this function; fails at once if too many are pending."""
-        if len(self.pending) >= self.settings.most_pending:
+        if len(self.pending) >= self.settings.max_pending:
             self.fail(function.name, self.settings.lookup_timeout)
             return
         function.deadline = now + self.settings.lookup_timeout
@@ -34,7 +34,7 @@
         if function is not None:
             function.deadline = NEVER
         spread = self.jitter.below(self.settings.lookup_timeout)
-        self.emit(LookupFailed(name, max(self.settings.first_pause, retry_after) + spread))
+        self.emit(LookupFailed(name, max(self.settings.initial_backoff, retry_after) + spread))
 
     def fail_pending(self, names: Container[str], retry_after: int) -> None:
         """Fail the pending lookups of these functions."""
--- a/lapistrestle/directory/rate_limits.py
+++ b/lapistrestle/directory/rate_limits.py
@@ -5,7 +5,7 @@
 from lapistrestle.directory.jitter import Jitter
 from lapistrestle.ticks import SECOND
 
-RESERVED = 0.5  # fraction of the burst that is reserved for lookups that calls wait for
+RESERVED_FRACTION = 0.5  # fraction of the burst that is reserved for lookups that calls wait for
 
 
 @dataclass(slots=True)
@@ -48,11 +48,11 @@
 
     def __init__(self, rate: float, burst: float, longest: int, now: int, jitter: Jitter) -> None:
         self.bucket = TokenBucket.full(rate, burst, now)
-        self.longest = longest
+        self.max_retry_after = longest
         self.jitter = jitter
-        self.reserve = max(0.0, min(burst * RESERVED, burst - 1))
+        self.reserve = max(0.0, min(burst * RESERVED_FRACTION, burst - 1))
         # the latest retry time given out, by `waiting`
-        self.promised = {True: float(now), False: float(now)}
+        self.last_retry_times = {True: float(now), False: float(now)}
         self.rejected = 0
 
     def retry_after(self, now: int, cost: float = 1.0, waiting: bool = True, in_debt: bool = False) -> int:
@@ -64,10 +64,10 @@
             self.bucket.take(cost, now)
             return 0
         self.rejected += 1
-        promised = max(self.promised[waiting], now) + cost * SECOND / self.bucket.rate
+        promised = max(self.last_retry_times[waiting], now) + cost * SECOND / self.bucket.rate
         wait = int(promised) - now
-        if wait > self.longest:  # the queue is full: spread evenly over the later half of the time
-            promised = float(now + self.longest)
-            wait = self.longest // 2 + self.jitter.below(self.longest // 2)
-        self.promised[waiting] = promised
+        if wait > self.max_retry_after:  # the queue is full: spread evenly over the later half of the time
+            promised = float(now + self.max_retry_after)
+            wait = self.max_retry_after // 2 + self.jitter.below(self.max_retry_after // 2)
+        self.last_retry_times[waiting] = promised
         return max(1, wait)
--- a/lapistrestle/directory/revisions.py
+++ b/lapistrestle/directory/revisions.py
@@ -5,8 +5,8 @@
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 
-MOST_SOURCES = 64  # the latest ones; older ones are forgotten
-REVERSAL = 15 * SECOND  # longer than a holder takes to detect that its roster is gone
+MAX_SOURCES = 64  # the latest ones; older ones are forgotten
+SOURCE_REVERSAL_TIMEOUT = 15 * SECOND  # longer than a holder takes to detect that its roster is gone
 
 
 class Revisions:
@@ -15,8 +15,8 @@
     Revisions of one source are ordered by their number. A source that is new to this watcher counts as newer
     than all others: the roster was restarted. The order may have been learned wrongly from a holder that was
     behind; it is corrected when a holder reports which sources it saw superseded or changes from one source
-    to another (holders never go back), or when no holder has reported the current source for `REVERSAL`, so
-    that a holder connected to its roster must be right.
+    to another (holders never go back), or when no holder has reported the current source for
+    `SOURCE_REVERSAL_TIMEOUT`, so that a holder connected to its roster must be right.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         """Insert a source not seen before at this position of the order."""
         self.order.insert(at, source)
         self.last_heard_at[source] = now
-        while len(self.order) > MOST_SOURCES:
+        while len(self.order) > MAX_SOURCES:
             del self.last_heard_at[self.order.pop(0)]
 
     def record_superseded(self, sources: Sequence[str], by: str, now: int) -> None:
@@ -73,9 +73,9 @@
         if not self.order or source == self.order[-1]:
             return True
         if source not in self.last_heard_at:
-            return not age or now - self.last_heard_at[self.order[-1]] >= REVERSAL
+            return not age or now - self.last_heard_at[self.order[-1]] >= SOURCE_REVERSAL_TIMEOUT
         later = self.order[self.rank(source) + 1 :]
-        if age or any(now - self.last_heard_at[other] < REVERSAL for other in later):
+        if age or any(now - self.last_heard_at[other] < SOURCE_REVERSAL_TIMEOUT for other in later):
             return False
         self.order.remove(source)
         self.order.append(source)
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -143,9 +143,9 @@
         if self.state is not FreshnessState.FRESH:
             return
         if self.open_requests:
-            if now - self.requested_at >= self.settings.roster_patience:
+            if now - self.requested_at >= self.settings.roster_response_timeout:
                 self.transition(FreshnessEvent.ROSTER_LOST, now, self.last_heard_at)
-        elif now - self.last_heard_at >= self.settings.roster_silence:
+        elif now - self.last_heard_at >= self.settings.roster_idle_timeout:
             self.request_snapshot(now)
 
     def next_due(self) -> int:
@@ -156,5 +156,5 @@
         if self.state is not FreshnessState.FRESH:
             return due
         if self.open_requests:
-            return min(due, self.requested_at + self.settings.roster_patience)
-        return min(due, self.last_heard_at + self.settings.roster_silence)
+            return min(due, self.requested_at + self.settings.roster_response_timeout)
+        return min(due, self.last_heard_at + self.settings.roster_idle_timeout)
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -14,8 +14,8 @@
 from lapistrestle.wire.json_lines import LineLimits
 from lapistrestle.wire.messages import Hello, RosterEntry, RosterSnapshot, RosterUpdate
 
-DIAL_TIME_OUT = 2_500  # ticks for the connection to the roster and its greeting
-LONGEST_LINE = 134_217_728  # bytes; a complete list of 380,000 instances takes 50 MB
+CONNECT_TIMEOUT = 2_500  # ticks for the connection to the roster and its greeting
+MAX_LINE_BYTES = 134_217_728  # bytes; a complete list of 380,000 instances takes 50 MB
 
 
 class RosterInstances(NumberedList):
@@ -61,11 +61,11 @@
         self.name = name
         self.holder = holder
         self.clock = clock
-        self.act = act
+        self.perform_effects = act
         self.passed_over = passed_over
         self.list = RosterInstances(log)
-        self.bounds = LineLimits(max_line_bytes=LONGEST_LINE)
-        self.connect_timeout = DIAL_TIME_OUT
+        self.bounds = LineLimits(max_line_bytes=MAX_LINE_BYTES)
+        self.connect_timeout = CONNECT_TIMEOUT
         self.endpoints_polled = False
         self.source = HolderRosterSource(self, port)
         self.stopped = False
@@ -94,26 +94,26 @@
 
     def list_received(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
         """Handle a list or change. Returns what is to be done with it."""
-        do = self.list.accept(message)
+        action = self.list.accept(message)
         complete = isinstance(message, RosterSnapshot)
         now = self.clock()
-        if do is ListAction.APPLY:
+        if action is ListAction.APPLY:
             self.list.record(message.workers, complete)
             revision = Revision(message.epoch, message.number)
             self.holder.instances_changed(message.workers, complete, revision, now)
         elif (
-            do is ListAction.REQUEST_SNAPSHOT and not complete
+            action is ListAction.REQUEST_SNAPSHOT and not complete
         ):  # a complete one answers a request: as many stay open
             self.holder.snapshot_requested(now)
-        elif do is ListAction.IGNORE and complete:
+        elif action is ListAction.IGNORE and complete:
             self.holder.snapshot_discarded(now)
-        self.act()
-        return do
+        self.perform_effects()
+        return action
 
-    def list_followed(self) -> None:
+    def list_requested(self) -> None:
         """The connection is established, and the complete list was requested."""
         self.holder.snapshot_requested(self.clock())
-        self.act()
+        self.perform_effects()
 
     def list_event(self, news: ListEvent) -> None:
         """Handle a lost connection, or a roster that can't answer."""
@@ -121,7 +121,7 @@
             return
         if self.list.handle_event(news) is ListAction.REPORT_FAILURE:
             self.holder.roster_lost(self.clock())
-            self.act()
+            self.perform_effects()
 
 
 class HolderRosterConnection(RosterConnection):
@@ -132,7 +132,7 @@
     def greeting_received(self, hello: Hello) -> None:
         """The roster has greeted."""
         super().greeting_received(hello)
-        self.source.owner.list_followed()
+        self.source.owner.list_requested()
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Reconnect: the line may have answered a request, and only a new connection has none open."""
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -18,9 +18,9 @@
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import InspectResponse, WatcherMessage
 
-CLOSING_TIME = 1.0  # seconds for unsent data to be sent at shutdown
-MOST_LOGGED = 100  # undecodable lines that are logged; further ones are only counted
-LONGEST_LOGGED = 200  # characters of the reason
+SHUTDOWN_GRACE_SECONDS = 1.0  # seconds for unsent data to be sent at shutdown
+MAX_LOGGED_LINES = 100  # undecodable lines that are logged; further ones are only counted
+MAX_LOGGED_REASON = 200  # characters of the reason
 CLOCK_ROUNDING = 0.001  # ticks; a time that floating point yields just below a tick counts as that tick
 
 
@@ -34,18 +34,18 @@
         self.settings = settings
         self.name = serve.name
         self.log = log
-        self.decided = holder_settings(settings)
+        self.holder_settings = holder_settings(settings)
         self.holder = ShardHolder(
-            self.decided, seed, self.clock(), lambda text: log("directory", figures=text)
+            self.holder_settings, seed, self.clock(), lambda text: log("directory", figures=text)
         )
         self.counts = HolderCounts()
         self.roster = RosterSubscription(
-            reactor, serve.name, settings.roster.port, self.holder, self.clock, self.act, self.passed_over,
-            lambda text: log("roster", figures=text),
+            reactor, serve.name, settings.roster.port, self.holder, self.clock, self.perform_effects,
+            self.passed_over, lambda text: log("roster", figures=text),
         )  # fmt: skip
         self.sessions = WatcherSessions(self, serve.name, serve.unsent, self.counts, log)
-        self.next_turn: Any = None
-        self.turn_at = 0
+        self.timer: Any = None
+        self.timer_due = 0
         self.listening: Any = None
         self.stopped: Callable[[], None] | None = None
         self.stopping = False
@@ -59,34 +59,34 @@
         factory, port = WatcherFactory(self.sessions), self.settings.serve.port
         self.listening = self.reactor.listenTCP(port, factory, backlog=1024, interface="127.0.0.1")
         made: int = self.listening.getHost().port
-        shards = sorted(self.decided.shards)
-        self.log("listening", port=made, holder=self.name, epoch=self.decided.epoch, shards=shards)
+        shards = sorted(self.holder_settings.shards)
+        self.log("listening", port=made, holder=self.name, epoch=self.holder_settings.epoch, shards=shards)
         self.roster.start()
-        self.schedule_turn()
+        self.schedule_timer()
         return made
 
     def passed_over(self, name: str, why: str) -> None:
         """Count and log a line of a peer that could not be decoded."""
         self.counts.unreadable_lines += 1
-        if self.counts.unreadable_lines <= MOST_LOGGED:
-            self.log("passed over", peer=name, why=why[:LONGEST_LOGGED])
+        if self.counts.unreadable_lines <= MAX_LOGGED_LINES:
+            self.log("passed over", peer=name, why=why[:MAX_LOGGED_REASON])
 
     # SessionListener
 
     def session_opened(self, session: int) -> None:
         """A watcher has connected and greeted."""
         self.holder.session_opened(session, self.clock())
-        self.act()
+        self.perform_effects()
 
     def session_message(self, session: int, message: WatcherMessage) -> None:
         """A watcher has sent a message."""
         self.holder.message_received(session, message, self.clock())
-        self.act()
+        self.perform_effects()
 
     def session_closed(self, session: int) -> None:
         """A watcher's connection is over."""
         self.holder.session_closed(session, self.clock())
-        self.act()
+        self.perform_effects()
 
     def connection_ended(self) -> None:
         """A connection has ended; at shutdown, stop after the last one."""
@@ -95,13 +95,13 @@
 
     # effects and timer
 
-    def act(self) -> None:
+    def perform_effects(self) -> None:
         """Perform the holder's effects, and schedule its next tick."""
         for effect in self.holder.take_effects():
-            self.carry_out(effect)
-        self.schedule_turn()
+            self.perform(effect)
+        self.schedule_timer()
 
-    def carry_out(self, effect: HolderEffect) -> None:
+    def perform(self, effect: HolderEffect) -> None:
         """Perform one effect."""
         match effect:
             case SendTo():
@@ -111,22 +111,22 @@
             case RequestRosterSnapshot():
                 self.roster.request_snapshot()
 
-    def schedule_turn(self) -> None:
+    def schedule_timer(self) -> None:
         """Schedule the timer for the holder's next deadline."""
         due = self.holder.next_due()
-        if self.stopping or (self.next_turn is not None and self.turn_at <= due):
+        if self.stopping or (self.timer is not None and self.timer_due <= due):
             return
-        if self.next_turn is not None:
-            self.next_turn.cancel()
-        self.turn_at = due
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer_due = due
         delay = max(0.0, due / SECOND - self.reactor.seconds())
-        self.next_turn = self.reactor.callLater(delay, self.turn)
+        self.timer = self.reactor.callLater(delay, self.on_timer)
 
-    def turn(self) -> None:
+    def on_timer(self) -> None:
         """Handle the timer: let the holder do what is due."""
-        self.next_turn = None
+        self.timer = None
         self.holder.tick(self.clock())
-        self.act()
+        self.perform_effects()
 
     # operators
 
@@ -175,7 +175,7 @@
         self.listening.stopListening()
         self.roster.stop()
         self.sessions.close_all("the holder stops")
-        self.reactor.callLater(CLOSING_TIME, self.finish)
+        self.reactor.callLater(SHUTDOWN_GRACE_SECONDS, self.finish)
         self.finish_if_idle()
 
     def finish_if_idle(self) -> None:
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -30,7 +30,7 @@
     byte_limit: TokenBucket
     sequence: int = 0  # number of the last snapshot or batch
     watches: dict[int, str] = field(default_factory=dict)  # function by watch id
-    ids: dict[str, int] = field(default_factory=dict)  # watch id by function
+    watch_ids: dict[str, int] = field(default_factory=dict)  # watch id by function
     changed_instances: dict[str, bool] = field(default_factory=dict)  # to be sent; whether urgently
     changed_functions: dict[str, None] = field(default_factory=dict)  # functions whose prefix is to be sent
     due: int = NEVER  # when the next batch is sent
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self.all = OrderedDict[int, Session]()
-        self.dues = list[tuple[int, int]]()  # a heap of (time, session), stale unless the session's `due`
+        self.due_heap = list[tuple[int, int]]()  # a heap of (time, session), stale unless the session's `due`
 
     def open(self, number: int, lease_until: int, bytes_per_second: int, now: int) -> Session:
         """Open a session, whose lease ends at `lease_until` unless renewed."""
@@ -74,17 +74,17 @@
             found.append(session)
         return found
 
-    def due_by(self, session: Session, at: int) -> None:
+    def schedule_batch(self, session: Session, at: int) -> None:
         """Schedule this session's next batch for `at`, unless it is due earlier."""
         if at < session.due:
             session.due = at
-            heappush(self.dues, (at, session.number))
+            heappush(self.due_heap, (at, session.number))
 
     def take_due(self, now: int) -> list[Session]:
         """Return the sessions whose batch is due, and clear their due times."""
         due = list[Session]()
-        while self.dues and self.dues[0][0] <= now:
-            at, number = heappop(self.dues)
+        while self.due_heap and self.due_heap[0][0] <= now:
+            at, number = heappop(self.due_heap)
             session = self.all.get(number)
             if session is not None and session.due == at:
                 session.due = NEVER
@@ -93,12 +93,12 @@
 
     def next_due(self) -> int:
         """When the next batch is due; `NEVER` if none is scheduled."""
-        while self.dues:
-            at, number = self.dues[0]
+        while self.due_heap:
+            at, number = self.due_heap[0]
             session = self.all.get(number)
             if session is not None and session.due == at:
                 return at
-            heappop(self.dues)
+            heappop(self.due_heap)
         return NEVER
 
     def next_expiry(self) -> int:
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -10,8 +10,8 @@
 from lapistrestle.ticks import MILLISECOND, NEVER, SECOND
 
 AVOIDANCE_TIME = 10 * SECOND  # for which a replica found stale or unreachable is not switched to
-MOST_DOUBLINGS = 2  # of the delay between two changes of replica for freshness, when all are stale
-MOST_DIAL_DOUBLINGS = 16  # of the dial backoff; `longest_pause` bounds it long before
+MAX_MOVE_DOUBLINGS = 2  # of the delay between two changes of replica for freshness, when all are stale
+MAX_DIAL_DOUBLINGS = 16  # of the dial backoff; `max_backoff` bounds it long before
 
 
 class ShardConnections:
@@ -50,7 +50,7 @@
         """Add a function to its shard, which is created for its first function."""
         shard = self.shards.get(function.shard)
         if shard is None:
-            copies = self.assignment.copies_for(function.shard, self.name, self.zone)
+            copies = self.assignment.replicas_for(function.shard, self.name, self.zone)
             shard = self.shards[function.shard] = Shard(function.shard, copies)
         shard.functions[function.name] = function
         return shard
@@ -62,7 +62,7 @@
     def release_if_unused(self, shard: Shard) -> None:
         """Close the connection of a shard that has no functions."""
         if not shard.functions:
-            self.hang_up(shard)
+            self.disconnect(shard)
             shard.dial_at = NEVER
 
     def replace_assignment(
@@ -70,7 +70,7 @@
     ) -> None:
         """Close all connections, redistribute the functions over the new shards, and dial their replicas."""
         for shard in self.shards.values():
-            self.hang_up(shard)
+            self.disconnect(shard)
         self.assignment = assignment
         self.shards = {}
         for function in functions:
@@ -89,14 +89,14 @@
         if shard.connection is not None or shard.dial_at > now or not shard.functions:
             return
         self.last_connection += 1
-        copy = shard.copies[shard.at]
+        copy = shard.replicas[shard.replica_index]
         connection = HolderConnection(self.last_connection, shard.number, copy, now)
         shard.connection = connection
         shard.dial_at = NEVER
         self.connections[connection.number] = connection
         self.emit(Dial(connection.number, shard.number, copy))
 
-    def hang_up(self, shard: Shard) -> None:
+    def disconnect(self, shard: Shard) -> None:
         """Close the shard's connection; cached prefixes stay."""
         connection = shard.connection
         shard.connection = None
@@ -116,12 +116,12 @@
             return None
         connection.is_ready = True
         connection.silence_counted_from = now
-        if self.shards[connection.shard].at:
-            rebalance = self.settings.rebalance
+        if self.shards[connection.shard].replica_index:
+            rebalance = self.settings.rebalance_interval
             connection.rebalance_at = now + rebalance // 2 + self.jitter.below(rebalance)
         return connection
 
-    def excuse_silence(self, now: int) -> None:
+    def ignore_earlier_silence(self, now: int) -> None:
         """Ignore silence before now, after the dispatcher itself was stalled."""
         for connection in self.connections.values():
             connection.silence_counted_from = now
@@ -138,25 +138,25 @@
     def fail_over(self, shard: Shard, reason: str, now: int) -> None:
         """Switch to the next replica after a failure, with exponential backoff and jitter."""
         connection = shard.connection
-        self.hang_up(shard)
+        self.disconnect(shard)
         shard.failures += 1
-        doublings = min(MOST_DIAL_DOUBLINGS, shard.failures - 1)
-        pause = min(self.settings.longest_pause, self.settings.first_pause << doublings)
+        doublings = min(MAX_DIAL_DOUBLINGS, shard.failures - 1)
+        pause = min(self.settings.max_backoff, self.settings.initial_backoff << doublings)
         shard.dial_at = now + pause // 2 + self.jitter.below(pause // 2 + 1)
         if connection is not None:
-            shard.avoided[connection.copy] = now
+            shard.avoided[connection.replica] = now
             known = sum(function.has_prefix for function in shard.functions.values())
             figures = f"{known} of {len(shard.functions)} functions cached, {shard.failures} failures"
-            self.log(f"shard {shard.number}: leaving {address_of(connection.copy)}: {reason}; {figures}")
+            self.log(f"shard {shard.number}: leaving {address_of(connection.replica)}: {reason}; {figures}")
         shard.select_next_copy()
         if shard.unreachable:
             self.lookups.fail_pending(shard.functions, shard.dial_at - now)
 
-    def change_over(self, shard: Shard, to: int, reason: str, now: int) -> None:
+    def switch_replica(self, shard: Shard, to: int, reason: str, now: int) -> None:
         """Switch to the replica with index `to`, which may be better, though the current one answers."""
-        self.log(f"shard {shard.number}: switching from replica {shard.at} to {to}: {reason}")
-        self.hang_up(shard)
-        shard.at = to
+        self.log(f"shard {shard.number}: switching from replica {shard.replica_index} to {to}: {reason}")
+        self.disconnect(shard)
+        shard.replica_index = to
         shard.dial_at = now
         self.dial_if_due(shard, now)
 
@@ -165,14 +165,14 @@
         if now < connection.rebalance_at:
             return False
         connection.rebalance_at = NEVER
-        if self.is_avoided(shard, shard.copies[0], now):
+        if self.is_avoided(shard, shard.replicas[0], now):
             return False
-        self.change_over(shard, 0, "trying the preferred replica again", now)
+        self.switch_replica(shard, 0, "trying the preferred replica again", now)
         return True
 
     # freshness
 
-    def leave_if_stale(self, connection: HolderConnection, age: int, now: int) -> None:
+    def switch_if_stale(self, connection: HolderConnection, age: int, now: int) -> None:
         """Switch to another replica if the holder's data is stale.
 
         Replicas that were recently found stale or unreachable are skipped. `age`: ticks since the holder's
@@ -181,34 +181,34 @@
         shard = self.shards[connection.shard]
         if not age:
             shard.freshness_moves = 0
-            shard.next_move_at = 0
-        if age < self.settings.stale:
+            shard.next_freshness_move_at = 0
+        if age < self.settings.stale_age:
             return
-        shard.avoided[connection.copy] = now
-        if now < shard.next_move_at:
+        shard.avoided[connection.replica] = now
+        if now < shard.next_freshness_move_at:
             return
-        for step in range(1, len(shard.copies)):
-            at = (shard.at + step) % len(shard.copies)
-            if not self.is_avoided(shard, shard.copies[at], now):
-                self.limit_moves(shard, now)
-                self.change_over(shard, at, f"data {age / MILLISECOND:.0f} ms old", now)
+        for step in range(1, len(shard.replicas)):
+            at = (shard.replica_index + step) % len(shard.replicas)
+            if not self.is_avoided(shard, shard.replicas[at], now):
+                self.count_freshness_move(shard, now)
+                self.switch_replica(shard, at, f"data {age / MILLISECOND:.0f} ms old", now)
                 return
 
     def is_avoided(self, shard: Shard, copy: ShardReplica, now: int) -> bool:
         """Whether a replica was recently found stale or unreachable."""
         return now - shard.avoided.get(copy, -NEVER) < AVOIDANCE_TIME
 
-    def limit_moves(self, shard: Shard, now: int) -> None:
+    def count_freshness_move(self, shard: Shard, now: int) -> None:
         """Count a change of replica. After all were tried in vain, the delay before the next one doubles."""
         shard.freshness_moves += 1
-        rounds = shard.freshness_moves - len(shard.copies) + 1
+        rounds = shard.freshness_moves - len(shard.replicas) + 1
         if rounds < 0:
             return
-        pause = AVOIDANCE_TIME << min(rounds, MOST_DOUBLINGS)
-        shard.next_move_at = now + pause + self.jitter.below(pause)
+        pause = AVOIDANCE_TIME << min(rounds, MAX_MOVE_DOUBLINGS)
+        shard.next_freshness_move_at = now + pause + self.jitter.below(pause)
         if not rounds:
-            text = f"trying the last of {len(shard.copies)} replicas for fresher data, then no more for"
-            self.log(f"shard {shard.number}: {text} {(shard.next_move_at - now) / SECOND:.0f} s")
+            text = f"trying the last of {len(shard.replicas)} replicas for fresher data, then no more for"
+            self.log(f"shard {shard.number}: {text} {(shard.next_freshness_move_at - now) / SECOND:.0f} s")
 
     # for operators
 
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -48,10 +48,10 @@
 )
 from lapistrestle.wire.messages import Message, RosterEntry
 
-BURST = 2.0  # burst of all sessions together, in seconds of the byte rate
-LONGEST_DEBT = SECOND  # wait for the byte limit above which even lookups that calls wait for are postponed
+BURST_SECONDS = 2.0  # burst of all sessions together, in seconds of the byte rate
+MAX_BYTE_DEBT = SECOND  # wait for the byte limit above which even lookups that calls wait for are postponed
 UNCHANGED_COST = 0.6  # in snapshots: it takes 12 us of processor time, a snapshot 20
-MOST_INSPECTED = 64  # instances listed in an answer to an operator
+MAX_INSPECTED_INSTANCES = 64  # instances listed in an answer to an operator
 
 
 class ShardHolder:
@@ -73,9 +73,9 @@
         )
         self.revision = Revision()
         self.superseded = list[str]()  # earlier sources, oldest first
-        rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.longest_retry
+        rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.max_retry_after
         self.snapshot_limit = SnapshotRateLimit(rate, burst, longest, now, Jitter(seed))
-        self.byte_limit = TokenBucket.full(settings.total_bytes, settings.total_bytes * BURST, now)
+        self.byte_limit = TokenBucket.full(settings.total_bytes, settings.total_bytes * BURST_SECONDS, now)
 
     def take_effects(self) -> list[HolderEffect]:
         """Return the effects since the last call, in order."""
@@ -95,15 +95,15 @@
         listed = list(entries)
         self.freshness.record_call(now, len(listed))
         if revision.source == self.revision.source and revision.number < self.revision.number:
-            self.start_over(revision)
+            self.close_all_sessions(revision)
         if self.revision.source not in ("", revision.source):
             self.superseded = [*self.superseded, self.revision.source][-MOST_SUPERSEDED:]
         self.revision = revision
         changes = self.instances.apply(listed, complete, now)
         self.queue_changes(changes, now)
-        self.freshness.list_applied(complete, len(listed), len(changes.entered), now)
+        self.freshness.list_applied(complete, len(listed), len(changes.added), now)
 
-    def start_over(self, revision: Revision) -> None:
+    def close_all_sessions(self, revision: Revision) -> None:
         """Close all sessions: the roster's number went back within its epoch, which no watcher may see."""
         self.log(
             f"roster back from {self.revision.number} to {revision.number}: {len(self.sessions.all)} closed"
@@ -138,12 +138,12 @@
         for function, watch in self.watched.recompute_changed(self.watched.affected_functions(changes)):
             session = self.sessions.all[watch.session]
             session.changed_functions[function.name] = None
-            self.sessions.due_by(session, now + self.settings.batch_delay)
-        for name in changes.left:
+            self.sessions.schedule_batch(session, now + self.settings.batch_delay)
+        for name in changes.removed:
             self.notify_of(name, now + self.settings.urgent_delay, True)
         for name in changes.urgent:
             self.notify_of(name, self.urgent_due(name, now), True)
-        for name in (*changes.other, *changes.entered):
+        for name in (*changes.other, *changes.added):
             self.notify_of(name, now + self.settings.batch_delay, False)
 
     def urgent_due(self, name: str, now: int) -> int:
@@ -151,8 +151,8 @@
         instance = self.instances.known.get(name)
         if instance is None:
             return now + self.settings.urgent_delay
-        due = max(now + self.settings.urgent_delay, instance.urgent_at + self.settings.batch_delay)
-        instance.urgent_at = due
+        due = max(now + self.settings.urgent_delay, instance.last_urgent_due + self.settings.batch_delay)
+        instance.last_urgent_due = due
         return due
 
     def notify_of(self, name: str, due: int, urgent: bool) -> None:
@@ -160,17 +160,15 @@
         for watch in self.watched.watches_sent(name):
             session = self.sessions.all[watch.session]
             session.changed_instances[name] = urgent or session.changed_instances.get(name, False)
-            self.sessions.due_by(session, due)
+            self.sessions.schedule_batch(session, due)
 
     # watchers
 
     def session_opened(self, session: int, now: int) -> None:
         """A watcher has connected and greeted. Session numbers must be unique."""
         self.freshness.record_call(now)
-        if len(self.sessions.all) >= self.settings.most_sessions:
-            self.effects.append(
-                CloseSession(session, f"{self.settings.most_sessions} watchers are connected")
-            )
+        if len(self.sessions.all) >= self.settings.max_sessions:
+            self.effects.append(CloseSession(session, f"{self.settings.max_sessions} watchers are connected"))
             return
         self.sessions.open(session, now + self.settings.lease, self.settings.session_bytes, now)
 
@@ -179,17 +177,17 @@
         self.freshness.record_call(now)
         known = self.sessions.all.get(session)
         if known is not None:
-            self.forget(known)
+            self.remove_session(known)
 
-    def forget(self, session: Session) -> None:
+    def remove_session(self, session: Session) -> None:
         """Remove a session and its watches."""
         del self.sessions.all[session.number]
-        for function in session.ids:
+        for function in session.watch_ids:
             self.watched.unwatch(function, session.number)
 
     def close(self, session: Session, reason: str) -> None:
         """Remove a session, and have its connection closed."""
-        self.forget(session)
+        self.remove_session(session)
         self.effects.append(CloseSession(session.number, reason))
 
     def message_received(self, session: int, message: WatcherMessage, now: int) -> None:
@@ -217,17 +215,19 @@
         """Answer a watch: with a snapshot, `Unchanged`, a retry time, or a refusal."""
         if request.id in session.watches:
             return  # answered already
-        refused = self.refusal_of(session, request)
+        refused = self.refusal_for(session, request)
         if refused is not None:
             self.send(session, refused)
             return
         cost = UNCHANGED_COST if request.digest else 1.0
-        wait = self.snapshot_limit.retry_after(now, cost, not request.has_prefix, self.in_debt(request, now))
+        wait = self.snapshot_limit.retry_after(
+            now, cost, not request.has_prefix, self.exceeds_byte_limit(request, now)
+        )
         if wait:
             self.send(session, Busy(request.id, wait))
             return
-        self.unwatch(session, session.ids.get(request.function, -1), replaced=True)
-        session.ids[request.function] = request.id
+        self.unwatch(session, session.watch_ids.get(request.function, -1), replaced=True)
+        session.watch_ids[request.function] = request.id
         session.watches[request.id] = request.function
         watch = SessionWatch(session.number, request.id, request.shard, request.epoch, request.count)
         self.watched.watch(request.function, watch)
@@ -235,9 +235,9 @@
         self.sessions.renew(session, now + self.settings.lease)
         self.answer(session, request, now)
 
-    def in_debt(self, request: Watch, now: int) -> bool:
+    def exceeds_byte_limit(self, request: Watch, now: int) -> bool:
         """Whether this snapshot has to wait because of the byte limit."""
-        allowed = LONGEST_DEBT if not request.has_prefix else 0
+        allowed = MAX_BYTE_DEBT if not request.has_prefix else 0
         return not request.digest and self.byte_limit.wait(now) > allowed
 
     def answer(self, session: Session, request: Watch, now: int) -> None:
@@ -260,7 +260,7 @@
         self.byte_limit.take(LINE_BYTES + answer.size, now)
         self.send(session, snapshot)
 
-    def refusal_of(self, session: Session, request: Watch) -> Refused | None:
+    def refusal_for(self, session: Session, request: Watch) -> Refused | None:
         """The refusal of a watch; `None` if it can be served."""
         settings = self.settings
         if request.epoch > settings.epoch:
@@ -272,7 +272,7 @@
             return Refused(request.id, RefusalReason.WRONG_SHARD, settings.epoch)
         if not self.freshness.may_answer:
             return Refused(request.id, RefusalReason.OUTDATED, settings.epoch)
-        if len(session.ids) >= settings.most_watches and request.function not in session.ids:
+        if len(session.watch_ids) >= settings.max_watches and request.function not in session.watch_ids:
             return Refused(request.id, RefusalReason.TOO_MANY_WATCHES, settings.epoch)
         return None
 
@@ -281,7 +281,7 @@
         function = session.watches.pop(watch, None)
         if function is None:
             return
-        del session.ids[function]
+        del session.watch_ids[function]
         if not replaced:
             session.changed_functions.pop(function, None)
             self.watched.unwatch(function, session.number)
@@ -308,10 +308,10 @@
         self.log(f"epoch {settings.epoch} replaces {self.settings.epoch}")
         self.settings = settings
         for session in list(self.sessions.all.values()):
-            if any(self.outdated(session, function) for function in session.ids):
+            if any(self.is_unserved(session, function) for function in session.watch_ids):
                 self.close(session, f"epoch {settings.epoch} holds")
 
-    def outdated(self, session: Session, function: str) -> bool:
+    def is_unserved(self, session: Session, function: str) -> bool:
         """Whether a session's watch is not served any more under the current settings."""
         watch = self.watched.functions[function].watches[session.number]
         return watch.epoch < self.settings.oldest_epoch or watch.shard not in self.settings.shards
@@ -340,7 +340,7 @@
         if not session.idle:
             wait = max(session.byte_limit.wait(now), self.byte_limit.wait(now), self.settings.urgent_delay)
             urgent = any(session.changed_instances.values())
-            self.sessions.due_by(session, now + (self.settings.urgent_delay if urgent else wait))
+            self.sessions.schedule_batch(session, now + (self.settings.urgent_delay if urgent else wait))
 
     def next_due(self) -> int:
         """When `tick` is to be called next; any other call may make it earlier."""
@@ -360,13 +360,13 @@
         if not function:
             report["sessions"] = len(self.sessions.all)
             report["functions"] = len(self.watched.functions)
-            report["watches"] = sum(len(session.ids) for session in self.sessions.all.values())
+            report["watches"] = sum(len(session.watch_ids) for session in self.sessions.all.values())
             report["snapshots refused as busy"] = self.snapshot_limit.rejected
             return report
         known = self.watched.functions.get(function)
         report["function"], report["shard"] = function, shard_of(function, self.settings.shard_count)
         report["watchers"] = len(known.watches) if known is not None else 0
-        places = islice(self.instances.ring.places(function), MOST_INSPECTED)
+        places = islice(self.instances.ring.places(function), MAX_INSPECTED_INSTANCES)
         names = [place.name for place in places]
         report["order"] = [msgspec.structs.asdict(self.instances.known[name].entry) for name in names]
         return report
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -18,8 +18,8 @@
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import LONGEST_PREFIX, Instance
 
-MOST_MEMBERS = 4 * LONGEST_PREFIX  # indexed instances of a function above which unsent ones are pruned
-MOST_PER_SERVING = 4  # instances in a prefix per serving one requested, if many drain
+MAX_MEMBERS = 4 * LONGEST_PREFIX  # indexed instances of a function above which unsent ones are pruned
+MAX_INSTANCES_PER_SERVING = 4  # instances in a prefix per serving one requested, if many drain
 ANSWER_LIFETIME = 60 * SECOND  # for which an encoded answer is shared
 
 EMPTY_PREFIX = Prefix()
@@ -60,7 +60,9 @@
     positions: frozenset[int] = frozenset()  # from which the ring was searched for the prefixes
     members: set[str] = field(default_factory=set)  # instances indexed for this function
     length: int = 0  # of the longest prefix
-    behind: set[int] = field(default_factory=set)  # sessions that have not been sent the latest prefix
+    outdated_sessions: set[int] = field(
+        default_factory=set
+    )  # sessions that have not been sent the latest prefix
     differences: dict[tuple[Prefix, Prefix], Difference] = field(default_factory=dict)
 
     def difference(self, before: Prefix, after: Prefix) -> Difference:
@@ -81,7 +83,7 @@
         self.positions = RingPositions()
         self.complete = set[str]()  # functions with a complete prefix, which any new instance enters
         self.by_length = dict[int, set[str]]()  # functions by the length of their longest prefix
-        self.recomputed = 0  # prefixes computed so far, for tests of the cost
+        self.recomputation_count = 0  # prefixes computed so far, for tests of the cost
 
     # watches
 
@@ -125,7 +127,7 @@
         if known.watches:
             self.mark_current(known, session)
         else:
-            self.forget(known)
+            self.remove_function(known)
 
     def release_count(self, known: WatchedFunction, count: int) -> None:
         """Count one watch of this count less; the last one removes the prefix."""
@@ -135,7 +137,7 @@
             known.prefixes.pop(count, None)
             known.answers.pop(count, None)
 
-    def forget(self, known: WatchedFunction) -> None:
+    def remove_function(self, known: WatchedFunction) -> None:
         """Remove a function that has no watches."""
         self.index_positions(known, frozenset())
         self.index_members(known, set())
@@ -145,8 +147,8 @@
 
     def mark_current(self, known: WatchedFunction, session: int) -> None:
         """Record that a session was sent the latest prefix or ended its watch."""
-        known.behind.discard(session)
-        if not known.behind:
+        known.outdated_sessions.discard(session)
+        if not known.outdated_sessions:
             known.differences.clear()
             self.index_members(known, {name for prefix in known.prefixes.values() for name in prefix.names})
 
@@ -155,16 +157,16 @@
     def affected_functions(self, changes: Changes) -> set[str]:
         """Functions whose prefixes may have changed. The ring must have been updated already."""
         functions = set[str]()
-        for name in (*changes.left, *changes.urgent, *changes.other, *changes.entered):
+        for name in (*changes.removed, *changes.urgent, *changes.other, *changes.added):
             functions |= self.functions_by_instance.get(name, set())
-        if changes.left:  # a prefix may have become the complete order without any change of its own
+        if changes.removed:  # a prefix may have become the complete order without any change of its own
             functions |= self.by_length.get(len(self.instances.ring), set())
-        if not changes.entered:
+        if not changes.added:
             return functions
-        if len(changes.entered) > len(self.functions):
+        if len(changes.added) > len(self.functions):
             return set(self.functions)
         functions |= self.complete
-        for name in changes.entered:
+        for name in changes.added:
             for arc in self.instances.ring.arcs(name):
                 functions.update(self.positions.owners_within(arc.first, arc.last))
         return functions
@@ -177,11 +179,13 @@
             self.recompute(known)
             for watch in known.watches.values():
                 if watch.sent_prefix != known.prefixes[watch.count]:
-                    known.behind.add(watch.session)
+                    known.outdated_sessions.add(watch.session)
                     behind.append((known, watch))
-                elif watch.session in known.behind:
-                    known.behind.discard(watch.session)  # the prefix is again the one that was sent
-            if not known.behind:
+                elif watch.session in known.outdated_sessions:
+                    known.outdated_sessions.discard(
+                        watch.session
+                    )  # the prefix is again the one that was sent
+            if not known.outdated_sessions:
                 self.mark_current(known, -1)
         return behind
 
@@ -193,14 +197,14 @@
 
     def recompute(self, known: WatchedFunction) -> None:
         """Compute the prefixes from the order, walked as far as the largest count requires."""
-        self.recomputed += 1
+        self.recomputation_count += 1
         missing = sorted(known.counts)
         names, positions, serving = list[str](), list[int](), 0
         known.prefixes = {}
         known.answers = {}
         for place in self.instances.ring.places(known.name):
             names.append(place.name)
-            positions.extend(place.looked_from)
+            positions.extend(place.searched_from)
             serving += self.instances.serves(place.name)
             while missing and (serving >= missing[0] or len(names) >= max_prefix_length(missing[0])):
                 complete = len(names) == len(self.instances.ring)
@@ -214,7 +218,7 @@
         self.index_positions(known, frozenset(positions))
         self.index_length(known, len(names))
         self.index_members(known, known.members | set(names))
-        if len(known.members) > MOST_MEMBERS:
+        if len(known.members) > MAX_MEMBERS:
             sent_names = {name for watch in known.watches.values() for name in watch.sent_prefix.names}
             self.index_members(known, sent_names | set(names))
 
@@ -252,4 +256,4 @@
 
 def max_prefix_length(count: int) -> int:
     """The maximum number of instances in a prefix with `count` serving ones."""
-    return min(MOST_PER_SERVING * count, LONGEST_PREFIX)
+    return min(MAX_INSTANCES_PER_SERVING * count, LONGEST_PREFIX)
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -29,8 +29,8 @@
 from lapistrestle.wire.directory import LONGEST_PREFIX, HolderMessage
 
 EXTENSION_THRESHOLD = 0.75  # of a prefix; a call beyond it triggers the request of a longer one
-SHRINK_BELOW = 4  # a prefix of which less than 1/4 is used is halved
-STANDSTILL_HEARTBEATS = 2  # a longer gap between calls means that the dispatcher itself was stalled
+SHRINK_DIVISOR = 4  # a prefix of which less than 1/4 is used is halved
+STALL_HEARTBEATS = 2  # a longer gap between calls means that the dispatcher itself was stalled
 
 
 class DirectoryWatcher:
@@ -119,8 +119,8 @@
         self.record_call(now)
         cached = self.functions.get(function)
         if cached is None:
-            if len(self.functions) >= self.settings.most_functions:
-                self.lookups.fail(function, self.settings.longest_pause)
+            if len(self.functions) >= self.settings.max_functions:
+                self.lookups.fail(function, self.settings.max_backoff)
                 return None
             cached = self.watch_function(function, method, now)
         self.cache.record_use(cached, now)
@@ -149,7 +149,7 @@
         if shard.unreachable:
             self.lookups.fail(function.name, max(0, min(shard.dial_at, now + SECOND) - now))
             return
-        self.lookups.begin(function, now)
+        self.lookups.start(function, now)
 
     def function_used(self, function: str, position: int, now: int) -> None:
         """Record that a call was sent to the instance at this position of the prefix.
@@ -168,7 +168,7 @@
     def extend_prefix(self, function: str, now: int) -> bool:
         """Request a longer prefix, since this one was not enough for a call.
 
-        Returns whether a longer one is (already) requested. Extensions are spaced by `extension_pause`, so
+        Returns whether a longer one is (already) requested. Extensions are spaced by `extension_interval`, so
         that each takes effect before the next one: otherwise an overload would extend the prefix to all
         instances within a few round trips.
         """
@@ -180,7 +180,7 @@
             return True
         if cached.count >= LONGEST_PREFIX or cached.watch < 0:
             return False
-        if now - cached.extended_at < self.settings.extension_pause:
+        if now - cached.extended_at < self.settings.extension_interval:
             return False
         cached.count = min(LONGEST_PREFIX, cached.count * 2)
         cached.extended_at = now
@@ -235,8 +235,8 @@
         """Detect a stall of the dispatcher by a late call; silence of holders during one doesn't count."""
         gap = now - self.last_call_at
         self.last_call_at = max(now, self.last_call_at)
-        if gap > STANDSTILL_HEARTBEATS * self.settings.heartbeat:
-            self.shard_connections.excuse_silence(now)
+        if gap > STALL_HEARTBEATS * self.settings.heartbeat:
+            self.shard_connections.ignore_earlier_silence(now)
 
     def tick(self, now: int) -> None:
         """Handle time-outs and retries; to be called at `next_due` or soon after."""
@@ -270,7 +270,7 @@
             if now - connection.dialled_at >= self.settings.dial_timeout:
                 self.shard_connections.fail_over(shard, "connection timed out", now)
             return
-        loss = self.leases.loss(connection, now)
+        loss = self.leases.loss_reason(connection, now)
         if loss:
             self.shard_connections.fail_over(shard, loss, now)
             return
@@ -292,7 +292,7 @@
         used = function.furthest_used
         function.furthest_used = 0
         is_long = function.count > self.settings.first_count
-        if is_long and used < function.count // SHRINK_BELOW and function.watch >= 0:
+        if is_long and used < function.count // SHRINK_DIVISOR and function.watch >= 0:
             function.count = max(self.settings.first_count, function.count // 2)
             self.send_watch_if_connected(function, now)
 
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -56,74 +56,74 @@
         self.unsent_bytes = unsent_bytes
         self.counts = counts
         self.log = log
-        self.speakers = dict[int, WatcherSpeaker]()
+        self.connections = dict[int, WatcherConnection]()
         self.opened = 0  # since the start
         self.slow = set[int]()  # sessions that read more slowly than the holder writes
         self.meter = ByteRateMeter(listener.clock())
 
     def __len__(self) -> int:
         """Number of open sessions."""
-        return len(self.speakers)
+        return len(self.connections)
 
     def send(self, session: int, message: Message) -> None:
         """Send a message if the session is still open."""
-        speaker = self.speakers.get(session)
-        if speaker is not None:
-            speaker.send_message(message)
+        connection = self.connections.get(session)
+        if connection is not None:
+            connection.send_message(message)
 
     def close(self, session: int, reason: str) -> None:
         """Close a session at the holder's request; `session_closed` is not called for it."""
-        speaker = self.speakers.pop(session, None)
-        if speaker is not None:
+        connection = self.connections.pop(session, None)
+        if connection is not None:
             self.counts.closed_sessions += 1
-            speaker.close_with_reason(reason)
+            connection.close_with_reason(reason)
 
     def close_all(self, reason: str) -> None:
         """Close all connections with a reason."""
-        for speaker in list(self.speakers.values()):
-            speaker.close_with_reason(reason)
+        for connection in list(self.connections.values()):
+            connection.close_with_reason(reason)
 
     # events of the connections
 
-    def greeted(self, speaker: "WatcherSpeaker") -> None:
+    def connection_greeted(self, connection: "WatcherConnection") -> None:
         """Both ends have greeted: open a session, unless the holder is stopping."""
         if self.listener.stopping:
-            speaker.close_with_reason("the holder stops")
+            connection.close_with_reason("the holder stops")
             return
         self.opened += 1
-        speaker.session = self.opened
-        self.speakers[speaker.session] = speaker
-        self.listener.session_opened(speaker.session)
+        connection.session = self.opened
+        self.connections[connection.session] = connection
+        self.listener.session_opened(connection.session)
 
-    def received(self, speaker: "WatcherSpeaker", message: Any) -> None:
+    def message_received(self, connection: "WatcherConnection", message: Any) -> None:
         """Handle a message; requests of operators are answered here."""
         if isinstance(message, wire.InspectRequest):
-            speaker.send_message(self.listener.inspect(message.function))
+            connection.send_message(self.listener.inspect(message.function))
             return
-        self.listener.session_message(speaker.session, message)
+        self.listener.session_message(connection.session, message)
 
-    def ended(self, speaker: "WatcherSpeaker") -> None:
+    def connection_ended(self, connection: "WatcherConnection") -> None:
         """A connection has ended."""
-        self.slow.discard(speaker.session)
-        if self.speakers.pop(speaker.session, None) is not None:
-            self.listener.session_closed(speaker.session)
+        self.slow.discard(connection.session)
+        if self.connections.pop(connection.session, None) is not None:
+            self.listener.session_closed(connection.session)
         self.listener.connection_ended()
 
-    def slowed(self, speaker: "WatcherSpeaker", slow: bool) -> None:
+    def write_blocked(self, connection: "WatcherConnection", slow: bool) -> None:
         """A watcher has started or ceased to read more slowly than the holder writes."""
-        self.slow.discard(speaker.session)
+        self.slow.discard(connection.session)
         if slow:
-            self.slow.add(speaker.session)
-        figures = {"slow": len(self.slow), "sessions": len(self.speakers)}
-        self.log("watcher slow" if slow else "watcher reads", watcher=speaker.name, **figures)
+            self.slow.add(connection.session)
+        figures = {"slow": len(self.slow), "sessions": len(self.connections)}
+        self.log("watcher slow" if slow else "watcher reads", watcher=connection.name, **figures)
 
-    def cut_as_slow(self, speaker: "WatcherSpeaker", reason: str) -> None:
+    def record_slow_disconnect(self, connection: "WatcherConnection", reason: str) -> None:
         """Count and log a connection that is closed because of too many unsent bytes."""
         self.counts.slow_connections_cut += 1
-        self.log("watcher cut", watcher=speaker.name, why=reason, waiting=speaker.unsent_bytes)
+        self.log("watcher cut", watcher=connection.name, why=reason, waiting=connection.unsent_bytes)
 
 
-class WatcherSpeaker(LineConnection):
+class WatcherConnection(LineConnection):
     """The holder's end of a connection to a dispatcher or an operator."""
 
     protocol = wire.DIRECTORY
@@ -143,11 +143,11 @@
     def greeting_received(self, hello: Hello) -> None:
         """The peer has greeted."""
         self.name = hello.name
-        self.sessions.greeted(self)
+        self.sessions.connection_greeted(self)
 
     def message_received(self, message: Any) -> None:
         """The peer has sent a message."""
-        self.sessions.received(self, message)
+        self.sessions.message_received(self, message)
 
     def send_message(self, message: Message) -> None:
         """Send a message, and count its bytes."""
@@ -160,7 +160,7 @@
     def close_with_reason(self, why: str) -> None:
         """Close the connection with a reason."""
         if not self.closed and self.unsent_bytes > self.limits.max_unsent_bytes:
-            self.sessions.cut_as_slow(self, why)
+            self.sessions.record_slow_disconnect(self, why)
         super().close_with_reason(why)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
@@ -171,11 +171,11 @@
     def write_blocked(self, slow: bool) -> None:
         """The peer has started or ceased to read too slowly."""
         if self.session:
-            self.sessions.slowed(self, slow)
+            self.sessions.write_blocked(self, slow)
 
     def connection_lost(self) -> None:
         """The connection has ended."""
-        self.sessions.ended(self)
+        self.sessions.connection_ended(self)
 
 
 class WatcherFactory(ServerFactory):
@@ -186,6 +186,6 @@
     def __init__(self, sessions: WatcherSessions) -> None:
         self.sessions = sessions
 
-    def buildProtocol(self, addr: Any) -> WatcherSpeaker:
+    def buildProtocol(self, addr: Any) -> WatcherConnection:
         """A protocol for an accepted connection."""
-        return WatcherSpeaker(self.sessions)
+        return WatcherConnection(self.sessions)
--- a/lapistrestle/fleet/gossip_counters.py
+++ b/lapistrestle/fleet/gossip_counters.py
@@ -57,7 +57,7 @@
 
     process_id: ProcessId
     snapshot: CounterSnapshot  # the newest
-    valid_at: int  # the latest time, on our clock, at which the newest snapshot was taken
+    taken_at: int  # the latest time, on our clock, at which the newest snapshot was taken
     transmissions: int = 0  # of the newest snapshot by this process
     samples: deque[Sample] = field(default_factory=lambda: deque(maxlen=MAX_SAMPLES))
     rates: Rates | None = None  # by its own clock; None if there is only one snapshot
@@ -65,7 +65,7 @@
     def add_snapshot(self, snapshot: CounterSnapshot, now: int, rate_window: int) -> None:
         """Store a newer snapshot of the same process."""
         self.snapshot = snapshot
-        self.valid_at = now - snapshot.age
+        self.taken_at = now - snapshot.age
         self.transmissions = 0
         shortest = rate_window // SAMPLES_IN_WINDOW
         if len(self.samples) > 1 and self.samples[-1].at - self.samples[-2].at < shortest:
@@ -136,12 +136,12 @@
             for name, reporter in self.reporters.items()
             if name != self.process_id[0]
             and reporter.transmissions < TRANSMISSIONS
-            and now - reporter.valid_at < self.settings.expiry_age
+            and now - reporter.taken_at < self.settings.expiry_age
         ]
         own = self.reporters[self.process_id[0]]
         snapshots = list[CounterSnapshot]()
         for reporter in [own, *nsmallest(CANDIDATES, others, key=least_transmitted)]:
-            snapshot = wire.with_age(reporter.snapshot, max(0, now - reporter.valid_at))
+            snapshot = wire.with_age(reporter.snapshot, max(0, now - reporter.taken_at))
             free_bytes -= wire.encoded_size(snapshot)
             if free_bytes < 0:
                 break
@@ -186,7 +186,7 @@
             return
         held = reporter.snapshot
         if snapshot.seq == held.seq:  # it came by a shorter path, so its age is known better
-            reporter.valid_at = max(reporter.valid_at, min(now, now - snapshot.age))
+            reporter.taken_at = max(reporter.taken_at, min(now, now - snapshot.age))
             return
         if snapshot.seq < held.seq:
             return  # arrived late
@@ -205,7 +205,7 @@
     def age_weight(self, reporter: Reporter, now: int) -> float:
         """Weight of a reporter: 1 up to `full_weight_age`, falling linearly to 0 at `expiry_age`."""
         full, expiry = self.settings.full_weight_age, self.settings.expiry_age
-        age = now - reporter.valid_at
+        age = now - reporter.taken_at
         return min(1.0, max(0.0, (expiry - age) / (expiry - full)))
 
     def statistics(self, now: int, is_present: Callable[[str], bool], size: int) -> FleetStatistics:
@@ -222,7 +222,7 @@
                 weights.append(weight)
                 reported.append(reporter.rates)
                 totals = list(map(add, totals, reporter.snapshot.counts))
-                oldest = max(oldest, now - reporter.valid_at)
+                oldest = max(oldest, now - reporter.taken_at)
         rates = own
         if weights:
             by_reporter = np.array(reported)
@@ -257,4 +257,4 @@
 
 def least_transmitted(reporter: Reporter) -> tuple[int, int]:
     """Sort key for sending: the least transmitted first, among these the youngest."""
-    return reporter.transmissions, -reporter.valid_at
+    return reporter.transmissions, -reporter.taken_at
--- a/lapistrestle/fleet/member_table.py
+++ b/lapistrestle/fleet/member_table.py
@@ -64,13 +64,13 @@
         self.members: dict[str, Member] = {}
         self.dissemination_buffer: dict[Member, None] = {}  # records still to be piggybacked
         self.suspected: dict[Member, None] = {}
-        self.sorted_live: list[Member] | None = []  # None: must be recomputed
+        self.cached_live: list[Member] | None = []  # None: must be recomputed
 
     def live(self) -> list[Member]:
         """Other members that count as present, by name."""
-        if self.sorted_live is None:
-            self.sorted_live = [member for _, member in sorted(self.members.items()) if member.is_live]
-        return self.sorted_live
+        if self.cached_live is None:
+            self.cached_live = [member for _, member in sorted(self.members.items()) if member.is_live]
+        return self.cached_live
 
     @property
     def size(self) -> int:
@@ -100,7 +100,7 @@
         """Add an unknown member."""
         member = Member(record, now)
         self.members[record.name] = member
-        self.sorted_live = None
+        self.cached_live = None
         if record.status >= MemberStatus.DEAD:
             member.transmissions = INITIAL_TRANSMISSIONS_OF_DEAD
         return member
@@ -111,7 +111,7 @@
         same_process = record.process_id == held.process_id
         if record.status != held.status or not same_process:
             member.status_since = now
-            self.sorted_live = None
+            self.cached_live = None
         if not same_process or record.incarnation != held.incarnation:
             member.suspected_by.clear()
         member.record = record
--- a/lapistrestle/fleet/membership.py
+++ b/lapistrestle/fleet/membership.py
@@ -242,13 +242,13 @@
             for member in self.table.suspected:
                 member.status_since += now - before
         self.detector.expire_relayed_pings(now)
-        self.end_suspicions()
+        self.expire_suspicions()
         if self.detector.phase is ProbePhase.DIRECT and now >= self.detector.ping_deadline:
             self.detector.handle(ProbeEvent.PING_TIMED_OUT, now)
         if now >= self.next_period:
-            self.begin_period()
+            self.start_period()
 
-    def end_suspicions(self) -> None:
+    def expire_suspicions(self) -> None:
         """Declare suspects dead that have not refuted in time."""
         for member in list(self.table.suspected):
             if self.now >= self.suspicion_deadline(member):
@@ -257,7 +257,7 @@
                 self.transport.log(f"{member.name} dead: {silent}, {doubt}")
                 self.apply(wire.replace(member.record, status=MemberStatus.DEAD, suspected_by=""))
 
-    def begin_period(self) -> None:
+    def start_period(self) -> None:
         """Probe the next member; every few periods ping an absent one, and request a page of a table."""
         self.periods += 1
         self.next_period = self.now + self.health.scale(self.settings.protocol_period)
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -83,7 +83,9 @@
         self.state = ListState.UNKNOWN
         self.number = -1
         self.epoch = ""
-        self.back: tuple[str, int] | None = None  # epoch and number of the last list with a lower number
+        self.pending_reversal: tuple[str, int] | None = (
+            None  # epoch and number of the last list with a lower number
+        )
 
     def size(self) -> int:
         """Number of workers in the list."""
@@ -91,12 +93,12 @@
 
     def accept(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
         """Handle a list or change. Returns what is to be done with it; one to be applied sets the number."""
-        do = self.handle_event(self.classify(message))
-        if do is ListAction.APPLY:
+        action = self.handle_event(self.classify(message))
+        if action is ListAction.APPLY:
             self.number = message.number
             self.epoch = message.epoch
-            self.back = None
-        return do
+            self.pending_reversal = None
+        return action
 
     def classify(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
         """Classify a message by its epoch and number."""
@@ -104,8 +106,8 @@
         if isinstance(message, RosterSnapshot):
             if not same or message.number >= self.number:
                 return ListEvent.SNAPSHOT
-            again = self.back == (message.epoch, message.number)
-            self.back = (message.epoch, message.number)
+            again = self.pending_reversal == (message.epoch, message.number)
+            self.pending_reversal = (message.epoch, message.number)
             return ListEvent.WENT_BACK_AGAIN if again else ListEvent.NUMBER_WENT_BACK
         if not same:
             return ListEvent.GAP
@@ -114,11 +116,11 @@
             ListEvent.NEXT_CHANGE if step == 1 else ListEvent.DUPLICATE_CHANGE if step <= 0 else ListEvent.GAP
         )
 
-    def handle_event(self, news: ListEvent) -> ListAction:
+    def handle_event(self, event: ListEvent) -> ListAction:
         """Apply an event to the state and return the action. A change of state is logged."""
         before = self.state
-        self.state, do = TRANSITIONS[self.state, news]
+        self.state, action = TRANSITIONS[self.state, event]
         if self.state is not before:
-            mode, why = self.state.value, news.value
-            self.log(f"list {mode}: {why} at {self.number}, {self.size()} known")
-        return do
+            state, event_text = self.state.value, event.value
+            self.log(f"list {state}: {event_text} at {self.number}, {self.size()} known")
+        return action
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -50,22 +50,22 @@
     def buildProtocol(self, addr: Any) -> LineConnection:
         """Our end of a new connection; the peer has to greet within the connect time-out."""
         self.connection = self.make_connection()
-        self.owner.after(self.owner.connect_timeout, self.unmet, self.connection)
+        self.owner.after(self.owner.connect_timeout, self.abort_unless_greeted, self.connection)
         return self.connection
 
-    def unmet(self, speaker: LineConnection) -> None:
+    def abort_unless_greeted(self, connection: LineConnection) -> None:
         """Abort a connection on which the peer has not greeted in time; it is then dialled again."""
-        if self.connection is speaker and not speaker.is_greeted:
-            speaker.transport.abortConnection()
+        if self.connection is connection and not connection.is_greeted:
+            connection.transport.abortConnection()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """Reconnect after a delay."""
         self.on_disconnected(False)
         self.owner.after(RECONNECT_DELAY, self.start, None)
 
-    def connection_lost(self, speaker: LineConnection) -> None:
+    def connection_lost(self, connection: LineConnection) -> None:
         """Handle the end of a connection: reconnect after a delay."""
-        if self.connection is speaker:
+        if self.connection is connection:
             self.connection = None
             self.on_disconnected(True)
             self.owner.after(RECONNECT_DELAY, self.start, None)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -8,7 +8,7 @@
 
 from lapistrestle.directory import effects as directory
 from lapistrestle.directory.assignment import Assignment, ShardReplica
-from lapistrestle.directory.digests import digest_of, undated
+from lapistrestle.directory.digests import digest_of, without_up_for
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.hash_ring import InstanceRing
 from lapistrestle.directory.holder_messages import HolderMessages
@@ -17,7 +17,7 @@
 from lapistrestle.directory.message_sizes import line_bytes
 from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change
 from lapistrestle.directory.rate_limits import SnapshotRateLimit
-from lapistrestle.directory.revisions import REVERSAL, Revisions
+from lapistrestle.directory.revisions import SOURCE_REVERSAL_TIMEOUT, Revisions
 from lapistrestle.directory.roster_freshness import RosterFreshness
 from lapistrestle.directory.sessions import Batches
 from lapistrestle.directory.shard_holder import ShardHolder
@@ -176,11 +176,11 @@
     made.watch(1, "f", 4)
     watched = {e.name for e in made.of(wire.Snapshot)[0].entries}
     others = [i for i in range(200) if f"w{i}" not in watched]
-    before = made.holder.watched.recomputed
+    before = made.holder.watched.recomputation_count
     made.tell([entry(i, listing="draining") for i in others[:100]])
     made.tell([entry(i, listing="gone") for i in others[:50]])
     made.run(SECOND)
-    assert made.holder.watched.recomputed == before and not made.of(wire.Update)
+    assert made.holder.watched.recomputation_count == before and not made.of(wire.Update)
 
 
 def work_of_one_change(instances, ring=InstanceRing):
@@ -190,12 +190,12 @@
     for i in range(200):
         made.watch(1, f"f{i}", 4)
     watched = made.holder.watched
-    before = watched.recomputed, made.holder.instances.ring.steps + watched.positions.steps
+    before = watched.recomputation_count, made.holder.instances.ring.steps + watched.positions.steps
     for i in range(100):
         made.tell([entry(i, listing="gone")])
         made.tell([entry(i, start="2")])
     steps = made.holder.instances.ring.steps + watched.positions.steps
-    return watched.recomputed - before[0], steps - before[1]
+    return watched.recomputation_count - before[0], steps - before[1]
 
 
 def test_the_cost_of_a_change_is_proportional_to_the_affected_prefixes():
@@ -408,7 +408,7 @@
     answer = watch_again(made, "f", digest)
     assert isinstance(answer, wire.Snapshot)
     known = {e.name: e for e in answer.entries}
-    assert change == "gone" or undated(known[told.name]) == undated(told)
+    assert change == "gone" or without_up_for(known[told.name]) == without_up_for(told)
 
 
 def replace_entry(told, **fields):
@@ -950,7 +950,7 @@
 
 
 def test_cached_state_is_bounded():
-    made = Dispatcher(max_retired=3, most_functions=5, most_pending=2)
+    made = Dispatcher(max_retired=3, max_functions=5, max_pending=2)
     connection = ready(made)
     for i in range(10):
         made.wanted(f"g{i}")
@@ -982,7 +982,7 @@
     made = Dispatcher()
     connection = ready(made)
     made.answer_renewals(connection, age=2 * SECOND)
-    assert [d.replica for d in made.of(directory.Dial)] == list(made.watcher.shards[0].copies)
+    assert [d.replica for d in made.of(directory.Dial)] == list(made.watcher.shards[0].replicas)
     other = made.connect()
     made.snapshot(other, [1, 2, 3], age=2 * SECOND)
     for _ in range(20):
@@ -1006,7 +1006,7 @@
 
 
 def test_when_all_replicas_are_stale_moves_back_off_and_are_logged_once():
-    made = Dispatcher(idle_timeout=1_000 * SECOND, rebalance=1_000 * SECOND)
+    made = Dispatcher(idle_timeout=1_000 * SECOND, rebalance_interval=1_000 * SECOND)
     moves, _ = stale_days(made, ready(made), 400)
     gaps = [after - before for before, after in pairwise(moves)]
     assert moves[0] <= SECOND // 5  # a replica that may be fresher is tried at once
@@ -1067,7 +1067,9 @@
     assert late.is_older(wire.Revision("e2", 9), wire.Revision("e1", 1))
     late.record_superseded(["e1"], "e2", 0)
     assert late.is_older(wire.Revision("e1", 1), wire.Revision("e2", 9))
-    assert not late.is_acceptable("e1", 0, REVERSAL - 1) and late.is_acceptable("e1", 0, REVERSAL)
+    assert not late.is_acceptable("e1", 0, SOURCE_REVERSAL_TIMEOUT - 1) and late.is_acceptable(
+        "e1", 0, SOURCE_REVERSAL_TIMEOUT
+    )
 
 
 # whole regions in virtual time
@@ -1220,7 +1222,7 @@
 
     def asked(self, connection, function, now):
         kept = self.epoch
-        self.epoch = 1 if connection.copy.port == 6_999 else kept
+        self.epoch = 1 if connection.replica.port == 6_999 else kept
         ask(self, connection, function, now)
         self.epoch = kept
 
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -107,9 +107,9 @@
     if after == [place.name for place in before]:
         return
     arcs = list(ring.arcs("newcomer"))
-    looked_from = [position for place in before for position in place.looked_from]
+    searched_from = [position for place in before for position in place.searched_from]
     assert any((position - arc.first) % RING <= (arc.last - arc.first) % RING or arc.first == arc.last
-               for arc in arcs for position in looked_from)  # fmt: skip
+               for arc in arcs for position in searched_from)  # fmt: skip
 
 
 @pytest.mark.parametrize("count", [50, 1_000])
@@ -146,9 +146,9 @@
 
 def test_the_step_count_detects_a_scan():
     class Scanning(InstanceRing):
-        def next_place(self, probes, seen):
+        def next_instance(self, probes, seen):
             list(self.points.clockwise(0))
-            return super().next_place(probes, seen)
+            return super().next_instance(probes, seen)
 
     rings = []
     for count in (100, 1_000):
@@ -180,7 +180,7 @@
     assert len(table) == len(pairs)
     for position, owner in sorted(pairs)[:5]:
         others = sorted(pairs)
-        assert table.before(position, owner) == others[others.index((position, owner)) - 1][0]
+        assert table.predecessor(position, owner) == others[others.index((position, owner)) - 1][0]
         assert list(table.clockwise(position)) == [
             *[pair for pair in others if pair[0] >= position],
             *[pair for pair in others if pair[0] < position],
@@ -238,17 +238,17 @@
 def test_watchers_are_spread_over_replicas_and_keep_their_order_if_one_is_removed():
     copies = tuple(ShardReplica("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
     assignment, smaller = Assignment(1, (copies,)), Assignment(2, (copies[:2],))
-    first = {i: assignment.copies_for(0, f"edge-{i}") for i in range(900)}
+    first = {i: assignment.replicas_for(0, f"edge-{i}") for i in range(900)}
     chosen = Counter(order[0] for order in first.values())
     assert all(230 < chosen[copy] < 370 for copy in copies)
     for i, order in first.items():
         left = tuple(copy for copy in order if copy is not copies[2])
-        assert smaller.copies_for(0, f"edge-{i}") == left
+        assert smaller.replicas_for(0, f"edge-{i}") == left
 
 
 def test_a_replica_in_the_own_zone_comes_first_twice_as_often():
     copies = tuple(ShardReplica("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
-    own = sum(Assignment(1, (copies,)).copies_for(0, f"edge-{i}", "b")[0].zone == "b" for i in range(2_000))
+    own = sum(Assignment(1, (copies,)).replicas_for(0, f"edge-{i}", "b")[0].zone == "b" for i in range(2_000))
     assert 900 < own < 1_100
 
 
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -366,7 +366,7 @@
 def standstill(program):
     """Simulate a stall: the next event is a second late."""
     program.holder.message_received(0, wire.Renew(0), program.clock() + 10_000)
-    program.act()
+    program.perform_effects()
 
 
 def test_a_list_requested_before_a_stall_does_not_end_it():
--- a/tests/test_gossip_counters.py
+++ b/tests/test_gossip_counters.py
@@ -96,10 +96,10 @@
 def test_ages_grow_when_forwarded_and_a_shorter_path_lowers_them() -> None:
     made = digests()
     made.on_snapshots(made.layout, [snapshot(seq=1, at=1, age=4 * SECOND)], 10 * SECOND)
-    assert made.reporters["b"].valid_at == 6 * SECOND
+    assert made.reporters["b"].taken_at == 6 * SECOND
     assert [r.age for r in made.snapshots_to_send(11 * SECOND, 500) if r.name == "b"] == [5 * SECOND]
     made.on_snapshots(made.layout, [snapshot(seq=1, at=1, age=2 * SECOND)], 11 * SECOND)
-    assert made.reporters["b"].valid_at == 9 * SECOND
+    assert made.reporters["b"].taken_at == 9 * SECOND
 
 
 @pytest.mark.parametrize(("at", "counts"), [(10**7, (3, 0)), (1, (10**6, 10**6)), (10**7, (10**6,))])
