--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -30,30 +30,30 @@
         return self.workers[name]
 
     def function(
-        self, name: str, method: int, memory: float, lanes: int, load: int | None = None
+        self, name: str, method: int, memory_mb: float, lanes: int, load_time: int | None = None
     ) -> Function:
-        """The function of this name, made when it is first named. `memory` is in MB; `load`, the usual time
-        of a load in tenths of a millisecond, is as this request says: the last one stands.
+        """The function of this name, made when it is first named. `memory_mb` is per copy; `load_time`, the
+        usual time of a load in tenths of a millisecond, is as this request says: the last one stands.
         """
         function = self.functions.get(name)
         if function is None:
-            function = self.functions[name] = Function(name, method, memory, max(1, lanes))
+            function = self.functions[name] = Function(name, method, memory_mb, max(1, lanes))
             if self.max_functions:
                 self.trim(self.max_functions)
         elif self.max_functions:
             self.functions.move_to_end(name)
-        function.load = function.load if load is None else load
+        function.load_time = function.load_time if load_time is None else load_time
         return function
 
     def trim(self, most: int) -> None:
         """Evict up to two for each new one, so that what had grown shrinks again."""
         for _ in range(2):
             oldest = next(iter(self.functions.values()))
-            held = oldest.replicas or oldest.marks
+            held = oldest.replicas or oldest.scores
             if len(self.functions) > (most if held else min(self.idle, most)):
                 del self.functions[oldest.name]
 
-    def keep_token(self, token: object) -> int:
+    def store_token(self, token: object) -> int:
         """A number for the token, to be given back when it is due."""
         self.last_token += 1
         self.tokens[self.last_token] = token
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -260,7 +260,7 @@
     def make(reactor, deployment, log):
         edge = Edge(reactor, deployment, log)
         facts = edge.following.facts
-        edge.following.facts = lambda known: replace(facts(known), listing=EndpointState.SERVING)
+        edge.following.facts = lambda known: replace(facts(known), endpoint_state=EndpointState.SERVING)
         return edge
 
     assert rules_broken(Played(directory_day([REPLACED]), make)) == {"3 drains kept"}
