--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -158,15 +158,15 @@
 
     def __init__(self) -> None:
         self.bounds = LineLimits()
-        self.name, self.wanted = "dispatcher-00001", False
+        self.name, self.is_subscribed = "dispatcher-00001", False
         self.endpoints_polled = False
-        self.edge = self
+        self.owner = self
         self.instances = 0
 
     def heard(self, message: Any) -> None:
         self.instances = len(message.workers)
 
-    def lost(self, speaker: Any) -> None: ...
+    def connection_lost(self, speaker: Any) -> None: ...
 
 
 def takes(instances: int) -> bool:
