--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -1,6 +1,6 @@
-"""A holder's subscription to the roster: its numbered lists, handed on to the holder's decisions.
+"""A holder's subscription to the roster: passes lists and changes on to its `ShardHolder`.
 
-Times are ticks of a tenth of a millisecond on the program's clock.
+Times are ticks of 0.1 ms on the process's clock.
 """
 
 from collections.abc import Callable
@@ -8,32 +8,32 @@
 
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.sources.numbered_list import ListAction, ListEvent, NumberedList
-from lapistrestle.sources.roster import RosterSource, RosterSpeaker
+from lapistrestle.sources.roster import RosterConnection, RosterSource
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.json_lines import LineLimits
 from lapistrestle.wire.messages import Hello, RosterEntry, RosterSnapshot, RosterUpdate
 
-DIAL_TIME_OUT = 2_500  # ticks for the connection to the roster and its greeting
-LONGEST_LINE = 134_217_728  # bytes: a complete list of 380,000 instances is 50 MB
+CONNECT_TIMEOUT = 2_500  # ticks for the connection to the roster and its greeting
+MAX_LINE_BYTES = 134_217_728  # bytes; a complete list of 380,000 instances takes 50 MB
 
 
 class RosterInstances(NumberedList):
-    """The roster's list by its numbers; the entries themselves are kept by the decisions."""
+    """Tracks the numbers of the roster's lists; the entries themselves are stored by `ShardHolder`."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
         super().__init__(log)
         self.names = set[str]()
 
     def size(self) -> int:
-        """Instances that are known now."""
+        """Number of instances known now."""
         return len(self.names)
 
     def record(self, entries: list[RosterEntry], complete: bool) -> None:
-        """Note who is there, after a list or change was accepted. `complete`: whom it omits is gone."""
+        """Update the names after a list or change was accepted. `complete`: names not in it are gone."""
         if complete:
             if not entries and self.names:
-                self.log(f"list empty at {self.number}: all {len(self.names)} count as gone")
+                self.log(f"empty list at {self.number}: all {len(self.names)} instances count as gone")
             self.names.clear()
         for entry in entries:
             if entry.listing == "gone":
@@ -43,7 +43,7 @@
 
 
 class RosterSubscription:
-    """Follows the roster for a holder: what a `RosterSource` asks of a `RosterFollower`."""
+    """Subscribes a holder to the roster; implements `RosterFollower`."""
 
     def __init__(
         self,
@@ -56,16 +56,16 @@
         passed_over: Callable[[str, str], None],
         log: Callable[[str], None],
     ) -> None:
-        """`act` carries out what the holder decided; `passed_over` counts lines that can't be read."""
+        """`act` performs the holder's effects; `passed_over` counts lines that can't be decoded."""
         self.reactor = reactor
         self.name = name
         self.holder = holder
         self.clock = clock
-        self.act = act
+        self.perform_effects = act
         self.passed_over = passed_over
         self.list = RosterInstances(log)
-        self.bounds = LineLimits(max_line_bytes=LONGEST_LINE)
-        self.connect_timeout = DIAL_TIME_OUT
+        self.bounds = LineLimits(max_line_bytes=MAX_LINE_BYTES)
+        self.connect_timeout = CONNECT_TIMEOUT
         self.endpoints_polled = False
         self.source = HolderRosterSource(self, port)
         self.stopped = False
@@ -75,54 +75,56 @@
         self.source.start()
 
     def stop(self) -> None:
-        """Leave the roster; the end of the connection is no loss then."""
+        """Close the connection; its end does not count as a loss of the roster."""
         self.stopped = True
         self.source.stop()
 
     def request_snapshot(self) -> None:
-        """Ask the roster for the complete list."""
-        self.source.ask()
+        """Request the complete list from the roster."""
+        self.source.request_snapshot()
 
-    # what a `RosterSource` asks of whoever follows the roster
+    # RosterFollower
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Any:
-        """Have a function called after so many ticks; the reactor's handle of it."""
+        """Call a function after `delay` ticks. Returns the reactor's handle."""
         return self.reactor.callLater(delay / SECOND, call, arg)
 
     def input(self) -> None:
-        """Something has come from the roster; the holder notes its calls itself."""
+        """Data was received from the roster; the holder detects stalls at its own calls."""
 
     def list_received(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
-        """A list or change has come: what is done with it."""
-        do = self.list.accept(message)
+        """Handle a list or change. Returns what is to be done with it."""
+        action = self.list.accept(message)
         complete = isinstance(message, RosterSnapshot)
         now = self.clock()
-        if do is ListAction.TAKE:
+        if action is ListAction.APPLY:
             self.list.record(message.workers, complete)
             revision = Revision(message.epoch, message.number)
             self.holder.instances_changed(message.workers, complete, revision, now)
-        elif do is ListAction.ASK and not complete:  # a complete one answers a request: as many stay open
+        elif (
+            action is ListAction.REQUEST_SNAPSHOT and not complete
+        ):  # a complete one answers a request: as many stay open
             self.holder.snapshot_requested(now)
-        elif do is ListAction.PASS and complete:
+        elif action is ListAction.IGNORE and complete:
             self.holder.snapshot_discarded(now)
-        self.act()
-        return do
+        self.perform_effects()
+        return action
 
-    def list_followed(self) -> None:
-        """The connection to the roster stands, and the complete list was asked for."""
+    def list_requested(self) -> None:
+        """The connection is established, and the complete list was requested."""
         self.holder.snapshot_requested(self.clock())
-        self.act()
+        self.perform_effects()
 
     def list_event(self, news: ListEvent) -> None:
-        """The connection is lost, or the roster can't answer."""
+        """Handle a lost connection, or a roster that can't answer."""
         if self.stopped:
             return
-        if self.list.step(news) is ListAction.TELL_FAILED:
+        if self.list.handle_event(news) is ListAction.REPORT_FAILURE:
             self.holder.roster_lost(self.clock())
-            self.act()
+            self.perform_effects()
 
 
-class HolderRosterSpeaker(RosterSpeaker):
+class HolderRosterConnection(RosterConnection):
     """The holder's end of the connection to the roster."""
 
     source: "HolderRosterSource"
@@ -130,19 +132,19 @@
     def greeting_received(self, hello: Hello) -> None:
         """The roster has greeted."""
         super().greeting_received(hello)
-        self.source.edge.list_followed()
+        self.source.owner.list_requested()
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """What can't be read may have answered a request: only a new connection has none open."""
-        self.source.edge.passed_over("roster", why)
+        """Reconnect: the line may have answered a request, and only a new connection has none open."""
+        self.source.owner.passed_over("roster", why)
         self.close_with_reason(f"unreadable line: {why}")
 
 
 class HolderRosterSource(RosterSource):
-    """Follows the roster, and notifies the decisions whenever a complete list is asked for."""
+    """The holder's client of the roster; its owner also learns when a complete list is requested."""
 
-    edge: RosterSubscription
+    owner: RosterSubscription
 
-    def speak(self) -> HolderRosterSpeaker:
+    def make_connection(self) -> HolderRosterConnection:
         """The holder's end of a new connection."""
-        return HolderRosterSpeaker(self)
+        return HolderRosterConnection(self)
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planning.py
@@ -10,7 +10,7 @@
 from lapistrestle.rollout import replicas
 from lapistrestle.rollout.routing import Routing
 from lapistrestle.rollout_types import TrafficSplit, versioned_name
-from lapistrestle.sources.reconnecting import Source
+from lapistrestle.sources.reconnecting import ReconnectingSource
 from lapistrestle.store.persisted_plan import PersistedPlan, PersistedPlanFile
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire import plans
@@ -29,35 +29,35 @@
     decoder = message_decoder(plans.FromPlanner)
 
     def __init__(self, source: "PlannerSource") -> None:
-        super().__init__(source.edge.bounds)
+        super().__init__(source.owner.bounds)
         self.source = source
 
     def greeting(self) -> wire.Hello:
-        return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name, start=self.source.start_name)
+        return wire.Hello(self.protocol, wire.VERSION, self.source.owner.name, start=self.source.start_name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.source.heard = self.source.edge.clock()
+        self.source.heard = self.source.owner.clock()
         self.source.beat(None, once=True)
 
     def message_received(self, message: Any) -> None:
-        self.source.edge.input()
+        self.source.owner.input()
         match message:
             case plans.Plan():
                 self.source.told(message)
             case plans.Heartbeat():
-                self.source.heard = self.source.edge.clock()
+                self.source.heard = self.source.owner.clock()
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Close the connection: the line may have been a plan, and a new connection gets the whole plan."""
-        self.source.edge.passed_over("planner", why)
+        self.source.owner.passed_over("planner", why)
         self.close_with_reason("unreadable")
 
     def connection_lost(self) -> None:
-        self.source.lost(self)
+        self.source.connection_lost(self)
 
 
-class PlannerSource(Source):
+class PlannerSource(ReconnectingSource):
     """Follows the planner at one port, and reports to it the outcomes of calls by version."""
 
     def __init__(self, edge: Any, port: int) -> None:
@@ -78,11 +78,11 @@
         try:
             kept = self.file.read() if self.file else None
         except (OSError, ValueError) as trouble:
-            return self.edge.log("kept plan can't be read", why=str(trouble))
+            return self.owner.log("kept plan can't be read", why=str(trouble))
         if kept is not None:
             splits = [plans.to_split(share) for share in kept.splits]
             self.routing.restore_plan(kept.epoch, kept.number, splits, kept.barred)
-            self.edge.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
+            self.owner.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
 
     def keep_plan(self) -> None:
         """Persist the plan. If the disk fails, the edge continues with the plan in memory."""
@@ -95,54 +95,58 @@
                 PersistedPlan(routing.epoch, routing.number, shares, sorted(routing.barred_names))
             )
         except OSError as trouble:
-            self.edge.log("plan not kept", why=str(trouble))
+            self.owner.log("plan not kept", why=str(trouble))
 
     def unplanned(self) -> bool:
         """Whether calls must be rejected because the first plan has not been received yet."""
-        return self.routing.awaits_first_plan(self.edge.clock() - self.began)
+        return self.routing.awaits_first_plan(self.owner.clock() - self.began)
 
-    def speak(self) -> PlannerSpeaker:
+    def make_connection(self) -> PlannerSpeaker:
         return PlannerSpeaker(self)
 
     def beat(self, _: object, once: bool = False) -> None:
         """Send a heartbeat, and unless `once` schedule the next. Cuts a connection that does not answer."""
-        if self.speaker is not None and self.speaker.is_greeted and self.edge.clock() - self.heard > UNHEARD:
-            self.speaker.close_with_reason("no beat was answered")
-        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
+        if (
+            self.connection is not None
+            and self.connection.is_greeted
+            and self.owner.clock() - self.heard > UNHEARD
+        ):
+            self.connection.close_with_reason("no beat was answered")
+        self.send_message(plans.Heartbeat(self.owner.clock(), self.routing.number))
         if not once and not self.stopped:
-            self.edge.after(BEAT, self.beat, None)
+            self.owner.after(BEAT, self.beat, None)
 
     def told(self, plan: plans.Plan) -> None:
         """Apply a plan, persist it, and withdraw what it bars. An outdated plan is ignored."""
         splits = [plans.to_split(share) for share in plan.splits]
         barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
         if barred is None:
-            self.edge.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
+            self.owner.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
             return
-        self.edge.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
+        self.owner.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
         for name in barred:
             self.withdraw(name)
-        self.say(plans.Heartbeat(self.edge.clock(), self.routing.number))
+        self.send_message(plans.Heartbeat(self.owner.clock(), self.routing.number))
         self.keep_plan()
 
     def withdraw(self, name: str) -> None:
         """Stop using a barred version: RPCs not sent to it yet go to the settled one, its copies
         are unloaded.
         """
-        function = self.edge.host.registry.functions.get(name)
-        for seat in list(self.edge.seats):
+        function = self.owner.host.registry.functions.get(name)
+        for seat in list(self.owner.seats):
             for pending in list(seat.open.values()):
                 if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
-                    self.edge.host.retract(pending)
-                    self.edge.move(pending)
+                    self.owner.host.retract(pending)
+                    self.owner.move(pending)
         for replica in list(function.replicas.values()) if function is not None else ():
-            self.edge.unload(replica.worker, function)
+            self.owner.unload(replica.worker, function)
 
     def tell(self, _: object) -> None:
         """Report outcomes by version, and keep copies of both versions of each function in a rollout."""
-        now = self.edge.clock()
+        now = self.owner.clock()
         for key, counts in self.routing.recent_counts(now).items():
-            self.say(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
+            self.send_message(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
         open_ = [split for split in self.routing.splits.values() if split.candidate]
         names = {versioned_name(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
         self.targets = {name: target for name, target in self.targets.items() if name in names}
@@ -150,9 +154,9 @@
             weight, shortage = self.keep(split)
             loading = replicas.rollout_phase(split) is replicas.RolloutPhase.LOADING
             if loading and self.routing.lease.is_usable(now):
-                self.say(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
+                self.send_message(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
         if not self.stopped:
-            self.edge.after(TELL, self.tell, None)
+            self.owner.after(TELL, self.tell, None)
 
     def keep(self, split: TrafficSplit) -> tuple[float, str]:
         """Preload the copies that `rollout.replicas` wants for both versions.
@@ -161,15 +165,15 @@
         go through the module, which enforces the preload budget and sends none to draining workers. Where
         preloads are off, copies are loaded by calls only; an edge without calls of the function needs none.
         """
-        module, registry = self.edge.host.module, self.edge.host.registry
-        module.now = self.edge.clock()
+        module, registry = self.owner.host.module, self.owner.host.registry
+        module.now = self.owner.clock()
         versions = (split.candidate, split.settled)
         known = [
             function
             for name in (*versions, "")
             if (function := registry.functions.get(versioned_name(split.function, name))) is not None
         ]
-        if not known or not self.edge.settings.may_preload:
+        if not known or not self.owner.settings.may_preload:
             return split.next_weight, ""
         model = known[-1]
         busy = sum(
@@ -200,10 +204,10 @@
 
     def keep_version(self, name: str, model: Function, busy: float, weight: float) -> replicas.ReplicaStatus:
         """Preload the copies that one version needs at `weight` of the function's `busy` concurrent calls."""
-        edge, module = self.edge, self.edge.host.module
-        if self.edge.barred(name) or not weight:
+        edge, module = self.owner, self.owner.host.module
+        if self.owner.barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
-        function = edge.host.registry.function(name, model.method, model.memory, model.lanes)
+        function = edge.host.registry.function(name, model.method, model.memory_mb, model.lanes)
         if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
             edge.directory.act()
             # its prefix is being looked up
@@ -211,16 +215,16 @@
         memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
         for worker in module.orders.function_order(function):
-            if worker.listing.name != "SERVING" or not module.health.healthy(worker):
+            if worker.endpoint_state.name != "SERVING" or not module.health.healthy(worker):
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
             capacity = replicas.WorkerCapacity(
                 0,
-                replicas.replica_limit(size, function.memory),
+                replicas.replica_limit(size, function.memory_mb),
                 warming_up=module.slow_start.share(worker) < 1,
             )
             if (replica := function.replicas.get(worker)) is not None:
-                capacity.loaded = module.copies.believed(replica)
+                capacity.loaded = module.copies.believed_count(replica)
                 capacity.preload_pending = bool(replica.pending_preloads)
                 capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_life // 3
             capacities[capacity] = worker
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -77,7 +77,7 @@
             self.sources.append(self.directory)
         elif deployment.roster.port:
             self.source = RosterSource(self, deployment.roster.port)
-            self.source.wanted = self.settings.endpoints_polled
+            self.source.is_subscribed = self.settings.endpoints_polled
             self.sources.append(self.source)
         if deployment.planner.port:
             self.planner = PlannerSource(self, deployment.planner.port)
@@ -108,7 +108,7 @@
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         """Apply a list or change from the roster, as far as its number allows. Returns what was done."""
         taken = self.following.told(message, self.clock())
-        if taken.do is ListAction.TAKE:
+        if taken.do is ListAction.APPLY:
             self.workers_told(taken.facts, taken.addresses, taken.whole)
         return taken.do
 
@@ -123,8 +123,8 @@
     def list_event(self, news: ListEvent) -> None:
         """Handle the loss of the roster's connection, or its failure to answer."""
         self.input()
-        if self.following.step(news) is ListAction.TELL_FAILED:
-            self.host.list_failed()
+        if self.following.handle_event(news) is ListAction.REPORT_FAILURE:
+            self.host.endpoints_failed()
 
     def runner(self, name: str) -> Any:
         """The handle to send to the runner by; `None` if there is none.
@@ -182,13 +182,14 @@
             waits = not self.directory.ready(function, call.method)
         pending = self.host.request_received(
             client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
-            customer=customer, time_left=left, memory=call.memory, lanes=call.lanes,
+            customer=customer, time_left=left, memory_mb=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.is_retry,
-            route=route, load=load, moved=moved, prior_attempts=prior_attempts, awaits_prefix=waits,
+            route=route, load_time=load, already_counted=moved, prior_attempts=prior_attempts,
+            awaits_prefix=waits,
         )  # fmt: skip
         if waits:
             self.directory.wait(pending)
-        if not pending.final:
+        if not pending.is_closed:
             seat.open[call.id] = pending
 
     def move(self, pending: PendingRequest) -> None:
@@ -223,7 +224,7 @@
         """Whether the request is past its soft deadline now."""
         method = self.settings.methods[pending.method]
         stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
-        return bool(self.clock() - pending.began > min(method.deadline, stretched))
+        return bool(self.clock() - pending.accepted_at > min(method.deadline, stretched))
 
     # hosting.transport.Transport
 
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -17,7 +17,7 @@
     "cancelled": Outcome.CANCELLED,
 }  # fmt: skip
 WARMTH = {
-    "": LoadState.UNKNOWN, "stood": LoadState.LOADED, "began load": LoadState.BEGAN_LOAD,
+    "": LoadState.UNKNOWN, "stood": LoadState.LOADED, "began load": LoadState.STARTED_LOAD,
     "joined load": LoadState.JOINED_LOAD, "load failed": LoadState.LOAD_FAILED,
 }  # fmt: skip
 
@@ -25,7 +25,7 @@
 def run_of(worker_call: WorkerCall, now: int) -> wire.Run:
     """The message of an attempt, with the time left to it at `now`."""
     pending, asked = worker_call.pending, worker_call.pending.message
-    left = max(1, worker_call.ends_by - now) / 10
+    left = max(1, worker_call.expires_at - now) / 10
     return wire.Run(
         worker_call.number, pending.tag, pending.function.name, asked.method, left, asked.customer,
         asked.memory, asked.lanes, asked.token, asked.key, asked.body,
@@ -36,7 +36,7 @@
     """The message of a preload."""
     assert task.function is not None
     function = task.function
-    return wire.PreloadRequest(task.number, function.name, task.count, function.memory, function.lanes)
+    return wire.PreloadRequest(task.number, function.name, task.count, function.memory_mb, function.lanes)
 
 
 def encoded(message: wire.Message) -> bytes:
@@ -156,7 +156,7 @@
 
     def send_call(self, worker_call: WorkerCall) -> None:
         worker_call.connection = self
-        number, until = worker_call.number, worker_call.begin_by
+        number, until = worker_call.number, worker_call.write_by
         if not self.linking.send(Line(number, lambda: self.run_line(worker_call), until, work=worker_call)):
             self.host.attempt_finished(worker_call.number, Outcome.REJECTED)
 
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -30,7 +30,7 @@
         """Apply a worker list (`whole`) or a change to it."""
         if whole:
             self.listings.clear()
-        self.listings.update((facts.name, facts.listing) for facts in told)
+        self.listings.update((facts.name, facts.endpoint_state) for facts in told)
 
     def may_begin(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
         """Whether work may start at this runner.
@@ -66,9 +66,9 @@
     def is_wanted(self, worker_call: WorkerCall) -> bool:
         """Whether the client still waits for this attempt and its deadline has not passed."""
         pending = worker_call.pending
-        if pending.final or not pending.client.is_waiting():
+        if pending.is_closed or not pending.client.is_waiting():
             return False
-        return not pending.final and worker_call.ends_by > self.core.clock()
+        return not pending.is_closed and worker_call.expires_at > self.core.clock()
 
     def refused(self, work: WorkerCall | WorkerTask) -> None:
         """Count work that failed the check, and log the first occurrences with the worker's listed state."""
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -1,4 +1,4 @@
-"""A holder's program on wires in memory: what it sends to scripted watchers, and what it bounds."""
+"""A holder's process on in-memory connections: its messages to scripted watchers, and its limits."""
 
 import pytest
 from twisted.internet.protocol import ClientFactory
@@ -28,7 +28,7 @@
 
 
 class Watcher(ClientFactory):
-    """A watcher that says what a test has it say, and keeps what it hears."""
+    """A scripted watcher that stores received messages."""
 
     noisy = False
 
@@ -77,7 +77,7 @@
 
 
 class Rig:
-    """A roster, one holder and any watchers in virtual time."""
+    """A roster, a holder and watchers in virtual time."""
 
     def __init__(self, count=12, directory=None, **serve):
         self.reactor = VirtualReactor()
@@ -112,14 +112,14 @@
         self.roster.note(told, self.reactor.seconds(), now=True)
 
     def restart_all(self, start):
-        """All instances are replaced, told in one list."""
+        """Restart all instances, reported in one list."""
         booted = self.reactor.seconds()
         self.roster.told = {name: (entry(name, start), booted) for name in self.roster.told}
         self.roster.number += 1
         self.roster.say_all(self.roster.whole())
 
     def keep(self, watchers, seconds, every=0.2):
-        """Let time pass while these renew their watches."""
+        """Run for some time while these watchers renew their leases."""
         until = self.reactor.seconds() + seconds
         while self.reactor.seconds() < until:
             for watcher in watchers:
@@ -140,11 +140,11 @@
     assert len(snapshot.entries) == 4 and not snapshot.complete and snapshot.lease == 30_000
     first, second = edge.names()[:2]
     rig.note(entry(first, listing="draining"))
-    rig.run(0.1)  # word of a drain doesn't wait for the next batch
+    rig.run(0.1)  # a drain is sent ahead of the next batch
     (update,) = edge.of(wire.Update)
     assert update.sequence == snapshot.sequence + 1 and update.revision.number == 13
     told = {e.name: e.listing for e in update.entries}
-    assert told.pop(first) == "draining"  # another one that serves enters in its place
+    assert told.pop(first) == "draining"  # a serving instance is added to the prefix
     assert len(told) == 1 and not set(told) & set(edge.names())
     rig.note(entry(second, listing="gone"))
     rig.run(1.0)
@@ -162,7 +162,7 @@
     )
 
 
-def test_two_holders_have_the_same_order_whatever_they_heard_first():
+def test_two_holders_have_the_same_order_independent_of_history():
     one, other = Rig(), Rig(count=0)
     for number in reversed(range(12)):
         other.note(entry(f"w{number}"))
@@ -172,7 +172,7 @@
         assert orders[0] == orders[1] and len(orders[0]) == 12
 
 
-def test_an_instance_that_flaps_is_not_told_each_time():
+def test_a_flapping_instance_is_not_sent_each_time():
     rig = Rig()
     edge = rig.watcher()
     edge.watch()
@@ -201,14 +201,14 @@
     assert not edge.of(wire.Snapshot)
 
 
-def test_a_lost_roster_shows_in_the_age_and_a_new_one_in_the_source():
+def test_a_lost_roster_shows_in_the_age_and_its_successor_in_the_source():
     rig = Rig()
     edge = rig.watcher()
     edge.watch()
     rig.keep([edge], 1.0)
     assert edge.of(wire.Renewed)[-1].age == 0 and edge.of(wire.Renewed)[-1].sums is None
     assert any(r.sums is not None and r.sums.serving == 12 for r in edge.of(wire.Renewed))
-    rig.roster.weather.silent = True  # begins anew, and doesn't answer for a second
+    rig.roster.weather.silent = True  # restarts, and doesn't answer for a second
     rig.roster.begin_anew()
     rig.keep([edge], 1.0)
     assert edge.of(wire.Renewed)[-1].age > 5_000
@@ -221,7 +221,7 @@
     assert any("knowledge cut" in text for text in said) and "knowledge fresh" in said[-1]
 
 
-def test_a_holder_that_stood_still_answers_only_once_it_has_caught_up():
+def test_a_stalled_holder_answers_only_after_catching_up():
     rig = Rig()
     edge = rig.watcher()
     edge.watch()
@@ -245,7 +245,7 @@
     assert edge.of(wire.Snapshot)[-1].id == 3
 
 
-def test_a_watcher_that_does_not_read_is_cut_and_holds_up_nobody():
+def test_a_watcher_that_does_not_read_is_disconnected_without_delaying_others():
     lease, count, unsent = Duration(600_000), 300, 65_536
     rig = Rig(count, {"bytes_per_second": 10_000_000, "lease": lease}, unsent=unsent)
     slow, edge = rig.watcher("slow"), rig.watcher("edge-1")
@@ -259,14 +259,14 @@
         rig.restart_all(turns)
         rig.keep([edge], 0.6)
     (cut,) = rig.logged("watcher cut")
-    assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over it
+    assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over the limit
     assert rig.logged("watcher slow") == [{"watcher": "slow", "slow": 1, "sessions": 2}]
     assert rig.program.counts.slow_connections_cut == 1 and rig.program.sessions.slow == set()
     assert not edge.over and rig.program.report("")["sessions"] == 1
     assert {e.start for e in edge.of(wire.Update)[-1].entries} == {f"w{n}#{turns}" for n in range(count)}
 
 
-def test_a_connection_too_many_and_a_line_that_is_none_are_closed():
+def test_connections_over_the_limit_and_with_undecodable_lines_are_closed():
     rig = Rig(connections=2)
     edges = [rig.watcher(f"edge-{n}") for n in range(3)]
     rig.run(0.1)
@@ -279,7 +279,7 @@
     assert edges[1].of(wire.Snapshot)
 
 
-def test_another_protocol_is_told_so():
+def test_a_connection_with_another_protocol_is_closed():
     rig = Rig()
     edge = Watcher(rig, "edge-0")
     rig.reactor.run(rig.reactor.seconds() + 0.0004)
@@ -288,7 +288,7 @@
     assert edge.over and rig.program.report("")["sessions"] == 0
 
 
-def test_a_watch_that_is_not_renewed_lapses():
+def test_an_unrenewed_watch_expires():
     rig = Rig()
     quiet, edge = rig.watcher("quiet"), rig.watcher("edge-1")
     for watcher in (quiet, edge):
@@ -297,7 +297,7 @@
     assert quiet.over and "lease" in quiet.bye and not edge.over
 
 
-def test_all_watchers_at_once_are_admitted_at_the_stated_rate():
+def test_all_watchers_at_once_are_admitted_at_the_configured_rate():
     rig = Rig(count=30, snapshots_per_second=200)
     edges = [Watcher(rig, f"edge-{n}") for n in range(100)]
     rig.run(0.01)
@@ -325,7 +325,7 @@
     assert rig.program.report("")["snapshots refused as busy"] > 0
 
 
-def test_one_that_stops_says_so_to_all_and_ends():
+def test_a_stopping_holder_notifies_all_watchers_and_ends():
     rig = Rig()
     edges = [rig.watcher(f"edge-{n}") for n in range(3)]
     ended = []
@@ -340,7 +340,7 @@
     assert len(ended) == 1
 
 
-def test_one_whose_watchers_do_not_read_ends_all_the_same():
+def test_a_stopping_holder_ends_even_if_its_watchers_do_not_read():
     rig = Rig()
     edge = rig.watcher()
     edge.process.stall()
@@ -364,27 +364,31 @@
 
 
 def standstill(program):
-    """The next event comes a second late."""
+    """Simulate a stall: the next event is a second late."""
     program.holder.message_received(0, wire.Renew(0), program.clock() + 10_000)
-    program.act()
+    program.perform_effects()
 
 
-def test_a_list_that_the_program_asked_for_before_a_standstill_does_not_end_it():
+def test_a_list_requested_before_a_stall_does_not_end_it():
     program = Rig().program
     listed = program.roster.list
-    program.roster.source.heard(RosterUpdate(listed.number + 2, [], listed.epoch))  # a gap: it is asked for
-    standstill(program)  # the holder asks on its own
-    program.roster.source.heard(whole_of(program))  # the answer to the first question
+    program.roster.source.heard(
+        RosterUpdate(listed.number + 2, [], listed.epoch)
+    )  # a gap: the list is requested
+    standstill(program)  # the holder sends a request of its own
+    program.roster.source.heard(whole_of(program))  # the answer to the first request
     assert not program.holder.freshness.may_answer
     program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
 
 
-def test_a_list_asked_for_on_connecting_does_not_end_a_standstill_after_it():
+def test_a_list_requested_on_connecting_does_not_end_a_later_stall():
     program = Rig().program
     program.holder.roster_lost(program.clock())
-    speaker = program.roster.source.speaker
-    speaker.greeting_received(Hello(ROSTER, 1, "roster"))  # the connection stands: the list is asked for
+    speaker = program.roster.source.connection
+    speaker.greeting_received(
+        Hello(ROSTER, 1, "roster")
+    )  # the connection is established: the list is requested
     standstill(program)
     program.roster.source.heard(whole_of(program))
     assert not program.holder.freshness.may_answer
@@ -392,23 +396,23 @@
     assert program.holder.freshness.may_answer
 
 
-def test_a_list_that_is_passed_over_has_another_one_asked_for():
+def test_a_discarded_list_causes_another_request():
     program = Rig().program
     standstill(program)
     listed, source = program.roster.list, program.roster.source
     before = listed.number
-    source.heard(RosterSnapshot(before - 1, [], listed.epoch))  # goes back: the same must be said twice
-    source.heard(RosterSnapshot(before - 2, [], listed.epoch))  # passed over
+    source.heard(RosterSnapshot(before - 1, [], listed.epoch))  # a lower number, which has to be sent twice
+    source.heard(RosterSnapshot(before - 2, [], listed.epoch))  # discarded
     assert program.holder.freshness.open_requests == 1
     program.roster.source.heard(whole_of(program))
     assert program.holder.freshness.may_answer
 
 
-def test_an_unreadable_line_of_the_roster_has_the_connection_begin_anew():
+def test_an_undecodable_line_of_the_roster_causes_a_reconnect():
     rig = Rig()
-    first = rig.program.roster.source.speaker
+    first = rig.program.roster.source.connection
     first.unreadable_line_received(b"{", "cut off")
     rig.run(2.0)
-    assert rig.program.roster.source.speaker is not first
+    assert rig.program.roster.source.connection is not first
     assert rig.program.counts.unreadable_lines == 1
     assert rig.program.holder.freshness.age(rig.program.clock()) == 0
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -343,9 +343,9 @@
         assert old.closed
         stage.greet(name, "#1")
         stage.run()
-    assert {worker.booted is not None for worker in stage.edge.host.module.endpoints.workers} == {True}
+    assert {worker.booted_at is not None for worker in stage.edge.host.module.endpoints.workers} == {True}
     assert all(
-        stage.edge.clock() - worker.booted < 1_000 for worker in stage.edge.host.module.endpoints.workers
+        stage.edge.clock() - worker.booted_at < 1_000 for worker in stage.edge.host.module.endpoints.workers
     )
 
 
@@ -464,7 +464,7 @@
 def test_an_unread_drain_is_processed_before_a_call_is_sent(stage):
     """Guards against sending to a draining runner after a stall, when the call is read before the drain."""
     stage = Stage(runners=1)
-    speaker, client = stage.edge.source.speaker, stage.client()
+    speaker, client = stage.edge.source.connection, stage.client()
     change = {"is": "change", "number": 2, "epoch": "e", "workers": [stage.entry("r0", listing="draining")]}
     unread(speaker, lambda: speaker.dataReceived(msgspec.json.encode(change) + b"\n"))
     stage.run(0.1)
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -40,7 +40,7 @@
     assert said(stage) == ("kept figures", {"carried": list(stage.edge.methods), "afresh": []})
     assert (
         not module.throughput.ok_answers.read(module.now)
-        and module.throughput.memory_factor == 1.0
+        and module.throughput.time_constant_factor == 1.0
         and module.load_limit.limit == 1.0
     )
 
@@ -106,10 +106,10 @@
     for id_, more, kept in (("1", {}, None), ("2", {"load": 1200.0}, 12_000), ("3", {}, 12_000)):
         client.say(**CALL, id=id_, **more)
         stage.run()
-        assert stage.edge.host.registry.functions["f"].load == kept
+        assert stage.edge.host.registry.functions["f"].load_time == kept
     client.say(**CALL, id="4", load=-1)
     stage.run()
-    assert client.heard("fault") and stage.edge.host.registry.functions["f"].load == 12_000
+    assert client.heard("fault") and stage.edge.host.registry.functions["f"].load_time == 12_000
 
 
 def test_a_stopping_edge_persists_learned_figures_and_the_next_restores_them(stage, path):
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -181,7 +181,8 @@
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
     stage.node.apply_configuration(read_configuration(str(path)))
     assert (
-        stage.workers()["s-00000001"].listing is EndpointState.DRAINING and discovery_of(stage).revision == 2
+        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        and discovery_of(stage).revision == 2
     )
 
 
@@ -191,7 +192,8 @@
         read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events})))
     )
     assert (
-        discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
+        discovery_of(stage).revision == 1
+        and stage.workers()["s-00000001"].endpoint_state is EndpointState.SERVING
     )
 
 
@@ -238,7 +240,7 @@
     stage.board.tell(2, 2, stage.row(0, state=7), row(9, 0), stage.row(1, state=DRAINING))
     stage.board.tell(3, 2, row(8, 1234, zone=200, kind=200, state=2))
     stage.hand.until(lambda: discovery_of(stage).revision == 3)
-    listings = {name: worker.listing for name, worker in stage.workers().items()}
+    listings = {name: worker.endpoint_state for name, worker in stage.workers().items()}
     assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
     assert asked(stage) == 503 and stage.runs() == []
 
