--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -32,7 +32,7 @@
 from lapistrestle.deployment.load import load_deployment
 from lapistrestle.deployment.schema import Fleet
 from lapistrestle.edge.program import Edge
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.standins.fleet import free_ports
 from lapistrestle.standins.roster import RosterStandIn
 from lapistrestle.wire import messages as wire
@@ -343,7 +343,7 @@
     middle, (port,) = start(folder, what, json.dumps(ports), str(roster_port))
     try:
         time.sleep(0.5)
-        reactor = reactor_of_now()
+        reactor = monotonic_reactor()
         load_ = Load(reactor, out, rate, seconds, most)
         watch = psutil.Process(middle.pid)
         load_.watch = watch
@@ -384,7 +384,7 @@
 @click.argument("count", type=int)
 def runners(port: Path, count: int) -> None:
     pin(1)
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     made = [reactor.listenTCP(0, Runners(f"w{i}"), interface="127.0.0.1") for i in range(count)]
     tell(port, [listener.getHost().port for listener in made])
     reactor.run()
@@ -401,7 +401,7 @@
 @click.argument("ports")
 def roster(port: Path, ports: str) -> None:
     pin(3)
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     made = RosterStandIn(reactor, 0.0)
     for number, at in enumerate(json.loads(ports)):
         entry = wire.RosterEntry(f"w{number}", at, size=4.0, start=f"w{number}#0")
@@ -416,7 +416,7 @@
 @click.argument("roster_port")
 def relay(port: Path, ports: str, roster_port: str) -> None:
     pin(0)
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     made = Relay()
     for at in json.loads(ports):
         reactor.connectTCP("127.0.0.1", at, RelayDials(made))
@@ -443,7 +443,7 @@
 
 def run_edge(port: Path, roster_port: int, others: tuple[str, ...]) -> None:
     pin(0)
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     path = port.with_suffix(".json5")
     path.write_text(DEPLOYMENT)
     deployment = load_deployment(path)
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -20,7 +20,7 @@
 from rich.table import Table
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.standins.children import Child
 from lapistrestle.standins.client import Crowd, Habits, Line, Wish
 from lapistrestle.standins.engine import RunnerFacts
@@ -141,7 +141,7 @@
 
 
 def play(rate: float) -> None:
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     run = Run(reactor, rate)
     store, roster = Store(reactor, StoreFacts(fetches=50.0, limit=500)), RosterStandIn(reactor, 0.0)
     for number in range(8):
--- a/benchmarks/scale/control_work.py
+++ b/benchmarks/scale/control_work.py
@@ -64,7 +64,7 @@
     for number in range(called):
         made.call(f"function-{number}")
     region.run(SETTLED)
-    strangers = [entry for entry in region.whole() if entry.name not in made.edge.following.known]
+    strangers = [entry for entry in region.whole() if entry.name not in made.edge.known_workers.known]
     names, traffic = list(region.listed), made.directory
     before = (traffic.messages_in + traffic.messages_out, traffic.bytes_in + traffic.bytes_out)
 
--- a/benchmarks/scale/directory_edge.py
+++ b/benchmarks/scale/directory_edge.py
@@ -75,7 +75,7 @@
         super().__init__([], seed, of, number, region.reactor, ports, directory=settings, roster={"port": 0})
         self.held: list[tuple[Session, bytes]] | None = None
         self.looked_up: list[float] = []  # seconds that calls waited for their function's prefix
-        self.time_look_ups(self.edge.directory.waiting)
+        self.time_look_ups(self.edge.directory.waiting_requests)
 
     @contextmanager
     def holding(self) -> Iterator[list[tuple[Session, bytes]]]:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,7 +13,7 @@
 
 from lapistrestle.deployment.load import convert_value
 from lapistrestle.deployment.schema import Deployment
-from lapistrestle.edge.clients import ClientSpeaker
+from lapistrestle.edge.clients import ClientConnection
 from lapistrestle.edge.program import Edge
 from lapistrestle.standins.virtual import LATENCY, Process, VirtualReactor
 from lapistrestle.wire import messages as wire
@@ -95,7 +95,7 @@
         """The dispatcher dials a worker: the connection is made and greeted."""
         if dial.runner is None:
             return
-        name, start = dial.runner.linking.name, dial.runner.start
+        name, start = dial.runner.state_machine.name, dial.runner.start
         protocol = dial.buildProtocol(PEER)
         if protocol is None:
             return
@@ -110,7 +110,7 @@
             match message:
                 case wire.Run():
                     runner = transport.protocol.runner
-                    key = (runner.linking.name, message.function)
+                    key = (runner.state_machine.name, message.function)
                     wait = ANSWER_AFTER if key in self.loaded else LOAD_AFTER + ANSWER_AFTER
                     self.loaded.add(key)
                     self.reactor.at(wait, self.say, transport, wire.RunFinished(message.call_id, "ok"))
@@ -206,7 +206,7 @@
         self.seat = self.connected_client()
 
     def connected_client(self) -> Any:
-        seat: Any = ClientSpeaker(self.edge, 1)
+        seat: Any = ClientConnection(self.edge, 1)
         seat.makeConnection(HollowTransport(seat, self.heard))
         seat.dataReceived(wire.encode(wire.Hello(wire.CLIENT, wire.VERSION, "client")) + b"\n")
         return seat
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -97,7 +97,7 @@
     control = spent.median - (holder.processor - before[0]) - calls * calls_alone(given, seed)
     return Costs(
         state=measuring.deep_size(made.edge, STRANGERS),
-        known=len(made.edge.following.known),
+        known=len(made.edge.known_workers.known),
         functions=len(made.edge.directory.watcher.functions),
         control=control / SECONDS,
         bytes_in=(made.directory.bytes_in - before[1]) / SECONDS,
@@ -119,7 +119,7 @@
     calls = made.count - before[1]
     return Costs(
         state=measuring.deep_size(made.edge, STRANGERS),
-        known=len(made.edge.following.known),
+        known=len(made.edge.known_workers.known),
         functions=len(made.edge.host.registry.functions),
         control=(spent.median - calls * calls_alone(given, seed)) / SECONDS,
         bytes_in=(roster.traffic.bytes_in - before[0]) / SECONDS,
--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -2,8 +2,8 @@
 
 `lending`: a whole of units over all dispatchers, a tenth of which want more than their cut; each runs the
 program's own `QuotaLeasing` and `QuotaShare`, messages are encoded as they cross. `together`: the look that
-an edge takes twice a second at its workers (`FleetMember.share_trials` and `loading`), by number of
-instances.
+an edge takes twice a second at its workers (`FleetMember.share_verdicts` and `loads_in_progress`), by number
+of instances.
 """
 
 import random
@@ -184,10 +184,10 @@
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         instances, dispatchers = (size, 50) if dimension is Dimension.INSTANCES else (1_000, size)
         together = together_of(instances, dispatchers)
-        look = processor_seconds(together.share_trials)
-        loads = processor_seconds(together.loading)
+        look = processor_seconds(together.share_verdicts)
+        loads = processor_seconds(together.loads_in_progress)
         looks = SECOND / UPDATE_EVERY
-        steps = count_steps(together.share_trials).instructions
+        steps = count_steps(together.share_verdicts).instructions
         figures = {"one count of own loads (s)": loads.median}
         if dimension is Dimension.DISPATCHERS:
             figures["who tries one suspect worker (s)"] = trial_seconds(together)
--- a/benchmarks/scale/roles/control_hollow.py
+++ b/benchmarks/scale/roles/control_hollow.py
@@ -137,9 +137,9 @@
         if not timer.stopped:
             self.meter.run(timer.call, timer.argument)
 
-    def input(self) -> None: ...
+    def input_received(self) -> None: ...
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         self.passed.append(f"{name}: {why}")
 
     def log(self, what: str, **figures: Any) -> None: ...
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -18,7 +18,7 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.control_hollow import SECOND, Traffic, deployment
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.edge.planning import PlannerSource
+from lapistrestle.edge.planner_source import PlannerSource
 from lapistrestle.planner.connection import PlannerConnection
 from lapistrestle.planner.entries import CommandEntry, OutcomeEntry
 from lapistrestle.planner.server import Planner
@@ -306,7 +306,7 @@
         self.bounds = LineLimits()
         self.routing = Routing()
         self.now = 1_000 * SECOND
-        self.seats: dict[Any, None] = {}
+        self.client_connections: dict[Any, None] = {}
         self.host = SimpleNamespace(registry=SimpleNamespace(functions={}), module=SimpleNamespace())
 
     def clock(self) -> int:
@@ -314,7 +314,7 @@
 
     def after(self, delay: int, call: Any, argument: object) -> None: ...
 
-    def input(self) -> None: ...
+    def input_received(self) -> None: ...
 
     def log(self, what: str, **figures: Any) -> None: ...
 
@@ -339,7 +339,7 @@
 
 def source_with(functions: int, keep: str = "") -> PlannerSource:
     source = PlannerSource(HollowPlannedEdge(keep), 1)
-    source.told(whole_plan(functions))
+    source.plan_received(whole_plan(functions))
     return source
 
 
@@ -377,7 +377,7 @@
     source, held = build_measured(lambda: source_with(size))
     changes = took(lambda number: change_told(source, number))
     steps = count_steps(lambda: change_told(source, CHANGES)).instructions
-    each_second = processor_seconds(lambda: source.tell(None), 3)
+    each_second = processor_seconds(lambda: source.send_reports(None), 3)
     with tempfile.TemporaryDirectory() as folder:
         keeping = source_with(size, f"{folder}/plan")
         kept = took(lambda number: change_told(keeping, number))
@@ -401,7 +401,7 @@
     """One change, as its line arrives."""
     routing = source.routing
     plan = plans.Plan(routing.number + 1, routing.epoch, [plans.to_message(split_at(number))])
-    source.told(plans.Plan(plan.number, plan.epoch, plan.splits))
+    source.plan_received(plans.Plan(plan.number, plan.epoch, plan.splits))
 
 
 def source_heard(line: bytes) -> None:
@@ -409,7 +409,7 @@
     source = PlannerSource(HollowPlannedEdge(), 1)
     speaker = source.make_connection()
     message = speaker.decoder.decode(line)
-    source.told(message)
+    source.plan_received(message)
 
 
 def longest_line(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -1,8 +1,8 @@
 """The list of instances: what a whole list and one change cost a dispatcher, and whoever tells it.
 
-`list`: the edge's `Following` on encoded lines, without the module. `roster`: the stand-in of the roster that
-this program's tests and demonstrations run, the only one there is today; it tells every change to every
-follower and every starter the whole list.
+`list`: the edge's `EndpointListFollower` on encoded lines, without the module. `roster`: the stand-in of the
+roster that this program's tests and demonstrations run, the only one there is today; it tells every change to
+every follower and every starter the whole list.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from benchmarks.scale.roles.control_hollow import SECOND, Traffic
 from benchmarks.scale.roles.control_rollout import CountingTransport
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.edge.following import Following
+from lapistrestle.edge.known_workers import EndpointListFollower
 from lapistrestle.sources.numbered_list import ListAction
 from lapistrestle.sources.roster import RosterConnection as EdgeSpeaker
 from lapistrestle.standins.roster import RosterFactory, RosterStandIn
@@ -44,27 +44,27 @@
     return wire.encode(whole_list(instances)) + b"\n"
 
 
-def following_of(instances: int) -> Following:
+def following_of(instances: int) -> EndpointListFollower:
     """A dispatcher's list with that many instances."""
-    following = Following(ZONES, KINDS, lambda text: None)
-    following.told(whole_list(instances), SECOND)
+    following = EndpointListFollower(ZONES, KINDS, lambda text: None)
+    following.message_received(whole_list(instances), SECOND)
     return following
 
 
 def heard_whole(line: bytes) -> None:
-    following = Following(ZONES, KINDS, lambda text: None)
-    assert following.told(DECODER.decode(line), SECOND).do is ListAction.APPLY
+    following = EndpointListFollower(ZONES, KINDS, lambda text: None)
+    assert following.message_received(DECODER.decode(line), SECOND).action is ListAction.APPLY
 
 
 def change_line(number: int, instance: int) -> bytes:
     return wire.encode(wire.RosterUpdate(number, [entry(instance, start="s2")], "e1")) + b"\n"
 
 
-def heard_change(following: Following, line: bytes) -> None:
-    assert following.told(DECODER.decode(line), SECOND).do is ListAction.APPLY
+def heard_change(following: EndpointListFollower, line: bytes) -> None:
+    assert following.message_received(DECODER.decode(line), SECOND).action is ListAction.APPLY
 
 
-def heard_changes(following: Following, lines: list[bytes], count: int) -> None:
+def heard_changes(following: EndpointListFollower, lines: list[bytes], count: int) -> None:
     """So many of the lines, each once."""
     for _ in range(count):
         heard_change(following, lines.pop(0))
--- a/lapistrestle/command/asking.py
+++ b/lapistrestle/command/asking.py
@@ -5,7 +5,7 @@
 import click
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
@@ -52,7 +52,7 @@
 def asked(port: int, protocol: str, answers: Any, message: wire.Message, none: str) -> Any:
     """The answer of what listens at that port; `answers` is a union of message types. Raises ClickException,
     which says `none` where no answer comes."""
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     asking = Asking(reactor, protocol, answers, message)
     reactor.connectTCP("127.0.0.1", port, asking, timeout=DIAL)
     reactor.callLater(PATIENCE, asking.answered, None)
--- a/lapistrestle/command/demo.py
+++ b/lapistrestle/command/demo.py
@@ -11,7 +11,7 @@
 from rich.table import Table
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.standins.children import Child
 from lapistrestle.standins.client import Crowd, Habits, Line, Wish
 from lapistrestle.wire import messages as wire
@@ -126,7 +126,7 @@
 def play(
     console: Console, edge: Child, workers: list[dict[str, Any]], seconds: float, rate: float
 ) -> DemoCrowd:
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     crowd, gauges = DemoCrowd(reactor, Habits()), Gauges()
     crowd.lines = [Line(crowd, "edge-0", edge.port)]
     for worker in workers:
--- a/lapistrestle/command/directories.py
+++ b/lapistrestle/command/directories.py
@@ -12,7 +12,7 @@
 from lapistrestle.command.asking import asked
 from lapistrestle.command.programs import as_json, serve, tell_port
 from lapistrestle.deployment.load import DeploymentError, load_holder
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.records.logs import make_log
 
 
@@ -43,7 +43,7 @@
         made.roster.port = roster_port
     if not made.roster.port:
         raise DeploymentError(f"{settings}: roster.port: is missing; a holder needs one (or --roster-port)")
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     program = HolderProgram(reactor, made, make_log(json_), secrets.randbits(32))
     serve(reactor, program.start, tell_port, lambda: program.stop(reactor.stop))
 
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -18,7 +18,7 @@
 
 from lapistrestle.deployment.load import DeploymentError, convert_value, load_deployment, read_json5
 from lapistrestle.edge.program import Edge
-from lapistrestle.edge.running import reactor_of_now, run
+from lapistrestle.edge.reactor import monotonic_reactor, run
 from lapistrestle.records.logs import make_log
 from lapistrestle.standins.engine import RunnerFacts
 from lapistrestle.standins.roster import RosterStandIn
@@ -81,7 +81,7 @@
         made.planner.port = planner_port
     if not made.roster.port and not made.directory.shards:
         raise DeploymentError(f"{deployment}: roster.port: is missing; an edge needs one (or --roster-port)")
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     try:
         boot, nonce = time.time_ns() // 1_000_000, secrets.randbits(32)
         program = Edge(reactor, made, make_log(json_), boot=boot, nonce=nonce)
@@ -108,7 +108,7 @@
 
     SIGTERM drains it, a second one ends it.
     """
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     facts = RunnerFacts(cores, speed, memory, queue, absent=absent)
     if cold:
         facts.cold_share, facts.ramp = 0.2, 15.0
@@ -152,7 +152,7 @@
 
     SIGHUP reads the file again: what changed is told, late by the lag.
     """
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     log = make_log(roster=str(workers))
     made: list[RosterStandIn] = []
     known: dict[str, wire.RosterEntry] = {}
@@ -283,7 +283,7 @@
     load: float, token: int | None, count: int, rate: float, json_: bool,
 ) -> None:  # fmt: skip
     """Send calls to an edge and show the answers. Ends with status 1 unless all are ok."""
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     body = msgspec.Raw(msgspec.json.encode({"work": work, "load": load}))
     made = wire.Call(
         "", function, method, left, customer, memory, lanes, work, token=token, load_time=load, body=body
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -16,7 +16,7 @@
 from lapistrestle.command.programs import as_json, serve, tell_port
 from lapistrestle.deployment.load import DeploymentError, convert_value, read_json5
 from lapistrestle.deployment.schema import Duration, SettingsGroup
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.planner.server import Planner
 from lapistrestle.records.logs import make_log
 from lapistrestle.rollout_types import CommandOutcome
@@ -32,7 +32,7 @@
 @as_json
 def planner(journal: Path, port: int, tell_port: Path | None, json_: bool) -> None:
     """Run a planner that keeps rollouts in the file JOURNAL and tells edges which version gets what share."""
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     try:
         kept = Journal(journal)
     except JournalError as trouble:
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -53,16 +53,16 @@
         holder: ShardHolder,
         clock: Callable[[], int],
         act: Callable[[], None],
-        passed_over: Callable[[str, str], None],
+        message_ignored: Callable[[str, str], None],
         log: Callable[[str], None],
     ) -> None:
-        """`act` performs the holder's effects; `passed_over` counts lines that can't be decoded."""
+        """`act` performs the holder's effects; `message_ignored` counts lines that can't be decoded."""
         self.reactor = reactor
         self.name = name
         self.holder = holder
         self.clock = clock
         self.perform_effects = act
-        self.passed_over = passed_over
+        self.message_ignored = message_ignored
         self.list = RosterInstances(log)
         self.bounds = LineLimits(max_line_bytes=MAX_LINE_BYTES)
         self.connect_timeout = CONNECT_TIMEOUT
@@ -89,7 +89,7 @@
         """Call a function after `delay` ticks. Returns the reactor's handle."""
         return self.reactor.callLater(delay / SECOND, call, arg)
 
-    def input(self) -> None:
+    def input_received(self) -> None:
         """Data was received from the roster; the holder detects stalls at its own calls."""
 
     def list_received(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
@@ -136,7 +136,7 @@
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Reconnect: the line may have answered a request, and only a new connection has none open."""
-        self.source.owner.passed_over("roster", why)
+        self.source.owner.message_ignored("roster", why)
         self.close_with_reason(f"unreadable line: {why}")
 
 
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -41,7 +41,7 @@
         self.counts = HolderCounts()
         self.roster = RosterSubscription(
             reactor, serve.name, settings.roster.port, self.holder, self.clock, self.perform_effects,
-            self.passed_over, lambda text: log("roster", figures=text),
+            self.message_ignored, lambda text: log("roster", figures=text),
         )  # fmt: skip
         self.sessions = WatcherSessions(self, serve.name, serve.unsent, self.counts, log)
         self.timer: Any = None
@@ -65,7 +65,7 @@
         self.schedule_timer()
         return made
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         """Count and log a line of a peer that could not be decoded."""
         self.counts.unreadable_lines += 1
         if self.counts.unreadable_lines <= MAX_LOGGED_LINES:
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -40,7 +40,7 @@
     def inspect(self, function: str) -> wire.InspectResponse:
         """The answer to an operator's request."""
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         """A line of a peer could not be decoded."""
 
 
@@ -165,7 +165,7 @@
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Close the connection: the undecodable line may have been a watch request."""
-        self.sessions.listener.passed_over(self.name, why)
+        self.sessions.listener.message_ignored(self.name, why)
         super().unreadable_line_received(line, why)
 
     def write_blocked(self, slow: bool) -> None:
--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -30,7 +30,7 @@
 }
 
 
-class ClientSpeaker(LineConnection):
+class ClientConnection(LineConnection):
     """The connection of one client, with its open requests by call id."""
 
     protocol = wire.CLIENT
@@ -47,10 +47,10 @@
         return wire.Hello(self.protocol, wire.VERSION, self.edge.name, self.name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.edge.seats[self] = None
+        self.edge.client_connections[self] = None
 
     def message_received(self, message: Any) -> None:
-        self.edge.input()
+        self.edge.input_received()
         self.read_at = self.edge.clock()
         match message:
             case wire.Call():
@@ -135,8 +135,8 @@
         self.send_message(wire.Fault(why, name))
 
     def connection_lost(self) -> None:
-        self.edge.input()
-        self.edge.seats.pop(self, None)
+        self.edge.input_received()
+        self.edge.client_connections.pop(self, None)
         requests, self.open = list(self.open.values()), {}
         for pending in requests:
             self.edge.host.client_gone(pending)
@@ -149,12 +149,12 @@
 
     def __init__(self, edge: Any) -> None:
         self.edge, self.last = edge, 0
-        self.seats: dict[ClientSpeaker, None] = {}
+        self.client_connections: dict[ClientConnection, None] = {}
         self.listening: Any = None
 
-    def buildProtocol(self, addr: Any) -> ClientSpeaker:
+    def buildProtocol(self, addr: Any) -> ClientConnection:
         self.last += 1
-        return ClientSpeaker(self.edge, self.last)
+        return ClientConnection(self.edge, self.last)
 
     def listen(self) -> int:
         wanted = self.edge.deployment.listen.port
@@ -167,11 +167,11 @@
             self.listening.stopListening()
 
     def open(self) -> list[PendingRequest]:
-        return [t for seat in self.seats for t in seat.open.values()]
+        return [t for seat in self.client_connections for t in seat.open.values()]
 
     def owes(self) -> bool:
         return False  # Twisted's transports write their buffers before they close
 
     def end(self) -> None:
-        for seat in list(self.seats):
+        for seat in list(self.client_connections):
             seat.close_with_reason("the edge stops")
--- a/lapistrestle/edge/linking.py
+++ b/lapistrestle/edge/connection_state.py
@@ -14,9 +14,11 @@
 from zlib import crc32
 
 Link = Enum("Link", "IDLE DIALING OPEN SLOW RESTING ENDING ENDED")
-Input = Enum("Input", "NAMED WANTED GREETED FAILED BROKE SLOWED EASED DUE DROPPED LAST_ENDED")
+ConnectionEvent = Enum(
+    "ConnectionEvent", "NAMED WANTED GREETED FAILED BROKE SLOWED EASED DUE REMOVED LAST_ENDED"
+)
 Begun = Enum("Begun", "WRITTEN REFUSED FULL")  # result of an attempt to write a line
-Effect = Callable[["Linking"], None]
+Effect = Callable[["ConnectionStateMachine"], None]
 
 FIRST_REST, LONGEST_REST = 1_000, 20_000  # ticks of backoff between dials while no line is queued
 CLOSED = (Link.ENDING, Link.ENDED)
@@ -65,7 +67,7 @@
 
 
 @dataclass
-class Linking:
+class ConnectionStateMachine:
     """The state of one connection to a runner, with its queued and sent lines.
 
     Lines are known by the host's numbers of attempts, preloads and health checks.
@@ -81,7 +83,7 @@
     out: dict[int, None] = field(default_factory=dict)  # numbers of lines written and not finished
     rests: int = 0  # consecutive failed dials
 
-    def step(self, given: Input) -> None:
+    def step(self, given: ConnectionEvent) -> None:
         after = LIFE.get((self.state, given))
         if after is None:
             return
@@ -113,7 +115,7 @@
         if prompt:
             line.until = self.clock() + self.prompt
         self.waiting.append(line)
-        self.step(Input.WANTED)
+        self.step(ConnectionEvent.WANTED)
         return True
 
     def begin(self, line: Line) -> Begun:
@@ -159,7 +161,7 @@
         """The runner reported the end of this number; False if it was not in flight here."""
         known = self.out.pop(number, 0) is None
         if self.state is Link.ENDING and not self.out:
-            self.step(Input.LAST_ENDED)
+            self.step(ConnectionEvent.LAST_ENDED)
         return known
 
     # effects
@@ -194,7 +196,7 @@
         if numbers := self.kept():
             self.callbacks.never_left(numbers)
 
-    def hold_back(self) -> None:
+    def discard_unsent(self) -> None:
         """Report all queued lines as not sent: the runner drains, or was removed from the list."""
         if numbers := self.kept():
             self.callbacks.not_sent(numbers)
@@ -221,28 +223,31 @@
     def close_if_done(self) -> None:
         """Close if nothing is in flight; else the connection stays open until the calls at the runner end."""
         if not self.out:
-            self.step(Input.LAST_ENDED)
+            self.step(ConnectionEvent.LAST_ENDED)
 
 
 LOGGED = (Link.SLOW, Link.RESTING, Link.ENDING)
-_ = Linking
-LIFE: dict[tuple[Link, Input], tuple[Link, tuple[Effect, ...]]] = {
-    (Link.IDLE, Input.NAMED): (Link.DIALING, (_.dial,)),
-    (Link.IDLE, Input.WANTED): (Link.DIALING, (_.dial,)),
-    (Link.IDLE, Input.DROPPED): (Link.ENDED, (_.give_back,)),
-    (Link.DIALING, Input.GREETED): (Link.OPEN, (_.flush,)),
-    (Link.DIALING, Input.FAILED): (Link.RESTING, (_.give_back, _.rest)),
-    (Link.DIALING, Input.BROKE): (Link.RESTING, (_.give_back, _.rest)),
-    (Link.DIALING, Input.DROPPED): (Link.ENDED, (_.give_back, _.close)),
-    (Link.OPEN, Input.SLOWED): (Link.SLOW, ()),
-    (Link.OPEN, Input.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
-    (Link.OPEN, Input.DROPPED): (Link.ENDING, (_.hold_back, _.close_if_done)),  # queued amid a flush
-    (Link.SLOW, Input.EASED): (Link.OPEN, (_.flush,)),
-    (Link.SLOW, Input.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
-    (Link.SLOW, Input.DROPPED): (Link.ENDING, (_.give_back, _.close_if_done)),
-    (Link.RESTING, Input.WANTED): (Link.DIALING, (_.dial,)),
-    (Link.RESTING, Input.DUE): (Link.DIALING, (_.dial,)),
-    (Link.RESTING, Input.DROPPED): (Link.ENDED, (_.give_back,)),
-    (Link.ENDING, Input.LAST_ENDED): (Link.ENDED, (_.close,)),
-    (Link.ENDING, Input.BROKE): (Link.ENDED, (_.break_off,)),
+_ = ConnectionStateMachine
+LIFE: dict[tuple[Link, ConnectionEvent], tuple[Link, tuple[Effect, ...]]] = {
+    (Link.IDLE, ConnectionEvent.NAMED): (Link.DIALING, (_.dial,)),
+    (Link.IDLE, ConnectionEvent.WANTED): (Link.DIALING, (_.dial,)),
+    (Link.IDLE, ConnectionEvent.REMOVED): (Link.ENDED, (_.give_back,)),
+    (Link.DIALING, ConnectionEvent.GREETED): (Link.OPEN, (_.flush,)),
+    (Link.DIALING, ConnectionEvent.FAILED): (Link.RESTING, (_.give_back, _.rest)),
+    (Link.DIALING, ConnectionEvent.BROKE): (Link.RESTING, (_.give_back, _.rest)),
+    (Link.DIALING, ConnectionEvent.REMOVED): (Link.ENDED, (_.give_back, _.close)),
+    (Link.OPEN, ConnectionEvent.SLOWED): (Link.SLOW, ()),
+    (Link.OPEN, ConnectionEvent.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
+    (Link.OPEN, ConnectionEvent.REMOVED): (
+        Link.ENDING,
+        (_.discard_unsent, _.close_if_done),
+    ),  # queued amid a flush
+    (Link.SLOW, ConnectionEvent.EASED): (Link.OPEN, (_.flush,)),
+    (Link.SLOW, ConnectionEvent.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
+    (Link.SLOW, ConnectionEvent.REMOVED): (Link.ENDING, (_.give_back, _.close_if_done)),
+    (Link.RESTING, ConnectionEvent.WANTED): (Link.DIALING, (_.dial,)),
+    (Link.RESTING, ConnectionEvent.DUE): (Link.DIALING, (_.dial,)),
+    (Link.RESTING, ConnectionEvent.REMOVED): (Link.ENDED, (_.give_back,)),
+    (Link.ENDING, ConnectionEvent.LAST_ENDED): (Link.ENDED, (_.close,)),
+    (Link.ENDING, ConnectionEvent.BROKE): (Link.ENDED, (_.break_off,)),
 }
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -47,7 +47,7 @@
 
     def named(self) -> None: ...  # the runner was added to the list
     def dropped(self) -> None: ...  # the runner was removed; calls in flight may still finish
-    def hold_back(self) -> None: ...  # the runner drains: discard what is queued and not written
+    def discard_unsent(self) -> None: ...  # the runner drains: discard what is queued and not written
     def send_call(self, worker_call: WorkerCall) -> None: ...
     def send_preload(self, task: WorkerTask) -> None: ...
     def unload(self, function: str) -> None: ...
@@ -86,7 +86,7 @@
         self.dials_when_used = False  # connect to a runner on first use instead of when it is listed
         self.stopped: Callable[[], None] | None = None
         self.answers_until: int | None = None  # once all requests were aborted: deadline for sending answers
-        self.inputs = 0  # network inputs processed so far
+        self.inputs_received = 0  # network inputs processed so far
         self.turns, self.next_turn, self.turn_at = TimerGate(), None, -1
         self.front: Front
         self.make_runner: Callable[[str, Any, str], RunnerHandle]
@@ -143,8 +143,8 @@
 
     # timers
 
-    def input(self) -> None:
-        self.inputs += 1
+    def input_received(self) -> None:
+        self.inputs_received += 1
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
         timer = self.host.timers.at(self.clock() + delay, call, arg)
@@ -165,7 +165,7 @@
         self.next_turn = None
         due, now = self.host.timers.next(), self.clock()
         if due is not None and due <= now:
-            if not self.turns.may_fire(now, due, self.inputs):
+            if not self.turns.may_fire(now, due, self.inputs_received):
                 self.turn_at = due
                 self.next_turn = self.reactor.callLater(0, self.turn)
                 return
@@ -184,9 +184,9 @@
         self.host.endpoints_received(told, whole)
         for facts in told:
             if facts.endpoint_state is not EndpointState.SERVING and facts.name in self.runners:
-                self.runners[facts.name].hold_back()
+                self.runners[facts.name].discard_unsent()
 
-    def address(self, name: str, address: Any, start: str = "") -> None:
+    def address_received(self, name: str, address: Any, start: str = "") -> None:
         """Note the address of a runner; an empty one removes it.
 
         Another address means another process: the handle of the old one is kept until its calls have ended.
@@ -204,7 +204,7 @@
         """The handle to send to the runner by; `None` if there is none."""
         return self.runners.get(name)
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         """Count and log a message of a peer that is ignored."""
         self.count_and_log("passed over", peer=name, why=why[:200])
 
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -72,7 +72,7 @@
             lambda text: edge.log("directory", figures=text),
         )
         self.connections = HolderConnections(edge, self)
-        self.waiting = WaitingRequests(edge, int(settings.lookup_time_out))
+        self.waiting_requests = WaitingRequests(edge, int(settings.lookup_time_out))
         self.instances = InstanceHandOver(edge, self.region)
         self.asked = 0  # time at which the message being processed was valid
         self.acting = False
@@ -109,7 +109,7 @@
         """Have a request wait for `PrefixReady`, `LookupFailed` (within the look-up timeout) or its
         deadline.
         """
-        self.waiting.add(pending)
+        self.waiting_requests.add(pending)
         self.act()
 
     def used(self, worker_call: WorkerCall) -> None:
@@ -179,7 +179,7 @@
     def tick(self, _: object) -> None:
         """Let the watcher act on the time that has passed."""
         self.timer = None
-        if not self.edge.stopping or self.waiting:
+        if not self.edge.stopping or self.waiting_requests:
             self.watcher.tick(self.edge.clock())
             self.act()
 
@@ -200,18 +200,18 @@
             case PrefixReady():
                 self.prefix_ready(effect)
             case LookupFailed():
-                self.waiting.failed(effect.function, effect.retry_after)
+                self.waiting_requests.failed(effect.function, effect.retry_after)
             case RegionSumsChanged():
                 self.region.update(effect.sums, self.asked)
 
     def prefix_ready(self, effect: PrefixReady) -> None:
         """Pass the prefix to the module, and then resume the RPCs that waited for it."""
-        functions = dict.fromkeys(pending.function for pending in self.waiting.of(effect.function))
+        functions = dict.fromkeys(pending.function for pending in self.waiting_requests.of(effect.function))
         if (function := self.edge.host.registry.functions.get(effect.function)) is not None:
             functions[function] = None
         for function in functions:
             self.instances.rank(function, effect.names)
-        self.waiting.looked_up(effect.function)
+        self.waiting_requests.looked_up(effect.function)
 
     # operators
 
@@ -224,12 +224,12 @@
             "shards": len(self.settings.shards),
             "shards reached": self.watcher.reachable_shards(),
             "connections": len(self.connections),
-            "instances": len(self.edge.following.known),
+            "instances": len(self.edge.known_workers.known),
             "functions": sum(
                 function.prefix is not None for function in self.edge.host.registry.functions.values()
             ),
-            "waiting": len(self.waiting),
-            "look-ups": self.waiting.counts,
+            "waiting": len(self.waiting_requests),
+            "look-ups": self.waiting_requests.counts,
             "region": None
             if sums is None
             else {
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -62,7 +62,7 @@
             lends = QuotaSettings(lease_duration=3 * settle, settling_time=settle)
             loads = QuotaShare("loads", fleet.loads, place.of, place.number, lends, edge.clock())
             self.endpoint.quota_leasing = QuotaLeasing(
-                loads, self.loading, self.endpoint.send_lease_message, place.seed
+                loads, self.loads_in_progress, self.endpoint.send_lease_message, place.seed
             )
             edge.fleet.loads_allowed = self.loads
 
@@ -70,12 +70,12 @@
         """Whether this edge may start one more load now, by its share of the fleet's quota of loads."""
         lending = self.endpoint.quota_leasing
         assert lending is not None
-        if self.loading() < lending.available(now):
+        if self.loads_in_progress() < lending.available(now):
             return True
         lending.record_shortage()
         return False
 
-    def loading(self) -> int:
+    def loads_in_progress(self) -> int:
         """Loads in progress for this edge: one for each function and worker, however many calls
         wait for it.
         """
@@ -98,10 +98,10 @@
             self.admission.update(self.endpoint.is_present, self.endpoint.membership.size, self.edge.clock())
             self.edge.fleet.shedding = self.admission.is_shedding
             self.edge.fleet.retries_per_second = self.admission.retry_rate
-            self.share_trials()
+            self.share_verdicts()
         self.edge.after(UPDATE_EVERY, self.update, None)
 
-    def share_trials(self) -> None:
+    def share_verdicts(self) -> None:
         """Exchange verdicts on workers' health between the module and the other members."""
         now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
         members = self.endpoint.membership
@@ -146,7 +146,7 @@
         of = self.endpoint.quota_leasing.share
         lent, had = of.leased_out_units(), sum(loan.units for loan in of.borrowed.values())
         return {"may": of.available(now), "cut": of.own_units, "lent": lent, "borrowed": had,
-                "under way": self.loading()}  # fmt: skip
+                "under way": self.loads_in_progress()}  # fmt: skip
 
     def show(self) -> dict[str, Any]:
         """The member's state for operators (`lapistrestle fleet show --json`)."""
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -21,7 +21,7 @@
     def heard(self, connection: int, message: Any) -> None: ...
 
 
-class HolderSpeaker(LineConnection):
+class HolderConnection(LineConnection):
     """The edge's end of one connection to a holder."""
 
     protocol = wire.DIRECTORY
@@ -44,7 +44,7 @@
         """Close the connection: the line may have announced a drain, so the watches restart on
         another one.
         """
-        self.dial.connections.edge.passed_over("holder", why)
+        self.dial.connections.edge.message_ignored("holder", why)
         super().unreadable_line_received(line, why)
 
     def connection_lost(self) -> None:
@@ -58,24 +58,24 @@
 
     def __init__(self, connections: "HolderConnections", number: int) -> None:
         self.connections, self.number = connections, number
-        self.speaker: HolderSpeaker | None = None
+        self.connection: HolderConnection | None = None
         self.connector: Any = None
 
-    def buildProtocol(self, addr: Any) -> HolderSpeaker:
-        self.speaker = HolderSpeaker(self)
-        return self.speaker
+    def buildProtocol(self, addr: Any) -> HolderConnection:
+        self.connection = HolderConnection(self)
+        return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         self.connections.lost(self, greeted=False)
 
     def leave(self) -> None:
         """Abort the connection: unsent data is of no use any more, and the holder may not read it."""
-        if self.speaker is None:
+        if self.connection is None:
             self.connector.disconnect()
-        elif not self.speaker.closed:
-            self.speaker.closed = True
-            self.speaker.transport.unregisterProducer()
-            self.speaker.transport.abortConnection()
+        elif not self.connection.closed:
+            self.connection.closed = True
+            self.connection.transport.unregisterProducer()
+            self.connection.transport.abortConnection()
 
 
 class HolderConnections:
@@ -106,8 +106,8 @@
     def send(self, effect: Send) -> None:
         """Send a message if its connection is still open."""
         dial = self.dials.get(effect.connection)
-        if dial is not None and dial.speaker is not None:
-            dial.speaker.send_message(effect.message)
+        if dial is not None and dial.connection is not None:
+            dial.connection.send_message(effect.message)
 
     def close(self) -> None:
         """Close all connections."""
@@ -120,14 +120,14 @@
     def connected(self, dial: HolderDial) -> None:
         """Both ends have greeted."""
         if dial.number in self.dials:
-            self.edge.input()
+            self.edge.input_received()
             self.listener.connected(dial.number)
 
     def lost(self, dial: HolderDial, greeted: bool) -> None:
         """A connection ended, or could not be made."""
         if self.dials.pop(dial.number, None) is None:
             return
-        self.edge.input()
+        self.edge.input_received()
         if greeted:
             self.listener.disconnected(dial.number)
         else:
@@ -137,7 +137,7 @@
         """Hand on a message of a holder."""
         if dial.number not in self.dials:
             return
-        self.edge.input()
+        self.edge.input_received()
         if isinstance(message, Fault):
-            return self.edge.passed_over("holder", f"it could not take a line: {message.reason}")
+            return self.edge.message_ignored("holder", f"it could not take a line: {message.reason}")
         self.listener.heard(dial.number, message)
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from lapistrestle.directory.region_estimate import RegionEstimate
-from lapistrestle.edge.following import Address, Known
+from lapistrestle.edge.known_workers import Address, KnownWorker
 from lapistrestle.policy.entities import Function
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.wire.messages import RosterEntry
@@ -19,7 +19,7 @@
 
     def __init__(self, edge: Any, region: RegionEstimate) -> None:
         self.edge, self.region = edge, region
-        self.parted: dict[str, Known] = {}  # in no prefix any more, and still in slow start
+        self.parted: dict[str, KnownWorker] = {}  # in no prefix any more, and still in slow start
 
     def changed(self, entries: Iterable[RosterEntry]) -> None:
         """Apply new or changed instances."""
@@ -28,17 +28,19 @@
             parted = self.parted.pop(entry.name, None)
             # its start time stays as it was computed, so that the module sees no restart
             if parted is not None:
-                self.edge.following.known[entry.name] = parted
-        facts, addresses = self.edge.following.note(entries, self.edge.clock())
+                self.edge.known_workers.known[entry.name] = parted
+        facts, addresses = self.edge.known_workers.note(entries, self.edge.clock())
         self.edge.workers_told(facts, addresses)
 
     def gone(self, names: Iterable[str]) -> None:
         """Remove instances. Nothing new is sent to them; calls in flight may still finish."""
         facts = list[WorkerInfo]()
         for name in names:
-            known = self.edge.following.known.pop(name, None) or self.parted.pop(name, None)
+            known = self.edge.known_workers.known.pop(name, None) or self.parted.pop(name, None)
             if known is not None:
-                facts.append(replace(self.edge.following.facts(known), endpoint_state=EndpointState.REMOVED))
+                facts.append(
+                    replace(self.edge.known_workers.worker_info(known), endpoint_state=EndpointState.REMOVED)
+                )
         self.tell_left(facts)
 
     def forgotten(self, names: Iterable[str]) -> None:
@@ -49,19 +51,19 @@
         """
         facts = list[WorkerInfo]()
         for name in names:
-            known = self.edge.following.known.pop(name, None)
+            known = self.edge.known_workers.known.pop(name, None)
             if known is None:
                 continue
             warm_at = (known.booted or -self.region.ramp_time) + self.region.ramp_time
             left = warm_at - self.edge.clock() if self.region.ramp_time and known.booted is not None else 0
             listing = EndpointState.DRAINING if left > 0 else EndpointState.REMOVED
-            facts.append(replace(self.edge.following.facts(known), endpoint_state=listing))
+            facts.append(replace(self.edge.known_workers.worker_info(known), endpoint_state=listing))
             if left > 0:
                 self.parted[name] = known
                 self.edge.after(left, self.warmed_up, known)
         self.tell_left(facts)
 
-    def warmed_up(self, known: Known) -> None:
+    def warmed_up(self, known: KnownWorker) -> None:
         """The instance's slow start is over: remove it unless it came back."""
         if self.parted.get(known.entry.name) is known:
             self.gone([known.entry.name])
@@ -75,5 +77,5 @@
     def rank(self, function: Function, names: tuple[str, ...]) -> None:
         """Pass the function's prefix to the module, limited to known workers."""
         self.edge.host.prefix_received(
-            function, [name for name in names if name in self.edge.following.known]
+            function, [name for name in names if name in self.edge.known_workers.known]
         )
--- a/lapistrestle/edge/following.py
+++ b/lapistrestle/edge/known_workers.py
@@ -19,25 +19,25 @@
 
 
 @dataclass(eq=False)
-class Known:
+class KnownWorker:
     """What is known of one worker."""
 
     entry: RosterEntry
     booted: int | None = None  # time of `start` on our clock; computed once, as repeated ones would drift
     start: str = ""  # id of the process start
-    drains: str = ""  # id of the start for which the runner itself announced that it drains
+    draining_start: str = ""  # id of the start for which the runner itself announced that it drains
 
 
 Address = tuple[str, int, str]  # of a worker: name, port, start id; port 0: removed
 
 
 @dataclass(frozen=True)
-class Taken:
+class ListResult:
     """What is done with a list or change, and which workers and addresses it changes."""
 
-    do: ListAction
+    action: ListAction
     whole: bool = False
-    facts: tuple[WorkerInfo, ...] = ()
+    workers: tuple[WorkerInfo, ...] = ()
     addresses: tuple[Address, ...] = ()
 
 
@@ -47,7 +47,7 @@
     def __init__(self, zones: list[str], kinds: list[str]) -> None:
         self.zones = {zone: i for i, zone in enumerate(zones)}
         self.kinds = {kind: i for i, kind in enumerate(kinds)}
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, KnownWorker] = {}
 
     def note(self, entries: Iterable[RosterEntry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
         """Apply entries of a list. Returns the workers for the module, and their current addresses."""
@@ -55,16 +55,16 @@
         for entry in entries:
             known = self.known.get(entry.name)
             if known is None:
-                known = self.known[entry.name] = Known(entry)
+                known = self.known[entry.name] = KnownWorker(entry)
             known.entry = entry
             self.started(known, entry.start, entry.up_for, now, first=not known.start)
-            facts.append(self.facts(known))
+            facts.append(self.worker_info(known))
             addresses.append((entry.name, 0 if entry.listing == "gone" else entry.port, entry.start))
             if entry.listing == "gone":
                 del self.known[entry.name]
         return facts, addresses
 
-    def started(self, known: Known, start: str, up_for: float | None, now: int, first: bool) -> bool:
+    def started(self, known: KnownWorker, start: str, up_for: float | None, now: int, first: bool) -> bool:
         """Note a start of a worker; whether it is a new one.
 
         A runner's greeting may be older or newer than the list: of two starts the later one counts.
@@ -85,28 +85,28 @@
         if known is None:
             return ()
         new = self.started(known, start, up_for, now, first=not known.start)
-        if draining and known.drains != start:
-            known.drains, new = start, True
-        return (self.facts(known),) if new else ()
+        if draining and known.draining_start != start:
+            known.draining_start, new = start, True
+        return (self.worker_info(known),) if new else ()
 
-    def drains(self, name: str, start: str) -> tuple[WorkerInfo, ...]:
+    def drain_announced(self, name: str, start: str) -> tuple[WorkerInfo, ...]:
         """The runner announced that it drains; this takes precedence over a list that has it serving."""
         known = self.known.get(name)
         if known is None or known.start != start:
             return ()
-        known.drains = start
-        return (self.facts(known),)
+        known.draining_start = start
+        return (self.worker_info(known),)
 
-    def facts(self, known: Known) -> WorkerInfo:
+    def worker_info(self, known: KnownWorker) -> WorkerInfo:
         entry = known.entry
         listing = STATES[entry.listing]
-        if listing is EndpointState.SERVING and known.drains and known.drains == known.start:
+        if listing is EndpointState.SERVING and known.draining_start and known.draining_start == known.start:
             listing = EndpointState.DRAINING
         zone, kind = self.zones.get(entry.zone, 0), self.kinds.get(entry.kind, 0)
         return WorkerInfo(entry.name, zone, entry.cell, kind, entry.size, listing, known.booted)
 
 
-class Following(NumberedList, KnownWorkers):
+class EndpointListFollower(NumberedList, KnownWorkers):
     """The roster's list of workers as one edge holds it."""
 
     def __init__(self, zones: list[str], kinds: list[str], log: Callable[[str], None]) -> None:
@@ -116,11 +116,11 @@
     def size(self) -> int:
         return len(self.known)
 
-    def told(self, message: RosterSnapshot | RosterUpdate, now: int) -> Taken:
+    def message_received(self, message: RosterSnapshot | RosterUpdate, now: int) -> ListResult:
         """Apply a list or change received from the roster."""
         do = self.accept(message)
         if do is not ListAction.APPLY:
-            return Taken(do)
+            return ListResult(do)
         whole = isinstance(message, RosterSnapshot)
         gone = {}
         if whole:
@@ -131,4 +131,4 @@
             for name in gone:
                 del self.known[name]
         facts, addresses = self.note(message.workers, now)
-        return Taken(do, whole, tuple(facts), (*((name, 0, "") for name in gone), *addresses))
+        return ListResult(do, whole, tuple(facts), (*((name, 0, "") for name in gone), *addresses))
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -33,7 +33,7 @@
         try:
             message = DECODER.decode(datagram)
         except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            self.edge.passed_over(f"peer at {addr[1]}", str(trouble))
+            self.edge.message_ignored(f"peer at {addr[1]}", str(trouble))
             return
-        self.edge.input()
+        self.edge.input_received()
         self.edge.host.gossip_received(message.sender, message.text)
--- a/lapistrestle/edge/planning.py
+++ b/lapistrestle/edge/planner_source.py
@@ -22,7 +22,7 @@
 UNHEARD = 30_000  # a connection without an answered heartbeat for so long is closed and dialled again
 
 
-class PlannerSpeaker(LineConnection):
+class PlannerLineConnection(LineConnection):
     """The edge's end of a connection to the planner."""
 
     protocol = plans.PLANNER
@@ -40,17 +40,17 @@
         self.source.beat(None, once=True)
 
     def message_received(self, message: Any) -> None:
-        self.source.owner.input()
+        self.source.owner.input_received()
         match message:
             case plans.Plan():
-                self.source.told(message)
+                self.source.plan_received(message)
             case plans.Heartbeat():
                 self.source.heard = self.source.owner.clock()
                 self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Close the connection: the line may have been a plan, and a new connection gets the whole plan."""
-        self.source.owner.passed_over("planner", why)
+        self.source.owner.message_ignored("planner", why)
         self.close_with_reason("unreadable")
 
     def connection_lost(self) -> None:
@@ -71,7 +71,7 @@
         self.file = PersistedPlanFile(Path(keep)) if keep else None
         self.recall()
         edge.after(BEAT, self.beat, None)
-        edge.after(TELL, self.tell, None)
+        edge.after(TELL, self.send_reports, None)
 
     def recall(self) -> None:
         """Restore the persisted plan, if there is one."""
@@ -101,8 +101,8 @@
         """Whether calls must be rejected because the first plan has not been received yet."""
         return self.routing.awaits_first_plan(self.owner.clock() - self.began)
 
-    def make_connection(self) -> PlannerSpeaker:
-        return PlannerSpeaker(self)
+    def make_connection(self) -> PlannerLineConnection:
+        return PlannerLineConnection(self)
 
     def beat(self, _: object, once: bool = False) -> None:
         """Send a heartbeat, and unless `once` schedule the next. Cuts a connection that does not answer."""
@@ -116,7 +116,7 @@
         if not once and not self.stopped:
             self.owner.after(BEAT, self.beat, None)
 
-    def told(self, plan: plans.Plan) -> None:
+    def plan_received(self, plan: plans.Plan) -> None:
         """Apply a plan, persist it, and withdraw what it bars. An outdated plan is ignored."""
         splits = [plans.to_split(share) for share in plan.splits]
         barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
@@ -134,7 +134,7 @@
         are unloaded.
         """
         function = self.owner.host.registry.functions.get(name)
-        for seat in list(self.owner.seats):
+        for seat in list(self.owner.client_connections):
             for pending in list(seat.open.values()):
                 if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
                     self.owner.host.retract(pending)
@@ -142,7 +142,7 @@
         for replica in list(function.replicas.values()) if function is not None else ():
             self.owner.unload(replica.worker, function)
 
-    def tell(self, _: object) -> None:
+    def send_reports(self, _: object) -> None:
         """Report outcomes by version, and keep copies of both versions of each function in a rollout."""
         now = self.owner.clock()
         for key, counts in self.routing.recent_counts(now).items():
@@ -156,7 +156,7 @@
             if loading and self.routing.lease.is_usable(now):
                 self.send_message(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
         if not self.stopped:
-            self.owner.after(TELL, self.tell, None)
+            self.owner.after(TELL, self.send_reports, None)
 
     def keep(self, split: TrafficSplit) -> tuple[float, str]:
         """Preload the copies that `rollout.replicas` wants for both versions.
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -6,13 +6,13 @@
 
 from lapistrestle.deployment.load import to_settings
 from lapistrestle.deployment.schema import Deployment
-from lapistrestle.edge.clients import Clients, ClientSpeaker
+from lapistrestle.edge.clients import ClientConnection, Clients
+from lapistrestle.edge.connection_state import PROMPT
 from lapistrestle.edge.core import Core, Log
-from lapistrestle.edge.following import Address, Following
 from lapistrestle.edge.keeping import Keeping
-from lapistrestle.edge.linking import PROMPT
+from lapistrestle.edge.known_workers import Address, EndpointListFollower
 from lapistrestle.edge.peers import Peers
-from lapistrestle.edge.planning import PlannerSource
+from lapistrestle.edge.planner_source import PlannerSource
 from lapistrestle.edge.runners import Runner, bounds_of
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
@@ -52,7 +52,9 @@
         self.customers = {name: i for i, name in enumerate(deployment.customers)}
         self.margin = int(deployment.listen.margin)
         kinds = list(deployment.workers.memory_by_kind)
-        self.following = Following(deployment.zones, kinds, lambda text: log("roster", figures=text))
+        self.known_workers = EndpointListFollower(
+            deployment.zones, kinds, lambda text: log("roster", figures=text)
+        )
         self.source: RosterSource | None = None
         self.planner: PlannerSource | None = None
         self.routing = Routing()
@@ -67,7 +69,7 @@
             guidance.region = RegionEstimate(self.clock, share, duration)
         super().__init__(reactor, place.name, settings, log, seed, self.margin // 2, make, fleet=guidance)
         clients = Clients(self)
-        self.front, self.seats = clients, clients.seats
+        self.front, self.client_connections = clients, clients.client_connections
         self.make_runner = lambda name, port, start: Runner(self, name, port, start)
         if deployment.directory.shards:
             from lapistrestle.edge.directory import EdgeDirectory
@@ -107,10 +109,10 @@
 
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         """Apply a list or change from the roster, as far as its number allows. Returns what was done."""
-        taken = self.following.told(message, self.clock())
-        if taken.do is ListAction.APPLY:
-            self.workers_told(taken.facts, taken.addresses, taken.whole)
-        return taken.do
+        taken = self.known_workers.message_received(message, self.clock())
+        if taken.action is ListAction.APPLY:
+            self.workers_told(taken.workers, taken.addresses, taken.whole)
+        return taken.action
 
     def workers_told(
         self, told: Sequence[WorkerInfo], addresses: Sequence[Address], whole: bool = False
@@ -118,12 +120,12 @@
         """Apply new or changed workers, and their current addresses."""
         self.listed(told, whole)
         for name, port, start in addresses:
-            self.address(name, port, start)
+            self.address_received(name, port, start)
 
     def list_event(self, news: ListEvent) -> None:
         """Handle the loss of the roster's connection, or its failure to answer."""
-        self.input()
-        if self.following.handle_event(news) is ListAction.REPORT_FAILURE:
+        self.input_received()
+        if self.known_workers.handle_event(news) is ListAction.REPORT_FAILURE:
             self.host.endpoints_failed()
 
     def runner(self, name: str) -> Any:
@@ -132,26 +134,26 @@
         With a directory most known workers never get a call, so a runner is dialled when it is first used.
         Its greeting tells whether it drains before the first line is sent.
         """
-        runner, known = self.runners.get(name), self.following.known.get(name)
+        runner, known = self.runners.get(name), self.known_workers.known.get(name)
         if runner is None and known is not None and self.dials_when_used and not self.stopping:
             runner = self.runners[name] = self.make_runner(name, known.entry.port, known.start)
         return runner
 
-    def runner_met(self, name: str, hello: wire.Hello) -> None:
+    def runner_greeted(self, name: str, hello: wire.Hello) -> None:
         """Apply a runner's greeting, which tells of its start and whether it drains."""
-        told = self.following.met(name, hello.start, hello.up_for, hello.draining, self.clock())
+        told = self.known_workers.met(name, hello.start, hello.up_for, hello.draining, self.clock())
         if told:
             self.listed(told, whole=False)
 
-    def runner_drains(self, name: str, start: str) -> None:
+    def runner_draining(self, name: str, start: str) -> None:
         """Apply a runner's own notice that it drains."""
-        told = self.following.drains(name, start)
+        told = self.known_workers.drain_announced(name, start)
         if told:
             self.listed(told, whole=False)
 
     # versions
 
-    def route(self, call: wire.Call, seat: ClientSpeaker, method: int) -> Route:
+    def route(self, call: wire.Call, seat: ClientConnection, method: int) -> Route:
         """Choose the version of the function that serves this call."""
         key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
         return self.routing.route(
@@ -168,7 +170,7 @@
         return self.deployment.methods[call.method].repeats_across_versions
 
     def take(
-        self, seat: ClientSpeaker, call: wire.Call, method: int, customer: int, left: int, route: Route,
+        self, seat: ClientConnection, call: wire.Call, method: int, customer: int, left: int, route: Route,
         moved: bool = False, prior_attempts: int = 0,
     ) -> None:  # fmt: skip
         """Hand an RPC to the host, for the first time or again under another version.
@@ -207,7 +209,7 @@
         A failure does not count against a version that this edge may not send to now: it is not the version's
         fault.
         """
-        waited = self.directory is not None and self.directory.waiting.leave(pending)
+        waited = self.directory is not None and self.directory.waiting_requests.leave(pending)
         if self.fleet_member is not None:
             late = self.late(pending)
             if how in (RequestEnd.REJECTED, RequestEnd.ABORTED) and cost_before(pending) and not late:
--- a/lapistrestle/edge/running.py
+++ b/lapistrestle/edge/reactor.py
@@ -26,7 +26,7 @@
     return milliseconds / 1000
 
 
-def reactor_of_now() -> Any:
+def monotonic_reactor() -> Any:
     """Twisted's reactor on the monotonic clock, as the system time may be set while the program runs.
 
     It gets three attributes. `looked`: the times of the previous poll of the sockets and of the current one;
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -1,11 +1,17 @@
-"""Connections to runners in the JSON lines protocol; their state machine is `edge.linking`."""
+"""Connections to runners in the JSON lines protocol; their state machine is `edge.connection_state`."""
 
 from typing import Any
 
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
-from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
+from lapistrestle.edge.connection_state import (
+    ConnectionEvent,
+    ConnectionStateMachine,
+    Line,
+    Link,
+    LinkCallbacks,
+)
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
 from lapistrestle.policy.types import LoadState, Outcome
@@ -22,7 +28,7 @@
 }  # fmt: skip
 
 
-def run_of(worker_call: WorkerCall, now: int) -> wire.Run:
+def call_message(worker_call: WorkerCall, now: int) -> wire.Run:
     """The message of an attempt, with the time left to it at `now`."""
     pending, asked = worker_call.pending, worker_call.pending.message
     left = max(1, worker_call.expires_at - now) / 10
@@ -32,7 +38,7 @@
     )  # fmt: skip
 
 
-def hold_of(task: WorkerTask) -> wire.PreloadRequest:
+def preload_message(task: WorkerTask) -> wire.PreloadRequest:
     """The message of a preload."""
     assert task.function is not None
     function = task.function
@@ -44,7 +50,7 @@
     return wire.encode(message) + b"\n"
 
 
-def tell(host: ModuleHost, said: wire.RunFinished | wire.PreloadResult | wire.ProbeResult) -> None:
+def report_reply(host: ModuleHost, said: wire.RunFinished | wire.PreloadResult | wire.ProbeResult) -> None:
     """Report to the host how an attempt, preload or health check ended."""
     match said:
         case wire.RunFinished():
@@ -58,7 +64,7 @@
             host.health_check_finished(said.probe_id, Outcome.OK, said.report or NO_REPORT)
 
 
-class RunnerSpeaker(LineConnection):
+class RunnerLineConnection(LineConnection):
     """The edge's end of one connection to a runner; `runner` is None once the connection was abandoned."""
 
     protocol = wire.RUNNER
@@ -85,11 +91,11 @@
         time out.
         """
         if self.runner:
-            self.runner.edge.passed_over(self.runner.linking.name, why)
+            self.runner.edge.message_ignored(self.runner.state_machine.name, why)
 
     def write_blocked(self, slow: bool) -> None:
         if self.runner:
-            self.runner.linking.step(Input.SLOWED if slow else Input.EASED)
+            self.runner.state_machine.step(ConnectionEvent.SLOWED if slow else ConnectionEvent.EASED)
 
     def pauseProducing(self) -> None:
         """Keep reading from a runner that reads slowly: it may still report how calls ended."""
@@ -99,9 +105,9 @@
 
     def connection_lost(self) -> None:
         if runner := self.runner:
-            runner.edge.input()
-            runner.drop_speaker()
-            runner.linking.step(Input.BROKE)
+            runner.edge.input_received()
+            runner.drop_connection()
+            runner.state_machine.step(ConnectionEvent.BROKE)
 
 
 class Dial(ClientFactory):
@@ -111,18 +117,18 @@
 
     def __init__(self, runner: "Runner") -> None:
         self.runner: Runner | None = runner
-        self.speaker: RunnerSpeaker | None = None
+        self.connection: RunnerLineConnection | None = None
 
-    def buildProtocol(self, addr: Any) -> RunnerSpeaker | None:
+    def buildProtocol(self, addr: Any) -> RunnerLineConnection | None:
         if self.runner is None:
             return None
-        self.speaker = self.runner.speaker = RunnerSpeaker(self.runner)
-        return self.speaker
+        self.connection = self.runner.connection = RunnerLineConnection(self.runner)
+        return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         if self.runner is not None and self.runner.dialling is self:
             self.runner.dialling = None
-            self.runner.linking.step(Input.FAILED)
+            self.runner.state_machine.step(ConnectionEvent.FAILED)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None: ...
 
@@ -132,8 +138,10 @@
 
     def __init__(self, edge: Any, name: str, port: int, start: str) -> None:
         self.edge, self.address, self.start = edge, port, start
-        self.linking = Linking(name, self, lambda text: edge.log("link", figures=text), edge.clock)
-        self.speaker: RunnerSpeaker | None = None
+        self.state_machine = ConnectionStateMachine(
+            name, self, lambda text: edge.log("link", figures=text), edge.clock
+        )
+        self.connection: RunnerLineConnection | None = None
         self.dialling: Dial | None = None
         self.connector: Any = None
         self.patience: Any = None
@@ -141,52 +149,54 @@
     # core.RunnerHandle
 
     def named(self) -> None:
-        self.linking.step(Input.NAMED)
+        self.state_machine.step(ConnectionEvent.NAMED)
 
     def dropped(self) -> None:
-        self.linking.step(Input.DROPPED)
+        self.state_machine.step(ConnectionEvent.REMOVED)
 
-    def hold_back(self) -> None:
-        self.linking.hold_back()
+    def discard_unsent(self) -> None:
+        self.state_machine.discard_unsent()
 
     def end(self) -> None:
-        self.drop_speaker()
+        self.drop_connection()
 
     # sending
 
     def send_call(self, worker_call: WorkerCall) -> None:
         worker_call.connection = self
         number, until = worker_call.number, worker_call.write_by
-        if not self.linking.send(Line(number, lambda: self.run_line(worker_call), until, work=worker_call)):
+        if not self.state_machine.send(
+            Line(number, lambda: self.run_line(worker_call), until, work=worker_call)
+        ):
             self.host.attempt_finished(worker_call.number, Outcome.REJECTED)
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
-        return encoded(run_of(worker_call, self.edge.clock()))
+        return encoded(call_message(worker_call, self.edge.clock()))
 
     def cancel_unsent(self, number: int) -> bool:
-        return self.linking.cancel_unsent(number)
+        return self.state_machine.cancel_unsent(number)
 
     def withdraw(self, number: int, notify: bool) -> bool:
         """Stop waiting for this number; True if its line was never sent. Otherwise `notify` the runner."""
-        if self.linking.withdraw(number):
+        if self.state_machine.withdraw(number):
             return True
-        if notify and self.linking.state in (Link.OPEN, Link.ENDING):
+        if notify and self.state_machine.state in (Link.OPEN, Link.ENDING):
             self.write(wire.encode(wire.Cancel(number)) + b"\n")
         return False
 
     def send_preload(self, task: WorkerTask) -> None:
         task.connection = self
         work = task if task.count else None
-        line = Line(task.number, lambda: encoded(hold_of(task)), work=work)
-        if not self.linking.send(line, prompt=task.count > 0):
+        line = Line(task.number, lambda: encoded(preload_message(task)), work=work)
+        if not self.state_machine.send(line, prompt=task.count > 0):
             self.host.preload_finished(task.number, Outcome.REJECTED, 0)
 
     def unload(self, function: str) -> None:
-        self.linking.send(Line(0, lambda: encoded(wire.Unload(function))))
+        self.state_machine.send(Line(0, lambda: encoded(wire.Unload(function))))
 
     def send_health_check(self, task: WorkerTask) -> None:
         task.connection = self
-        if not self.linking.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
+        if not self.state_machine.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
             self.host.health_check_finished(task.number, Outcome.REJECTED, NO_REPORT)
 
     # messages from the runner
@@ -197,45 +207,49 @@
         return host
 
     def met(self, hello: wire.Hello) -> None:
-        self.edge.input()
-        if hello.name != self.linking.name:
-            self.edge.passed_over(self.linking.name, f"{hello.name or 'nobody'} answers at its port")
-            if self.speaker:
-                self.speaker.close_with_reason(f"{self.linking.name} was expected here")
+        self.edge.input_received()
+        if hello.name != self.state_machine.name:
+            self.edge.message_ignored(
+                self.state_machine.name, f"{hello.name or 'nobody'} answers at its port"
+            )
+            if self.connection:
+                self.connection.close_with_reason(f"{self.state_machine.name} was expected here")
             return
         self.start = hello.start or self.start
         self.stop_patience()
         self.dialling = None
-        self.edge.runner_met(self.linking.name, hello)
-        self.linking.step(Input.GREETED)
+        self.edge.runner_greeted(self.state_machine.name, hello)
+        self.state_machine.step(ConnectionEvent.GREETED)
 
     def heard(self, message: Any) -> None:
-        self.edge.input()
+        self.edge.input_received()
         match message:
             case wire.RunFinished():
-                self.tell_if(self.linking.ended(message.call_id), message)
+                self.tell_if(self.state_machine.ended(message.call_id), message)
             case wire.RunStarted():
-                if message.call_id in self.linking.out:
+                if message.call_id in self.state_machine.out:
                     self.host.attempt_started(message.call_id)
                 else:
                     self.host.unmatched_reply()
             case wire.PreloadResult():
-                self.tell_if(self.linking.ended(message.preload_id), message)
+                self.tell_if(self.state_machine.ended(message.preload_id), message)
             case wire.ProbeResult():
-                self.tell_if(self.linking.ended(message.probe_id), message)
+                self.tell_if(self.state_machine.ended(message.probe_id), message)
             case wire.Draining():
-                self.edge.runner_drains(self.linking.name, self.start)
+                self.edge.runner_draining(self.state_machine.name, self.start)
             case wire.Fault():
-                self.edge.passed_over(self.linking.name, f"it could not take a line: {message.reason}")
+                self.edge.message_ignored(
+                    self.state_machine.name, f"it could not take a line: {message.reason}"
+                )
 
     def tell_if(self, known: object, said: Any) -> None:
         """Report a reply to a request in flight; ignore duplicate or unexpected ones."""
         if known:
-            tell(self.host, said)
+            report_reply(self.host, said)
         else:
             self.host.unmatched_reply()
 
-    # linking.LinkCallbacks
+    # connection_state.LinkCallbacks
 
     def dial(self) -> None:
         dial = self.dialling = Dial(self)
@@ -248,26 +262,26 @@
         """No greeting came within the connect timeout: the connection failed."""
         self.patience = None
         if self.dialling is dial:
-            self.drop_speaker()
-            self.linking.step(Input.FAILED)
+            self.drop_connection()
+            self.state_machine.step(ConnectionEvent.FAILED)
 
     def stop_patience(self) -> None:
         if self.patience is not None and self.patience.active():
             self.patience.cancel()
         self.patience = None
 
-    def drop_speaker(self) -> None:
+    def drop_connection(self) -> None:
         """Abandon the connection: further messages on it are ignored."""
         self.stop_patience()
-        speaker, self.speaker, dial, self.dialling = self.speaker, None, self.dialling, None
+        connection, self.connection, dial, self.dialling = self.connection, None, self.dialling, None
         if dial is not None:
             dial.runner = None
-        if speaker is not None:
-            speaker.runner = None
-            if not speaker.closed:
-                speaker.closed = True
-                speaker.transport.unregisterProducer()
-                speaker.transport.loseConnection()
+        if connection is not None:
+            connection.runner = None
+            if not connection.closed:
+                connection.closed = True
+                connection.transport.unregisterProducer()
+                connection.transport.loseConnection()
         elif dial is not None and self.connector is not None:
             self.connector.disconnect()
 
@@ -276,15 +290,15 @@
         return may
 
     def write(self, line: bytes, number: int = 0) -> bool:
-        if self.speaker is not None:
-            self.speaker.send_line(line)
+        if self.connection is not None:
+            self.connection.send_line(line)
         return True
 
     def close(self) -> None:
-        self.drop_speaker()
+        self.drop_connection()
 
     def ask(self, delay: int) -> None:
-        self.edge.after(delay, self.linking.step, Input.DUE)
+        self.edge.after(delay, self.state_machine.step, ConnectionEvent.DUE)
 
     def never_left(self, numbers: list[int]) -> None:
         for number in numbers:
--- a/lapistrestle/fleet/gossip_endpoint.py
+++ b/lapistrestle/fleet/gossip_endpoint.py
@@ -46,10 +46,10 @@
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
         """Call once with `arg`, after `delay` ticks."""
 
-    def input(self) -> None:
+    def input_received(self) -> None:
         """Data was received on a socket."""
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         """Input from `name` could not be decoded."""
 
     def log(self, what: str, **figures: Any) -> None:
@@ -105,13 +105,13 @@
 
     def datagramReceived(self, data: bytes, addr: tuple[str, int]) -> None:
         """Handle a datagram; one that can't be decoded is counted and ignored."""
-        self.runtime.input()
+        self.runtime.input_received()
         self.datagrams_received += 1
         try:
             datagram = wire.decode(data, self.settings.fleet)
         except wire.DatagramError as error:
             self.datagrams_rejected += 1
-            self.runtime.passed_over(f"fleet datagram from port {addr[1]}", str(error))
+            self.runtime.message_ignored(f"fleet datagram from port {addr[1]}", str(error))
             return
         now = self.runtime.clock()
         self.membership.on_message(datagram.sender, datagram.message, datagram.records, now)
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lapistrestle.edge.clients import ClientSpeaker
-from lapistrestle.edge.linking import Input
-from lapistrestle.edge.runners import hold_of, run_of, tell
+from lapistrestle.edge.clients import ClientConnection
+from lapistrestle.edge.connection_state import ConnectionEvent
+from lapistrestle.edge.runners import call_message, preload_message, report_reply
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.types import Outcome
 from lapistrestle.sources.numbered_list import ListAction
@@ -55,13 +55,16 @@
 
 
 class RunnerLink(Taped):
-    """An edge's link to a runner at one port. It is its own `linking`: there is no wire that could stall."""
+    """An edge's link to a runner at one port.
+
+    It is its own `state_machine`: there is no wire that could stall.
+    """
 
     def __init__(
         self, edge: Any, name: str, runner: RunnerStandIn | None, way: float, tape: Tape | None = None
     ) -> None:
         self.edge, self.name, self.runner, self.way = edge, name, runner, way
-        self.linking = self
+        self.state_machine = self
         self.out: dict[int, WorkerCall | WorkerTask] = {}
         self.later = edge.reactor.callLater
         self.later(2 * way, self.meet)
@@ -70,11 +73,11 @@
 
     # as the edge knows it
 
-    def step(self, given: Input) -> None:
-        if given is Input.DROPPED:
+    def step(self, given: ConnectionEvent) -> None:
+        if given is ConnectionEvent.REMOVED:
             self.break_off()
 
-    def hold_back(self) -> None:
+    def discard_unsent(self) -> None:
         """Nothing waits here for a connection."""
 
     def meet(self) -> None:
@@ -84,7 +87,7 @@
         runner.speakers[self] = None  # type: ignore[index]
         hello = runner.hello()
         self.put(">", hello)
-        self.edge.runner_met(self.name, hello)
+        self.edge.runner_greeted(self.name, hello)
 
     def reached(self) -> bool:
         return self.runner is not None and not self.runner.engine.dead
@@ -110,10 +113,10 @@
         self.later(self.way, self.back, said)
 
     def send_call(self, worker_call: WorkerCall) -> None:
-        self.send(worker_call, run_of(worker_call, self.edge.clock()))
+        self.send(worker_call, call_message(worker_call, self.edge.clock()))
 
     def send_preload(self, task: WorkerTask) -> None:
-        self.send(task, hold_of(task))
+        self.send(task, preload_message(task))
 
     def send_health_check(self, task: WorkerTask) -> None:
         self.send(task, wire.Probe(task.number))
@@ -139,7 +142,7 @@
             self.put("<", wire.Cancel(number))
             self.runner.take(wire.Cancel(number), self, self.answer)
 
-    def drop_speaker(self) -> None: ...
+    def drop_connection(self) -> None: ...
 
     # what the runner says
 
@@ -153,7 +156,7 @@
             case wire.ProbeResult():
                 number = said.probe_id
         if self.out.pop(number, None) is not None:
-            tell(host, said)
+            report_reply(host, said)
         else:
             host.unmatched_reply()
 
@@ -164,7 +167,7 @@
     def send_message(self, message: Any) -> None:
         self.put(">", message)
         if isinstance(message, wire.Draining) and self.runner is not None:
-            self.later(self.way, self.edge.runner_drains, self.name, self.runner.start)
+            self.later(self.way, self.edge.runner_draining, self.name, self.runner.start)
 
     def break_off(self) -> None:
         """The runner died: what is out there may have run."""
@@ -173,13 +176,13 @@
             self.later(self.way, self.end, number, Outcome.RESET)
 
 
-class Seat(ClientSpeaker):
+class Seat(ClientConnection):
     """A client's place at an edge; answers go to its line."""
 
     def __init__(self, edge: Any, line: "ModelLine") -> None:
         super().__init__(edge, line.number)
         self.line = line
-        edge.seats[self] = None
+        edge.client_connections[self] = None
 
     def send_message(self, message: Any) -> None:
         self.line.crowd.reactor.callLater(self.line.way, self.line.message_received, message)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -9,7 +9,7 @@
 from lapistrestle.checks.service import worth
 from lapistrestle.deployment.load import DeploymentError
 from lapistrestle.deployment.schema import Deployment
-from lapistrestle.edge.linking import Input
+from lapistrestle.edge.connection_state import ConnectionEvent
 from lapistrestle.edge.program import Edge
 from lapistrestle.model.baselines import Baseline
 from lapistrestle.model.clock import Clock
@@ -63,13 +63,13 @@
                 told: Any = handle.edge.host.gossip_received  # type: ignore[attr-defined]
                 self.reactor.callLater(self.world.ways.between, told, me, text)
 
-    def address(self, name: str, address: Any, start: str = "") -> None:
+    def address_received(self, name: str, address: Any, start: str = "") -> None:
         """As on sockets: another address is another process."""
         link: Any = self.runners.get(name)
         at = self.world.runners.get(address)
         if link is not None and (address == 0 or link.runner is not at):
             del self.runners[name]
-            link.step(Input.DROPPED)
+            link.step(ConnectionEvent.REMOVED)
             link = None
         if link is None and address:
             way = self.world.ways.time(self.name, name)
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -4,7 +4,7 @@
 import signal
 import sys
 
-from lapistrestle.edge.running import reactor_of_now, run
+from lapistrestle.edge.reactor import monotonic_reactor, run
 from lapistrestle.node.configuration import ConfigurationError, configuration_from_environment
 from lapistrestle.node.program import Node
 from lapistrestle.records.json_log import make_log
@@ -17,7 +17,7 @@
     except ConfigurationError as error:
         print(f"lapistrestle: {error}", file=sys.stderr)
         return 2
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     node = Node(reactor, configuration, make_log(edge=configuration.file.name))
     failed: list[int] = []
 
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -68,7 +68,7 @@
 
     def received(self, data: bytes) -> None:
         """Process received data: complete frames are applied."""
-        self.discovery.core.input()
+        self.discovery.core.input_received()
         failure = ""
         try:
             self.decoder.feed(data)
@@ -189,7 +189,7 @@
             self.core.after(RECONNECT_PAUSE, self.connect, None)
             return
         self.core.after(CONNECT_TIME_OUT, self.watch.unmade, None)
-        self.watch.begin()
+        self.watch.start()
 
     def watch_lost(self, watch: Watch, reason: str) -> None:
         """Connect again: at once after a watch that delivered events, else after a pause."""
@@ -233,14 +233,14 @@
         named = {record.name for record in records}
         self.core.listed(workers, whole)
         for name in [name for name in self.core.runners if name not in named] if whole else ():
-            self.core.address(name, None)
+            self.core.address_received(name, None)
         at = {runner.address[0]: name for name, runner in self.core.runners.items()}
         for record in records:
             before = at.get(record.address, record.name)
             if before != record.name and record.listing is not EndpointState.REMOVED:
-                self.core.address(before, None)  # its process is gone, reported or not
+                self.core.address_received(before, None)  # its process is gone, reported or not
             gone = record.listing is EndpointState.REMOVED
-            self.core.address(record.name, None if gone else (record.address, record.started))
+            self.core.address_received(record.name, None if gone else (record.address, record.started))
 
     def worker_info(self, record: Record) -> WorkerInfo:
         """The module's description of a record's worker."""
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -136,7 +136,7 @@
         else:
             self.core.counts["turned away"] += 1
             self.answer_over_limit(connection)
-        connection.begin()
+        connection.start()
         # in this poll: the connection, its requests and its close may all have arrived during a stall
         connection.doRead()
 
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -1,6 +1,6 @@
 """One connection to a runner of the platform, in JSON lines.
 
-`edge.linking` decides when lines are sent; placement, retries and health are the module's.
+`edge.connection_state` decides when lines are sent; placement, retries and health are the module's.
 """
 
 import binascii
@@ -8,8 +8,14 @@
 from base64 import b64decode
 from typing import Protocol
 
+from lapistrestle.edge.connection_state import (
+    ConnectionEvent,
+    ConnectionStateMachine,
+    Line,
+    Link,
+    LinkCallbacks,
+)
 from lapistrestle.edge.core import Core
-from lapistrestle.edge.linking import Input, Line, Link, LinkCallbacks, Linking
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
 from lapistrestle.node.configuration import split_address
 from lapistrestle.node.replies import (
@@ -62,7 +68,7 @@
 
     def made(self) -> None:
         """The connection is established."""
-        self.connection.linking.step(Input.GREETED)
+        self.connection.state_machine.step(ConnectionEvent.GREETED)
 
     def pieces(self) -> int:
         """How many reads are made per poll."""
@@ -74,7 +80,7 @@
 
     def drained(self) -> None:
         """All buffered data has been written."""
-        self.connection.linking.step(Input.EASED)
+        self.connection.state_machine.step(ConnectionEvent.EASED)
 
     def lost(self, reason: str) -> None:
         """The socket was closed."""
@@ -88,7 +94,9 @@
         self.runner = runner
         self.pools = runner.pools
         self.core: Core = runner.core
-        self.linking = Linking(runner.name, self, lambda _: None, self.core.clock, prompt=PRELOAD_WAIT)
+        self.state_machine = ConnectionStateMachine(
+            runner.name, self, lambda _: None, self.core.clock, prompt=PRELOAD_WAIT
+        )
         self.stream: Socket | None = None
         self.buffer = b""
         self.by_rid: dict[str, int] = {}
@@ -98,7 +106,7 @@
 
     def load(self) -> int:
         """The number of lines queued or in flight."""
-        return len(self.linking.out) + len(self.linking.waiting)
+        return len(self.state_machine.out) + len(self.state_machine.waiting)
 
     def send(self, rid: str, line: Line, prompt: bool = False) -> bool:
         """Send a line as soon as the connection is open, with `prompt` within PRELOAD_WAIT.
@@ -108,7 +116,7 @@
         self.last_used = self.core.clock()
         self.by_rid[rid] = line.number
         self.rids[line.number] = rid
-        if self.linking.send(line, prompt):
+        if self.state_machine.send(line, prompt):
             return True
         self.forget(line.number)
         return False
@@ -116,7 +124,7 @@
     def is_stale(self) -> bool:
         """Whether it has been unused for so long that the runner is about to close it."""
         idle = self.core.clock() - self.last_used > self.pools.idle_limit
-        return idle and self.linking.state is Link.OPEN and not self.load()
+        return idle and self.state_machine.state is Link.OPEN and not self.load()
 
     def forget(self, number: int) -> None:
         """Remove the request id of a number."""
@@ -126,7 +134,7 @@
 
     def cancel_unsent(self, number: int) -> bool:
         """Remove a queued line. True if it was not sent, and will not be."""
-        if self.linking.cancel_unsent(number):
+        if self.state_machine.cancel_unsent(number):
             self.forget(number)
             return True
         return False
@@ -135,7 +143,7 @@
         """Stop waiting for this number; True if its line was never sent. Otherwise `notify` the runner."""
         rid = self.rids.get(number)
         self.forget(number)
-        if self.linking.withdraw(number):
+        if self.state_machine.withdraw(number):
             return True
         if notify and rid is not None and self.stream is not None:
             self.stream.send(b'{"verb":"STOP","rid":"%s"}\n' % rid.encode())
@@ -152,7 +160,7 @@
 
     def received(self, data: bytes) -> None:
         """Process received data: complete lines are handled, the rest is buffered."""
-        self.core.input()
+        self.core.input_received()
         lines = (self.buffer + data if self.buffer else data).split(b"\n")
         self.buffer = lines.pop()
         for line in lines:
@@ -166,7 +174,7 @@
 
     def protocol_error(self, reason: str) -> None:
         """Drop the connection: data after a bad line can't be trusted. All calls on it may have run."""
-        self.core.passed_over(self.runner.name, reason)
+        self.core.message_ignored(self.runner.name, reason)
         if self.stream is not None:
             self.stream.drop(reason)
 
@@ -191,7 +199,7 @@
         """Note the reply to a number."""
         self.last_used = self.core.clock()
         self.forget(number)
-        self.linking.ended(number)
+        self.state_machine.ended(number)
 
     def attempt_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
         """Handle the reply to an attempt; False if it is invalid.
@@ -232,7 +240,7 @@
 
     def lost(self) -> None:
         """Handle the loss of the connection."""
-        self.core.input()
+        self.core.input_received()
         stream = self.stream
         self.stream = None
         self.buffer = b""
@@ -240,7 +248,9 @@
             return
         self.runner.remove(self)
         self.unsent_numbers = {mark for _, mark in stream.unsent if mark}
-        self.linking.step(Input.FAILED if self.linking.state is Link.DIALING else Input.BROKE)
+        self.state_machine.step(
+            ConnectionEvent.FAILED if self.state_machine.state is Link.DIALING else ConnectionEvent.BROKE
+        )
         self.release()
 
     def release(self) -> None:
@@ -248,7 +258,7 @@
 
         Garbage collections are rare, so without this memory would grow with every connection.
         """
-        self.linking.callbacks = NO_CALLBACKS
+        self.state_machine.callbacks = NO_CALLBACKS
 
     def dial(self) -> None:
         """Start to connect."""
@@ -257,13 +267,13 @@
         except OSError:
             self.core.after(1, self.undialled, None)
             return
-        self.stream.begin()
+        self.stream.start()
         self.core.after(self.core.settings.connect_timeout, self.stream.unmade, None)
 
     def undialled(self, _: object) -> None:
         """Handle that no socket could be created."""
         self.runner.remove(self)
-        self.linking.step(Input.FAILED)
+        self.state_machine.step(ConnectionEvent.FAILED)
         self.release()
 
     def may_begin(self, work: WorkerCall | WorkerTask) -> bool:
@@ -276,7 +286,7 @@
             return False
         left = self.stream.offer(line, number)
         if not left or (self.stream is not None and self.stream.unsent):
-            self.linking.step(Input.SLOWED)
+            self.state_machine.step(ConnectionEvent.SLOWED)
         return left
 
     def close(self) -> None:
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -4,8 +4,8 @@
 from collections.abc import Collection
 from typing import Any
 
+from lapistrestle.edge.connection_state import ConnectionEvent, Line, Link
 from lapistrestle.edge.core import Core
-from lapistrestle.edge.linking import Input, Line, Link
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.node.configuration import Configuration
 from lapistrestle.node.runner_connection import RunnerConnection
@@ -40,12 +40,12 @@
         """
         for connection in list(self.connections):
             connection.end_tasks()
-            connection.linking.step(Input.DROPPED)
+            connection.state_machine.step(ConnectionEvent.REMOVED)
 
-    def hold_back(self) -> None:
+    def discard_unsent(self) -> None:
         """Discard queued lines, as the runner drains."""
         for connection in list(self.connections):
-            connection.linking.hold_back()
+            connection.state_machine.discard_unsent()
 
     def end(self) -> None:
         """Close all connections immediately."""
@@ -67,7 +67,7 @@
         connection = RunnerConnection(self)
         self.connections.append(connection)
         self.pools.connections += 1
-        connection.linking.step(Input.WANTED)
+        connection.state_machine.step(ConnectionEvent.WANTED)
         return connection
 
     def pick(self, used: Collection[RunnerConnection]) -> RunnerConnection | None:
@@ -79,7 +79,7 @@
         best: RunnerConnection | None = None
         least, dialling = self.pools.max_calls, False
         for connection in list(self.connections):
-            linking = connection.linking
+            linking = connection.state_machine
             if connection.is_stale():  # the runner may be closing it; a call sent meanwhile may have run
                 connection.close()
                 continue
@@ -143,7 +143,9 @@
     def unload(self, function: str) -> None:
         """Have the runner drop a function; no reply is awaited."""
         if connection := self.pick([]):
-            connection.linking.send(Line(0, lambda: b'{"verb":"FREE","rid":"%s"}\n' % function.encode()))
+            connection.state_machine.send(
+                Line(0, lambda: b'{"verb":"FREE","rid":"%s"}\n' % function.encode())
+            )
 
 
 class RunnerPools:
@@ -186,7 +188,7 @@
             for runner in self.core.runners.values()
             if len(runner.connections) > 1
             for connection in runner.connections
-            if connection.linking.state is Link.OPEN and not connection.load()
+            if connection.state_machine.state is Link.OPEN and not connection.load()
         ]
         if not idle:
             return False
--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -66,7 +66,7 @@
         self.writing = self.reading = False
         self.read_at = -FRESH  # when all its data was last read, in the reactor's seconds
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Begin to connect, or to read."""
         if self.dialling:
             self.watch_writes(True)
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -33,7 +33,7 @@
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """The undecodable line may have been a change: request the complete list."""
-        self.source.owner.passed_over("roster", why)
+        self.source.owner.message_ignored("roster", why)
         self.send_message(wire.RosterRequest())
 
     def connection_lost(self) -> None:
@@ -49,7 +49,7 @@
     connect_timeout: int  # ticks
     endpoints_polled: bool  # the list is requested periodically instead of subscribed to on connecting
 
-    def input(self) -> None:
+    def input_received(self) -> None:
         """Data was received from the roster."""
 
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
@@ -58,7 +58,7 @@
     def list_event(self, news: ListEvent) -> None:
         """Handle a lost or failed connection, or a roster that can't answer."""
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         """A line of this peer could not be decoded."""
 
 
@@ -84,7 +84,7 @@
     def heard(self, message: Any) -> None:
         """The roster has sent a message."""
         if isinstance(message, wire.RosterSnapshot | wire.RosterUpdate):
-            self.owner.input()
+            self.owner.input_received()
             if self.owner.list_received(message) is ListAction.REQUEST_SNAPSHOT:
                 self.send_message(wire.RosterRequest())
         elif isinstance(message, wire.RosterUnavailable):
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -12,7 +12,7 @@
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watcher import DirectoryWatcher
-from lapistrestle.edge.following import Following
+from lapistrestle.edge.known_workers import EndpointListFollower
 from lapistrestle.sources.numbered_list import ListAction
 from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
 from lapistrestle.standins.directory_network import Channel, Program
@@ -120,7 +120,7 @@
         self.alive, self.stalled, self.due = True, False, -1
         seed = self.copy.port * 100 + self.life
         self.decisions = ShardHolder(self.settings, seed, self.world.time.now)
-        self.following = Following([], [], lambda text: None)
+        self.known_workers = EndpointListFollower([], [], lambda text: None)
         self.woken, self.current_as_of = 0, -1
         self.dial_roster()
         self.after_event()
@@ -142,11 +142,11 @@
         if channel is not self.channel:
             return
         now = self.world.time.now
-        taken = self.following.told(message, now)
-        if taken.do is ListAction.REQUEST_SNAPSHOT:
+        taken = self.known_workers.message_received(message, now)
+        if taken.action is ListAction.REQUEST_SNAPSHOT:
             self.decisions.snapshot_requested(now)
             self.ask_roster()
-        if taken.do is ListAction.APPLY:
+        if taken.action is ListAction.APPLY:
             whole = isinstance(message, wire.RosterSnapshot)
             if whole:
                 self.current_as_of = sent
--- a/lapistrestle/standins/fleet.py
+++ b/lapistrestle/standins/fleet.py
@@ -90,9 +90,9 @@
         self.reactor.callLater(delay / SECOND / (1 + self.drift), lambda: timer.call(timer.arg))
         return timer
 
-    def input(self) -> None: ...
+    def input_received(self) -> None: ...
 
-    def passed_over(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, why: str) -> None:
         self.over.append(f"{name}: {why}")
 
     def log(self, what: str, **figures: Any) -> None:
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -111,7 +111,7 @@
         self.said: dict[int, bytes] = {}
         self.ends: list[int] = []  # numbers, in the order of their ends
         self.codes: dict[int, int] = {}
-        self.begin()
+        self.start()
 
     def ask(
         self,
@@ -219,7 +219,7 @@
 
     def taken(self, sock: socket.socket) -> None:
         self.lines.append(Line(self, sock))
-        self.lines[-1].begin()
+        self.lines[-1].start()
 
     def heard(self, line: Line, said: dict[str, Any]) -> None:
         verb, rid, attrs = said["verb"], said["rid"], said.get("attrs") or {}
@@ -307,7 +307,7 @@
 
     def taken(self, sock: socket.socket) -> None:
         self.followers.append(Follower(self, sock))
-        self.followers[-1].begin()
+        self.followers[-1].start()
 
     def beat(self) -> None:
         if self.beats:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -74,7 +74,11 @@
             attempt = pending.attempts[-1] if pending.attempts else None
             if attempt is not None:
                 run = wire.Run(
-                    10**9 + edge.inputs, pending.tag, pending.function.name, pending.message.method, 1000.0
+                    10**9 + edge.inputs_received,
+                    pending.tag,
+                    pending.function.name,
+                    pending.message.method,
+                    1000.0,
                 )
                 line = wire.encode(run) + b"\n"
                 edge.after(500, lambda _: edge.runners[attempt.worker.name].write(line), None)
@@ -108,8 +112,12 @@
     def change(edge):
         def both(run, worker_call):
             run(worker_call)
-            others = [r for name, r in edge.runners.items() if name != worker_call.worker.name and r.speaker]
-            message = wire.Run(10**9 + edge.inputs, worker_call.pending.tag, "fn-1", "check-slot", 900.0)
+            others = [
+                r for name, r in edge.runners.items() if name != worker_call.worker.name and r.connection
+            ]
+            message = wire.Run(
+                10**9 + edge.inputs_received, worker_call.pending.tag, "fn-1", "check-slot", 900.0
+            )
             for other in others[:1]:
                 other.write(wire.encode(message) + b"\n")
 
@@ -125,7 +133,7 @@
         made.endpoint_state = EndpointState.SERVING
         return made
 
-    wrap(edge.following, "facts", told)
+    wrap(edge.known_workers, "worker_info", told)
 
 
 def test_rule_3_rpcs_to_a_drained_runner():
@@ -155,7 +163,7 @@
             edge.after(15_000, lambda _: edge.runners[name].write(HOLD), None)
             return drains(name, start)
 
-        wrap(edge.following, "drains", order)
+        wrap(edge.known_workers, "drain_announced", order)
 
     rules, says = caught(orders, day("slots", [{"kind": "deploy", "share": 0.5, "lasts": "1 s"}]))
     assert "3" in rules and "an order goes to" in says
@@ -184,7 +192,7 @@
             made.booted_at = None
             return made
 
-        wrap(edge.following, "facts", told)
+        wrap(edge.known_workers, "worker_info", told)
 
     rules, says = caught(change, REPLACED)
     assert rules == {"4"} and "fell over" in says
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner, Result
 
 from lapistrestle.command.main import main
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
@@ -64,7 +64,7 @@
 
 def test_the_programs_run_on_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     """A machine's clock that is set back must not hold timers."""
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     before = reactor.seconds()
     monkeypatch.setattr(time, "time", lambda: 0.0)
     assert reactor.seconds is time.monotonic and reactor.seconds() >= before
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 import pytest
 from test_node import Stage
 
-from lapistrestle.edge.linking import Link
+from lapistrestle.edge.connection_state import Link
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.platform import BoardEnd, WebServer, begin, frame, row
 
@@ -63,7 +63,7 @@
 
 def held(stage: Any) -> Any:
     """Lines queued for a connection."""
-    return [line for connection in connections(stage) for line in connection.linking.waiting]
+    return [line for connection in connections(stage) for line in connection.state_machine.waiting]
 
 
 def slow(stage: Any) -> Any:
@@ -97,7 +97,9 @@
     stage.hand.until(lambda: stage.host.counts["left"])
     assert not held(stage) and not stage.host.worker_calls
     closed.open()
-    stage.hand.until(lambda: all(connection.linking.state is Link.OPEN for connection in connections(stage)))
+    stage.hand.until(
+        lambda: all(connection.state_machine.state is Link.OPEN for connection in connections(stage))
+    )
     stage.hand.quiet()
     assert stage.runs() == [] and not any(worker.in_flight for worker in stage.module.endpoints.workers)
 
@@ -108,7 +110,7 @@
     client, line, connection = slow(stage)
     before = len(stage.runs())
     number = client.ask(method="bill", patience="300")
-    stage.hand.until(lambda: connection.linking.state is Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is Link.SLOW)
     if how == "aborts":
         client.give_up(number)
         stage.hand.until(lambda: stage.host.counts["left"])
@@ -120,9 +122,9 @@
         stage.board.tell(2, 2, stage.row(0, state=1))
         stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
         stage.hand.until(lambda: client.status(number))
-    assert not connection.linking.waiting and not stage.host.worker_calls
+    assert not connection.state_machine.waiting and not stage.host.worker_calls
     stage.hand.addReader(line)
-    stage.hand.until(lambda: connection.linking.state is not Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is not Link.SLOW)
     stage.hand.quiet()
     assert len(stage.runs()) == before
 
@@ -131,7 +133,9 @@
     """Open a connection to every runner."""
     for runner in stage.node.core.runners.values():
         runner.open_one()
-    stage.hand.until(lambda: all(connection.linking.state is Link.OPEN for connection in connections(stage)))
+    stage.hand.until(
+        lambda: all(connection.state_machine.state is Link.OPEN for connection in connections(stage))
+    )
 
 
 def still(stage: Any, seconds: Any) -> None:
@@ -566,7 +570,7 @@
     """Guards against ending lines discarded for the drain as unreachable: the runner would count as dead."""
     client, line, connection = slow(stage)
     numbers = [client.ask(method="bill") for _ in range(3)]
-    stage.hand.until(lambda: connection.linking.waiting)
+    stage.hand.until(lambda: connection.state_machine.waiting)
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
     (worker,) = stage.workers().values()
--- a/tests/test_directory_checks.py
+++ b/tests/test_directory_checks.py
@@ -259,8 +259,10 @@
 def test_checks_detect_an_edge_that_ignores_its_holders():
     def make(reactor, deployment, log):
         edge = Edge(reactor, deployment, log)
-        facts = edge.following.facts
-        edge.following.facts = lambda known: replace(facts(known), endpoint_state=EndpointState.SERVING)
+        facts = edge.known_workers.worker_info
+        edge.known_workers.worker_info = lambda known: replace(
+            facts(known), endpoint_state=EndpointState.SERVING
+        )
         return edge
 
     assert rules_broken(Played(directory_day([REPLACED]), make)) == {"3 drains kept"}
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -124,7 +124,7 @@
     judged(played)
     for edge in played.world.edges:
         functions = len(edge.edge.host.registry.functions)
-        assert 0 < len(edge.edge.following.known) <= 8 * functions < 60
+        assert 0 < len(edge.edge.known_workers.known) <= 8 * functions < 60
         assert edge.edge.host.module.fleet.region.count == 60
 
 
@@ -153,7 +153,7 @@
     first = [c for c in played.story.calls if c.at < 1_500]
     assert first and all(len(c.answers) == 1 for c in first)
     assert all(isinstance(a, wire.Answer) for c in first for _, _, a in c.answers)
-    assert sum(e.edge.directory.waiting.counts["waited"] for e in played.world.edges) >= len(
+    assert sum(e.edge.directory.waiting_requests.counts["waited"] for e in played.world.edges) >= len(
         played.world.edges
     )
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -310,7 +310,7 @@
             seen += 1
             end(peer, run, body=big)
         stage.run()
-    waits = [seat.unsent_bytes for seat in stage.edge.seats]
+    waits = [seat.unsent_bytes for seat in stage.edge.client_connections]
     assert not waits or max(waits) <= 100_000
     client.transport.resumeProducing()
     stage.run(3.0)
@@ -369,7 +369,7 @@
     assert len(stage.roster.heard("ask")) == 2
     stage.list_(9)
     stage.run()
-    assert stage.edge.following.number == 9
+    assert stage.edge.known_workers.number == 9
 
 
 def test_an_empty_list_denies_at_once_and_a_stalled_one_changes_nothing(stage):
@@ -442,8 +442,8 @@
 def test_queued_lines_are_not_sent_once_the_runner_drains(stage):
     """A runner reads slowly and then drains: the lines queued meanwhile must never be sent."""
     stage = Stage(runners=1)
-    link = stage.edge.runners["r0"].linking
-    stage.edge.runners["r0"].speaker.write_blocked(True)
+    link = stage.edge.runners["r0"].state_machine
+    stage.edge.runners["r0"].connection.write_blocked(True)
     client = stage.client()
     client.say(**CALL | {"method": "charge"}, id="1")
     stage.run()
@@ -451,22 +451,22 @@
     stage.change(2, stage.entry("r0", listing="draining"))
     stage.run()
     assert not link.waiting and client.heard("answer")[0]["verdict"] == "denied"
-    stage.edge.runners["r0"].speaker.write_blocked(False)
+    stage.edge.runners["r0"].connection.write_blocked(False)
     stage.run(1.0)
     assert not stage.runs()
 
 
-def unread(speaker, read):
+def unread(connection, read):
     """Have the connection's transport deliver unread data by `read`."""
-    speaker.transport.doRead = read
+    connection.transport.doRead = read
 
 
 def test_an_unread_drain_is_processed_before_a_call_is_sent(stage):
     """Guards against sending to a draining runner after a stall, when the call is read before the drain."""
     stage = Stage(runners=1)
-    speaker, client = stage.edge.source.connection, stage.client()
+    connection, client = stage.edge.source.connection, stage.client()
     change = {"is": "change", "number": 2, "epoch": "e", "workers": [stage.entry("r0", listing="draining")]}
-    unread(speaker, lambda: speaker.dataReceived(msgspec.json.encode(change) + b"\n"))
+    unread(connection, lambda: connection.dataReceived(msgspec.json.encode(change) + b"\n"))
     stage.run(0.1)
     client.say(**CALL, id="1")
     stage.run()
@@ -480,7 +480,7 @@
     client.say(**CALL, id="1")
     stage.run()
     ((peer, run),) = stage.runs()
-    (seat,) = stage.edge.seats
+    (seat,) = stage.edge.client_connections
     unread(seat, lambda: "closed")
     stage.run(0.1)
     end(peer, run, "full")
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -141,7 +141,7 @@
         end(runner, run)
     stage.run()
     assert verdicts(client) == [("1", "ok"), ("2", "ok")] and stage.clean()
-    assert set(stage.edge.following.known) == {"r0", "r1"}
+    assert set(stage.edge.known_workers.known) == {"r0", "r1"}
 
 
 def test_many_calls_of_one_function_share_one_look_up(stage):
@@ -149,7 +149,7 @@
     for number in range(20):
         stage.call(client, id=str(number))
     stage.answer_watch()
-    assert len(stage.watches()) == 1 and not stage.edge.directory.waiting
+    assert len(stage.watches()) == 1 and not stage.edge.directory.waiting_requests
     assert stage.edge.host.open_requests == 20
     stage.call(client, id="again")
     assert len(stage.watches()) == 1
@@ -163,7 +163,7 @@
     stage.run(LOOKUP + 0.05)
     (answer,) = client.heard("answer")
     assert answer["verdict"] == "denied" and 0 < answer["come_back"] <= 2_000
-    assert stage.clean() and not stage.edge.directory.waiting
+    assert stage.clean() and not stage.edge.directory.waiting_requests
 
 
 def test_a_call_is_denied_at_once_if_no_holder_can_be_reached():
@@ -193,7 +193,7 @@
     client.transport.loseConnection()
     other.say(**{"is": "leave", "id": "2"})
     stage.run(0.002)
-    assert len(stage.edge.directory.waiting) == 1
+    assert len(stage.edge.directory.waiting_requests) == 1
     stage.answer_watch()
     stage.run(0.01)
     for name in stage.runners:
@@ -225,7 +225,7 @@
     ((runner, run),) = stage.runs()
     stage.update(peer, gone=["r0"], changes=[wire.PrefixChange(1, 1, ["r0"])])
     stage.run(0.002)
-    assert "r0" not in stage.edge.following.known
+    assert "r0" not in stage.edge.known_workers.known
     end(runner, run)
     stage.run()
     assert verdicts(client) == [("1", "ok")]
@@ -250,7 +250,7 @@
     stage.update(peer, stage.entry("r0", start="r0#1", up_for=100))
     stage.run(0.002)
     worker = stage.edge.host.registry.workers["r0"]
-    assert worker.booted_at > before and stage.edge.following.known["r0"].start == "r0#1"
+    assert worker.booted_at > before and stage.edge.known_workers.known["r0"].start == "r0#1"
 
 
 def test_an_instance_that_comes_back_is_in_the_prefix_again(stage):
@@ -278,11 +278,11 @@
         stage.run(0.1)
         for peer in stage.holders:
             stage.renewed(peer)
-    assert not stage.edge.following.known and not stage.edge.runners
+    assert not stage.edge.known_workers.known and not stage.edge.runners
     stage.call(client, id="2")
-    assert stage.edge.directory.waiting
+    assert stage.edge.directory.waiting_requests
     stage.answer_watch("r0", "r1")
-    assert set(stage.edge.following.known) == {"r0", "r1"}
+    assert set(stage.edge.known_workers.known) == {"r0", "r1"}
 
 
 def test_an_instance_in_slow_start_stays_in_the_module_without_a_prefix(stage):
@@ -298,7 +298,7 @@
     cold.sent_in_slow_start.append((stage.edge.clock(), 5.0))
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     stage.run(0.002)
-    assert "r1" not in stage.edge.following.known and "r1" not in stage.edge.runners
+    assert "r1" not in stage.edge.known_workers.known and "r1" not in stage.edge.runners
     assert cold.endpoint_state is EndpointState.DRAINING
     changes = [wire.PrefixChange(1, 2, inserted=[wire.PlacedInstance(1, "r1")])]
     stage.update(peer, stage.entry("r1", up_for=20), changes=changes)
@@ -336,7 +336,7 @@
     peer = stage.look_up(client, "r0", "r1", "r2")
     ((_, run),) = stage.runs()
     (used,) = (name for name, connections in stage.runners.items() if connections)
-    assert set(stage.edge.runners) == {used} and len(stage.edge.following.known) == 3
+    assert set(stage.edge.runners) == {used} and len(stage.edge.known_workers.known) == 3
     end(stage.runs()[0][0], run)
     stage.run()
     assert verdicts(client) == [("1", "ok")]
--- a/tests/test_linking.py
+++ b/tests/test_linking.py
@@ -2,7 +2,16 @@
 
 import pytest
 
-from lapistrestle.edge.linking import LIFE, MOST_WAITING, PROMPT, Input, Line, Link, LinkCallbacks, Linking
+from lapistrestle.edge.connection_state import (
+    LIFE,
+    MOST_WAITING,
+    PROMPT,
+    ConnectionEvent,
+    ConnectionStateMachine,
+    Line,
+    Link,
+    LinkCallbacks,
+)
 
 
 class Recorder(LinkCallbacks):
@@ -42,13 +51,13 @@
 @pytest.fixture
 def link():
     link_clock[0] = 1_000
-    return Linking("w", Recorder(), lambda text: None, lambda: link_clock[0])
+    return ConnectionStateMachine("w", Recorder(), lambda text: None, lambda: link_clock[0])
 
 
 @pytest.fixture
 def open_link(link):
-    link.step(Input.NAMED)
-    link.step(Input.GREETED)
+    link.step(ConnectionEvent.NAMED)
+    link.step(ConnectionEvent.GREETED)
     link.callbacks.acts.clear()
     return link
 
@@ -56,11 +65,11 @@
 def test_lines_are_queued_until_the_greeting_and_sent_in_order(link):
     assert send(link, 1, b"a") and send(link, 2, b"b")
     assert link.callbacks.acts == ["dial"] and link.state is Link.DIALING
-    link.step(Input.GREETED)
+    link.step(ConnectionEvent.GREETED)
     assert link.callbacks.acts == ["dial", b"a", b"b"] and list(link.out) == [1, 2]
 
 
-@pytest.mark.parametrize("why", [Input.FAILED, Input.BROKE])
+@pytest.mark.parametrize("why", [ConnectionEvent.FAILED, ConnectionEvent.BROKE])
 def test_lines_queued_for_a_failed_connection_were_never_sent(link, why):
     send(link, 1, b"a")
     link.step(why)
@@ -69,9 +78,9 @@
 
 def test_written_lines_may_have_run_when_the_connection_breaks(open_link):
     send(open_link, 1, b"a")
-    open_link.step(Input.SLOWED)
+    open_link.step(ConnectionEvent.SLOWED)
     send(open_link, 2, b"b")
-    open_link.step(Input.BROKE)
+    open_link.step(ConnectionEvent.BROKE)
     assert [a for a in open_link.callbacks.acts if a[0] in ("never left", "broke")] == [
         ("never left", [2]),
         ("broke", [1]),
@@ -80,7 +89,7 @@
 
 def test_a_removed_runner_keeps_its_connection_until_its_calls_end(open_link):
     send(open_link, 1, b"a")
-    open_link.step(Input.DROPPED)
+    open_link.step(ConnectionEvent.REMOVED)
     assert open_link.state is Link.ENDING and "close" not in open_link.callbacks.acts
     assert not send(open_link, 2, b"b")
     assert open_link.ended(1) and open_link.state is Link.ENDED and open_link.callbacks.acts[-1] == "close"
@@ -91,7 +100,7 @@
     send(link, 1, b"a")
     send(link, 2, b"b")
     assert link.withdraw(1) and not link.withdraw(1)
-    link.step(Input.GREETED)
+    link.step(ConnectionEvent.GREETED)
     assert link.callbacks.acts == ["dial", b"b"]
     assert not link.withdraw(2) and not link.out
 
@@ -102,14 +111,14 @@
 
 
 def test_backoff_grows_up_to_a_limit_and_ends_when_a_line_is_queued(link):
-    link.step(Input.NAMED)
+    link.step(ConnectionEvent.NAMED)
     rests = []
     for _ in range(9):
-        link.step(Input.FAILED)
+        link.step(ConnectionEvent.FAILED)
         rests.append(link.callbacks.acts[-1][1])
-        link.step(Input.DUE)
+        link.step(ConnectionEvent.DUE)
     assert rests[0] <= 1_000 and max(rests) <= 20_000 and max(rests) > 8_000
-    link.step(Input.FAILED)
+    link.step(ConnectionEvent.FAILED)
     send(link, 1, b"a")
     assert link.state is Link.DIALING
 
@@ -117,16 +126,16 @@
 def test_a_preload_queued_for_too_long_is_not_sent(link):
     send(link, 1, b"call")
     send(link, 2, b"order", prompt=True)
-    link.step(Input.GREETED)
+    link.step(ConnectionEvent.GREETED)
     assert link.callbacks.acts == ["dial", b"call", b"order"]
-    link.step(Input.BROKE)
+    link.step(ConnectionEvent.BROKE)
     send(link, 3, b"call")
     send(link, 4, b"order", prompt=True)
     link_clock[0] += PROMPT + 1
     link.callbacks.acts.clear()
-    link.step(Input.GREETED)
+    link.step(ConnectionEvent.GREETED)
     assert link.callbacks.acts == [b"call", ("not sent", [4])] and list(link.out) == [3]
-    link.step(Input.SLOWED)
+    link.step(ConnectionEvent.SLOWED)
     assert not send(link, 5, b"order", prompt=True) and send(link, 6, b"call")
 
 
@@ -140,7 +149,7 @@
     """Guards against counting a line as in flight only after the write, when its end is no longer
     reported.
     """
-    open_link.callbacks.write = lambda line, number=0: open_link.step(Input.BROKE) is None
+    open_link.callbacks.write = lambda line, number=0: open_link.step(ConnectionEvent.BROKE) is None
     send(open_link, 1, b"a")
     assert ("broke", [1]) in open_link.callbacks.acts and not open_link.out
 
@@ -149,14 +158,14 @@
     """Guards against lines buffered by a full socket, where neither a drain nor a timeout can cancel them."""
 
     def full(line, number=0):
-        open_link.step(Input.SLOWED)
+        open_link.step(ConnectionEvent.SLOWED)
         return False
 
     open_link.callbacks.write, wrote = full, open_link.callbacks.write
     assert send(open_link, 1, b"a") and send(open_link, 2, b"b")
     assert not open_link.out and open_link.cancel_unsent(1) and not open_link.cancel_unsent(1)
     open_link.callbacks.write = wrote
-    open_link.step(Input.EASED)
+    open_link.step(ConnectionEvent.EASED)
     assert open_link.callbacks.acts == [b"b"] and list(open_link.out) == [2]
 
 
@@ -164,5 +173,5 @@
     send(link, 1, b"repeat", until=link_clock[0] + 500)
     send(link, 2, b"first")
     link_clock[0] += 501
-    link.step(Input.GREETED)
+    link.step(ConnectionEvent.GREETED)
     assert link.callbacks.acts == ["dial", b"first", ("not sent", [1])]
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -183,12 +183,12 @@
 
 
 def test_it_finds_an_edge_that_hears_of_drains_too_late(monkeypatch):
-    told, drains = ModelEdge.list_received, ModelEdge.runner_drains
+    told, drains = ModelEdge.list_received, ModelEdge.runner_draining
     monkeypatch.setattr(
         ModelEdge, "list_received", lambda edge, message: edge.reactor.callLater(2.0, told, edge, message)
     )
     monkeypatch.setattr(
-        ModelEdge, "runner_drains", lambda edge, *said: edge.reactor.callLater(2.0, drains, edge, *said)
+        ModelEdge, "runner_draining", lambda edge, *said: edge.reactor.callLater(2.0, drains, edge, *said)
     )
     found = judged("slots", [{"kind": "deploy", "at": "5 s", "lasts": "10 s", "share": 0.6}])
     assert "3 drains kept" in {breach.rule for breach in found}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from lapistrestle.edge.linking import Linking
+from lapistrestle.edge.connection_state import ConnectionStateMachine
 from lapistrestle.node import fastcgi
 from lapistrestle.node.configuration import ConfigurationError, parse_configuration
 from lapistrestle.node.program import Node
@@ -560,7 +560,10 @@
     assert made is not None
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: client.status(number))
-    assert stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING and not made.linking.waiting
+    assert (
+        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        and not made.state_machine.waiting
+    )
     after = len(stage.runners[0].runs)
     more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
     stage.hand.until(lambda: all(client.status(n) for n in more))
@@ -724,7 +727,10 @@
 
     def held() -> Any:
         core, module = stage.node.core, stage.module
-        kinds = sum(isinstance(o, Worker | RunnerConnection | Runner | Linking) for o in gc.get_objects())
+        kinds = sum(
+            isinstance(o, Worker | RunnerConnection | Runner | ConnectionStateMachine)
+            for o in gc.get_objects()
+        )
         connections = stage.node.pools.connections
         return (
             len(core.runners),
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -80,7 +80,7 @@
 
     def taken(self, sock: Any) -> None:
         self.lines.append(StampedLine(self, sock))
-        self.lines[-1].begin()
+        self.lines[-1].start()
 
     def heard(self, line: Any, said: Any) -> None:
         attrs = said.get("attrs") or {}
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from lapistrestle.edge import running
+from lapistrestle.edge import reactor as edge_reactor
 from lapistrestle.standins.platform import BoardEnd, Hand, RunnerEnd, WebServer, configuration, free_port, row
 
 HEAVY = ("numpy", "scipy", "matplotlib", "rich", "simpy", "lmdb", "structlog", "click", "json5")
@@ -211,7 +211,7 @@
         monkeypatch.setattr(gc, word, lambda *args: None)
     reactor = Turning()
     begun: list[float] = []
-    running.run(reactor, lambda: begun.append(reactor.seconds()), {})
+    edge_reactor.run(reactor, lambda: begun.append(reactor.seconds()), {})
     assert not begun
     reactor.advance(0.03)
     assert begun
@@ -260,10 +260,10 @@
     sent = time.monotonic()
     sender.sendall(b"x")
     receiver.recv(1, socket.MSG_PEEK)
-    while running.unread_for(receiver) < 0.05:
+    while edge_reactor.unread_for(receiver) < 0.05:
         assert time.monotonic() < sent + 20
-    assert running.unread_for(receiver) <= time.monotonic() - sent + 0.02
+    assert edge_reactor.unread_for(receiver) <= time.monotonic() - sent + 0.02
     one, other = socket.socketpair()
-    assert running.unread_for(one) == 0.0
+    assert edge_reactor.unread_for(one) == 0.0
     for end in (listener, sender, receiver, one, other):
         end.close()
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -19,7 +19,7 @@
 from benchmarks.scale.samples import Dimension, Sample
 from lapistrestle.agreement.messages import LogEntry
 from lapistrestle.agreement.raft import RaftNode
-from lapistrestle.edge.following import KnownWorkers
+from lapistrestle.edge.known_workers import KnownWorkers
 from lapistrestle.fleet.member_table import MemberTable
 from lapistrestle.policy.entities import Request, Worker
 from lapistrestle.policy.slow_start import SlowStart
@@ -91,7 +91,7 @@
     """The page tells it: twice a second, every instance that the edge lists."""
 
     def steps(size: int) -> float:
-        return count_steps(control_allowance.together_of(size, 10).share_trials).instructions
+        return count_steps(control_allowance.together_of(size, 10).share_verdicts).instructions
 
     assert kind((200, 400, 800, 1_600), steps) is Kind.LINEAR
 
@@ -187,13 +187,13 @@
 
 
 def test_a_planted_scan_of_the_list_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    facts = KnownWorkers.facts
+    facts = KnownWorkers.worker_info
 
     def scanned(following: KnownWorkers, known: Any) -> Any:
         assert sum(other is known for other in following.known.values()) == 1
         return facts(following, known)
 
-    monkeypatch.setattr(KnownWorkers, "facts", scanned)
+    monkeypatch.setattr(KnownWorkers, "worker_info", scanned)
     assert kind(CHANGED, list_change_steps) is Kind.LINEAR
 
 
