--- a/lapistrestle/directory/holder_settings.py
+++ b/lapistrestle/directory/holder_settings.py
@@ -1,13 +1,13 @@
-"""A holder's settings file, translated to what its decisions keep to."""
+"""Conversion of a holder's settings file to `HolderSettings`."""
 
 from lapistrestle.deployment.schema import HolderDeployment
 from lapistrestle.directory.effects import HolderSettings
 
-BURSTS_A_SECOND = 4  # a quarter of a second's snapshots may be sent at once
+BURSTS_PER_SECOND = 4  # the burst is a quarter of a second's snapshots
 
 
 def holder_settings(made: HolderDeployment) -> HolderSettings:
-    """The settings of a `ShardHolder`, from the file of a holder."""
+    """The settings of a `ShardHolder`, from a holder's settings file."""
     directory = made.directory
     serve = made.serve
     workers = made.workers
@@ -20,8 +20,8 @@
         session_bytes=directory.bytes_per_second,
         total_bytes=serve.bytes_per_second,
         snapshot_rate=max(1, round(serve.snapshots_per_second)),
-        snapshot_burst=max(1, round(serve.snapshots_per_second / BURSTS_A_SECOND)),
-        most_sessions=serve.connections,
+        snapshot_burst=max(1, round(serve.snapshots_per_second / BURSTS_PER_SECOND)),
+        max_sessions=serve.connections,
         ramp_time=int(workers.ramp),
         cold_share=workers.cold_share,
     )
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -1,4 +1,4 @@
-"""A connection that the edge keeps to one program, dialled anew whenever it breaks."""
+"""A client that reconnects whenever its connection is lost."""
 
 from typing import Any
 
@@ -8,76 +8,76 @@
 from lapistrestle.wire.json_lines import LineConnection
 from lapistrestle.wire.messages import Message
 
-PAUSE = 2_000  # tenths of a millisecond between two dials
+RECONNECT_DELAY = 2_000  # ticks of 0.1 ms
 
 
-class Source(ClientFactory):
-    """A subclass gives `speak`, and hears of `up` and `down`."""
+class ReconnectingSource(ClientFactory):
+    """Keeps one connection to a port on loopback. A subclass implements `speak`, and may override `down`."""
 
     noisy = False
 
     def __init__(self, edge: Any, port: int) -> None:
-        self.edge = edge
+        self.owner = edge
         self.port = port
-        self.speaker: LineConnection | None = None
+        self.connection: LineConnection | None = None
         self.stopped = False
 
     def follow(self) -> None:
-        """Ask for the list anew, where the protocol knows of that."""
+        """Request the list again, if the protocol supports that."""
 
     def read_now(self) -> None:
-        """Read what lies unread, ahead of the reactor's turn. The end of the connection is left to that."""
-        read = getattr(self.speaker.transport, "doRead", None) if self.speaker is not None else None
+        """Read pending data now, without waiting for the reactor, which handles the end of the connection."""
+        read = getattr(self.connection.transport, "doRead", None) if self.connection is not None else None
         if read is not None:
             read()
 
     def is_current(self) -> bool:
-        """A worker's own word on its connection, which says that it drains, goes before any list."""
+        """Whether new calls may be started by the last list: always, as workers report drains themselves."""
         return True
 
     def start(self, _: object = None) -> None:
-        """Dial, unless it was stopped."""
+        """Connect, unless the client was stopped."""
         if not self.stopped:
-            time_out = self.edge.connect_timeout / 10_000
-            self.edge.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
+            time_out = self.owner.connect_timeout / 10_000
+            self.owner.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
 
     def stop(self) -> None:
-        """Close the connection, and dial no more."""
+        """Close the connection and don't reconnect."""
         self.stopped = True
-        if self.speaker is not None:
-            self.speaker.transport.loseConnection()
+        if self.connection is not None:
+            self.connection.transport.loseConnection()
 
     def buildProtocol(self, addr: Any) -> LineConnection:
-        """Our end of a connection that was made; it has the dial time-out to greet."""
-        self.speaker = self.speak()
-        self.edge.after(self.edge.connect_timeout, self.unmet, self.speaker)
-        return self.speaker
+        """Our end of a new connection; the peer has to greet within the connect time-out."""
+        self.connection = self.make_connection()
+        self.owner.after(self.owner.connect_timeout, self.abort_unless_greeted, self.connection)
+        return self.connection
 
-    def unmet(self, speaker: LineConnection) -> None:
-        """Half open and silent: dial anew."""
-        if self.speaker is speaker and not speaker.is_greeted:
-            speaker.transport.abortConnection()
+    def abort_unless_greeted(self, connection: LineConnection) -> None:
+        """Abort a connection on which the peer has not greeted in time; it is then dialled again."""
+        if self.connection is connection and not connection.is_greeted:
+            connection.transport.abortConnection()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Dial again after a pause."""
-        self.down(False)
-        self.edge.after(PAUSE, self.start, None)
-
-    def lost(self, speaker: LineConnection) -> None:
-        """The connection is over: dial again after a pause."""
-        if self.speaker is speaker:
-            self.speaker = None
-            self.down(True)
-            self.edge.after(PAUSE, self.start, None)
-
-    def say(self, message: Message) -> None:
-        """Send a message, where both ends have greeted."""
-        if self.speaker is not None and self.speaker.is_greeted:
-            self.speaker.send_message(message)
-
-    def speak(self) -> LineConnection:
-        """Our end of a new connection."""
+        """Reconnect after a delay."""
+        self.on_disconnected(False)
+        self.owner.after(RECONNECT_DELAY, self.start, None)
+
+    def connection_lost(self, connection: LineConnection) -> None:
+        """Handle the end of a connection: reconnect after a delay."""
+        if self.connection is connection:
+            self.connection = None
+            self.on_disconnected(True)
+            self.owner.after(RECONNECT_DELAY, self.start, None)
+
+    def send_message(self, message: Message) -> None:
+        """Send a message, if both ends have greeted; else it is dropped."""
+        if self.connection is not None and self.connection.is_greeted:
+            self.connection.send_message(message)
+
+    def make_connection(self) -> LineConnection:
+        """Build our end of a new connection."""
         raise NotImplementedError
 
-    def down(self, was_up: bool) -> None:
-        """The connection is lost (`was_up`), or could not be made."""
+    def on_disconnected(self, was_up: bool) -> None:
+        """The connection was lost (`was_up`) or could not be established."""
--- a/tests/test_directory_order.py
+++ b/tests/test_directory_order.py
@@ -1,4 +1,4 @@
-"""The order of instances: alike everywhere, little moved by a change, fair by size, found in few steps."""
+"""The order of instances: deterministic, stable under changes, proportional to size, and cheap to compute."""
 
 from collections import Counter
 
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapistrestle.directory.assignment import Assignment, Copy, shard_of
+from lapistrestle.directory.assignment import Assignment, ShardReplica, shard_of
 from lapistrestle.directory.hash_ring import INSTANCE, InstanceRing, draws, points_for
 from lapistrestle.directory.prefixes import Prefix, RevisionGapError, apply_change, change_message, difference
 from lapistrestle.directory.ring_positions import RING, RingPositions
@@ -30,8 +30,8 @@
 
 
 @given(FLEETS, FUNCTION, st.randoms(use_true_random=False))
-def test_the_order_does_not_depend_on_the_way_to_the_fleet(fleet, function, random):
-    """Inserted in another order, with others that came, grew, shrank and left in between."""
+def test_the_order_is_independent_of_the_history_of_the_fleet(fleet, function, random):
+    """Insert in another order, and add, resize and remove other instances in between."""
     names = list(fleet)
     random.shuffle(names)
     other = ring_of({f"x{i}": 1.0 for i in range(5)})
@@ -46,7 +46,7 @@
 
 
 @given(FLEETS, FUNCTION)
-def test_an_order_has_each_instance_once_and_shorter_prefixes_begin_longer_ones(fleet, function):
+def test_an_order_has_each_instance_once_and_prefixes_are_nested(fleet, function):
     ring = ring_of(fleet)
     whole = ring.prefix(function, len(fleet) + 3)
     assert sorted(whole) == sorted(fleet)
@@ -55,7 +55,7 @@
 
 
 @given(FLEETS, FUNCTION, st.integers(1, 10), st.data())
-def test_an_instance_that_leaves_changes_only_prefixes_that_it_is_in(fleet, function, count, data):
+def test_a_removed_instance_changes_only_prefixes_that_contained_it(fleet, function, count, data):
     leaver = data.draw(st.sampled_from(sorted(fleet)))
     ring = ring_of(fleet)
     before = ring.prefix(function, count)
@@ -70,7 +70,7 @@
 
 
 @given(FLEETS, FUNCTION, st.integers(1, 10), SIZES)
-def test_an_instance_that_comes_changes_only_prefixes_that_it_enters(fleet, function, count, size):
+def test_an_added_instance_changes_only_prefixes_that_it_enters(fleet, function, count, size):
     ring = ring_of(fleet)
     before = ring.prefix(function, count)
     ring.insert("newcomer", size)
@@ -78,7 +78,7 @@
     assert after == before or "newcomer" in after
 
 
-def test_one_change_in_a_large_fleet_moves_few_prefixes_and_little_in_them():
+def test_one_change_in_a_large_fleet_affects_few_prefixes_and_little_in_them():
     ring = many(1_000)
     functions = [f"f{i}" for i in range(2_000)]
     before = {function: ring.prefix(function, 8) for function in functions}
@@ -86,7 +86,7 @@
     after = {function: ring.prefix(function, 8) for function in functions}
     moved = [function for function in functions if before[function] != after[function]]
     assert {function for function in functions if "w500" in before[function]} == set(moved)
-    assert len(moved) < 4 * 8 * len(functions) / 1_000  # four times an even share
+    assert len(moved) < 4 * 8 * len(functions) / 1_000  # four times the mean
     for function in moved:
         kept = [name for name in before[function] if name != "w500"]
         in_both = [name for name in after[function] if name in kept]
@@ -98,8 +98,8 @@
 
 
 @given(FLEETS, st.sampled_from([0.25, 0.5, 2.0, 4.0]), FUNCTION)
-def test_a_new_points_arc_holds_a_position_that_each_changed_prefix_was_searched_from(fleet, size, function):
-    """What the holder's index relies on."""
+def test_each_changed_prefix_was_searched_from_an_arc_of_a_new_point(fleet, size, function):
+    """The holder's index of ring positions relies on this."""
     ring = ring_of(fleet)
     before = [place for place, _ in zip(ring.places(function), range(4), strict=False)]
     ring.insert("newcomer", size)
@@ -107,15 +107,15 @@
     if after == [place.name for place in before]:
         return
     arcs = list(ring.arcs("newcomer"))
-    looked_from = [position for place in before for position in place.looked_from]
+    searched_from = [position for place in before for position in place.searched_from]
     assert any((position - arc.first) % RING <= (arc.last - arc.first) % RING or arc.first == arc.last
-               for arc in arcs for position in looked_from)  # fmt: skip
+               for arc in arcs for position in searched_from)  # fmt: skip
 
 
 @pytest.mark.parametrize("count", [50, 1_000])
-def test_first_places_are_shared_out_by_size_within_bounds(count):
-    """Over 16 points to each unit of size the share of one instance has a relative deviation of about a
-    quarter: none is home to 2.2 times its part, and half of the size has half of the functions by a tenth."""
+def test_first_positions_are_distributed_by_size(count):
+    """With 16 points per unit of size the share of one instance has a relative deviation of about a quarter:
+    none has 2.2 times its share, and half of the size has half of the functions within a tenth."""
     fleet = {f"w{i}": (0.5, 1.0, 2.0, 4.0)[i % 4] for i in range(count)}
     ring = ring_of(fleet)
     functions = 40 * count
@@ -138,17 +138,17 @@
     return (ring.steps - before) / functions
 
 
-def test_a_look_up_takes_as_many_steps_in_a_large_fleet_as_in_a_small_one():
+def test_the_cost_of_a_lookup_is_independent_of_the_fleets_size():
     steps = [steps_of_look_ups(many(count)) for count in (100, 1_000, 10_000)]
     assert max(steps) < 1.5 * min(steps)
     assert max(steps) < 4 * 8
 
 
-def test_the_count_of_steps_catches_a_scan():
+def test_the_step_count_detects_a_scan():
     class Scanning(InstanceRing):
-        def next_place(self, probes, seen):
+        def next_instance(self, probes, seen):
             list(self.points.clockwise(0))
-            return super().next_place(probes, seen)
+            return super().next_instance(probes, seen)
 
     rings = []
     for count in (100, 1_000):
@@ -159,14 +159,14 @@
     assert steps_of_look_ups(rings[1], 8, 10) > 5 * steps_of_look_ups(rings[0], 8, 10)
 
 
-def test_a_longer_prefix_costs_in_proportion():
+def test_the_cost_of_a_prefix_is_proportional_to_its_length():
     ring = many(5_000)
     assert steps_of_look_ups(ring, 64, 50) < 12 * steps_of_look_ups(ring, 8, 50)
 
 
 @settings(max_examples=50)
 @given(st.lists(st.tuples(st.integers(0, RING - 1), st.sampled_from("abc"), st.booleans()), max_size=300))
-def test_the_table_of_points_is_a_sorted_set(steps):
+def test_the_table_of_positions_is_a_sorted_set(steps):
     table, pairs = RingPositions(), set()
     for position, owner, add in steps:
         if add:
@@ -180,14 +180,14 @@
     assert len(table) == len(pairs)
     for position, owner in sorted(pairs)[:5]:
         others = sorted(pairs)
-        assert table.before(position, owner) == others[others.index((position, owner)) - 1][0]
+        assert table.predecessor(position, owner) == others[others.index((position, owner)) - 1][0]
         assert list(table.clockwise(position)) == [
             *[pair for pair in others if pair[0] >= position],
             *[pair for pair in others if pair[0] < position],
         ]
 
 
-def test_the_table_divides_and_merges_its_buckets():
+def test_the_table_splits_and_merges_its_buckets():
     table = RingPositions()
     positions = [position for position, _ in zip(draws("w", INSTANCE), range(20_000), strict=False)]
     for position in positions:
@@ -198,8 +198,8 @@
     assert len(table.buckets) <= 64 and [p for p, _ in table.clockwise(0)] == sorted(positions[:100])
 
 
-def test_draws_are_the_same_for_ever():
-    """Programs of different releases share the order, so these numbers may not change."""
+def test_hash_positions_are_stable_across_releases():
+    """Processes of different releases must compute the same order, so these numbers may not change."""
     first = [position for position, _ in zip(draws("w1", INSTANCE), range(9), strict=False)]
     assert (first[0], first[8]) == (FIRST_DRAW, NINTH_DRAW)
     assert shard_of("berth", 7) == BERTH_SHARD
@@ -210,7 +210,7 @@
 
 
 @given(NAMES, NAMES)
-def test_a_difference_turns_one_prefix_into_the_other(before, after):
+def test_applying_a_difference_yields_the_other_prefix(before, after):
     change = difference(before, after)
     message = change_message(3, change, Prefix(tuple(after), True))
     assert apply_change(tuple(before), message) == tuple(after)
@@ -225,9 +225,9 @@
 
 
 @given(NAMES, NAMES, NAMES)
-def test_a_change_for_another_prefix_is_noticed_or_fits(before, after, other):
-    """A change is taken for a prefix of which it tells too much or too little only if the result has the
-    length that the sender told."""
+def test_a_change_for_another_prefix_is_rejected_or_has_the_right_length(before, after, other):
+    """A change that was made for another prefix is accepted only if the result has the length that the sender
+    stated."""
     message = change_message(3, difference(before, after), Prefix(tuple(after), True))
     try:
         assert len(apply_change(tuple(other), message)) == len(after)
@@ -235,24 +235,24 @@
         assert other != before
 
 
-def test_watchers_are_spread_over_copies_and_stay_where_they_are_if_one_goes():
-    copies = tuple(Copy("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
+def test_watchers_are_spread_over_replicas_and_keep_their_order_if_one_is_removed():
+    copies = tuple(ShardReplica("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
     assignment, smaller = Assignment(1, (copies,)), Assignment(2, (copies[:2],))
-    first = {i: assignment.copies_for(0, f"edge-{i}") for i in range(900)}
+    first = {i: assignment.replicas_for(0, f"edge-{i}") for i in range(900)}
     chosen = Counter(order[0] for order in first.values())
     assert all(230 < chosen[copy] < 370 for copy in copies)
     for i, order in first.items():
         left = tuple(copy for copy in order if copy is not copies[2])
-        assert smaller.copies_for(0, f"edge-{i}") == left
+        assert smaller.replicas_for(0, f"edge-{i}") == left
 
 
-def test_a_copy_in_the_own_zone_comes_first_twice_as_often():
-    copies = tuple(Copy("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
-    own = sum(Assignment(1, (copies,)).copies_for(0, f"edge-{i}", "b")[0].zone == "b" for i in range(2_000))
+def test_a_replica_in_the_own_zone_comes_first_twice_as_often():
+    copies = tuple(ShardReplica("127.0.0.1", 7_000 + i, "abc"[i]) for i in range(3))
+    own = sum(Assignment(1, (copies,)).replicas_for(0, f"edge-{i}", "b")[0].zone == "b" for i in range(2_000))
     assert 900 < own < 1_100
 
 
-def test_functions_are_divided_evenly_over_shards():
+def test_functions_are_distributed_evenly_over_shards():
     assignment = Assignment(1, ((), (), (), ()))
     counts = Counter(assignment.shard_of(f"function-{i}") for i in range(8_000))
     assert sorted(counts) == [0, 1, 2, 3] and all(1_800 < count < 2_200 for count in counts.values())
--- a/tests/test_many_edges.py
+++ b/tests/test_many_edges.py
@@ -1,4 +1,4 @@
-"""Days of the operators' standing test in the small: many edges that each see little, in virtual time."""
+"""Scenarios with many edges, each of which sees little traffic, in virtual time."""
 
 from typing import Any
 
@@ -56,15 +56,18 @@
 
 
 @pytest.mark.parametrize("name", DAYS)
-def test_the_rules_hold_and_half_is_served_through_it(name: str) -> None:
+def test_no_rule_is_broken_and_half_of_the_calls_are_served(name: str) -> None:
     played = crowd(DAYS[name], seed=2)
     calls = [c for c in played.story.calls if 3_000 < c.at < 13_000]
     first = sum(not c.message.is_retry for c in calls)
     assert played.breaches() == [] and len(ok(calls)) > 0.5 * first
 
 
-def test_a_slow_worker_of_many_edges_is_not_left_for_another_that_is_slow_too() -> None:
-    """As it was: two thirds of the soft deadline, and 24 call-outs of these days given up, which ran on."""
+def test_no_attempt_is_abandoned_for_another_worker_while_all_are_slow() -> None:
+    """Guards against retrying elsewhere too early while all workers are slow.
+
+    With a threshold of two thirds of the soft deadline, 24 attempts of these days were abandoned but ran on.
+    """
     days = [crowd([{"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": 1.6}], seed) for seed in (1, 3)]
     given_up = sum(run.called_off < 10**9 for played in days for run in played.story.runs)
     assert given_up <= 8 and all(played.breaches() == [] for played in days)
