--- a/benchmarks/directory_holder.py
+++ b/benchmarks/directory_holder.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapistrestle.standins.children import Child, free_tcp_ports
+from lapistrestle.standins.child_processes import ChildProcess, free_tcp_ports
 from lapistrestle.wire import messages
 from lapistrestle.wire.directory import DIRECTORY
 
@@ -102,7 +102,7 @@
                 "roster": {"port": roster.port}}  # fmt: skip
     file = folder / "holder.json5"
     file.write_text(json.dumps(settings))
-    holder = Child(folder, "holder", "directory", "serve", str(file))
+    holder = ChildProcess(folder, "holder", "directory", "serve", str(file))
     holder.start()
     try:
         holder.wait_port()
--- a/benchmarks/raft_schedules.py
+++ b/benchmarks/raft_schedules.py
@@ -9,10 +9,12 @@
 import click
 
 from lapistrestle.agreement.raft import RaftSettings
-from lapistrestle.standins.raft_cluster import Faults, RaftCluster
+from lapistrestle.standins.raft_cluster import FaultRates, RaftCluster
 
-ROUGH = Faults(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
-WILD = Faults(loss=0.2, doubled=0.2, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
+ROUGH = FaultRates(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
+WILD = FaultRates(
+    loss=0.2, doubled=0.2, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300)
+)
 HASTY = RaftSettings(election_timeout=300, heartbeat_interval=80, max_batch=1)
 
 
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -33,7 +33,7 @@
 from lapistrestle.deployment.schema import Fleet
 from lapistrestle.edge.program import Edge
 from lapistrestle.edge.reactor import monotonic_reactor
-from lapistrestle.standins.fleet import free_ports
+from lapistrestle.standins.fleet import free_udp_ports
 from lapistrestle.standins.roster import RosterStandIn
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.fleet import (
@@ -405,7 +405,7 @@
     made = RosterStandIn(reactor, 0.0)
     for number, at in enumerate(json.loads(ports)):
         entry = wire.RosterEntry(f"w{number}", at, size=4.0, start=f"w{number}#0")
-        made.note(entry, reactor.seconds() - 3600, now=True)
+        made.record(entry, reactor.seconds() - 3600, now=True)
     tell(port, [made.port])
     reactor.run()
 
@@ -449,7 +449,7 @@
     deployment = load_deployment(path)
     deployment.roster.port = roster_port
     if others:
-        deployment.fleet = Fleet(name="measured", port=free_ports(1)[0])
+        deployment.fleet = Fleet(name="measured", port=free_udp_ports(1)[0])
     made = Edge(reactor, deployment, lambda what, **figures: None)
     made.host.events.stopwatch = time.perf_counter
 
--- a/benchmarks/scale/directory_edge.py
+++ b/benchmarks/scale/directory_edge.py
@@ -23,7 +23,7 @@
     # what the holder does
 
     def after(self, delay: int, call: Callable[..., None], *args: Any) -> None:
-        self.dispatcher.reactor.at(delay, call, *args)
+        self.dispatcher.reactor.schedule(delay, call, *args)
 
     def connected(self, connection: int, holder: HolderNode, session: int) -> None:
         self.number = session
@@ -58,10 +58,10 @@
             return
         self.dispatcher.directory.left(data)
         for line in data.splitlines(keepends=True):
-            self.dispatcher.reactor.at(self.holder.one_way, self.holder.arrive, self.number, line)
+            self.dispatcher.reactor.schedule(self.holder.one_way, self.holder.arrive, self.number, line)
 
     def left(self) -> None:
-        self.dispatcher.reactor.at(self.holder.one_way, self.holder.leave, self.number)
+        self.dispatcher.reactor.schedule(self.holder.one_way, self.holder.leave, self.number)
 
 
 class DirectoryDispatcher(hollow.HollowDispatcher):
@@ -108,6 +108,6 @@
 
         def dialled(dial: Any) -> None:
             session: Any = Session(self, holder, dial)
-            self.reactor.at(2 * holder.one_way, holder.connect, session, 0)
+            self.reactor.schedule(2 * holder.one_way, holder.connect, session, 0)
 
         return dialled
--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -130,7 +130,7 @@
         self.inbox.append((call, args))
         if not self.working:
             self.working = True
-            self.reactor.at(max(0, self.busy_until - self.reactor.now), self.work)
+            self.reactor.schedule(max(0, self.busy_until - self.reactor.now), self.work)
 
     def work(self) -> None:
         """One message, or the tick that is due; then the next once the time it took is over."""
@@ -150,7 +150,7 @@
         for session, line in lines:
             self.send(session, line, delay)
         if self.inbox:
-            self.reactor.at(delay, self.work)
+            self.reactor.schedule(delay, self.work)
         else:
             self.working = False
             self.wake()
@@ -165,7 +165,7 @@
                 lines.append((effect.session, None))
             elif isinstance(effect, RequestRosterSnapshot):
                 self.asks += 1
-                self.reactor.at(2 * self.one_way, self.answer_roster)
+                self.reactor.schedule(2 * self.one_way, self.answer_roster)
         return lines
 
     def send(self, session: int, line: bytes | None, delay: int) -> None:
@@ -183,7 +183,7 @@
         due = self.holder.next_due()
         if due < self.tick_at or self.tick_at <= tenths(self.reactor):
             self.tick_at = due
-            self.reactor.at(max(0, due * TENTH - self.reactor.now), self.tick)
+            self.reactor.schedule(max(0, due * TENTH - self.reactor.now), self.tick)
 
     def tick(self) -> None:
         if not self.working and not self.dead:
@@ -222,7 +222,7 @@
 
     def after(self, delay: int, call: Callable[..., None], *args: Any) -> None:
         if not self.stopped:
-            self.reactor.at(delay, call, *args)
+            self.reactor.schedule(delay, call, *args)
 
     # calls
 
@@ -305,7 +305,7 @@
         if self.timer is None or self.timer.done or self.timer.when > at:
             if self.timer is not None:
                 self.timer.cancel()
-            self.timer = self.reactor.at(at - self.reactor.now, self.tick)
+            self.timer = self.reactor.schedule(at - self.reactor.now, self.tick)
 
     def perform(self, effect: Any) -> None:
         match effect:
@@ -314,14 +314,14 @@
                     holder, session = self.links[connection]
                     self.messages_out += 1
                     self.bytes_out += len(line)
-                    self.reactor.at(self.one_way, holder.arrive, session, line)
+                    self.reactor.schedule(self.one_way, holder.arrive, session, line)
             case Dial():
                 holder = self.holders[effect.replica]
-                self.reactor.at(2 * self.one_way, holder.connect, self, effect.connection)
+                self.reactor.schedule(2 * self.one_way, holder.connect, self, effect.connection)
             case CloseConnection():
                 if effect.connection in self.links:
                     holder, session = self.links.pop(effect.connection)
-                    self.reactor.at(self.one_way, holder.leave, session)
+                    self.reactor.schedule(self.one_way, holder.leave, session)
             case PrefixReady():
                 asked = self.asked_at.pop(effect.function, None)
                 if asked is not None:
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -17,14 +17,14 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.dispatcher_directory import lives, region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.standins.virtual import DelayedCall, Process, VirtualReactor
+from lapistrestle.standins.virtual import DelayedCall, VirtualProcess, VirtualReactor
 from lapistrestle.wire.messages import RosterEntry
 
 FEW = 100  # instances of the dispatcher whose calls alone are timed
 SECONDS = 4.0  # simulated and measured
 LIFE = 120.0  # seconds, as long as an unused function stays watched
 STRANGERS = (
-    VirtualReactor, Process, DelayedCall, HolderNode, Region, Session, hollow.Workers, hollow.Roster,
+    VirtualReactor, VirtualProcess, DelayedCall, HolderNode, Region, Session, hollow.Workers, hollow.Roster,
     hollow.HollowDispatcher, hollow.HollowTransport,
 )  # fmt: skip
 
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -206,7 +206,7 @@
         self.traffic = Traffic()
         self.roster = RosterStandIn(RosterReactor(), 0.0)
         for number in range(instances):
-            self.roster.tell(entry(number), 900.0)
+            self.roster.publish(entry(number), 900.0)
         self.factory = RosterFactory(self.roster)
         self.ends = [self.connect() for _ in range(followers)]
 
@@ -215,7 +215,7 @@
         end.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
         end.paused = False
         end.dataReceived(wire.encode(wire.Hello(wire.ROSTER, wire.VERSION, "dispatcher")) + b"\n")
-        self.roster.followers[end] = None
+        self.roster.subscribers[end] = None
         return end
 
     def whole_for_one(self) -> None:
@@ -226,7 +226,7 @@
             self.change(number)
 
     def change(self, number: int) -> None:
-        self.roster.tell(entry(number % FOLLOWED, start=f"s{number}"), 950.0)
+        self.roster.publish(entry(number % FOLLOWED, start=f"s{number}"), 950.0)
 
 
 class RosterRole:
--- a/benchmarks/scale/roles/shard_holder.py
+++ b/benchmarks/scale/roles/shard_holder.py
@@ -35,7 +35,7 @@
         self.session = -1
         self.heard_messages = 0
         holder.connect(self, 0)  # type: ignore[arg-type]
-        region.reactor.at(round(number * 7_919 % (HEARTBEAT * MILLION)), self.renew)
+        region.reactor.schedule(round(number * 7_919 % (HEARTBEAT * MILLION)), self.renew)
 
     def after(self, delay: int, call: object, *args: object) -> None:
         """The holder says something, or has taken the connection."""
@@ -50,7 +50,7 @@
 
     def renew(self) -> None:
         self.say(wire.Renew(tenths(self.region.reactor)))
-        self.region.reactor.at(round(HEARTBEAT * MILLION), self.renew)
+        self.region.reactor.schedule(round(HEARTBEAT * MILLION), self.renew)
 
     def watch(self, function: str, prefix: int) -> None:
         shard = self.region.assignment.shard_of(function)
--- a/lapistrestle/command/days.py
+++ b/lapistrestle/command/days.py
@@ -10,13 +10,13 @@
 from rich.console import Console
 from rich.table import Table
 
-from lapistrestle.checks.reading import Story
-from lapistrestle.checks.rules import Judged, judge
-from lapistrestle.checks.service import Service, serve
+from lapistrestle.checks.rules import RuleResult, check_rules
+from lapistrestle.checks.service import Service, measure_service
+from lapistrestle.checks.trace import Trace
 from lapistrestle.records.logs import make_log
-from lapistrestle.standins.play import play_real, play_virtual, quiet
+from lapistrestle.standins.play import no_log, play_real, play_virtual
 from lapistrestle.standins.script import read_day
-from lapistrestle.standins.tape import read
+from lapistrestle.standins.tape import read_tape
 
 PATH = click.Path(path_type=Path)
 
@@ -43,11 +43,11 @@
     if seed is not None:
         made.seed = seed
     path = tape or script.with_suffix(".tape")
-    log = make_log() if verbose else quiet
+    log = make_log() if verbose else no_log
     began = time.monotonic()
     with path.open("wb") as sink:
         world = (play_virtual if virtual else play_real)(made, deployment, sink, log)
-    counts = ", ".join(f"{n} {word}" for word, n in world.crowd.counts.items())
+    counts = ", ".join(f"{n} {word}" for word, n in world.clients.counts.items())
     took = time.monotonic() - began
     click.echo(f"{made.name}: {made.length / 10_000:.0f} s played in {took:.1f} s; {counts}")
     click.echo(f"tape: {path}")
@@ -62,12 +62,12 @@
 def check_day(tape: Path, json_: bool, most: int) -> None:
     """Judge a tape: the five rules and the service. Status 1: a rule is broken; 2: it is no tape."""
     try:
-        story = Story(read(tape))
+        story = Trace(read_tape(tape))
     except (OSError, ValueError, KeyError) as trouble:
         click.echo(f"{tape}: can't be judged: {trouble}", err=True)
         sys.exit(2)
-    judged, service = judge(story), serve(story)
-    broken = sum(len(rule.breaches) for rule in judged)
+    judged, service = check_rules(story), measure_service(story)
+    broken = sum(len(rule.violations) for rule in judged)
     if json_:
         click.echo(msgspec.json.encode(as_plain(judged, service, broken)))
     else:
@@ -77,28 +77,31 @@
     sys.exit(1 if broken else 0)
 
 
-def as_plain(judged: list[Judged], service: Service, broken: int) -> dict[str, Any]:
+def as_plain(judged: list[RuleResult], service: Service, broken: int) -> dict[str, Any]:
     rules = {
-        rule.name: {"figures": rule.figures, "breaches": [[b.at, b.says, b.lines] for b in rule.breaches]}
+        rule.name: {
+            "figures": rule.figures,
+            "breaches": [[b.at, b.message, b.lines] for b in rule.violations],
+        }
         for rule in judged
     }
     return {"kept": not broken, "broken": broken, "rules": rules, "service": vars(service)}
 
 
-def show(story: Story, judged: list[Judged], service: Service, most: int) -> None:
+def show(story: Trace, judged: list[RuleResult], service: Service, most: int) -> None:
     console = Console(width=110, highlight=False)
     table = Table("rule", "breaches", "figures", title=f"{story.header['day']}, seed {story.header['seed']}")
     for rule in judged:
         figures = "; ".join(f"{name} {value:.4g}" for name, value in rule.figures.items())
-        table.add_row(rule.name, str(len(rule.breaches) or "none"), figures)
+        table.add_row(rule.name, str(len(rule.violations) or "none"), figures)
     console.print(table)
     for rule in judged:
-        for breach in rule.breaches[:most]:
-            console.print(f"broken: {rule.name}, at {breach.at / 1000:.3f} s: {breach.says}", markup=False)
+        for breach in rule.violations[:most]:
+            console.print(f"broken: {rule.name}, at {breach.at / 1000:.3f} s: {breach.message}", markup=False)
             for number in breach.lines:
                 console.print(f"    {number}: {story.texts.get(number, '')}", markup=False)
-        if len(rule.breaches) > most:
-            console.print(f"    and {len(rule.breaches) - most} more of rule {rule.name}", markup=False)
+        if len(rule.violations) > most:
+            console.print(f"    and {len(rule.violations) - most} more of rule {rule.name}", markup=False)
     method, customer = service.worst_method, service.worst_customer
     console.print(
         f"gain answered over gain asked: {service.total:.3f} in total, {service.worst_window:.3f} in the "
--- a/lapistrestle/command/demo.py
+++ b/lapistrestle/command/demo.py
@@ -12,8 +12,8 @@
 from twisted.internet.protocol import ClientFactory
 
 from lapistrestle.edge.reactor import monotonic_reactor
-from lapistrestle.standins.children import Child
-from lapistrestle.standins.client import Crowd, Habits, Line, Wish
+from lapistrestle.standins.child_processes import ChildProcess
+from lapistrestle.standins.client import ClientBehaviour, ClientPool, ClientRequest, EdgeLink
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
@@ -64,19 +64,19 @@
                 gauge.send_message(wire.Probe(0))
 
 
-class DemoCrowd(Crowd):
+class DemoCrowd(ClientPool):
     """Notes how long answers took."""
 
-    def __init__(self, reactor: Any, habits: Habits) -> None:
+    def __init__(self, reactor: Any, habits: ClientBehaviour) -> None:
         super().__init__(reactor, habits, 1)
         self.verdicts = dict.fromkeys(("ok", "denied", "aborted", "fault"), 0)
         self.took: list[float] = []
 
-    def verdict(self, wish: Wish, verdict: str, retry_after: float) -> None:
+    def on_verdict(self, wish: ClientRequest, verdict: str, retry_after: float) -> None:
         self.verdicts[verdict] += 1
         if verdict == "ok":
-            self.took = [*self.took[-999:], self.reactor.seconds() - wish.began]
-        super().verdict(wish, verdict, retry_after)
+            self.took = [*self.took[-999:], self.reactor.seconds() - wish.started_at]
+        super().on_verdict(wish, verdict, retry_after)
 
 
 @click.command()
@@ -88,10 +88,10 @@
     console = Console()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        children: list[Child] = []
+        children: list[ChildProcess] = []
 
-        def start(name: str, *args: str) -> Child:
-            children.append(Child(folder, name, *args))
+        def start(name: str, *args: str) -> ChildProcess:
+            children.append(ChildProcess(folder, name, *args))
             children[-1].start()
             return children[-1]
 
@@ -124,11 +124,11 @@
 
 
 def play(
-    console: Console, edge: Child, workers: list[dict[str, Any]], seconds: float, rate: float
+    console: Console, edge: ChildProcess, workers: list[dict[str, Any]], seconds: float, rate: float
 ) -> DemoCrowd:
     reactor = monotonic_reactor()
-    crowd, gauges = DemoCrowd(reactor, Habits()), Gauges()
-    crowd.lines = [Line(crowd, "edge-0", edge.port)]
+    crowd, gauges = DemoCrowd(reactor, ClientBehaviour()), Gauges()
+    crowd.links = [EdgeLink(crowd, "edge-0", edge.port)]
     for worker in workers:
         reactor.connectTCP("127.0.0.1", worker["port"], gauges)
     until = reactor.seconds() + seconds
@@ -141,8 +141,8 @@
         method = "book" if crowd.random.random() < 0.2 else "price"
         function = f"{method}-rules-{min(int(crowd.random.expovariate(0.4)), 9)}"
         work = crowd.random.gammavariate(4.0, 10.0)
-        crowd.want(
-            Wish(
+        crowd.submit(
+            ClientRequest(
                 f"op{number}", function, method, "", 300.0, 2, work, round(work), None,
                 "idempotent" if method == "price" else "side-effecting", "all", 3.0, now,
             )
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -20,10 +20,10 @@
 from lapistrestle.edge.program import Edge
 from lapistrestle.edge.reactor import monotonic_reactor, run
 from lapistrestle.records.logs import make_log
-from lapistrestle.standins.engine import RunnerFacts
+from lapistrestle.standins.engine import RunnerSpec
 from lapistrestle.standins.roster import RosterStandIn
-from lapistrestle.standins.runner import RunnerStandIn, Tokens
-from lapistrestle.standins.store import Store, StoreFacts
+from lapistrestle.standins.runner import RunnerStandIn, TokenRegistry
+from lapistrestle.standins.store import PackageStore, StoreSpec
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
@@ -109,7 +109,7 @@
     SIGTERM drains it, a second one ends it.
     """
     reactor = monotonic_reactor()
-    facts = RunnerFacts(cores, speed, memory, queue, absent=absent)
+    facts = RunnerSpec(cores, speed, memory, queue, absent=absent)
     if cold:
         facts.cold_share, facts.ramp = 0.2, 15.0
     log = make_log(runner=name)
@@ -117,10 +117,12 @@
 
     def start() -> int:
         tells = frozenset({"inline", "warm", "company"})
-        store = Store(reactor, StoreFacts())
+        store = PackageStore(reactor, StoreSpec())
         stamp = time.time_ns() % 1_000_000_000
         made.append(
-            RunnerStandIn(reactor, name, stamp, facts, store, Tokens(), cold=cold, port=port, tells=tells)
+            RunnerStandIn(
+                reactor, name, stamp, facts, store, TokenRegistry(), cold=cold, port=port, tells=tells
+            )
         )
         log("listening", port=made[0].port)
         return made[0].port
@@ -163,10 +165,10 @@
         for name, entry in entries.items():
             if entry != known.get(name):
                 up_for = (entry.up_for if entry.up_for is not None else 86_400_000.0) / 1000
-                made[0].note(entry, reactor.seconds() - up_for, now=first)
+                made[0].record(entry, reactor.seconds() - up_for, now=first)
         for name, entry in known.items():
             if name not in entries:
-                made[0].note(msgspec.structs.replace(entry, listing="gone"), 0.0)
+                made[0].record(msgspec.structs.replace(entry, listing="gone"), 0.0)
         known.clear()
         known.update(entries)
         log("read", workers=len(known))
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -14,7 +14,7 @@
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.types import Outcome
 from lapistrestle.sources.numbered_list import ListAction
-from lapistrestle.standins.client import Crowd, Line, Wish
+from lapistrestle.standins.client import ClientPool, ClientRequest, EdgeLink
 from lapistrestle.standins.runner import RunnerStandIn
 from lapistrestle.standins.tape import Tape
 from lapistrestle.wire import messages as wire
@@ -55,7 +55,8 @@
 
 
 class RunnerLink(Taped):
-    """An edge's link to a runner at one port. It is also its own `state_machine`, since nothing here can stall."""
+    """An edge's link to a runner at one port. It is also its own `state_machine`, since nothing here can
+    stall."""
 
     def __init__(
         self, edge: Any, name: str, runner: RunnerStandIn | None, way: float, tape: Tape | None = None
@@ -103,7 +104,7 @@
         else:
             assert self.runner is not None
             self.put("<", message)
-            self.runner.take(message, self, self.answer)
+            self.runner.handle(message, self, self.answer)
 
     def answer(self, said: Any) -> None:
         self.put(">", said)
@@ -137,7 +138,7 @@
         if self.reached():
             assert self.runner is not None
             self.put("<", wire.Cancel(number))
-            self.runner.take(wire.Cancel(number), self, self.answer)
+            self.runner.handle(wire.Cancel(number), self, self.answer)
 
     def drop_connection(self) -> None: ...
 
@@ -182,24 +183,26 @@
         edge.client_connections[self] = None
 
     def send_message(self, message: Any) -> None:
-        self.line.crowd.reactor.callLater(self.line.way, self.line.message_received, message)
+        self.line.pool.reactor.callLater(self.line.way, self.line.message_received, message)
 
 
-class ModelLine(Line, Taped):
+class ModelLine(EdgeLink, Taped):
     """A client's link to one edge of the model."""
 
-    def __init__(self, crowd: Crowd, edge: Any, number: int, way: float, tape: Tape | None = None) -> None:
+    def __init__(
+        self, crowd: ClientPool, edge: Any, number: int, way: float, tape: Tape | None = None
+    ) -> None:
         Taped.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
-        self.crowd, self.edge, self.number, self.way = crowd, edge.name, number, way
+        self.pool, self.edge, self.number, self.way = crowd, edge.name, number, way
         self.put("<", wire.Hello("lapistrestle", wire.VERSION, connection_name=f"c{number}"))
-        self.open: dict[str, tuple[Wish, Any]] = {}
+        self.open: dict[str, tuple[ClientRequest, Any]] = {}
         self.stopped = self.closed = False
         self.seat = Seat(edge, self)
         self.up = self  # type: ignore[assignment]
 
     def send_message(self, message: Any) -> None:
         self.put(">", message)
-        self.crowd.reactor.callLater(self.way, self.seat.message_received, message)
+        self.pool.reactor.callLater(self.way, self.seat.message_received, message)
 
     def message_received(self, message: Any) -> None:
         self.put("<", message)
@@ -224,8 +227,8 @@
         self.edge.reactor.callLater(self.way, call, *args)
 
     def follow(self) -> None:
-        self.roster.followers[self] = None
-        self.send_message(self.roster.whole())
+        self.roster.subscribers[self] = None
+        self.send_message(self.roster.snapshot())
 
     def send_message(self, message: Any) -> None:
         self.put(">", message)
@@ -237,5 +240,5 @@
 
     def break_off(self) -> None:
         """The roster restarted: subscribe again."""
-        self.roster.followers.pop(self, None)
+        self.roster.subscribers.pop(self, None)
         self.later(self.follow)
--- a/lapistrestle/standins/children.py
+++ b/lapistrestle/standins/child_processes.py
@@ -19,7 +19,7 @@
     return ports
 
 
-class Child:
+class ChildProcess:
     """`lapistrestle ARGS --tell-port FILE` as a separate process."""
 
     def __init__(self, folder: Path, name: str, *args: str) -> None:
@@ -78,6 +78,6 @@
             child.kill()
             return child.wait()
 
-    def lines(self) -> list[str]:
+    def log_lines(self) -> list[str]:
         """Lines that it has logged so far."""
         return self.log.read_text(errors="replace").splitlines() if self.log.exists() else []
--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class EdgeView:
+class WatcherView:
     """What an edge knows by the effects of its watcher, and whether these are in order."""
 
     name: str
@@ -133,7 +133,7 @@
 
 
 def check_end(
-    watcher: DirectoryWatcher, view: EdgeView, truth: RegionInstances, now: int, breaches: Breaches
+    watcher: DirectoryWatcher, view: WatcherView, truth: RegionInstances, now: int, breaches: Breaches
 ) -> None:
     """Once all faults are over a watcher knows what is true, of each function that it uses."""
     for name, function in watcher.functions.items():
--- a/lapistrestle/standins/directories.py
+++ b/lapistrestle/standins/directory_holders.py
@@ -29,7 +29,7 @@
     def kill(self) -> None: ...
 
 
-class Holders(Protocol):
+class HolderFactory(Protocol):
     """Makes holders: objects in virtual time, or processes."""
 
     def ports(self, count: int) -> list[int]:
@@ -42,7 +42,7 @@
 
 
 @dataclass(eq=False)
-class HolderPlace:
+class HolderSlot:
     """A holder of the deployment, whichever process it is now."""
 
     settings: HolderDeployment
@@ -66,16 +66,16 @@
     return found
 
 
-class DirectoryRig:
+class DirectoryHolders:
     """All holders of a day. Ports in the deployment only tell its holders apart: real ones are free ones."""
 
     def __init__(
-        self, reactor: Any, tape: Tape, deployment: Deployment, roster_port: int, holders: Holders
+        self, reactor: Any, tape: Tape, deployment: Deployment, roster_port: int, holders: HolderFactory
     ) -> None:
         self.reactor, self.tape, self.directory, self.holders = reactor, tape, deployment.directory, holders
         self.names = holder_names(self.directory)
         ports = dict(zip(self.names.values(), holders.ports(len(self.names)), strict=True))
-        self.places: dict[str, HolderPlace] = {}
+        self.places: dict[str, HolderSlot] = {}
         for (host, port), name in self.names.items():
             shards = [n for n, copies in enumerate(self.directory.shards)
                       if any((copy.host, copy.port) == (host, port) for copy in copies)]  # fmt: skip
@@ -86,7 +86,7 @@
                 directory=self.directory, serve=serve, roster=Roster(port=roster_port),
                 workers=deployment.workers,
             )  # fmt: skip
-            self.places[name] = HolderPlace(settings, holders.make(settings, 0))
+            self.places[name] = HolderSlot(settings, holders.make(settings, 0))
 
     def start(self) -> None:
         for place in self.places.values():
@@ -112,20 +112,20 @@
 
     # what goes wrong
 
-    def stall(self, place: HolderPlace) -> None:
+    def stall(self, place: HolderSlot) -> None:
         place.still += 1
         if place.still == 1:
             self.tape.put(place.name, "stalled")
             place.handle.stall()
 
-    def resume(self, place: HolderPlace) -> None:
+    def resume(self, place: HolderSlot) -> None:
         if place.still:
             place.still -= 1
             if not place.still:
                 self.tape.put(place.name, "resumed")
                 place.handle.resume()
 
-    def kill(self, place: HolderPlace) -> None:
+    def kill(self, place: HolderSlot) -> None:
         """Of two kills that overlap the second meets nobody."""
         if place.down:
             return
@@ -136,7 +136,7 @@
         self.tape.put(place.name, "killed")
         place.handle.kill()
 
-    def restart(self, place: HolderPlace) -> None:
+    def restart(self, place: HolderSlot) -> None:
         """The same name and port, another process that knows nothing; unless it is back already."""
         if not place.down:
             return
--- a/lapistrestle/standins/directory_network.py
+++ b/lapistrestle/standins/directory_network.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Weather:
+class NetworkConditions:
     """How rough a day is: chances by message, or events a second."""
 
     loss: float = 0.003
@@ -32,10 +32,10 @@
     calls: float = 8.0  # of each watcher
 
 
-CALM = Weather(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
+CALM = NetworkConditions(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
 
 
-class Time:
+class SimulatedClock:
     """What is to happen, in order."""
 
     def __init__(self) -> None:
@@ -56,18 +56,18 @@
         self.now = until
 
 
-class Surroundings(Protocol):
+class SimulationContext(Protocol):
     """What programs and channels need of their world."""
 
-    time: Time
+    time: SimulatedClock
     chance: random.Random
-    weather: Weather
+    weather: NetworkConditions
 
 
-class Program:
+class SimulatedProcess:
     """A process: it may stand still, while what arrives waits in the order of its arrival, and be killed."""
 
-    def __init__(self, world: Surroundings) -> None:
+    def __init__(self, world: SimulationContext) -> None:
         self.world = world
         self.stalled, self.alive, self.life = False, True, 0
         self.inbox = deque[Callable[[], None]]()
@@ -125,14 +125,14 @@
 class Channel:
     """One direction of a connection: in order, delayed, and sometimes a message is lost or doubled."""
 
-    def __init__(self, world: Surroundings, faulty: bool = True) -> None:
+    def __init__(self, world: SimulationContext, faulty: bool = True) -> None:
         self.world, self.faulty = world, faulty
         self.last = 0
         self.open = True
         self.cut = False
-        self.held = deque[tuple[Program, Callable[[], None]]]()
+        self.held = deque[tuple[SimulatedProcess, Callable[[], None]]]()
 
-    def send(self, to: Program, act: Callable[[], None]) -> None:
+    def send(self, to: SimulatedProcess, act: Callable[[], None]) -> None:
         chance, weather = self.world.chance, self.world.weather
         if not self.open or (self.faulty and chance.random() < weather.loss):
             return
@@ -143,7 +143,7 @@
             else:
                 self.pass_on(to, act)
 
-    def pass_on(self, to: Program, act: Callable[[], None]) -> None:
+    def pass_on(self, to: SimulatedProcess, act: Callable[[], None]) -> None:
         chance, weather = self.world.chance, self.world.weather
         delay = chance.randint(*weather.delay)
         if weather.slow and chance.random() < weather.slow_chance:
@@ -151,7 +151,7 @@
         self.last = max(self.last, self.world.time.now + delay)
         self.world.time.at(self.last, lambda: self.arrive(to, act))
 
-    def arrive(self, to: Program, act: Callable[[], None]) -> None:
+    def arrive(self, to: SimulatedProcess, act: Callable[[], None]) -> None:
         if self.cut:
             self.held.append((to, act))
         elif self.open:
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -14,8 +14,8 @@
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.edge.known_workers import EndpointListFollower
 from lapistrestle.sources.numbered_list import ListAction
-from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
-from lapistrestle.standins.directory_network import Channel, Program
+from lapistrestle.standins.directory_checks import SessionRecord, WatcherView, check_floors
+from lapistrestle.standins.directory_network import Channel, SimulatedProcess
 from lapistrestle.ticks import NEVER
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.directory import (
@@ -29,7 +29,7 @@
 )
 
 if TYPE_CHECKING:
-    from lapistrestle.standins.directory_world import World
+    from lapistrestle.standins.directory_world import DirectorySimulation
 
 DECODE_FROM_HOLDER = msgspec.json.Decoder(FromHolder).decode
 DECODE_FROM_WATCHER = msgspec.json.Decoder(FromWatcher).decode
@@ -37,12 +37,12 @@
 NOTICED = 100  # tenths of a millisecond over a holder's bound on standstills: it must have noticed
 
 
-class Roster(Program):
+class Roster(SimulatedProcess):
     """Knows the fleet. Nothing that it says to a holder is lost, but the connection may be cut or break."""
 
-    def __init__(self, world: "World") -> None:
+    def __init__(self, world: "DirectorySimulation") -> None:
         super().__init__(world)
-        self.world: World = world
+        self.world: DirectorySimulation = world
         self.entries = dict[str, wire.RosterEntry]()
         self.booted = dict[str, int]()
         self.number, self.epochs = 0, ["e1"]
@@ -102,12 +102,12 @@
             self.world.time.after(50, lambda: holder.deliver(lambda: holder.roster_broke(channel, life)))
 
 
-class Holder(Program):
+class Holder(SimulatedProcess):
     """A holder process around the decisions."""
 
-    def __init__(self, world: "World", copy: ShardReplica, settings: HolderSettings) -> None:
+    def __init__(self, world: "DirectorySimulation", copy: ShardReplica, settings: HolderSettings) -> None:
         super().__init__(world)
-        self.world: World = world
+        self.world: DirectorySimulation = world
         self.copy, self.settings = copy, settings
         self.connections = dict[int, Connection]()
         self.channel: Channel | None = None
@@ -223,7 +223,7 @@
 class Connection:
     """Between a watcher and a holder."""
 
-    def __init__(self, world: "World", watcher: "Watcher", number: int, holder: Holder) -> None:
+    def __init__(self, world: "DirectorySimulation", watcher: "Watcher", number: int, holder: Holder) -> None:
         self.world, self.watcher, self.number, self.holder = world, watcher, number, holder
         self.life = watcher.life
         self.session = world.next_session()
@@ -318,22 +318,22 @@
         self.world.time.after(30, lambda: self.holder.deliver(self.holder_loses))
 
 
-class Watcher(Program):
+class Watcher(SimulatedProcess):
     """A dispatcher's watcher around the decisions."""
 
-    def __init__(self, world: "World", name: str, zone: str, settings: WatcherSettings) -> None:
+    def __init__(self, world: "DirectorySimulation", name: str, zone: str, settings: WatcherSettings) -> None:
         super().__init__(world)
-        self.world: World = world
+        self.world: DirectorySimulation = world
         self.name, self.zone, self.settings = name, zone, settings
         self.connections = dict[int, Connection]()
-        self.views = list[EdgeView]()
+        self.views = list[WatcherView]()
         self.boot()
 
     def boot(self) -> None:
         self.life += 1
         self.alive, self.stalled, self.due = True, False, -1
         self.connections = {}
-        self.view = EdgeView(self.name, self.world.breaches)
+        self.view = WatcherView(self.name, self.world.breaches)
         self.views.append(self.view)
         self.floors = dict[int, Revision]()
         seed = self.life * 1_000 + int(self.name[1:])
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lapistrestle.standins.store import Fetch, Store
+from lapistrestle.standins.store import Fetch, PackageStore
 
 
 @dataclass
-class RunnerFacts:
+class RunnerSpec:
     """Capacity and behaviour of a runner."""
 
     cores: int = 4
@@ -74,7 +74,7 @@
     """The execution of calls by one runner process."""
 
     def __init__(
-        self, reactor: Any, facts: RunnerFacts, store: Store, fall: Callable[[], None], cold: bool
+        self, reactor: Any, facts: RunnerSpec, store: PackageStore, fall: Callable[[], None], cold: bool
     ) -> None:
         self.reactor, self.facts, self.store, self.fall = reactor, facts, store, fall
         self.booted = reactor.seconds() - (0.0 if cold else 1e6)
--- a/lapistrestle/standins/troubles/directory.py
+++ b/lapistrestle/standins/faults/directory.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from lapistrestle.standins.directories import HolderPlace
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.troubles.edges import edges_of
-from lapistrestle.standins.troubles.effects import End, all_of, nothing
+from lapistrestle.standins.directory_holders import HolderSlot
+from lapistrestle.standins.faults.edges import edges_of
+from lapistrestle.standins.faults.effects import End, all_of, nothing
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
 
-def holders_of(world: World, trouble: Trouble) -> list[HolderPlace]:
+def holders_of(world: World, trouble: ScriptedFault) -> list[HolderSlot]:
     """A random share of the holders, at least one; all in the zone if one is named."""
     if world.directory is None:
         return []
@@ -20,7 +20,7 @@
     return world.random.sample(places, count)
 
 
-def holder_stall(world: World, trouble: Trouble) -> End:
+def holder_stall(world: World, trouble: ScriptedFault) -> End:
     """Stalls holders; they resume with their state."""
     rig, chosen = world.directory, holders_of(world, trouble)
     if rig is None:
@@ -30,7 +30,7 @@
     return all_of(partial(rig.resume, place) for place in chosen)
 
 
-def holder_kill(world: World, trouble: Trouble) -> End:
+def holder_kill(world: World, trouble: ScriptedFault) -> End:
     """Kills holders; they restart under the same names, without state."""
     rig, chosen = world.directory, holders_of(world, trouble)
     if rig is None:
@@ -40,7 +40,7 @@
     return all_of(partial(rig.restart, place) for place in chosen)
 
 
-def directory_cut(world: World, trouble: Trouble) -> End:
+def directory_cut(world: World, trouble: ScriptedFault) -> End:
     """Partitions a share of the edges from all holders, or from those of the named zone."""
     rig = world.directory
     if rig is None:
--- a/lapistrestle/standins/troubles/edges.py
+++ b/lapistrestle/standins/faults/edges.py
@@ -2,8 +2,8 @@
 
 from functools import partial
 
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.troubles.effects import End, all_of
+from lapistrestle.standins.faults.effects import End, all_of
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
 
@@ -13,7 +13,7 @@
     return world.random.sample(numbers, max(1, round(share * len(numbers))))
 
 
-def balancer_stall(world: World, trouble: Trouble) -> End:
+def balancer_stall(world: World, trouble: ScriptedFault) -> End:
     """Stalls edges. Two of these faults may overlap on one edge: it resumes when the last is over."""
     chosen = [world.edges[n] for n in edges_of(world, trouble.share)]
     for edge in chosen:
@@ -34,7 +34,7 @@
     return end
 
 
-def edge_kill(world: World, trouble: Trouble) -> End:
+def edge_kill(world: World, trouble: ScriptedFault) -> End:
     """Kills edges; they restart under the same names when the fault ends."""
     chosen = edges_of(world, trouble.share)
     for number in chosen:
@@ -46,17 +46,17 @@
     return all_of(partial(world.restart_edge, n) for n in chosen)
 
 
-def edges_apart(world: World, trouble: Trouble) -> End:
+def edges_apart(world: World, trouble: ScriptedFault) -> End:
     """Partitions a share of the edges from the others, for gossip."""
     return sever(world, trouble, both=True)
 
 
-def edges_deaf(world: World, trouble: Trouble) -> End:
+def edges_deaf(world: World, trouble: ScriptedFault) -> End:
     """One-way partition: a share of the edges receives no gossip of the others, but can still send."""
     return sever(world, trouble, both=False)
 
 
-def sever(world: World, trouble: Trouble, both: bool) -> End:
+def sever(world: World, trouble: ScriptedFault, both: bool) -> End:
     """Cuts the links from the other edges to a share of them, and back where `both`."""
     chosen = edges_of(world, trouble.share)
     ports = world.fleet_ports
@@ -71,14 +71,14 @@
     return end
 
 
-def edges_lossy(world: World, trouble: Trouble) -> End:
+def edges_lossy(world: World, trouble: ScriptedFault) -> End:
     """Loses a share of the datagrams between edges, duplicates as many, and delays all by up to `by`."""
     links = world.links
-    links.lost, links.doubled = links.lost + trouble.share, links.doubled + trouble.share
+    links.loss, links.duplication = links.loss + trouble.share, links.duplication + trouble.share
     links.delays = (links.delays[0], links.delays[1] + int(trouble.by) * 100)
 
     def end() -> None:
-        links.lost, links.doubled = links.lost - trouble.share, links.doubled - trouble.share
+        links.loss, links.duplication = links.loss - trouble.share, links.duplication - trouble.share
         links.delays = (links.delays[0], links.delays[1] - int(trouble.by) * 100)
 
     return end
--- a/lapistrestle/standins/troubles/effects.py
+++ b/lapistrestle/standins/faults/effects.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from lapistrestle.standins.script import Trouble
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
 End = Callable[[], None]
-Begin = Callable[[World, Trouble], End]
+Begin = Callable[[World, ScriptedFault], End]
 
 
 def nothing() -> None:
--- a/lapistrestle/standins/troubles/planner.py
+++ b/lapistrestle/standins/faults/planner.py
@@ -1,11 +1,11 @@
 """Faults of the planner."""
 
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.troubles.effects import End, nothing
+from lapistrestle.standins.faults.effects import End, nothing
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
 
-def planner_stall(world: World, trouble: Trouble) -> End:
+def planner_stall(world: World, trouble: ScriptedFault) -> End:
     """Stalls the planner; it resumes with its state."""
     planner = world.planner
     if planner is None:
@@ -14,7 +14,7 @@
     return planner.resume
 
 
-def planner_kill(world: World, trouble: Trouble) -> End:
+def planner_kill(world: World, trouble: ScriptedFault) -> End:
     """Kills the planner; it restarts at the same port, on the same journal."""
     if world.planner is None:
         return nothing
--- a/lapistrestle/standins/troubles/runners.py
+++ b/lapistrestle/standins/faults/runners.py
@@ -1,7 +1,7 @@
 """Faults of runners as processes: killed, drained and replaced."""
 
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.troubles.effects import End, nothing
+from lapistrestle.standins.faults.effects import End, nothing
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import Slot, World
 from lapistrestle.ticks import SECOND
 
@@ -9,7 +9,7 @@
 DRAINING = 3.0  # seconds for which a replaced runner drains
 
 
-def crash(world: World, trouble: Trouble) -> End:
+def crash(world: World, trouble: ScriptedFault) -> End:
     """Kills runners without notice; all restart when the fault ends."""
     slots = world.some(trouble.share, trouble.zone)
     for slot in slots:
@@ -24,7 +24,7 @@
             world.back(slot)
 
 
-def zone_loss(world: World, trouble: Trouble) -> End:
+def zone_loss(world: World, trouble: ScriptedFault) -> End:
     """Kills all runners of one zone without notice."""
     zones = world.deployment.zones or [""]
     zone = trouble.zone or world.random.choice(zones)
@@ -34,7 +34,7 @@
     return lambda: return_all(world, slots)
 
 
-def preempt(world: World, trouble: Trouble) -> End:
+def preempt(world: World, trouble: ScriptedFault) -> End:
     """Drains runners, kills them after a short notice, and restarts them when the fault ends."""
     slots = world.some(trouble.share, trouble.zone)
     for slot in slots:
@@ -43,7 +43,7 @@
     return lambda: return_all(world, slots)
 
 
-def deploy(world: World, trouble: Trouble) -> End:
+def deploy(world: World, trouble: ScriptedFault) -> End:
     """Replaces runners one after another: each drains, ends, and restarts."""
     slots = world.some(trouble.share, trouble.zone)
     step = trouble.lasts / SECOND / max(1, len(slots))
--- a/lapistrestle/standins/troubles/sockets.py
+++ b/lapistrestle/standins/faults/sockets.py
@@ -4,27 +4,29 @@
 from functools import partial
 from typing import Any
 
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.taped import Weather
-from lapistrestle.standins.troubles.effects import Begin, End, all_of
+from lapistrestle.standins.faults.effects import Begin, End, all_of
+from lapistrestle.standins.script import ScriptedFault
+from lapistrestle.standins.taped_connection import NetworkFaults
 from lapistrestle.standins.world import World
 
 
-def weathers(world: World, trouble: Trouble) -> list[Weather]:
+def weathers(world: World, trouble: ScriptedFault) -> list[NetworkFaults]:
     """The connections that a fault affects: those of the roster, of some clients or of some runners."""
     if trouble.on == "roster":
         return [world.roster.weather]
     if trouble.on == "clients":
-        lines = world.crowd.lines
+        lines = world.clients.links
         chosen = world.random.sample(lines, max(1, round(trouble.share * len(lines))))
         return [line.weather for line in chosen]
     return [slot.runner.weather for slot in world.some(trouble.share, trouble.zone)]
 
 
-def weather(change: Callable[[Weather, Trouble], None], undo: Callable[[Weather], None]) -> Begin:
+def weather(
+    change: Callable[[NetworkFaults, ScriptedFault], None], undo: Callable[[NetworkFaults], None]
+) -> Begin:
     """A fault that changes how connections behave."""
 
-    def began(world: World, trouble: Trouble) -> End:
+    def began(world: World, trouble: ScriptedFault) -> End:
         chosen = weathers(world, trouble)
         for each in chosen:
             change(each, trouble)
@@ -33,12 +35,12 @@
     return began
 
 
-def set_to(name: str, value: Callable[[Trouble], Any], calm: Any) -> Begin:
+def set_to(name: str, value: Callable[[ScriptedFault], Any], calm: Any) -> Begin:
     """Sets one field of the connections' faults to `value`, and back to `calm` at the end."""
     return weather(lambda w, t: setattr(w, name, value(t)), lambda w: setattr(w, name, calm))
 
 
-def refused(world: World, trouble: Trouble) -> End:
+def refused(world: World, trouble: ScriptedFault) -> End:
     """Breaks the connections of runners, and accepts no new ones."""
     chosen = [slot.runner for slot in world.some(trouble.share, trouble.zone)]
     for runner in chosen:
@@ -54,9 +56,9 @@
     return end
 
 
-def unread(world: World, trouble: Trouble) -> End:
+def unread(world: World, trouble: ScriptedFault) -> End:
     """Clients stop reading their answers."""
-    lines = world.random.sample(world.crowd.lines, max(1, round(trouble.share * len(world.crowd.lines))))
+    lines = world.random.sample(world.clients.links, max(1, round(trouble.share * len(world.clients.links))))
     stopped = [line.up for line in lines if line.up is not None]
     for speaker in stopped:
         world.tape.put(speaker.connection, "unread")
--- a/lapistrestle/standins/store.py
+++ b/lapistrestle/standins/store.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class StoreFacts:
+class StoreSpec:
     """Capacity of the store."""
 
     fetches: float = 12.0  # concurrent fetches at full speed; more share the capacity
@@ -26,8 +26,8 @@
     called_off: bool = False
 
 
-class Store:
-    def __init__(self, reactor: Any, facts: StoreFacts) -> None:
+class PackageStore:
+    def __init__(self, reactor: Any, facts: StoreSpec) -> None:
         self.reactor, self.facts = reactor, facts
         self.active, self.crowded_since, self.stopped_until = 0, -1.0, -1.0
         self.factor = 1.0  # fault: times slower
--- a/lapistrestle/standins/tape.py
+++ b/lapistrestle/standins/tape.py
@@ -49,7 +49,7 @@
             self.rest = b""
 
 
-def read(path: Path) -> Iterator[dict[str, Any]]:
+def read_tape(path: Path) -> Iterator[dict[str, Any]]:
     """Yields the header and the events. Skips an incomplete last line; raises ValueError for any other bad
     line."""
     decode = msgspec.json.Decoder(dict[str, Any]).decode
