--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -19,7 +19,7 @@
 from lapistrestle.planner.connection import PlannerConnectionFactory
 from lapistrestle.planner.entries import decode_entry, encode_entry
 from lapistrestle.planner.server import Planner
-from lapistrestle.standins.tape import read as read_tape
+from lapistrestle.standins.tape import read_tape
 from lapistrestle.store.journal import Journal
 from lapistrestle.store.learned_state import read_learned_state as read_learnt
 from lapistrestle.store.learned_state import write_learned_state as write_learnt
