--- a/lapistrestle/hosting/registry.py
+++ b/lapistrestle/hosting/registry.py
@@ -1,4 +1,4 @@
-"""Names to objects, where they come in from outside; behind that, objects refer to each other directly."""
+"""Maps names from outside to objects; inside the module, objects refer to each other directly."""
 
 from collections import OrderedDict
 
@@ -6,15 +6,14 @@
 
 
 class ObjectRegistry:
-    """The workers and functions that one instance of the module knows, by name, and its wake-up tokens.
+    """The workers and functions known to one instance of the module, by name, and its timer tokens.
 
-    `max_functions` bounds the functions kept: guards against clients that name a new one in every request. It
-    could harm where more than that many are in use at once: what was learnt of the least recently used is
-    learnt anew.
-    Past `idle` of them the least recently used go as soon as the module holds nothing of them but a figure.
+    `max_functions` limits the functions, as clients may name a new one in every request; the least recently
+    used are evicted first. If more are in use at once, what was learned of the evicted ones is lost. Above
+    `idle`, functions without replicas and scores are evicted too.
     """
 
-    idle = 1_000  # functions that are kept though nothing is held of them
+    idle = 1_000  # functions without replicas and scores that are retained
 
     def __init__(self, max_functions: int | None = None) -> None:
         self.workers: dict[str, Worker] = {}
@@ -24,7 +23,7 @@
         self.last_token = 0
 
     def worker(self, name: str) -> Worker:
-        """The worker of this name, made when it is first named."""
+        """Return the worker of this name, created on first use."""
         if name not in self.workers:
             self.workers[name] = Worker(name)
         return self.workers[name]
@@ -32,8 +31,8 @@
     def function(
         self, name: str, method: int, memory_mb: float, lanes: int, load_time: int | None = None
     ) -> Function:
-        """The function of this name, made when it is first named. `memory_mb` is per copy; `load_time`, the
-        usual time of a load in tenths of a millisecond, is as this request says: the last one stands.
+        """Return the function of this name, created on first use with `memory_mb` and `lanes` per copy.
+        `load_time`, if given, replaces the typical load time in ticks.
         """
         function = self.functions.get(name)
         if function is None:
@@ -45,20 +44,20 @@
         function.load_time = function.load_time if load_time is None else load_time
         return function
 
-    def trim(self, most: int) -> None:
-        """Evict up to two for each new one, so that what had grown shrinks again."""
+    def trim(self, limit: int) -> None:
+        """Evict up to two functions. As one is added at a time, a registry above its limit shrinks again."""
         for _ in range(2):
             oldest = next(iter(self.functions.values()))
-            held = oldest.replicas or oldest.scores
-            if len(self.functions) > (most if held else min(self.idle, most)):
+            in_use = oldest.replicas or oldest.scores
+            if len(self.functions) > (limit if in_use else min(self.idle, limit)):
                 del self.functions[oldest.name]
 
     def store_token(self, token: object) -> int:
-        """A number for the token, to be given back when it is due."""
+        """Store a timer token and return a number for it."""
         self.last_token += 1
         self.tokens[self.last_token] = token
         return self.last_token
 
     def take_token(self, number: int) -> object | None:
-        """The token kept under this number, which is then forgotten."""
+        """Remove and return the token with this number; None if there is none."""
         return self.tokens.pop(number, None)
--- a/lapistrestle/policy/admission.py
+++ b/lapistrestle/policy/admission.py
@@ -23,9 +23,8 @@
 # between them avoids flapping.
 PRESSURE_ON_FRACTION: Final = 1 / 2
 PRESSURE_OFF_FRACTION: Final = 1 / 4
-LEARNING_PERIOD: Final = (
-    SHORT_TIME_CONSTANT  # ticks after the start without pressure, as the rate of answers is not known yet
-)
+# Ticks after the start in which the rate of answers is not known yet, so that nothing counts as pressure.
+LEARNING_PERIOD: Final = SHORT_TIME_CONSTANT
 QUOTA_DRAW_RANGE: Final = 1_000  # resolution of the random draw against a customer's quota
 
 
@@ -59,8 +58,8 @@
         objective = self.latency.objective(request)
         sojourn_time = self.sojourn_time(objective)
         self.update_pressure(sojourn_time, objective)
-        most = objective * PRESSURE_ON_FRACTION if self.beyond_quota(request) else objective
-        return not (sojourn_time > most or self.cannot_finish_in_time(request))
+        limit = objective * PRESSURE_ON_FRACTION if self.beyond_quota(request) else objective
+        return not (sojourn_time > limit or self.cannot_finish_in_time(request))
 
     def sojourn_time(self, objective: int) -> float:
         """Return the sojourn time in ticks, to compare with a latency objective. The number in flight is
--- a/lapistrestle/policy/candidates.py
+++ b/lapistrestle/policy/candidates.py
@@ -70,8 +70,8 @@
         return self.allows_repeat(request, worker) and self.slow_start.has_capacity(worker, request)
 
     def allows_repeat(self, request: Request, worker: Worker) -> bool:
-        """Whether the request may be sent there though it may have run already: no effect may happen twice,
-        so the method must be idempotent, or the worker drop the repeated idempotency key.
+        """Whether the request may be sent there if it may have run already. No effect may happen twice, so
+        the method must be idempotent, or the worker must drop the repeated idempotency key.
         """
         method = self.settings.methods[request.method]
         ran_on = request.may_have_run_on
--- a/lapistrestle/policy/dispatcher.py
+++ b/lapistrestle/policy/dispatcher.py
@@ -198,9 +198,8 @@
 
     def on_request(self, request: Request) -> None:
         """See `Events.on_request`."""
-        request.accepted_at = (
-            request.accepted_at or self.clock.now
-        )  # set earlier if it waited for the function's prefix
+        # set earlier if it waited for the function's prefix
+        request.accepted_at = request.accepted_at or self.clock.now
         self.latency.apply_work_hint(request)
         self.preloading.start_maintenance(request.function)
         self.throughput.update_time_constant_factor(len(self.endpoints.serving))
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -1,5 +1,9 @@
 """Workers, functions and requests with the state that the decision module holds of them.
 
+A replica is a function on a worker, with any number of loaded copies. A request is warm if it finds a loaded
+copy, and cold if it waits for a load. The isolated latency of a function is the latency of its requests
+without queueing.
+
 Each group of fields is written by the module named in its comment, and may be read by all.
 """
 
@@ -22,17 +26,13 @@
     ejected: bool = False  # gets no requests other than trials
     ejection_backoff: int = 0  # ticks between trials of an ejected worker
     next_trial_at: int = 0  # tick from which an ejected worker may get a trial request
-    trials_assigned_here: bool = (
-        True  # this dispatcher sends its trials; otherwise others of the fleet do, and report
-    )
+    trials_assigned_here: bool = True  # this dispatcher sends its trials, not others of the fleet
     # attempts.py, outcome_recording.py
     latency_sum: DecayingSum = field(init=False)  # of attempts without a load, of all functions
     isolated_latency_sum: DecayingSum = field(init=False)  # what those would have taken without queueing
     ok_answers: DecayingSum = field(init=False)
     in_flight: int = 0  # own attempts on the worker
-    warm_attempts: dict[Attempt, bool] = field(
-        default_factory=dict
-    )  # in flight and without a load; oldest first
+    warm_attempts: dict[Attempt, bool] = field(default_factory=dict)  # in flight, no load; oldest first
     warm_expected_latency: int = 0  # sum of their expected latencies, in ticks
     silent_since: int | None = None  # tick since when own warm attempts wait and no answer was received
     rejecting_until: int = 0  # tick; it rejected a request: no more until then, or its next ok answer
@@ -47,17 +47,17 @@
     ring_position: int = 0
     replicas: dict["Function", "FunctionReplica"] = field(default_factory=dict, repr=False)
 
-    def reset(self, time_constant: int, pause: int, booted: int | None) -> None:
+    def reset(self, time_constant: int, ejection_backoff: int, booted_at: int | None) -> None:
         """Discard what was learned: the worker is new, or another process has its name."""
         self.good_outcomes = DecayingSum(time_constant)
         self.bad_outcomes = DecayingSum(time_constant)
         self.latency_sum = DecayingSum(time_constant)
         self.isolated_latency_sum = DecayingSum(time_constant)
         self.ok_answers = DecayingSum(time_constant)
-        self.emptied_at = booted or -1
+        self.emptied_at = booted_at or -1
         self.ejected = False
         self.silent_since = None
-        self.ejection_backoff = pause
+        self.ejection_backoff = ejection_backoff
         self.ring_position = crc32(self.name.encode())
 
     def update(self, info: WorkerInfo) -> None:
@@ -74,22 +74,22 @@
         """Whether a preload is in flight to it, or a request waits for a load on it."""
         return any(replica.pending_preloads or replica.waiters for replica in self.replicas.values())
 
-    def latency_sums(self, now: int, most: int) -> tuple[float, float]:
+    def latency_sums(self, now: int, limit: int) -> tuple[float, float]:
         """Return the sums of latencies and of isolated latencies of its attempts, in ticks. Of the oldest
-        `most` attempts in flight, those past their expected latency are included.
+        `limit` attempts in flight, those past their expected latency are included.
         """
         latency = self.latency_sum.read(now)
         isolated = self.isolated_latency_sum.read(now)
-        for attempt in islice(self.warm_attempts, most):  # oldest first
+        for attempt in islice(self.warm_attempts, limit):  # oldest first
             if now - attempt.sent_at > attempt.expected_latency:
                 latency = latency + now - attempt.sent_at
                 isolated = isolated + attempt.expected_latency
         return latency, isolated
 
-    def weight_sent_since(self, then: int) -> float:
-        """Return the weight of what was sent after tick `then`, and discard what was sent earlier."""
+    def weight_sent_since(self, since: int) -> float:
+        """Return the weight of what was sent after tick `since`, and discard what was sent earlier."""
         sent = self.sent_in_slow_start
-        while sent and sent[0][0] <= then:
+        while sent and sent[0][0] <= since:
             sent.popleft()
         return sum(weight for _, weight in sent)
 
@@ -182,9 +182,7 @@
     isolated_latency: float | None = None  # ticks; None: too few samples (latency_estimates.py)
     # function_order.py
     demand: DecayingSum = field(default_factory=lambda: DecayingSum(1))  # of own requests, weighted by work
-    scores: dict[Worker, float] = field(
-        default_factory=dict
-    )  # rendezvous hash; the order starts at the lowest
+    scores: dict[Worker, float] = field(default_factory=dict)  # rendezvous hashes; lowest: home
     order: list[Worker] = field(default_factory=list)
     order_version: int = -1  # version of the endpoints that `order` was built from
     prefix: list[Worker] | None = None  # first workers of the order, from a directory; None: no directory
--- a/lapistrestle/policy/outcome_recording.py
+++ b/lapistrestle/policy/outcome_recording.py
@@ -84,9 +84,8 @@
         self.copies.record_answer(replica)
         if not loaded_first and attempt.concurrency <= 1:
             latencies.add(now, result.latency)
-        if (
-            worker.endpoint_state is EndpointState.SERVING and latencies.count.value
-        ):  # otherwise its work is not known
+        # without a latency the work of the answer is not known
+        if worker.endpoint_state is EndpointState.SERVING and latencies.count.value:
             self.slow_start.add_ok(request.method)
         self.throughput.add_ok(result.latency)
         worker.ok_answers.add(now, 1)
--- a/lapistrestle/policy/retries.py
+++ b/lapistrestle/policy/retries.py
@@ -58,9 +58,8 @@
         # the first eligible worker, including those that answered "not loaded"
         home = next(self.candidates.eligible(request, order, include_not_loaded=True), None)
         if home and self.may_have_copy(request, home):
-            if (
-                not self.settings.reports_concurrency
-            ):  # otherwise copies are added when answers report waiting requests
+            # if answers report waiting requests, copies are added by `Preloading.scale_up`
+            if not self.settings.reports_concurrency:
                 self.preloading.preload(replica, 1)
             return self.placement.send(request, request.function.replica(home))
         too_late = self.load_misses_deadline(request)
--- a/lapistrestle/policy/retry_budget.py
+++ b/lapistrestle/policy/retry_budget.py
@@ -13,10 +13,9 @@
 
 # Retries per recent ok answer if all retries succeed. Prevents retries from amplifying an outage.
 RETRIES_PER_OK: Final = 1.0
-MIN_RETRIES: Final = (
-    2  # within the short time constant, regardless of ok answers, so that an idle dispatcher may retry
-)
-FLEET_MIN_RETRIES: Final = 1  # the same if the fleet sets a retry budget
+# Retries within the short time constant, regardless of ok answers, so that an idle dispatcher may retry.
+MIN_RETRIES: Final = 2
+FLEET_MIN_RETRIES: Final = 1  # the same, if the fleet sets a retry budget
 
 
 class RetryBudget:
--- a/lapistrestle/policy/settings.py
+++ b/lapistrestle/policy/settings.py
@@ -22,9 +22,7 @@
     """Settings of one method."""
 
     kind: MethodKind = MethodKind.AT_MOST_ONCE
-    dedup_scope: str = (
-        "cell"  # workers that share their idempotency keys: "all", those of one "zone" or of one "cell"
-    )
+    dedup_scope: str = "cell"  # workers that share idempotency keys: "all", of one "zone" or "cell"
     dedup_window: int = 0  # ticks after the first attempt within which a repeat is dropped
     soft_deadline: int = 0  # latency objective, in ticks
     soft_stretch: float = 0.0  # ticks added to the latency objective for each tick of hinted work
--- a/lapistrestle/policy/slow_start.py
+++ b/lapistrestle/policy/slow_start.py
@@ -42,9 +42,8 @@
         self.region = region
         self.latency = latency
         self.throughput = throughput
-        self.ok_work = DecayingSum(
-            LONG_TIME_CONSTANT, clock.now
-        )  # work of ok answers, divided by the warm size at the time
+        # work of ok answers, divided by the warm size at the time
+        self.ok_work = DecayingSum(LONG_TIME_CONSTANT, clock.now)
         self.cached_warm_size = 0.0
         self.warm_size_updated_at = -1  # tick; below 0: `cached_warm_size` is out of date
 
--- a/lapistrestle/policy/throughput.py
+++ b/lapistrestle/policy/throughput.py
@@ -45,7 +45,7 @@
 
     def update_time_constant_factor(self, serving: int) -> None:
         """Set the factor by the expected answers from each serving worker within the short time constant."""
-        meetings = (
+        answers_per_worker = (
             SHORT_TIME_CONSTANT * max(self.rate(self.ok_answers), 1 / LONG_TIME_CONSTANT) / max(1, serving)
         )
-        self.time_constant_factor = min(MAX_TIME_CONSTANT_FACTOR, max(1.0, 1 / meetings))
+        self.time_constant_factor = min(MAX_TIME_CONSTANT_FACTOR, max(1.0, 1 / answers_per_worker))
--- a/lapistrestle/policy/types.py
+++ b/lapistrestle/policy/types.py
@@ -99,9 +99,7 @@
     deadline: int  # tick at which the client stops waiting
     work: int | None = None  # hint of the work it takes, in ticks
     repeat: bool = False  # the client marked it as a retry
-    already_counted: bool = (
-        False  # the preload budget has counted it: rerouted from another function, or same id
-    )
+    already_counted: bool = False  # the preload budget has counted it: rerouted, or same id
     arrived_at: int | None = None  # earliest tick it may have arrived, if the host read it late
     over: bool = False  # the final answer was sent, or the client is gone
     attempts: list["Attempt"] = field(default_factory=list)
--- a/tests/test_hosting_lists.py
+++ b/tests/test_hosting_lists.py
@@ -29,9 +29,8 @@
     st.tuples(st.just("finish_preload"), st.sampled_from([Outcome.OK, Outcome.REJECTED, Outcome.NOT_SENT])),
     st.tuples(st.just("wait"), st.integers(0, 20_000)),
 )
-polls = st.lists(
-    st.lists(step, min_size=1, max_size=4), max_size=25
-)  # the events of each poll of the sockets
+# events of each poll of the sockets
+polls = st.lists(st.lists(step, min_size=1, max_size=4), max_size=25)
 
 
 class ListRecorder(Recorder):
--- a/tests/test_policy_preloading.py
+++ b/tests/test_policy_preloading.py
@@ -157,9 +157,8 @@
     replica, second = req.function.replica(home), other.function.replica(home)
     module.preloading.preload(replica, 1)
     module.on_preload_finished(home, req.function, Outcome.REJECTED, 0, 5)
-    assert (
-        not module.preloading.preload(second, 1) and len(module.preload_budget.arrivals) == 1
-    )  # the budget is saved for other workers
+    # the budget is saved for other workers
+    assert not module.preloading.preload(second, 1) and len(module.preload_budget.arrivals) == 1
     req.state = State.OUT
     module.attempts.send(req, replica)
     module.on_attempt_finished(req.attempts[0], Outcome.NOT_LOADED, AttemptResult(10))
--- a/tests/test_policy_retries.py
+++ b/tests/test_policy_retries.py
@@ -81,11 +81,12 @@
     module = dispatcher_of_many()
     req = request(module)
     first, second = module.orders.function_order(req.function)[:2]
+    # the home is ejected
     first.ejected, first.next_trial_at, module.health.ejected_count = (
         True,
         module.now + 9 * SECOND,
         1,
-    )  # the home is ejected
+    )
     req.attempts = [Attempt(req, second, module.now, outcome=Outcome.NOT_LOADED)]
     assert module.retries.on_not_loaded(
         req, req.function.replica(second)
