--- a/lapistrestle/policy/latency_estimates.py
+++ b/lapistrestle/policy/latency_estimates.py
@@ -35,9 +35,8 @@
     def __init__(self, settings: Settings, clock: Clock) -> None:
         self.settings = settings
         self.clock = clock
-        self.by_method = [
-            DecayingMean(LONG_TIME_CONSTANT) for _ in settings.methods
-        ]  # latencies of ok answers at light own load
+        # latencies of ok answers at light own load
+        self.by_method = [DecayingMean(LONG_TIME_CONSTANT) for _ in settings.methods]
         self.hints_by_method = [DecayingMean(LONG_TIME_CONSTANT) for _ in settings.methods]  # hinted work
 
     def typical(self, method: int) -> float:
