--- a/benchmarks/directory_schedules.py
+++ b/benchmarks/directory_schedules.py
@@ -2,7 +2,7 @@
 
     python benchmarks/directory_schedules.py --seeds 1000
 
-What is broken is named with its seed; one is played again by --first N --seeds 1.
+Violations are printed with their seed; replay one with --first N --seeds 1.
 """
 
 import time
@@ -11,13 +11,13 @@
 
 import click
 
-from lapistrestle.standins.directory_world import play
+from lapistrestle.standins.directory_world import run_simulation
 
-SHOWN = 3  # breaches of one seed
+SHOWN = 3  # violations printed per seed
 
 
 def judged(seed: int) -> tuple[int, list[str], dict[str, int], list[int], int]:
-    world = play(seed)
+    world = run_simulation(seed)
     views = [view for watcher in world.watchers for view in watcher.views]
     lookups = [length for view in views for length in view.lookups]
     return seed, world.breaches.found, world.counts, lookups, sum(view.failed for view in views)
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -17,14 +17,14 @@
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.dispatcher_directory import lives, region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
-from lapistrestle.standins.virtual import DelayedCall, Process, VirtualReactor
+from lapistrestle.standins.virtual import DelayedCall, VirtualProcess, VirtualReactor
 from lapistrestle.wire.messages import RosterEntry
 
 FEW = 100  # instances of the dispatcher whose calls alone are timed
 SECONDS = 4.0  # simulated and measured
 LIFE = 120.0  # seconds, as long as an unused function stays watched
 STRANGERS = (
-    VirtualReactor, Process, DelayedCall, HolderNode, Region, Session, hollow.Workers, hollow.Roster,
+    VirtualReactor, VirtualProcess, DelayedCall, HolderNode, Region, Session, hollow.Workers, hollow.Roster,
     hollow.HollowDispatcher, hollow.HollowTransport,
 )  # fmt: skip
 
@@ -97,7 +97,7 @@
     control = spent.median - (holder.processor - before[0]) - calls * calls_alone(given, seed)
     return Costs(
         state=measuring.deep_size(made.edge, STRANGERS),
-        known=len(made.edge.following.known),
+        known=len(made.edge.known_workers.known),
         functions=len(made.edge.directory.watcher.functions),
         control=control / SECONDS,
         bytes_in=(made.directory.bytes_in - before[1]) / SECONDS,
@@ -119,7 +119,7 @@
     calls = made.count - before[1]
     return Costs(
         state=measuring.deep_size(made.edge, STRANGERS),
-        known=len(made.edge.following.known),
+        known=len(made.edge.known_workers.known),
         functions=len(made.edge.host.registry.functions),
         control=(spent.median - calls * calls_alone(given, seed)) / SECONDS,
         bytes_in=(roster.traffic.bytes_in - before[0]) / SECONDS,
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -18,12 +18,12 @@
 
 from lapistrestle.deployment.load import DeploymentError, convert_value, load_deployment, read_json5
 from lapistrestle.edge.program import Edge
-from lapistrestle.edge.running import reactor_of_now, run
+from lapistrestle.edge.reactor import monotonic_reactor, run
 from lapistrestle.records.logs import make_log
-from lapistrestle.standins.engine import RunnerFacts
+from lapistrestle.standins.engine import RunnerSpec
 from lapistrestle.standins.roster import RosterStandIn
-from lapistrestle.standins.runner import RunnerStandIn, Tokens
-from lapistrestle.standins.store import Store, StoreFacts
+from lapistrestle.standins.runner import RunnerStandIn, TokenRegistry
+from lapistrestle.standins.store import PackageStore, StoreSpec
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
@@ -81,7 +81,7 @@
         made.planner.port = planner_port
     if not made.roster.port and not made.directory.shards:
         raise DeploymentError(f"{deployment}: roster.port: is missing; an edge needs one (or --roster-port)")
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     try:
         boot, nonce = time.time_ns() // 1_000_000, secrets.randbits(32)
         program = Edge(reactor, made, make_log(json_), boot=boot, nonce=nonce)
@@ -108,8 +108,8 @@
 
     SIGTERM drains it, a second one ends it.
     """
-    reactor = reactor_of_now()
-    facts = RunnerFacts(cores, speed, memory, queue, absent=absent)
+    reactor = monotonic_reactor()
+    facts = RunnerSpec(cores, speed, memory, queue, absent=absent)
     if cold:
         facts.cold_share, facts.ramp = 0.2, 15.0
     log = make_log(runner=name)
@@ -117,10 +117,12 @@
 
     def start() -> int:
         tells = frozenset({"inline", "warm", "company"})
-        store = Store(reactor, StoreFacts())
+        store = PackageStore(reactor, StoreSpec())
         stamp = time.time_ns() % 1_000_000_000
         made.append(
-            RunnerStandIn(reactor, name, stamp, facts, store, Tokens(), cold=cold, port=port, tells=tells)
+            RunnerStandIn(
+                reactor, name, stamp, facts, store, TokenRegistry(), cold=cold, port=port, tells=tells
+            )
         )
         log("listening", port=made[0].port)
         return made[0].port
@@ -152,7 +154,7 @@
 
     SIGHUP reads the file again: what changed is told, late by the lag.
     """
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     log = make_log(roster=str(workers))
     made: list[RosterStandIn] = []
     known: dict[str, wire.RosterEntry] = {}
@@ -163,10 +165,10 @@
         for name, entry in entries.items():
             if entry != known.get(name):
                 up_for = (entry.up_for if entry.up_for is not None else 86_400_000.0) / 1000
-                made[0].note(entry, reactor.seconds() - up_for, now=first)
+                made[0].record(entry, reactor.seconds() - up_for, now=first)
         for name, entry in known.items():
             if name not in entries:
-                made[0].note(msgspec.structs.replace(entry, listing="gone"), 0.0)
+                made[0].record(msgspec.structs.replace(entry, listing="gone"), 0.0)
         known.clear()
         known.update(entries)
         log("read", workers=len(known))
@@ -283,7 +285,7 @@
     load: float, token: int | None, count: int, rate: float, json_: bool,
 ) -> None:  # fmt: skip
     """Send calls to an edge and show the answers. Ends with status 1 unless all are ok."""
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     body = msgspec.Raw(msgspec.json.encode({"work": work, "load": load}))
     made = wire.Call(
         "", function, method, left, customer, memory, lanes, work, token=token, load_time=load, body=body
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -1,23 +1,23 @@
-"""Which copy of each shard a watcher is connected to: dialling, failover, fresher copies."""
+"""A watcher's connections to replicas of shards: dialling, failover, and choice of fresher replicas."""
 
 from collections.abc import Callable, Iterable
 
-from lapistrestle.directory.assignment import Assignment, Copy
+from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, Shard
-from lapistrestle.directory.effects import Dial, HangUp, WatcherEffect, WatcherSettings
+from lapistrestle.directory.effects import CloseConnection, Dial, WatcherEffect, WatcherSettings
 from lapistrestle.directory.jitter import Jitter
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.ticks import MILLISECOND, NEVER, SECOND
 
-AVOIDANCE_TIME = 10 * SECOND  # for which a copy found stale or unreachable is not changed over to
-MOST_DOUBLINGS = 2  # of the pause between two moves for freshness, where all copies are as stale
-MOST_DIAL_DOUBLINGS = 16  # of the pause before a dial; `longest_pause` bounds it long before
+AVOIDANCE_TIME = 10 * SECOND  # for which a replica found stale or unreachable is not switched to
+MAX_MOVE_DOUBLINGS = 2  # of the delay between two changes of replica for freshness, when all are stale
+MAX_DIAL_DOUBLINGS = 16  # of the dial backoff; `max_backoff` bounds it long before
 
 
 class ShardConnections:
-    """The shards whose functions are used here, each with one connection at most.
+    """The shards with functions used here, each with at most one connection.
 
-    Connections are numbered in `Dial`, never twice.
+    Connections are numbered in `Dial`; no number is used twice.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         emit: Callable[[WatcherEffect], None],
         log: Callable[[str], None],
     ) -> None:
-        """`name` and `zone` order the copies; `jitter` spreads pauses; `lookups` fail without a copy."""
+        """`name` and `zone` determine the order of replicas; `jitter` spreads delays."""
         self.name = name
         self.zone = zone
         self.assignment = assignment
@@ -44,33 +44,33 @@
         self.connections = dict[int, HolderConnection]()
         self.last_connection = 0
 
-    # the functions of shards
+    # functions of a shard
 
     def add_function(self, function: CachedFunction) -> Shard:
-        """Enter a function in its shard, which is begun with its first function."""
+        """Add a function to its shard, which is created for its first function."""
         shard = self.shards.get(function.shard)
         if shard is None:
-            copies = self.assignment.copies_for(function.shard, self.name, self.zone)
+            copies = self.assignment.replicas_for(function.shard, self.name, self.zone)
             shard = self.shards[function.shard] = Shard(function.shard, copies)
         shard.functions[function.name] = function
         return shard
 
     def remove_function(self, function: CachedFunction) -> None:
-        """Take a function out of its shard; a shard without functions needs no connection."""
+        """Remove a function from its shard."""
         self.shards[function.shard].functions.pop(function.name, None)
 
     def release_if_unused(self, shard: Shard) -> None:
-        """Close the connection of a shard without functions."""
+        """Close the connection of a shard that has no functions."""
         if not shard.functions:
-            self.hang_up(shard)
+            self.disconnect(shard)
             shard.dial_at = NEVER
 
     def replace_assignment(
         self, assignment: Assignment, functions: Iterable[CachedFunction], now: int
     ) -> None:
-        """Give up all connections, divide the functions over the new shards, and dial their copies."""
+        """Close all connections, redistribute the functions over the new shards, and dial their replicas."""
         for shard in self.shards.values():
-            self.hang_up(shard)
+            self.disconnect(shard)
         self.assignment = assignment
         self.shards = {}
         for function in functions:
@@ -82,47 +82,47 @@
         for shard in self.shards.values():
             self.dial_if_due(shard, now)
 
-    # dialling and hanging up
+    # opening and closing connections
 
     def dial_if_due(self, shard: Shard, now: int) -> None:
-        """Dial the copy whose turn it is, unless the shard has a connection, must wait or is not used."""
+        """Dial the selected replica, unless the shard has a connection, is in backoff or has no functions."""
         if shard.connection is not None or shard.dial_at > now or not shard.functions:
             return
         self.last_connection += 1
-        copy = shard.copies[shard.at]
+        copy = shard.replicas[shard.replica_index]
         connection = HolderConnection(self.last_connection, shard.number, copy, now)
         shard.connection = connection
         shard.dial_at = NEVER
         self.connections[connection.number] = connection
         self.emit(Dial(connection.number, shard.number, copy))
 
-    def hang_up(self, shard: Shard) -> None:
-        """Give up the shard's connection; what is cached stays."""
+    def disconnect(self, shard: Shard) -> None:
+        """Close the shard's connection; cached prefixes stay."""
         connection = shard.connection
         shard.connection = None
         if connection is not None and self.connections.pop(connection.number, None) is not None:
-            self.emit(HangUp(connection.number))
+            self.emit(CloseConnection(connection.number))
         for function in shard.functions.values():
             function.watch = -1
             function.pending_watch = -1
 
     def mark_ready(self, number: int, now: int) -> HolderConnection | None:
-        """A connection stands; `None` where it is not known or stood before.
+        """Mark a connection as established; `None` if it is unknown or was established before.
 
-        With a copy that is not the first choice, a time is drawn at which the first one is tried again.
+        If the replica is not the preferred one, a random time is chosen at which that one is tried again.
         """
         connection = self.connections.get(number)
         if connection is None or connection.is_ready:
             return None
         connection.is_ready = True
         connection.silence_counted_from = now
-        if self.shards[connection.shard].at:
-            rebalance = self.settings.rebalance
+        if self.shards[connection.shard].replica_index:
+            rebalance = self.settings.rebalance_interval
             connection.rebalance_at = now + rebalance // 2 + self.jitter.below(rebalance)
         return connection
 
-    def excuse_silence(self, now: int) -> None:
-        """Count no silence from before now, after a standstill of the dispatcher itself."""
+    def ignore_earlier_silence(self, now: int) -> None:
+        """Ignore silence before now, after the dispatcher itself was stalled."""
         for connection in self.connections.values():
             connection.silence_counted_from = now
             connection.dialled_at = now
@@ -130,93 +130,94 @@
     # failover
 
     def fail_connection(self, number: int, reason: str, now: int) -> None:
-        """A connection has ended by itself; one that is not known does no harm."""
+        """Handle the end of a connection; an unknown one is ignored."""
         connection = self.connections.pop(number, None)
         if connection is not None:
             self.fail_over(self.shards[connection.shard], reason, now)
 
     def fail_over(self, shard: Shard, reason: str, now: int) -> None:
-        """Go on to the next copy after a failure; the pause before it grows with failures in a row."""
+        """Switch to the next replica after a failure, with exponential backoff and jitter."""
         connection = shard.connection
-        self.hang_up(shard)
+        self.disconnect(shard)
         shard.failures += 1
-        doublings = min(MOST_DIAL_DOUBLINGS, shard.failures - 1)
-        pause = min(self.settings.longest_pause, self.settings.first_pause << doublings)
+        doublings = min(MAX_DIAL_DOUBLINGS, shard.failures - 1)
+        pause = min(self.settings.max_backoff, self.settings.initial_backoff << doublings)
         shard.dial_at = now + pause // 2 + self.jitter.below(pause // 2 + 1)
         if connection is not None:
-            shard.avoided[connection.copy] = now
+            shard.avoided[connection.replica] = now
             known = sum(function.has_prefix for function in shard.functions.values())
-            figures = f"{known} of {len(shard.functions)} functions known, {shard.failures} failures"
-            self.log(f"shard {shard.number} leaves {address_of(connection.copy)}: {reason}; {figures}")
+            figures = f"{known} of {len(shard.functions)} functions cached, {shard.failures} failures"
+            self.log(f"shard {shard.number}: leaving {address_of(connection.replica)}: {reason}; {figures}")
         shard.select_next_copy()
         if shard.unreachable:
             self.lookups.fail_pending(shard.functions, shard.dial_at - now)
 
-    def change_over(self, shard: Shard, to: int, reason: str, now: int) -> None:
-        """Go to the copy at place `to`, which may be better, though this one answers."""
-        self.log(f"shard {shard.number} changes over from copy {shard.at} to {to}: {reason}")
-        self.hang_up(shard)
-        shard.at = to
+    def switch_replica(self, shard: Shard, to: int, reason: str, now: int) -> None:
+        """Switch to the replica with index `to`, which may be better, though the current one answers."""
+        self.log(f"shard {shard.number}: switching from replica {shard.replica_index} to {to}: {reason}")
+        self.disconnect(shard)
+        shard.replica_index = to
         shard.dial_at = now
         self.dial_if_due(shard, now)
 
     def rebalance_if_due(self, shard: Shard, connection: HolderConnection, now: int) -> bool:
-        """Go back to the copy of the first choice when its time has come; whether that was done."""
+        """Return to the preferred replica if that is due. Returns whether it was done."""
         if now < connection.rebalance_at:
             return False
         connection.rebalance_at = NEVER
-        if self.is_avoided(shard, shard.copies[0], now):
+        if self.is_avoided(shard, shard.replicas[0], now):
             return False
-        self.change_over(shard, 0, "the first choice is tried again", now)
+        self.switch_replica(shard, 0, "trying the preferred replica again", now)
         return True
 
     # freshness
 
-    def leave_if_stale(self, connection: HolderConnection, age: int, now: int) -> None:
-        """Try another copy, if none was lately found no better, where the holder may not hear its roster.
+    def switch_if_stale(self, connection: HolderConnection, age: int, now: int) -> None:
+        """Switch to another replica if the holder's data is stale.
 
-        `age`: ticks for which the holder has not been sure to hear it.
+        Replicas that were recently found stale or unreachable are skipped. `age`: ticks since the holder's
+        list was last known to be current.
         """
         shard = self.shards[connection.shard]
         if not age:
             shard.freshness_moves = 0
-            shard.next_move_at = 0
-        if age < self.settings.stale:
+            shard.next_freshness_move_at = 0
+        if age < self.settings.stale_age:
             return
-        shard.avoided[connection.copy] = now
-        if now < shard.next_move_at:
+        shard.avoided[connection.replica] = now
+        if now < shard.next_freshness_move_at:
             return
-        for step in range(1, len(shard.copies)):
-            at = (shard.at + step) % len(shard.copies)
-            if not self.is_avoided(shard, shard.copies[at], now):
-                self.limit_moves(shard, now)
-                self.change_over(shard, at, f"knowledge {age / MILLISECOND:.0f} ms old", now)
+        for step in range(1, len(shard.replicas)):
+            at = (shard.replica_index + step) % len(shard.replicas)
+            if not self.is_avoided(shard, shard.replicas[at], now):
+                self.count_freshness_move(shard, now)
+                self.switch_replica(shard, at, f"data {age / MILLISECOND:.0f} ms old", now)
                 return
 
-    def is_avoided(self, shard: Shard, copy: Copy, now: int) -> bool:
-        """Whether a copy was lately found stale or unreachable."""
+    def is_avoided(self, shard: Shard, copy: ShardReplica, now: int) -> bool:
+        """Whether a replica was recently found stale or unreachable."""
         return now - shard.avoided.get(copy, -NEVER) < AVOIDANCE_TIME
 
-    def limit_moves(self, shard: Shard, now: int) -> None:
-        """Count a move. After a round of all copies in vain each further one waits about twice as long."""
+    def count_freshness_move(self, shard: Shard, now: int) -> None:
+        """Count a change of replica. After all were tried in vain, the delay before the next one doubles."""
         shard.freshness_moves += 1
-        rounds = shard.freshness_moves - len(shard.copies) + 1
+        rounds = shard.freshness_moves - len(shard.replicas) + 1
         if rounds < 0:
             return
-        pause = AVOIDANCE_TIME << min(rounds, MOST_DOUBLINGS)
-        shard.next_move_at = now + pause + self.jitter.below(pause)
+        pause = AVOIDANCE_TIME << min(rounds, MAX_MOVE_DOUBLINGS)
+        shard.next_freshness_move_at = now + pause + self.jitter.below(pause)
         if not rounds:
-            text = f"the last of {len(shard.copies)} copies is tried for fresher knowledge, then no more for"
-            self.log(f"shard {shard.number}: {text} {(shard.next_move_at - now) / SECOND:.0f} s")
+            text = f"trying the last of {len(shard.replicas)} replicas for fresher data, then no more for"
+            self.log(f"shard {shard.number}: {text} {(shard.next_freshness_move_at - now) / SECOND:.0f} s")
 
     # for operators
 
     def reachable_shards(self) -> int:
-        """Shards with a holder that answers."""
+        """Number of shards with a holder that answers."""
         shards = self.shards.values()
         return sum(shard.connection is not None and shard.connection.has_answered for shard in shards)
 
 
-def address_of(copy: Copy) -> str:
+def address_of(copy: ShardReplica) -> str:
     """Host and port of a copy, for the log."""
     return f"{copy.host}:{copy.port}"
--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -1,4 +1,4 @@
-"""Connections from clients: calls in, answers out."""
+"""Client connections of the JSON lines protocol."""
 
 from typing import Any, Literal
 
@@ -13,7 +13,7 @@
 
 
 class Named(msgspec.Struct):
-    """As much of an unreadable call as tells whose it is."""
+    """The id of a call that can't be decoded as a whole, so that its client can be answered."""
 
     id: str = ""
 
@@ -30,7 +30,9 @@
 }
 
 
-class ClientSpeaker(LineConnection):
+class ClientConnection(LineConnection):
+    """The connection of one client, with its open requests by call id."""
+
     protocol = wire.CLIENT
     decoder = message_decoder(wire.FromClient)
     greets_first = False
@@ -39,16 +41,16 @@
         super().__init__(edge.bounds)
         self.edge, self.name = edge, f"c{number}"
         self.open: dict[str, PendingRequest] = {}
-        self.read_at = 0  # when it was last read
+        self.read_at = 0  # time of the last read
 
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, self.edge.name, self.name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.edge.seats[self] = None
+        self.edge.client_connections[self] = None
 
     def message_received(self, message: Any) -> None:
-        self.edge.input()
+        self.edge.input_received()
         self.read_at = self.edge.clock()
         match message:
             case wire.Call():
@@ -63,12 +65,14 @@
                 self.send_message(wire.Fault("a greeting or a call was expected"))
 
     def show(self, what: str) -> None:
+        """Answer an operator's query for the state of the fleet or directory."""
         shown = {"fleet": self.edge.fleet_member, "directory": self.edge.directory}[what]
         if shown is None:
             return self.send_message(wire.Fault(NOT_SHOWN[what]))
         self.send_message(wire.InspectResponse(msgspec.Raw(msgspec.json.encode(shown.show()))))
 
     def call(self, call: wire.Call) -> None:
+        """Check a call, route it to a version, and hand it to the host unless it is rejected."""
         edge = self.edge
         if call.id in self.open:
             return self.send_message(wire.Fault(f"id {call.id} is open on this connection", call.id))
@@ -95,24 +99,26 @@
         if edge.fleet_member is not None:
             key = attempt_key(call.key, call.token, f"{self.name}/{call.id}")
             stay = edge.fleet_member.admit(method, customer, call.is_retry, key)
-        if stay is not None:  # nothing of it has left this edge
+        if stay is not None:  # rejected by admission control; no worker has seen it
             edge.counts["turned away"] += 1
             return self.send_message(wire.Answer(call.id, RequestEnd.REJECTED.value, stay / 10))
         edge.take(self, call, method, customer, left, route)
 
     def is_waiting(self) -> bool:
-        """Whether the client still waits, as far as can be known; its requests are closed if it has gone."""
+        """Whether the client is still connected by all that was received; else its requests are closed."""
         self.read_now()
         return not self.closed
 
     def read_now(self) -> None:
-        """Read what lies unread, its end included, unless that was done within READ_AGAIN: nothing begins for
-        a client that has gone."""
+        """Process unread data and a close of the connection, unless that was done within READ_AGAIN.
+
+        So no work is started for a client that has disconnected.
+        """
         now, read = self.edge.clock(), getattr(self.transport, "doRead", None)
         if read is None or self.closed or now - self.read_at <= READ_AGAIN:
             return
         self.read_at = now
-        if read() is not None:  # why the connection has ended; the reactor ends it in its turn
+        if read() is not None:  # the connection has ended; the reactor closes it later
             self.connection_lost()
 
     def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
@@ -129,26 +135,26 @@
         self.send_message(wire.Fault(why, name))
 
     def connection_lost(self) -> None:
-        self.edge.input()
-        self.edge.seats.pop(self, None)
+        self.edge.input_received()
+        self.edge.client_connections.pop(self, None)
         requests, self.open = list(self.open.values()), {}
         for pending in requests:
             self.edge.host.client_gone(pending)
 
 
 class Clients(ServerFactory):
-    """The front of the line protocol."""
+    """The front (core.Front) of the JSON lines protocol."""
 
     noisy = False
 
     def __init__(self, edge: Any) -> None:
         self.edge, self.last = edge, 0
-        self.seats: dict[ClientSpeaker, None] = {}
+        self.client_connections: dict[ClientConnection, None] = {}
         self.listening: Any = None
 
-    def buildProtocol(self, addr: Any) -> ClientSpeaker:
+    def buildProtocol(self, addr: Any) -> ClientConnection:
         self.last += 1
-        return ClientSpeaker(self.edge, self.last)
+        return ClientConnection(self.edge, self.last)
 
     def listen(self) -> int:
         wanted = self.edge.deployment.listen.port
@@ -161,11 +167,11 @@
             self.listening.stopListening()
 
     def open(self) -> list[PendingRequest]:
-        return [t for seat in self.seats for t in seat.open.values()]
+        return [t for seat in self.client_connections for t in seat.open.values()]
 
     def owes(self) -> bool:
-        return False  # its transports write what they hold before they close
+        return False  # Twisted's transports write their buffers before they close
 
     def end(self) -> None:
-        for seat in list(self.seats):
+        for seat in list(self.client_connections):
             seat.close_with_reason("the edge stops")
--- a/lapistrestle/node/__main__.py
+++ b/lapistrestle/node/__main__.py
@@ -4,7 +4,7 @@
 import signal
 import sys
 
-from lapistrestle.edge.running import reactor_of_now, run
+from lapistrestle.edge.reactor import monotonic_reactor, run
 from lapistrestle.node.configuration import ConfigurationError, configuration_from_environment
 from lapistrestle.node.program import Node
 from lapistrestle.records.json_log import make_log
@@ -17,12 +17,12 @@
     except ConfigurationError as error:
         print(f"lapistrestle: {error}", file=sys.stderr)
         return 2
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     node = Node(reactor, configuration, make_log(edge=configuration.file.name))
     failed: list[int] = []
 
     def begin() -> None:
-        """Start; an address that can't be listened at ends the program."""
+        """Start; if the address can't be bound, end the program with status 1."""
         try:
             node.start()
         except OSError as error:
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -1,11 +1,10 @@
-"""The numbers of a roster's lists: which list or change is taken, and when the whole list is asked for.
+"""Sequencing of a roster's messages: which are applied, and when a complete list is requested. Free of I/O.
 
-No I/O.
-
-A whole list begins, each change counts one up. A number that does not follow means asking for the whole list
-anew; a list that jumps back is taken only when the roster says the same twice, or says that its numbers began
-anew: one stale reply must not bring back workers that are gone. An empty whole list is taken as it stands,
-since being told that a worker is gone binds (rule 3); the log says so.
+The roster sends a complete list first, then changes whose numbers rise by one. After a gap the complete list
+is requested again. A complete list with a lower number than before is applied only if the roster sends that
+number twice or with a new epoch: a single stale reply must not bring back workers that are gone. An empty
+complete list is applied like any other, since nothing new may be sent to workers that have left the
+list; it is logged.
 """
 
 from collections.abc import Callable
@@ -15,109 +14,113 @@
 
 
 class ListState(Enum):
-    """What a follower has of the list. Logs and reports show the names in lower case."""
+    """State of the received list. The values are shown in logs and reports."""
 
-    BLANK = auto()  # no list yet, or none that can be relied on
-    ASKING = auto()  # the whole list is asked for
-    STEADY = auto()  # each change follows the last one
+    UNKNOWN = "blank"  # no list received, or the connection was lost before the requested one
+    REQUESTED = "asking"  # the complete list is requested
+    IN_SEQUENCE = "steady"  # each change has followed the last one
 
 
 class ListEvent(Enum):
-    """How a message's number lies to the last one taken, or what has become of the connection."""
+    """A message, classified by its number relative to the last one applied, or a change of the connection."""
 
-    WHOLE = auto()  # a whole list that is not older
-    BACK = auto()  # a whole list whose number has jumped back
-    AGAIN = auto()  # the same, said a second time
-    NEXT = auto()  # the change that follows
-    REPEAT = auto()  # a change that was taken before
-    GAP = auto()  # a change after one that was lost
-    CUT = auto()  # the connection is lost
-    FAILED = auto()  # it could not be made, or the roster can't answer
+    SNAPSHOT = "whole"  # a complete list with the same or a higher number, or with a new epoch
+    NUMBER_WENT_BACK = "back"  # a complete list with a lower number
+    WENT_BACK_AGAIN = "again"  # the same lower number a second time
+    NEXT_CHANGE = "next"  # the change with the next number
+    DUPLICATE_CHANGE = "repeat"  # a change with an earlier or the same number
+    GAP = "gap"  # a change after a missing one, or with another epoch
+    DISCONNECTED = "cut"  # the connection was lost
+    FAILED = "failed"  # the connection could not be established, or the roster can't answer
 
 
 class ListAction(Enum):
-    """What a follower does with an event."""
+    """What the receiver does after an event."""
 
-    TAKE = auto()  # the list or change
-    ASK = auto()  # for the whole list
-    PASS = auto()  # nothing
-    TELL_FAILED = auto()  # that the roster can't be relied on
+    APPLY = auto()  # apply the list or change
+    REQUEST_SNAPSHOT = auto()  # request the complete list
+    IGNORE = auto()  # ignore the message
+    REPORT_FAILURE = auto()  # report that the roster is unavailable
 
 
-# what is done with a list or a change, by what is known and how its number lies to the last one taken
+# next state and action by state and event
 TRANSITIONS: dict[tuple[ListState, ListEvent], tuple[ListState, ListAction]] = {
-    (ListState.BLANK, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
-    (ListState.BLANK, ListEvent.BACK): (ListState.STEADY, ListAction.TAKE),
-    (ListState.BLANK, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
-    (ListState.BLANK, ListEvent.NEXT): (ListState.ASKING, ListAction.ASK),
-    (ListState.BLANK, ListEvent.REPEAT): (ListState.ASKING, ListAction.ASK),
-    (ListState.BLANK, ListEvent.GAP): (ListState.ASKING, ListAction.ASK),
-    (ListState.BLANK, ListEvent.CUT): (ListState.BLANK, ListAction.TELL_FAILED),
-    (ListState.BLANK, ListEvent.FAILED): (ListState.BLANK, ListAction.TELL_FAILED),
-    (ListState.STEADY, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
-    (ListState.STEADY, ListEvent.BACK): (ListState.ASKING, ListAction.ASK),
-    (ListState.STEADY, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
-    (ListState.STEADY, ListEvent.NEXT): (ListState.STEADY, ListAction.TAKE),
-    (ListState.STEADY, ListEvent.REPEAT): (ListState.STEADY, ListAction.PASS),
-    (ListState.STEADY, ListEvent.GAP): (ListState.ASKING, ListAction.ASK),
-    (ListState.STEADY, ListEvent.CUT): (ListState.STEADY, ListAction.TELL_FAILED),
-    (ListState.STEADY, ListEvent.FAILED): (ListState.STEADY, ListAction.TELL_FAILED),
-    (ListState.ASKING, ListEvent.WHOLE): (ListState.STEADY, ListAction.TAKE),
-    (ListState.ASKING, ListEvent.BACK): (ListState.ASKING, ListAction.PASS),
-    (ListState.ASKING, ListEvent.AGAIN): (ListState.STEADY, ListAction.TAKE),
-    (ListState.ASKING, ListEvent.NEXT): (ListState.ASKING, ListAction.TAKE),
-    (ListState.ASKING, ListEvent.REPEAT): (ListState.ASKING, ListAction.PASS),
-    (ListState.ASKING, ListEvent.GAP): (ListState.ASKING, ListAction.PASS),
-    (ListState.ASKING, ListEvent.CUT): (ListState.BLANK, ListAction.TELL_FAILED),
-    (ListState.ASKING, ListEvent.FAILED): (ListState.BLANK, ListAction.TELL_FAILED),
+    (ListState.UNKNOWN, ListEvent.SNAPSHOT): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.UNKNOWN, ListEvent.NUMBER_WENT_BACK): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.UNKNOWN, ListEvent.WENT_BACK_AGAIN): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.UNKNOWN, ListEvent.NEXT_CHANGE): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.UNKNOWN, ListEvent.DUPLICATE_CHANGE): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.UNKNOWN, ListEvent.GAP): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.UNKNOWN, ListEvent.DISCONNECTED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
+    (ListState.UNKNOWN, ListEvent.FAILED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
+    (ListState.IN_SEQUENCE, ListEvent.SNAPSHOT): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.IN_SEQUENCE, ListEvent.NUMBER_WENT_BACK): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.IN_SEQUENCE, ListEvent.WENT_BACK_AGAIN): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.IN_SEQUENCE, ListEvent.NEXT_CHANGE): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.IN_SEQUENCE, ListEvent.DUPLICATE_CHANGE): (ListState.IN_SEQUENCE, ListAction.IGNORE),
+    (ListState.IN_SEQUENCE, ListEvent.GAP): (ListState.REQUESTED, ListAction.REQUEST_SNAPSHOT),
+    (ListState.IN_SEQUENCE, ListEvent.DISCONNECTED): (ListState.IN_SEQUENCE, ListAction.REPORT_FAILURE),
+    (ListState.IN_SEQUENCE, ListEvent.FAILED): (ListState.IN_SEQUENCE, ListAction.REPORT_FAILURE),
+    (ListState.REQUESTED, ListEvent.SNAPSHOT): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.REQUESTED, ListEvent.NUMBER_WENT_BACK): (ListState.REQUESTED, ListAction.IGNORE),
+    (ListState.REQUESTED, ListEvent.WENT_BACK_AGAIN): (ListState.IN_SEQUENCE, ListAction.APPLY),
+    (ListState.REQUESTED, ListEvent.NEXT_CHANGE): (ListState.REQUESTED, ListAction.APPLY),
+    (ListState.REQUESTED, ListEvent.DUPLICATE_CHANGE): (ListState.REQUESTED, ListAction.IGNORE),
+    (ListState.REQUESTED, ListEvent.GAP): (ListState.REQUESTED, ListAction.IGNORE),
+    (ListState.REQUESTED, ListEvent.DISCONNECTED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
+    (ListState.REQUESTED, ListEvent.FAILED): (ListState.UNKNOWN, ListAction.REPORT_FAILURE),
 }
 
 
 class NumberedList:
-    """The numbers of one roster's lists as one follower has taken them: a front end, or a directory's holder.
+    """Sequence state of one roster's list at one receiver: an edge, or a holder of the directory.
 
-    A subclass keeps what the lists say, and tells its `size` for the log.
+    A subclass stores the entries, and implements `size` for the log.
     """
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self.log = log
-        self.mode = ListState.BLANK
+        self.state = ListState.UNKNOWN
         self.number = -1
         self.epoch = ""
-        self.back: tuple[str, int] | None = None  # a list that jumped back, seen once
+        self.pending_reversal: tuple[str, int] | None = (
+            None  # epoch and number of the last list with a lower number
+        )
 
     def size(self) -> int:
-        """Workers that are known now."""
+        """Number of workers in the list."""
         raise NotImplementedError
 
     def accept(self, message: RosterSnapshot | RosterUpdate) -> ListAction:
-        """What is to be done with a list or change; one that is taken is the newest from now on."""
-        do = self.step(self.news(message))
-        if do is ListAction.TAKE:
+        """Handle a list or change. Returns what is to be done with it; one to be applied sets the number."""
+        action = self.handle_event(self.classify(message))
+        if action is ListAction.APPLY:
             self.number = message.number
             self.epoch = message.epoch
-            self.back = None
-        return do
+            self.pending_reversal = None
+        return action
 
-    def news(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
-        """How a message's number lies to the last one taken."""
+    def classify(self, message: RosterSnapshot | RosterUpdate) -> ListEvent:
+        """Classify a message by its epoch and number."""
         same = message.epoch == self.epoch
         if isinstance(message, RosterSnapshot):
             if not same or message.number >= self.number:
-                return ListEvent.WHOLE
-            again = self.back == (message.epoch, message.number)
-            self.back = (message.epoch, message.number)
-            return ListEvent.AGAIN if again else ListEvent.BACK
+                return ListEvent.SNAPSHOT
+            again = self.pending_reversal == (message.epoch, message.number)
+            self.pending_reversal = (message.epoch, message.number)
+            return ListEvent.WENT_BACK_AGAIN if again else ListEvent.NUMBER_WENT_BACK
         if not same:
             return ListEvent.GAP
         step = message.number - self.number
-        return ListEvent.NEXT if step == 1 else ListEvent.REPEAT if step <= 0 else ListEvent.GAP
-
-    def step(self, news: ListEvent) -> ListAction:
-        """Note an event: what is to be done with it. A change of mode is logged."""
-        before = self.mode
-        self.mode, do = TRANSITIONS[self.mode, news]
-        if self.mode is not before:
-            mode, why = self.mode.name.lower(), news.name.lower()
-            self.log(f"list {mode}: {why} at {self.number}, {self.size()} known")
-        return do
+        return (
+            ListEvent.NEXT_CHANGE if step == 1 else ListEvent.DUPLICATE_CHANGE if step <= 0 else ListEvent.GAP
+        )
+
+    def handle_event(self, event: ListEvent) -> ListAction:
+        """Apply an event to the state and return the action. A change of state is logged."""
+        before = self.state
+        self.state, action = TRANSITIONS[self.state, event]
+        if self.state is not before:
+            state, event_text = self.state.value, event.value
+            self.log(f"list {state}: {event_text} at {self.number}, {self.size()} known")
+        return action
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -8,14 +8,14 @@
 import msgspec
 
 from lapistrestle.directory import effects as directory
-from lapistrestle.directory.assignment import Copy
+from lapistrestle.directory.assignment import ShardReplica
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.shard_holder import ShardHolder
 from lapistrestle.directory.watcher import DirectoryWatcher
-from lapistrestle.edge.following import Following
+from lapistrestle.edge.known_workers import EndpointListFollower
 from lapistrestle.sources.numbered_list import ListAction
-from lapistrestle.standins.directory_checks import EdgeView, SessionRecord, check_floors
-from lapistrestle.standins.directory_network import Channel, Program
+from lapistrestle.standins.directory_checks import SessionRecord, WatcherView, check_floors
+from lapistrestle.standins.directory_network import Channel, SimulatedProcess
 from lapistrestle.ticks import NEVER
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.directory import (
@@ -29,7 +29,7 @@
 )
 
 if TYPE_CHECKING:
-    from lapistrestle.standins.directory_world import World
+    from lapistrestle.standins.directory_world import DirectorySimulation
 
 DECODE_FROM_HOLDER = msgspec.json.Decoder(FromHolder).decode
 DECODE_FROM_WATCHER = msgspec.json.Decoder(FromWatcher).decode
@@ -37,12 +37,12 @@
 NOTICED = 100  # tenths of a millisecond over a holder's bound on standstills: it must have noticed
 
 
-class Roster(Program):
+class Roster(SimulatedProcess):
     """Knows the fleet. Nothing that it says to a holder is lost, but the connection may be cut or break."""
 
-    def __init__(self, world: "World") -> None:
+    def __init__(self, world: "DirectorySimulation") -> None:
         super().__init__(world)
-        self.world: World = world
+        self.world: DirectorySimulation = world
         self.entries = dict[str, wire.RosterEntry]()
         self.booted = dict[str, int]()
         self.number, self.epochs = 0, ["e1"]
@@ -102,12 +102,12 @@
             self.world.time.after(50, lambda: holder.deliver(lambda: holder.roster_broke(channel, life)))
 
 
-class Holder(Program):
+class Holder(SimulatedProcess):
     """A holder process around the decisions."""
 
-    def __init__(self, world: "World", copy: Copy, settings: HolderSettings) -> None:
+    def __init__(self, world: "DirectorySimulation", copy: ShardReplica, settings: HolderSettings) -> None:
         super().__init__(world)
-        self.world: World = world
+        self.world: DirectorySimulation = world
         self.copy, self.settings = copy, settings
         self.connections = dict[int, Connection]()
         self.channel: Channel | None = None
@@ -120,7 +120,7 @@
         self.alive, self.stalled, self.due = True, False, -1
         seed = self.copy.port * 100 + self.life
         self.decisions = ShardHolder(self.settings, seed, self.world.time.now)
-        self.following = Following([], [], lambda text: None)
+        self.known_workers = EndpointListFollower([], [], lambda text: None)
         self.woken, self.current_as_of = 0, -1
         self.dial_roster()
         self.after_event()
@@ -142,11 +142,11 @@
         if channel is not self.channel:
             return
         now = self.world.time.now
-        taken = self.following.told(message, now)
-        if taken.do is ListAction.ASK:
+        taken = self.known_workers.message_received(message, now)
+        if taken.action is ListAction.REQUEST_SNAPSHOT:
             self.decisions.snapshot_requested(now)
             self.ask_roster()
-        if taken.do is ListAction.TAKE:
+        if taken.action is ListAction.APPLY:
             whole = isinstance(message, wire.RosterSnapshot)
             if whole:
                 self.current_as_of = sent
@@ -182,7 +182,7 @@
 
     def woke(self) -> None:
         slept = self.world.time.now - self.stalled_at
-        if slept > self.settings.standstill + NOTICED:
+        if slept > self.settings.stall_threshold + NOTICED:
             self.woken = self.world.time.now
 
     def tick(self) -> None:
@@ -196,7 +196,7 @@
         self.plan_tick(self.decisions.next_due())
 
     def carry_out(self, effect: directory.HolderEffect) -> None:
-        if isinstance(effect, directory.AskRoster):
+        if isinstance(effect, directory.RequestRosterSnapshot):
             self.ask_roster()
             return
         connection = self.connections.get(effect.session)
@@ -223,7 +223,7 @@
 class Connection:
     """Between a watcher and a holder."""
 
-    def __init__(self, world: "World", watcher: "Watcher", number: int, holder: Holder) -> None:
+    def __init__(self, world: "DirectorySimulation", watcher: "Watcher", number: int, holder: Holder) -> None:
         self.world, self.watcher, self.number, self.holder = world, watcher, number, holder
         self.life = watcher.life
         self.session = world.next_session()
@@ -318,22 +318,22 @@
         self.world.time.after(30, lambda: self.holder.deliver(self.holder_loses))
 
 
-class Watcher(Program):
+class Watcher(SimulatedProcess):
     """A dispatcher's watcher around the decisions."""
 
-    def __init__(self, world: "World", name: str, zone: str, settings: WatcherSettings) -> None:
+    def __init__(self, world: "DirectorySimulation", name: str, zone: str, settings: WatcherSettings) -> None:
         super().__init__(world)
-        self.world: World = world
+        self.world: DirectorySimulation = world
         self.name, self.zone, self.settings = name, zone, settings
         self.connections = dict[int, Connection]()
-        self.views = list[EdgeView]()
+        self.views = list[WatcherView]()
         self.boot()
 
     def boot(self) -> None:
         self.life += 1
         self.alive, self.stalled, self.due = True, False, -1
         self.connections = {}
-        self.view = EdgeView(self.name, self.world.breaches)
+        self.view = WatcherView(self.name, self.world.breaches)
         self.views.append(self.view)
         self.floors = dict[int, Revision]()
         seed = self.life * 1_000 + int(self.name[1:])
@@ -366,7 +366,7 @@
         now = self.world.time.now
         for effect in self.decisions.take_effects():
             self.carry_out(effect)
-        self.view.check_waiting(self.settings.lookup_time_out, now)
+        self.view.check_waiting(self.settings.lookup_timeout, now)
         check_floors(self.decisions, self.floors, self.world.roster.epochs, now, self.world.breaches)
         for connection in self.decisions.connections.values():
             self.check_connection(connection.number)
@@ -386,7 +386,7 @@
     def carry_out(self, effect: directory.WatcherEffect) -> None:
         if isinstance(effect, directory.Dial):
             self.world.dial(self, effect)
-        elif isinstance(effect, directory.HangUp):
+        elif isinstance(effect, directory.CloseConnection):
             if effect.connection in self.connections:
                 self.connections[effect.connection].close_by_watcher()
         elif isinstance(effect, directory.Send):
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -1,4 +1,4 @@
-"""Edges of one fleet as processes: killed, stopped, started anew, cut apart; and days that do so."""
+"""Edges of one fleet as processes: killed, stalled, restarted, partitioned; and days with these faults."""
 
 import json
 import socket
@@ -13,11 +13,11 @@
 from days import EXAMPLES, Played, day
 from test_real import command
 
-from lapistrestle.checks.reading import Story
-from lapistrestle.checks.rules import judge
-from lapistrestle.standins.children import Child
-from lapistrestle.standins.fleet import free_ports
-from lapistrestle.standins.tape import read
+from lapistrestle.checks.rules import check_rules
+from lapistrestle.checks.trace import Trace
+from lapistrestle.standins.child_processes import ChildProcess
+from lapistrestle.standins.fleet import free_udp_ports
+from lapistrestle.standins.tape import read_tape
 from lapistrestle.wire.messages import CLIENT, VERSION
 
 
@@ -33,7 +33,7 @@
 
 
 def look(port: int) -> Any:
-    """What `lapistrestle fleet show --json` prints, without a process for each look."""
+    """What `lapistrestle fleet show --json` prints, without starting a process."""
     hello = {"is": "hello", "protocol": CLIENT, "version": VERSION}
     said = "".join(json.dumps(message) + "\n" for message in (hello, {"is": "look", "what": "fleet"}))
     with socket.create_connection(("127.0.0.1", port), 10) as client:
@@ -45,13 +45,13 @@
 
 
 class Edges:
-    """Some edges as processes, each with its own port for the others."""
+    """Edges as processes, each with its own gossip port."""
 
     def __init__(self, folder: Path, count: int) -> None:
-        self.folder, self.ports = folder, free_ports(count)
-        self.children: dict[int, Child] = {}
+        self.folder, self.ports = folder, free_udp_ports(count)
+        self.children: dict[int, ChildProcess] = {}
         (folder / "w.json5").write_text("[]")
-        self.roster = Child(folder, "roster", "roster", str(folder / "w.json5"))
+        self.roster = ChildProcess(folder, "roster", "roster", str(folder / "w.json5"))
         self.roster.start()
         self.roster.wait_port()
         for number in range(count):
@@ -66,7 +66,7 @@
         file = self.folder / f"edge-{number}.json5"
         file.write_text(json.dumps(made))
         port = str(self.roster.known)
-        child = Child(self.folder, f"edge-{number}", "edge", str(file), "--roster-port", port)
+        child = ChildProcess(self.folder, f"edge-{number}", "edge", str(file), "--roster-port", port)
         child.start()
         self.children[number] = child
 
@@ -77,7 +77,7 @@
         return {m["name"]: m["is"] for m in self.show(number)["members"]}
 
     def until(self, holds: Callable[[], bool], seconds: float = 40.0) -> None:
-        """Wait for it, within a bound."""
+        """Wait until the condition holds. Raises AssertionError after that many seconds."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if holds():
@@ -102,7 +102,7 @@
     return view.get(name) in ("alive", "suspect")
 
 
-def test_edges_that_are_killed_stopped_and_started_anew(edges: Edges) -> None:
+def test_edges_that_are_killed_stalled_and_restarted(edges: Edges) -> None:
     names = {n: f"edge-{n}" for n in range(4)}
     edges.until(lambda: all(sum(there(edges.view(n), name) for name in names.values()) == 3 for n in names))
     edges.children[3].kill()  # SIGKILL
@@ -114,21 +114,21 @@
     told = command("fleet", "show", "--port", edges.children[0].wait_port())
     assert told.returncode == 0 and "edge-0 is member of harbour" in told.stdout
     assert "loads: 0 under way, 1 may be (cut 2, lent 0, borrowed 0)" in told.stdout
-    edges.children[2].resume()  # it finds itself dead, and says that it is not
+    edges.children[2].resume()  # it learns that it was declared dead, and refutes that
     edges.until(lambda: all(edges.view(n).get("edge-2") == "alive" for n in (0, 1)))
     edges.start(3)  # the same name, another process
     edges.until(lambda: all(edges.view(n).get("edge-3") == "alive" for n in (0, 1, 2)))
     assert edges.show(3)["standing"] == "member" and edges.show(3)["size"] == 4
-    assert edges.show(3)["loads"]["may"] == 1 and edges.show(3)["loads"]["cut"] == 3  # ten by four
-    assert edges.children[1].stop() == 0  # SIGTERM: it says that it leaves
+    assert edges.show(3)["loads"]["may"] == 1 and edges.show(3)["loads"]["cut"] == 3  # its part of ten
+    assert edges.children[1].stop() == 0  # SIGTERM: it announces that it leaves
     edges.until(lambda: all(edges.view(n).get("edge-1") == "left" for n in (0, 2, 3)))
-    lines = [line for child in edges.children.values() for line in child.lines()]
+    lines = [line for child in edges.children.values() for line in child.log_lines()]
     assert not any("Traceback" in line for line in lines)
 
 
-def test_two_processes_under_one_name_leave_one_member(edges: Edges) -> None:
+def test_of_two_processes_with_one_name_one_is_displaced(edges: Edges) -> None:
     edges.until(lambda: len(edges.view(0)) == 3)
-    old, edges.ports = edges.children[3], [*edges.ports[:3], *free_ports(1)]
+    old, edges.ports = edges.children[3], [*edges.ports[:3], *free_udp_ports(1)]
     edges.start(3)
     try:
         edges.until(lambda: edges.show(3)["standing"] == "member" and there(edges.view(0), "edge-3"))
@@ -143,16 +143,16 @@
         old.kill()
 
 
-def test_the_look_of_an_edge_without_a_fleet_says_so(tmp_path: Path) -> None:
+def test_fleet_show_reports_an_edge_without_a_fleet(tmp_path: Path) -> None:
     made = json5.loads((EXAMPLES / "slots.json5").read_text())
     made["listen"] = {"port": 0}
     (tmp_path / "d.json5").write_text(json.dumps(made))
     (tmp_path / "w.json5").write_text("[]")
-    roster, edge = Child(tmp_path, "r", "roster", str(tmp_path / "w.json5")), None
+    roster, edge = ChildProcess(tmp_path, "r", "roster", str(tmp_path / "w.json5")), None
     try:
         roster.start()
         port = str(roster.wait_port())
-        edge = Child(tmp_path, "e", "edge", str(tmp_path / "d.json5"), "--roster-port", port)
+        edge = ChildProcess(tmp_path, "e", "edge", str(tmp_path / "d.json5"), "--roster-port", port)
         edge.start()
         said = command("fleet", "show", "--port", edge.wait_port())
         assert said.returncode == 1 and "is in no fleet" in said.stderr
@@ -162,7 +162,7 @@
                 child.kill()
 
 
-def test_a_wrong_fleet_is_named(tmp_path: Path) -> None:
+def test_invalid_fleet_settings_are_reported(tmp_path: Path) -> None:
     from lapistrestle.command.main import main
 
     file = tmp_path / "d.json5"
@@ -183,49 +183,49 @@
 ]
 
 
-def test_a_day_of_processes_with_what_they_say_broken_keeps_the_rules(tmp_path: Path) -> None:
+def test_a_day_of_processes_with_faults_between_edges_keeps_the_rules(tmp_path: Path) -> None:
     script = fleet_day(TROUBLES, length="6 s", edges=4, traffic={"rate": 30, "functions": 8})
     script["deployment"]["listen"] = {"port": 7100, "margin": "300 ms"}  # this machine may be busy
     script["deployment"]["fleet"]["loads"] = 40
     path, tape = tmp_path / "day.json5", tmp_path / "day.tape"
     path.write_text(json.dumps(script))
     result = command("day", "run", path, "--tape", tape)
-    story = Story(read(tape))
-    breaches = [b for rule in judge(story) for b in rule.breaches]
+    story = Trace(read_tape(tape))
+    breaches = [b for rule in check_rules(story) for b in rule.violations]
     assert result.returncode == 0 and breaches == [], result.stdout + result.stderr
     assert sum(bool(c.answers) for c in story.calls) > 100
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_same_in_virtual_time_twice_byte_for_byte(seed: int) -> None:
+def test_the_same_faults_in_virtual_time_yield_the_same_tape_twice(seed: int) -> None:
     script = fleet_day(TROUBLES, length="12 s", edges=8, seed=seed)
     first, second = Played(script), Played(script)
-    assert first.breaches() == [] and first.tape == second.tape
+    assert first.violations() == [] and first.tape == second.tape
     assert [m for m in first.logs if m[0] == "fleet"] == [m for m in second.logs if m[0] == "fleet"]
 
 
 def trials(fleet: bool) -> int:
-    """Call-outs that eight edges send in six seconds to runners that answer with errors all the time."""
+    """Attempts that eight edges send within six seconds to runners that fail every call."""
     wrong = [{"kind": "fast_errors", "at": "3 s", "lasts": "9 s", "share": 0.3}]
     script = fleet_day(wrong, length="12 s", edges=8, seed=4, traffic={"rate": 160, "functions": 12})
     if not fleet:
         del script["deployment"]["fleet"]
     played = Played(script)
-    assert played.breaches() == []
-    late = [run for run in played.story.runs if run.at > 6_000]
-    return sum(any(outcome == "error" for _, _, outcome in run.ends) for run in late)
+    assert played.violations() == []
+    late = [run for run in played.trace.attempts if run.at > 6_000]
+    return sum(any(outcome == "error" for _, _, outcome in run.results) for run in late)
 
 
-def test_few_edges_try_what_fails_and_the_others_take_their_word() -> None:
+def test_gossiped_verdicts_reduce_attempts_at_failing_runners() -> None:
     assert 0 < trials(fleet=True) < 0.6 * trials(fleet=False)
 
 
-def test_after_a_burst_far_over_capacity_the_fleet_is_back_and_keeps_the_rules() -> None:
+def test_the_fleet_recovers_from_a_burst_far_over_capacity() -> None:
     burst = [{"kind": "burst", "at": "8 s", "lasts": "10 s", "factor": 16}]
     played = Played(fleet_day(burst, length="36 s", edges=3, seed=3, traffic={"rate": 60, "functions": 20}))
-    calls = [c for c in played.story.calls if c.at > 28_000 and not c.message.is_retry]
+    calls = [c for c in played.trace.calls if c.at > 28_000 and not c.message.is_retry]
     ok = sum(bool(c.answers) and c.answers[0][2].verdict == "ok" for c in calls)
-    assert played.breaches() == [] and ok > 0.95 * len(calls)
+    assert played.violations() == [] and ok > 0.95 * len(calls)
     assert any("figures together" in str(m["figures"]) for m in played.logged("fleet"))
 
 
@@ -233,16 +233,16 @@
 
 
 @pytest.mark.parametrize(("factor", "also"), [(12, []), (6, [ERRORS])])
-def test_the_door_opens_again_at_once_when_a_burst_is_over(factor: int, also: list[dict[str, Any]]) -> None:
-    """As it was: a level from figures of the burst let in 7 a second of the 160 that came after it, what was
-    done fell, and errors of half the runners passed for a capacity that shrank with each step.
+def test_admission_recovers_at_once_after_a_burst(factor: int, also: list[dict[str, Any]]) -> None:
+    """Guards against an admission level that stays at the burst's figures: it admitted 7 of 160 requests per
+    second after the burst, throughput fell further, and errors of half the runners counted as lost capacity.
     """
     burst = {"kind": "burst", "at": "4 s", "lasts": "6 s", "factor": factor}
     script = fleet_day([burst, *also], length="14 s", edges=8, seed=5, traffic={"rate": 160, "functions": 12})
     played = Played(script)
-    calls = [c for c in played.story.calls if 10_000 < c.at < 14_000]
+    calls = [c for c in played.trace.calls if 10_000 < c.at < 14_000]
     ok = sum(bool(c.answers) and c.answers[0][2].verdict == "ok" for c in calls)
-    assert played.breaches() == [] and ok > 0.9 * sum(not c.message.is_retry for c in calls)
+    assert played.violations() == [] and ok > 0.9 * sum(not c.message.is_retry for c in calls)
 
 
 STILL = {"kind": "balancer_stall", "at": "2 s", "lasts": "4 s"}
@@ -250,14 +250,14 @@
 
 
 @pytest.mark.parametrize("second", [STILL, KILLED])
-def test_an_edge_that_stands_still_twice_or_is_killed_meanwhile_is_read_rightly(
+def test_overlapping_stalls_and_a_kill_of_an_edge_are_recorded_correctly(
     second: dict[str, Any],
 ) -> None:
-    """As it was: the tape held an edge for still that had gone on, and rule 5 for broken."""
+    """Guards against a tape that recorded a running edge as stalled, which broke the rule on preloads."""
     first = {"kind": "balancer_stall", "at": "1.5 s", "lasts": "3 s", "share": 1.0}
     script = fleet_day([first, second | {"share": 1.0}], length="12 s", edges=2, traffic={"rate": 200})
     played = Played(script)
-    assert played.breaches() == []
+    assert played.violations() == []
     marks = [json.loads(line) for line in played.tape.splitlines()]
     of_one = [mark["is"] for mark in marks if mark.get("on") == "edge-0"]
     said = [word for word in of_one if word in ("stalled", "resumed")]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The platform's dispatcher on loopback, with web servers, runners and a board that the test plays."""
+"""The platform's dispatcher on loopback; the test plays web servers, runners and the notice board."""
 
 import gc
 import re
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from lapistrestle.edge.linking import Linking
+from lapistrestle.edge.connection_state import ConnectionStateMachine
 from lapistrestle.node import fastcgi
 from lapistrestle.node.configuration import ConfigurationError, parse_configuration
 from lapistrestle.node.program import Node
@@ -17,7 +17,15 @@
 from lapistrestle.node.runners import Runner
 from lapistrestle.policy.entities import Worker
 from lapistrestle.policy.types import Attempt, EndpointState
-from lapistrestle.standins.platform import BoardEnd, Hand, RunnerEnd, WebServer, begin, frame, row
+from lapistrestle.standins.platform import (
+    BoardStub,
+    ManualReactor,
+    RunnerStub,
+    WebServer,
+    begin_request,
+    board_frame,
+    board_row,
+)
 
 FN = "7f3a9c21e0b4d655"
 SETTINGS = {
@@ -42,13 +50,13 @@
 
 
 class Stage:
-    """A dispatcher that knows its runners, and everyone it talks to."""
+    """A dispatcher with its board, runners and clients."""
 
     def __init__(self, runners: int = 2, sockets: int = 256, memory_mb: int = 192, **settings: Any) -> None:
-        self.hand = Hand()
+        self.hand = ManualReactor()
         self.logs: list[Any] = []
-        self.board = BoardEnd(self.hand)
-        self.runners = [RunnerEnd(self.hand) for _ in range(runners)]
+        self.board = BoardStub(self.hand)
+        self.runners = [RunnerStub(self.hand) for _ in range(runners)]
         file = {
             "name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
             "limits": {"sockets": sockets, "memory_mb": memory_mb}, "board": f"127.0.0.1:{self.board.port}",
@@ -67,7 +75,7 @@
         self.hand.run(0.01)
 
     def row(self, i: Any, **more: Any) -> Any:
-        return row(i + 1, self.runners[i].port, **more)
+        return board_row(i + 1, self.runners[i].port, **more)
 
     def workers(self) -> Any:
         return {
@@ -123,7 +131,7 @@
     assert said["attrs"]["queue"] == "bill" and 1900 < said["attrs"]["budget"] < 2000
 
 
-def test_a_limit_that_is_null_reads_as_missing() -> None:
+def test_a_null_limit_counts_as_missing() -> None:
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
@@ -153,10 +161,10 @@
         ("", "me", -1),
     ],
 )
-def test_a_setting_out_of_range_is_refused_by_its_name_before_listening(
+def test_a_setting_out_of_range_is_rejected_by_its_name_before_listening(
     group: Any, key: Any, value: Any
 ) -> None:
-    """Some had passed and met the module, others had ended in an error that named nothing."""
+    """Guards against values that reach the module unchecked, and errors that don't name the setting."""
     changed = {key: value}
     if group in ("profiles", "tenants"):
         changed = {group: [{"name": "search", "deadline": 1_000_000} | changed]}
@@ -170,7 +178,7 @@
 
 @pytest.mark.parametrize("group", ["limits", "rules", "family-info", "reporting", "tenants", "zones"])
 @pytest.mark.parametrize("how", ["missing", "null", "all null"])
-def test_what_the_settings_leave_out_or_null_has_its_meaning(group: Any, how: Any) -> None:
+def test_missing_and_null_settings_have_defaults(group: Any, how: Any) -> None:
     settings: dict[str, Any] = {**SETTINGS, group: None}
     usual: Any = SETTINGS.get(group)
     if how == "all null" and isinstance(usual, dict):
@@ -182,11 +190,11 @@
     assert configuration.platform.limits.try_limit >= 1 and configuration.settings.overload_factor >= 1
     assert (
         configuration.settings.connect_timeout > 0 and configuration.settings.preload_timeout > 0
-    )  # else none would be met
-    Node(Hand(), configuration, lambda what, **figures: None)
+    )  # 0 would let no connection or preload succeed
+    Node(ManualReactor(), configuration, lambda what, **figures: None)
 
 
-def test_health_is_told_only_once_the_list_stands(stages: Any) -> None:
+def test_the_health_check_fails_until_there_is_a_list(stages: Any) -> None:
     stage = stages(runners=0)
     client = stage.client()
     first, early = client.ask(script="/_health"), client.ask()
@@ -221,7 +229,7 @@
         ({"HTTP_X_REPEAT": "yes"}, 400),
     ],
 )
-def test_what_cannot_be_used_is_answered_at_once_and_meets_no_runner(
+def test_an_invalid_request_is_answered_at_once_and_reaches_no_runner(
     stage: Any, fields: Any, status: Any
 ) -> None:
     client = stage.client()
@@ -235,10 +243,10 @@
 
 
 @pytest.mark.parametrize(("over", "status"), [(0, 503), (2, 503), (7, 503), (50, 503), (51, 400)])
-def test_a_patience_some_milliseconds_over_the_deadline_reads_as_the_deadline(
+def test_a_patience_some_milliseconds_over_the_deadline_counts_as_the_deadline(
     stage: Any, over: Any, status: Any
 ) -> None:
-    """Usual clients were seen with up to 7 ms more; the page gives every time limit 50 ms."""
+    """Clients exceed it by up to 7 ms; the protocol allows 50 ms on every time limit."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     deadline = stage.node.core.settings.methods[0].deadline / 10
@@ -254,7 +262,7 @@
 
 
 def test_a_request_counts_towards_the_share_of_its_own_tenant(stages: Any) -> None:
-    """All had counted as the first tenant's, whose share then cut off the others (ledger-hall)."""
+    """Guards against counting all requests for the first tenant, whose share would then reject the others."""
     tenants = [{"name": "orchard", "quota-rps": 5.0}, {"name": "mill & sons", "quota-rps": 50.0}]
     stage = stages(tenants=tenants)
     client = stage.client()
@@ -269,10 +277,10 @@
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
-    assert met == [1, 0, 2]  # who names nobody has no share of anybody's
+    assert met == [1, 0, 2]  # a request without a name counts for no tenant
 
 
-def test_the_id_of_an_open_request_is_refused_and_the_first_goes_on(stage: Any) -> None:
+def test_the_id_of_an_open_request_is_rejected_and_the_first_continues(stage: Any) -> None:
     kept = []
     for runner in stage.runners:
         runner.on_run = lambda line, said: kept.append((line, said))
@@ -288,8 +296,8 @@
     assert first.body(one) == b"done" and len(kept) == 1
 
 
-def test_an_id_that_comes_again_at_once_counts_once_towards_the_ration_of_orders(stage: Any) -> None:
-    """A client that sends the same again as soon as it is turned away had filled the ration (join+mass)."""
+def test_an_id_sent_again_at_once_counts_once_towards_the_preload_budget(stage: Any) -> None:
+    """Guards against clients that resend rejected calls at once and so increase the preload budget."""
     client = stage.client()
     for _ in range(40):
         number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
@@ -305,7 +313,7 @@
 
 
 def test_no_runner_is_dialled_before_it_is_needed(stages: Any) -> None:
-    """Dialled as soon as they were named, 15,145 connections were made where 10,470 do (herd+mass)."""
+    """Dialling on listing made 15,145 connections in a large scenario where 10,470 suffice."""
     stage = stages(runners=4)
     stage.hand.run(2)
     assert not any(runner.lines for runner in stage.runners)
@@ -315,7 +323,7 @@
     assert sum(len(runner.lines) for runner in stage.runners) == 1
 
 
-def test_what_was_read_after_a_standstill_may_have_come_during_it(stage: Any) -> None:
+def test_a_request_read_after_a_stall_counts_from_the_previous_poll(stage: Any) -> None:
     client = stage.client()
     number = client.ask()
     stage.hand.rightNow += 0.8
@@ -324,10 +332,10 @@
 
 
 @pytest.mark.parametrize(("still", "told", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
-def test_the_time_for_which_a_request_lay_unread_counts_towards_its_patience(
+def test_the_time_for_which_a_request_was_unread_counts_towards_its_patience(
     stage: Any, still: Any, told: Any, left: Any
 ) -> None:
-    """Bounded by how long the program did not look, and not asked for where it has only just looked."""
+    """The time is bounded by the stall, and not queried if there was none."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     stage.hand.unread_for = lambda sock: told
@@ -342,12 +350,12 @@
     assert left - 0.02 <= stage.hand.rightNow - read <= left + 0.01
 
 
-def test_two_requests_under_one_number_end_that_connection_alone(stage: Any) -> None:
+def test_two_requests_under_one_id_close_only_that_connection(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     bad, good = stage.client(), stage.client()
     number = bad.ask()
-    bad.send(begin(number))
+    bad.send(begin_request(number))
     stage.hand.until(lambda: bad.closed)
     for runner in stage.runners:
         runner.on_run = None
@@ -367,7 +375,7 @@
     assert not stage.node.front.connections
 
 
-def test_a_body_too_long_is_refused_without_reading_it_all(stage: Any) -> None:
+def test_a_body_too_long_is_rejected_without_reading_it_all(stage: Any) -> None:
     client = stage.client()
     number = client.ask(whole=False)
     for _ in range(8):
@@ -376,7 +384,7 @@
     assert not stage.runs() and not stage.node.front.connections
 
 
-def test_half_requests_of_a_crowd_are_bounded_together(stages: Any) -> None:
+def test_incomplete_requests_of_many_connections_are_bounded_together(stages: Any) -> None:
     stage = stages(memory_mb=4)
     crowd = [stage.client() for _ in range(6)]
     for client in crowd:
@@ -395,7 +403,7 @@
     assert stage.node.front.buffered_bytes == 0
 
 
-def test_half_a_request_and_silent_connections_are_closed_within_three_seconds(stage: Any) -> None:
+def test_connections_silent_or_with_an_incomplete_request_are_closed_within_three_seconds(stage: Any) -> None:
     silent, half, good = stage.client(), stage.client(), stage.client()
     half.ask(whole=False)
     done = good.ask()
@@ -403,7 +411,7 @@
     assert silent.closed and half.closed and good.status(done) == 200 and not good.closed
 
 
-def test_hundreds_of_silent_connections_leave_the_usual_clients_theirs(stages: Any) -> None:
+def test_many_silent_connections_do_not_affect_regular_clients(stages: Any) -> None:
     stage = stages(sockets=64)
     usual = stage.client()
     usual.ask()
@@ -418,7 +426,7 @@
     assert usual.status(number) == 200 and sum(bool(c.closed) for c in crowd) > 20
 
 
-def test_more_than_are_allowed_at_once_are_refused_as_harmless_to_repeat(stage: Any) -> None:
+def test_requests_over_the_limit_of_a_connection_are_rejected_as_overloaded(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -429,7 +437,7 @@
     assert len(stage.node.front.open()) <= 32
 
 
-def test_a_request_taken_back_ends_and_its_number_is_free(stage: Any) -> None:
+def test_an_aborted_request_ends_and_its_id_is_free(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -446,10 +454,10 @@
     assert client.status(again) == 200
 
 
-# what runners say
+# replies of runners
 
 
-def test_a_spoilt_answer_ends_its_connection_as_may_have_run_and_is_never_served(stage: Any) -> None:
+def test_a_malformed_reply_closes_its_connection_and_its_calls_may_have_run(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
     client = stage.client()
@@ -463,7 +471,7 @@
 
 
 @pytest.mark.parametrize("ahead", [b'{"verb":"200","rid":"ffffffffffffffff","content":"AAAA"}\n', b""])
-def test_a_stray_answer_and_a_second_copy_are_passed_over(stage: Any, ahead: Any) -> None:
+def test_unexpected_and_duplicate_replies_are_ignored(stage: Any, ahead: Any) -> None:
     def play(line: Any, said: Any) -> None:
         line.send(ahead)
         line.say("200", said["rid"], b"mine")
@@ -492,7 +500,7 @@
     assert all(len(w.buffer) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
 
 
-def test_a_reset_after_the_whole_line_is_no_proof_and_a_side_effect_is_not_sent_again(stage: Any) -> None:
+def test_a_call_with_side_effects_is_not_retried_after_a_reset(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: line.reset()
     client = stage.client()
@@ -517,7 +525,7 @@
     assert stage.runs()[0]["attrs"]["uniq"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def test_two_call_outs_of_one_rpc_to_one_runner_never_share_a_connection(stages: Any) -> None:
+def test_two_attempts_of_one_rpc_at_one_runner_never_share_a_connection(stages: Any) -> None:
     stage, got = stages(runners=1), []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client = stage.client()
@@ -536,7 +544,7 @@
     assert client.body(1) == b"first"
 
 
-def test_a_probe_names_its_figures_as_the_settings_do(stage: Any) -> None:
+def test_load_reports_use_the_names_of_the_settings(stage: Any) -> None:
     told = []
     stage.module.on_health_check = lambda worker, outcome, took, report: told.append(report)
     stage.host.health_check(next(iter(stage.workers().values())))
@@ -544,8 +552,8 @@
     assert told == [{"outstanding": 7.0, "utilization": 0.61}]
 
 
-def test_what_waits_for_a_connection_is_taken_back_when_the_runner_drains(stage: Any) -> None:
-    """Rule 3 at the socket: the line had not left, so the RPC goes elsewhere in the same turn."""
+def test_a_line_queued_for_a_connection_is_cancelled_when_the_runner_drains(stage: Any) -> None:
+    """The line was not sent, so the RPC goes to another runner at once."""
     runner = stage.node.core.runners["s-00000001"]
     for connection in list(runner.connections):
         connection.close()
@@ -555,12 +563,15 @@
         stage.module.endpoints.ring, key=lambda s: s.name
     )
     number = client.ask(function="1" * 16)
-    stage.hand.readers.pop(listener)  # it accepts nothing: the connection is made, though, by the machine
+    stage.hand.readers.pop(listener)  # accepts nothing, but the kernel establishes the connection
     made = runner.pick([])
     assert made is not None
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: client.status(number))
-    assert stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING and not made.linking.waiting
+    assert (
+        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        and not made.state_machine.waiting
+    )
     after = len(stage.runners[0].runs)
     more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
     stage.hand.until(lambda: all(client.status(n) for n in more))
@@ -570,8 +581,8 @@
 # the board
 
 
-def test_a_runner_named_again_at_its_address_keeps_its_connections(stage: Any) -> None:
-    """Each mention of a runner had replaced its pool, so that a drain dialled it anew."""
+def test_a_runner_listed_again_at_its_address_keeps_its_connections(stage: Any) -> None:
+    """Guards against replacing the pool with each event about the runner, so that a drain dials it again."""
     runner, client = stage.node.core.runners["s-00000001"], stage.client()
     numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
@@ -580,32 +591,34 @@
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.node.core.runners["s-00000001"] is runner
     assert connections and runner.connections == connections and stage.runners[0].lines == lines
-    stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine went and came back
+    stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine restarted
     stage.hand.until(lambda: not any(connection.stream for connection in connections))
     assert stage.node.core.runners["s-00000001"] is not runner
 
 
-def test_events_count_once_and_a_gap_asks_anew_with_the_last_whole_number(stage: Any) -> None:
-    stage.board.raw(frame(1, 2, stage.row(0, state=2)))  # told before
+def test_events_are_applied_once_and_a_gap_leads_to_a_new_watch(stage: Any) -> None:
+    stage.board.raw(board_frame(1, 2, stage.row(0, state=2)))  # an old event
     stage.hand.quiet()
     assert len(stage.workers()) == 2
-    stage.board.events[2] = frame(2, 2, stage.row(0, state=1))
-    stage.board.raw(frame(3, 2, stage.row(1, state=1)))
+    stage.board.events[2] = board_frame(2, 2, stage.row(0, state=1))
+    stage.board.raw(board_frame(3, 2, stage.row(1, state=1)))
     stage.hand.run(0.01)
     assert stage.board.asked == [0, 1]
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.workers()["s-00000002"].endpoint_state is EndpointState.SERVING
 
 
-@pytest.mark.parametrize("bad", [b"\xff" * 20, frame(2, 9), frame(2, 2, b"x" * 26), frame(7, 0)])
-def test_a_bad_frame_asks_anew(stage: Any, bad: Any) -> None:
+@pytest.mark.parametrize(
+    "bad", [b"\xff" * 20, board_frame(2, 9), board_frame(2, 2, b"x" * 26), board_frame(7, 0)]
+)
+def test_a_bad_frame_leads_to_a_new_watch(stage: Any, bad: Any) -> None:
     stage.board.raw(bad)
     stage.hand.run(0.01)
     assert stage.board.asked == [0, 1]
 
 
-def test_half_an_event_and_a_break_lose_nothing(stage: Any) -> None:
-    event = frame(2, 2, stage.row(0, state=1))
+def test_a_connection_lost_amid_an_event_loses_nothing(stage: Any) -> None:
+    event = board_frame(2, 2, stage.row(0, state=1))
     stage.board.events[2] = event
     stage.board.raw(event[:20])
     stage.hand.quiet()
@@ -615,14 +628,14 @@
     assert stage.board.asked[-1] == 1
 
 
-def test_a_silent_board_is_asked_anew(stage: Any) -> None:
+def test_a_silent_board_is_watched_again(stage: Any) -> None:
     stage.board.beats = False
     stage.hand.run(3.6)
     assert len(stage.board.asked) >= 2
 
 
-def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_numbers(stage: Any) -> None:
-    other = BoardEnd(stage.hand)
+def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_revision(stage: Any) -> None:
+    other = BoardStub(stage.hand)
     stage.configuration.file.board = f"127.0.0.1:{other.port}"
     stage.node.apply_configuration(stage.configuration)
     stage.hand.run(0.01)
@@ -635,7 +648,7 @@
         follower.drop("over")
 
 
-def test_at_the_end_new_connections_are_served_for_a_while_and_open_calls_are_finished(stage: Any) -> None:
+def test_after_sigterm_new_connections_are_served_for_a_while_and_open_calls_finished(stage: Any) -> None:
     kept, stopped = [], []
     stage.node.shut_down(lambda: stopped.append(1))
     stage.hand.run(0.4)
@@ -656,7 +669,7 @@
     assert late.body(slow) == b"late" and stopped == [1]
 
 
-def test_beliefs_of_load_agree_with_the_sockets_at_quiet_moments(stage: Any) -> None:
+def test_the_module_s_calls_in_flight_agree_with_the_sockets(stage: Any) -> None:
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
     client = stage.client()
@@ -683,8 +696,8 @@
 
 
 @pytest.mark.parametrize("end", ["served", "denied after a miss", "left"])
-def test_an_rpc_that_has_ended_waits_for_no_collector(stages: Any, end: Any) -> None:
-    """An RPC and its call-outs point to each other, and the collector is rare: a long life would grow."""
+def test_a_finished_rpc_is_freed_without_garbage_collection(stages: Any, end: Any) -> None:
+    """An RPC and its attempts form a reference cycle; garbage collections are rare, so memory would grow."""
     stage, orders = stages(runners=1), []
     runner, client = stage.runners[0], stage.client()
     if end != "served":
@@ -713,18 +726,21 @@
             stage.hand.until(lambda: orders)
             orders[0][0].say("503", orders[0][1]["rid"], slots_up=0)
         stage.hand.until(lambda: client.status(number) is not None)
-        stage.hand.run(3.0)  # its timers have gone
+        stage.hand.run(3.0)  # its timers have fired
         assert len(taken) == 1 and taken[0]() is None
     finally:
         gc.enable()
 
 
-def test_thousands_of_replaced_runners_leave_nothing_behind(stage: Any) -> None:
-    """New ids at the address of one that went: what grows with them is let go."""
+def test_thousands_of_replaced_runners_leak_nothing(stage: Any) -> None:
+    """New ids at the address of a removed runner: all data of the old ones is freed."""
 
     def held() -> Any:
         core, module = stage.node.core, stage.module
-        kinds = sum(isinstance(o, Worker | RunnerConnection | Runner | Linking) for o in gc.get_objects())
+        kinds = sum(
+            isinstance(o, Worker | RunnerConnection | Runner | ConnectionStateMachine)
+            for o in gc.get_objects()
+        )
         connections = stage.node.pools.connections
         return (
             len(core.runners),
@@ -737,10 +753,10 @@
     client, port = stage.client(), stage.runners[0].port
     before: Any = None
     gc.collect()
-    gc.disable()  # as good as off in service
+    gc.disable()  # collections are very rare in production
     for i in range(1500):
         stage.board.events.clear()
-        stage.board.tell(2 + i, 2, row(100 + i, port), row(99 + i if i else 1, port, state=2))
+        stage.board.tell(2 + i, 2, board_row(100 + i, port), board_row(99 + i if i else 1, port, state=2))
         stage.hand.quiet()
         if i % 50 == 0:
             number = client.ask(id=f"{i:016x}")
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -1,4 +1,4 @@
-"""Parts of a whole: their sum never passes it, under any schedule; and faults planted in them are caught."""
+"""Shares of a quota: their sum never exceeds it under any schedule, and injected faults are detected."""
 
 import random
 from typing import Any
@@ -12,12 +12,12 @@
 
 WHOLE, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
 
-Datagram = tuple[int, ProcessId, int, ProcessId, LeaseMessage]  # to whom, from whom, what
-Use = tuple[float, int]  # what one has begun to use: until when (true time), units
+Datagram = tuple[int, ProcessId, int, ProcessId, LeaseMessage]  # receiver, sender, message
+Use = tuple[float, int]  # end of the use (true time), units
 
 
 class Schedule:
-    """Some dispatchers, each with a clock that runs wrong, and datagrams that come when chance says."""
+    """Dispatchers with drifting clocks, and datagrams that are lost, duplicated and delayed at random."""
 
     def __init__(self, seed: int, count: int = 4, kind: type[QuotaShare] = QuotaShare) -> None:
         self.random, self.kind, self.now = random.Random(seed), kind, 0
@@ -64,7 +64,7 @@
         return self.total()
 
     def run(self, steps: int) -> int:
-        """The most that all together had, at any step."""
+        """Run steps. Returns the maximum of `total` so far."""
         for _ in range(steps):
             self.step()
         return self.worst
@@ -104,7 +104,7 @@
                 there.on_return(sender, message)
 
     def total(self) -> int:
-        """What may be used or is used by all together, at this true moment."""
+        """Units that all dispatchers together use or may use at this true time."""
         parts = 0
         for i, one in enumerate(self.all):
             used = sum(units for until, units in self.holds[i] if until > self.now)
@@ -115,19 +115,19 @@
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.integers(2, 6))
-def test_the_sum_never_passes_the_whole(seed: int, count: int) -> None:
+def test_the_sum_never_exceeds_the_quota(seed: int, count: int) -> None:
     assert Schedule(seed, count).run(400) <= WHOLE
 
 
 class OutBeforeBack(QuotaShare):
-    """Planted: what is given back is handed out again though the borrower may still use it."""
+    """Fault: an expired lease is used again though the borrower may still use it."""
 
     def longest_lease(self) -> int:
         return int(self.settings.lease_duration * 0.7)
 
 
 class CountsFromAnswer(QuotaShare):
-    """Planted: the borrower counts from when the answer came, not from when it asked."""
+    """Fault: the borrower counts the lease from the grant, not from its request."""
 
     def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         if self.open_requests.get(message.number) == (lender, message.requested_at):
@@ -138,14 +138,14 @@
 
 
 class LendsWhatIsInUse(QuotaShare):
-    """Planted: what was in use a moment ago counts as spare."""
+    """Fault: units in use within the settling time are leased out."""
 
     def peak_use(self, now: int) -> int:
         return 0
 
 
 class TakesTwice(QuotaShare):
-    """Planted: a doubled answer counts twice."""
+    """Fault: a duplicate grant counts twice."""
 
     def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
         self.borrowed[lender, message.number * 1_000 + len(self.borrowed)] = Lease(
@@ -154,7 +154,7 @@
 
 
 class MixesUpItsLives(QuotaShare):
-    """Planted: an answer to the process before, under the same number, is taken for one's own."""
+    """Fault: a grant to the previous process with the same request number is accepted."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -171,7 +171,7 @@
 
 
 class ForgetsAtStart(QuotaShare):
-    """Planted: a process that starts takes its whole cut at once, whatever the one before it had lent."""
+    """Fault: a new process uses its whole share at once, whatever its predecessor leased out."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -182,11 +182,11 @@
 
 
 @pytest.mark.parametrize("planted", PLANTED)
-def test_a_planted_fault_passes_the_whole(planted: type[QuotaShare]) -> None:
+def test_an_injected_fault_exceeds_the_quota(planted: type[QuotaShare]) -> None:
     assert any(Schedule(seed, 4, planted).run(400) > WHOLE for seed in range(400))
 
 
-def test_need_moves_units_and_they_come_back() -> None:
+def test_units_are_leased_on_demand_and_returned() -> None:
     a, b = (QuotaShare("loads", 100, 2, i, SETTINGS, 0) for i in (0, 1))
     now = 10_000
     assert (a.available(now), b.available(now)) == (50, 50)
@@ -204,7 +204,7 @@
     assert a.available(now + 1_100) == 50
 
 
-def test_what_is_kept_is_never_lent_and_a_start_has_it_at_once() -> None:
+def test_reserved_units_are_never_leased_and_available_at_once_after_a_start() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     assert a.available(0) == 25 and a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 50), 0) is None
     now = a.full_from
@@ -212,7 +212,7 @@
     assert sum(g.units for g in given if g) == 25 and a.available(now) == 25
 
 
-def test_a_loan_that_nobody_returns_comes_back_by_the_clock() -> None:
+def test_an_unreturned_lease_expires() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     now = a.full_from
     lent = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
@@ -220,7 +220,7 @@
     assert a.available(now + a.longest_lease() - 1) == 40 and a.available(now + a.longest_lease()) == 50
 
 
-def test_the_cuts_add_up_exactly_and_a_strange_number_has_none() -> None:
+def test_shares_add_up_to_the_quota_and_an_unknown_member_has_none() -> None:
     for of in (1, 3, 7, 200, 333):
         assert sum(QuotaShare("x", WHOLE, of, i, SETTINGS, 0).own_units for i in range(of)) == WHOLE
     assert QuotaShare("x", WHOLE, 3, 5, SETTINGS, 0).available(10**9) == 0
