--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -40,9 +40,9 @@
 
 
 def test_an_exception_in_the_module_is_reported_for_its_instance() -> None:
-    (fault,) = send(Adapter(), 10, INIT, {"Demand": {**D, "class": 0}})
-    told = fault["InternalError"]
-    assert told["dispatcher-id"] == "dispatcher/0" and "msg-id" in told["what"]
+    (reply,) = send(Adapter(), 10, INIT, {"Demand": {**D, "class": 0}})
+    report = reply["InternalError"]
+    assert report["dispatcher-id"] == "dispatcher/0" and "msg-id" in report["what"]
 
 
 @pytest.mark.parametrize("line", [b"no\n", b"[]\n", b'{"clock":1}', b'{"clock":1,"batch":2,"happened":[3]}'])
--- a/tests/test_policy_function_order.py
+++ b/tests/test_policy_function_order.py
@@ -53,7 +53,7 @@
 
 
 def test_dispatchers_spread_a_hot_function_and_keep_a_rare_one_at_home() -> None:
-    hot, rare, homes = Function("hot"), Function("rare"), set()
+    hot, rare, homes = Function("hot"), Function("seldom"), set()
     for index in range(40):
         module = dispatcher(20)
         change_settings(module, instance_index=index, dispatcher_count=40)
