--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -5,26 +5,26 @@
 import msgspec
 from twisted.internet.protocol import ServerFactory
 
-from lapistrestle.edge.work_gate import READ_AGAIN
+from lapistrestle.edge.work_gate import REREAD_INTERVAL
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.rollout.version_choice import attempt_key
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
 
-class Named(msgspec.Struct):
+class CallId(msgspec.Struct):
     """The id of a call that can't be decoded as a whole, so that its client can be answered."""
 
     id: str = ""
 
 
-NAMED = msgspec.json.Decoder(Named)
+CALL_ID_DECODER = msgspec.json.Decoder(CallId)
 VERDICTS: dict[RequestEnd, Literal["ok", "denied", "aborted"]] = {
     RequestEnd.OK: "ok",
     RequestEnd.REJECTED: "denied",
     RequestEnd.ABORTED: "aborted",
 }
-NOT_SHOWN = {
+NOT_AVAILABLE = {
     "fleet": "this edge is in no fleet (fleet.name is not set)",
     "directory": "this edge has no directory (directory.shards is empty)",
 }
@@ -60,15 +60,15 @@
                 if pending is not None:
                     self.edge.host.client_gone(pending)
             case wire.InspectRequest():
-                self.show(message.subject)
+                self.show_state(message.subject)
             case _:
                 self.send_message(wire.Fault("a greeting or a call was expected"))
 
-    def show(self, what: str) -> None:
+    def show_state(self, what: str) -> None:
         """Answer an operator's query for the state of the fleet or directory."""
         shown = {"fleet": self.edge.fleet_member, "directory": self.edge.directory}[what]
         if shown is None:
-            return self.send_message(wire.Fault(NOT_SHOWN[what]))
+            return self.send_message(wire.Fault(NOT_AVAILABLE[what]))
         self.send_message(wire.InspectResponse(msgspec.Raw(msgspec.json.encode(shown.show()))))
 
     def call(self, call: wire.Call) -> None:
@@ -85,24 +85,31 @@
         customer = edge.customers.get(call.customer) if edge.customers else 0
         if customer is None:
             return self.send_message(wire.Fault(f'customer "{call.customer}" is not known', call.id))
-        left = int(call.timeout * 10) - edge.margin
-        full = len(self.open) >= self.limits.max_open_calls
-        if full or edge.stopping or left <= 0 or (edge.planner is not None and edge.planner.unplanned()):
+        time_left = int(call.timeout * 10) - edge.margin
+        is_full = len(self.open) >= self.limits.max_open_calls
+        if (
+            is_full
+            or edge.stopping
+            or time_left <= 0
+            or (edge.planner is not None and edge.planner.awaits_first_plan())
+        ):
             edge.counts["turned away"] += 1
-            retry_after = edge.settings.max_retry_after / 10 if left > 0 else 0.0
+            retry_after = edge.settings.max_retry_after / 10 if time_left > 0 else 0.0
             return self.send_message(wire.Answer(call.id, RequestEnd.REJECTED.value, retry_after))
         route = edge.route(call, self, method)
         if not route.name:
             edge.counts["turned away"] += 1
             return self.send_message(wire.Answer(call.id, RequestEnd.ABORTED.value))
-        stay = None
+        admission_retry_after = None
         if edge.fleet_member is not None:
             key = attempt_key(call.key, call.token, f"{self.name}/{call.id}")
-            stay = edge.fleet_member.admit(method, customer, call.is_retry, key)
-        if stay is not None:  # rejected by admission control; no worker has seen it
+            admission_retry_after = edge.fleet_member.admit(method, customer, call.is_retry, key)
+        if admission_retry_after is not None:  # rejected by admission control; no worker has seen it
             edge.counts["turned away"] += 1
-            return self.send_message(wire.Answer(call.id, RequestEnd.REJECTED.value, stay / 10))
-        edge.take(self, call, method, customer, left, route)
+            return self.send_message(
+                wire.Answer(call.id, RequestEnd.REJECTED.value, admission_retry_after / 10)
+            )
+        edge.accept_call(self, call, method, customer, time_left, route)
 
     def is_waiting(self) -> bool:
         """Whether the client is still connected by all that was received; else its requests are closed."""
@@ -110,12 +117,12 @@
         return not self.closed
 
     def read_now(self) -> None:
-        """Process unread data and a close of the connection, unless that was done within READ_AGAIN.
+        """Process unread data and a close of the connection, unless that was done within REREAD_INTERVAL.
 
         So no work is started for a client that has disconnected.
         """
         now, read = self.edge.clock(), getattr(self.transport, "doRead", None)
-        if read is None or self.closed or now - self.read_at <= READ_AGAIN:
+        if read is None or self.closed or now - self.read_at <= REREAD_INTERVAL:
             return
         self.read_at = now
         if read() is not None:  # the connection has ended; the reactor closes it later
@@ -128,7 +135,7 @@
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         try:
-            name = NAMED.decode(line).id
+            name = CALL_ID_DECODER.decode(line).id
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
             name = ""
         self.edge.counts["unreadable"] += 1
@@ -142,36 +149,36 @@
             self.edge.host.client_gone(pending)
 
 
-class Clients(ServerFactory):
+class ClientFront(ServerFactory):
     """The front (core.Front) of the JSON lines protocol."""
 
     noisy = False
 
     def __init__(self, edge: Any) -> None:
-        self.edge, self.last = edge, 0
+        self.edge, self.last_number = edge, 0
         self.client_connections: dict[ClientConnection, None] = {}
-        self.listening: Any = None
+        self.listening_port: Any = None
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        self.last += 1
-        return ClientConnection(self.edge, self.last)
+        self.last_number += 1
+        return ClientConnection(self.edge, self.last_number)
 
     def listen(self) -> int:
-        wanted = self.edge.deployment.listen.port
-        self.listening = self.edge.reactor.listenTCP(wanted, self, interface="127.0.0.1")
-        port: int = self.listening.getHost().port
+        wanted_port = self.edge.deployment.listen.port
+        self.listening_port = self.edge.reactor.listenTCP(wanted_port, self, interface="127.0.0.1")
+        port: int = self.listening_port.getHost().port
         return port
 
     def close(self) -> None:
-        if self.listening is not None:
-            self.listening.stopListening()
+        if self.listening_port is not None:
+            self.listening_port.stopListening()
 
     def open(self) -> list[PendingRequest]:
-        return [t for seat in self.client_connections for t in seat.open.values()]
+        return [pending for client in self.client_connections for pending in client.open.values()]
 
-    def owes(self) -> bool:
+    def has_pending_io(self) -> bool:
         return False  # Twisted's transports write their buffers before they close
 
     def end(self) -> None:
-        for seat in list(self.client_connections):
-            seat.close_with_reason("the edge stops")
+        for client in list(self.client_connections):
+            client.close_with_reason("the edge stops")
--- a/lapistrestle/edge/connection_state.py
+++ b/lapistrestle/edge/connection_state.py
@@ -9,28 +9,59 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import Enum
+from enum import Enum, auto
 from typing import Any
 from zlib import crc32
 
-Link = Enum("Link", "IDLE DIALING OPEN SLOW RESTING ENDING ENDED")
-ConnectionEvent = Enum(
-    "ConnectionEvent", "NAMED WANTED GREETED FAILED BROKE SLOWED EASED DUE REMOVED LAST_ENDED"
-)
-Begun = Enum("Begun", "WRITTEN REFUSED FULL")  # result of an attempt to write a line
+
+class ConnectionState(Enum):
+    """The state of the connection. Log lines show the values."""
+
+    IDLE = "idle"  # not dialled yet
+    DIALING = "dialing"  # until the runner has greeted
+    OPEN = "open"
+    SLOW = "slow"  # the socket accepts no more data
+    BACKOFF = "backoff"  # lost, or could not be made; dialled again after a delay or for the next line
+    CLOSING = "closing"  # the runner was removed; lines in flight may still finish
+    CLOSED = "closed"
+
+
+class ConnectionEvent(Enum):
+    """What the owner, the list or the socket reports."""
+
+    LISTED = auto()  # the runner was added to the list
+    LINE_QUEUED = auto()
+    ESTABLISHED = auto()  # connected, and the runner has greeted where the protocol has greetings
+    DIAL_FAILED = auto()
+    LOST = auto()
+    WRITE_BLOCKED = auto()  # the socket accepts no more data
+    WRITABLE = auto()  # the socket accepts data again
+    BACKOFF_ELAPSED = auto()
+    REMOVED = auto()  # the runner was removed from the list
+    LAST_FINISHED = auto()  # nothing is in flight any more
+
+
+class WriteResult(Enum):
+    """The result of an attempt to write a line."""
+
+    WRITTEN = auto()
+    NOT_ALLOWED = auto()  # too late, or its work may not start
+    BLOCKED = auto()  # the socket accepts no data
+
+
 Effect = Callable[["ConnectionStateMachine"], None]
 
-FIRST_REST, LONGEST_REST = 1_000, 20_000  # ticks of backoff between dials while no line is queued
-CLOSED = (Link.ENDING, Link.ENDED)
-MOST_WAITING = 512  # queued lines; more are rejected, since a runner that far behind is as good as full
-PROMPT = 50  # ticks that a preload may be queued: sent later, it would count in another budget window
+MIN_BACKOFF, MAX_BACKOFF = 1_000, 20_000  # ticks of backoff between dials while no line is queued
+CLOSING_STATES = (ConnectionState.CLOSING, ConnectionState.CLOSED)
+MAX_QUEUED = 512  # queued lines; more are rejected, since a runner that far behind is as good as full
+PROMPT_WAIT = 50  # ticks that a preload may be queued: sent later, it would count in another budget window
 
 
-class LinkCallbacks:
+class ConnectionCallbacks:
     """What the state machine asks of the transport, and how it reports the fate of lines by their numbers."""
 
     def dial(self) -> None: ...
-    def may_begin(self, work: Any) -> bool:
+    def may_start(self, work: Any) -> bool:
         """Whether work may start at the runner.
 
         Called once, just before the first byte of its line is written. Work that may not start now is not
@@ -41,15 +72,15 @@
     def write(self, line: bytes, number: int = 0) -> bool:
         """Write a line; False if none of it was sent and none will be.
 
-        In that case SLOWED has been reported, and EASED follows once the socket accepts data again.
+        In that case WRITE_BLOCKED has been reported, and WRITABLE follows once the socket accepts data again.
         """
         return True
 
     def close(self) -> None: ...
-    def ask(self, delay: int) -> None: ...  # report DUE after the delay
-    def never_left(self, numbers: list[int]) -> None: ...  # never sent: the runner could not be reached
-    def not_sent(self, numbers: list[int]) -> None: ...  # never sent, by a decision of this process
-    def broke(self, numbers: list[int]) -> None: ...  # sent on a connection that was lost; may have run
+    def schedule_redial(self, delay: int) -> None: ...  # report BACKOFF_ELAPSED after the delay
+    def report_unreachable(self, numbers: list[int]) -> None: ...  # never sent: runner not reached
+    def report_not_sent(self, numbers: list[int]) -> None: ...  # never sent, by a decision of this process
+    def report_lost(self, numbers: list[int]) -> None: ...  # sent on a connection that was lost; may have run
 
 
 @dataclass(eq=False)
@@ -58,12 +89,12 @@
 
     number: int  # the host's number of the attempt, preload or health check; 0: no reply is expected
     encode: Callable[[], bytes]  # called when the line is written, so that a remaining time in it is exact
-    until: int | None = None  # latest time to write it; None: no limit
+    send_by: int | None = None  # latest time to write it; None: no limit
     work: Any = None  # the attempt or preload that it starts at the runner, or None
 
-    def is_due(self, now: int) -> bool:
+    def may_be_sent(self, now: int) -> bool:
         """Whether the line may still be written at this time."""
-        return self.until is None or now <= self.until
+        return self.send_by is None or now <= self.send_by
 
 
 @dataclass
@@ -74,79 +105,85 @@
     """
 
     name: str
-    callbacks: LinkCallbacks
+    callbacks: ConnectionCallbacks
     log: Callable[[str], None]
     clock: Callable[[], int]
-    state: Link = Link.IDLE
-    prompt: int = PROMPT
-    waiting: deque[Line] = field(default_factory=deque)
-    out: dict[int, None] = field(default_factory=dict)  # numbers of lines written and not finished
-    rests: int = 0  # consecutive failed dials
-
-    def step(self, given: ConnectionEvent) -> None:
-        after = LIFE.get((self.state, given))
+    state: ConnectionState = ConnectionState.IDLE
+    prompt_wait: int = PROMPT_WAIT
+    queued: deque[Line] = field(default_factory=deque)
+    in_flight: dict[int, None] = field(default_factory=dict)  # numbers of lines written and not finished
+    failed_dials: int = 0  # consecutive failed dials
+
+    def step(self, event: ConnectionEvent) -> None:
+        """Enter the next state and carry out its effects; events that are not in the table are ignored."""
+        after = TRANSITIONS.get((self.state, event))
         if after is None:
             return
         before, (self.state, effects) = self.state, after
         for effect in effects:
             effect(self)
-        again = self.state is Link.RESTING and self.rests > 1  # further failures in a row are not logged
+        # further failures in a row are not logged
+        again = self.state is ConnectionState.BACKOFF and self.failed_dials > 1
         if self.state in LOGGED and before is not self.state and not again:
-            self.log(f"{self.name} {before.name.lower()} to {self.state.name.lower()}: {len(self.out)} out")
+            self.log(f"{self.name} {before.value} to {self.state.value}: {len(self.in_flight)} in flight")
 
     # sending
 
     def send(self, line: Line, prompt: bool = False) -> bool:
         """Write or queue a line; False if it is rejected.
 
-        With `prompt` it must be written now or within `self.prompt` ticks, once the connection is made.
-        A line whose work may not start is reported by `not_sent`.
+        With `prompt` it must be written now or within `self.prompt_wait` ticks, once the connection is made.
+        A line whose work may not start is reported by `report_not_sent`.
         """
-        if self.state in CLOSED or len(self.waiting) >= MOST_WAITING:
+        if self.state in CLOSING_STATES or len(self.queued) >= MAX_QUEUED:
             return False
-        if self.state is Link.OPEN:
-            callbacks, begun = self.callbacks, self.begin(line)
-            if begun is Begun.REFUSED:
-                callbacks.not_sent([line.number])
-            if begun is not Begun.FULL:
+        if self.state is ConnectionState.OPEN:
+            callbacks, result = self.callbacks, self.try_write(line)
+            if result is WriteResult.NOT_ALLOWED:
+                callbacks.report_not_sent([line.number])
+            if result is not WriteResult.BLOCKED:
                 return True
-        if self.state in CLOSED or (prompt and self.state is Link.SLOW):
+        if self.state in CLOSING_STATES or (prompt and self.state is ConnectionState.SLOW):
             return False
         if prompt:
-            line.until = self.clock() + self.prompt
-        self.waiting.append(line)
-        self.step(ConnectionEvent.WANTED)
+            line.send_by = self.clock() + self.prompt_wait
+        self.queued.append(line)
+        self.step(ConnectionEvent.LINE_QUEUED)
         return True
 
-    def begin(self, line: Line) -> Begun:
+    def try_write(self, line: Line) -> WriteResult:
         """Write a line if it may be written now.
 
-        `may_begin` reads the worker list, which may close this connection, so the state is checked after it.
+        `may_start` reads the worker list, which may close this connection, so the state is checked after it.
         """
-        if not line.is_due(self.clock()):
-            return Begun.REFUSED
-        if line.work is not None and not self.callbacks.may_begin(line.work):
-            return Begun.REFUSED
-        return Begun.WRITTEN if self.state is Link.OPEN and self.put(line) else Begun.FULL
-
-    def put(self, line: Line) -> bool:
+        if not line.may_be_sent(self.clock()):
+            return WriteResult.NOT_ALLOWED
+        if line.work is not None and not self.callbacks.may_start(line.work):
+            return WriteResult.NOT_ALLOWED
+        return (
+            WriteResult.WRITTEN
+            if self.state is ConnectionState.OPEN and self.write_line(line)
+            else WriteResult.BLOCKED
+        )
+
+    def write_line(self, line: Line) -> bool:
         """Write a line; False if none of it was sent.
 
         It counts as in flight before it is written, so that a connection that breaks during the write reports
         it as broken together with the others.
         """
         if line.number:
-            self.out[line.number] = None
+            self.in_flight[line.number] = None
         if self.callbacks.write(line.encode(), line.number):
             return True
-        self.out.pop(line.number, None)
+        self.in_flight.pop(line.number, None)
         return False
 
     def cancel_unsent(self, number: int) -> bool:
         """Remove a queued line; False if it has been written."""
-        for line in self.waiting:
+        for line in self.queued:
             if line.number == number:
-                self.waiting.remove(line)
+                self.queued.remove(line)
                 return True
         return False
 
@@ -154,14 +191,14 @@
         """As `cancel_unsent`, but a line that has been written no longer counts as in flight."""
         if self.cancel_unsent(number):
             return True
-        self.ended(number)
+        self.finished(number)
         return False
 
-    def ended(self, number: int) -> bool:
+    def finished(self, number: int) -> bool:
         """The runner reported the end of this number; False if it was not in flight here."""
-        known = self.out.pop(number, 0) is None
-        if self.state is Link.ENDING and not self.out:
-            self.step(ConnectionEvent.LAST_ENDED)
+        known = self.in_flight.pop(number, 0) is None
+        if self.state is ConnectionState.CLOSING and not self.in_flight:
+            self.step(ConnectionEvent.LAST_FINISHED)
         return known
 
     # effects
@@ -171,83 +208,97 @@
 
     def flush(self) -> None:
         """Write the queued lines; if the socket accepts no more, the rest stays queued."""
-        self.rests, callbacks, refused = 0, self.callbacks, list[int]()
-        while self.waiting and self.state is Link.OPEN:
-            line = self.waiting.popleft()
-            begun = self.begin(line)
-            if begun is Begun.REFUSED:
-                refused.append(line.number)
-            elif begun is Begun.FULL:
-                self.waiting.appendleft(line)
+        self.failed_dials, callbacks, not_sent = 0, self.callbacks, list[int]()
+        while self.queued and self.state is ConnectionState.OPEN:
+            line = self.queued.popleft()
+            result = self.try_write(line)
+            if result is WriteResult.NOT_ALLOWED:
+                not_sent.append(line.number)
+            elif result is WriteResult.BLOCKED:
+                self.queued.appendleft(line)
                 break
-        if self.state in CLOSED:  # closed by the worker list that `may_begin` read
-            refused += self.kept()
-        if refused:
-            callbacks.not_sent(refused)
+        if self.state in CLOSING_STATES:  # closed by the worker list that `may_start` read
+            not_sent += self.take_queued()
+        if not_sent:
+            callbacks.report_not_sent(not_sent)
 
-    def kept(self) -> list[int]:
+    def take_queued(self) -> list[int]:
         """Empty the queue. Returns the numbers of its lines."""
-        numbers = [line.number for line in self.waiting if line.number]
-        self.waiting.clear()
+        numbers = [line.number for line in self.queued if line.number]
+        self.queued.clear()
         return numbers
 
-    def give_back(self) -> None:
+    def fail_queued(self) -> None:
         """Report all queued lines as unreachable."""
-        if numbers := self.kept():
-            self.callbacks.never_left(numbers)
+        if numbers := self.take_queued():
+            self.callbacks.report_unreachable(numbers)
 
     def discard_unsent(self) -> None:
         """Report all queued lines as not sent: the runner drains, or was removed from the list."""
-        if numbers := self.kept():
-            self.callbacks.not_sent(numbers)
+        if numbers := self.take_queued():
+            self.callbacks.report_not_sent(numbers)
 
-    def break_off(self) -> None:
+    def fail_in_flight(self) -> None:
         """Report all lines in flight as broken: they may have run."""
-        numbers, self.out = list(self.out), {}
+        numbers, self.in_flight = list(self.in_flight), {}
         if numbers:
-            self.callbacks.broke(numbers)
+            self.callbacks.report_lost(numbers)
 
-    def rest(self) -> None:
+    def back_off(self) -> None:
         """Back off before the next dial.
 
         The delay doubles with each failure, plus a jitter, derived from the runner's name and the failure
         count, so that connections lost together are not dialled again at the same moment.
         """
-        longest = min(LONGEST_REST, FIRST_REST << min(self.rests, 5))
-        self.rests += 1
-        self.callbacks.ask(longest // 2 + crc32(f"{self.name}:{self.rests}".encode()) % (longest // 2 + 1))
+        longest = min(MAX_BACKOFF, MIN_BACKOFF << min(self.failed_dials, 5))
+        self.failed_dials += 1
+        self.callbacks.schedule_redial(
+            longest // 2 + crc32(f"{self.name}:{self.failed_dials}".encode()) % (longest // 2 + 1)
+        )
 
     def close(self) -> None:
         self.callbacks.close()
 
-    def close_if_done(self) -> None:
+    def close_if_idle(self) -> None:
         """Close if nothing is in flight; else the connection stays open until the calls at the runner end."""
-        if not self.out:
-            self.step(ConnectionEvent.LAST_ENDED)
+        if not self.in_flight:
+            self.step(ConnectionEvent.LAST_FINISHED)
 
 
-LOGGED = (Link.SLOW, Link.RESTING, Link.ENDING)
+LOGGED = (ConnectionState.SLOW, ConnectionState.BACKOFF, ConnectionState.CLOSING)
 _ = ConnectionStateMachine
-LIFE: dict[tuple[Link, ConnectionEvent], tuple[Link, tuple[Effect, ...]]] = {
-    (Link.IDLE, ConnectionEvent.NAMED): (Link.DIALING, (_.dial,)),
-    (Link.IDLE, ConnectionEvent.WANTED): (Link.DIALING, (_.dial,)),
-    (Link.IDLE, ConnectionEvent.REMOVED): (Link.ENDED, (_.give_back,)),
-    (Link.DIALING, ConnectionEvent.GREETED): (Link.OPEN, (_.flush,)),
-    (Link.DIALING, ConnectionEvent.FAILED): (Link.RESTING, (_.give_back, _.rest)),
-    (Link.DIALING, ConnectionEvent.BROKE): (Link.RESTING, (_.give_back, _.rest)),
-    (Link.DIALING, ConnectionEvent.REMOVED): (Link.ENDED, (_.give_back, _.close)),
-    (Link.OPEN, ConnectionEvent.SLOWED): (Link.SLOW, ()),
-    (Link.OPEN, ConnectionEvent.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
-    (Link.OPEN, ConnectionEvent.REMOVED): (
-        Link.ENDING,
-        (_.discard_unsent, _.close_if_done),
-    ),  # queued amid a flush
-    (Link.SLOW, ConnectionEvent.EASED): (Link.OPEN, (_.flush,)),
-    (Link.SLOW, ConnectionEvent.BROKE): (Link.RESTING, (_.give_back, _.break_off, _.rest)),
-    (Link.SLOW, ConnectionEvent.REMOVED): (Link.ENDING, (_.give_back, _.close_if_done)),
-    (Link.RESTING, ConnectionEvent.WANTED): (Link.DIALING, (_.dial,)),
-    (Link.RESTING, ConnectionEvent.DUE): (Link.DIALING, (_.dial,)),
-    (Link.RESTING, ConnectionEvent.REMOVED): (Link.ENDED, (_.give_back,)),
-    (Link.ENDING, ConnectionEvent.LAST_ENDED): (Link.ENDED, (_.close,)),
-    (Link.ENDING, ConnectionEvent.BROKE): (Link.ENDED, (_.break_off,)),
+TRANSITIONS: dict[tuple[ConnectionState, ConnectionEvent], tuple[ConnectionState, tuple[Effect, ...]]] = {
+    (ConnectionState.IDLE, ConnectionEvent.LISTED): (ConnectionState.DIALING, (_.dial,)),
+    (ConnectionState.IDLE, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (_.dial,)),
+    (ConnectionState.IDLE, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (_.fail_queued,)),
+    (ConnectionState.DIALING, ConnectionEvent.ESTABLISHED): (ConnectionState.OPEN, (_.flush,)),
+    (ConnectionState.DIALING, ConnectionEvent.DIAL_FAILED): (
+        ConnectionState.BACKOFF,
+        (_.fail_queued, _.back_off),
+    ),
+    (ConnectionState.DIALING, ConnectionEvent.LOST): (ConnectionState.BACKOFF, (_.fail_queued, _.back_off)),
+    (ConnectionState.DIALING, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (_.fail_queued, _.close)),
+    (ConnectionState.OPEN, ConnectionEvent.WRITE_BLOCKED): (ConnectionState.SLOW, ()),
+    (ConnectionState.OPEN, ConnectionEvent.LOST): (
+        ConnectionState.BACKOFF,
+        (_.fail_queued, _.fail_in_flight, _.back_off),
+    ),
+    (ConnectionState.OPEN, ConnectionEvent.REMOVED): (
+        ConnectionState.CLOSING,
+        (_.discard_unsent, _.close_if_idle),
+    ),  # removed during a flush: lines may be queued
+    (ConnectionState.SLOW, ConnectionEvent.WRITABLE): (ConnectionState.OPEN, (_.flush,)),
+    (ConnectionState.SLOW, ConnectionEvent.LOST): (
+        ConnectionState.BACKOFF,
+        (_.fail_queued, _.fail_in_flight, _.back_off),
+    ),
+    (ConnectionState.SLOW, ConnectionEvent.REMOVED): (
+        ConnectionState.CLOSING,
+        (_.fail_queued, _.close_if_idle),
+    ),
+    (ConnectionState.BACKOFF, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (_.dial,)),
+    (ConnectionState.BACKOFF, ConnectionEvent.BACKOFF_ELAPSED): (ConnectionState.DIALING, (_.dial,)),
+    (ConnectionState.BACKOFF, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (_.fail_queued,)),
+    (ConnectionState.CLOSING, ConnectionEvent.LAST_FINISHED): (ConnectionState.CLOSED, (_.close,)),
+    (ConnectionState.CLOSING, ConnectionEvent.LOST): (ConnectionState.CLOSED, (_.fail_in_flight,)),
 }
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from lapistrestle.edge.work_gate import NOT_BEGUN, READ_AGAIN, WorkGate
+from lapistrestle.edge.work_gate import NOT_STARTED, REREAD_INTERVAL, WorkGate
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.hosting.timer_gate import TimerGate
@@ -20,10 +20,12 @@
 from lapistrestle.ticks import SECOND
 
 Log = Callable[..., None]
-LATE = READ_AGAIN  # ticks between two polls; after longer stalls a close may be queued behind unread data
-PIECES = 4  # reads per connection after a stall: a request with the longest body, and what follows it
-MOST_LOGGED = 100  # log lines of one event
-LAST = 300  # ticks that answers may take to be sent once all requests were aborted
+# ticks between two polls; after longer stalls a close may be queued behind unread data
+STALL_THRESHOLD = REREAD_INTERVAL
+# reads per connection after a stall: a request with the longest body, and what follows it
+READS_AFTER_STALL = 4
+MAX_LOGGED = 100  # log lines of one event
+ANSWER_FLUSH_TIME = 300  # ticks that answers may take to be sent once all requests were aborted
 
 
 class Front(Protocol):
@@ -32,7 +34,7 @@
     def listen(self) -> int: ...  # returns the port
     def close(self) -> None: ...  # accept no new connections
     def open(self) -> list[PendingRequest]: ...  # the requests without a final answer
-    def owes(self) -> bool: ...  # while stopping: whether answers are unsent or received data is unread
+    def has_pending_io(self) -> bool: ...  # while stopping: answers are unsent or received data is unread
     def end(self) -> None: ...  # close every connection
 
 
@@ -45,8 +47,8 @@
 
     address: Any
 
-    def named(self) -> None: ...  # the runner was added to the list
-    def dropped(self) -> None: ...  # the runner was removed; calls in flight may still finish
+    def added(self) -> None: ...  # the runner was added to the list
+    def removed(self) -> None: ...  # the runner was removed; calls in flight may still finish
     def discard_unsent(self) -> None: ...  # the runner drains: discard what is queued and not written
     def send_call(self, worker_call: WorkerCall) -> None: ...
     def send_preload(self, task: WorkerTask) -> None: ...
@@ -81,17 +83,18 @@
         self.connect_timeout = settings.connect_timeout
         self.endpoints_polled = settings.endpoints_polled
         self.runners: dict[str, Any] = {}
-        self.counts = dict.fromkeys(("turned away", "unreadable", "passed over", NOT_BEGUN), 0)
+        self.counts = dict.fromkeys(("turned away", "unreadable", "passed over", NOT_STARTED), 0)
         self.stopping = False
-        self.dials_when_used = False  # connect to a runner on first use instead of when it is listed
+        self.dial_on_first_use = False  # connect to a runner on first use instead of when it is listed
         self.stopped: Callable[[], None] | None = None
-        self.answers_until: int | None = None  # once all requests were aborted: deadline for sending answers
+        # set once all requests were aborted: the deadline for sending their answers
+        self.answer_flush_deadline: int | None = None
         self.inputs_received = 0  # network inputs processed so far
-        self.turns, self.next_turn, self.turn_at = TimerGate(), None, -1
+        self.timer_gate, self.next_wakeup, self.next_wakeup_at = TimerGate(), None, -1
         self.front: Front
         self.make_runner: Callable[[str, Any, str], RunnerHandle]
         self.sources: list[ListSource] = []
-        self.gate = WorkGate(self)
+        self.work_gate = WorkGate(self)
         self.host = ModuleHost(self, self.settings, seed, self.clock, slack, make, fleet=self.fleet)
         if hasattr(reactor, "around"):
             reactor.around = self.host.batched
@@ -120,18 +123,18 @@
             return 0
         return min(longest, int(age(sock) * SECOND))
 
-    def since_look(self) -> int:
+    def max_unread_time(self) -> int:
         """The longest time for which the data read now can have been unread; 0 unless the process stalled."""
         longest = self.clock() - self.earliest_arrival()
-        return longest if longest > LATE else 0
+        return longest if longest > STALL_THRESHOLD else 0
 
-    def pieces(self) -> int:
+    def reads_per_poll(self) -> int:
         """How many reads are made of one connection per poll.
 
         One, but after a stall several, so that a request and the close that follows it are seen in the same
         poll.
         """
-        return PIECES if self.clock() - self.earliest_arrival() > LATE else 1
+        return READS_AFTER_STALL if self.clock() - self.earliest_arrival() > STALL_THRESHOLD else 1
 
     def start(self) -> int:
         """Start listening and following the worker list. Returns the port."""
@@ -152,37 +155,39 @@
         return timer
 
     def timers_changed(self) -> None:
-        """Have the reactor call `turn` when the next timer is due."""
+        """Have the reactor call `run_timers` when the next timer is due."""
         due = self.host.timers.next()
-        if due is None or (self.next_turn is not None and self.turn_at <= due):
+        if due is None or (self.next_wakeup is not None and self.next_wakeup_at <= due):
             return
-        if self.next_turn is not None:
-            self.next_turn.cancel()
-        self.turn_at = due
-        self.next_turn = self.reactor.callLater(max(0.0, due / SECOND - self.reactor.seconds()), self.turn)
-
-    def turn(self) -> None:
-        self.next_turn = None
+        if self.next_wakeup is not None:
+            self.next_wakeup.cancel()
+        self.next_wakeup_at = due
+        self.next_wakeup = self.reactor.callLater(
+            max(0.0, due / SECOND - self.reactor.seconds()), self.run_timers
+        )
+
+    def run_timers(self) -> None:
+        self.next_wakeup = None
         due, now = self.host.timers.next(), self.clock()
         if due is not None and due <= now:
-            if not self.turns.may_fire(now, due, self.inputs_received):
-                self.turn_at = due
-                self.next_turn = self.reactor.callLater(0, self.turn)
+            if not self.timer_gate.may_fire(now, due, self.inputs_received):
+                self.next_wakeup_at = due
+                self.next_wakeup = self.reactor.callLater(0, self.run_timers)
                 return
             self.host.fire_timers()
         self.timers_changed()
 
     # the worker list and the runners
 
-    def listed(self, told: Sequence[WorkerInfo], whole: bool) -> None:
+    def endpoints_received(self, workers: Sequence[WorkerInfo], whole: bool) -> None:
         """Apply a worker list (`whole`) or a change to it.
 
         From now on no new work is sent to a worker that does not serve, queued lines to it are discarded, and
         the module gets the list ahead of other queued events.
         """
-        self.gate.listed(told, whole)
-        self.host.endpoints_received(told, whole)
-        for facts in told:
+        self.work_gate.update(workers, whole)
+        self.host.endpoints_received(workers, whole)
+        for facts in workers:
             if facts.endpoint_state is not EndpointState.SERVING and facts.name in self.runners:
                 self.runners[facts.name].discard_unsent()
 
@@ -194,11 +199,11 @@
         runner = self.runners.get(name)
         if runner is not None and (not address or runner.address != address):
             del self.runners[name]
-            runner.dropped()
+            runner.removed()
             runner = None
-        if runner is None and address and not self.stopping and not self.dials_when_used:
+        if runner is None and address and not self.stopping and not self.dial_on_first_use:
             runner = self.runners[name] = self.make_runner(name, address, start)
-            runner.named()
+            runner.added()
 
     def runner(self, name: str) -> Any:
         """The handle to send to the runner by; `None` if there is none."""
@@ -209,9 +214,9 @@
         self.count_and_log("passed over", peer=name, why=why[:200])
 
     def count_and_log(self, what: str, **figures: Any) -> None:
-        """Count an event, and log its first MOST_LOGGED occurrences."""
+        """Count an event, and log its first MAX_LOGGED occurrences."""
         self.counts[what] += 1
-        if self.counts[what] <= MOST_LOGGED:
+        if self.counts[what] <= MAX_LOGGED:
             self.log(what, **figures)
 
     # hosting.transport.Transport
@@ -224,8 +229,8 @@
     def stream_started(self, pending: PendingRequest) -> None: ...
 
     def send_call(self, worker_call: WorkerCall) -> None:
-        if not self.gate.serves(worker_call.worker.name):
-            self.gate.refused(worker_call)
+        if not self.work_gate.is_serving(worker_call.worker.name):
+            self.work_gate.count_not_started(worker_call)
             return self.host.attempt_finished(worker_call.number, Outcome.NOT_SENT)
         runner = self.runner(worker_call.worker.name)
         if runner is None:
@@ -239,8 +244,8 @@
         return worker_call.connection is not None and worker_call.connection.cancel_unsent(worker_call.number)
 
     def send_preload(self, task: WorkerTask) -> None:
-        if task.count and not self.gate.serves(task.worker.name):
-            self.gate.refused(task)
+        if task.count and not self.work_gate.is_serving(task.worker.name):
+            self.work_gate.count_not_started(task)
             return self.host.preload_finished(task.number, Outcome.NOT_SENT, 0)
         runner = self.runner(task.worker.name)
         if runner is None:
@@ -270,11 +275,15 @@
     def stop(self, stopped: Callable[[], None]) -> None:
         """Accept no new requests and finish those that are open, then call `stopped`.
 
-        A second call aborts the open requests and allows their answers LAST ticks to be sent.
+        A second call aborts the open requests and allows their answers ANSWER_FLUSH_TIME ticks to be sent.
         """
         if self.stopping:
             self.host.abort_all(self.front.open())
-            self.answers_until = self.clock() + LAST if self.answers_until is None else self.answers_until
+            self.answer_flush_deadline = (
+                self.clock() + ANSWER_FLUSH_TIME
+                if self.answer_flush_deadline is None
+                else self.answer_flush_deadline
+            )
             return self.check_finished()
         self.stopping, self.stopped = True, stopped
         self.log("stopping", open=self.host.open_requests)
@@ -283,8 +292,8 @@
 
     def check_finished(self, _: object = None) -> None:
         """Finish the shutdown once every request is answered and the answers are sent, or time is up."""
-        late = self.answers_until is not None and self.clock() >= self.answers_until
-        if late or not (self.host.open_requests or self.front.owes()):
+        late = self.answer_flush_deadline is not None and self.clock() >= self.answer_flush_deadline
+        if late or not (self.host.open_requests or self.front.has_pending_io()):
             return self.finish()
         self.after(100, self.check_finished, None)
 
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -26,14 +26,14 @@
 from lapistrestle.directory.region_estimate import RegionEstimate
 from lapistrestle.directory.watcher import EXTENSION_THRESHOLD, DirectoryWatcher
 from lapistrestle.edge.holders import HolderConnections
-from lapistrestle.edge.instances import InstanceHandOver
+from lapistrestle.edge.instances import InstanceUpdates
 from lapistrestle.edge.waiting import WaitingRequests
 from lapistrestle.hosting.requests import PendingRequest, WorkerCall
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.policy.entities import Function
 from lapistrestle.wire.directory import Renewed
 
-RENEWALS = 3  # heartbeats within the silence after which a holder is considered lost
+HEARTBEATS_WITHIN_SILENCE = 3  # heartbeats within the silence after which a holder is considered lost
 
 
 def assignment_of(settings: Directory) -> Assignment:
@@ -47,7 +47,7 @@
     return WatcherSettings(
         first_count=settings.first_count,
         lookup_timeout=int(settings.lookup_time_out),
-        heartbeat=int(settings.silence) // RENEWALS,
+        heartbeat=int(settings.silence) // HEARTBEATS_WITHIN_SILENCE,
         silence_timeout=int(settings.silence),
         dial_timeout=dial_time_out,
         idle_timeout=int(settings.idle),
@@ -73,15 +73,15 @@
         )
         self.connections = HolderConnections(edge, self)
         self.waiting_requests = WaitingRequests(edge, int(settings.lookup_time_out))
-        self.instances = InstanceHandOver(edge, self.region)
-        self.asked = 0  # time at which the message being processed was valid
-        self.acting = False
+        self.instances = InstanceUpdates(edge, self.region)
+        self.valid_at = 0  # time at which the message being processed was valid
+        self.is_carrying_out = False
         self.timer: Timer | None = None
 
     # core.ListSource
 
     def start(self) -> None:
-        self.act()
+        self.carry_out_effects()
 
     def follow(self) -> None: ...
 
@@ -98,11 +98,11 @@
 
     # RPCs
 
-    def ready(self, function: Function, method: str) -> bool:
+    def has_prefix(self, function: Function, method: str) -> bool:
         """Whether the function's prefix is known, so that its RPC can be placed now."""
         prefix = self.watcher.prefix_for(function.name, method, self.edge.clock())
         if prefix is not None and function.prefix is None:
-            self.instances.rank(function, prefix.names)
+            self.instances.set_prefix(function, prefix.names)
         return prefix is not None
 
     def wait(self, pending: PendingRequest) -> None:
@@ -110,13 +110,13 @@
         deadline.
         """
         self.waiting_requests.add(pending)
-        self.act()
+        self.carry_out_effects()
 
-    def used(self, worker_call: WorkerCall) -> None:
+    def call_sent(self, worker_call: WorkerCall) -> None:
         """Note that a call is sent to a worker: the function's prefix is in use up to the worker's position.
 
         The module may start anywhere in the order, so a position near the end does not mean that the prefix
-        is too short; the module asks for more itself (`more`).
+        is too short; the module asks for more itself (`extend_prefix`).
         """
         prefix = worker_call.pending.function.prefix or ()
         if worker_call.worker in prefix:
@@ -124,50 +124,50 @@
             place = min(prefix.index(worker_call.worker), last)
             self.watcher.function_used(worker_call.pending.function.name, place, self.edge.clock())
             if self.watcher.effects:  # without effects the next timer is unchanged
-                self.act()
+                self.carry_out_effects()
 
-    def more(self, function: str) -> None:
+    def extend_prefix(self, function: str) -> None:
         """Ask for a longer prefix."""
         self.watcher.extend_prefix(function, self.edge.clock())
         if self.watcher.effects:
-            self.act()
+            self.carry_out_effects()
 
-    # holders.Listener
+    # holders.ConnectionListener
 
     def connected(self, connection: int) -> None:
         self.watcher.connection_ready(connection, self.edge.clock())
-        self.act()
+        self.carry_out_effects()
 
-    def refused(self, connection: int) -> None:
+    def connect_failed(self, connection: int) -> None:
         self.watcher.connection_failed(connection, self.edge.clock())
-        self.act()
+        self.carry_out_effects()
 
     def disconnected(self, connection: int) -> None:
         self.watcher.connection_lost(connection, self.edge.clock())
-        self.act()
+        self.carry_out_effects()
 
-    def heard(self, connection: int, message: Any) -> None:
+    def message_received(self, connection: int, message: Any) -> None:
         now = self.edge.clock()
-        self.asked = message.sent_at - message.age if isinstance(message, Renewed) else now
+        self.valid_at = message.sent_at - message.age if isinstance(message, Renewed) else now
         self.watcher.message_received(connection, message, now)
-        self.act()
+        self.carry_out_effects()
 
     # effects of the watcher
 
-    def act(self) -> None:
+    def carry_out_effects(self) -> None:
         """Carry out the watcher's effects in order, and those that arise meanwhile after them."""
-        if self.acting:
+        if self.is_carrying_out:
             return
-        self.acting = True
+        self.is_carrying_out = True
         try:
             while effects := self.watcher.take_effects():
                 for effect in effects:
-                    self.carry_out(effect)
+                    self.carry_out_effect(effect)
         finally:
-            self.acting = False
-        self.wake()
+            self.is_carrying_out = False
+        self.schedule_tick()
 
-    def wake(self) -> None:
+    def schedule_tick(self) -> None:
         """Schedule a tick for when the watcher is due next. A tick that comes early does no harm."""
         due = self.watcher.next_due()
         if self.timer is not None and self.timer.when <= due:
@@ -181,37 +181,39 @@
         self.timer = None
         if not self.edge.stopping or self.waiting_requests:
             self.watcher.tick(self.edge.clock())
-            self.act()
+            self.carry_out_effects()
 
-    def carry_out(self, effect: WatcherEffect) -> None:
+    def carry_out_effect(self, effect: WatcherEffect) -> None:
         match effect:
             case Dial():
                 self.connections.dial(effect)
             case CloseConnection():
-                self.connections.hang_up(effect.connection)
+                self.connections.close_connection(effect.connection)
             case Send():
                 self.connections.send(effect)
             case InstancesChanged():
                 self.instances.changed(effect.entries)
             case InstancesGone():
-                self.instances.gone(effect.names)
+                self.instances.removed(effect.names)
             case InstancesEvicted():
-                self.instances.forgotten(effect.names)
+                self.instances.evicted(effect.names)
             case PrefixReady():
                 self.prefix_ready(effect)
             case LookupFailed():
-                self.waiting_requests.failed(effect.function, effect.retry_after)
+                self.waiting_requests.look_up_failed(effect.function, effect.retry_after)
             case RegionSumsChanged():
-                self.region.update(effect.sums, self.asked)
+                self.region.update(effect.sums, self.valid_at)
 
     def prefix_ready(self, effect: PrefixReady) -> None:
         """Pass the prefix to the module, and then resume the RPCs that waited for it."""
-        functions = dict.fromkeys(pending.function for pending in self.waiting_requests.of(effect.function))
+        functions = dict.fromkeys(
+            pending.function for pending in self.waiting_requests.of_function(effect.function)
+        )
         if (function := self.edge.host.registry.functions.get(effect.function)) is not None:
             functions[function] = None
         for function in functions:
-            self.instances.rank(function, effect.names)
-        self.waiting_requests.looked_up(effect.function)
+            self.instances.set_prefix(function, effect.names)
+        self.waiting_requests.look_up_succeeded(effect.function)
 
     # operators
 
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -27,7 +27,7 @@
 
     def __init__(self, edge: Any, fleet: Fleet, boot: int, nonce: int) -> None:
         self.edge, self.fleet = edge, fleet
-        place = edge.deployment.dispatcher
+        dispatcher = edge.deployment.dispatcher
         settings = FleetSettings(
             fleet=fleet.name,
             port=fleet.port,
@@ -36,19 +36,21 @@
             ping_timeout=int(fleet.period) * 3 // 10,
             seeds=tuple(("127.0.0.1", port) for port in fleet.seeds),
         )
-        self.endpoint = GossipEndpoint(edge, settings, place.name, place.zone, boot, nonce, place.seed)
+        self.endpoint = GossipEndpoint(
+            edge, settings, dispatcher.name, dispatcher.zone, boot, nonce, dispatcher.seed
+        )
         digest_settings = CounterSettings(send_interval=int(fleet.tell), refresh_interval=2 * int(fleet.tell))
         process_id = self.endpoint.membership.me.process_id
         self.admission = AdmissionController(
             AdmissionSettings.of(edge.settings),
             process_id,
             digest_settings,
-            place.seed,
+            dispatcher.seed,
             self.endpoint.log,
             edge.clock(),
         )
-        self.verdicts = WorkerVerdicts(place.name)
-        self.probers_of: dict[str, list[str]] = {}  # by worker: the members that probe it while it is ejected
+        self.verdicts = WorkerVerdicts(dispatcher.name)
+        self.probers_by_worker: dict[str, list[str]] = {}  # members that probe it while it is ejected
         self.drawn_from: list[str] = []  # the members that the probers were selected from
         self.announced: set[Worker] = set()  # workers that were reported to other members as unhealthy
         if fleet.shed:
@@ -59,20 +61,22 @@
             longest = max(m.deadline for m in edge.settings.methods)
             settle = max(longest, edge.settings.preload_timeout)
             # the lease outlives the loads started on it
-            lends = QuotaSettings(lease_duration=3 * settle, settling_time=settle)
-            loads = QuotaShare("loads", fleet.loads, place.of, place.number, lends, edge.clock())
+            quota_settings = QuotaSettings(lease_duration=3 * settle, settling_time=settle)
+            loads = QuotaShare(
+                "loads", fleet.loads, dispatcher.of, dispatcher.number, quota_settings, edge.clock()
+            )
             self.endpoint.quota_leasing = QuotaLeasing(
-                loads, self.loads_in_progress, self.endpoint.send_lease_message, place.seed
+                loads, self.loads_in_progress, self.endpoint.send_lease_message, dispatcher.seed
             )
-            edge.fleet.loads_allowed = self.loads
+            edge.fleet.loads_allowed = self.may_start_load
 
-    def loads(self, now: int) -> bool:
+    def may_start_load(self, now: int) -> bool:
         """Whether this edge may start one more load now, by its share of the fleet's quota of loads."""
-        lending = self.endpoint.quota_leasing
-        assert lending is not None
-        if self.loads_in_progress() < lending.available(now):
+        leasing = self.endpoint.quota_leasing
+        assert leasing is not None
+        if self.loads_in_progress() < leasing.available(now):
             return True
-        lending.record_shortage()
+        leasing.record_shortage()
         return False
 
     def loads_in_progress(self) -> int:
@@ -103,27 +107,29 @@
 
     def share_verdicts(self) -> None:
         """Exchange verdicts on workers' health between the module and the other members."""
-        now, me, found = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
+        now, me, verdicts = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
         members = self.endpoint.membership
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
         if members_by_name != self.drawn_from:
-            self.drawn_from, self.probers_of = members_by_name, {}
+            self.drawn_from, self.probers_by_worker = members_by_name, {}
         workers = list(self.edge.host.module.endpoints.serving)
         self.verdicts.retain(worker.name for worker in workers)
         for worker in workers:
-            told = found.get(worker.name)
-            if worker.ejected and told is not None and told.healthy and told.prober != me:
-                self.edge.host.peer_verdict_received(worker, told.at)
+            verdict = verdicts.get(worker.name)
+            if worker.ejected and verdict is not None and verdict.healthy and verdict.prober != me:
+                self.edge.host.peer_verdict_received(worker, verdict.at)
             if worker.ejected and worker not in self.announced:
                 self.verdicts.record(worker.name, False, now)
                 self.announced.add(worker)
             elif not worker.ejected and worker in self.announced:
                 self.announced.discard(worker)
-                if told is not None and told.prober == me:  # else another member found it healthy
+                if verdict is not None and verdict.prober == me:  # else another member found it healthy
                     self.verdicts.record(worker.name, True, now)
             if worker.ejected:
-                names = self.probers_of.get(worker.name) or select_probers(worker.name, members_by_name)
-                self.probers_of[worker.name] = names
+                names = self.probers_by_worker.get(worker.name) or select_probers(
+                    worker.name, members_by_name
+                )
+                self.probers_by_worker[worker.name] = names
                 worker.trials_assigned_here = me in names
         self.announced &= set(workers)
 
@@ -139,13 +145,13 @@
         """As `AdmissionController.on_request_finished`, with the host's name of the outcome."""
         self.admission.on_request_finished(RequestOutcome(outcome), is_late, reached_worker, is_worker_fault)
 
-    def loads_shown(self, now: int) -> dict[str, int] | None:
+    def quota_state(self, now: int) -> dict[str, int] | None:
         """The quota of loads, for operators; None where the fleet shares none."""
         if self.endpoint.quota_leasing is None:
             return None
-        of = self.endpoint.quota_leasing.share
-        lent, had = of.leased_out_units(), sum(loan.units for loan in of.borrowed.values())
-        return {"may": of.available(now), "cut": of.own_units, "lent": lent, "borrowed": had,
+        share = self.endpoint.quota_leasing.share
+        lent, borrowed = share.leased_out_units(), sum(lease.units for lease in share.borrowed.values())
+        return {"may": share.available(now), "cut": share.own_units, "lent": lent, "borrowed": borrowed,
                 "under way": self.loads_in_progress()}  # fmt: skip
 
     def show(self) -> dict[str, Any]:
@@ -154,7 +160,7 @@
         return {
             "name": members.me.name, "fleet": self.fleet.name, "standing": members.state.name.lower(),
             "doubt": members.health.score, "size": members.size, "door": self.admission.show(),
-            "loads": self.loads_shown(now),
+            "loads": self.quota_state(now),
             "datagrams": {"sent": endpoint.datagrams_sent, "bytes": endpoint.bytes_sent,
                           "came": endpoint.datagrams_received,
                           "refused": endpoint.datagrams_rejected + self.admission.counters.rejected},
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -12,13 +12,13 @@
 from lapistrestle.wire.messages import VERSION, Fault, Hello
 
 
-class Listener(Protocol):
+class ConnectionListener(Protocol):
     """Receives the events of the connections."""
 
     def connected(self, connection: int) -> None: ...  # both ends have greeted
-    def refused(self, connection: int) -> None: ...  # it ended before both ends had greeted
+    def connect_failed(self, connection: int) -> None: ...  # it ended before both ends had greeted
     def disconnected(self, connection: int) -> None: ...
-    def heard(self, connection: int, message: Any) -> None: ...
+    def message_received(self, connection: int, message: Any) -> None: ...
 
 
 class HolderConnection(LineConnection):
@@ -38,7 +38,7 @@
         self.dial.connections.connected(self.dial)
 
     def message_received(self, message: Any) -> None:
-        self.dial.connections.heard(self.dial, message)
+        self.dial.connections.message_received(self.dial, message)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Close the connection: the line may have announced a drain, so the watches restart on
@@ -68,7 +68,7 @@
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         self.connections.lost(self, greeted=False)
 
-    def leave(self) -> None:
+    def abort(self) -> None:
         """Abort the connection: unsent data is of no use any more, and the holder may not read it."""
         if self.connection is None:
             self.connector.disconnect()
@@ -81,7 +81,7 @@
 class HolderConnections:
     """All connections to holders. Messages of a connection that was closed here are ignored."""
 
-    def __init__(self, edge: Any, listener: Listener) -> None:
+    def __init__(self, edge: Any, listener: ConnectionListener) -> None:
         self.edge, self.listener = edge, listener
         self.dials: dict[int, HolderDial] = {}
 
@@ -98,10 +98,10 @@
         copy = effect.replica
         dial.connector = self.edge.reactor.connectTCP(copy.host, copy.port, dial, timeout=time_out)
 
-    def hang_up(self, connection: int) -> None:
+    def close_connection(self, connection: int) -> None:
         """Close a connection; no more events of it are reported."""
         if (dial := self.dials.pop(connection, None)) is not None:
-            dial.leave()
+            dial.abort()
 
     def send(self, effect: Send) -> None:
         """Send a message if its connection is still open."""
@@ -112,7 +112,7 @@
     def close(self) -> None:
         """Close all connections."""
         for dial in self.dials.values():
-            dial.leave()
+            dial.abort()
         self.dials.clear()
 
     # events of the connections
@@ -131,13 +131,13 @@
         if greeted:
             self.listener.disconnected(dial.number)
         else:
-            self.listener.refused(dial.number)
+            self.listener.connect_failed(dial.number)
 
-    def heard(self, dial: HolderDial, message: Any) -> None:
+    def message_received(self, dial: HolderDial, message: Any) -> None:
         """Hand on a message of a holder."""
         if dial.number not in self.dials:
             return
         self.edge.input_received()
         if isinstance(message, Fault):
-            return self.edge.message_ignored("holder", f"it could not take a line: {message.reason}")
-        self.listener.heard(dial.number, message)
+            return self.edge.message_ignored("holder", f"the peer rejected a line: {message.reason}")
+        self.listener.message_received(dial.number, message)
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -14,67 +14,71 @@
 from lapistrestle.wire.messages import RosterEntry
 
 
-class InstanceHandOver:
+class InstanceUpdates:
     """Limits the module's list of workers to the instances in prefixes of functions that are called."""
 
     def __init__(self, edge: Any, region: RegionEstimate) -> None:
         self.edge, self.region = edge, region
-        self.parted: dict[str, KnownWorker] = {}  # in no prefix any more, and still in slow start
+        self.detached: dict[str, KnownWorker] = {}  # in no prefix any more, and still in slow start
 
     def changed(self, entries: Iterable[RosterEntry]) -> None:
         """Apply new or changed instances."""
         entries = list(entries)
         for entry in entries:
-            parted = self.parted.pop(entry.name, None)
+            detached = self.detached.pop(entry.name, None)
             # its start time stays as it was computed, so that the module sees no restart
-            if parted is not None:
-                self.edge.known_workers.known[entry.name] = parted
-        facts, addresses = self.edge.known_workers.note(entries, self.edge.clock())
-        self.edge.workers_told(facts, addresses)
+            if detached is not None:
+                self.edge.known_workers.known[entry.name] = detached
+        workers, addresses = self.edge.known_workers.update(entries, self.edge.clock())
+        self.edge.apply_workers(workers, addresses)
 
-    def gone(self, names: Iterable[str]) -> None:
+    def removed(self, names: Iterable[str]) -> None:
         """Remove instances. Nothing new is sent to them; calls in flight may still finish."""
-        facts = list[WorkerInfo]()
+        workers = list[WorkerInfo]()
         for name in names:
-            known = self.edge.known_workers.known.pop(name, None) or self.parted.pop(name, None)
+            known = self.edge.known_workers.known.pop(name, None) or self.detached.pop(name, None)
             if known is not None:
-                facts.append(
+                workers.append(
                     replace(self.edge.known_workers.worker_info(known), endpoint_state=EndpointState.REMOVED)
                 )
-        self.tell_left(facts)
+        self.report_removed(workers)
 
-    def forgotten(self, names: Iterable[str]) -> None:
+    def evicted(self, names: Iterable[str]) -> None:
         """Apply that instances are in no prefix any more.
 
         The directory would not report their drains, so nothing new is sent to them. An instance in slow start
         stays in the module as draining: what it was sent must count towards its limit if it comes back.
         """
-        facts = list[WorkerInfo]()
+        workers = list[WorkerInfo]()
         for name in names:
             known = self.edge.known_workers.known.pop(name, None)
             if known is None:
                 continue
-            warm_at = (known.booted or -self.region.ramp_time) + self.region.ramp_time
-            left = warm_at - self.edge.clock() if self.region.ramp_time and known.booted is not None else 0
-            listing = EndpointState.DRAINING if left > 0 else EndpointState.REMOVED
-            facts.append(replace(self.edge.known_workers.worker_info(known), endpoint_state=listing))
-            if left > 0:
-                self.parted[name] = known
-                self.edge.after(left, self.warmed_up, known)
-        self.tell_left(facts)
+            slow_start_end = (known.booted or -self.region.ramp_time) + self.region.ramp_time
+            remaining = (
+                slow_start_end - self.edge.clock()
+                if self.region.ramp_time and known.booted is not None
+                else 0
+            )
+            listing = EndpointState.DRAINING if remaining > 0 else EndpointState.REMOVED
+            workers.append(replace(self.edge.known_workers.worker_info(known), endpoint_state=listing))
+            if remaining > 0:
+                self.detached[name] = known
+                self.edge.after(remaining, self.slow_start_ended, known)
+        self.report_removed(workers)
 
-    def warmed_up(self, known: KnownWorker) -> None:
+    def slow_start_ended(self, known: KnownWorker) -> None:
         """The instance's slow start is over: remove it unless it came back."""
-        if self.parted.get(known.entry.name) is known:
-            self.gone([known.entry.name])
+        if self.detached.get(known.entry.name) is known:
+            self.removed([known.entry.name])
 
-    def tell_left(self, facts: list[WorkerInfo]) -> None:
+    def report_removed(self, workers: list[WorkerInfo]) -> None:
         """Report removed workers to the module, and close their connections."""
-        if facts:
-            left: list[Address] = [(told.name, 0, "") for told in facts]
-            self.edge.workers_told(facts, left)
+        if workers:
+            addresses: list[Address] = [(worker.name, 0, "") for worker in workers]
+            self.edge.apply_workers(workers, addresses)
 
-    def rank(self, function: Function, names: tuple[str, ...]) -> None:
+    def set_prefix(self, function: Function, names: tuple[str, ...]) -> None:
         """Pass the function's prefix to the module, limited to known workers."""
         self.edge.host.prefix_received(
             function, [name for name in names if name in self.edge.known_workers.known]
--- a/lapistrestle/edge/known_workers.py
+++ b/lapistrestle/edge/known_workers.py
@@ -11,7 +11,7 @@
 from lapistrestle.sources.numbered_list import ListAction, NumberedList
 from lapistrestle.wire.messages import RosterEntry, RosterSnapshot, RosterUpdate
 
-STATES = {  # by their names on the wire
+ENDPOINT_STATES = {  # by their names on the wire
     "serving": EndpointState.SERVING,
     "draining": EndpointState.DRAINING,
     "gone": EndpointState.REMOVED,
@@ -49,22 +49,22 @@
         self.kinds = {kind: i for i, kind in enumerate(kinds)}
         self.known: dict[str, KnownWorker] = {}
 
-    def note(self, entries: Iterable[RosterEntry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
+    def update(self, entries: Iterable[RosterEntry], now: int) -> tuple[list[WorkerInfo], list[Address]]:
         """Apply entries of a list. Returns the workers for the module, and their current addresses."""
-        facts, addresses = list[WorkerInfo](), list[Address]()
+        workers, addresses = list[WorkerInfo](), list[Address]()
         for entry in entries:
             known = self.known.get(entry.name)
             if known is None:
                 known = self.known[entry.name] = KnownWorker(entry)
             known.entry = entry
-            self.started(known, entry.start, entry.up_for, now, first=not known.start)
-            facts.append(self.worker_info(known))
+            self.note_start(known, entry.start, entry.up_for, now, first=not known.start)
+            workers.append(self.worker_info(known))
             addresses.append((entry.name, 0 if entry.listing == "gone" else entry.port, entry.start))
             if entry.listing == "gone":
                 del self.known[entry.name]
-        return facts, addresses
+        return workers, addresses
 
-    def started(self, known: KnownWorker, start: str, up_for: float | None, now: int, first: bool) -> bool:
+    def note_start(self, known: KnownWorker, start: str, up_for: float | None, now: int, first: bool) -> bool:
         """Note a start of a worker; whether it is a new one.
 
         A runner's greeting may be older or newer than the list: of two starts the later one counts.
@@ -77,17 +77,17 @@
         known.start, known.booted = start, booted
         return True
 
-    def met(
+    def greeting_received(
         self, name: str, start: str, up_for: float | None, draining: bool, now: int
     ) -> tuple[WorkerInfo, ...]:
         """Apply a runner's greeting. Returns the worker if the greeting tells something new of it."""
         known = self.known.get(name)
         if known is None:
             return ()
-        new = self.started(known, start, up_for, now, first=not known.start)
+        is_new = self.note_start(known, start, up_for, now, first=not known.start)
         if draining and known.draining_start != start:
-            known.draining_start, new = start, True
-        return (self.worker_info(known),) if new else ()
+            known.draining_start, is_new = start, True
+        return (self.worker_info(known),) if is_new else ()
 
     def drain_announced(self, name: str, start: str) -> tuple[WorkerInfo, ...]:
         """The runner announced that it drains; this takes precedence over a list that has it serving."""
@@ -99,7 +99,7 @@
 
     def worker_info(self, known: KnownWorker) -> WorkerInfo:
         entry = known.entry
-        listing = STATES[entry.listing]
+        listing = ENDPOINT_STATES[entry.listing]
         if listing is EndpointState.SERVING and known.draining_start and known.draining_start == known.start:
             listing = EndpointState.DRAINING
         zone, kind = self.zones.get(entry.zone, 0), self.kinds.get(entry.kind, 0)
@@ -118,17 +118,17 @@
 
     def message_received(self, message: RosterSnapshot | RosterUpdate, now: int) -> ListResult:
         """Apply a list or change received from the roster."""
-        do = self.accept(message)
-        if do is not ListAction.APPLY:
-            return ListResult(do)
+        action = self.accept(message)
+        if action is not ListAction.APPLY:
+            return ListResult(action)
         whole = isinstance(message, RosterSnapshot)
-        gone = {}
+        removed = {}
         if whole:
             if not message.workers and self.known:
                 self.log(f"list empty at {message.number}: all {len(self.known)} count as gone")
-            named = {entry.name for entry in message.workers}
-            gone = {name: known for name, known in self.known.items() if name not in named}
-            for name in gone:
+            listed = {entry.name for entry in message.workers}
+            removed = {name: known for name, known in self.known.items() if name not in listed}
+            for name in removed:
                 del self.known[name]
-        facts, addresses = self.note(message.workers, now)
-        return ListResult(do, whole, tuple(facts), (*((name, 0, "") for name in gone), *addresses))
+        workers, addresses = self.update(message.workers, now)
+        return ListResult(action, whole, tuple(workers), (*((name, 0, "") for name in removed), *addresses))
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -10,7 +10,7 @@
 DECODER = msgspec.json.Decoder(wire.PeerMessage)
 
 
-class Peers(DatagramProtocol):
+class GossipSocket(DatagramProtocol):
     """The gossip socket of one edge."""
 
     transport: Any
@@ -22,7 +22,7 @@
         if self.me < len(self.ports):
             edge.reactor.listenUDP(self.ports[self.me], self, interface="127.0.0.1")
 
-    def tell(self, peer: int | None, text: str) -> None:
+    def send(self, peer: int | None, text: str) -> None:
         """Send to one other edge by its index, or to all. Delivery is not confirmed."""
         line = wire.encode(wire.PeerMessage(self.me, text))
         for number, port in enumerate(self.ports):
@@ -32,8 +32,8 @@
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         try:
             message = DECODER.decode(datagram)
-        except (msgspec.MsgspecError, UnicodeDecodeError) as trouble:
-            self.edge.message_ignored(f"peer at {addr[1]}", str(trouble))
+        except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+            self.edge.message_ignored(f"peer at {addr[1]}", str(error))
             return
         self.edge.input_received()
         self.edge.host.gossip_received(message.sender, message.text)
--- a/lapistrestle/edge/planner_source.py
+++ b/lapistrestle/edge/planner_source.py
@@ -17,9 +17,10 @@
 from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
 # Ticks of 0.1 ms:
-BEAT = 2_000  # between two heartbeats
-TELL = 10_000  # between two reports of outcomes and copies
-UNHEARD = 30_000  # a connection without an answered heartbeat for so long is closed and dialled again
+HEARTBEAT_INTERVAL = 2_000  # between two heartbeats
+REPORT_INTERVAL = 10_000  # between two reports of outcomes and copies
+# a connection without an answered heartbeat for so long is closed and dialled again
+HEARTBEAT_TIMEOUT = 30_000
 
 
 class PlannerLineConnection(LineConnection):
@@ -36,8 +37,8 @@
         return wire.Hello(self.protocol, wire.VERSION, self.source.owner.name, start=self.source.start_name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.source.heard = self.source.owner.clock()
-        self.source.beat(None, once=True)
+        self.source.last_heartbeat_at = self.source.owner.clock()
+        self.source.send_heartbeat(None, once=True)
 
     def message_received(self, message: Any) -> None:
         self.source.owner.input_received()
@@ -45,8 +46,8 @@
             case plans.Plan():
                 self.source.plan_received(message)
             case plans.Heartbeat():
-                self.source.heard = self.source.owner.clock()
-                self.source.routing.lease.on_heartbeat(message.sent_at, self.source.heard)
+                self.source.last_heartbeat_at = self.source.owner.clock()
+                self.source.routing.lease.on_heartbeat(message.sent_at, self.source.last_heartbeat_at)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Close the connection: the line may have been a plan, and a new connection gets the whole plan."""
@@ -64,81 +65,85 @@
         super().__init__(edge, port)
         self.routing: Routing = edge.routing
         self.targets: dict[str, replicas.ReplicaTarget] = {}  # by versioned name
-        self.heard = 0  # time of the last answered heartbeat
+        self.last_heartbeat_at = 0  # time of the last answered heartbeat
         self.start_name = f"{edge.name}-{edge.clock()}"
-        self.began = edge.clock()
-        keep = edge.deployment.planner.keep
-        self.file = PersistedPlanFile(Path(keep)) if keep else None
-        self.recall()
-        edge.after(BEAT, self.beat, None)
-        edge.after(TELL, self.send_reports, None)
-
-    def recall(self) -> None:
+        self.started_at = edge.clock()
+        path = edge.deployment.planner.keep
+        self.plan_file = PersistedPlanFile(Path(path)) if path else None
+        self.restore_persisted_plan()
+        edge.after(HEARTBEAT_INTERVAL, self.send_heartbeat, None)
+        edge.after(REPORT_INTERVAL, self.send_reports, None)
+
+    def restore_persisted_plan(self) -> None:
         """Restore the persisted plan, if there is one."""
         try:
-            kept = self.file.read() if self.file else None
-        except (OSError, ValueError) as trouble:
-            return self.owner.log("kept plan can't be read", why=str(trouble))
-        if kept is not None:
-            splits = [plans.to_split(share) for share in kept.splits]
-            self.routing.restore_plan(kept.epoch, kept.number, splits, kept.barred)
-            self.owner.log("kept plan", epoch=kept.epoch, number=kept.number, shares=len(kept.splits))
-
-    def keep_plan(self) -> None:
+            persisted = self.plan_file.read() if self.plan_file else None
+        except (OSError, ValueError) as error:
+            return self.owner.log("persisted plan can't be read", why=str(error))
+        if persisted is not None:
+            splits = [plans.to_split(share) for share in persisted.splits]
+            self.routing.restore_plan(persisted.epoch, persisted.number, splits, persisted.barred)
+            self.owner.log(
+                "kept plan", epoch=persisted.epoch, number=persisted.number, shares=len(persisted.splits)
+            )
+
+    def persist_plan(self) -> None:
         """Persist the plan. If the disk fails, the edge continues with the plan in memory."""
-        if self.file is None:
+        if self.plan_file is None:
             return
         routing = self.routing
         shares = [plans.to_message(split) for split in routing.splits.values()]
         try:
-            self.file.write(
+            self.plan_file.write(
                 PersistedPlan(routing.epoch, routing.number, shares, sorted(routing.barred_names))
             )
-        except OSError as trouble:
-            self.owner.log("plan not kept", why=str(trouble))
+        except OSError as error:
+            self.owner.log("plan not persisted", why=str(error))
 
-    def unplanned(self) -> bool:
+    def awaits_first_plan(self) -> bool:
         """Whether calls must be rejected because the first plan has not been received yet."""
-        return self.routing.awaits_first_plan(self.owner.clock() - self.began)
+        return self.routing.awaits_first_plan(self.owner.clock() - self.started_at)
 
     def make_connection(self) -> PlannerLineConnection:
         return PlannerLineConnection(self)
 
-    def beat(self, _: object, once: bool = False) -> None:
+    def send_heartbeat(self, _: object, once: bool = False) -> None:
         """Send a heartbeat, and unless `once` schedule the next. Cuts a connection that does not answer."""
         if (
             self.connection is not None
             and self.connection.is_greeted
-            and self.owner.clock() - self.heard > UNHEARD
+            and self.owner.clock() - self.last_heartbeat_at > HEARTBEAT_TIMEOUT
         ):
             self.connection.close_with_reason("no beat was answered")
         self.send_message(plans.Heartbeat(self.owner.clock(), self.routing.number))
         if not once and not self.stopped:
-            self.owner.after(BEAT, self.beat, None)
+            self.owner.after(HEARTBEAT_INTERVAL, self.send_heartbeat, None)
 
     def plan_received(self, plan: plans.Plan) -> None:
         """Apply a plan, persist it, and withdraw what it bars. An outdated plan is ignored."""
         splits = [plans.to_split(share) for share in plan.splits]
         barred = self.routing.apply_plan(plan.epoch, plan.number, plan.complete, splits)
         if barred is None:
-            self.owner.log("plan passed over", epoch=plan.epoch, number=plan.number, has=self.routing.number)
+            self.owner.log(
+                "outdated plan ignored", epoch=plan.epoch, number=plan.number, has=self.routing.number
+            )
             return
         self.owner.log("plan", epoch=plan.epoch, number=plan.number, shares=len(self.routing.splits))
         for name in barred:
-            self.withdraw(name)
+            self.withdraw_version(name)
         self.send_message(plans.Heartbeat(self.owner.clock(), self.routing.number))
-        self.keep_plan()
+        self.persist_plan()
 
-    def withdraw(self, name: str) -> None:
+    def withdraw_version(self, name: str) -> None:
         """Stop using a barred version: RPCs not sent to it yet go to the settled one, its copies
         are unloaded.
         """
         function = self.owner.host.registry.functions.get(name)
-        for seat in list(self.owner.client_connections):
-            for pending in list(seat.open.values()):
+        for client in list(self.owner.client_connections):
+            for pending in list(client.open.values()):
                 if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
                     self.owner.host.retract(pending)
-                    self.owner.move(pending)
+                    self.owner.restart_call(pending)
         for replica in list(function.replicas.values()) if function is not None else ():
             self.owner.unload(replica.worker, function)
 
@@ -147,18 +152,20 @@
         now = self.owner.clock()
         for key, counts in self.routing.recent_counts(now).items():
             self.send_message(plans.OutcomeReport(key.function, key.candidate, key.step, key.minute, counts))
-        open_ = [split for split in self.routing.splits.values() if split.candidate]
-        names = {versioned_name(s.function, version) for s in open_ for version in (s.candidate, s.settled)}
+        in_rollout = [split for split in self.routing.splits.values() if split.candidate]
+        names = {
+            versioned_name(s.function, version) for s in in_rollout for version in (s.candidate, s.settled)
+        }
         self.targets = {name: target for name, target in self.targets.items() if name in names}
-        for split in open_:
-            weight, shortage = self.keep(split)
+        for split in in_rollout:
+            weight, shortage = self.keep_copies(split)
             loading = replicas.rollout_phase(split) is replicas.RolloutPhase.LOADING
             if loading and self.routing.lease.is_usable(now):
                 self.send_message(plans.ReplicaReport(split.function, split.candidate, weight, shortage))
         if not self.stopped:
-            self.owner.after(TELL, self.send_reports, None)
+            self.owner.after(REPORT_INTERVAL, self.send_reports, None)
 
-    def keep(self, split: TrafficSplit) -> tuple[float, str]:
+    def keep_copies(self, split: TrafficSplit) -> tuple[float, str]:
         """Preload the copies that `rollout.replicas` wants for both versions.
 
         Returns the candidate's weight that the copies allow, and what is missing for a higher one. Preloads
@@ -184,12 +191,12 @@
         target = replicas.TARGET_WEIGHTS[replicas.rollout_phase(split)]
         candidate_weight = split.next_weight if target.candidate is None else target.candidate
         weights = (candidate_weight, target.settled)
-        stands = [
-            self.keep_version(versioned_name(split.function, version), model, busy, weight)
+        statuses = [
+            self.keep_version_copies(versioned_name(split.function, version), model, busy, weight)
             for version, weight in zip(versions, weights, strict=True)
         ]
-        lacking = next((stand for stand in stands if not stand.is_sufficient), None)
-        if lacking is None:
+        insufficient = next((status for status in statuses if not status.is_sufficient), None)
+        if insufficient is None:
             latencies = [
                 function.isolated_latency
                 if (function := registry.functions.get(versioned_name(split.function, name)))
@@ -198,21 +205,25 @@
             ]
             reason = replicas.slowdown_reason(*latencies)
             return (split.weight, reason) if reason else (split.next_weight, "")
-        name = versions[stands.index(lacking)] or split.function
-        has = f"{name} has {lacking.loaded} of {lacking.wanted} copies"
-        return split.weight, f"{has}; {replicas.SHORTAGE_MESSAGES[lacking.shortage]}"
+        name = versions[statuses.index(insufficient)] or split.function
+        status_text = f"{name} has {insufficient.loaded} of {insufficient.wanted} copies"
+        return split.weight, f"{status_text}; {replicas.SHORTAGE_MESSAGES[insufficient.shortage]}"
 
-    def keep_version(self, name: str, model: Function, busy: float, weight: float) -> replicas.ReplicaStatus:
+    def keep_version_copies(
+        self, name: str, model: Function, busy: float, weight: float
+    ) -> replicas.ReplicaStatus:
         """Preload the copies that one version needs at `weight` of the function's `busy` concurrent calls."""
         edge, module = self.owner, self.owner.host.module
-        if self.owner.barred(name) or not weight:
+        if self.owner.is_barred(name) or not weight:
             return replicas.ReplicaStatus(0, 0, replicas.Shortage.NONE)
         function = edge.host.registry.function(name, model.method, model.memory_mb, model.lanes)
-        if edge.directory is not None and not edge.directory.ready(function, edge.method_names[model.method]):
-            edge.directory.act()
+        if edge.directory is not None and not edge.directory.has_prefix(
+            function, edge.method_names[model.method]
+        ):
+            edge.directory.carry_out_effects()
             # its prefix is being looked up
             return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
-        memory, idle_life = edge.settings.memory_by_kind, edge.settings.idle_timeout
+        memory, idle_timeout = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
         for worker in module.orders.function_order(function):
             if worker.endpoint_state.name != "SERVING" or not module.health.healthy(worker):
@@ -226,20 +237,20 @@
             if (replica := function.replicas.get(worker)) is not None:
                 capacity.loaded = module.copies.believed_count(replica)
                 capacity.preload_pending = bool(replica.pending_preloads)
-                capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_life // 3
+                capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_timeout // 3
             capacities[capacity] = worker
 
         def preload(capacity: replicas.WorkerCapacity, count: int) -> bool:
-            ordered: bool = module.preloading.preload(
+            started: bool = module.preloading.preload(
                 function.replica(capacities[capacity]), count, replicas.PRELOAD_BUDGET_FRACTION
             )
-            return ordered
+            return started
 
         required = replicas.required_replicas(busy, weight, function.lanes, edge.settings.dispatcher_count)
         target = self.targets.setdefault(name, replicas.ReplicaTarget()).update(required)
-        stand = replicas.maintain_replicas(
+        status = replicas.maintain_replicas(
             list(capacities), target, module.load_limit.limit - module.load_limit.in_progress, preload
         )
-        if edge.directory is not None and not stand.is_sufficient:
-            edge.directory.more(name)
-        return stand
+        if edge.directory is not None and not status.is_sufficient:
+            edge.directory.extend_prefix(name)
+        return status
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -6,14 +6,14 @@
 
 from lapistrestle.deployment.load import to_settings
 from lapistrestle.deployment.schema import Deployment
-from lapistrestle.edge.clients import ClientConnection, Clients
-from lapistrestle.edge.connection_state import PROMPT
+from lapistrestle.edge.clients import ClientConnection, ClientFront
+from lapistrestle.edge.connection_state import PROMPT_WAIT
 from lapistrestle.edge.core import Core, Log
-from lapistrestle.edge.keeping import Keeping
 from lapistrestle.edge.known_workers import Address, EndpointListFollower
-from lapistrestle.edge.peers import Peers
+from lapistrestle.edge.learned_state_file import LearnedStateFile
+from lapistrestle.edge.peers import GossipSocket
 from lapistrestle.edge.planner_source import PlannerSource
-from lapistrestle.edge.runners import Runner, bounds_of
+from lapistrestle.edge.runners import Runner, line_bounds
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd, WorkerCall, WorkerTask
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.policy.fleet_guidance import FleetGuidance
@@ -25,12 +25,12 @@
 from lapistrestle.wire import messages as wire
 
 
-def cost_before(pending: PendingRequest) -> bool:
+def has_cost_worker(pending: PendingRequest) -> bool:
     """Whether an attempt of this request has cost a worker work: those not sent or not loaded did not."""
     return any(c.outcome not in (None, Outcome.NOT_LOADED, Outcome.NOT_SENT) for c in pending.attempts)
 
 
-def faulty(pending: PendingRequest) -> bool:
+def has_worker_fault(pending: PendingRequest) -> bool:
     """Whether an attempt failed by a worker's fault, rather than for lack of capacity or time."""
     return any(c.outcome in (Outcome.ERROR, Outcome.RESET, Outcome.UNREACHABLE) for c in pending.attempts)
 
@@ -45,8 +45,8 @@
         """`boot` and `nonce` distinguish this start of the process from others of the same name in
         a fleet.
         """
-        place = deployment.dispatcher
-        self.deployment, self.bounds = deployment, bounds_of(deployment.listen)
+        dispatcher = deployment.dispatcher
+        self.deployment, self.bounds = deployment, line_bounds(deployment.listen)
         self.methods = {name: i for i, name in enumerate(deployment.methods)}
         self.method_names = list(deployment.methods)
         self.customers = {name: i for i, name in enumerate(deployment.customers)}
@@ -55,11 +55,11 @@
         self.known_workers = EndpointListFollower(
             deployment.zones, kinds, lambda text: log("roster", figures=text)
         )
-        self.source: RosterSource | None = None
+        self.roster_source: RosterSource | None = None
         self.planner: PlannerSource | None = None
         self.routing = Routing()
-        seed = place.seed if seed is None else seed
-        settings = replace(to_settings(deployment), preload_delay=PROMPT)
+        seed = dispatcher.seed if seed is None else seed
+        settings = replace(to_settings(deployment), preload_delay=PROMPT_WAIT)
         guidance = FleetGuidance()
         self.directory: Any = None
         if deployment.directory.shards:  # imported only where needed, to save memory and start time
@@ -67,25 +67,27 @@
 
             share, duration = settings.slow_start_share, settings.slow_start_duration
             guidance.region = RegionEstimate(self.clock, share, duration)
-        super().__init__(reactor, place.name, settings, log, seed, self.margin // 2, make, fleet=guidance)
-        clients = Clients(self)
+        super().__init__(
+            reactor, dispatcher.name, settings, log, seed, self.margin // 2, make, fleet=guidance
+        )
+        clients = ClientFront(self)
         self.front, self.client_connections = clients, clients.client_connections
         self.make_runner = lambda name, port, start: Runner(self, name, port, start)
         if deployment.directory.shards:
             from lapistrestle.edge.directory import EdgeDirectory
 
             self.directory = EdgeDirectory(self, deployment.directory)
-            self.dials_when_used = True
+            self.dial_on_first_use = True
             self.sources.append(self.directory)
         elif deployment.roster.port:
-            self.source = RosterSource(self, deployment.roster.port)
-            self.source.is_subscribed = self.settings.endpoints_polled
-            self.sources.append(self.source)
+            self.roster_source = RosterSource(self, deployment.roster.port)
+            self.roster_source.is_subscribed = self.settings.endpoints_polled
+            self.sources.append(self.roster_source)
         if deployment.planner.port:
             self.planner = PlannerSource(self, deployment.planner.port)
             self.sources.append(self.planner)
-        self.peers = Peers(self) if self.settings.may_gossip else None
-        self.keeping = Keeping(self, place.keep) if place.keep else None
+        self.gossip = GossipSocket(self) if self.settings.may_gossip else None
+        self.learned_state_file = LearnedStateFile(self, dispatcher.keep) if dispatcher.keep else None
         fleet = deployment.fleet
         boot = round(reactor.seconds() * 1000) if boot is None else boot
         self.fleet_member: Any = None
@@ -109,23 +111,23 @@
 
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         """Apply a list or change from the roster, as far as its number allows. Returns what was done."""
-        taken = self.known_workers.message_received(message, self.clock())
-        if taken.action is ListAction.APPLY:
-            self.workers_told(taken.workers, taken.addresses, taken.whole)
-        return taken.action
+        result = self.known_workers.message_received(message, self.clock())
+        if result.action is ListAction.APPLY:
+            self.apply_workers(result.workers, result.addresses, result.whole)
+        return result.action
 
-    def workers_told(
-        self, told: Sequence[WorkerInfo], addresses: Sequence[Address], whole: bool = False
+    def apply_workers(
+        self, workers: Sequence[WorkerInfo], addresses: Sequence[Address], whole: bool = False
     ) -> None:
         """Apply new or changed workers, and their current addresses."""
-        self.listed(told, whole)
+        self.endpoints_received(workers, whole)
         for name, port, start in addresses:
             self.address_received(name, port, start)
 
-    def list_event(self, news: ListEvent) -> None:
+    def list_event(self, event: ListEvent) -> None:
         """Handle the loss of the roster's connection, or its failure to answer."""
         self.input_received()
-        if self.known_workers.handle_event(news) is ListAction.REPORT_FAILURE:
+        if self.known_workers.handle_event(event) is ListAction.REPORT_FAILURE:
             self.host.endpoints_failed()
 
     def runner(self, name: str) -> Any:
@@ -135,73 +137,82 @@
         Its greeting tells whether it drains before the first line is sent.
         """
         runner, known = self.runners.get(name), self.known_workers.known.get(name)
-        if runner is None and known is not None and self.dials_when_used and not self.stopping:
+        if runner is None and known is not None and self.dial_on_first_use and not self.stopping:
             runner = self.runners[name] = self.make_runner(name, known.entry.port, known.start)
         return runner
 
     def runner_greeted(self, name: str, hello: wire.Hello) -> None:
         """Apply a runner's greeting, which tells of its start and whether it drains."""
-        told = self.known_workers.met(name, hello.start, hello.up_for, hello.draining, self.clock())
-        if told:
-            self.listed(told, whole=False)
+        workers = self.known_workers.greeting_received(
+            name, hello.start, hello.up_for, hello.draining, self.clock()
+        )
+        if workers:
+            self.endpoints_received(workers, whole=False)
 
     def runner_draining(self, name: str, start: str) -> None:
         """Apply a runner's own notice that it drains."""
-        told = self.known_workers.drain_announced(name, start)
-        if told:
-            self.listed(told, whole=False)
+        workers = self.known_workers.drain_announced(name, start)
+        if workers:
+            self.endpoints_received(workers, whole=False)
 
     # versions
 
-    def route(self, call: wire.Call, seat: ClientConnection, method: int) -> Route:
+    def route(self, call: wire.Call, client: ClientConnection, method: int) -> Route:
         """Choose the version of the function that serves this call."""
-        key = attempt_key(call.key, call.token, f"{seat.name}/{call.id}")
+        key = attempt_key(call.key, call.token, f"{client.name}/{call.id}")
         return self.routing.route(
-            call.function, key, self.kind(method), call.is_retry, self.clock(), self.span(call)
+            call.function,
+            key,
+            self.idempotency_of(method),
+            call.is_retry,
+            self.clock(),
+            self.shares_tokens(call),
         )
 
-    def kind(self, method: int) -> str:
+    def idempotency_of(self, method: int) -> str:
         """The idempotency of a method, as the settings name it."""
         kind: str = self.settings.methods[method].kind
         return kind
 
-    def span(self, call: wire.Call) -> bool:
+    def shares_tokens(self, call: wire.Call) -> bool:
         """Whether versions of the function share their idempotency tokens."""
         return self.deployment.methods[call.method].repeats_across_versions
 
-    def take(
-        self, seat: ClientConnection, call: wire.Call, method: int, customer: int, left: int, route: Route,
-        moved: bool = False, prior_attempts: int = 0,
+    def accept_call(
+        self, client: ClientConnection, call: wire.Call, method: int, customer: int, time_left: int,
+        route: Route, moved: bool = False, prior_attempts: int = 0,
     ) -> None:  # fmt: skip
         """Hand an RPC to the host, for the first time or again under another version.
 
         With a directory it may have to wait until the prefix of its function is known.
         """
-        load = None if call.load_time is None else int(call.load_time * 10)
-        waits = False
+        load_time = None if call.load_time is None else int(call.load_time * 10)
+        awaits_prefix = False
         if self.directory is not None:
-            function = self.host.registry.function(route.name, method, call.memory, call.lanes, load)
-            waits = not self.directory.ready(function, call.method)
+            function = self.host.registry.function(route.name, method, call.memory, call.lanes, load_time)
+            awaits_prefix = not self.directory.has_prefix(function, call.method)
         pending = self.host.request_received(
-            client=seat, message=call, tag=f"{seat.name}/{call.id}", function_name=route.name, method=method,
-            customer=customer, time_left=left, memory_mb=call.memory, lanes=call.lanes,
+            client=client, message=call, tag=f"{client.name}/{call.id}", function_name=route.name,
+            method=method, customer=customer, time_left=time_left, memory_mb=call.memory, lanes=call.lanes,
             work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.is_retry,
-            route=route, load_time=load, already_counted=moved, prior_attempts=prior_attempts,
-            awaits_prefix=waits,
+            route=route, load_time=load_time, already_counted=moved, prior_attempts=prior_attempts,
+            awaits_prefix=awaits_prefix,
         )  # fmt: skip
-        if waits:
+        if awaits_prefix:
             self.directory.wait(pending)
         if not pending.is_closed:
-            seat.open[call.id] = pending
+            client.open[call.id] = pending
 
-    def move(self, pending: PendingRequest) -> None:
+    def restart_call(self, pending: PendingRequest) -> None:
         """Restart an RPC that did not run on a barred version under the settled one, in the time left."""
         call, attempts = pending.message, pending.attempt_count()
         route = self.routing.reroute(pending.function.name, attempt_key(call.key, call.token, pending.tag))
-        left = pending.deadline - self.clock()
+        time_left = pending.deadline - self.clock()
         if self.fleet_member is not None:
             self.fleet_member.admission.count_restart()
-        self.take(pending.client, call, pending.method, pending.customer, left, route, True, attempts)
+        self.accept_call(
+            pending.client, call, pending.method, pending.customer, time_left, route, True, attempts
+        )
 
     def request_closed(self, pending: PendingRequest, how: RequestEnd) -> None:
         """Count the outcome of an RPC for its version, and for the fleet's admission control.
@@ -211,18 +222,20 @@
         """
         waited = self.directory is not None and self.directory.waiting_requests.leave(pending)
         if self.fleet_member is not None:
-            late = self.late(pending)
-            if how in (RequestEnd.REJECTED, RequestEnd.ABORTED) and cost_before(pending) and not late:
+            late = self.is_late(pending)
+            if how in (RequestEnd.REJECTED, RequestEnd.ABORTED) and has_cost_worker(pending) and not late:
                 self.fleet_member.admission.count_retry()
-            self.fleet_member.on_request_finished(how, late, bool(pending.attempts), faulty(pending))
+            self.fleet_member.on_request_finished(
+                how, late, bool(pending.attempts), has_worker_fault(pending)
+            )
         if pending.route is not None and pending.route.candidate and how is not RequestEnd.MIGRATED:
-            if how is not RequestEnd.OK and (waited or self.barred(pending.function.name)):
+            if how is not RequestEnd.OK and (waited or self.is_barred(pending.function.name)):
                 return
             self.routing.count_outcome(
-                pending.route, how is not RequestEnd.OK or self.late(pending), self.clock()
+                pending.route, how is not RequestEnd.OK or self.is_late(pending), self.clock()
             )
 
-    def late(self, pending: PendingRequest) -> bool:
+    def is_late(self, pending: PendingRequest) -> bool:
         """Whether the request is past its soft deadline now."""
         method = self.settings.methods[pending.method]
         stretched = method.soft_deadline + method.soft_stretch * (pending.work or 0)
@@ -236,44 +249,50 @@
             verdict == RequestEnd.REJECTED
             and not late
             and not self.stopping
-            and self.barred(pending.function.name)
+            and self.is_barred(pending.function.name)
         ):
-            kind, span = self.kind(pending.method), self.span(pending.message)
-            if choose_after_denial(kind, pending.may_have_run_on is not None, span) is VersionChoice.SETTLED:
-                return self.move(pending)
+            idempotency, shares_tokens = (
+                self.idempotency_of(pending.method),
+                self.shares_tokens(pending.message),
+            )
+            if (
+                choose_after_denial(idempotency, pending.may_have_run_on is not None, shares_tokens)
+                is VersionChoice.SETTLED
+            ):
+                return self.restart_call(pending)
             verdict, retry_after = RequestEnd.ABORTED, 0
         pending.client.answer(pending, verdict, retry_after, body)
 
     def stream_started(self, pending: PendingRequest) -> None:
         pending.client.send_message(wire.StreamStarted(pending.message.id))
 
-    def barred(self, name: str) -> bool:
+    def is_barred(self, name: str) -> bool:
         """Whether nothing new may be sent to this version of a function."""
         return "@" in name and self.routing.is_barred(name, self.clock())
 
     def send_call(self, worker_call: WorkerCall) -> None:
-        if self.barred(worker_call.pending.function.name):
+        if self.is_barred(worker_call.pending.function.name):
             return self.host.attempt_finished(worker_call.number, Outcome.NOT_SENT)
-        if self.fleet_member is not None and cost_before(worker_call.pending):
+        if self.fleet_member is not None and has_cost_worker(worker_call.pending):
             self.fleet_member.admission.count_retry()
         if self.directory is not None:
-            self.directory.used(worker_call)
+            self.directory.call_sent(worker_call)
         super().send_call(worker_call)
 
     def send_preload(self, task: WorkerTask) -> None:
-        if task.function is not None and task.count and self.barred(task.function.name):
+        if task.function is not None and task.count and self.is_barred(task.function.name):
             return self.host.preload_finished(task.number, Outcome.REJECTED, 0)
         super().send_preload(task)
 
     def extend_prefix(self, function: FunctionInfo) -> None:
         if self.directory is not None:
-            self.directory.more(function.name)
+            self.directory.extend_prefix(function.name)
 
     def send_gossip(self, peer: int | None, text: str) -> None:
-        if self.peers is not None:
-            self.peers.tell(peer, text)
+        if self.gossip is not None:
+            self.gossip.send(peer, text)
 
     def finish(self) -> None:
-        if self.stopped is not None and self.keeping is not None:
-            self.keeping.write()
+        if self.stopped is not None and self.learned_state_file is not None:
+            self.learned_state_file.write()
         super().finish()
--- a/lapistrestle/edge/reactor.py
+++ b/lapistrestle/edge/reactor.py
@@ -9,8 +9,10 @@
 from contextlib import nullcontext
 from typing import Any
 
-SETTLE = 0.02  # seconds between the start of the reactor and that of the program
-LAST_RECEIVED = struct.Struct("=52xI")  # tcpi_last_data_recv of the kernel's tcp_info, in milliseconds
+START_DELAY = 0.02  # seconds between the start of the reactor and that of the program
+TCP_INFO_LAST_RECEIVED = struct.Struct(
+    "=52xI"
+)  # tcpi_last_data_recv of the kernel's tcp_info, in milliseconds
 
 
 def unread_for(sock: socket.socket) -> float:
@@ -19,10 +21,12 @@
     The kernel's resolution is a few milliseconds.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED.size)
+        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVED.size)
     except OSError:
         return 0.0
-    milliseconds: int = LAST_RECEIVED.unpack(told)[0] if len(told) == LAST_RECEIVED.size else 0
+    milliseconds: int = (
+        TCP_INFO_LAST_RECEIVED.unpack(told)[0] if len(told) == TCP_INFO_LAST_RECEIVED.size else 0
+    )
     return milliseconds / 1000
 
 
@@ -62,5 +66,5 @@
     gc.set_threshold(50_000, 20, 100)
     for number, call in signals.items():
         signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
-    reactor.callWhenRunning(reactor.callLater, SETTLE, begin)
+    reactor.callWhenRunning(reactor.callLater, START_DELAY, begin)
     reactor.run(installSignalHandlers=False)
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -6,11 +6,11 @@
 from twisted.python.failure import Failure
 
 from lapistrestle.edge.connection_state import (
+    ConnectionCallbacks,
     ConnectionEvent,
+    ConnectionState,
     ConnectionStateMachine,
     Line,
-    Link,
-    LinkCallbacks,
 )
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
@@ -22,7 +22,7 @@
     "ok": Outcome.OK, "error": Outcome.ERROR, "full": Outcome.REJECTED, "miss": Outcome.NOT_LOADED,
     "cancelled": Outcome.CANCELLED,
 }  # fmt: skip
-WARMTH = {
+LOAD_STATES = {
     "": LoadState.UNKNOWN, "stood": LoadState.LOADED, "began load": LoadState.STARTED_LOAD,
     "joined load": LoadState.JOINED_LOAD, "load failed": LoadState.LOAD_FAILED,
 }  # fmt: skip
@@ -30,11 +30,11 @@
 
 def call_message(worker_call: WorkerCall, now: int) -> wire.Run:
     """The message of an attempt, with the time left to it at `now`."""
-    pending, asked = worker_call.pending, worker_call.pending.message
+    pending, request = worker_call.pending, worker_call.pending.message
     left = max(1, worker_call.expires_at - now) / 10
     return wire.Run(
-        worker_call.number, pending.tag, pending.function.name, asked.method, left, asked.customer,
-        asked.memory, asked.lanes, asked.token, asked.key, asked.body,
+        worker_call.number, pending.tag, pending.function.name, request.method, left, request.customer,
+        request.memory, request.lanes, request.token, request.key, request.body,
     )  # fmt: skip
 
 
@@ -45,23 +45,23 @@
     return wire.PreloadRequest(task.number, function.name, task.count, function.memory_mb, function.lanes)
 
 
-def encoded(message: wire.Message) -> bytes:
+def encode_line(message: wire.Message) -> bytes:
     """A message as a line."""
     return wire.encode(message) + b"\n"
 
 
-def report_reply(host: ModuleHost, said: wire.RunFinished | wire.PreloadResult | wire.ProbeResult) -> None:
+def report_reply(host: ModuleHost, reply: wire.RunFinished | wire.PreloadResult | wire.ProbeResult) -> None:
     """Report to the host how an attempt, preload or health check ended."""
-    match said:
+    match reply:
         case wire.RunFinished():
             host.attempt_finished(
-                said.call_id, OUTCOMES[said.outcome], said.body, WARMTH[said.load_state], said.concurrency,
-                said.report or NO_REPORT,
+                reply.call_id, OUTCOMES[reply.outcome], reply.body, LOAD_STATES[reply.load_state],
+                reply.concurrency, reply.report or NO_REPORT,
             )  # fmt: skip
         case wire.PreloadResult():
-            host.preload_finished(said.preload_id, OUTCOMES[said.outcome], said.count)
+            host.preload_finished(reply.preload_id, OUTCOMES[reply.outcome], reply.count)
         case wire.ProbeResult():
-            host.health_check_finished(said.probe_id, Outcome.OK, said.report or NO_REPORT)
+            host.health_check_finished(reply.probe_id, Outcome.OK, reply.report or NO_REPORT)
 
 
 class RunnerLineConnection(LineConnection):
@@ -80,11 +80,11 @@
 
     def greeting_received(self, hello: wire.Hello) -> None:
         if self.runner:
-            self.runner.met(hello)
+            self.runner.greeting_received(hello)
 
     def message_received(self, message: Any) -> None:
         if self.runner:
-            self.runner.heard(message)
+            self.runner.message_received(message)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         """Ignore the line, so that other calls are not affected; a call that it may have ended will
@@ -95,7 +95,9 @@
 
     def write_blocked(self, slow: bool) -> None:
         if self.runner:
-            self.runner.state_machine.step(ConnectionEvent.SLOWED if slow else ConnectionEvent.EASED)
+            self.runner.state_machine.step(
+                ConnectionEvent.WRITE_BLOCKED if slow else ConnectionEvent.WRITABLE
+            )
 
     def pauseProducing(self) -> None:
         """Keep reading from a runner that reads slowly: it may still report how calls ended."""
@@ -107,10 +109,10 @@
         if runner := self.runner:
             runner.edge.input_received()
             runner.drop_connection()
-            runner.state_machine.step(ConnectionEvent.BROKE)
+            runner.state_machine.step(ConnectionEvent.LOST)
 
 
-class Dial(ClientFactory):
+class RunnerDial(ClientFactory):
     """One attempt to connect to a runner."""
 
     noisy = False
@@ -126,14 +128,14 @@
         return self.connection
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        if self.runner is not None and self.runner.dialling is self:
-            self.runner.dialling = None
-            self.runner.state_machine.step(ConnectionEvent.FAILED)
+        if self.runner is not None and self.runner.dial_in_progress is self:
+            self.runner.dial_in_progress = None
+            self.runner.state_machine.step(ConnectionEvent.DIAL_FAILED)
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None: ...
 
 
-class Runner(LinkCallbacks):
+class Runner(ConnectionCallbacks):
     """The connection to one runner process; a process at another address gets its own object."""
 
     def __init__(self, edge: Any, name: str, port: int, start: str) -> None:
@@ -142,16 +144,16 @@
             name, self, lambda text: edge.log("link", figures=text), edge.clock
         )
         self.connection: RunnerLineConnection | None = None
-        self.dialling: Dial | None = None
+        self.dial_in_progress: RunnerDial | None = None
         self.connector: Any = None
-        self.patience: Any = None
+        self.greeting_timer: Any = None
 
     # core.RunnerHandle
 
-    def named(self) -> None:
-        self.state_machine.step(ConnectionEvent.NAMED)
+    def added(self) -> None:
+        self.state_machine.step(ConnectionEvent.LISTED)
 
-    def dropped(self) -> None:
+    def removed(self) -> None:
         self.state_machine.step(ConnectionEvent.REMOVED)
 
     def discard_unsent(self) -> None:
@@ -164,14 +166,14 @@
 
     def send_call(self, worker_call: WorkerCall) -> None:
         worker_call.connection = self
-        number, until = worker_call.number, worker_call.write_by
+        number, send_by = worker_call.number, worker_call.write_by
         if not self.state_machine.send(
-            Line(number, lambda: self.run_line(worker_call), until, work=worker_call)
+            Line(number, lambda: self.call_line(worker_call), send_by, work=worker_call)
         ):
             self.host.attempt_finished(worker_call.number, Outcome.REJECTED)
 
-    def run_line(self, worker_call: WorkerCall) -> bytes:
-        return encoded(call_message(worker_call, self.edge.clock()))
+    def call_line(self, worker_call: WorkerCall) -> bytes:
+        return encode_line(call_message(worker_call, self.edge.clock()))
 
     def cancel_unsent(self, number: int) -> bool:
         return self.state_machine.cancel_unsent(number)
@@ -180,23 +182,23 @@
         """Stop waiting for this number; True if its line was never sent. Otherwise `notify` the runner."""
         if self.state_machine.withdraw(number):
             return True
-        if notify and self.state_machine.state in (Link.OPEN, Link.ENDING):
+        if notify and self.state_machine.state in (ConnectionState.OPEN, ConnectionState.CLOSING):
             self.write(wire.encode(wire.Cancel(number)) + b"\n")
         return False
 
     def send_preload(self, task: WorkerTask) -> None:
         task.connection = self
         work = task if task.count else None
-        line = Line(task.number, lambda: encoded(preload_message(task)), work=work)
+        line = Line(task.number, lambda: encode_line(preload_message(task)), work=work)
         if not self.state_machine.send(line, prompt=task.count > 0):
             self.host.preload_finished(task.number, Outcome.REJECTED, 0)
 
     def unload(self, function: str) -> None:
-        self.state_machine.send(Line(0, lambda: encoded(wire.Unload(function))))
+        self.state_machine.send(Line(0, lambda: encode_line(wire.Unload(function))))
 
     def send_health_check(self, task: WorkerTask) -> None:
         task.connection = self
-        if not self.state_machine.send(Line(task.number, lambda: encoded(wire.Probe(task.number)))):
+        if not self.state_machine.send(Line(task.number, lambda: encode_line(wire.Probe(task.number)))):
             self.host.health_check_finished(task.number, Outcome.REJECTED, NO_REPORT)
 
     # messages from the runner
@@ -206,74 +208,79 @@
         host: ModuleHost = self.edge.host
         return host
 
-    def met(self, hello: wire.Hello) -> None:
+    def greeting_received(self, hello: wire.Hello) -> None:
         self.edge.input_received()
         if hello.name != self.state_machine.name:
             self.edge.message_ignored(
-                self.state_machine.name, f"{hello.name or 'nobody'} answers at its port"
+                self.state_machine.name, f"its port is served by {hello.name or 'an unnamed process'}"
             )
             if self.connection:
                 self.connection.close_with_reason(f"{self.state_machine.name} was expected here")
             return
         self.start = hello.start or self.start
-        self.stop_patience()
-        self.dialling = None
+        self.stop_greeting_timer()
+        self.dial_in_progress = None
         self.edge.runner_greeted(self.state_machine.name, hello)
-        self.state_machine.step(ConnectionEvent.GREETED)
+        self.state_machine.step(ConnectionEvent.ESTABLISHED)
 
-    def heard(self, message: Any) -> None:
+    def message_received(self, message: Any) -> None:
         self.edge.input_received()
         match message:
             case wire.RunFinished():
-                self.tell_if(self.state_machine.ended(message.call_id), message)
+                self.report_if_in_flight(self.state_machine.finished(message.call_id), message)
             case wire.RunStarted():
-                if message.call_id in self.state_machine.out:
+                if message.call_id in self.state_machine.in_flight:
                     self.host.attempt_started(message.call_id)
                 else:
                     self.host.unmatched_reply()
             case wire.PreloadResult():
-                self.tell_if(self.state_machine.ended(message.preload_id), message)
+                self.report_if_in_flight(self.state_machine.finished(message.preload_id), message)
             case wire.ProbeResult():
-                self.tell_if(self.state_machine.ended(message.probe_id), message)
+                self.report_if_in_flight(self.state_machine.finished(message.probe_id), message)
             case wire.Draining():
                 self.edge.runner_draining(self.state_machine.name, self.start)
             case wire.Fault():
                 self.edge.message_ignored(
-                    self.state_machine.name, f"it could not take a line: {message.reason}"
+                    self.state_machine.name, f"the peer rejected a line: {message.reason}"
                 )
 
-    def tell_if(self, known: object, said: Any) -> None:
+    def report_if_in_flight(self, is_in_flight: object, reply: Any) -> None:
         """Report a reply to a request in flight; ignore duplicate or unexpected ones."""
-        if known:
-            report_reply(self.host, said)
+        if is_in_flight:
+            report_reply(self.host, reply)
         else:
             self.host.unmatched_reply()
 
-    # connection_state.LinkCallbacks
+    # connection_state.ConnectionCallbacks
 
     def dial(self) -> None:
-        dial = self.dialling = Dial(self)
-        time_out = self.edge.settings.connect_timeout / 10_000
-        self.stop_patience()
-        self.patience = self.edge.reactor.callLater(time_out, self.unmet, dial)
-        self.connector = self.edge.reactor.connectTCP("127.0.0.1", self.address, dial, timeout=time_out)
+        dial = self.dial_in_progress = RunnerDial(self)
+        timeout = self.edge.settings.connect_timeout / 10_000
+        self.stop_greeting_timer()
+        self.greeting_timer = self.edge.reactor.callLater(timeout, self.greeting_timed_out, dial)
+        self.connector = self.edge.reactor.connectTCP("127.0.0.1", self.address, dial, timeout=timeout)
 
-    def unmet(self, dial: Dial) -> None:
+    def greeting_timed_out(self, dial: RunnerDial) -> None:
         """No greeting came within the connect timeout: the connection failed."""
-        self.patience = None
-        if self.dialling is dial:
+        self.greeting_timer = None
+        if self.dial_in_progress is dial:
             self.drop_connection()
-            self.state_machine.step(ConnectionEvent.FAILED)
+            self.state_machine.step(ConnectionEvent.DIAL_FAILED)
 
-    def stop_patience(self) -> None:
-        if self.patience is not None and self.patience.active():
-            self.patience.cancel()
-        self.patience = None
+    def stop_greeting_timer(self) -> None:
+        if self.greeting_timer is not None and self.greeting_timer.active():
+            self.greeting_timer.cancel()
+        self.greeting_timer = None
 
     def drop_connection(self) -> None:
         """Abandon the connection: further messages on it are ignored."""
-        self.stop_patience()
-        connection, self.connection, dial, self.dialling = self.connection, None, self.dialling, None
+        self.stop_greeting_timer()
+        connection, self.connection, dial, self.dial_in_progress = (
+            self.connection,
+            None,
+            self.dial_in_progress,
+            None,
+        )
         if dial is not None:
             dial.runner = None
         if connection is not None:
@@ -285,9 +292,9 @@
         elif dial is not None and self.connector is not None:
             self.connector.disconnect()
 
-    def may_begin(self, work: WorkerCall | WorkerTask) -> bool:
-        may: bool = self.edge.gate.may_begin(work, self)
-        return may
+    def may_start(self, work: WorkerCall | WorkerTask) -> bool:
+        allowed: bool = self.edge.work_gate.may_start(work, self)
+        return allowed
 
     def write(self, line: bytes, number: int = 0) -> bool:
         if self.connection is not None:
@@ -297,22 +304,22 @@
     def close(self) -> None:
         self.drop_connection()
 
-    def ask(self, delay: int) -> None:
-        self.edge.after(delay, self.state_machine.step, ConnectionEvent.DUE)
+    def schedule_redial(self, delay: int) -> None:
+        self.edge.after(delay, self.state_machine.step, ConnectionEvent.BACKOFF_ELAPSED)
 
-    def never_left(self, numbers: list[int]) -> None:
+    def report_unreachable(self, numbers: list[int]) -> None:
         for number in numbers:
             self.host.finished_without_reply(number, Outcome.UNREACHABLE)
 
-    def not_sent(self, numbers: list[int]) -> None:
+    def report_not_sent(self, numbers: list[int]) -> None:
         for number in numbers:
             self.host.finished_without_reply(number, Outcome.NOT_SENT)
 
-    def broke(self, numbers: list[int]) -> None:
+    def report_lost(self, numbers: list[int]) -> None:
         for number in numbers:
             self.host.finished_without_reply(number, Outcome.RESET)
 
 
-def bounds_of(listen: Any) -> LineLimits:
+def line_bounds(listen: Any) -> LineLimits:
     """The limits of connections, from the deployment's `listen` section."""
     return LineLimits(listen.longest_line, listen.unsent, listen.open_calls)
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -23,7 +23,7 @@
         """The number of waiting requests."""
         return sum(len(requests) for requests in self.by_function.values())
 
-    def of(self, function: str) -> list[PendingRequest]:
+    def of_function(self, function: str) -> list[PendingRequest]:
         """The waiting requests of one function, oldest first."""
         return list(self.by_function.get(function, ()))
 
@@ -32,7 +32,7 @@
         self.counts["waited"] += 1
         now, timer = self.edge.clock(), None
         if pending.deadline < now + self.lookup_time_out:
-            timer = self.edge.after(max(0, pending.deadline - now), self.late, pending)
+            timer = self.edge.after(max(0, pending.deadline - now), self.deadline_passed, pending)
         self.by_function.setdefault(pending.function.name, {})[pending] = timer
 
     def leave(self, pending: PendingRequest) -> bool:
@@ -47,26 +47,26 @@
             del self.by_function[pending.function.name]
         return True
 
-    def looked_up(self, function: str) -> None:
+    def look_up_succeeded(self, function: str) -> None:
         """The module has received the function's prefix: resume its requests."""
-        waiting = self.of(function)
+        waiting = self.of_function(function)
         self.counts["looked up"] += bool(waiting)
         for pending in waiting:
             self.leave(pending)
             self.edge.host.lookup_finished(pending)
 
-    def failed(self, function: str, retry_after: int) -> None:
+    def look_up_failed(self, function: str, retry_after: int) -> None:
         """The look-up of the function's prefix failed: reject its requests."""
         self.counts["failed"] += 1
-        for pending in self.of(function):
-            self.deny(pending, retry_after)
+        for pending in self.of_function(function):
+            self.reject(pending, retry_after)
 
-    def late(self, pending: PendingRequest) -> None:
+    def deadline_passed(self, pending: PendingRequest) -> None:
         """The request's deadline has passed: reject it."""
         self.counts["late"] += 1
-        self.deny(pending, self.edge.settings.max_retry_after)
+        self.reject(pending, self.edge.settings.max_retry_after)
 
-    def deny(self, pending: PendingRequest, retry_after: int) -> None:
+    def reject(self, pending: PendingRequest, retry_after: int) -> None:
         """Reject a request as not run. `retry_after`, in ticks, is sent to the client as settings allow."""
         settings = self.edge.settings
         told = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -13,8 +13,8 @@
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 
-READ_AGAIN = 200  # ticks between reads of the sources; the protocol allows 500 on top of any drain grace
-NOT_BEGUN = "not begun"  # the log event and counter of work that failed the check
+REREAD_INTERVAL = 200  # ticks between reads of the sources; the protocol allows 500 on top of any drain grace
+NOT_STARTED = "not begun"  # the log event and counter of work that failed the check
 
 
 class WorkGate:
@@ -22,41 +22,41 @@
 
     def __init__(self, core: Any) -> None:
         self.core = core
-        self.listings: dict[str, EndpointState] = {}
+        self.states: dict[str, EndpointState] = {}
         self.is_reading = False  # guards against recursion: what is read may lead to another check
-        self.read_at = -READ_AGAIN - 1
+        self.read_at = -REREAD_INTERVAL - 1
 
-    def listed(self, told: Sequence[WorkerInfo], whole: bool) -> None:
+    def update(self, workers: Sequence[WorkerInfo], whole: bool) -> None:
         """Apply a worker list (`whole`) or a change to it."""
         if whole:
-            self.listings.clear()
-        self.listings.update((facts.name, facts.endpoint_state) for facts in told)
+            self.states.clear()
+        self.states.update((facts.name, facts.endpoint_state) for facts in workers)
 
-    def may_begin(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
+    def may_start(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
         """Whether work may start at this runner.
 
         It may not where another process has taken over the worker's name since the work was placed.
         """
-        serves = self.serves(work.worker.name) and self.core.runners.get(work.worker.name) is runner
+        serves = self.is_serving(work.worker.name) and self.core.runners.get(work.worker.name) is runner
         if serves and (isinstance(work, WorkerTask) or self.is_wanted(work)):
             return True
-        self.refused(work)
+        self.count_not_started(work)
         return False
 
-    def serves(self, name: str) -> bool:
+    def is_serving(self, name: str) -> bool:
         """Whether the worker takes new work by the current list, and the list is recent enough to rely on."""
         self.read_lists()
-        if self.listings.get(name) is not EndpointState.SERVING:
+        if self.states.get(name) is not EndpointState.SERVING:
             return False
         return all(source.is_current() for source in self.core.sources)
 
     def read_lists(self) -> None:
-        """Process unread data of the list's sources, unless that was done within READ_AGAIN.
+        """Process unread data of the list's sources, unless that was done within REREAD_INTERVAL.
 
-        With the limit the check costs one system call per READ_AGAIN in normal operation.
+        With the limit the check costs one system call per REREAD_INTERVAL in normal operation.
         """
         now = self.core.clock()
-        if self.is_reading or now - self.read_at <= READ_AGAIN:
+        if self.is_reading or now - self.read_at <= REREAD_INTERVAL:
             return
         self.is_reading, self.read_at = True, now
         for source in self.core.sources:
@@ -70,7 +70,7 @@
             return False
         return not pending.is_closed and worker_call.expires_at > self.core.clock()
 
-    def refused(self, work: WorkerCall | WorkerTask) -> None:
+    def count_not_started(self, work: WorkerCall | WorkerTask) -> None:
         """Count work that failed the check, and log the first occurrences with the worker's listed state."""
-        listing = self.listings.get(work.worker.name, EndpointState.REMOVED).name.lower()
-        self.core.count_and_log(NOT_BEGUN, runner=work.worker.name, listing=listing, number=work.number)
+        listing = self.states.get(work.worker.name, EndpointState.REMOVED).name.lower()
+        self.core.count_and_log(NOT_STARTED, runner=work.worker.name, listing=listing, number=work.number)
--- a/lapistrestle/node/client_connection.py
+++ b/lapistrestle/node/client_connection.py
@@ -8,7 +8,7 @@
 from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.node import fastcgi
-from lapistrestle.node.streams import MOST_READS, READ, Stream
+from lapistrestle.node.streams import MAX_READS, READ_SIZE, Stream
 from lapistrestle.ticks import SECOND
 
 MAX_UNSENT = 1_048_576  # bytes unsent to a client, beyond which its connection is not read
@@ -71,29 +71,29 @@
         # accepted beyond the limit; served only if there is room by its first request
         self.is_over_limit = False
         self.bytes_read = 0
-        self.discarded = 0  # bytes read since the connection began to close
+        self.discarded_bytes = 0  # bytes read since the connection began to close
         self.reads_paused = False  # not read until the client has read what is unsent
         self.reads_paused_since = 0
         self.receiving = False  # received data is being processed; closing has to wait until that is done
         self.unsent_seen = 0  # bytes unsent at the last sweep
         self.unsent_since = 0  # time since which that number has not changed
-        self.waited = 0  # ticks for which the connection may have waited to be accepted
-        self.since = front.core.clock()  # time of the connect, or of the end of its last open request
+        self.accept_wait = 0  # ticks for which the connection may have waited to be accepted
+        self.idle_since = front.core.clock()  # time of the connect, or of the end of its last open request
         self.buffered_bytes = 0  # bytes of incomplete requests
-        self.unread = 0  # ticks that the data being processed spent in the socket's receive buffer
+        self.receive_delay = 0  # ticks that the data being processed spent in the socket's receive buffer
         self.oldest_partial = 0  # number of the first incomplete request; 0: none
         self.partial_since = 0  # time since which that request is incomplete
 
-    def pieces(self) -> int:
+    def reads_per_poll(self) -> int:
         """How many reads are made per poll."""
-        return self.front.core.pieces()
+        return self.front.core.reads_per_poll()
 
     def received(self, data: bytes) -> None:
         """Process received data: complete requests go to the front."""
         self.front.core.input_received()
         self.bytes_read += len(data)
         if self.phase >= Phase.REJECTING:
-            self.discarded += len(data)
+            self.discarded_bytes += len(data)
         if self.phase < Phase.DISCARDING:
             outer = self.receiving
             self.receiving = True
@@ -106,14 +106,14 @@
 
     def read_records(self, data: bytes) -> None:
         """Parse FastCGI records and handle their events in order."""
-        longest = max(self.front.core.since_look(), self.waited)
-        self.waited = 0
-        unread = self.front.core.unread_for(self.sock, longest)
+        longest = max(self.front.core.max_unread_time(), self.accept_wait)
+        self.accept_wait = 0
+        receive_delay = self.front.core.unread_for(self.sock, longest)
         events = self.reader.feed(data)
         for event in events:
             # the kernel knows the age of the last bytes only; earlier ones may be as old as the previous poll
-            newest = event is events[-1] and len(data) < READ
-            self.unread = unread if newest else longest
+            newest = event is events[-1] and len(data) < READ_SIZE
+            self.receive_delay = receive_delay if newest else longest
             if self.dead:
                 return
             match event:
@@ -155,9 +155,9 @@
         if oldest != self.oldest_partial:
             self.oldest_partial = oldest
             self.partial_since = self.front.core.clock()
-        if self.discarded > (MAX_DISCARDED_WHILE_OPEN if self.requests else MAX_DISCARDED):
+        if self.discarded_bytes > (MAX_DISCARDED_WHILE_OPEN if self.requests else MAX_DISCARDED):
             self.front.core.host.abort_all(list(self.requests.values()))
-            self.drop("sends without end")
+            self.drop("too much data on a closing connection")
 
     def count_buffered(self) -> None:
         """Update the front's total of buffered bytes by this connection's."""
@@ -170,7 +170,7 @@
         self.read_now()
         return not self.reads_paused or self.front.core.clock() - self.reads_paused_since <= PAUSE_TRUSTED
 
-    def drained(self) -> None:
+    def write_completed(self) -> None:
         """Resume reading: all data has been sent."""
         if self.reads_paused:
             self.reads_paused = False
@@ -229,15 +229,15 @@
     def half_close(self) -> None:
         """Shut down the sending side."""
         self.begin_close(Phase.HALF_CLOSED)
-        self.discarded = 0
+        self.discarded_bytes = 0
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError as error:
             self.drop(error.strerror or "lost")
 
     def read_on(self) -> None:
-        """Read all data that the socket has, up to MOST_READS reads."""
-        self.read(MOST_READS)
+        """Read all data that the socket has, up to MAX_READS reads."""
+        self.read(MAX_READS)
 
     def close_now(self, reason: str) -> None:
         """Close immediately, after reading once more so that the close does not reset answers in transit."""
@@ -289,7 +289,7 @@
     def note_idle(self) -> None:
         """Mark the connection as idle if it has no open request."""
         if not self.requests and not self.dead and self.phase < Phase.REJECTING:
-            self.since = self.front.core.clock()
+            self.idle_since = self.front.core.clock()
             self.front.idle[self] = None
             self.front.idle.move_to_end(self)
 
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -15,7 +15,7 @@
 from lapistrestle.node.configuration import Configuration, KnownEndpoints, RunnerEntry, split_address
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import STATES, Frame, FrameDecoder, FrameError, FrameKind, Record
-from lapistrestle.node.streams import MOST_READS, Stream, dial
+from lapistrestle.node.streams import MAX_READS, Stream, dial
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.ticks import MILLISECOND, SECOND
 
@@ -60,7 +60,7 @@
         self.last_received = discovery.core.clock()
         self.is_answered = False  # a frame was received
 
-    def made(self) -> None:
+    def connected(self) -> None:
         """Request the events after the last one applied."""
         self.last_received = self.discovery.core.clock()
         self.discovery.freshness.watch_started(self.last_received)
@@ -90,7 +90,7 @@
             self.last_received = core.clock()
         if has_frame:
             self.is_answered = True
-            unread = core.unread_for(self.sock, core.since_look())
+            unread = core.unread_for(self.sock, core.max_unread_time())
             self.discovery.freshness.frame_received(self.last_received - unread)
 
     def lost(self, reason: str) -> None:
@@ -120,7 +120,7 @@
 
     def ready(self) -> bool:
         """Whether there is a list that is recent enough for new work."""
-        self.core.gate.read_lists()
+        self.core.work_gate.read_lists()
         return self.revision > 0 and self.is_current()
 
     def start(self) -> None:
@@ -135,7 +135,7 @@
     def read_now(self) -> None:
         """Process unread data of the watch."""
         if self.watch is not None and not self.watch.dialling:
-            self.watch.read(MOST_READS)
+            self.watch.read(MAX_READS)
 
     def is_current(self) -> bool:
         """Whether the list is recent enough for new work; a change of that is logged."""
@@ -188,7 +188,7 @@
         except OSError:
             self.core.after(RECONNECT_PAUSE, self.connect, None)
             return
-        self.core.after(CONNECT_TIME_OUT, self.watch.unmade, None)
+        self.core.after(CONNECT_TIME_OUT, self.watch.connect_timed_out, None)
         self.watch.start()
 
     def watch_lost(self, watch: Watch, reason: str) -> None:
@@ -231,7 +231,7 @@
         """
         workers = tuple(self.worker_info(record) for record in records)
         named = {record.name for record in records}
-        self.core.listed(workers, whole)
+        self.core.endpoints_received(workers, whole)
         for name in [name for name in self.core.runners if name not in named] if whole else ():
             self.core.address_received(name, None)
         at = {runner.address[0]: name for name, runner in self.core.runners.items()}
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -74,7 +74,7 @@
         self.max_open_requests = min(configuration.platform.limits.max_open, by_memory)
         self.listener: Listener | None = None
         self.ready: Callable[[], bool] = lambda: False  # whether there is a usable worker list
-        self.leaving = False
+        self.shutting_down = False
         self.recent_ids = OrderedDict[str, int]()  # ids received within the preload window, with the time
         self.unfinished: dict[str, PendingRequest] = {}  # by call id, until the last attempt has ended
         self.parser = InvocationParser(configuration, core.settings)
@@ -98,11 +98,11 @@
         """Close the listener if its accept queue can be emptied; False if that fails for lack of
         descriptors.
         """
-        if self.listener is not None and not self.listener.closed and self.listener.empty():
+        if self.listener is not None and not self.listener.closed and self.listener.accept_all():
             self.listener.close()
         return self.listener is None or self.listener.closed
 
-    def owes(self) -> bool:
+    def has_pending_io(self) -> bool:
         """Whether answers are unsent or connections not accepted.
 
         Reads every connection once more, as closing a connection with an unread request would reset it.
@@ -130,7 +130,7 @@
         assert self.listener is not None
         has_room = self.has_room()
         connection = ClientConnection(self, sock)
-        connection.waited = int(self.listener.waited() * SECOND)
+        connection.accept_wait = int(self.listener.max_wait() * SECOND)
         if has_room:
             self.connections[connection] = self.idle[connection] = None
         else:
@@ -178,7 +178,7 @@
         too many.
         """
         if len(self.closing) >= self.max_closing:
-            next(iter(self.closing)).close_now("others need the room")
+            next(iter(self.closing)).close_now("evicted for another connection")
         self.closing[connection] = self.core.clock() + CLOSING_TIME_OUT
 
     def free_descriptor(self) -> bool:
@@ -186,7 +186,7 @@
         if not self.closing and not self.evict_idle():
             return False
         if self.closing:
-            next(iter(self.closing)).close_now("others need the room")
+            next(iter(self.closing)).close_now("evicted for another connection")
         return True
 
     def evict_idle(self) -> bool:
@@ -200,13 +200,13 @@
         old = [
             connection
             for connection in free
-            if connection.has_sent_request or now - connection.since > FIRST_REQUEST_TIME
+            if connection.has_sent_request or now - connection.idle_since > FIRST_REQUEST_TIME
         ]
         never_used = [connection for connection in old if not connection.has_sent_request]
         for connection in never_used or old or free or list(self.idle):
             if self.is_unused(connection):
-                if connection.has_sent_request or now - connection.since > FIRST_REQUEST_TIME:
-                    connection.drop("others need the room")
+                if connection.has_sent_request or now - connection.idle_since > FIRST_REQUEST_TIME:
+                    connection.drop("evicted for another connection")
                 else:
                     self.answer_over_limit(connection)
                 return True
@@ -232,7 +232,7 @@
         for connection in list(self.connections):
             self.check_connection(connection, now)
         while self.closing and next(iter(self.closing.values())) <= now:
-            next(iter(self.closing)).close_now("it stays open")
+            next(iter(self.closing)).close_now("not closed by the client in time")
         over = [
             tag for tag, pending in self.unfinished.items() if pending.is_closed and not pending.in_flight
         ]
@@ -251,7 +251,7 @@
             connection.begin_close(Phase.REJECTING)
         elif connection.requests or connection.oldest_partial:
             return
-        elif now - connection.since > self.idle_limit(connection) and self.is_unused(connection):
+        elif now - connection.idle_since > self.idle_limit(connection) and self.is_unused(connection):
             connection.drop("idle" if connection.has_sent_request else "silence")
 
     def idle_limit(self, connection: ClientConnection) -> int:
@@ -280,7 +280,7 @@
             self.admit(connection)
         path = request.fields.get(b"SCRIPT_NAME", b"")
         if path == b"/_health":
-            connection.reply(request.number, 200 if self.ready() and not self.leaving else 503)
+            connection.reply(request.number, 200 if self.ready() and not self.shutting_down else 503)
             return
         try:
             self.invoke(connection, request, path)
@@ -302,7 +302,7 @@
             raise InvalidRequestError(
                 409, "X-Call-Id is in use", "X-Call-Id", call.id, "an id of no open call"
             )
-        time_left = int(call.patience * MILLISECOND) - DEADLINE_MARGIN - connection.unread
+        time_left = int(call.patience * MILLISECOND) - DEADLINE_MARGIN - connection.receive_delay
         if time_left <= 0 or not self.takes_requests(connection):
             self.core.counts["turned away"] += 1
             connection.reply(request.number, 503)
--- a/lapistrestle/node/notices.py
+++ b/lapistrestle/node/notices.py
@@ -13,9 +13,9 @@
 HEAD = struct.Struct(">IQB")  # length of the rest of the frame, revision, kind
 RECORD = struct.Struct(">IIHBBBHIQ")
 LENGTH_BYTES = 4
-LEAST_LENGTH = HEAD.size - LENGTH_BYTES
-MOST_RECORDS = 65_536
-MOST_LENGTH = LEAST_LENGTH + RECORD.size * MOST_RECORDS
+MIN_LENGTH = HEAD.size - LENGTH_BYTES
+MAX_RECORDS = 65_536
+MAX_LENGTH = MIN_LENGTH + RECORD.size * MAX_RECORDS
 LISTINGS = (EndpointState.SERVING, EndpointState.DRAINING, EndpointState.REMOVED)  # by the state of a record
 STATES = {listing: state for state, listing in enumerate(LISTINGS)}
 
@@ -88,7 +88,7 @@
         start = 0
         while len(data) - start >= LENGTH_BYTES:
             length = int.from_bytes(data[start : start + LENGTH_BYTES], "big")
-            if not LEAST_LENGTH <= length <= MOST_LENGTH:
+            if not MIN_LENGTH <= length <= MAX_LENGTH:
                 raise FrameError(f"a frame of {length} bytes")
             end = start + LENGTH_BYTES + length
             if len(data) < end:
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -49,7 +49,7 @@
         self.front = Front(self.core, configuration)
         self.front.ready = self.discovery.ready
         self.core.front, self.core.make_runner, self.core.sources = self.front, self.pools, [self.discovery]
-        self.leaving = False
+        self.shutting_down = False
         self.reloads = 0
 
     def start(self) -> int:
@@ -83,9 +83,9 @@
 
     def shut_down(self, stopped: Callable[[], None]) -> None:
         """Handle SIGTERM: serve new requests for a while, then finish the open ones, all before SIGKILL."""
-        if self.leaving:
+        if self.shutting_down:
             return
-        self.leaving = self.front.leaving = True
+        self.shutting_down = self.front.shutting_down = True
         self.core.log("leaving", open=self.core.host.open_requests)
         longest = max(method.deadline for method in self.core.settings.methods)
         last = min(longest, MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE - KILL_MARGIN
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -9,11 +9,11 @@
 from typing import Protocol
 
 from lapistrestle.edge.connection_state import (
+    ConnectionCallbacks,
     ConnectionEvent,
+    ConnectionState,
     ConnectionStateMachine,
     Line,
-    Link,
-    LinkCallbacks,
 )
 from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
@@ -33,7 +33,7 @@
 
 MAX_LINE = 131_072  # bytes of the longest line accepted: several times a body of 16 KiB in base64
 PRELOAD_WAIT = 300  # ticks of 0.1 ms that a preload may be queued; its budget window is seconds long
-NO_CALLBACKS = LinkCallbacks()
+NO_CALLBACKS = ConnectionCallbacks()
 
 
 class ReplySettings(Protocol):
@@ -66,28 +66,28 @@
         super().__init__(connection.core.reactor, sock, dialled=True)
         self.connection = connection
 
-    def made(self) -> None:
+    def connected(self) -> None:
         """The connection is established."""
-        self.connection.state_machine.step(ConnectionEvent.GREETED)
+        self.connection.state_machine.step(ConnectionEvent.ESTABLISHED)
 
-    def pieces(self) -> int:
+    def reads_per_poll(self) -> int:
         """How many reads are made per poll."""
-        return self.connection.core.pieces()
+        return self.connection.core.reads_per_poll()
 
     def received(self, data: bytes) -> None:
         """Pass received data to the connection."""
         self.connection.received(data)
 
-    def drained(self) -> None:
+    def write_completed(self) -> None:
         """All buffered data has been written."""
-        self.connection.state_machine.step(ConnectionEvent.EASED)
+        self.connection.state_machine.step(ConnectionEvent.WRITABLE)
 
     def lost(self, reason: str) -> None:
         """The socket was closed."""
         self.connection.lost()
 
 
-class RunnerConnection(LinkCallbacks):
+class RunnerConnection(ConnectionCallbacks):
     """One connection to a runner."""
 
     def __init__(self, runner: ConnectionPool) -> None:
@@ -95,7 +95,7 @@
         self.pools = runner.pools
         self.core: Core = runner.core
         self.state_machine = ConnectionStateMachine(
-            runner.name, self, lambda _: None, self.core.clock, prompt=PRELOAD_WAIT
+            runner.name, self, lambda _: None, self.core.clock, prompt_wait=PRELOAD_WAIT
         )
         self.stream: Socket | None = None
         self.buffer = b""
@@ -106,7 +106,7 @@
 
     def load(self) -> int:
         """The number of lines queued or in flight."""
-        return len(self.state_machine.out) + len(self.state_machine.waiting)
+        return len(self.state_machine.in_flight) + len(self.state_machine.queued)
 
     def send(self, rid: str, line: Line, prompt: bool = False) -> bool:
         """Send a line as soon as the connection is open, with `prompt` within PRELOAD_WAIT.
@@ -124,7 +124,7 @@
     def is_stale(self) -> bool:
         """Whether it has been unused for so long that the runner is about to close it."""
         idle = self.core.clock() - self.last_used > self.pools.idle_limit
-        return idle and self.state_machine.state is Link.OPEN and not self.load()
+        return idle and self.state_machine.state is ConnectionState.OPEN and not self.load()
 
     def forget(self, number: int) -> None:
         """Remove the request id of a number."""
@@ -167,10 +167,10 @@
             if self.stream is None:
                 return
             if not self.handle_line(line):
-                self.protocol_error("a line that can't be read")
+                self.protocol_error("malformed line")
                 return
         if len(self.buffer) > MAX_LINE:
-            self.protocol_error("a line without end")
+            self.protocol_error("line too long")
 
     def protocol_error(self, reason: str) -> None:
         """Drop the connection: data after a bad line can't be trusted. All calls on it may have run."""
@@ -199,7 +199,7 @@
         """Note the reply to a number."""
         self.last_used = self.core.clock()
         self.forget(number)
-        self.state_machine.ended(number)
+        self.state_machine.finished(number)
 
     def attempt_replied(self, number: int, reply: Reply, attrs: ReplyAttributes) -> bool:
         """Handle the reply to an attempt; False if it is invalid.
@@ -249,7 +249,9 @@
         self.runner.remove(self)
         self.unsent_numbers = {mark for _, mark in stream.unsent if mark}
         self.state_machine.step(
-            ConnectionEvent.FAILED if self.state_machine.state is Link.DIALING else ConnectionEvent.BROKE
+            ConnectionEvent.DIAL_FAILED
+            if self.state_machine.state is ConnectionState.DIALING
+            else ConnectionEvent.LOST
         )
         self.release()
 
@@ -268,17 +270,17 @@
             self.core.after(1, self.undialled, None)
             return
         self.stream.start()
-        self.core.after(self.core.settings.connect_timeout, self.stream.unmade, None)
+        self.core.after(self.core.settings.connect_timeout, self.stream.connect_timed_out, None)
 
     def undialled(self, _: object) -> None:
         """Handle that no socket could be created."""
         self.runner.remove(self)
-        self.state_machine.step(ConnectionEvent.FAILED)
+        self.state_machine.step(ConnectionEvent.DIAL_FAILED)
         self.release()
 
-    def may_begin(self, work: WorkerCall | WorkerTask) -> bool:
+    def may_start(self, work: WorkerCall | WorkerTask) -> bool:
         """Whether new work may be sent to the runner now."""
-        return self.core.gate.may_begin(work, self.runner)
+        return self.core.work_gate.may_start(work, self.runner)
 
     def write(self, line: bytes, number: int = 0) -> bool:
         """Write a line; False if none of it was sent. Unless all of it was sent, the connection is slow."""
@@ -286,7 +288,7 @@
             return False
         left = self.stream.offer(line, number)
         if not left or (self.stream is not None and self.stream.unsent):
-            self.state_machine.step(ConnectionEvent.SLOWED)
+            self.state_machine.step(ConnectionEvent.WRITE_BLOCKED)
         return left
 
     def close(self) -> None:
@@ -297,20 +299,20 @@
             stream.drop("no longer needed")
         self.release()
 
-    def ask(self, delay: int) -> None:
+    def schedule_redial(self, delay: int) -> None:
         """Does nothing: a lost connection is not dialled again; the pool opens another when needed."""
 
-    def never_left(self, numbers: list[int]) -> None:
+    def report_unreachable(self, numbers: list[int]) -> None:
         """Report lines as unreachable: the connection was not established."""
         for number in numbers:
             self.end_without_reply(number, Outcome.UNREACHABLE)
 
-    def not_sent(self, numbers: list[int]) -> None:
+    def report_not_sent(self, numbers: list[int]) -> None:
         """Report lines as not sent: the runner does not serve, or the client has gone."""
         for number in numbers:
             self.end_without_reply(number, Outcome.NOT_SENT)
 
-    def broke(self, numbers: list[int]) -> None:
+    def report_lost(self, numbers: list[int]) -> None:
         """Report lines of a lost connection: those not written completely never ran, the others may have."""
         for number in numbers:
             self.end_without_reply(
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from lapistrestle.edge.connection_state import ConnectionEvent, Line, Link
+from lapistrestle.edge.connection_state import ConnectionEvent, ConnectionState, Line
 from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.node.configuration import Configuration
@@ -16,7 +16,7 @@
 SWEEP_INTERVAL = SECOND  # between two sweeps for idle connections
 RUNNER_SOCKETS_SHARE = (2, 5)  # the fraction of the process's sockets for runners
 NOT_OPEN_PENALTY = 16  # extra lines that a connection counts as having while it is not open
-USABLE = (Link.OPEN, Link.DIALING, Link.SLOW)
+USABLE = (ConnectionState.OPEN, ConnectionState.DIALING, ConnectionState.SLOW)
 
 
 class Runner:
@@ -31,10 +31,10 @@
 
     # core.RunnerHandle
 
-    def named(self) -> None:
+    def added(self) -> None:
         """Does nothing: a runner is dialled on first use, as most dispatchers never use most runners."""
 
-    def dropped(self) -> None:
+    def removed(self) -> None:
         """Handle the removal from the list: calls may still finish, preloads and health checks are
         dropped.
         """
@@ -67,7 +67,7 @@
         connection = RunnerConnection(self)
         self.connections.append(connection)
         self.pools.connections += 1
-        connection.state_machine.step(ConnectionEvent.WANTED)
+        connection.state_machine.step(ConnectionEvent.LINE_QUEUED)
         return connection
 
     def pick(self, used: Collection[RunnerConnection]) -> RunnerConnection | None:
@@ -79,17 +79,17 @@
         best: RunnerConnection | None = None
         least, dialling = self.pools.max_calls, False
         for connection in list(self.connections):
-            linking = connection.state_machine
+            state_machine = connection.state_machine
             if connection.is_stale():  # the runner may be closing it; a call sent meanwhile may have run
                 connection.close()
                 continue
-            state, held = linking.state, len(linking.out)
-            if state is Link.OPEN:
+            state, held = state_machine.state, len(state_machine.in_flight)
+            if state is ConnectionState.OPEN:
                 if not held and connection not in used:
                     return connection
             elif state in USABLE:
-                dialling = dialling or state is Link.DIALING
-                held += len(linking.waiting) + NOT_OPEN_PENALTY
+                dialling = dialling or state is ConnectionState.DIALING
+                held += len(state_machine.queued) + NOT_OPEN_PENALTY
             else:
                 continue
             if connection in used:
@@ -188,7 +188,7 @@
             for runner in self.core.runners.values()
             if len(runner.connections) > 1
             for connection in runner.connections
-            if connection.state_machine.state is Link.OPEN and not connection.load()
+            if connection.state_machine.state is ConnectionState.OPEN and not connection.load()
         ]
         if not idle:
             return False
--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -14,15 +14,16 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from lapistrestle.edge.work_gate import READ_AGAIN
+from lapistrestle.edge.work_gate import REREAD_INTERVAL
 
-TRY_AGAIN = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+RETRIABLE_ERRORS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 # seconds without accepting after running out of descriptors: the listener stays readable and would spin
-PAUSE = 0.1
-READ = 16_384  # bytes per read
-MOST_READS = 64  # reads of one connection at once: more than all open requests of a client need
-FRESH = READ_AGAIN / 10_000  # seconds after reading all data of a connection until it is read again on demand
+ACCEPT_PAUSE = 0.1
+READ_SIZE = 16_384  # bytes per read
+MAX_READS = 64  # reads of one connection at once: more than all open requests of a client need
+# seconds after reading all data of a connection until it is read again on demand
+REREAD_INTERVAL_SECONDS = REREAD_INTERVAL / 10_000
 
 
 class Reactor(Protocol):
@@ -50,7 +51,7 @@
 class Stream:
     """One connected or connecting socket.
 
-    Subclasses implement `received`, `lost` and, if they dial, `made`.
+    Subclasses implement `received`, `lost` and, if they dial, `connected`.
     """
 
     def __init__(self, reactor: Reactor, sock: socket.socket, dialled: bool = False) -> None:
@@ -64,7 +65,7 @@
         self.offset = 0  # bytes of the first chunk that were sent
         self.unsent_bytes = 0
         self.writing = self.reading = False
-        self.read_at = -FRESH  # when all its data was last read, in the reactor's seconds
+        self.read_at = -REREAD_INTERVAL_SECONDS  # when all its data was last read, in the reactor's seconds
 
     def start(self) -> None:
         """Begin to connect, or to read."""
@@ -97,17 +98,17 @@
 
     def doRead(self) -> None:
         """The socket is readable."""
-        self.read(self.pieces())
+        self.read(self.reads_per_poll())
 
-    def read(self, pieces: int) -> None:
+    def read(self, count: int) -> None:
         """Read received data, at most so many times."""
-        for _ in range(pieces):
+        for _ in range(count):
             if self.dead or not self.reading:
                 return
             try:
-                data = self.sock.recv(READ)
+                data = self.sock.recv(READ_SIZE)
             except OSError as error:
-                if error.errno not in TRY_AGAIN:
+                if error.errno not in RETRIABLE_ERRORS:
                     self.drop(error.strerror or "lost")
                     return
                 self.read_at = self.reactor.seconds()
@@ -115,14 +116,14 @@
             if not data:
                 self.drop("closed by the peer")
                 return
-            if len(data) < READ:
+            if len(data) < READ_SIZE:
                 self.read_at = self.reactor.seconds()
             self.received(data)
 
     def read_now(self) -> None:
-        """Process unread data and a close of the connection, unless that was done within FRESH."""
-        if self.reactor.seconds() - self.read_at > FRESH:
-            self.read(MOST_READS)
+        """Process unread data and a close of the connection, unless done within the reread interval."""
+        if self.reactor.seconds() - self.read_at > REREAD_INTERVAL_SECONDS:
+            self.read(MAX_READS)
 
     def doWrite(self) -> None:
         """The connection is established, or the socket is writable."""
@@ -136,14 +137,14 @@
             self.dialling = False
             self.watch_writes(False)
             self.watch_reads(True)
-            self.made()
+            self.connected()
             if self.unsent:
                 self.flush()
         elif self.unsent:
             self.flush()
         else:
             self.watch_writes(False)
-            self.drained()
+            self.write_completed()
 
     def connectionLost(self, reason: Any) -> None:
         """The descriptor failed."""
@@ -163,8 +164,8 @@
     def offer(self, data: bytes, mark: int = 0) -> bool:
         """Send data if the socket accepts at least a part of it now; else return False and buffer nothing.
 
-        After False, `drained` is called once the socket is writable. So data that was not sent at all stays
-        with the owner, which can still cancel it.
+        After False, `write_completed` is called once the socket is writable. So data that was not sent at all
+        stays with the owner, which can still cancel it.
         """
         if self.dead or self.dialling:
             return False
@@ -183,7 +184,7 @@
             try:
                 sent = self.sock.send(data[self.offset :] if self.offset else data)
             except OSError as error:
-                if error.errno in TRY_AGAIN:
+                if error.errno in RETRIABLE_ERRORS:
                     break
                 self.drop(error.strerror or "lost")
                 return
@@ -197,23 +198,23 @@
             self.watch_writes(True)
             return
         if self.closing:
-            self.drop("done")
+            self.drop("closed")
             return
         if self.writing:
             self.watch_writes(False)
-            self.drained()
+            self.write_completed()
 
     def close(self) -> None:
         """Close after all buffered data is written."""
         self.closing = True
         self.watch_reads(False)
         if not self.unsent:
-            self.drop("done")
+            self.drop("closed")
 
-    def unmade(self, _: object = None) -> None:
+    def connect_timed_out(self, _: object = None) -> None:
         """The connect timeout has passed."""
         if self.dialling:
-            self.drop("no connection in time")
+            self.drop("connect timeout")
 
     def drop(self, reason: str) -> None:
         """Close immediately, discarding buffered data."""
@@ -227,17 +228,17 @@
 
     # for subclasses
 
-    def pieces(self) -> int:
+    def reads_per_poll(self) -> int:
         """How many reads are made per poll."""
         return 1
 
-    def made(self) -> None:
+    def connected(self) -> None:
         """Called when the connection is established."""
 
     def received(self, data: bytes) -> None:
         """Called with received data."""
 
-    def drained(self) -> None:
+    def write_completed(self) -> None:
         """Called when all buffered data has been written."""
 
     def lost(self, reason: str) -> None:
@@ -265,9 +266,9 @@
 
 
 class Listener:
-    """Accepts connections, at most `EACH` per poll."""
+    """Accepts connections, at most `ACCEPTS_PER_POLL` per poll."""
 
-    EACH = 64
+    ACCEPTS_PER_POLL = 64
 
     def __init__(
         self, reactor: Reactor, host: str, port: int, on_connection: Callable[[socket.socket], None],
@@ -300,7 +301,7 @@
 
     def doRead(self) -> None:
         """There are connections to accept."""
-        for _ in range(self.EACH):
+        for _ in range(self.ACCEPTS_PER_POLL):
             if not self.accept():
                 return
 
@@ -309,13 +310,13 @@
         try:
             sock, _addr = self.sock.accept()
         except OSError as error:
-            if error.errno in TRY_AGAIN:
+            if error.errno in RETRIABLE_ERRORS:
                 self.full_since = None
             if error.errno in OUT_OF_DESCRIPTORS:
                 if self.full_since is None:
                     self.full_since = self.reactor.seconds()
                 self.reactor.removeReader(self)
-                self.reactor.callLater(PAUSE, self.resume)
+                self.reactor.callLater(ACCEPT_PAUSE, self.resume)
                 self.on_out_of_descriptors()
             return error.errno == errno.ECONNABORTED
         sock.setblocking(False)
@@ -323,11 +324,11 @@
         self.on_connection(sock)
         return True
 
-    def waited(self) -> float:
+    def max_wait(self) -> float:
         """Seconds for which a connection accepted now may have waited for a descriptor."""
         return 0.0 if self.full_since is None else float(self.reactor.seconds()) - self.full_since
 
-    def empty(self) -> bool:
+    def accept_all(self) -> bool:
         """Accept all waiting connections; False if that fails for lack of descriptors."""
         while self.accept():
             continue
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -9,7 +9,7 @@
 import pytest
 from test_node import Stage
 
-from lapistrestle.edge.connection_state import Link
+from lapistrestle.edge.connection_state import ConnectionState
 from lapistrestle.policy.types import EndpointState
 from lapistrestle.standins.platform import BoardEnd, WebServer, begin, frame, row
 
@@ -63,7 +63,7 @@
 
 def held(stage: Any) -> Any:
     """Lines queued for a connection."""
-    return [line for connection in connections(stage) for line in connection.state_machine.waiting]
+    return [line for connection in connections(stage) for line in connection.state_machine.queued]
 
 
 def slow(stage: Any) -> Any:
@@ -98,7 +98,9 @@
     assert not held(stage) and not stage.host.worker_calls
     closed.open()
     stage.hand.until(
-        lambda: all(connection.state_machine.state is Link.OPEN for connection in connections(stage))
+        lambda: all(
+            connection.state_machine.state is ConnectionState.OPEN for connection in connections(stage)
+        )
     )
     stage.hand.quiet()
     assert stage.runs() == [] and not any(worker.in_flight for worker in stage.module.endpoints.workers)
@@ -110,7 +112,7 @@
     client, line, connection = slow(stage)
     before = len(stage.runs())
     number = client.ask(method="bill", patience="300")
-    stage.hand.until(lambda: connection.state_machine.state is Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
     if how == "aborts":
         client.give_up(number)
         stage.hand.until(lambda: stage.host.counts["left"])
@@ -122,9 +124,9 @@
         stage.board.tell(2, 2, stage.row(0, state=1))
         stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
         stage.hand.until(lambda: client.status(number))
-    assert not connection.state_machine.waiting and not stage.host.worker_calls
+    assert not connection.state_machine.queued and not stage.host.worker_calls
     stage.hand.addReader(line)
-    stage.hand.until(lambda: connection.state_machine.state is not Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is not ConnectionState.SLOW)
     stage.hand.quiet()
     assert len(stage.runs()) == before
 
@@ -134,7 +136,9 @@
     for runner in stage.node.core.runners.values():
         runner.open_one()
     stage.hand.until(
-        lambda: all(connection.state_machine.state is Link.OPEN for connection in connections(stage))
+        lambda: all(
+            connection.state_machine.state is ConnectionState.OPEN for connection in connections(stage)
+        )
     )
 
 
@@ -570,7 +574,7 @@
     """Guards against ending lines discarded for the drain as unreachable: the runner would count as dead."""
     client, line, connection = slow(stage)
     numbers = [client.ask(method="bill") for _ in range(3)]
-    stage.hand.until(lambda: connection.state_machine.waiting)
+    stage.hand.until(lambda: connection.state_machine.queued)
     stage.board.tell(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
     (worker,) = stage.workers().values()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -447,10 +447,10 @@
     client = stage.client()
     client.say(**CALL | {"method": "charge"}, id="1")
     stage.run()
-    assert len(link.waiting) == 1 and not stage.runs()
+    assert len(link.queued) == 1 and not stage.runs()
     stage.change(2, stage.entry("r0", listing="draining"))
     stage.run()
-    assert not link.waiting and client.heard("answer")[0]["verdict"] == "denied"
+    assert not link.queued and client.heard("answer")[0]["verdict"] == "denied"
     stage.edge.runners["r0"].connection.write_blocked(False)
     stage.run(1.0)
     assert not stage.runs()
@@ -464,7 +464,7 @@
 def test_an_unread_drain_is_processed_before_a_call_is_sent(stage):
     """Guards against sending to a draining runner after a stall, when the call is read before the drain."""
     stage = Stage(runners=1)
-    connection, client = stage.edge.source.connection, stage.client()
+    connection, client = stage.edge.roster_source.connection, stage.client()
     change = {"is": "change", "number": 2, "epoch": "e", "workers": [stage.entry("r0", listing="draining")]}
     unread(connection, lambda: connection.dataReceived(msgspec.json.encode(change) + b"\n"))
     stage.run(0.1)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -72,11 +72,11 @@
 
 
 def test_a_runners_greeting_is_newer_than_the_list(list_: EndpointListFollower) -> None:
-    (facts,) = list_.met("a", "a#1", 500.0, False, 1_000_000)
+    (facts,) = list_.greeting_received("a", "a#1", 500.0, False, 1_000_000)
     assert facts.booted_at == 995_000
     taken = list_.message_received(change(6, A), 1_000_000)
     assert taken.workers[0].booted_at == 995_000  # the list still names the start before
-    assert list_.met("a", "a#1", 900.0, False, 1_004_000) == ()
+    assert list_.greeting_received("a", "a#1", 900.0, False, 1_004_000) == ()
 
 
 def test_a_runners_notice_of_a_drain_holds_until_its_next_start(list_: EndpointListFollower) -> None:
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -6,7 +6,7 @@
 
 from lapistrestle.deployment.load import DeploymentError, convert_value
 from lapistrestle.deployment.schema import Deployment
-from lapistrestle.edge.keeping import Keeping
+from lapistrestle.edge.learned_state_file import LearnedStateFile
 from lapistrestle.store import learned_state
 
 
@@ -35,9 +35,9 @@
     learned_state.write_learned_state(path, learned_methods(stage))
     module = stage.edge.host.module
     before = module.latency.typical(0)
-    Keeping(stage.edge, str(path))
+    LearnedStateFile(stage.edge, str(path))
     assert module.latency.typical(0) == 900.0 != before
-    assert said(stage) == ("kept figures", {"carried": list(stage.edge.methods), "afresh": []})
+    assert said(stage) == ("learned figures restored", {"carried": list(stage.edge.methods), "afresh": []})
     assert (
         not module.throughput.ok_answers.read(module.now)
         and module.throughput.time_constant_factor == 1.0
@@ -59,14 +59,14 @@
 def test_a_method_with_other_deadlines_is_not_restored(stage, path):
     learned_state.write_learned_state(path, learned_methods(stage, soft=1))
     before = stage.edge.host.module.latency.typical(0)
-    Keeping(stage.edge, str(path))
+    LearnedStateFile(stage.edge, str(path))
     assert stage.edge.host.module.latency.typical(0) == before and said(stage)[1]["carried"] == []
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (None, "kept yet"),
+        (None, "persisted yet"),
         (b"", "can't be read"),
         (b'{"shape":1,"methods":{"a":{"soft_dead', "can't be read"),
         (b'{"shape":0,"methods":{}}', "can't be read"),
@@ -81,22 +81,22 @@
     if data is not None:
         path.write_bytes(data)
     before = stage.edge.host.module.latency.learned()
-    keeping = Keeping(stage.edge, str(path))
+    learned_state_file = LearnedStateFile(stage.edge, str(path))
     assert why in said(stage)[0] and stage.edge.host.module.latency.learned() == before
     aside = path.with_name("edge.learnt.unread")
     assert aside.read_bytes() == data if data is not None else not aside.exists()
-    keeping.write()
+    learned_state_file.write()
     assert set(learned_state.read_learned_state(path)) == set(stage.edge.methods)
 
 
 def test_a_disk_that_fails_never_stops_the_edge(stage, tmp_path):
-    keeping = Keeping(stage.edge, str(tmp_path / "no" / "folder"))
-    keeping.write()
-    assert said(stage)[0] == "learnt figures not kept"
+    learned_state_file = LearnedStateFile(stage.edge, str(tmp_path / "no" / "folder"))
+    learned_state_file.write()
+    assert said(stage)[0] == "learned figures not persisted"
 
 
 def test_the_setting_is_checked_and_without_it_nothing_is_persisted(stage):
-    assert stage.edge.keeping is None
+    assert stage.edge.learned_state_file is None
     with pytest.raises(DeploymentError, match=r"x.json5.*dispatcher.keep.*is 5; expected text"):
         convert_value({"methods": {}, "dispatcher": {"keep": 5}}, Deployment, "", "x.json5")
 
@@ -113,7 +113,7 @@
 
 
 def test_a_stopping_edge_persists_learned_figures_and_the_next_restores_them(stage, path):
-    stage.edge.keeping = Keeping(stage.edge, str(path))
+    stage.edge.learned_state_file = LearnedStateFile(stage.edge, str(path))
     client = stage.client()
     client.say(**CALL, id="1")
     stage.run()
@@ -125,5 +125,5 @@
     stage.edge.stop(lambda: None)
     stage.run(0.5)
     after = Stage()
-    Keeping(after.edge, str(path))
+    LearnedStateFile(after.edge, str(path))
     assert learnt_[0][0] > 1_000 and after.edge.host.module.latency.learned() == learnt_
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -562,7 +562,7 @@
     stage.hand.until(lambda: client.status(number))
     assert (
         stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
-        and not made.state_machine.waiting
+        and not made.state_machine.queued
     )
     after = len(stage.runners[0].runs)
     more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -11,7 +11,7 @@
 from test_crossings import Closed, connections, held, slow, stage, stages, still
 from test_node import SETTINGS
 
-from lapistrestle.edge.connection_state import Link
+from lapistrestle.edge.connection_state import ConnectionState
 from lapistrestle.node.configuration import ConfigurationError, read_configuration
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import Record, decode_frame
@@ -320,13 +320,13 @@
     client, line, connection = slow(stage)
     before = len(stage.runs())
     client.ask(method="bill", patience="3000")
-    stage.hand.until(lambda: connection.state_machine.state is Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)  # the reactor reads it last
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
     still(stage, 0.3)
     stage.hand.addReader(line)
-    stage.hand.until(lambda: connection.state_machine.state is not Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is not ConnectionState.SLOW)
     stage.hand.addReader(watch)
     stage.hand.quiet()
     assert len(stage.runs()) == before and not stage.host.worker_calls
@@ -389,7 +389,7 @@
     still(stage, 0.41)
     closed.open()
     stage.hand.until(lambda: client.status(number) is not None)
-    stage.hand.until(lambda: all(c.state_machine.state is Link.OPEN for c in connections(stage)))
+    stage.hand.until(lambda: all(c.state_machine.state is ConnectionState.OPEN for c in connections(stage)))
     assert stage.runs() == []
 
 
