--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -1,8 +1,8 @@
-"""What stands between clients, edges, runners and roster in the model: messages that arrive after a time.
+"""Connections of the model between clients, edges, runners and the roster: messages arrive after a latency.
 
-The objects here take the places of connections: an edge's link to one start of a runner, a client's line to
-an edge, and an edge's subscription to the roster. Nothing is encoded. A runner that dies breaks what was
-out there; one that is not there is not reached.
+The objects here replace connections: an edge's link to one start of a runner, a client's link to an edge, and
+an edge's subscription to the roster. Nothing is encoded. When a runner dies, what is in flight to it ends as
+reset; what is sent to a runner that does not run ends as unreachable.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 from lapistrestle.hosting.requests import WorkerCall, WorkerTask
 from lapistrestle.policy.types import Outcome
 from lapistrestle.sources.numbered_list import ListAction
-from lapistrestle.standins.client import Crowd, Line, Wish
+from lapistrestle.standins.client import ClientPool, ClientRequest, EdgeLink
 from lapistrestle.standins.runner import RunnerStandIn
 from lapistrestle.standins.tape import Tape
 from lapistrestle.wire import messages as wire
@@ -22,7 +22,7 @@
 
 @dataclass
 class Ways:
-    """One-way times between zones, in seconds."""
+    """One-way latencies within and between zones, in seconds."""
 
     within: float = 0.00015
     between: float = 0.0005
@@ -34,8 +34,8 @@
 
 
 class Taped:
-    """One connection on the tape, if there is one: lines as they would have crossed the socket of whoever is
-    no edge, in the form that the checker reads."""
+    """One connection on the tape, if a tape is recorded: lines as they would have crossed the socket of the
+    peer of the edge, in the form that the checker reads."""
 
     def __init__(self, tape: Tape | None, connection: str, greets: str, **who: Any) -> None:
         self.tape, self.connection = tape, connection
@@ -48,17 +48,15 @@
             self.tape.put(self.connection, sign, line=wire.encode(message).decode())
 
     def close(self) -> None:
-        """Once: a runner that died is also dropped when the roster says so."""
+        """Recorded once: a runner that died is dropped again when the roster reports it as gone."""
         if self.tape is not None:
             self.tape.put(self.connection, "close")
         self.tape = None
 
 
 class RunnerLink(Taped):
-    """An edge's link to a runner at one port.
-
-    It is its own `state_machine`: there is no wire that could stall.
-    """
+    """An edge's link to a runner at one port. It is also its own `state_machine`, since nothing here can
+    stall."""
 
     def __init__(
         self, edge: Any, name: str, runner: RunnerStandIn | None, way: float, tape: Tape | None = None
@@ -71,14 +69,14 @@
         start = runner.start if runner is not None else ""
         super().__init__(tape, f"{start}/{edge.name}/{edge.dials}", edge.name, runner=name, start=start)
 
-    # as the edge knows it
+    # interface of a runner's connection at the edge
 
     def step(self, given: ConnectionEvent) -> None:
         if given is ConnectionEvent.REMOVED:
             self.break_off()
 
     def discard_unsent(self) -> None:
-        """Nothing waits here for a connection."""
+        """Does nothing: no request waits here for a connection."""
 
     def meet(self) -> None:
         runner = self.runner
@@ -98,7 +96,7 @@
         self.later(self.way, self.arrive, task.number, message)
 
     def arrive(self, number: int, message: Any) -> None:
-        """At the runner; what is not there refuses at once."""
+        """Delivers a message to the runner; one that does not run refuses at once."""
         if number not in self.out:
             return
         if not self.reached():
@@ -106,7 +104,7 @@
         else:
             assert self.runner is not None
             self.put("<", message)
-            self.runner.take(message, self, self.answer)
+            self.runner.handle(message, self, self.answer)
 
     def answer(self, said: Any) -> None:
         self.put(">", said)
@@ -127,7 +125,7 @@
             self.later(self.way, self.runner.engine.unload, function)
 
     def cancel_unsent(self, number: int) -> bool:
-        return False  # a message is on its way as soon as it is sent
+        return False  # nothing is queued: a message is in flight as soon as it is sent
 
     def withdraw(self, number: int, notify: bool) -> bool:
         if notify and self.reached():
@@ -140,11 +138,11 @@
         if self.reached():
             assert self.runner is not None
             self.put("<", wire.Cancel(number))
-            self.runner.take(wire.Cancel(number), self, self.answer)
+            self.runner.handle(wire.Cancel(number), self, self.answer)
 
     def drop_connection(self) -> None: ...
 
-    # what the runner says
+    # messages of the runner
 
     def back(self, said: Any) -> None:
         host = self.edge.host
@@ -170,14 +168,14 @@
             self.later(self.way, self.edge.runner_draining, self.name, self.runner.start)
 
     def break_off(self) -> None:
-        """The runner died: what is out there may have run."""
+        """The runner died: what is in flight may have run, and ends as reset."""
         self.close()
         for number in list(self.out):
             self.later(self.way, self.end, number, Outcome.RESET)
 
 
 class Seat(ClientConnection):
-    """A client's place at an edge; answers go to its line."""
+    """The edge's end of a client's link."""
 
     def __init__(self, edge: Any, line: "ModelLine") -> None:
         super().__init__(edge, line.number)
@@ -185,24 +183,26 @@
         edge.client_connections[self] = None
 
     def send_message(self, message: Any) -> None:
-        self.line.crowd.reactor.callLater(self.line.way, self.line.message_received, message)
+        self.line.pool.reactor.callLater(self.line.way, self.line.message_received, message)
 
 
-class ModelLine(Line, Taped):
-    """A client's line to one edge of the model."""
+class ModelLine(EdgeLink, Taped):
+    """A client's link to one edge of the model."""
 
-    def __init__(self, crowd: Crowd, edge: Any, number: int, way: float, tape: Tape | None = None) -> None:
+    def __init__(
+        self, crowd: ClientPool, edge: Any, number: int, way: float, tape: Tape | None = None
+    ) -> None:
         Taped.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
-        self.crowd, self.edge, self.number, self.way = crowd, edge.name, number, way
+        self.pool, self.edge, self.number, self.way = crowd, edge.name, number, way
         self.put("<", wire.Hello("lapistrestle", wire.VERSION, connection_name=f"c{number}"))
-        self.open: dict[str, tuple[Wish, Any]] = {}
+        self.open: dict[str, tuple[ClientRequest, Any]] = {}
         self.stopped = self.closed = False
         self.seat = Seat(edge, self)
         self.up = self  # type: ignore[assignment]
 
     def send_message(self, message: Any) -> None:
         self.put(">", message)
-        self.crowd.reactor.callLater(self.way, self.seat.message_received, message)
+        self.pool.reactor.callLater(self.way, self.seat.message_received, message)
 
     def message_received(self, message: Any) -> None:
         self.put("<", message)
@@ -227,8 +227,8 @@
         self.edge.reactor.callLater(self.way, call, *args)
 
     def follow(self) -> None:
-        self.roster.followers[self] = None
-        self.send_message(self.roster.whole())
+        self.roster.subscribers[self] = None
+        self.send_message(self.roster.snapshot())
 
     def send_message(self, message: Any) -> None:
         self.put(">", message)
@@ -239,6 +239,6 @@
             self.later(self.follow)
 
     def break_off(self) -> None:
-        """The roster began anew: follow it again."""
-        self.roster.followers.pop(self, None)
+        """The roster restarted: subscribe again."""
+        self.roster.subscribers.pop(self, None)
         self.later(self.follow)
--- a/lapistrestle/standins/troubles/directory.py
+++ b/lapistrestle/standins/faults/directory.py
@@ -1,18 +1,18 @@
-"""Troubles of the directory of instances: its holders, and their links to edges."""
+"""Faults of the directory of instances: its holders, and their links to edges."""
 
 from functools import partial
 
 import msgspec
 
-from lapistrestle.standins.directories import HolderPlace
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.troubles.edges import edges_of
-from lapistrestle.standins.troubles.effects import End, all_of, nothing
+from lapistrestle.standins.directory_holders import HolderSlot
+from lapistrestle.standins.faults.edges import edges_of
+from lapistrestle.standins.faults.effects import End, all_of, nothing
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
 
-def holders_of(world: World, trouble: Trouble) -> list[HolderPlace]:
-    """A share of the holders, one at least; all of a zone where one is named."""
+def holders_of(world: World, trouble: ScriptedFault) -> list[HolderSlot]:
+    """A random share of the holders, at least one; all in the zone if one is named."""
     if world.directory is None:
         return []
     places = [p for p in world.directory.places.values() if trouble.zone in ("", p.settings.serve.zone)]
@@ -20,8 +20,8 @@
     return world.random.sample(places, count)
 
 
-def holder_stall(world: World, trouble: Trouble) -> End:
-    """Holders stand still; they wake with what they knew."""
+def holder_stall(world: World, trouble: ScriptedFault) -> End:
+    """Stalls holders; they resume with their state."""
     rig, chosen = world.directory, holders_of(world, trouble)
     if rig is None:
         return nothing
@@ -30,8 +30,8 @@
     return all_of(partial(rig.resume, place) for place in chosen)
 
 
-def holder_kill(world: World, trouble: Trouble) -> End:
-    """Holders are killed; others start under their names and know nothing."""
+def holder_kill(world: World, trouble: ScriptedFault) -> End:
+    """Kills holders; they restart under the same names, without state."""
     rig, chosen = world.directory, holders_of(world, trouble)
     if rig is None:
         return nothing
@@ -40,8 +40,8 @@
     return all_of(partial(rig.restart, place) for place in chosen)
 
 
-def directory_cut(world: World, trouble: Trouble) -> End:
-    """Nothing passes between a share of the edges and any holder; between them and one zone's, if named."""
+def directory_cut(world: World, trouble: ScriptedFault) -> End:
+    """Partitions a share of the edges from all holders, or from those of the named zone."""
     rig = world.directory
     if rig is None:
         return nothing
--- a/lapistrestle/standins/troubles/machines.py
+++ b/lapistrestle/standins/faults/machines.py
@@ -1,33 +1,33 @@
-"""Troubles of the machines beneath runners: slow, failing, shared, or standing still."""
+"""Faults of the machines that runners run on: slow, failing, shared, or stopped."""
 
 from collections.abc import Callable
 from typing import Any
 
-from lapistrestle.standins.script import Trouble
-from lapistrestle.standins.troubles.effects import Begin, End, all_of, increase, multiply, nothing, repeatedly
+from lapistrestle.standins.faults.effects import Begin, End, all_of, increase, multiply, nothing, repeatedly
+from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 from lapistrestle.ticks import SECOND
 
-NEIGHBOUR_EVERY = 1.5  # seconds
-NEIGHBOUR_HELD = 0.9  # seconds
+NEIGHBOUR_EVERY = 1.5  # seconds between two starts of another program's load
+NEIGHBOUR_HELD = 0.9  # seconds for which it uses the cores
 
 
-def engines(change: Callable[[Any, Trouble], End]) -> Begin:
-    """A trouble of the runners' machines; one that restarts is rid of it."""
+def engines(change: Callable[[Any, ScriptedFault], End]) -> Begin:
+    """A fault of runner processes; a runner that restarts no longer has it."""
 
-    def began(world: World, trouble: Trouble) -> End:
+    def began(world: World, trouble: ScriptedFault) -> End:
         chosen = world.some(trouble.share, trouble.zone)
         return all_of([change(slot.runner.engine, trouble) for slot in chosen])
 
     return began
 
 
-def slow(engine: Any, trouble: Trouble) -> End:
+def slow(engine: Any, trouble: ScriptedFault) -> End:
     """Everything takes longer."""
     return multiply(engine, "slower", trouble.factor)
 
 
-def fast_errors(engine: Any, trouble: Trouble) -> End:
+def fast_errors(engine: Any, trouble: ScriptedFault) -> End:
     """Every call fails at once."""
     engine.failing = True
 
@@ -37,13 +37,13 @@
     return end
 
 
-def report_late(engine: Any, trouble: Trouble) -> End:
-    """Reports of load tell of a moment ago."""
+def report_late(engine: Any, trouble: ScriptedFault) -> End:
+    """Load reports are out of date."""
     return increase(engine, "report_late", trouble.by / SECOND)
 
 
-def neighbour(world: World, trouble: Trouble) -> End:
-    """Another program takes cores, on and off."""
+def neighbour(world: World, trouble: ScriptedFault) -> End:
+    """Another program periodically takes half of the cores."""
     chosen = [slot.runner.engine for slot in world.some(trouble.share, trouble.zone)]
     held = [max(1, engine.facts.cores // 2) for engine in chosen]
 
@@ -62,9 +62,9 @@
 
 
 def stops(every: float, lasts: float) -> Begin:
-    """Machines stand still: `every` so many seconds, each time for as many as it `lasts`."""
+    """Machines stop every `every` seconds, each time for `lasts` seconds."""
 
-    def began(world: World, trouble: Trouble) -> End:
+    def began(world: World, trouble: ScriptedFault) -> End:
         chosen = [slot.runner.engine for slot in world.some(trouble.share, trouble.zone)]
 
         def stop() -> None:
--- /dev/null
+++ b/lapistrestle/standins/faults/traffic.py
@@ -0,0 +1,28 @@
+"""Faults of traffic: bursts and unusual patterns."""
+
+from lapistrestle.standins.faults.effects import End, increase, multiply
+from lapistrestle.standins.script import ScriptedFault
+from lapistrestle.standins.world import World
+
+
+def burst(world: World, trouble: ScriptedFault) -> End:
+    """More traffic of the same kind."""
+    return multiply(world, "rate", trouble.factor)
+
+
+def hot_key(world: World, trouble: ScriptedFault) -> End:
+    """A share of the calls goes to one new function of each method."""
+    for method in world.day.traffic.methods:
+        world.one_offs += 1
+        world.hot_functions.append(world.function(f"hot-{world.one_offs}", method))
+    return increase(world, "hot", trouble.share)
+
+
+def scan(world: World, trouble: ScriptedFault) -> End:
+    """A share of the calls goes to functions that are called only once."""
+    return increase(world, "scan", trouble.share)
+
+
+def retry_abuse(world: World, trouble: ScriptedFault) -> End:
+    """A share of the clients retries at once, whatever the answer says."""
+    return increase(world.clients.behaviour, "abuse", trouble.share)
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -1,4 +1,5 @@
-"""Plays a day: in virtual time on in-memory wires, or on real sockets with each edge a process of its own."""
+"""Runs a day: in virtual time on in-memory connections, or on real sockets with each edge a separate
+process."""
 
 import json
 import tempfile
@@ -11,38 +12,39 @@
 from lapistrestle.deployment.schema import Deployment, HolderDeployment
 from lapistrestle.edge.program import Edge
 from lapistrestle.planner.server import Planner
-from lapistrestle.standins.children import Child, free_tcp_ports
-from lapistrestle.standins.script import Day, plain
-from lapistrestle.standins.troubles.kinds import schedule
-from lapistrestle.standins.virtual import Process, VirtualReactor
+from lapistrestle.standins.child_processes import ChildProcess, free_tcp_ports
+from lapistrestle.standins.faults.kinds import schedule
+from lapistrestle.standins.script import Day, to_plain
+from lapistrestle.standins.virtual import VirtualProcess, VirtualReactor
 from lapistrestle.standins.world import World
 from lapistrestle.store.journal import Journal
 from lapistrestle.ticks import SECOND
 
 PATIENCE = 20.0  # seconds that programs may take to start
-LAST = 1.0  # seconds of traffic once all are up at the end
+LAST = 1.0  # seconds of traffic at the end, after all programs are up again
 
 Log = Callable[..., None]
 EdgeMaker = Callable[[Any, Deployment, Log], Edge]
 
 
-def quiet(what: str, **figures: Any) -> None:
-    """A log that keeps nothing."""
+def no_log(what: str, **figures: Any) -> None:
+    """A log that discards everything."""
 
 
 class VirtualProgram:
-    """A program as an object, in a process that can stand still or be killed. A subclass gives `start`."""
+    """A program as an object, in a virtual process that can be stalled or killed. Subclasses define
+    `start`."""
 
     def __init__(self, reactor: VirtualReactor, name: str) -> None:
         self.name = name
-        self.process = Process(reactor, name)
+        self.process = VirtualProcess(reactor, name)
         self.listens = 0
 
     def start(self) -> None:
         raise NotImplementedError
 
     def port(self) -> int:
-        """Where it listens; 0 once it is dead."""
+        """The port where it listens; 0 once it is dead."""
         return 0 if self.process.dead else self.listens
 
     def stall(self) -> None:
@@ -67,16 +69,16 @@
 
 
 def play_virtual(
-    day: Day, deployment: Deployment, sink: BinaryIO, log: Log = quiet, make: EdgeMaker = Edge,
-    prepare: Callable[[VirtualReactor], None] | None = None, begun: Callable[[World], None] | None = None,
+    day: Day, deployment: Deployment, sink: BinaryIO, log: Log = no_log, make: EdgeMaker = Edge,
+    prepare: Callable[[VirtualReactor], None] | None = None, started: Callable[[World], None] | None = None,
 ) -> World:  # fmt: skip
-    """The whole day at once; the same seed gives the same tape, byte for byte.
+    """Runs the whole day in virtual time. The same seed gives the same tape, byte for byte.
 
-    `prepare` is called before anything is built, `begun` once the day has begun.
+    `prepare` is called before anything is built, `started` once the day has started.
     """
     decided_by_module(day)
     reactor = VirtualReactor()
-    outside = Process(reactor, "stand-ins")
+    outside = VirtualProcess(reactor, "stand-ins")
     if prepare is not None:
         prepare(reactor)
 
@@ -87,37 +89,37 @@
         make_planner = virtual_planners(reactor, Path(folder) / "journal", log)
         holders = VirtualHolders(reactor, log)
         world = World(outside, day, deployment, sink, make_edge, make_planner, Path(folder), holders=holders)
-        reactor.links = world.links.fates
-        run_virtual(reactor, world, begun)
+        reactor.datagram_delays = world.links.fates
+        run_virtual(reactor, world, started)
     return world
 
 
 def decided_by_module(day: Day) -> None:
-    """Raises DeploymentError: the program knows no other policy."""
+    """Raises DeploymentError for a baseline policy, which only the model has."""
     if day.policy != "module":
         raise DeploymentError(
             f'policy: is "{day.policy}"; other policies than the module are in the model only'
         )
 
 
-def run_virtual(reactor: VirtualReactor, world: World, begun: Callable[[World], None] | None) -> None:
+def run_virtual(reactor: VirtualReactor, world: World, started: Callable[[World], None] | None) -> None:
     day, deployment = world.day, world.deployment
     began = reactor.seconds()
     world.start()
     world.begin_traffic()
     schedule(world)
-    if begun is not None:
-        begun(world)
+    if started is not None:
+        started(world)
     reactor.run(began + day.length / SECOND)
     world.over = True
     longest = max(m.deadline for m in deployment.methods.values()) / SECOND
     reactor.run(began + day.length / SECOND + longest + 1.0)
-    for line in world.crowd.lines:
+    for line in world.clients.links:
         line.stopped = True
 
 
 class VirtualPlanner(VirtualProgram):
-    """A planner in virtual time, at the same port at each start."""
+    """A planner in virtual time, which listens at the same port after each start."""
 
     def __init__(self, reactor: VirtualReactor, port: int, journal: Path, log: Log) -> None:
         super().__init__(reactor, "planner")
@@ -128,7 +130,7 @@
         self.planner.start(self.at)
 
     def port(self) -> int:
-        """Also while it is dead: edges go on dialling there."""
+        """The port, also while it is dead: edges go on connecting to it."""
         return self.at
 
     def kill(self) -> None:
@@ -145,7 +147,7 @@
     """A holder of the directory in virtual time."""
 
     def __init__(self, reactor: VirtualReactor, settings: HolderDeployment, log: Log, seed: int) -> None:
-        from lapistrestle.directory.server import HolderProgram  # a day without a directory needs none
+        from lapistrestle.directory.server import HolderProgram  # only days with a directory import it
 
         super().__init__(reactor, settings.serve.name)
         self.program = HolderProgram(self.process, settings, log, seed)
@@ -167,18 +169,18 @@
         return VirtualHolder(self.reactor, settings, self.log, start)
 
 
-class ProcessHolder(Child):
-    """A holder as a process of its own, at the same port whenever it starts."""
+class ProcessHolder(ChildProcess):
+    """A holder as a separate process, which listens at the same port after each start."""
 
     def __init__(self, folder: Path, settings: HolderDeployment) -> None:
         name = settings.serve.name
         file = folder / f"{name}-{time.monotonic_ns()}.json5"
-        file.write_text(json.dumps(plain(settings)))
+        file.write_text(json.dumps(to_plain(settings)))
         super().__init__(folder, name, "directory", "serve", str(file), "--json")
 
 
 class ProcessHolders:
-    """Makes holders that are processes; `made` has all of them, also those that were killed."""
+    """Makes holders that are processes; `made` has all of them, killed ones included."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -192,8 +194,8 @@
         return self.made[-1]
 
 
-class ProcessPlanner(Child):
-    """A planner as a process of its own, at the same port whenever it starts."""
+class ProcessPlanner(ChildProcess):
+    """A planner as a separate process, which listens at the same port after each start."""
 
     def __init__(self, folder: Path, port: int) -> None:
         super().__init__(folder, "planner", "planner", str(folder / "journal"), "--port", str(port), "--json")
@@ -203,23 +205,23 @@
         self.wait_port()
 
 
-class ProcessEdge(Child):
-    """An edge as a process of its own: stalled by SIGSTOP, killed by SIGKILL."""
+class ProcessEdge(ChildProcess):
+    """An edge as a separate process: stalled by SIGSTOP, killed by SIGKILL."""
 
     def __init__(self, folder: Path, deployment: Deployment) -> None:
         name = deployment.dispatcher.name
         file = folder / f"{name}-{time.monotonic_ns()}.json5"
-        file.write_text(json.dumps(plain(deployment)))
+        file.write_text(json.dumps(to_plain(deployment)))
         super().__init__(folder, name, "edge", str(file), "--json")
 
 
-def play_real(day: Day, deployment: Deployment, sink: BinaryIO, log: Log = quiet) -> World:
-    """The day on loopback sockets, in its own time. Edges are processes, stand-ins live in this one."""
+def play_real(day: Day, deployment: Deployment, sink: BinaryIO, log: Log = no_log) -> World:
+    """Runs the day on loopback sockets in real time. Edges are processes; stand-ins run in this one."""
     decided_by_module(day)
     from twisted.internet import reactor as default
 
     reactor: Any = default
-    reactor.seconds = time.monotonic  # a machine's clock set back must not move a timer
+    reactor.seconds = time.monotonic  # a change of the system clock must not move a timer
     made: list[ProcessEdge] = []
     worlds: list[World] = []
     planners: list[ProcessPlanner] = []
@@ -246,13 +248,14 @@
             when_up(world, reactor.seconds() + PATIENCE, begin_day)
 
         def when_up(world: World, until: float, then: Callable[[World], None]) -> None:
-            """Programs take seconds to start where the machine is busy."""
+            """Waits until all programs are up; they take seconds to start on a busy machine."""
             if world.up() or reactor.seconds() >= until:
                 return then(world)
             reactor.callLater(0.05, when_up, world, until, then)
 
         def begin_day(world: World) -> None:
-            """What is wanted before any edge is up would meet the first one all at once, and late."""
+            """Starts the traffic. Requests from before all edges are up would reach the first one late, in a
+            burst."""
             world.tape.put("day", "begins")
             world.begin_traffic()
             schedule(world)
@@ -260,7 +263,7 @@
             reactor.callLater(length, when_up, world, reactor.seconds() + length + PATIENCE, end_day)
 
         def end_day(world: World) -> None:
-            """Whoever was killed is back: a day that had to wait for that goes on for a moment."""
+            """Runs on for a moment, so that programs that restarted late also get traffic, then stops."""
             longest = max(m.deadline for m in deployment.methods.values()) / SECOND
             reactor.callLater(LAST, setattr, world, "over", True)
             reactor.callLater(LAST + longest + 1.0, reactor.stop)
@@ -269,10 +272,10 @@
         try:
             reactor.run()
         finally:
-            children: list[Child] = [*made, *planners, *holders]
+            children: list[ChildProcess] = [*made, *planners, *holders]
             for child in children:
                 child.stop()
             for child in children:
-                for line in child.lines():
+                for line in child.log_lines():
                     log("edge", name=child.name, line=line)
     return worlds[0]
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -1,4 +1,4 @@
-"""What a day's script may say: fleet, traffic and what goes wrong when."""
+"""Settings of a day's script: fleet, traffic, rollouts, and which faults are injected when."""
 
 from pathlib import Path
 from typing import Annotated, Any, Literal
@@ -22,7 +22,7 @@
     SettingsGroup,
 )
 
-Kind = Literal[
+FaultKind = Literal[
     "balancer_stall", "burst", "crash", "deploy", "discovery_stale", "fast_errors", "hot_key", "neighbour",
     "pauses", "preempt", "report_late", "retry_abuse", "scan", "slow", "throttle", "zone_loss",
     "refused", "broken", "silent", "delayed", "split", "garbled",
@@ -34,7 +34,7 @@
 
 
 class Machines(SettingsGroup):
-    """Runners of one kind, spread over the zones in turn."""
+    """Runners of one kind, spread over the zones round robin."""
 
     count: Annotated[int, Meta(ge=1, le=1000)] = 4
     cores: Annotated[int, Meta(ge=1, le=256)] = 4
@@ -46,6 +46,8 @@
 
 
 class StorePlan(SettingsGroup):
+    """Capacity of the package store, as in `standins.store`."""
+
     fetches: Annotated[float, Meta(gt=0)] = 12.0
     limit: Annotated[int, Meta(ge=1)] = 60
     tips_at: Annotated[float, Meta(gt=1)] = 3.0
@@ -57,51 +59,56 @@
     """The RPCs of one method."""
 
     share: Annotated[float, Meta(gt=0)] = 1.0
-    work: Duration = Duration(1_000)  # mean, on a yardstick core
-    memory: tuple[NonNegative, NonNegative] = (200.0, 600.0)
+    work: Duration = Duration(1_000)  # mean, on a core of speed 1
+    memory: tuple[NonNegative, NonNegative] = (200.0, 600.0)  # MB, least and most
     lanes: list[Annotated[int, Meta(ge=1, le=64)]] = field(default_factory=lambda: [1, 2])
+    # least and most time to load a copy
     load: tuple[Duration, Duration] = (Duration(4_000), Duration(10_000))
 
 
 class Traffic(SettingsGroup):
+    """Traffic of the clients, and how they behave."""
+
     rate: Annotated[float, Meta(gt=0)] = 100.0  # RPCs a second
     functions: Annotated[int, Meta(ge=1, le=100_000)] = 40
     popularity: NonNegative = 0.9  # exponent of Zipf's law
     methods: dict[str, Mix] = field(default_factory=dict)
-    hints: Fraction = 0.2  # how far hints of the work stray; 1: none given
+    hints: Fraction = 0.2  # greatest relative error of the hints of work; 1: no hints
     retries: Annotated[int, Meta(ge=0, le=100)] = 2
-    wait: Duration = Duration(2_000)
+    wait: Duration = Duration(2_000)  # least retry delay; it is up to twice as long
+    # part of the deadline after which a client gives an attempt up, least and most
     patience: tuple[Fraction, Fraction] = (0.5, 1.0)
-    marks: bool = True
-    heeds: bool = True
+    marks: bool = True  # clients mark retries
+    heeds: bool = True  # clients respect retry_after
 
 
-class Trouble(SettingsGroup):
-    """One thing that goes wrong, from `at` for `lasts`; other fields as the kind needs them."""
+class ScriptedFault(SettingsGroup):
+    """A fault that starts at `at` and lasts for `lasts`; kinds use the other fields as they need."""
 
-    kind: Kind
+    kind: FaultKind
     at: Duration
     lasts: Duration = Duration(50_000)
-    share: Fraction = 0.25  # of the runners, edges, holders, or RPCs that it meets
-    factor: NonNegative = 4.0  # times slower, times the traffic
-    by: Duration = Duration(20_000)  # how far behind, how long held
+    share: Fraction = 0.25  # of the runners, edges, holders, or RPCs affected
+    factor: NonNegative = 4.0  # factor of the slowdown, or of the traffic
+    by: Duration = Duration(20_000)  # delay
     zone: str = ""
     on: Literal["runners", "roster", "clients"] = "runners"
 
 
 class Wrongness(SettingsGroup):
-    """What is wrong with a version, and when it shows."""
+    """Defects of a version, and the conditions under which they show."""
 
-    errors: Fraction = 0.0  # of its calls
-    slower: NonNegative = 1.0
-    load_errors: Fraction = 0.0  # of its loads
-    when_busy: Fraction = 0.0  # only where at least this part of the cores is at work
-    customer: str = ""  # only for this one
-    after: Duration = Duration(0)  # only so long after it was first started
+    errors: Fraction = 0.0  # share of its calls that fail
+    slower: NonNegative = 1.0  # factor on the work of its calls
+    load_errors: Fraction = 0.0  # share of its loads that fail
+    when_busy: Fraction = 0.0  # only on runners with at least this part of the cores busy
+    customer: str = ""  # only for this customer
+    after: Duration = Duration(0)  # only this long after the rollout's start
 
 
 class Version(SettingsGroup):
-    """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back` (0: not)."""
+    """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back`
+    (0: never)."""
 
     function: str = field(name="fn", default="fn-0")
     candidate: str = "v2"
@@ -114,12 +121,14 @@
 
 
 class Day(SettingsGroup):
+    """A day's script."""
+
     name: str
     deployment: Any  # inline, or the path of a file beside the script
     length: Duration = Duration(200_000)
     seed: int = 1
     edges: Annotated[int, Meta(ge=1, le=1000)] = 3
-    # who decides; others than the module in the model only
+    # what decides: the decision module or, in the model only, a baseline policy
     policy: Literal["module", "random", "round robin", "fewest of two", "fewest", "hash", "greedy"] = "module"
     fleet: dict[str, Machines] = field(default_factory=lambda: {"plain": Machines(count=8)})
     fetch_share: Fraction = 0.7
@@ -129,17 +138,20 @@
     roster_lag: Duration = Duration(10_000)
     traffic: Traffic = field(default_factory=Traffic)
     rollouts: list[Version] = field(default_factory=list)
-    troubles: list[Trouble] = field(default_factory=list)
+    faults: list[ScriptedFault] = field(name="troubles", default_factory=list)
 
 
 def read_day(path: Path) -> tuple[Day, Deployment]:
-    """A checked script and its deployment. Raises DeploymentError."""
+    """Reads and checks a script and its deployment. Raises DeploymentError."""
     value, text = read_json5(path)
-    return make_day(value, text, path)
+    return parse_day(value, text, path)
+
 
+def parse_day(value: Any, text: str = "", path: Path | None = None) -> tuple[Day, Deployment]:
+    """Checks a script given as a value. Files are found relative to `path`, which errors name.
 
-def make_day(value: Any, text: str = "", path: Path | None = None) -> tuple[Day, Deployment]:
-    """The same from a value; `path` is where files are looked for and what errors name."""
+    Raises DeploymentError.
+    """
     source = str(path) if path else "the day"
     day = convert_value(value, Day, text, source)
     if isinstance(day.deployment, str):
@@ -153,7 +165,7 @@
         if name not in deployment.methods:
             known = ", ".join(deployment.methods)
             raise DeploymentError(f"{source}: traffic.methods.{name}: no such method; known: {known}")
-    for number, trouble in enumerate(day.troubles):
+    for number, trouble in enumerate(day.faults):
         if trouble.zone and trouble.zone not in deployment.zones:
             raise DeploymentError(
                 f'{source}: troubles.{number}.zone: is "{trouble.zone}"; known: {deployment.zones}'
@@ -163,8 +175,8 @@
     return day, deployment
 
 
-def plain(deployment: Deployment | HolderDeployment) -> Any:
-    """The deployment as plain values that `load`, or `load_holder`, takes again."""
+def to_plain(deployment: Deployment | HolderDeployment) -> Any:
+    """The deployment as plain values, which can be loaded again."""
 
     def span(value: Any) -> Any:
         if isinstance(value, Duration):
--- a/lapistrestle/standins/virtual.py
+++ b/lapistrestle/standins/virtual.py
@@ -1,8 +1,8 @@
-"""A reactor on a manual clock with in-memory transports, for the same protocol objects that run on sockets.
+"""A reactor on a virtual clock with in-memory transports, for the same protocol objects that run on sockets.
 
-Time is whole microseconds; what is due together runs in the order in which it was set. Each program under
-test gets a `Process` of it, which can stand still (its input and timers wait, as in a stopped process) or be
-killed outright (its connections break, nothing of it runs any more).
+Time is in whole microseconds. Calls that are due at the same time run in the order in which they were
+scheduled. Each program under test gets a `Process` as its reactor, which can be stalled (its input and timers
+wait, as in a stopped process) or killed (its connections break, and nothing of it runs any more).
 """
 
 from collections import deque
@@ -14,17 +14,19 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-LATENCY = 150  # microseconds one way
-SOCKET = 262_144  # bytes that the two socket buffers take together
-BUFFER = 65_536  # bytes in a transport's own buffer before its producer is paused
+LATENCY_US = 150  # microseconds one way
+SOCKET = 262_144  # bytes in the socket buffers of both ends together
+TRANSPORT_BUFFER = 65_536  # bytes in a transport's own buffer at which its producer is paused
 
 
 class DelayedCall:
-    """A call that is due; as Twisted's."""
+    """A scheduled call, with the interface of Twisted's DelayedCall."""
 
     __slots__ = ("args", "call", "done", "process", "when")
 
-    def __init__(self, when: int, process: "Process | None", call: Callable[..., Any], args: Any) -> None:
+    def __init__(
+        self, when: int, process: "VirtualProcess | None", call: Callable[..., Any], args: Any
+    ) -> None:
         self.when, self.process, self.call, self.args, self.done = when, process, call, args, False
 
     def active(self) -> bool:
@@ -35,7 +37,7 @@
 
 
 class VirtualReactor:
-    """The clock and the wires between processes."""
+    """The clock, and the network between processes."""
 
     def __init__(self, start: float = 1_000.0) -> None:
         self.now = round(start * 1e6)
@@ -43,14 +45,15 @@
         self.count = 0
         self.ports: dict[int, Listener] = {}
         self.datagrams: dict[int, Datagrams] = {}
-        self.links: Callable[[int, int], list[int]] = lambda source, target: [LATENCY]  # fates of a datagram
+        # by source and target port: latencies of a datagram's copies; none if it is lost
+        self.datagram_delays: Callable[[int, int], list[int]] = lambda source, target: [LATENCY_US]
         self.last_port = 20_000
 
     def seconds(self) -> float:
         return self.now / 1e6
 
-    def at(
-        self, delay: int, call: Callable[..., Any], *args: Any, process: "Process | None" = None
+    def schedule(
+        self, delay: int, call: Callable[..., Any], *args: Any, process: "VirtualProcess | None" = None
     ) -> DelayedCall:
         made = DelayedCall(self.now + max(0, delay), process, call, args)
         self.count += 1
@@ -58,7 +61,7 @@
         return made
 
     def run(self, until: float) -> None:
-        """Play everything that is due up to that second."""
+        """Runs everything that is due up to that time, in seconds."""
         end = round(until * 1e6)
         while self.heap and self.heap[0][0] <= end:
             when, _, due = heappop(self.heap)
@@ -77,15 +80,15 @@
         return self.last_port
 
 
-class Process:
-    """What one program sees of the reactor; Twisted's names, as far as they are used."""
+class VirtualProcess:
+    """One program's reactor, with the part of Twisted's interface that is used."""
 
     def __init__(self, reactor: VirtualReactor, name: str) -> None:
         self.reactor, self.name = reactor, name
         self.stalled = self.dead = False
-        self.timers: list[DelayedCall] = []  # due while it stood still
+        self.timers: list[DelayedCall] = []  # timers that came due during a stall
         self.inbox: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
-        self.transports: dict[Wire, None] = {}
+        self.transports: dict[VirtualTransport, None] = {}
         self.listeners: list[Listener] = []
 
     def awake(self) -> bool:
@@ -95,7 +98,7 @@
         return self.reactor.seconds()
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> DelayedCall:
-        return self.reactor.at(-int(-delay * 1e6 // 1), call, *args, process=self)
+        return self.reactor.schedule(-int(-delay * 1e6 // 1), call, *args, process=self)
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> "Listener":
         port = port or self.reactor.free_port()
@@ -107,14 +110,14 @@
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30) -> "Connector":
         connector = Connector(self, port, factory)
-        self.reactor.at(2 * LATENCY, connector.arrive, timeout)
+        self.reactor.schedule(2 * LATENCY_US, connector.arrive, timeout)
         return connector
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "") -> None:
         protocol.transport = self.reactor.datagrams[port] = Datagrams(self, port, protocol)
 
     def deliver(self, call: Callable[..., Any], *args: Any) -> None:
-        """Input reached this process; one that stands still finds it later."""
+        """Delivers input to this process; a stalled one gets it when it resumes."""
         if self.dead:
             return
         if self.stalled:
@@ -126,7 +129,7 @@
         self.stalled = True
 
     def resume(self) -> None:
-        """As a real reactor does: first the timers that are due, then the input that came meanwhile."""
+        """Ends a stall. As in a real reactor, due timers run first, then the input that has arrived."""
         if self.dead:
             return
         self.stalled = False
@@ -140,7 +143,7 @@
             call(*args)
 
     def kill(self) -> None:
-        """Gone at once: its connections break at the other end, and nothing of it runs again."""
+        """Kills the process: its connections break, and nothing of it runs again."""
         self.dead = True
         for listener in self.listeners:
             listener.close()
@@ -151,7 +154,7 @@
 
 
 class Listener:
-    def __init__(self, process: Process, port: int, factory: Any) -> None:
+    def __init__(self, process: VirtualProcess, port: int, factory: Any) -> None:
         self.process, self.port, self.factory = process, port, factory
 
     def getHost(self) -> IPv4Address:
@@ -166,9 +169,9 @@
 
 
 class Connector:
-    def __init__(self, process: Process, port: int, factory: Any) -> None:
+    def __init__(self, process: VirtualProcess, port: int, factory: Any) -> None:
         self.process, self.port, self.factory = process, port, factory
-        self.wire: Wire | None = None
+        self.wire: VirtualTransport | None = None
         self.given_up = False
 
     def disconnect(self) -> None:
@@ -182,12 +185,12 @@
             return
         if listener is None or listener.process.dead:
             return self.process.deliver(self.fail, ConnectionRefusedError())  # type: ignore[no-untyped-call]
-        here, there = Wire(self.process, self.port), Wire(listener.process, self.port)
+        here, there = VirtualTransport(self.process, self.port), VirtualTransport(listener.process, self.port)
         here.peer, there.peer, self.wire = there, here, here
         listener.process.deliver(there.accept, listener)
         self.process.deliver(self.made, here)
 
-    def made(self, wire: "Wire") -> None:
+    def made(self, wire: "VirtualTransport") -> None:
         if self.given_up:
             return wire.abortConnection()
         protocol = self.factory.buildProtocol(wire.getPeer())
@@ -200,16 +203,16 @@
             self.factory.clientConnectionFailed(self, Failure(why))  # type: ignore[no-untyped-call]
 
 
-class Wire:
-    """One end of a connection: a Twisted transport towards the protocol, bytes on a clock to the peer."""
+class VirtualTransport:
+    """One end of a connection: a Twisted transport for its protocol, which delivers bytes after a latency."""
 
-    def __init__(self, process: Process, port: int) -> None:
+    def __init__(self, process: VirtualProcess, port: int) -> None:
         self.process, self.reactor, self.port = process, process.reactor, port
-        self.peer: Wire
+        self.peer: VirtualTransport
         self.protocol: Any = None
-        self.unread: deque[bytes] = deque()  # arrived, not yet read
+        self.unread: deque[bytes] = deque()  # arrived and not yet read
         self.unread_size = 0
-        self.on_way = 0  # bytes written and not yet read at the other end
+        self.on_way = 0  # bytes written and not yet read by the peer
         self.reading, self.closed, self.ended = True, False, False
         self.producer: Any = None
         self.braked = False
@@ -219,7 +222,7 @@
     def disconnecting(self) -> bool:
         return self.closed
 
-    # made and unmade
+    # opening and closing
 
     def accept(self, listener: Listener) -> None:
         protocol = listener.factory.buildProtocol(self.getPeer())
@@ -239,24 +242,24 @@
         return IPv4Address("TCP", "127.0.0.1", self.port)
 
     def loseConnection(self) -> None:
-        """What was written still arrives."""
+        """Closes; what was written still arrives."""
         if not self.closed:
             self.closed = True
-            self.reactor.at(LATENCY, self.peer.process.deliver, self.peer.finish)
-            self.reactor.at(0, self.process.deliver, self.lost, ConnectionDone())
+            self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.finish)
+            self.reactor.schedule(0, self.process.deliver, self.lost, ConnectionDone())
 
     def abortConnection(self) -> None:
-        """What was written and not yet read may be lost."""
+        """Closes; what was written and not yet read may be lost."""
         self.closed = True
-        self.reactor.at(LATENCY, self.peer.process.deliver, self.peer.lost, ConnectionLost())
-        self.reactor.at(0, self.process.deliver, self.lost, ConnectionLost())
+        self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.lost, ConnectionLost())
+        self.reactor.schedule(0, self.process.deliver, self.lost, ConnectionLost())
 
     def break_off(self) -> None:
         self.closed = self.ended = True
-        self.reactor.at(LATENCY, self.peer.process.deliver, self.peer.lost, ConnectionLost())
+        self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.lost, ConnectionLost())
 
     def finish(self) -> None:
-        """The peer has closed: its end is met once everything before it has been read."""
+        """The peer has closed: the connection ends here once everything before that has been read."""
         self.ended = True
         self.read()
 
@@ -274,13 +277,13 @@
         if self.closed or not data:
             return
         self.on_way += len(data)
-        self.reactor.at(LATENCY, self.peer.arrive, data)
-        if self.producer is not None and not self.braked and self.on_way > SOCKET + BUFFER:
+        self.reactor.schedule(LATENCY_US, self.peer.arrive, data)
+        if self.producer is not None and not self.braked and self.on_way > SOCKET + TRANSPORT_BUFFER:
             self.braked = True
             self.producer.pauseProducing()
 
     def arrive(self, data: bytes) -> None:
-        """Bytes reached this end's socket, whether or not its process stands still."""
+        """Bytes reached this end's socket, whether or not its process is stalled."""
         self.unread.append(data)
         self.unread_size += len(data)
         self.process.deliver(self.read)
@@ -301,13 +304,13 @@
         if self.braked and self.on_way <= SOCKET:
             self.braked = False
             if self.producer is not None and not self.closed:
-                self.reactor.at(LATENCY, self.process.deliver, self.ease)
+                self.reactor.schedule(LATENCY_US, self.process.deliver, self.ease)
 
     def ease(self) -> None:
         if self.producer is not None and not self.closed and not self.braked:
             self.producer.resumeProducing()
 
-    # flow control and the like
+    # flow control and socket options
 
     def pauseProducing(self) -> None:
         self.reading = False
@@ -315,7 +318,7 @@
     def resumeProducing(self) -> None:
         if not self.reading:
             self.reading = True
-            self.reactor.at(0, self.process.deliver, self.read)
+            self.reactor.schedule(0, self.process.deliver, self.read)
 
     def stopProducing(self) -> None:
         self.loseConnection()
@@ -330,12 +333,12 @@
 
 
 class Datagrams:
-    def __init__(self, process: Process, port: int, protocol: Any) -> None:
+    def __init__(self, process: VirtualProcess, port: int, protocol: Any) -> None:
         self.process, self.port, self.protocol = process, port, protocol
 
     def write(self, data: bytes, address: tuple[str, int]) -> None:
-        for delay in self.process.reactor.links(self.port, address[1]):
-            self.process.reactor.at(delay, self.pass_on, data, address[1])
+        for delay in self.process.reactor.datagram_delays(self.port, address[1]):
+            self.process.reactor.schedule(delay, self.pass_on, data, address[1])
 
     def pass_on(self, data: bytes, port: int) -> None:
         there = self.process.reactor.datagrams.get(port)
