--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -198,7 +198,7 @@
             self.watch_writes(True)
             return
         if self.closing:
-            self.drop("closed")
+            self.drop("done")
             return
         if self.writing:
             self.watch_writes(False)
@@ -209,7 +209,7 @@
         self.closing = True
         self.watch_reads(False)
         if not self.unsent:
-            self.drop("closed")
+            self.drop("done")
 
     def connect_timed_out(self, _: object = None) -> None:
         """The connect timeout has passed."""
