--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -8,6 +8,7 @@
 from lapistrestle.edge.work_gate import REREAD_INTERVAL
 from lapistrestle.hosting.requests import PendingRequest, RequestEnd
 from lapistrestle.rollout.version_choice import attempt_key
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, message_decoder
 
@@ -40,7 +41,7 @@
     def __init__(self, edge: Any, number: int) -> None:
         super().__init__(edge.bounds)
         self.edge, self.name = edge, f"c{number}"
-        self.open: dict[str, PendingRequest] = {}
+        self.open_requests: dict[str, PendingRequest] = {}
         self.read_at = 0  # time of the last read
 
     def greeting(self) -> wire.Hello:
@@ -56,7 +57,7 @@
             case wire.Call():
                 self.call(message)
             case wire.CancelRequest():
-                pending = self.open.pop(message.id, None)
+                pending = self.open_requests.pop(message.id, None)
                 if pending is not None:
                     self.edge.host.client_gone(pending)
             case wire.InspectRequest():
@@ -74,7 +75,7 @@
     def call(self, call: wire.Call) -> None:
         """Check a call, route it to a version, and hand it to the host unless it is rejected."""
         edge = self.edge
-        if call.id in self.open:
+        if call.id in self.open_requests:
             return self.send_message(wire.Fault(f"id {call.id} is open on this connection", call.id))
         method = edge.methods.get(call.method)
         if method is None:
@@ -85,8 +86,8 @@
         customer = edge.customers.get(call.customer) if edge.customers else 0
         if customer is None:
             return self.send_message(wire.Fault(f'customer "{call.customer}" is not known', call.id))
-        time_left = int(call.timeout * 10) - edge.margin
-        is_full = len(self.open) >= self.limits.max_open_calls
+        time_left = int(call.timeout * MILLISECOND) - edge.margin
+        is_full = len(self.open_requests) >= self.limits.max_open_calls
         if (
             is_full
             or edge.stopping
@@ -94,7 +95,7 @@
             or (edge.planner is not None and edge.planner.awaits_first_plan())
         ):
             edge.counts["turned away"] += 1
-            retry_after = edge.settings.max_retry_after / 10 if time_left > 0 else 0.0
+            retry_after = edge.settings.max_retry_after / MILLISECOND if time_left > 0 else 0.0
             return self.send_message(wire.Answer(call.id, RequestEnd.REJECTED.value, retry_after))
         route = edge.route(call, self, method)
         if not route.name:
@@ -107,7 +108,7 @@
         if admission_retry_after is not None:  # rejected by admission control; no worker has seen it
             edge.counts["turned away"] += 1
             return self.send_message(
-                wire.Answer(call.id, RequestEnd.REJECTED.value, admission_retry_after / 10)
+                wire.Answer(call.id, RequestEnd.REJECTED.value, admission_retry_after / MILLISECOND)
             )
         edge.accept_call(self, call, method, customer, time_left, route)
 
@@ -130,8 +131,10 @@
 
     def answer(self, pending: PendingRequest, verdict: RequestEnd, retry_after: int, body: Any) -> None:
         call = pending.message
-        self.open.pop(call.id, None)
-        self.send_message(wire.Answer(call.id, VERDICTS[verdict], retry_after / 10, body or wire.NO_BODY))
+        self.open_requests.pop(call.id, None)
+        self.send_message(
+            wire.Answer(call.id, VERDICTS[verdict], retry_after / MILLISECOND, body or wire.NO_BODY)
+        )
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
         try:
@@ -144,7 +147,7 @@
     def connection_lost(self) -> None:
         self.edge.input_received()
         self.edge.client_connections.pop(self, None)
-        requests, self.open = list(self.open.values()), {}
+        requests, self.open_requests = list(self.open_requests.values()), {}
         for pending in requests:
             self.edge.host.client_gone(pending)
 
@@ -173,12 +176,12 @@
         if self.listening_port is not None:
             self.listening_port.stopListening()
 
-    def open(self) -> list[PendingRequest]:
-        return [pending for client in self.client_connections for pending in client.open.values()]
+    def open_requests(self) -> list[PendingRequest]:
+        return [pending for client in self.client_connections for pending in client.open_requests.values()]
 
     def has_pending_io(self) -> bool:
         return False  # Twisted's transports write their buffers before they close
 
-    def end(self) -> None:
+    def close_all(self) -> None:
         for client in list(self.client_connections):
             client.close_with_reason("the edge stops")
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -25,6 +25,7 @@
 # reads per connection after a stall: a request with the longest body, and what follows it
 READS_AFTER_STALL = 4
 MAX_LOGGED = 100  # log lines of one event
+FINISH_CHECK_INTERVAL = 100  # ticks between two checks whether a shutdown is complete
 ANSWER_FLUSH_TIME = 300  # ticks that answers may take to be sent once all requests were aborted
 
 
@@ -33,9 +34,9 @@
 
     def listen(self) -> int: ...  # returns the port
     def close(self) -> None: ...  # accept no new connections
-    def open(self) -> list[PendingRequest]: ...  # the requests without a final answer
+    def open_requests(self) -> list[PendingRequest]: ...  # the requests without a final answer
     def has_pending_io(self) -> bool: ...  # while stopping: answers are unsent or received data is unread
-    def end(self) -> None: ...  # close every connection
+    def close_all(self) -> None: ...  # close every client connection
 
 
 class RunnerHandle(Protocol):
@@ -187,9 +188,9 @@
         """
         self.work_gate.update(workers, whole)
         self.host.endpoints_received(workers, whole)
-        for facts in workers:
-            if facts.endpoint_state is not EndpointState.SERVING and facts.name in self.runners:
-                self.runners[facts.name].discard_unsent()
+        for worker in workers:
+            if worker.endpoint_state is not EndpointState.SERVING and worker.name in self.runners:
+                self.runners[worker.name].discard_unsent()
 
     def address_received(self, name: str, address: Any, start: str = "") -> None:
         """Note the address of a runner; an empty one removes it.
@@ -278,7 +279,7 @@
         A second call aborts the open requests and allows their answers ANSWER_FLUSH_TIME ticks to be sent.
         """
         if self.stopping:
-            self.host.abort_all(self.front.open())
+            self.host.abort_all(self.front.open_requests())
             self.answer_flush_deadline = (
                 self.clock() + ANSWER_FLUSH_TIME
                 if self.answer_flush_deadline is None
@@ -295,7 +296,7 @@
         late = self.answer_flush_deadline is not None and self.clock() >= self.answer_flush_deadline
         if late or not (self.host.open_requests or self.front.has_pending_io()):
             return self.finish()
-        self.after(100, self.check_finished, None)
+        self.after(FINISH_CHECK_INTERVAL, self.check_finished, None)
 
     def finish(self) -> None:
         stopped, self.stopped = self.stopped, None
@@ -304,7 +305,7 @@
         self.log("stopped", **self.host.counts, **self.counts)
         for source in self.sources:
             source.stop()
-        self.front.end()
+        self.front.close_all()
         for runner in self.runners.values():
             runner.end()
         stopped()
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -31,6 +31,7 @@
 from lapistrestle.hosting.requests import PendingRequest, WorkerCall
 from lapistrestle.hosting.timers import Timer
 from lapistrestle.policy.entities import Function
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.directory import Renewed
 
 HEARTBEATS_WITHIN_SILENCE = 3  # heartbeats within the silence after which a holder is considered lost
@@ -238,6 +239,6 @@
                 "size": sums.size,
                 "warm": sums.warm,
                 "instances": sums.instances,
-                "told ms ago": (self.edge.clock() - self.region.since) / 10,
+                "told ms ago": (self.edge.clock() - self.region.since) / MILLISECOND,
             },
         }
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -17,6 +17,7 @@
 )
 from lapistrestle.overload.worker_verdicts import WorkerVerdicts, select_probers
 from lapistrestle.policy.entities import Worker
+from lapistrestle.ticks import MILLISECOND
 
 
 class FleetMember:
@@ -166,9 +167,9 @@
                           "refused": endpoint.datagrams_rejected + self.admission.counters.rejected},
             "members": [
                 {"name": m.name, "zone": m.record.zone, "port": m.record.port, "is": m.status.name.lower(),
-                 "for ms": (now - m.status_since) / 10, "incarnation": m.record.incarnation,
+                 "for ms": (now - m.status_since) / MILLISECOND, "incarnation": m.record.incarnation,
                  "accused by": sorted(m.suspected_by),
-                 "heard ms ago": (now - m.last_heard_at) / 10 if m.last_heard_at >= 0 else None}
+                 "heard ms ago": (now - m.last_heard_at) / MILLISECOND if m.last_heard_at >= 0 else None}
                 for _, m in sorted(members.members.items())
             ],
         }  # fmt: skip
--- a/lapistrestle/edge/known_workers.py
+++ b/lapistrestle/edge/known_workers.py
@@ -9,6 +9,7 @@
 
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.sources.numbered_list import ListAction, NumberedList
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire.messages import RosterEntry, RosterSnapshot, RosterUpdate
 
 ENDPOINT_STATES = {  # by their names on the wire
@@ -71,7 +72,7 @@
         """
         if start == known.start or not start:
             return False
-        booted = None if up_for is None else now - int(up_for * 10)
+        booted = None if up_for is None else now - int(up_for * MILLISECOND)
         if not first and known.booted is not None and booted is not None and booted < known.booted:
             return False  # the notice is stale: it names an earlier start
         known.start, known.booted = start, booted
--- a/lapistrestle/edge/planner_source.py
+++ b/lapistrestle/edge/planner_source.py
@@ -140,7 +140,7 @@
         """
         function = self.owner.host.registry.functions.get(name)
         for client in list(self.owner.client_connections):
-            for pending in list(client.open.values()):
+            for pending in list(client.open_requests.values()):
                 if pending.function is function and not pending.in_flight and pending.may_have_run_on is None:
                     self.owner.host.retract(pending)
                     self.owner.restart_call(pending)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -22,6 +22,7 @@
 from lapistrestle.rollout.version_choice import VersionChoice, attempt_key, choose_after_denial
 from lapistrestle.sources.numbered_list import ListAction, ListEvent
 from lapistrestle.sources.roster import RosterSource
+from lapistrestle.ticks import MILLISECOND
 from lapistrestle.wire import messages as wire
 
 
@@ -186,7 +187,7 @@
 
         With a directory it may have to wait until the prefix of its function is known.
         """
-        load_time = None if call.load_time is None else int(call.load_time * 10)
+        load_time = None if call.load_time is None else int(call.load_time * MILLISECOND)
         awaits_prefix = False
         if self.directory is not None:
             function = self.host.registry.function(route.name, method, call.memory, call.lanes, load_time)
@@ -194,14 +195,14 @@
         pending = self.host.request_received(
             client=client, message=call, tag=f"{client.name}/{call.id}", function_name=route.name,
             method=method, customer=customer, time_left=time_left, memory_mb=call.memory, lanes=call.lanes,
-            work=None if call.work is None else max(1, int(call.work * 10)), repeat=call.is_retry,
+            work=None if call.work is None else max(1, int(call.work * MILLISECOND)), repeat=call.is_retry,
             route=route, load_time=load_time, already_counted=moved, prior_attempts=prior_attempts,
             awaits_prefix=awaits_prefix,
         )  # fmt: skip
         if awaits_prefix:
             self.directory.wait(pending)
         if not pending.is_closed:
-            client.open[call.id] = pending
+            client.open_requests[call.id] = pending
 
     def restart_call(self, pending: PendingRequest) -> None:
         """Restart an RPC that did not run on a barred version under the settled one, in the time left."""
--- a/lapistrestle/edge/reactor.py
+++ b/lapistrestle/edge/reactor.py
@@ -9,6 +9,7 @@
 from contextlib import nullcontext
 from typing import Any
 
+GC_THRESHOLDS = (50_000, 20, 100)  # of the three generations
 START_DELAY = 0.02  # seconds between the start of the reactor and that of the program
 TCP_INFO_LAST_RECEIVED = struct.Struct(
     "=52xI"
@@ -21,11 +22,11 @@
     The kernel's resolution is a few milliseconds.
     """
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVED.size)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_RECEIVED.size)
     except OSError:
         return 0.0
     milliseconds: int = (
-        TCP_INFO_LAST_RECEIVED.unpack(told)[0] if len(told) == TCP_INFO_LAST_RECEIVED.size else 0
+        TCP_INFO_LAST_RECEIVED.unpack(info)[0] if len(info) == TCP_INFO_LAST_RECEIVED.size else 0
     )
     return milliseconds / 1000
 
@@ -37,19 +38,19 @@
     data read now arrived after the former. `around`: a context manager entered for each poll, which the
     program may set. `unread_for`: the function of this module.
     """
-    from twisted.internet import reactor
+    from twisted.internet import reactor as twisted_reactor
 
-    made: Any = reactor
-    made.seconds = time.monotonic
-    iterate, made.looked, made.around = made.doIteration, (time.monotonic(),) * 2, nullcontext
+    reactor: Any = twisted_reactor
+    reactor.seconds = time.monotonic
+    iterate, reactor.looked, reactor.around = reactor.doIteration, (time.monotonic(),) * 2, nullcontext
 
-    def look(delay: float) -> None:
-        made.looked = made.looked[1], time.monotonic()
-        with made.around():
+    def poll(delay: float) -> None:
+        reactor.looked = reactor.looked[1], time.monotonic()
+        with reactor.around():
             iterate(delay)
 
-    made.doIteration, made.unread_for = look, unread_for
-    return made
+    reactor.doIteration, reactor.unread_for = poll, unread_for
+    return reactor
 
 
 def run(reactor: Any, begin: Callable[[], None], signals: Mapping[int, Callable[[], None]]) -> None:
@@ -63,7 +64,7 @@
     # Objects that exist at the start are never garbage, and RPCs leave no reference cycles. Full collections
     # find next to nothing, but each delays all RPCs by tens of milliseconds. So they are made rare.
     gc.freeze()
-    gc.set_threshold(50_000, 20, 100)
+    gc.set_threshold(*GC_THRESHOLDS)
     for number, call in signals.items():
         signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
     reactor.callWhenRunning(reactor.callLater, START_DELAY, begin)
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -15,6 +15,7 @@
 from lapistrestle.hosting.host import ModuleHost
 from lapistrestle.hosting.requests import NO_REPORT, WorkerCall, WorkerTask
 from lapistrestle.policy.types import LoadState, Outcome
+from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
@@ -31,9 +32,9 @@
 def call_message(worker_call: WorkerCall, now: int) -> wire.Run:
     """The message of an attempt, with the time left to it at `now`."""
     pending, request = worker_call.pending, worker_call.pending.message
-    left = max(1, worker_call.expires_at - now) / 10
+    time_left = max(1, worker_call.expires_at - now) / MILLISECOND
     return wire.Run(
-        worker_call.number, pending.tag, pending.function.name, request.method, left, request.customer,
+        worker_call.number, pending.tag, pending.function.name, request.method, time_left, request.customer,
         request.memory, request.lanes, request.token, request.key, request.body,
     )  # fmt: skip
 
@@ -255,7 +256,7 @@
 
     def dial(self) -> None:
         dial = self.dial_in_progress = RunnerDial(self)
-        timeout = self.edge.settings.connect_timeout / 10_000
+        timeout = self.edge.settings.connect_timeout / SECOND
         self.stop_greeting_timer()
         self.greeting_timer = self.edge.reactor.callLater(timeout, self.greeting_timed_out, dial)
         self.connector = self.edge.reactor.connectTCP("127.0.0.1", self.address, dial, timeout=timeout)
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -12,9 +12,9 @@
 class WaitingRequests:
     """The waiting requests of one edge, by function, with counters. Times are ticks on the edge's clock."""
 
-    def __init__(self, edge: Any, lookup_time_out: int) -> None:
-        """`lookup_time_out` is the time within which every look-up ends, in ticks."""
-        self.edge, self.lookup_time_out = edge, lookup_time_out
+    def __init__(self, edge: Any, lookup_timeout: int) -> None:
+        """`lookup_timeout` is the time within which every look-up ends, in ticks."""
+        self.edge, self.lookup_timeout = edge, lookup_timeout
         # with the timer of a deadline that comes before the look-up's timeout
         self.by_function: dict[str, dict[PendingRequest, Timer | None]] = {}
         self.counts = dict.fromkeys(("waited", "looked up", "failed", "late"), 0)
@@ -31,7 +31,7 @@
         """Add a request."""
         self.counts["waited"] += 1
         now, timer = self.edge.clock(), None
-        if pending.deadline < now + self.lookup_time_out:
+        if pending.deadline < now + self.lookup_timeout:
             timer = self.edge.after(max(0, pending.deadline - now), self.deadline_passed, pending)
         self.by_function.setdefault(pending.function.name, {})[pending] = timer
 
@@ -69,5 +69,5 @@
     def reject(self, pending: PendingRequest, retry_after: int) -> None:
         """Reject a request as not run. `retry_after`, in ticks, is sent to the client as settings allow."""
         settings = self.edge.settings
-        told = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
-        self.edge.host.reject(pending, told)
+        allowed_retry_after = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
+        self.edge.host.reject(pending, allowed_retry_after)
--- a/lapistrestle/node/configuration.py
+++ b/lapistrestle/node/configuration.py
@@ -184,8 +184,8 @@
     def report_names(self) -> dict[str, str]:
         """Names of load report values on the wire, mapped to the module's names."""
         names = translation.settings_group(self.file.settings, "reporting").get("names") or []
-        socket = {wire: said for said, wire in translation.REPORT_FIGURES.items()}
-        return {socket.get(name, name): name for name in names} | {name: name for name in names}
+        module_names = {wire_name: name for name, wire_name in translation.REPORT_FIGURES.items()}
+        return {module_names.get(name, name): name for name in names} | {name: name for name in names}
 
 
 def split_address(address: str) -> tuple[str, int]:
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -230,9 +230,9 @@
         That happens without a return to the reactor: lines queued to draining runners are discarded with it.
         """
         workers = tuple(self.worker_info(record) for record in records)
-        named = {record.name for record in records}
+        listed = {record.name for record in records}
         self.core.endpoints_received(workers, whole)
-        for name in [name for name in self.core.runners if name not in named] if whole else ():
+        for name in [name for name in self.core.runners if name not in listed] if whole else ():
             self.core.address_received(name, None)
         at = {runner.address[0]: name for name, runner in self.core.runners.items()}
         for record in records:
--- a/lapistrestle/node/fastcgi.py
+++ b/lapistrestle/node/fastcgi.py
@@ -326,9 +326,9 @@
 def encode_values_result(content: bytes) -> bytes:
     """Encode the answer to FCGI_GET_VALUES: the known ones of the requested variables."""
     known = {b"FCGI_MAX_CONNS": b"64", b"FCGI_MAX_REQS": b"2048", b"FCGI_MPXS_CONNS": b"1"}
-    asked = decode_pairs(content) or {}
+    requested = decode_pairs(content) or {}
     return encode_record(
-        GET_VALUES_RESULT, 0, b"".join(encode_pair(n, v) for n, v in known.items() if n in asked)
+        GET_VALUES_RESULT, 0, b"".join(encode_pair(n, v) for n, v in known.items() if n in requested)
     )
 
 
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -112,11 +112,11 @@
             connection.read_on()
         return not emptied or any(connection.unsent for connection in [*self.connections, *self.closing])
 
-    def open(self) -> list[PendingRequest]:
+    def open_requests(self) -> list[PendingRequest]:
         """The requests without a final answer."""
         return [pending for connection in self.connections for pending in connection.requests.values()]
 
-    def end(self) -> None:
+    def close_all(self) -> None:
         """Close every connection immediately."""
         if self.listener is not None:
             self.listener.close()
--- a/lapistrestle/node/invocation.py
+++ b/lapistrestle/node/invocation.py
@@ -8,6 +8,7 @@
 from lapistrestle.node import fastcgi
 from lapistrestle.node.configuration import Configuration
 from lapistrestle.policy.settings import Settings
+from lapistrestle.ticks import MILLISECOND
 
 MAX_WORK = 600_000.0  # milliseconds
 MAX_MEMORY = 1e6  # MB
@@ -140,7 +141,7 @@
         name, method = profile.name.encode(), settings.methods[number]
         quoted = name.replace(b"\\", b"\\\\").replace(b'"', b'\\"')
         has_key = method.kind == "tokened"
-        methods[b"/invoke/" + name] = Method(number, quoted, method.deadline / 10, has_key)
+        methods[b"/invoke/" + name] = Method(number, quoted, method.deadline / MILLISECOND, has_key)
     return methods
 
 
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -286,10 +286,10 @@
         """Write a line; False if none of it was sent. Unless all of it was sent, the connection is slow."""
         if self.stream is None:
             return False
-        left = self.stream.offer(line, number)
-        if not left or (self.stream is not None and self.stream.unsent):
+        is_sent = self.stream.offer(line, number)
+        if not is_sent or (self.stream is not None and self.stream.unsent):
             self.state_machine.step(ConnectionEvent.WRITE_BLOCKED)
-        return left
+        return is_sent
 
     def close(self) -> None:
         """Close the connection."""
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -116,9 +116,9 @@
 
     def run_line(self, worker_call: WorkerCall) -> bytes:
         """The line of an attempt, with the time left to it now."""
-        message, left = worker_call.pending.message, worker_call.expires_at - self.core.clock()
+        message, time_left = worker_call.pending.message, worker_call.expires_at - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
-            message.id, message.head, max(1, left // MILLISECOND), message.key, b64encode(message.body),
+            message.id, message.head, max(1, time_left // MILLISECOND), message.key, b64encode(message.body),
         )  # fmt: skip
 
     def send_preload(self, task: WorkerTask) -> None:
@@ -157,7 +157,7 @@
         self.report_names = configuration.report_names
         self.reports_concurrency = core.settings.reports_concurrency
         idle = limits.conn_idle // MICROSECONDS
-        self.idle_limit = max(idle * 6 // 10, idle - 2 * SECOND)  # before the runner closes it
+        self.idle_limit = max(idle * 6 // 10, idle - 2 * SECOND)  # ahead of the runner's own limit
         self.max_connections = (
             configuration.file.limits.sockets * RUNNER_SOCKETS_SHARE[0] // RUNNER_SOCKETS_SHARE[1]
         )
--- a/lapistrestle/node/streams.py
+++ b/lapistrestle/node/streams.py
@@ -15,15 +15,17 @@
 from typing import Any, Protocol
 
 from lapistrestle.edge.work_gate import REREAD_INTERVAL
+from lapistrestle.ticks import SECOND
 
 RETRIABLE_ERRORS = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
 OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 # seconds without accepting after running out of descriptors: the listener stays readable and would spin
 ACCEPT_PAUSE = 0.1
+ACCEPT_QUEUE = 1_024  # connections that the kernel holds until they are accepted
 READ_SIZE = 16_384  # bytes per read
 MAX_READS = 64  # reads of one connection at once: more than all open requests of a client need
 # seconds after reading all data of a connection until it is read again on demand
-REREAD_INTERVAL_SECONDS = REREAD_INTERVAL / 10_000
+REREAD_INTERVAL_SECONDS = REREAD_INTERVAL / SECOND
 
 
 class Reactor(Protocol):
@@ -283,7 +285,7 @@
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             self.sock.bind((host, port))
-            self.sock.listen(1024)
+            self.sock.listen(ACCEPT_QUEUE)
         except OSError:
             self.sock.close()
             raise
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -471,5 +471,5 @@
     stage.run(0.002)
     first, second = module.preload_budget.requests
     assert came <= first < came + 20 and second - first >= 1_900
-    (waited,) = [p for p in stage.edge.front.open() if p.function.name == "f"]
+    (waited,) = [p for p in stage.edge.front.open_requests() if p.function.name == "f"]
     assert waited.accepted_at == first and waited.attempts
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -93,7 +93,7 @@
         return [said for runner in self.runners for said in runner.runs]
 
     def close(self) -> None:
-        self.node.core.front.end()
+        self.node.core.front.close_all()
         self.node.core.stop(lambda: None)
         self.hand.run(0.1)
         listening: list[Any] = [self.board, *self.runners]
@@ -434,7 +434,7 @@
     stage.hand.until(lambda: client.status(numbers[-1]) is not None)
     over = [n for n in numbers if client.codes.get(n) == fastcgi.OVERLOADED]
     assert over and len(over) + stage.host.counts["taken"] == 40
-    assert len(stage.node.front.open()) <= 32
+    assert len(stage.node.front.open_requests()) <= 32
 
 
 def test_an_aborted_request_ends_and_its_id_is_free(stage: Any) -> None:
