--- a/tests/test_linking.py
+++ b/tests/test_linking.py
@@ -29,16 +29,16 @@
         self.acts.append("close")
 
     def schedule_redial(self, delay):
-        self.acts.append(("ask", delay))
+        self.acts.append(("redial", delay))
 
     def report_unreachable(self, numbers):
-        self.acts.append(("never left", numbers))
+        self.acts.append(("unreachable", numbers))
 
     def report_not_sent(self, numbers):
         self.acts.append(("not sent", numbers))
 
     def report_lost(self, numbers):
-        self.acts.append(("broke", numbers))
+        self.acts.append(("lost", numbers))
 
 
 def send(link, number, data, prompt=False, **more):
@@ -74,7 +74,7 @@
     send(link, 1, b"a")
     link.step(why)
     assert (
-        ("never left", [1]) in link.callbacks.acts
+        ("unreachable", [1]) in link.callbacks.acts
         and not link.in_flight
         and link.state is ConnectionState.BACKOFF
     )
@@ -85,9 +85,9 @@
     open_link.step(ConnectionEvent.WRITE_BLOCKED)
     send(open_link, 2, b"b")
     open_link.step(ConnectionEvent.LOST)
-    assert [a for a in open_link.callbacks.acts if a[0] in ("never left", "broke")] == [
-        ("never left", [2]),
-        ("broke", [1]),
+    assert [a for a in open_link.callbacks.acts if a[0] in ("unreachable", "lost")] == [
+        ("unreachable", [2]),
+        ("lost", [1]),
     ]
 
 
@@ -159,7 +159,7 @@
     """
     open_link.callbacks.write = lambda line, number=0: open_link.step(ConnectionEvent.LOST) is None
     send(open_link, 1, b"a")
-    assert ("broke", [1]) in open_link.callbacks.acts and not open_link.in_flight
+    assert ("lost", [1]) in open_link.callbacks.acts and not open_link.in_flight
 
 
 def test_a_line_of_which_nothing_was_sent_is_queued_and_can_be_cancelled(open_link):
