--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
     return stages(runners=1)
 
 
-class Closed:
+class FullListener:
     """The accept queue of a runner's listener is full: connects are not answered until it is opened again."""
 
     def __init__(self, stage: Any, at: int = 0) -> None:
@@ -61,12 +61,12 @@
     return [connection for runner in stage.node.core.runners.values() for connection in runner.connections]
 
 
-def held(stage: Any) -> Any:
+def queued_lines(stage: Any) -> Any:
     """Lines queued for a connection."""
     return [line for connection in connections(stage) for line in connection.state_machine.queued]
 
 
-def slow(stage: Any) -> Any:
+def fill_connection(stage: Any) -> Any:
     """Make the runner stop reading until its connection is full."""
     client = stage.client()
     first = client.ask()
@@ -87,15 +87,15 @@
 @pytest.mark.parametrize("how", ["aborts", "closes"])
 def test_a_line_queued_for_a_connection_is_not_sent_once_its_client_has_gone(stage: Any, how: Any) -> None:
     """Guards against sending the line once the connection is established, up to a connect timeout later."""
-    closed, client = Closed(stage), stage.client()
+    closed, client = FullListener(stage), stage.client()
     number = client.ask(method="bill")
-    stage.hand.until(lambda: held(stage))
+    stage.hand.until(lambda: queued_lines(stage))
     if how == "aborts":
         client.give_up(number)
     else:
         client.drop("gone")
     stage.hand.until(lambda: stage.host.counts["left"])
-    assert not held(stage) and not stage.host.worker_calls
+    assert not queued_lines(stage) and not stage.host.worker_calls
     closed.open()
     stage.hand.until(
         lambda: all(
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("how", ["aborts", "times out", "drains"])
 def test_a_line_that_a_full_socket_did_not_accept_is_not_sent_later(stage: Any, how: Any) -> None:
     """Guards against buffering the line in the connection, where nothing but its close can cancel it."""
-    client, line, connection = slow(stage)
+    client, line, connection = fill_connection(stage)
     before = len(stage.runs())
     number = client.ask(method="bill", patience="300")
     stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
@@ -131,7 +131,7 @@
     assert len(stage.runs()) == before
 
 
-def connected(stage: Any) -> None:
+def open_connections(stage: Any) -> None:
     """Open a connection to every runner."""
     for runner in stage.node.core.runners.values():
         runner.open_one()
@@ -142,7 +142,7 @@
     )
 
 
-def still(stage: Any, seconds: Any) -> None:
+def stall(stage: Any, seconds: Any) -> None:
     """Stall the program while data in transit arrives."""
     stage.hand.rightNow += seconds
 
@@ -153,7 +153,7 @@
     stage: Any, how: Any, known: Any
 ) -> None:
     """Guards against starting a request whose close is in the socket behind it after a stall."""
-    connected(stage)
+    open_connections(stage)
     listener = stage.node.front.listener
     stage.hand.removeReader(listener)
     client = WebServer(stage.hand, stage.port)
@@ -168,7 +168,7 @@
         client.give_up(1)
     else:
         client.drop("gone")
-    still(stage, 0.3)
+    stall(stage, 0.3)
     stage.hand.quiet()
     assert stage.runs() == [] and stage.host.counts["left"] == 1 and stage.host.open_requests == 0
 
@@ -176,7 +176,7 @@
 def test_no_retry_is_started_for_a_client_that_disconnected_during_a_stall(stages: Any) -> None:
     """Guards against a retry when the runner's rejection is read before the client's close."""
     stage, got = stages(runners=2), []
-    connected(stage)
+    open_connections(stage)
     client, other = stage.client(), stage.client()
     for runner in stage.runners:
         runner.on_run = lambda line, said: got.append((line, said))
@@ -189,7 +189,7 @@
     stage.hand.readers.pop(connection)
     stage.hand.readers[connection] = None  # its close is read last in the poll that brings both
     assert other.closed == "" and len(stage.runs()) == 1
-    still(stage, 0.3)
+    stall(stage, 0.3)
     stage.hand.quiet()
     assert len(stage.runs()) == 1 and stage.host.counts["left"] == 1
 
@@ -206,7 +206,7 @@
     stage.runners[0].answer(line, said)
     line.drop("idle")
     second = client.ask(method="bill")
-    still(stage, 0.3)
+    stall(stage, 0.3)
     stage.hand.until(lambda: client.status(second) is not None)
     assert client.status(first) == 200 and client.status(second) == 200
 
@@ -240,12 +240,12 @@
     stage.module.orders.function_order = lambda function: sorted(
         stage.module.endpoints.ring, key=lambda worker: worker.name
     )
-    closed, client = Closed(stage, at=1), stage.client()
+    closed, client = FullListener(stage, at=1), stage.client()
     stage.runners[0].on_run = lambda line, said: line.reset()
     number = client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a")
-    stage.hand.until(lambda: len(stage.runs()) == 1 and held(stage))
+    stage.hand.until(lambda: len(stage.runs()) == 1 and queued_lines(stage))
     stage.hand.run(0.16)
-    assert held(stage) and client.status(number) is None
+    assert queued_lines(stage) and client.status(number) is None
     closed.open()
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == 500 and len(stage.runs()) == 1
@@ -264,19 +264,19 @@
         line.reset()
     else:
         stage.runners[0].answer(line, said)
-    still(stage, 2.0)
+    stall(stage, 2.0)
     stage.hand.until(lambda: client.status(number) is not None)
     stage.hand.run(1.0)
     assert client.status(number) == 200 and client.ends == [number] and len(stage.runs()) == 1
 
 
 def test_nothing_is_sent_on_a_connection_established_after_its_dial_timed_out(stage: Any) -> None:
-    closed, client = Closed(stage), stage.client()
+    closed, client = FullListener(stage), stage.client()
     number = client.ask(method="bill")
-    stage.hand.until(lambda: held(stage))
+    stage.hand.until(lambda: queued_lines(stage))
     stage.hand.run(2.1)  # several dials in a row time out
     stage.hand.until(lambda: client.status(number) is not None)
-    assert client.status(number) == 503 and not held(stage)
+    assert client.status(number) == 503 and not queued_lines(stage)
     closed.open()
     stage.hand.run(2.0)
     assert stage.runs() == [] and client.ends == [number]
@@ -285,7 +285,7 @@
 # shutdown
 
 
-def leaving(stage: Any) -> Any:
+def shut_down(stage: Any) -> Any:
     """Shut down as after SIGTERM. The returned list holds the time once the program has ended."""
     stopped = []
     stage.node.shut_down(lambda: stopped.append(stage.hand.rightNow))
@@ -305,7 +305,7 @@
         client.ask(body=body)
         stage.hand.until(lambda count=count: stage.host.counts["ok"] == count)
     assert connection.unsent
-    stopped = leaving(stage)
+    stopped = shut_down(stage)
     stage.hand.run(1.0)
     assert not stopped
     stage.hand.addReader(client)
@@ -314,7 +314,7 @@
     assert stopped and all(client.body(number) == body for number in range(1, 21))
 
 
-def request(number: int = 1) -> Any:
+def request_bytes(number: int = 1) -> Any:
     """The bytes of a request."""
     said: list[bytes] = []
     client: Any = WebServer.__new__(WebServer)
@@ -331,12 +331,12 @@
         end.close()
         end = None
     stage.hand.quiet()
-    stopped = leaving(stage)
+    stopped = shut_down(stage)
 
     def cross() -> None:
         nonlocal end
         end = end or socket.create_connection(("127.0.0.1", stage.port))
-        end.sendall(request())
+        end.sendall(request_bytes())
 
     core, check = stage.node.core, stage.node.core.check_finished
 
@@ -376,7 +376,7 @@
     )
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append(said)
-    began, stopped = stage.hand.rightNow, leaving(stage)
+    began, stopped = stage.hand.rightNow, shut_down(stage)
     stage.hand.run(0.55)
     number = client.ask(patience=str(int(deadline * 1000)))
     stage.hand.until(lambda: got)
@@ -439,7 +439,7 @@
 def test_a_connection_without_keep_conn_stays_open_for_its_other_requests(stage: Any) -> None:
     got, client = [], stage.client()
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
-    client.send(request(1).replace(begin_request(1), begin_request(1, keep=0)))
+    client.send(request_bytes(1).replace(begin_request(1), begin_request(1, keep=0)))
     client.last = 1
     client.ask()
     stage.hand.until(lambda: len(got) == 2)
@@ -574,7 +574,7 @@
 
 def test_a_runner_that_drains_and_serves_again_does_not_count_as_failed(stage: Any) -> None:
     """Guards against ending lines discarded for the drain as unreachable: the runner would count as dead."""
-    client, line, connection = slow(stage)
+    client, line, connection = fill_connection(stage)
     numbers = [client.ask(method="bill") for _ in range(3)]
     stage.hand.until(lambda: connection.state_machine.queued)
     stage.board.tell(2, 2, stage.row(0, state=1))
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -37,7 +37,7 @@
         return [message for message in self.got if message["is"] == what]
 
 
-class Dials(ClientFactory):
+class PeerDialer(ClientFactory):
     def __init__(self, made):
         self.made = made
 
@@ -45,7 +45,7 @@
         return Peer(self.made)
 
 
-class Listens(ServerFactory):
+class PeerAcceptor(ServerFactory):
     def __init__(self, made):
         self.made = made
 
@@ -66,14 +66,14 @@
         deployment.methods |= methods or {}
         deployment.roster = msgspec.structs.replace(deployment.roster, **roster or {})
         self.rosters, self.clients = [], []
-        deployment.roster.port = self.outside.listenTCP(0, Listens(self.rosters)).port
+        deployment.roster.port = self.outside.listenTCP(0, PeerAcceptor(self.rosters)).port
         self.edge = Edge(self.process, deployment, lambda what, **figures: self.logs.append((what, figures)))
         self.port = self.edge.start()
         self.run()
         self.roster.say(**{"is": "hello", "protocol": "lapistrestle.roster", "version": 1})
         self.run()
         self.runners = {f"r{i}": [] for i in range(runners)}
-        self.ports = {n: self.outside.listenTCP(0, Listens(p)).port for n, p in self.runners.items()}
+        self.ports = {n: self.outside.listenTCP(0, PeerAcceptor(p)).port for n, p in self.runners.items()}
         self.list_()
         self.run()
         for name in self.runners:
@@ -102,7 +102,7 @@
         self.reactor.run(self.reactor.seconds() + seconds)
 
     def client(self):
-        self.outside.connectTCP("127.0.0.1", self.port, Dials(self.clients))
+        self.outside.connectTCP("127.0.0.1", self.port, PeerDialer(self.clients))
         self.run()
         self.clients[-1].say(**{"is": "hello", "protocol": "lapistrestle.client", "version": 1})
         self.run()
@@ -146,7 +146,7 @@
     client = stage.client()
     assert client.got[0]["protocol"] == "lapistrestle.client" and client.got[0]["you"] == "c1"
     for hello in ({"protocol": "other", "version": 1}, {"protocol": "lapistrestle.client", "version": 9}):
-        stage.outside.connectTCP("127.0.0.1", stage.port, Dials(stage.clients))
+        stage.outside.connectTCP("127.0.0.1", stage.port, PeerDialer(stage.clients))
         stage.run()
         stage.clients[-1].say(**{"is": "hello", **hello})
         stage.run()
@@ -337,7 +337,7 @@
 def test_the_same_name_on_another_port_is_another_process(stage):
     for name in list(stage.runners):
         old = stage.runners[name][-1]
-        stage.ports[name] = stage.outside.listenTCP(0, Listens(stage.runners[name])).port
+        stage.ports[name] = stage.outside.listenTCP(0, PeerAcceptor(stage.runners[name])).port
         stage.change(2 + list(stage.runners).index(name), stage.entry(name, start=f"{name}#1", up_for=0))
         stage.run()
         assert old.closed
@@ -351,7 +351,7 @@
 
 def test_a_port_at_which_another_runner_answers_is_not_used(stage):
     peers = stage.runners["x"] = []
-    stage.ports["x"] = stage.outside.listenTCP(0, Listens(peers)).port
+    stage.ports["x"] = stage.outside.listenTCP(0, PeerAcceptor(peers)).port
     stage.change(2, stage.entry("x"))
     stage.run()
     hello = {"is": "hello", "protocol": "lapistrestle.runner", "version": 1, "name": "somebody else"}
@@ -456,7 +456,7 @@
     assert not stage.runs()
 
 
-def unread(connection, read):
+def deliver_unread(connection, read):
     """Have the connection's transport deliver unread data by `read`."""
     connection.transport.doRead = read
 
@@ -466,7 +466,7 @@
     stage = Stage(runners=1)
     connection, client = stage.edge.roster_source.connection, stage.client()
     change = {"is": "change", "number": 2, "epoch": "e", "workers": [stage.entry("r0", listing="draining")]}
-    unread(connection, lambda: connection.dataReceived(msgspec.json.encode(change) + b"\n"))
+    deliver_unread(connection, lambda: connection.dataReceived(msgspec.json.encode(change) + b"\n"))
     stage.run(0.1)
     client.say(**CALL, id="1")
     stage.run()
@@ -481,7 +481,7 @@
     stage.run()
     ((peer, run),) = stage.runs()
     (seat,) = stage.edge.client_connections
-    unread(seat, lambda: "closed")
+    deliver_unread(seat, lambda: "closed")
     stage.run(0.1)
     end(peer, run, "full")
     stage.run()
@@ -507,8 +507,8 @@
 
 def test_edges_receive_gossip_and_ignore_invalid_datagrams():
     stage = Stage()
-    told = []
-    stage.edge.host.module.on_gossip = lambda peer, text: told.append((peer, text))
+    received = []
+    stage.edge.host.module.on_gossip = lambda peer, text: received.append((peer, text))
     other = VirtualProcess(stage.reactor, "other")
     sender = Peer([])
     other.listenUDP(7202, sender)
@@ -516,7 +516,7 @@
     for line in (b'{"is":"peer","sender":1,"text":"hi"}', *wrong):
         sender.transport.write(line, ("127.0.0.1", 7201))
     stage.run()
-    assert told == [(1, "hi")] and stage.edge.counts["passed over"] == 3
+    assert received == [(1, "hi")] and stage.edge.counts["passed over"] == 3
     heard = []
     sender.datagramReceived = lambda data, address: heard.append(msgspec.json.decode(data))
     stage.edge.host.send_gossip(1, "x" * 300)
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -5,7 +5,7 @@
 
 import msgspec
 import pytest
-from test_edge import CALL, EXAMPLES, Listens, Stage, end
+from test_edge import CALL, EXAMPLES, PeerAcceptor, Stage, end
 
 from lapistrestle.deployment.load import load_deployment
 from lapistrestle.deployment.schema import Directory, DirectoryCopy
@@ -33,15 +33,15 @@
         deployment.listen = msgspec.structs.replace(deployment.listen, port=0)
         deployment.allowed = msgspec.structs.replace(deployment.allowed, **allowed or {})
         self.rosters, self.clients = [], []
-        deployment.roster.port = self.outside.listenTCP(0, Listens(self.rosters)).port
+        deployment.roster.port = self.outside.listenTCP(0, PeerAcceptor(self.rosters)).port
         self.copies = [[] for _ in range(copies)]  # connections to each replica
-        ports = [self.outside.listenTCP(0, Listens(made)).port for made in self.copies]
+        ports = [self.outside.listenTCP(0, PeerAcceptor(made)).port for made in self.copies]
         shards = [[DirectoryCopy(port=port) for port in ports]]
         deployment.directory = Directory(shards=shards, **directory)
         self.edge = Edge(self.process, deployment, lambda what, **figures: self.logs.append((what, figures)))
         self.port = self.edge.start()
         self.runners = {f"r{i}": [] for i in range(runners)}
-        self.ports = {n: self.outside.listenTCP(0, Listens(p)).port for n, p in self.runners.items()}
+        self.ports = {n: self.outside.listenTCP(0, PeerAcceptor(p)).port for n, p in self.runners.items()}
         self.number, self.sequence, self.snapshots = 1, {}, 0
         self.run()
 
@@ -51,8 +51,8 @@
         return [peer for made in self.copies for peer in made if not peer.closed]
 
     def entry(self, name, **more):
-        told = {"port": self.ports[name], "start": f"{name}#0", "up_for": SECONDS_UP * 1000.0, **more}
-        return wire.compact(RosterEntry(name, **told))
+        fields = {"port": self.ports[name], "start": f"{name}#0", "up_for": SECONDS_UP * 1000.0, **more}
+        return wire.compact(RosterEntry(name, **fields))
 
     def greet_holders(self):
         for peer in self.holders:
@@ -72,26 +72,26 @@
         self.sequence[peer] += 1
         return self.sequence[peer]
 
-    def tell(self, peer, message):
+    def send(self, peer, message):
         peer.raw(encode(message) + b"\n")
 
     def snapshot(self, peer, watch, *entries, complete=True):
         sequence = self.next_sequence(peer)
         made = wire.Snapshot(watch["id"], 1, self.revision(), sequence, list(entries), complete, LEASE)
-        self.tell(peer, made)
+        self.send(peer, made)
 
     def update(self, peer, *entries, gone=(), changes=()):
         self.number += 1
         sequence = self.next_sequence(peer)
         made = wire.Update(sequence, self.revision(), list(entries), list(gone), list(changes))
-        self.tell(peer, made)
+        self.send(peer, made)
 
-    def renewed(self, peer, **sums):
+    def renew(self, peer, **sums):
         """Answer the latest renewal."""
         if asked := peer.heard("renew"):
-            told = wire.RegionSums(**sums) if sums else None
+            fields = wire.RegionSums(**sums) if sums else None
             sequence = self.sequence[peer]
-            self.tell(peer, wire.Renewed(asked[-1]["asked"], LEASE, sequence, self.revision(), sums=told))
+            self.send(peer, wire.Renewed(asked[-1]["asked"], LEASE, sequence, self.revision(), sums=fields))
 
     def call(self, client, id="1", **more):
         client.say(**CALL | {"id": id, **more})
@@ -277,7 +277,7 @@
     for _ in range(60):
         stage.run(0.1)
         for peer in stage.holders:
-            stage.renewed(peer)
+            stage.renew(peer)
     assert not stage.edge.known_workers.known and not stage.edge.runners
     stage.call(client, id="2")
     assert stage.edge.directory.waiting_requests
@@ -311,7 +311,7 @@
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     for _ in range(ramp // 1_000 + 2):
         stage.run(0.1)
-        stage.renewed(peer)
+        stage.renew(peer)
     assert "r1" not in stage.edge.host.registry.workers or cold.endpoint_state is EndpointState.REMOVED
 
 
@@ -381,9 +381,9 @@
     stage.run(0.01)
     assert ask_for_more()[1] == watch  # 0.02 s after the first
     stage.run(0.2)
-    stage.renewed(peer)
+    stage.renew(peer)
     stage.run(0.2)
-    stage.renewed(peer)
+    stage.renew(peer)
     stage.run(0.1)
     assert ask_for_more()[1]["count"] == 2 * watch["count"]
 
@@ -392,7 +392,7 @@
     client = stage.client()
     peer = stage.look_up(client, "r0")
     stage.run(0.25)
-    stage.renewed(peer, size=400.0, warm=300.0, serving=100, instances=110)
+    stage.renew(peer, size=400.0, warm=300.0, serving=100, instances=110)
     stage.run(0.002)
     module = stage.edge.host.module
     assert (module.fleet.region.size, module.fleet.region.count) == (400.0, 110)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -21,9 +21,9 @@
 
 @pytest.fixture
 def list_() -> EndpointListFollower:
-    made = EndpointListFollower(["north", "south"], [], lambda text: None)
-    made.message_received(whole(5, A, B), 1_000_000)
-    return made
+    followed = EndpointListFollower(["north", "south"], [], lambda text: None)
+    followed.message_received(whole(5, A, B), 1_000_000)
+    return followed
 
 
 def test_changes_in_sequence_are_applied_and_repeats_ignored(list_: EndpointListFollower) -> None:
@@ -83,9 +83,9 @@
     (facts,) = list_.drain_announced("a", "a#0")
     assert facts.endpoint_state is EndpointState.DRAINING
     assert list_.message_received(change(6, A), 1_000_000).workers[0].endpoint_state is EndpointState.DRAINING
-    anew = RosterEntry("a", 1007, "north", start="a#1", up_for=0.0)
+    again = RosterEntry("a", 1007, "north", start="a#1", up_for=0.0)
     assert (
-        list_.message_received(change(7, anew), 1_000_000).workers[0].endpoint_state is EndpointState.SERVING
+        list_.message_received(change(7, again), 1_000_000).workers[0].endpoint_state is EndpointState.SERVING
     )
     assert list_.drain_announced("a", "a#0") == () and list_.drain_announced("nobody", "x") == ()
 
--- a/tests/test_keeping.py
+++ b/tests/test_keeping.py
@@ -27,7 +27,7 @@
     }
 
 
-def said(stage):
+def logged(stage):
     return stage.logs[-1]
 
 
@@ -37,7 +37,10 @@
     before = module.latency.typical(0)
     LearnedStateFile(stage.edge, str(path))
     assert module.latency.typical(0) == 900.0 != before
-    assert said(stage) == ("learned figures restored", {"carried": list(stage.edge.methods), "afresh": []})
+    assert logged(stage) == (
+        "learned figures restored",
+        {"carried": list(stage.edge.methods), "afresh": []},
+    )
     assert (
         not module.throughput.ok_answers.read(module.now)
         and module.throughput.time_constant_factor == 1.0
@@ -60,7 +63,7 @@
     learned_state.write_learned_state(path, learned_methods(stage, soft=1))
     before = stage.edge.host.module.latency.typical(0)
     LearnedStateFile(stage.edge, str(path))
-    assert stage.edge.host.module.latency.typical(0) == before and said(stage)[1]["carried"] == []
+    assert stage.edge.host.module.latency.typical(0) == before and logged(stage)[1]["carried"] == []
 
 
 @pytest.mark.parametrize(
@@ -82,7 +85,7 @@
         path.write_bytes(data)
     before = stage.edge.host.module.latency.learned()
     learned_state_file = LearnedStateFile(stage.edge, str(path))
-    assert why in said(stage)[0] and stage.edge.host.module.latency.learned() == before
+    assert why in logged(stage)[0] and stage.edge.host.module.latency.learned() == before
     aside = path.with_name("edge.learnt.unread")
     assert aside.read_bytes() == data if data is not None else not aside.exists()
     learned_state_file.write()
@@ -92,7 +95,7 @@
 def test_a_disk_that_fails_never_stops_the_edge(stage, tmp_path):
     learned_state_file = LearnedStateFile(stage.edge, str(tmp_path / "no" / "folder"))
     learned_state_file.write()
-    assert said(stage)[0] == "learned figures not persisted"
+    assert logged(stage)[0] == "learned figures not persisted"
 
 
 def test_the_setting_is_checked_and_without_it_nothing_is_persisted(stage):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -135,9 +135,9 @@
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1"}
     limits = {"conn-idle": None, "streams-per-conn": None, "dial-timeout": 100_000}
     raw = msgspec.json.encode(file | {"settings": SETTINGS | {"limits": limits}})
-    told = parse_configuration(raw, "config.json").platform
-    assert (told.limits.conn_idle, told.limits.streams_per_conn) == (15_000_000, 32)
-    assert told.limits.dial_timeout == 100_000
+    platform = parse_configuration(raw, "config.json").platform
+    assert (platform.limits.conn_idle, platform.limits.streams_per_conn) == (15_000_000, 32)
+    assert platform.limits.dial_timeout == 100_000
 
 
 @pytest.mark.parametrize(
@@ -331,14 +331,14 @@
     assert stage.module.now - 8_001 <= stage.module.preload_budget.requests[0] <= stage.module.now - 7_999
 
 
-@pytest.mark.parametrize(("still", "told", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
+@pytest.mark.parametrize(("still", "reports", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
 def test_the_time_for_which_a_request_was_unread_counts_towards_its_patience(
-    stage: Any, still: Any, told: Any, left: Any
+    stage: Any, still: Any, reports: Any, left: Any
 ) -> None:
     """The time is bounded by the stall, and not queried if there was none."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
-    stage.hand.unread_for = lambda sock: told
+    stage.hand.unread_for = lambda sock: reports
     client = stage.client()
     number = client.ask(patience="1000")
     stage.hand.rightNow += still
@@ -545,11 +545,11 @@
 
 
 def test_load_reports_use_the_names_of_the_settings(stage: Any) -> None:
-    told = []
-    stage.module.on_health_check = lambda worker, outcome, took, report: told.append(report)
+    reports = []
+    stage.module.on_health_check = lambda worker, outcome, took, report: reports.append(report)
     stage.host.health_check(next(iter(stage.workers().values())))
-    stage.hand.until(lambda: told)
-    assert told == [{"outstanding": 7.0, "utilization": 0.61}]
+    stage.hand.until(lambda: reports)
+    assert reports == [{"outstanding": 7.0, "utilization": 0.61}]
 
 
 def test_a_line_queued_for_a_connection_is_cancelled_when_the_runner_drains(stage: Any) -> None:
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -20,8 +20,8 @@
 
 JUNK = b"GET / HTTP/1.1\r\n\r\n"
 BODY = bytes(16_384)
-leaving: Any = test_crossings.leaving
-request: Any = test_crossings.request
+shut_down: Any = test_crossings.shut_down
+request_bytes: Any = test_crossings.request_bytes
 
 
 @pytest.fixture
@@ -148,7 +148,7 @@
 
 def test_complete_requests_right_before_invalid_data_are_answered(stage: Any) -> None:
     client = stage.client()
-    client.send(request(1) + request(2) + JUNK)
+    client.send(request_bytes(1) + request_bytes(2) + JUNK)
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and client.status(2) == 200
 
@@ -247,7 +247,7 @@
 def test_a_request_behind_one_without_keep_conn_is_answered(stage: Any) -> None:
     """Guards against closing, and so resetting, a connection with another request unread."""
     client, got = stage.client(), hold_runs(stage)
-    client.send(request(1).replace(begin_request(1), begin_request(1, keep=0)))
+    client.send(request_bytes(1).replace(begin_request(1), begin_request(1, keep=0)))
     stage.hand.until(lambda: got)
     (connection,) = stage.node.front.connections
     stage.hand.removeReader(connection)  # data that arrives now is read after the answer is sent
@@ -295,7 +295,7 @@
         read(pieces)
 
     connection.read = measured
-    client.send(request(1).replace(begin_request(1), begin_request(1, keep=0)))
+    client.send(request_bytes(1).replace(begin_request(1), begin_request(1, keep=0)))
     client.send(fastcgi.encode_record(fastcgi.GET_VALUES, 0, bytes(40_000)) * 10)
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and max(depths) - min(depths) < 15
@@ -388,7 +388,7 @@
     fill(stage)
     late = connect(stage)
     accept(stage)
-    for piece in (request()[:3], request()[3:60], request()[60:]):
+    for piece in (request_bytes()[:3], request_bytes()[3:60], request_bytes()[60:]):
         late.send(piece)
         stage.hand.quiet()
     stage.hand.until(lambda: late.closed)
@@ -434,7 +434,7 @@
 
     stage.hand.removeReader(listener)
     listener.sock = FullSocket(sock, lambda: idle.closed)
-    stopped = leaving(stage)
+    stopped = shut_down(stage)
     stage.hand.run(2.0)
     stage.hand.until(lambda: late.closed)
     assert late.status(1) in (200, 503) and stopped
@@ -464,7 +464,7 @@
     """Guards against reading only 16 KiB of each connection at the end and resetting the rest."""
     client = stage.client()
     stage.hand.quiet()
-    stopped = leaving(stage)
+    stopped = shut_down(stage)
     stage.hand.run(0.74)
     (connection,) = stage.node.front.connections
     core, check = stage.node.core, stage.node.core.check_finished
@@ -486,7 +486,7 @@
 
 def test_an_incomplete_request_at_shutdown_is_rejected(stage: Any) -> None:
     client = stage.client()
-    stopped = leaving(stage)
+    stopped = shut_down(stage)
     stage.hand.run(0.7)
     half = client.ask(whole=False)
     stage.hand.run(0.5)
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class BoardEvent:
     """An event of the board about one worker, and when it entered the board."""
 
     worker: int
@@ -94,7 +94,7 @@
 
     def __init__(self, hand: Any) -> None:
         super().__init__(hand)
-        self.told: list[Told] = []
+        self.entered: list[BoardEvent] = []
         self.answers = True
 
     def enter(self, number: Any, kind: Any, workers: Any, before: bytes = b"") -> None:
@@ -102,7 +102,7 @@
         ahead of it.
         """
         now = time.monotonic()
-        self.told += [Told(worker, state, now) for worker, state, _ in workers]
+        self.entered += [BoardEvent(worker, state, now) for worker, state, _ in workers]
         if before:
             self.raw(before)
         self.tell(number, kind, *(board_row(worker, port, state=state) for worker, state, port in workers))
@@ -114,12 +114,12 @@
             self.unanswered = [*getattr(self, "unanswered", []), sock]
 
 
-def late_starts(told: Any, started: Any) -> Any:
+def late_starts(events: Any, started: Any) -> Any:
     """What was started at a worker later than the grace after an event that it drains or was removed."""
     late = []
     for start in started:
         since = None
-        for event in told:
+        for event in events:
             if event.worker == start.worker and event.at <= start.at:
                 since = None if event.state == SERVING else since or event.at
         if since is not None and start.at > since + GRACE + SLACK:
@@ -127,7 +127,7 @@
     return late
 
 
-class Node:
+class DispatcherProcess:
     """One dispatcher in a process of its own, its board and its workers."""
 
     def __init__(
@@ -138,19 +138,19 @@
         self.last = 1
         self.asked: list[Any] = []
         self.process: Any = None
-        self.host, self.port = own_host(), PORT + number
+        self.host, self.port = own_loopback_address(), PORT + number
         rows = [(worker.number, SERVING, worker.port) for worker in self.workers]
         self.board.enter(1, WHOLE, rows)
-        told = configuration(f"{self.host}:{self.port}", f"127.0.0.1:{self.board.port}")
-        told["name"], told["seed"] = f"n{number}", f"{number + 1:x}"
-        told["settings"]["rules"] = {"drain-grace": int(GRACE * 1e6)}
-        told["settings"]["limits"].update(limits)
-        for profile in told["settings"]["profiles"]:
+        config = configuration(f"{self.host}:{self.port}", f"127.0.0.1:{self.board.port}")
+        config["name"], config["seed"] = f"n{number}", f"{number + 1:x}"
+        config["settings"]["rules"] = {"drain-grace": int(GRACE * 1e6)}
+        config["settings"]["limits"].update(limits)
+        for profile in config["settings"]["profiles"]:
             profile.update({"aim": 9_000_000, "deadline": 10_000_000})
         if known is not None:
-            told["known"] = known(self)
+            config["known"] = known(self)
         self.path = folder / f"{number}.json"
-        self.path.write_text(json.dumps(told))
+        self.path.write_text(json.dumps(config))
 
     def start(self) -> None:
         env = {key: value for key, value in os.environ.items() if not key.startswith("EDGE_")}
@@ -203,11 +203,11 @@
         os.kill(self.process.pid, signal.SIGSTOP)
         assert self.hand.follow(lambda: state_of(self.process.pid) == "T")
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         os.kill(self.process.pid, signal.SIGCONT)
 
-    def late(self) -> Any:
-        return late_starts(self.board.told, [start for worker in self.workers for start in worker.started])
+    def late_starts(self) -> Any:
+        return late_starts(self.board.entered, [start for worker in self.workers for start in worker.started])
 
     def end(self) -> None:
         if self.process is not None and self.process.poll() is None:
@@ -218,7 +218,7 @@
             end.listener.close()
 
 
-def own_host() -> Any:
+def own_loopback_address() -> Any:
     """A loopback address of this process alone.
 
     On a shared address a port that was free may be taken by the time the dispatcher listens.
@@ -228,11 +228,11 @@
 
 
 def state_of(pid: Any) -> Any:
-    with open(f"/proc/{pid}/stat") as told:
-        return told.read().rpartition(")")[2].split()[0]
+    with open(f"/proc/{pid}/stat") as stat:
+        return stat.read().rpartition(")")[2].split()[0]
 
 
-def dialling(port: Any) -> Any:
+def open_connects(port: Any) -> Any:
     """How many connects to a port of this machine are unanswered."""
     with open("/proc/net/tcp") as table:
         rows = [line.split() for line in table.readlines()[1:]]
@@ -245,7 +245,7 @@
     nodes: list[Any] = []
 
     def make(workers: int = 2, started: bool = True, **more: Any) -> Any:
-        nodes.extend(Node(hand, tmp_path, i, workers, **more) for i in range(DISPATCHERS))
+        nodes.extend(DispatcherProcess(hand, tmp_path, i, workers, **more) for i in range(DISPATCHERS))
         for node in nodes if started else ():
             node.start()
         for node in nodes if started else ():
@@ -257,7 +257,7 @@
         node.end()
 
 
-def stopped(hand: Any, nodes: Any, write: Any) -> Any:
+def run_while_stopped(hand: Any, nodes: Any, write: Any) -> Any:
     """Stop all dispatchers, call `write` for each, and continue them after the grace. Returns late starts."""
     for node in nodes:
         node.stop()
@@ -266,13 +266,13 @@
     past = time.monotonic() + PAST
     assert hand.follow(lambda: time.monotonic() > past)
     for node in nodes:
-        node.go_on()
+        node.resume()
     assert hand.follow(lambda: all(node.answered() for node in nodes)), "requests without an answer"
     hand.run(0.1)
-    return [late for node in nodes for late in node.late()]
+    return [late for node in nodes for late in node.late_starts()]
 
 
-def home_of(hand: Any, node: Any) -> Any:
+def serving_worker(hand: Any, node: Any) -> Any:
     """The worker that serves the tests' function."""
     node.ask()
     assert hand.follow(node.answered)
@@ -292,7 +292,7 @@
 ) -> None:
     """Requests and the event are unread in their sockets; the requests are read and placed first."""
     hand, nodes = side_by_side()
-    homes = {node: home_of(hand, node) for node in nodes}
+    homes = {node: serving_worker(hand, node) for node in nodes}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
     def write(node: Any) -> None:
@@ -301,14 +301,14 @@
         hand.quiet()
         node.tell(homes[node], state, before=backlog)
 
-    assert stopped(hand, nodes, write) == []
+    assert run_while_stopped(hand, nodes, write) == []
 
 
 @pytest.mark.parametrize("verb", ["503", "404"])
 def test_no_retry_after_a_stall_goes_to_a_draining_worker(side_by_side: Any, verb: Any) -> None:
     """The reply is read, and a retry or preload started, before the event is read."""
     hand, nodes = side_by_side()
-    homes = {node: home_of(hand, node) for node in nodes}
+    homes = {node: serving_worker(hand, node) for node in nodes}
     held: dict[Any, Any] = {}
     for node in nodes:
         for worker in node.workers:
@@ -325,7 +325,7 @@
         other = next(worker for worker in node.workers if worker is not homes[node])
         node.tell(homes[node] if verb == "404" else other, DRAINING)
 
-    assert stopped(hand, nodes, write) == []
+    assert run_while_stopped(hand, nodes, write) == []
 
 
 def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_in_a_stall(
@@ -333,11 +333,11 @@
 ) -> None:
     """Lines queued for the connection are sent once it is established, before the event is read."""
     hand, nodes = side_by_side(workers=1, **{"dial-timeout": 5_000_000})
-    crowds = [machine_full(hand, node.workers[0]) for node in nodes]
-    before = {node: dialling(node.workers[0].port) for node in nodes}
+    crowds = [fill_accept_queue(hand, node.workers[0]) for node in nodes]
+    before = {node: open_connects(node.workers[0].port) for node in nodes}
     for node in nodes:
         node.ask()
-    assert hand.follow(lambda: all(dialling(node.workers[0].port) > before[node] for node in nodes))
+    assert hand.follow(lambda: all(open_connects(node.workers[0].port) > before[node] for node in nodes))
 
     def write(node: Any) -> None:
         worker = node.workers[0]
@@ -346,7 +346,7 @@
         assert hand.follow(lambda: len(worker.lines) > CROWD), "the connection never came"
         node.tell(worker, DRAINING)
 
-    assert stopped(hand, nodes, write) == []
+    assert run_while_stopped(hand, nodes, write) == []
     for end in (end for crowd in crowds for end in crowd):
         end.close()
 
@@ -354,7 +354,7 @@
 CROWD = 2  # connections that fill a listener's accept queue
 
 
-def machine_full(hand: Any, worker: Any) -> Any:
+def fill_accept_queue(hand: Any, worker: Any) -> Any:
     """Fill the worker's accept queue, so that further connects are not answered."""
     hand.removeReader(worker.listener)
     worker.listener.sock.listen(0)
@@ -369,7 +369,7 @@
     side_by_side: Any,
 ) -> None:
     """The file was written before the worker drained; the board accepts the connection and sends nothing."""
-    hand, nodes = side_by_side(workers=1, started=False, known=Node.known)
+    hand, nodes = side_by_side(workers=1, started=False, known=DispatcherProcess.known)
     for node in nodes:
         node.board.answers = False
         node.tell(node.workers[0], DRAINING)
@@ -381,7 +381,7 @@
         assert hand.follow(lambda node=node: reachable(node))
         node.ask()
     assert hand.follow(lambda: all(node.answered() for node in nodes))
-    assert [late for node in nodes for late in node.late()] == []
+    assert [late for node in nodes for late in node.late_starts()] == []
 
 
 def reachable(node: Any) -> Any:
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_crossings import Closed, connections, held, slow, stage, stages, still
+from test_crossings import FullListener, connections, fill_connection, queued_lines, stage, stages, stall
 from test_node import SETTINGS
 
 from lapistrestle.edge.connection_state import ConnectionState
@@ -34,7 +34,7 @@
 __all__ = ["stage", "stages"]  # the fixtures
 
 
-def asked(stage: Any, client: Any = None, **fields: Any) -> Any:
+def request_status(stage: Any, client: Any = None, **fields: Any) -> Any:
     """Send a request and return its status."""
     client = client or stage.client()
     number = client.ask(id=os.urandom(8).hex(), **fields)
@@ -52,37 +52,37 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(
     grace=st.integers(0, 3 * SECOND),
-    words=st.lists(
+    calls=st.lists(
         st.tuples(st.sampled_from(["frame_received", *SHORTENED]), st.integers(0, 2 * SECOND)), max_size=12
     ),
 )
 def test_whatever_happened_the_list_is_never_used_past_what_counts_as_told_and_the_grace(
-    grace: Any, words: Any
+    grace: Any, calls: Any
 ) -> None:
     """Undelivered events count as notified 4 s after the last frame, 2 s after a break, at once
     when asked again.
     """
-    freshness, now, told = ListFreshness(grace, usable_until=grace), 0, 0
-    for word, pause in words:
+    freshness, now, notified_at = ListFreshness(grace, usable_until=grace), 0, 0
+    for method, pause in calls:
         now += pause
-        getattr(freshness, word)(now)
-        if word == "frame_received":
-            told = now + int(SILENT * SECOND)
+        getattr(freshness, method)(now)
+        if method == "frame_received":
+            notified_at = now + int(SILENT * SECOND)
         else:
-            told = min(told, now + int(SHORTENED[word] * SECOND))
-        assert freshness.usable_until == told + grace
-        assert freshness.is_usable(told + grace) and not freshness.is_usable(told + grace + 1)
+            notified_at = min(notified_at, now + int(SHORTENED[method] * SECOND))
+        assert freshness.usable_until == notified_at + grace
+        assert freshness.is_usable(notified_at + grace) and not freshness.is_usable(notified_at + grace + 1)
 
 
 # the board and its silences
 
 
-def usable_for(stage: Any, most: float = 12.0) -> Any:
+def seconds_usable(stage: Any, most: float = 12.0) -> Any:
     """For how many seconds requests, sent every 0.1 s, are served; None: all the time."""
     began = last = stage.hand.rightNow
     while stage.hand.rightNow < began + most:
         runs = len(stage.runs())
-        status = asked(stage)
+        status = request_status(stage)
         if status != 200:
             assert status == 503 and len(stage.runs()) == runs
             return last - began
@@ -96,26 +96,26 @@
     stage.board.beats = False
     taken: list[Any] = []
     stage.board.listener.on_connection = taken.append
-    lasted = usable_for(stage)
+    lasted = seconds_usable(stage)
     assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked again after 2.2 to 2.5 s
-    assert asked(stage, script="/_health") == 503
+    assert request_status(stage, script="/_health") == 503
 
 
 def test_a_lost_board_stops_new_work_after_the_time_of_a_break_and_the_grace(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
-    lasted = usable_for(stage)
+    lasted = seconds_usable(stage)
     assert lasted is not None and BROKEN + GRACE - 0.3 < lasted < BROKEN + GRACE + 0.001
 
 
 def test_work_continues_with_the_first_frame_of_a_board_that_is_back(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
-    assert usable_for(stage) is not None
+    assert seconds_usable(stage) is not None
     back = BoardStub(stage.hand, port=stage.board.port)
     back.events = dict(stage.board.events)
     stage.hand.run(1.5)  # its next heartbeat
-    assert asked(stage) == 200
+    assert request_status(stage) == 200
     assert [what for what, _ in stage.logs if what.startswith("list")][-2:] == [
         "list too old for new work", "list usable",
     ]  # fmt: skip
@@ -127,18 +127,18 @@
     for _ in range(3):
         stage.board.cut()
         stage.hand.run(0.01)
-        assert usable_for(stage, most=1.5) is None
+        assert seconds_usable(stage, most=1.5) is None
 
 
 def test_a_board_with_heartbeats_is_always_recent_enough(stage: Any) -> None:
-    assert usable_for(stage, most=15.0) is None
+    assert seconds_usable(stage, most=15.0) is None
     assert stage.board.asked == [0]
 
 
 # configurations
 
 
-def written(stage: Any, tmp_path: Any, **more: Any) -> Any:
+def write_configuration(stage: Any, tmp_path: Any, **more: Any) -> Any:
     """Write a configuration file."""
     path = tmp_path / "config.json"
     file = {"name": "n3", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS} | more
@@ -161,7 +161,7 @@
     and the grace.
     """
     began, second = stage.hand.rightNow, BoardStub(stage.hand)
-    whole = read_configuration(str(written(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
+    whole = read_configuration(str(write_configuration(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
 
     def reading() -> Any:
         if stage.hand.rightNow < began + whole_after:
@@ -178,7 +178,7 @@
 def test_later_events_in_a_new_configuration_are_applied(stage: Any, tmp_path: Any) -> None:
     """Guards against ignoring a drain in the file until the new board sends it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
-    path = written(stage, tmp_path, known={"rev": 2, "notices": events})
+    path = write_configuration(stage, tmp_path, known={"rev": 2, "notices": events})
     stage.node.apply_configuration(read_configuration(str(path)))
     assert (
         stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
@@ -189,7 +189,7 @@
 def test_events_in_a_configuration_after_a_gap_are_not_applied(stage: Any, tmp_path: Any) -> None:
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     stage.node.apply_configuration(
-        read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events})))
+        read_configuration(str(write_configuration(stage, tmp_path, known={"rev": 3, "notices": events})))
     )
     assert (
         discovery_of(stage).revision == 1
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize(("behind", "age"), [(0.0, 0), (1.5, 15_000), (-1.0, None)])
 def test_the_age_of_the_list_is_that_of_its_file(stage: Any, tmp_path: Any, behind: Any, age: Any) -> None:
-    configuration = read_configuration(str(written(stage, tmp_path)))
+    configuration = read_configuration(str(write_configuration(stage, tmp_path)))
     assert configuration.age(configuration.written + behind) == age
 
 
@@ -207,7 +207,7 @@
     stage: Any, tmp_path: Any, monkeypatch: Any
 ) -> None:
     """Guards against taking the age after reading: an older list would get the newer file's age."""
-    path, read_bytes = written(stage, tmp_path), Path.read_bytes
+    path, read_bytes = write_configuration(stage, tmp_path), Path.read_bytes
 
     def replaced(self: Path) -> bytes:
         raw = read_bytes(self)
@@ -222,7 +222,7 @@
 def test_without_a_board_the_list_of_the_file_holds(stage: Any, tmp_path: Any) -> None:
     """Without a board there are no events to miss."""
     known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(stage)]}}]}
-    configuration = read_configuration(str(written(stage, tmp_path, known=known)))
+    configuration = read_configuration(str(write_configuration(stage, tmp_path, known=known)))
     node = Node(stage.hand, configuration, lambda what, **figures: None)
     node.discovery.start()
     stage.hand.run(60.0)
@@ -242,7 +242,7 @@
     stage.hand.until(lambda: discovery_of(stage).revision == 3)
     listings = {name: worker.endpoint_state for name, worker in stage.workers().items()}
     assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
-    assert asked(stage) == 503 and stage.runs() == []
+    assert request_status(stage) == 503 and stage.runs() == []
 
 
 @given(state=st.integers(0, 255), port=st.integers(0, 65_535))
@@ -255,14 +255,14 @@
 # just before the first byte
 
 
-def late_between_decision_and_write(stage: Any, meanwhile: Any) -> None:
+def stall_between_decision_and_write(stage: Any, meanwhile: Any) -> None:
     """Stall the process after the module has decided and before anything is written."""
     sent = stage.node.core.send_call
 
     def run(worker_call: Any) -> None:
         stage.node.core.send_call = sent
         meanwhile()
-        still(stage, 0.3)
+        stall(stage, 0.3)
         sent(worker_call)
 
     stage.node.core.send_call = run
@@ -272,9 +272,9 @@
 def test_after_a_stall_between_decision_and_write_nothing_is_sent_to_a_draining_worker(
     stage: Any, state: Any
 ) -> None:
-    assert asked(stage) == 200
-    late_between_decision_and_write(stage, lambda: stage.board.tell(2, 2, stage.row(0, state=state)))
-    assert asked(stage) == 503 and len(stage.runs()) == 1
+    assert request_status(stage) == 200
+    stall_between_decision_and_write(stage, lambda: stage.board.tell(2, 2, stage.row(0, state=state)))
+    assert request_status(stage) == 503 and len(stage.runs()) == 1
     assert stage.node.core.counts["not begun"] == 1
     assert [figures["listing"] for what, figures in stage.logs if what == "not begun"] != []
 
@@ -283,7 +283,7 @@
 def test_after_a_stall_between_decision_and_write_nothing_is_sent_for_a_disconnected_client(
     stage: Any, how: Any
 ) -> None:
-    assert asked(stage) == 200
+    assert request_status(stage) == 200
     client = stage.client()
 
     def leaves() -> None:
@@ -292,7 +292,7 @@
         else:
             client.drop("gone")
 
-    late_between_decision_and_write(stage, leaves)
+    stall_between_decision_and_write(stage, leaves)
     client.ask(id=os.urandom(8).hex())
     stage.hand.until(lambda: stage.host.counts["left"])
     stage.hand.quiet()
@@ -302,13 +302,13 @@
 def test_none_of_many_requests_is_started_for_a_client_that_closed_behind_them(stage: Any) -> None:
     """Guards against reading only 64 KiB after a stall, and the close behind them some polls later."""
     client = stage.client()
-    assert asked(stage, client) == 200
+    assert request_status(stage, client) == 200
     stage.hand.readers.pop(next(iter(stage.node.front.connections)))
     for _ in range(8):
         client.ask(body=b"x" * 16_000, id=os.urandom(8).hex())
     stage.hand.until(lambda: not client.unsent)
     client.drop("gone")
-    still(stage, 0.3)
+    stall(stage, 0.3)
     for connection in stage.node.front.connections:
         stage.hand.readers[connection] = None
     stage.hand.quiet()
@@ -317,14 +317,14 @@
 
 def test_nothing_is_sent_to_a_draining_worker_on_a_socket_writable_after_a_stall(stage: Any) -> None:
     """Guards against sending queued lines once there is room, before the event of the same poll is read."""
-    client, line, connection = slow(stage)
+    client, line, connection = fill_connection(stage)
     before = len(stage.runs())
     client.ask(method="bill", patience="3000")
     stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)  # the reactor reads it last
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
-    still(stage, 0.3)
+    stall(stage, 0.3)
     stage.hand.addReader(line)
     stage.hand.until(lambda: connection.state_machine.state is not ConnectionState.SLOW)
     stage.hand.addReader(watch)
@@ -333,15 +333,15 @@
 
 
 def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_during_a_stall(stage: Any) -> None:
-    closed, client = Closed(stage), stage.client()
+    closed, client = FullListener(stage), stage.client()
     client.ask(method="bill", patience="3000")
-    stage.hand.until(lambda: held(stage))
+    stage.hand.until(lambda: queued_lines(stage))
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
-    still(stage, 0.1)
+    stall(stage, 0.1)
     closed.open()
-    stage.hand.until(lambda: not held(stage))
+    stage.hand.until(lambda: not queued_lines(stage))
     stage.hand.addReader(watch)
     stage.hand.quiet()
     assert stage.runs() == [] and not stage.host.worker_calls
@@ -360,7 +360,7 @@
     stage.hand.readers.pop(watch)
     stage.hand.readers[watch] = None  # read last in the poll that brings both
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
-    still(stage, 3.0)
+    stall(stage, 3.0)
     stage.hand.until(lambda: client.status(number) is not None)
     assert [said for said in stage.runners[0].others if said["verb"] == "HOLD"] == []
 
@@ -370,9 +370,9 @@
 
 def test_the_budget_sent_is_the_time_left_when_the_line_is_written(stage: Any) -> None:
     """Guards against encoding the time left before the connection is established, here 0.2 s later."""
-    closed, client = Closed(stage), stage.client()
+    closed, client = FullListener(stage), stage.client()
     client.ask(patience="1000")
-    stage.hand.until(lambda: held(stage))
+    stage.hand.until(lambda: queued_lines(stage))
     stage.hand.run(0.2)
     closed.open()
     stage.hand.until(stage.runs)
@@ -383,10 +383,10 @@
 def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(stages: Any) -> None:
     usual: Any = SETTINGS["limits"]
     stage = stages(runners=1, limits=usual | {"dial-timeout": 5_000_000})
-    closed, client = Closed(stage), stage.client()
+    closed, client = FullListener(stage), stage.client()
     number = client.ask(patience="400")
-    stage.hand.until(lambda: held(stage))
-    still(stage, 0.41)
+    stage.hand.until(lambda: queued_lines(stage))
+    stall(stage, 0.41)
     closed.open()
     stage.hand.until(lambda: client.status(number) is not None)
     stage.hand.until(lambda: all(c.state_machine.state is ConnectionState.OPEN for c in connections(stage)))
@@ -396,11 +396,11 @@
 def test_each_of_many_requests_on_a_connection_has_its_own_time_left(stage: Any) -> None:
     """Guards against counting older unread requests as recent as the last one."""
     client = stage.client()
-    assert asked(stage, client) == 200
+    assert request_status(stage, client) == 200
     connection = next(iter(stage.node.front.connections))
     stage.hand.readers.pop(connection)
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
-    still(stage, 0.3)
+    stall(stage, 0.3)
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
     stage.hand.unread_for = lambda sock: 0.0  # the kernel knows the age of the last bytes only
     stage.hand.looked = (stage.hand.rightNow - 0.3, stage.hand.rightNow)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -36,11 +36,11 @@
         self.board.tell(1, 1, board_row(1, self.runner.port))
         self.port, self.path = free_port(), folder / "config.json"
         self.processes: list[Any] = []
-        self.told = configuration(f"127.0.0.1:{self.port}", f"127.0.0.1:{self.board.port}")
-        self.write(self.told)
+        self.config = configuration(f"127.0.0.1:{self.port}", f"127.0.0.1:{self.board.port}")
+        self.write(self.config)
 
-    def write(self, told: Any) -> None:
-        self.path.write_text(told if isinstance(told, str) else json.dumps(told))
+    def write(self, config: Any) -> None:
+        self.path.write_text(config if isinstance(config, str) else json.dumps(config))
 
     def start(self, words: Any = ("-m", "lapistrestle.node"), **more: Any) -> Any:
         env = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
@@ -86,7 +86,7 @@
     node.send_signal(signal.SIGHUP)
     other = BoardStub(world.hand)
     world.until(lambda: "refused" in node.stderr.readline())
-    world.write(world.told | {"board": f"127.0.0.1:{other.port}"})
+    world.write(world.config | {"board": f"127.0.0.1:{other.port}"})
     node.send_signal(signal.SIGHUP)
     world.until(lambda: other.asked)
     assert other.asked[0] == 1 and world.call("9b1f03aa5c7e2d42")[0] == 200
@@ -101,7 +101,7 @@
     node = world.start()
     world.until(lambda: world.board.asked)
     other = BoardStub(world.hand)
-    whole = json.dumps(world.told | {"board": f"127.0.0.1:{other.port}"})
+    whole = json.dumps(world.config | {"board": f"127.0.0.1:{other.port}"})
     world.write(whole[: len(whole) // 2])
     node.send_signal(signal.SIGHUP)
     world.until(lambda: "refused" in node.stderr.readline())
@@ -117,9 +117,9 @@
     """Discovery is down at the start, and more clients connect than the process's limit of
     descriptors allows.
     """
-    world.told["limits"] = {"sockets": 64}
-    world.told["known"] = {"rev": 0, "notices": []}
-    world.write(world.told)
+    world.config["limits"] = {"sockets": 64}
+    world.config["known"] = {"rev": 0, "notices": []}
+    world.write(world.config)
     world.board.listener.close()
     limit = "import resource, runpy; resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)); "
     node = world.start(words=["-c", limit + "runpy.run_module('lapistrestle.node', run_name='__main__')"])
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "more", "code", "says"),
+    ("config", "more", "code", "message"),
     [
         ("{", {}, 2, "config.json"),
         (None, {"EDGE_CONFIG": ""}, 2, "EDGE_CONFIG"),
@@ -236,10 +236,10 @@
     ],
 )
 def test_a_failure_to_start_is_reported_in_one_line(
-    world: Any, told: Any, more: Any, code: Any, says: Any
+    world: Any, config: Any, more: Any, code: Any, message: Any
 ) -> None:
-    if told:
-        world.write(told)
+    if config:
+        world.write(config)
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -248,13 +248,13 @@
         _, errors = node.communicate(timeout=30)
     assert node.returncode == code
     lines = [line for line in errors.splitlines() if not line.startswith("{")]
-    assert len(lines) == 1 and says in lines[0]
+    assert len(lines) == 1 and message in lines[0]
 
 
 def test_unused_packages_are_not_imported() -> None:
     code = "import lapistrestle.node.__main__, sys; print(*sys.modules)"
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    loaded = told.stdout.split()
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    loaded = done.stdout.split()
     assert "lapistrestle.node.front" in loaded
     assert not set(HEAVY) & {name.split(".")[0] for name in loaded}
     off = ("planner", "rollout", "command", "standins", "edge.program")
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from test_node_drains import PAST, home_of, side_by_side
+from test_node_drains import PAST, serving_worker, side_by_side
 
 from lapistrestle.standins.platform import WebServer
 
@@ -17,7 +17,7 @@
 SLACK_MS = 150  # milliseconds by which the budget sent to a worker may exceed the client's time left
 
 
-class Asked:
+class SentRequests:
     """Requests of side-effecting calls, each with the time at which its client sent it."""
 
     def __init__(self, hand: Any) -> None:
@@ -31,7 +31,7 @@
         client.ask(id=id_, method="bill", patience=str(patience_ms))
         return id_
 
-    def over(self, runs: Any) -> Any:
+    def over_budget(self, runs: Any) -> Any:
         """Runs with a larger budget than their client had left when they began to arrive."""
         late = []
         for worker, said, began in runs:
@@ -52,7 +52,7 @@
     return runs
 
 
-def stand_still(hand: Any, nodes: Any, meanwhile: Any) -> None:
+def run_while_stopped(hand: Any, nodes: Any, meanwhile: Any) -> None:
     """Stop all dispatchers, call `meanwhile` for each, and continue them after a while."""
     for node in nodes:
         node.stop()
@@ -61,10 +61,10 @@
         meanwhile(node)
     assert hand.follow(lambda: time.monotonic() > past)
     for node in nodes:
-        node.go_on()
+        node.resume()
 
 
-def alive(node: Any) -> Any:
+def is_alive(node: Any) -> Any:
     """Whether it answers a request that is sent after all others."""
     node.ask()
     return node.hand.follow(node.answered)
@@ -74,7 +74,7 @@
 def test_nothing_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any, how: Any) -> None:
     """Several requests per connection, with the longest bodies; some clients still wait."""
     hand, nodes = side_by_side()
-    asked, left, wanted = Asked(hand), set(), {}
+    asked, left, wanted = SentRequests(hand), set(), {}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
     def leave(node: Any) -> None:
@@ -92,10 +92,10 @@
         wanted[node] = asked.ask(clients[node][0])
 
     for node in nodes:
-        home_of(hand, node)
-    stand_still(hand, nodes, leave)
+        serving_worker(hand, node)
+    run_while_stopped(hand, nodes, leave)
     for node in nodes:
-        assert alive(node)
+        assert is_alive(node)
         came = {said["rid"] for _, said, _ in runs_of(node)}
         assert wanted[node] in came and not came & left
 
@@ -103,10 +103,10 @@
 def test_no_retry_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any) -> None:
     """A worker rejects the first attempt; its reply is queued before the client's close."""
     hand, nodes = side_by_side()
-    asked = Asked(hand)
+    asked = SentRequests(hand)
     held: dict[Any, Any] = {}
     for node in nodes:
-        home_of(hand, node)
+        serving_worker(hand, node)
         for worker in node.workers:
             worker.on_run = lambda line, said, node=node: held.setdefault(node, (line, said))
     clients = {node: node.connected() for node in nodes}
@@ -122,9 +122,9 @@
             worker.on_run = None
         clients[node].drop("gone")
 
-    stand_still(hand, nodes, leave)
+    run_while_stopped(hand, nodes, leave)
     for node in nodes:
-        assert alive(node)
+        assert is_alive(node)
         runs = [said["rid"] for _, said, _ in runs_of(node)]
         assert runs.count(held[node][1]["rid"]) == 1
 
@@ -132,9 +132,9 @@
 def test_the_budget_sent_is_at_most_the_client_s_time_left(side_by_side: Any) -> None:
     """Requests are sent during the whole stall, on old connections and new ones."""
     hand, nodes = side_by_side()
-    asked = Asked(hand)
+    asked = SentRequests(hand)
     for node in nodes:
-        home_of(hand, node)
+        serving_worker(hand, node)
     clients = {node: [node.connected() for _ in range(3)] for node in nodes}
 
     def ask(node: Any) -> None:
@@ -146,17 +146,17 @@
             clients[node].append(WebServer(hand, node.port, node.host))
             asked.ask(clients[node][-1], 3_000)
 
-    stand_still(hand, nodes, ask)
+    run_while_stopped(hand, nodes, ask)
     for node in nodes:
-        assert alive(node)
-        assert len(runs_of(node)) > 6 and asked.over(runs_of(node)) == []
+        assert is_alive(node)
+        assert len(runs_of(node)) > 6 and asked.over_budget(runs_of(node)) == []
 
 
 def test_the_check_detects_a_budget_that_is_too_large() -> None:
-    asked = Asked(None)
+    asked = SentRequests(None)
     asked.sent["a"] = 10.0, 1_000
 
     def run(budget: Any) -> Any:
         return [(1, {"rid": "a", "attrs": {"budget": budget}}, 10.5)]
 
-    assert asked.over(run(650)) == [] and asked.over(run(651)) == [(1, 651, 500)]
+    assert asked.over_budget(run(650)) == [] and asked.over_budget(run(651)) == [(1, 651, 500)]
