--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -12,9 +12,9 @@
 class WaitingRequests:
     """The waiting requests of one edge, by function, with counters. Times are ticks on the edge's clock."""
 
-    def __init__(self, edge: Any, lookup_time_out: int) -> None:
-        """`lookup_time_out` is the time within which every look-up ends, in ticks."""
-        self.edge, self.lookup_time_out = edge, lookup_time_out
+    def __init__(self, edge: Any, lookup_timeout: int) -> None:
+        """`lookup_timeout` is the time within which every look-up ends, in ticks."""
+        self.edge, self.lookup_timeout = edge, lookup_timeout
         # with the timer of a deadline that comes before the look-up's timeout
         self.by_function: dict[str, dict[PendingRequest, Timer | None]] = {}
         self.counts = dict.fromkeys(("waited", "looked up", "failed", "late"), 0)
@@ -23,7 +23,7 @@
         """The number of waiting requests."""
         return sum(len(requests) for requests in self.by_function.values())
 
-    def of(self, function: str) -> list[PendingRequest]:
+    def of_function(self, function: str) -> list[PendingRequest]:
         """The waiting requests of one function, oldest first."""
         return list(self.by_function.get(function, ()))
 
@@ -31,8 +31,8 @@
         """Add a request."""
         self.counts["waited"] += 1
         now, timer = self.edge.clock(), None
-        if pending.deadline < now + self.lookup_time_out:
-            timer = self.edge.after(max(0, pending.deadline - now), self.late, pending)
+        if pending.deadline < now + self.lookup_timeout:
+            timer = self.edge.after(max(0, pending.deadline - now), self.deadline_passed, pending)
         self.by_function.setdefault(pending.function.name, {})[pending] = timer
 
     def leave(self, pending: PendingRequest) -> bool:
@@ -47,27 +47,27 @@
             del self.by_function[pending.function.name]
         return True
 
-    def looked_up(self, function: str) -> None:
+    def look_up_succeeded(self, function: str) -> None:
         """The module has received the function's prefix: resume its requests."""
-        waiting = self.of(function)
+        waiting = self.of_function(function)
         self.counts["looked up"] += bool(waiting)
         for pending in waiting:
             self.leave(pending)
             self.edge.host.lookup_finished(pending)
 
-    def failed(self, function: str, retry_after: int) -> None:
+    def look_up_failed(self, function: str, retry_after: int) -> None:
         """The look-up of the function's prefix failed: reject its requests."""
         self.counts["failed"] += 1
-        for pending in self.of(function):
-            self.deny(pending, retry_after)
+        for pending in self.of_function(function):
+            self.reject(pending, retry_after)
 
-    def late(self, pending: PendingRequest) -> None:
+    def deadline_passed(self, pending: PendingRequest) -> None:
         """The request's deadline has passed: reject it."""
         self.counts["late"] += 1
-        self.deny(pending, self.edge.settings.max_retry_after)
+        self.reject(pending, self.edge.settings.max_retry_after)
 
-    def deny(self, pending: PendingRequest, retry_after: int) -> None:
+    def reject(self, pending: PendingRequest, retry_after: int) -> None:
         """Reject a request as not run. `retry_after`, in ticks, is sent to the client as settings allow."""
         settings = self.edge.settings
-        told = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
-        self.edge.host.reject(pending, told)
+        allowed_retry_after = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
+        self.edge.host.reject(pending, allowed_retry_after)
