--- a/lapistrestle/directory/assignment.py
+++ b/lapistrestle/directory/assignment.py
@@ -38,11 +38,11 @@
         Weighted rendezvous hashing (Thaler, Ravishankar 1998): watchers are spread over the replicas,
         and when a replica fails, its watchers are spread over the remaining ones.
         """
-        return tuple(sorted(self.shards[shard], key=lambda copy: rank(copy, watcher, zone)))
+        return tuple(sorted(self.shards[shard], key=lambda replica: rank(replica, watcher, zone)))
 
 
-def rank(copy: ShardReplica, watcher: str, zone: str) -> float:
+def rank(replica: ShardReplica, watcher: str, zone: str) -> float:
     """Sort key, the lowest is tried first: an exponential variate divided by the replica's weight."""
-    text = f"{copy.host} {copy.port} {watcher}".encode()
+    text = f"{replica.host} {replica.port} {watcher}".encode()
     draw = (int.from_bytes(blake2b(text, digest_size=8, person=b"copy").digest()) + 1) / (2**64 + 1)
-    return -log(draw) / (ZONE_WEIGHT if zone and copy.zone == zone else 1.0)
+    return -log(draw) / (ZONE_WEIGHT if zone and replica.zone == zone else 1.0)
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -98,15 +98,13 @@
     freshness_moves: int = 0  # consecutive changes of replica that found no fresher one
     next_freshness_move_at: int = 0  # earliest time of the next change of replica for freshness
     floor: Revision | None = None  # of the last message accepted; older snapshots are rejected
-    avoided: dict[ShardReplica, int] = field(
-        default_factory=dict
-    )  # stale or unreachable replicas, and since when
+    avoided: dict[ShardReplica, int] = field(default_factory=dict)  # stale or unreachable, since when
 
     @property
     def unreachable(self) -> bool:
         """Whether every replica has failed since the last success."""
         return self.failures >= len(self.replicas)
 
-    def select_next_copy(self) -> None:
+    def select_next_replica(self) -> None:
         """Select the next replica, cyclically."""
         self.replica_index = (self.replica_index + 1) % len(self.replicas)
--- a/lapistrestle/directory/effects.py
+++ b/lapistrestle/directory/effects.py
@@ -144,9 +144,7 @@
     snapshot_rate: int = 10_000  # per second; at 20 us each they take a fifth of a core
     snapshot_burst: int = 2_500
     max_retry_after: int = 2 * SECOND  # longest `retry_after` of a `Busy` answer
-    stall_threshold: int = (
-        300 * MILLISECOND
-    )  # a longer gap between calls means that the process itself stalled
+    stall_threshold: int = 300 * MILLISECOND  # a longer gap between calls: the process itself stalled
     roster_idle_timeout: int = 5 * SECOND  # without a message from the roster: a complete list is requested
     roster_response_timeout: int = 2 * SECOND  # time-out of that request; then the roster counts as lost
     max_sessions: int = 8_192
@@ -162,16 +160,12 @@
     first_count: int = 8  # instances requested by the first lookup of a function
     lookup_timeout: int = 250 * MILLISECOND
     heartbeat: int = 200 * MILLISECOND  # interval of lease renewals
-    silence_timeout: int = (
-        600 * MILLISECOND
-    )  # a request unanswered for so long: fail over to the next replica
+    silence_timeout: int = 600 * MILLISECOND  # for an answer, before the next replica is tried
     stale_age: int = 1 * SECOND  # age of a holder's data at which another replica is tried
     dial_timeout: int = 300 * MILLISECOND
     idle_timeout: int = 120 * SECOND  # a function unused for so long is unwatched
     extension_interval: int = 500 * MILLISECOND  # minimum interval between two extensions of one prefix
-    rebalance_interval: int = (
-        300 * SECOND
-    )  # mean time with another replica before the preferred one is tried again
+    rebalance_interval: int = 300 * SECOND  # mean time until the preferred replica is tried again
     initial_backoff: int = 50 * MILLISECOND  # upper bound of the first backoff before dialling; it doubles
     max_backoff: int = 2 * SECOND  # upper bound of the backoff
     max_functions: int = 16_384  # watched at once; a lookup of a further one fails
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -139,8 +139,8 @@
         now = self.clock()
         freshness = self.holder.freshness
         mean, most = self.sessions.meter.rates(now)
-        copies = [
-            [{"host": copy.host, "port": copy.port, "zone": copy.zone} for copy in shard]
+        replicas = [
+            [{"host": replica.host, "port": replica.port, "zone": replica.zone} for replica in shard]
             for shard in self.settings.directory.shards
         ]
         watched = self.holder.watched.functions.get(function)
@@ -149,7 +149,7 @@
             "longest prefix": max((len(prefix.names) for prefix in prefixes), default=0),
             "holder": self.name,
             "zone": self.settings.serve.zone,
-            "copies": copies,
+            "copies": replicas,
             "sessions": len(self.sessions),
             "slow": len(self.sessions.slow),
             "bytes a second": round(mean, 1),
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -50,8 +50,8 @@
         """Add a function to its shard, which is created for its first function."""
         shard = self.shards.get(function.shard)
         if shard is None:
-            copies = self.assignment.replicas_for(function.shard, self.name, self.zone)
-            shard = self.shards[function.shard] = Shard(function.shard, copies)
+            replicas = self.assignment.replicas_for(function.shard, self.name, self.zone)
+            shard = self.shards[function.shard] = Shard(function.shard, replicas)
         shard.functions[function.name] = function
         return shard
 
@@ -89,12 +89,12 @@
         if shard.connection is not None or shard.dial_at > now or not shard.functions:
             return
         self.last_connection += 1
-        copy = shard.replicas[shard.replica_index]
-        connection = HolderConnection(self.last_connection, shard.number, copy, now)
+        replica = shard.replicas[shard.replica_index]
+        connection = HolderConnection(self.last_connection, shard.number, replica, now)
         shard.connection = connection
         shard.dial_at = NEVER
         self.connections[connection.number] = connection
-        self.emit(Dial(connection.number, shard.number, copy))
+        self.emit(Dial(connection.number, shard.number, replica))
 
     def disconnect(self, shard: Shard) -> None:
         """Close the shard's connection; cached prefixes stay."""
@@ -141,14 +141,14 @@
         self.disconnect(shard)
         shard.failures += 1
         doublings = min(MAX_DIAL_DOUBLINGS, shard.failures - 1)
-        pause = min(self.settings.max_backoff, self.settings.initial_backoff << doublings)
-        shard.dial_at = now + pause // 2 + self.jitter.below(pause // 2 + 1)
+        backoff = min(self.settings.max_backoff, self.settings.initial_backoff << doublings)
+        shard.dial_at = now + backoff // 2 + self.jitter.below(backoff // 2 + 1)
         if connection is not None:
             shard.avoided[connection.replica] = now
             known = sum(function.has_prefix for function in shard.functions.values())
             figures = f"{known} of {len(shard.functions)} functions cached, {shard.failures} failures"
             self.log(f"shard {shard.number}: leaving {address_of(connection.replica)}: {reason}; {figures}")
-        shard.select_next_copy()
+        shard.select_next_replica()
         if shard.unreachable:
             self.lookups.fail_pending(shard.functions, shard.dial_at - now)
 
@@ -194,9 +194,9 @@
                 self.switch_replica(shard, at, f"data {age / MILLISECOND:.0f} ms old", now)
                 return
 
-    def is_avoided(self, shard: Shard, copy: ShardReplica, now: int) -> bool:
+    def is_avoided(self, shard: Shard, replica: ShardReplica, now: int) -> bool:
         """Whether a replica was recently found stale or unreachable."""
-        return now - shard.avoided.get(copy, -NEVER) < AVOIDANCE_TIME
+        return now - shard.avoided.get(replica, -NEVER) < AVOIDANCE_TIME
 
     def count_freshness_move(self, shard: Shard, now: int) -> None:
         """Count a change of replica. After all were tried in vain, the delay before the next one doubles."""
@@ -204,8 +204,8 @@
         rounds = shard.freshness_moves - len(shard.replicas) + 1
         if rounds < 0:
             return
-        pause = AVOIDANCE_TIME << min(rounds, MAX_MOVE_DOUBLINGS)
-        shard.next_freshness_move_at = now + pause + self.jitter.below(pause)
+        delay = AVOIDANCE_TIME << min(rounds, MAX_MOVE_DOUBLINGS)
+        shard.next_freshness_move_at = now + delay + self.jitter.below(delay)
         if not rounds:
             text = f"trying the last of {len(shard.replicas)} replicas for fresher data, then no more for"
             self.log(f"shard {shard.number}: {text} {(shard.next_freshness_move_at - now) / SECOND:.0f} s")
@@ -218,6 +218,6 @@
         return sum(shard.connection is not None and shard.connection.has_answered for shard in shards)
 
 
-def address_of(copy: ShardReplica) -> str:
-    """Host and port of a copy, for the log."""
-    return f"{copy.host}:{copy.port}"
+def address_of(replica: ShardReplica) -> str:
+    """Host and port of a replica, for the log."""
+    return f"{replica.host}:{replica.port}"
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -60,9 +60,7 @@
     positions: frozenset[int] = frozenset()  # from which the ring was searched for the prefixes
     members: set[str] = field(default_factory=set)  # instances indexed for this function
     length: int = 0  # of the longest prefix
-    outdated_sessions: set[int] = field(
-        default_factory=set
-    )  # sessions that have not been sent the latest prefix
+    outdated_sessions: set[int] = field(default_factory=set)  # not sent the latest prefix yet
     differences: dict[tuple[Prefix, Prefix], Difference] = field(default_factory=dict)
 
     def difference(self, before: Prefix, after: Prefix) -> Difference:
@@ -89,68 +87,70 @@
 
     def watch(self, function: str, watch: SessionWatch) -> Prefix:
         """Start a watch, replacing the session's earlier one. Returns the prefix to be sent."""
-        known = self.functions.get(function)
-        if known is None:
-            known = self.functions[function] = WatchedFunction(function)
-        before = known.watches.get(watch.session)
-        known.counts[watch.count] += 1
+        watched = self.functions.get(function)
+        if watched is None:
+            watched = self.functions[function] = WatchedFunction(function)
+        before = watched.watches.get(watch.session)
+        watched.counts[watch.count] += 1
         if before is not None:
-            self.release_count(known, before.count)
-        known.watches[watch.session] = watch
-        fresh = watch.count not in known.prefixes
+            self.release_count(watched, before.count)
+        watched.watches[watch.session] = watch
+        fresh = watch.count not in watched.prefixes
         if fresh:
-            self.recompute(known)
-        watch.sent_prefix = known.prefixes[watch.count]
+            self.recompute(watched)
+        watch.sent_prefix = watched.prefixes[watch.count]
         if fresh or before is not None:
-            self.mark_current(known, watch.session)
+            self.mark_current(watched, watch.session)
         return watch.sent_prefix
 
     def answer(self, function: str, count: int, now: int) -> Answer:
         """The answer to a watch of this count, shared by all watchers."""
-        known = self.functions[function]
-        answer = known.answers.get(count)
+        watched = self.functions[function]
+        answer = watched.answers.get(count)
         if answer is None or now - answer.at > ANSWER_LIFETIME:
-            prefix = known.prefixes[count]
+            prefix = watched.prefixes[count]
             entries = [self.instances.known[name].entry_at(now) for name in prefix.names]
             digest = digest_of(entries, prefix.complete)
             answer = Answer(entries, prefix.complete, entries_bytes(entries), digest, now)
-            known.answers[count] = answer
+            watched.answers[count] = answer
         return answer
 
     def unwatch(self, function: str, session: int) -> None:
         """End a session's watch of a function; an unknown one is ignored."""
-        known = self.functions.get(function)
-        watch = known.watches.pop(session, None) if known is not None else None
-        if known is None or watch is None:
+        watched = self.functions.get(function)
+        watch = watched.watches.pop(session, None) if watched is not None else None
+        if watched is None or watch is None:
             return
-        self.release_count(known, watch.count)
-        if known.watches:
-            self.mark_current(known, session)
+        self.release_count(watched, watch.count)
+        if watched.watches:
+            self.mark_current(watched, session)
         else:
-            self.remove_function(known)
+            self.remove_function(watched)
 
-    def release_count(self, known: WatchedFunction, count: int) -> None:
+    def release_count(self, watched: WatchedFunction, count: int) -> None:
         """Count one watch of this count less; the last one removes the prefix."""
-        known.counts[count] -= 1
-        if not known.counts[count]:
-            del known.counts[count]
-            known.prefixes.pop(count, None)
-            known.answers.pop(count, None)
+        watched.counts[count] -= 1
+        if not watched.counts[count]:
+            del watched.counts[count]
+            watched.prefixes.pop(count, None)
+            watched.answers.pop(count, None)
 
-    def remove_function(self, known: WatchedFunction) -> None:
+    def remove_function(self, watched: WatchedFunction) -> None:
         """Remove a function that has no watches."""
-        self.index_positions(known, frozenset())
-        self.index_members(known, set())
-        self.complete.discard(known.name)
-        self.index_length(known, 0)
-        del self.functions[known.name]
+        self.index_positions(watched, frozenset())
+        self.index_members(watched, set())
+        self.complete.discard(watched.name)
+        self.index_length(watched, 0)
+        del self.functions[watched.name]
 
-    def mark_current(self, known: WatchedFunction, session: int) -> None:
+    def mark_current(self, watched: WatchedFunction, session: int) -> None:
         """Record that a session was sent the latest prefix or ended its watch."""
-        known.outdated_sessions.discard(session)
-        if not known.outdated_sessions:
-            known.differences.clear()
-            self.index_members(known, {name for prefix in known.prefixes.values() for name in prefix.names})
+        watched.outdated_sessions.discard(session)
+        if not watched.outdated_sessions:
+            watched.differences.clear()
+            self.index_members(
+                watched, {name for prefix in watched.prefixes.values() for name in prefix.names}
+            )
 
     # instances
 
@@ -173,21 +173,19 @@
 
     def recompute_changed(self, functions: Iterable[str]) -> list[tuple[WatchedFunction, SessionWatch]]:
         """Recompute these functions' prefixes. Returns the watches that were sent a different prefix."""
-        behind = list[tuple[WatchedFunction, SessionWatch]]()
+        outdated = list[tuple[WatchedFunction, SessionWatch]]()
         for name in sorted(functions):
-            known = self.functions[name]
-            self.recompute(known)
-            for watch in known.watches.values():
-                if watch.sent_prefix != known.prefixes[watch.count]:
-                    known.outdated_sessions.add(watch.session)
-                    behind.append((known, watch))
-                elif watch.session in known.outdated_sessions:
-                    known.outdated_sessions.discard(
-                        watch.session
-                    )  # the prefix is again the one that was sent
-            if not known.outdated_sessions:
-                self.mark_current(known, -1)
-        return behind
+            watched = self.functions[name]
+            self.recompute(watched)
+            for watch in watched.watches.values():
+                if watch.sent_prefix != watched.prefixes[watch.count]:
+                    watched.outdated_sessions.add(watch.session)
+                    outdated.append((watched, watch))
+                elif watch.session in watched.outdated_sessions:
+                    watched.outdated_sessions.discard(watch.session)  # changed back to the prefix sent
+            if not watched.outdated_sessions:
+                self.mark_current(watched, -1)
+        return outdated
 
     def watches_sent(self, name: str) -> list[SessionWatch]:
         """Watches that were sent this instance."""
@@ -195,63 +193,65 @@
         watches = (watch for function in functions for watch in self.functions[function].watches.values())
         return [watch for watch in watches if name in watch.sent_prefix.names]
 
-    def recompute(self, known: WatchedFunction) -> None:
+    def recompute(self, watched: WatchedFunction) -> None:
         """Compute the prefixes from the order, walked as far as the largest count requires."""
         self.recomputation_count += 1
-        missing = sorted(known.counts)
+        pending_counts = sorted(watched.counts)
         names, positions, serving = list[str](), list[int](), 0
-        known.prefixes = {}
-        known.answers = {}
-        for place in self.instances.ring.places(known.name):
+        watched.prefixes = {}
+        watched.answers = {}
+        for place in self.instances.ring.places(watched.name):
             names.append(place.name)
             positions.extend(place.searched_from)
             serving += self.instances.serves(place.name)
-            while missing and (serving >= missing[0] or len(names) >= max_prefix_length(missing[0])):
+            while pending_counts and (
+                serving >= pending_counts[0] or len(names) >= max_prefix_length(pending_counts[0])
+            ):
                 complete = len(names) == len(self.instances.ring)
-                known.prefixes[missing.pop(0)] = Prefix(tuple(names), complete)
-            if not missing:
+                watched.prefixes[pending_counts.pop(0)] = Prefix(tuple(names), complete)
+            if not pending_counts:
                 break
-        for count in missing:
-            known.prefixes[count] = Prefix(tuple(names), True)
+        for count in pending_counts:
+            watched.prefixes[count] = Prefix(tuple(names), True)
         complete = len(names) == len(self.instances.ring)
-        (self.complete.add if complete else self.complete.discard)(known.name)
-        self.index_positions(known, frozenset(positions))
-        self.index_length(known, len(names))
-        self.index_members(known, known.members | set(names))
-        if len(known.members) > MAX_MEMBERS:
-            sent_names = {name for watch in known.watches.values() for name in watch.sent_prefix.names}
-            self.index_members(known, sent_names | set(names))
-
-    def index_length(self, known: WatchedFunction, length: int) -> None:
+        (self.complete.add if complete else self.complete.discard)(watched.name)
+        self.index_positions(watched, frozenset(positions))
+        self.index_length(watched, len(names))
+        self.index_members(watched, watched.members | set(names))
+        if len(watched.members) > MAX_MEMBERS:
+            sent_names = {name for watch in watched.watches.values() for name in watch.sent_prefix.names}
+            self.index_members(watched, sent_names | set(names))
+
+    def index_length(self, watched: WatchedFunction, length: int) -> None:
         """Update the index by length of the longest prefix."""
-        if length == known.length:
+        if length == watched.length:
             return
-        functions = self.by_length.get(known.length, set())
-        functions.discard(known.name)
+        functions = self.by_length.get(watched.length, set())
+        functions.discard(watched.name)
         if not functions:
-            self.by_length.pop(known.length, None)
+            self.by_length.pop(watched.length, None)
         if length:
-            self.by_length.setdefault(length, set()).add(known.name)
-        known.length = length
+            self.by_length.setdefault(length, set()).add(watched.name)
+        watched.length = length
 
-    def index_positions(self, known: WatchedFunction, positions: frozenset[int]) -> None:
+    def index_positions(self, watched: WatchedFunction, positions: frozenset[int]) -> None:
         """Update the index of ring positions from which prefixes were searched."""
-        for position in known.positions - positions:
-            self.positions.discard(position, known.name)
-        for position in positions - known.positions:
-            self.positions.add(position, known.name)
-        known.positions = positions
+        for position in watched.positions - positions:
+            self.positions.discard(position, watched.name)
+        for position in positions - watched.positions:
+            self.positions.add(position, watched.name)
+        watched.positions = positions
 
-    def index_members(self, known: WatchedFunction, members: set[str]) -> None:
+    def index_members(self, watched: WatchedFunction, members: set[str]) -> None:
         """Update the index from instances to functions."""
-        for name in known.members - members:
+        for name in watched.members - members:
             functions = self.functions_by_instance[name]
-            functions.discard(known.name)
+            functions.discard(watched.name)
             if not functions:
                 del self.functions_by_instance[name]
-        for name in members - known.members:
-            self.functions_by_instance.setdefault(name, set()).add(known.name)
-        known.members = members
+        for name in members - watched.members:
+            self.functions_by_instance.setdefault(name, set()).add(watched.name)
+        watched.members = members
 
 
 def max_prefix_length(count: int) -> int:
--- a/lapistrestle/fleet/membership.py
+++ b/lapistrestle/fleet/membership.py
@@ -54,7 +54,7 @@
         self.periods = 0
         self.reconnects = 0
         self.name_holder: MemberRecord | None = None  # another process that uses our name
-        self.name_holder_heard_at = now
+        self.name_holder_last_heard_at = now
 
     # state
 
@@ -196,7 +196,7 @@
     def on_name_conflict(self, sender: MemberRecord, message: wire.Message) -> None:
         """Another process uses our name: the record with the greater precedence keeps it."""
         if self.name_holder is not None and sender.process_id == self.name_holder.process_id:
-            self.name_holder_heard_at = self.now
+            self.name_holder_last_heard_at = self.now
         if sender.precedence > self.me.precedence:
             self.yield_name(sender)
         elif isinstance(message, wire.Ping):  # so that it learns of us
@@ -206,7 +206,7 @@
         """Yield our name to another process."""
         if self.name_holder is None or holder.precedence > self.name_holder.precedence:
             self.name_holder = holder
-            self.name_holder_heard_at = self.now
+            self.name_holder_last_heard_at = self.now
         if self.state in ACTIVE_STATES:
             reason = f"another process uses the name {holder.name}, at port {holder.port}"
             self.set_state(LocalState.DISPLACED, reason)
@@ -218,7 +218,7 @@
         holder = self.name_holder
         assert holder is not None
         longest = self.settings.suspicion_multiplier * MAX_SUSPICION_FACTOR * self.settings.protocol_period
-        if self.now - self.name_holder_heard_at > longest:
+        if self.now - self.name_holder_last_heard_at > longest:
             self.table.me = wire.replace(self.me, boot=holder.boot + 1)
             self.name_holder = None
             self.table.state = LocalState.JOINING
@@ -236,8 +236,8 @@
         if self.state is LocalState.LEFT:
             self.next_period = now + self.settings.retention
             return
-        stood_still = now - self.next_period > self.settings.protocol_period // 2
-        if stood_still and self.detector.interrupt():
+        stalled = now - self.next_period > self.settings.protocol_period // 2
+        if stalled and self.detector.interrupt():
             self.health.worsen()
             for member in self.table.suspected:
                 member.status_since += now - before
--- a/lapistrestle/sources/numbered_list.py
+++ b/lapistrestle/sources/numbered_list.py
@@ -83,9 +83,7 @@
         self.state = ListState.UNKNOWN
         self.number = -1
         self.epoch = ""
-        self.pending_reversal: tuple[str, int] | None = (
-            None  # epoch and number of the last list with a lower number
-        )
+        self.pending_reversal: tuple[str, int] | None = None  # epoch and number of the last lower one
 
     def size(self) -> int:
         """Number of workers in the list."""
