--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -34,28 +34,28 @@
 
     def __init__(self, rig, name):
         self.process = Process(rig.reactor, name)
-        self.name, self.heard, self.bye, self.over = name, [], "", False
-        self.speaker = None
+        self.name, self.received, self.goodbye, self.is_closed = name, [], "", False
+        self.connection = None
         self.process.connectTCP("127.0.0.1", PORT, self)
 
     def buildProtocol(self, addr):
-        self.speaker = WatcherEnd(self)
-        return self.speaker
+        self.connection = WatcherConnection(self)
+        return self.connection
 
-    def say(self, message):
-        self.speaker.send_message(message)
+    def send(self, message):
+        self.connection.send_message(message)
 
     def watch(self, id=1, function="f", count=4, epoch=1, shard=0):
-        self.say(wire.Watch(id, shard, epoch, function, count))
+        self.send(wire.Watch(id, shard, epoch, function, count))
 
-    def of(self, kind):
-        return [message for message in self.heard if isinstance(message, kind)]
+    def messages(self, kind):
+        return [message for message in self.received if isinstance(message, kind)]
 
     def names(self):
-        return [e.name for e in self.of(wire.Snapshot)[-1].entries]
+        return [e.name for e in self.messages(wire.Snapshot)[-1].entries]
 
 
-class WatcherEnd(LineConnection):
+class WatcherConnection(LineConnection):
     protocol = wire.DIRECTORY
     decoder = message_decoder(wire.FromHolder)
 
@@ -67,16 +67,16 @@
         return Hello(self.protocol, 1, self.watcher.name)
 
     def message_received(self, message):
-        self.watcher.heard.append(message)
+        self.watcher.received.append(message)
 
     def goodbye_received(self, why):
-        self.watcher.bye = why
+        self.watcher.goodbye = why
 
     def connection_lost(self):
-        self.watcher.over = True
+        self.watcher.is_closed = True
 
 
-class Rig:
+class HolderRig:
     """A roster, a holder and watchers in virtual time."""
 
     def __init__(self, count=12, directory=None, **serve):
@@ -108,8 +108,8 @@
         self.run(0.01)
         return made
 
-    def note(self, told):
-        self.roster.note(told, self.reactor.seconds(), now=True)
+    def set_entry(self, changed):
+        self.roster.note(changed, self.reactor.seconds(), now=True)
 
     def restart_all(self, start):
         """Restart all instances, reported in one list."""
@@ -118,41 +118,41 @@
         self.roster.number += 1
         self.roster.say_all(self.roster.whole())
 
-    def keep(self, watchers, seconds, every=0.2):
+    def run_with_renewals(self, watchers, seconds, every=0.2):
         """Run for some time while these watchers renew their leases."""
         until = self.reactor.seconds() + seconds
         while self.reactor.seconds() < until:
             for watcher in watchers:
-                if not watcher.over:
-                    watcher.say(wire.Renew(round(self.reactor.seconds() * 1e4)))
+                if not watcher.is_closed:
+                    watcher.send(wire.Renew(round(self.reactor.seconds() * 1e4)))
             self.run(every)
 
-    def logged(self, what):
-        return [more for said, more in self.logs if said == what]
+    def log_entries(self, event):
+        return [more for name, more in self.logs if name == event]
 
 
 def test_a_watch_is_answered_by_a_snapshot_and_then_numbered_batches():
-    rig = Rig()
+    rig = HolderRig()
     edge = rig.watcher()
     edge.watch()
     rig.run(0.01)
-    (snapshot,) = edge.of(wire.Snapshot)
+    (snapshot,) = edge.messages(wire.Snapshot)
     assert len(snapshot.entries) == 4 and not snapshot.complete and snapshot.lease == 30_000
     first, second = edge.names()[:2]
-    rig.note(entry(first, listing="draining"))
+    rig.set_entry(entry(first, listing="draining"))
     rig.run(0.1)  # a drain is sent ahead of the next batch
-    (update,) = edge.of(wire.Update)
+    (update,) = edge.messages(wire.Update)
     assert update.sequence == snapshot.sequence + 1 and update.revision.number == 13
-    told = {e.name: e.listing for e in update.entries}
-    assert told.pop(first) == "draining"  # a serving instance is added to the prefix
-    assert len(told) == 1 and not set(told) & set(edge.names())
-    rig.note(entry(second, listing="gone"))
+    listings = {e.name: e.listing for e in update.entries}
+    assert listings.pop(first) == "draining"  # a serving instance is added to the prefix
+    assert len(listings) == 1 and not set(listings) & set(edge.names())
+    rig.set_entry(entry(second, listing="gone"))
     rig.run(1.0)
-    told = edge.of(wire.Update)
-    assert [u.sequence for u in told] == list(range(2, 2 + len(told)))
-    assert second in [name for u in told for name in u.gone]
+    updates = edge.messages(wire.Update)
+    assert [u.sequence for u in updates] == list(range(2, 2 + len(updates)))
+    assert second in [name for u in updates for name in u.gone]
     names = list(edge.names())
-    for change in (c for u in told for c in u.changes):
+    for change in (c for u in updates for c in u.changes):
         names = [n for n in names if n not in change.removed]
         for placed in change.inserted:
             names.insert(placed.position, placed.name)
@@ -163,9 +163,9 @@
 
 
 def test_two_holders_have_the_same_order_independent_of_history():
-    one, other = Rig(), Rig(count=0)
+    one, other = HolderRig(), HolderRig(count=0)
     for number in reversed(range(12)):
-        other.note(entry(f"w{number}"))
+        other.set_entry(entry(f"w{number}"))
     other.run(0.1)
     for function in ("f", "g", "h"):
         orders = [[e["name"] for e in rig.program.report(function)["order"]] for rig in (one, other)]
@@ -173,132 +173,136 @@
 
 
 def test_a_flapping_instance_is_not_sent_each_time():
-    rig = Rig()
+    rig = HolderRig()
     edge = rig.watcher()
     edge.watch()
     rig.run(0.01)
     first = edge.names()[0]
     for number in range(100):
-        rig.note(entry(first, listing="draining" if number % 2 else "serving"))
+        rig.set_entry(entry(first, listing="draining" if number % 2 else "serving"))
         rig.run(0.02)
-    rig.keep([edge], 1.0)
-    assert len(edge.of(wire.Update)) <= 8
-    last = [e for u in edge.of(wire.Update) for e in u.entries if e.name == first][-1]
+    rig.run_with_renewals([edge], 1.0)
+    assert len(edge.messages(wire.Update)) <= 8
+    last = [e for u in edge.messages(wire.Update) for e in u.entries if e.name == first][-1]
     assert last.listing == "draining"
 
 
 def test_an_old_or_new_epoch_and_another_shard_are_refused():
-    rig = Rig(directory={"epoch": 5})
+    rig = HolderRig(directory={"epoch": 5})
     edge = rig.watcher()
     for id, (epoch, shard) in enumerate([(4, 0), (6, 0), (5, 1)]):
         edge.watch(id=id, epoch=epoch, shard=shard)
     rig.run(0.01)
-    assert [(r.id, r.reason, r.epoch) for r in edge.of(wire.Refused)] == [
+    assert [(r.id, r.reason, r.epoch) for r in edge.messages(wire.Refused)] == [
         (0, "old epoch", 5),
         (1, "new epoch", 5),
         (2, "shard", 5),
     ]
-    assert not edge.of(wire.Snapshot)
+    assert not edge.messages(wire.Snapshot)
 
 
 def test_a_lost_roster_shows_in_the_age_and_its_successor_in_the_source():
-    rig = Rig()
+    rig = HolderRig()
     edge = rig.watcher()
     edge.watch()
-    rig.keep([edge], 1.0)
-    assert edge.of(wire.Renewed)[-1].age == 0 and edge.of(wire.Renewed)[-1].sums is None
-    assert any(r.sums is not None and r.sums.serving == 12 for r in edge.of(wire.Renewed))
+    rig.run_with_renewals([edge], 1.0)
+    assert edge.messages(wire.Renewed)[-1].age == 0 and edge.messages(wire.Renewed)[-1].sums is None
+    assert any(r.sums is not None and r.sums.serving == 12 for r in edge.messages(wire.Renewed))
     rig.roster.weather.silent = True  # restarts, and doesn't answer for a second
     rig.roster.begin_anew()
-    rig.keep([edge], 1.0)
-    assert edge.of(wire.Renewed)[-1].age > 5_000
+    rig.run_with_renewals([edge], 1.0)
+    assert edge.messages(wire.Renewed)[-1].age > 5_000
     rig.roster.weather.silent = False
-    rig.note(entry("w0", listing="draining"))
-    rig.keep([edge], 2.0)
-    last = edge.of(wire.Renewed)[-1]
+    rig.set_entry(entry("w0", listing="draining"))
+    rig.run_with_renewals([edge], 2.0)
+    last = edge.messages(wire.Renewed)[-1]
     assert last.age == 0 and last.revision.source == "e2"
-    said = [more["figures"] for more in rig.logged("directory")]
-    assert any("knowledge cut" in text for text in said) and "knowledge fresh" in said[-1]
+    log_texts = [more["figures"] for more in rig.log_entries("directory")]
+    assert any("knowledge cut" in text for text in log_texts) and "knowledge fresh" in log_texts[-1]
 
 
 def test_a_stalled_holder_answers_only_after_catching_up():
-    rig = Rig()
+    rig = HolderRig()
     edge = rig.watcher()
     edge.watch()
     rig.run(0.01)
     first = edge.names()[0]
     rig.process.stall()
     edge.watch(id=2, function="g")
-    edge.say(wire.Renew(1))
+    edge.send(wire.Renew(1))
     rig.run(1.0)
-    rig.note(entry(first, start=1))
+    rig.set_entry(entry(first, start=1))
     rig.run(1.0)
-    heard = len(edge.heard)
+    received_before = len(edge.received)
     rig.process.resume()
     rig.run(0.0)
-    assert not any(isinstance(m, wire.Snapshot | wire.Renewed) for m in edge.heard[heard:])
+    assert not any(isinstance(m, wire.Snapshot | wire.Renewed) for m in edge.received[received_before:])
     rig.run(0.5)
-    (changed,) = [e for u in edge.of(wire.Update) for e in u.entries if e.name == first]
+    (changed,) = [e for u in edge.messages(wire.Update) for e in u.entries if e.name == first]
     assert changed.start == f"{first}#1"
     edge.watch(id=3, function="g")
     rig.run(0.1)
-    assert edge.of(wire.Snapshot)[-1].id == 3
+    assert edge.messages(wire.Snapshot)[-1].id == 3
 
 
 def test_a_watcher_that_does_not_read_is_disconnected_without_delaying_others():
     lease, count, unsent = Duration(600_000), 300, 65_536
-    rig = Rig(count, {"bytes_per_second": 10_000_000, "lease": lease}, unsent=unsent)
+    rig = HolderRig(count, {"bytes_per_second": 10_000_000, "lease": lease}, unsent=unsent)
     slow, edge = rig.watcher("slow"), rig.watcher("edge-1")
     for watcher in (slow, edge):
         watcher.watch(count=count)
     rig.run(0.05)
     slow.process.stall()
     turns = 0
-    while not rig.logged("watcher cut") and turns < 60:
+    while not rig.log_entries("watcher cut") and turns < 60:
         turns += 1
         rig.restart_all(turns)
-        rig.keep([edge], 0.6)
-    (cut,) = rig.logged("watcher cut")
+        rig.run_with_renewals([edge], 0.6)
+    (cut,) = rig.log_entries("watcher cut")
     assert cut["watcher"] == "slow" and unsent < cut["waiting"] < unsent + 40_000  # one batch over the limit
-    assert rig.logged("watcher slow") == [{"watcher": "slow", "slow": 1, "sessions": 2}]
+    assert rig.log_entries("watcher slow") == [{"watcher": "slow", "slow": 1, "sessions": 2}]
     assert rig.program.counts.slow_connections_cut == 1 and rig.program.sessions.slow == set()
-    assert not edge.over and rig.program.report("")["sessions"] == 1
-    assert {e.start for e in edge.of(wire.Update)[-1].entries} == {f"w{n}#{turns}" for n in range(count)}
+    assert not edge.is_closed and rig.program.report("")["sessions"] == 1
+    assert {e.start for e in edge.messages(wire.Update)[-1].entries} == {
+        f"w{n}#{turns}" for n in range(count)
+    }
 
 
 def test_connections_over_the_limit_and_with_undecodable_lines_are_closed():
-    rig = Rig(connections=2)
+    rig = HolderRig(connections=2)
     edges = [rig.watcher(f"edge-{n}") for n in range(3)]
     rig.run(0.1)
-    assert [e.over for e in edges] == [False, False, True] and "2 watchers" in edges[2].bye
-    edges[0].speaker.transport.write(b'{"is": "watch"}\n')
+    assert [e.is_closed for e in edges] == [False, False, True] and "2 watchers" in edges[2].goodbye
+    edges[0].connection.transport.write(b'{"is": "watch"}\n')
     rig.run(0.1)
-    assert edges[0].over and "unreadable" in edges[0].bye and rig.program.counts.unreadable_lines == 1
+    assert (
+        edges[0].is_closed and "unreadable" in edges[0].goodbye and rig.program.counts.unreadable_lines == 1
+    )
     edges[1].watch()
     rig.run(0.1)
-    assert edges[1].of(wire.Snapshot)
+    assert edges[1].messages(wire.Snapshot)
 
 
 def test_a_connection_with_another_protocol_is_closed():
-    rig = Rig()
+    rig = HolderRig()
     edge = Watcher(rig, "edge-0")
     rig.reactor.run(rig.reactor.seconds() + 0.0004)
-    edge.speaker.transport.write(encode(Hello("lapistrestle.roster", 1)) + b"\n")
+    edge.connection.transport.write(encode(Hello("lapistrestle.roster", 1)) + b"\n")
     rig.run(0.1)
-    assert edge.over and rig.program.report("")["sessions"] == 0
+    assert edge.is_closed and rig.program.report("")["sessions"] == 0
 
 
 def test_an_unrenewed_watch_expires():
-    rig = Rig()
+    rig = HolderRig()
     quiet, edge = rig.watcher("quiet"), rig.watcher("edge-1")
     for watcher in (quiet, edge):
         watcher.watch()
-    rig.keep([edge], 3.5)
-    assert quiet.over and "lease" in quiet.bye and not edge.over
+    rig.run_with_renewals([edge], 3.5)
+    assert quiet.is_closed and "lease" in quiet.goodbye and not edge.is_closed
 
 
 def test_all_watchers_at_once_are_admitted_at_the_configured_rate():
-    rig = Rig(count=30, snapshots_per_second=200)
+    rig = HolderRig(count=30, snapshots_per_second=200)
     edges = [Watcher(rig, f"edge-{n}") for n in range(100)]
     rig.run(0.01)
     asked = {(edge, n): 0.0 for edge in edges for n in range(10)}
@@ -312,13 +316,13 @@
                 edge.watch(id=number, function=f"f{number}", count=8)
         rig.run(0.01)
         for edge in edges:
-            for message in edge.heard[seen[edge] :]:
+            for message in edge.received[seen[edge] :]:
                 if isinstance(message, wire.Busy):
                     asked[edge, message.id] = rig.reactor.seconds() + message.retry_after / 1e4
                 elif isinstance(message, wire.Snapshot):
                     del asked[edge, message.id]
                     answered.append(rig.reactor.seconds() - began)
-            seen[edge] = len(edge.heard)
+            seen[edge] = len(edge.received)
     assert not asked and len(answered) == 1_000
     in_second = [sum(second <= at < second + 1 for at in answered) for second in range(10)]
     assert max(in_second) <= 200 + 50 and answered[-1] < 2 * 1_000 / 200
@@ -326,22 +330,22 @@
 
 
 def test_a_stopping_holder_notifies_all_watchers_and_ends():
-    rig = Rig()
+    rig = HolderRig()
     edges = [rig.watcher(f"edge-{n}") for n in range(3)]
     ended = []
     rig.program.stop(lambda: ended.append(rig.reactor.seconds()))
     rig.run(0.1)
-    assert all(edge.over and edge.bye == "the holder stops" for edge in edges) and len(ended) == 1
-    assert rig.logged("stopped")[0]["sessions"] == 3
+    assert all(edge.is_closed and edge.goodbye == "the holder stops" for edge in edges) and len(ended) == 1
+    assert rig.log_entries("stopped")[0]["sessions"] == 3
     late = Watcher(rig, "late")
     rig.run(0.1)
-    assert late.speaker is None
+    assert late.connection is None
     rig.run(5.0)
     assert len(ended) == 1
 
 
 def test_a_stopping_holder_ends_even_if_its_watchers_do_not_read():
-    rig = Rig()
+    rig = HolderRig()
     edge = rig.watcher()
     edge.process.stall()
     ended = []
@@ -358,58 +362,58 @@
     assert meter.rates(span * 10_000) == (1_000.0, 1_000) and meter.total == span * 1_000
 
 
-def whole_of(program):
+def complete_list_of(program):
     listed = program.roster.list
     return RosterSnapshot(listed.number, [entry(f"w{number}") for number in range(12)], listed.epoch)
 
 
-def standstill(program):
+def stall(program):
     """Simulate a stall: the next event is a second late."""
     program.holder.message_received(0, wire.Renew(0), program.clock() + 10_000)
     program.perform_effects()
 
 
 def test_a_list_requested_before_a_stall_does_not_end_it():
-    program = Rig().program
+    program = HolderRig().program
     listed = program.roster.list
     program.roster.source.heard(
         RosterUpdate(listed.number + 2, [], listed.epoch)
     )  # a gap: the list is requested
-    standstill(program)  # the holder sends a request of its own
-    program.roster.source.heard(whole_of(program))  # the answer to the first request
+    stall(program)  # the holder sends a request of its own
+    program.roster.source.heard(complete_list_of(program))  # the answer to the first request
     assert not program.holder.freshness.may_answer
-    program.roster.source.heard(whole_of(program))
+    program.roster.source.heard(complete_list_of(program))
     assert program.holder.freshness.may_answer
 
 
 def test_a_list_requested_on_connecting_does_not_end_a_later_stall():
-    program = Rig().program
+    program = HolderRig().program
     program.holder.roster_lost(program.clock())
-    speaker = program.roster.source.connection
-    speaker.greeting_received(
+    connection = program.roster.source.connection
+    connection.greeting_received(
         Hello(ROSTER, 1, "roster")
     )  # the connection is established: the list is requested
-    standstill(program)
-    program.roster.source.heard(whole_of(program))
+    stall(program)
+    program.roster.source.heard(complete_list_of(program))
     assert not program.holder.freshness.may_answer
-    program.roster.source.heard(whole_of(program))
+    program.roster.source.heard(complete_list_of(program))
     assert program.holder.freshness.may_answer
 
 
 def test_a_discarded_list_causes_another_request():
-    program = Rig().program
-    standstill(program)
+    program = HolderRig().program
+    stall(program)
     listed, source = program.roster.list, program.roster.source
     before = listed.number
     source.heard(RosterSnapshot(before - 1, [], listed.epoch))  # a lower number, which has to be sent twice
     source.heard(RosterSnapshot(before - 2, [], listed.epoch))  # discarded
     assert program.holder.freshness.open_requests == 1
-    program.roster.source.heard(whole_of(program))
+    program.roster.source.heard(complete_list_of(program))
     assert program.holder.freshness.may_answer
 
 
 def test_an_undecodable_line_of_the_roster_causes_a_reconnect():
-    rig = Rig()
+    rig = HolderRig()
     first = rig.program.roster.source.connection
     first.unreadable_line_received(b"{", "cut off")
     rig.run(2.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,7 +28,7 @@
     return endpoint.runtime
 
 
-class Written:
+class RecordingTransport:
     """A transport that records messages and log lines."""
 
     def __init__(self) -> None:
@@ -62,18 +62,18 @@
     )
 
 
-Made = tuple[Membership, Written]
+Made = tuple[Membership, RecordingTransport]
 
 
 @pytest.fixture
 def made() -> Made:
-    transport = Written()
+    transport = RecordingTransport()
     members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     members.start(0)
     return members, transport
 
 
-def meet(members: Membership, *names: str) -> None:
+def join(members: Membership, *names: str) -> None:
     for name in names:
         members.on_message(record(name), wire.Ack(0), (), members.now)
 
@@ -87,46 +87,46 @@
 
 def test_an_alive_record_does_not_count_as_a_suspicion() -> None:
     """A repeated alive record with a `suspected_by` counted as a confirmation of the next suspicion."""
-    members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
+    members = Membership(RecordingTransport(), MembershipSettings(), record("a"), 1, 0)
     for status, by in ((MemberStatus.ALIVE, "x"), (MemberStatus.ALIVE, "x"), (MemberStatus.SUSPECT, "y")):
         members.apply(MemberRecord("b", 1, 1, 1, status, "127.0.0.1", 9, "", by))
     assert members.members["b"].status is MemberStatus.SUSPECT and members.members["b"].suspected_by == {"y"}
 
 
 @given(st.lists(records, max_size=12), st.randoms())
-def test_records_in_any_order_lead_to_the_same_table(told: list[MemberRecord], random: Random) -> None:
-    other = [*told, *random.sample(told, len(told) // 2)]
+def test_records_in_any_order_lead_to_the_same_table(received: list[MemberRecord], random: Random) -> None:
+    other = [*received, *random.sample(received, len(received) // 2)]
     random.shuffle(other)
-    beliefs = []
-    for said in (told, other):
-        members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
-        for each in said:
+    tables = []
+    for sequence in (received, other):
+        members = Membership(RecordingTransport(), MembershipSettings(), record("a"), 1, 0)
+        for each in sequence:
             members.apply(each)
         known = members.members.values()
         held = {
             m.name: (m.record.precedence, m.status is MemberStatus.SUSPECT and m.suspected_by) for m in known
         }
-        beliefs.append((held, {m.name for m in members.table.suspected}, [m.name for m in members.live()]))
-    assert beliefs[0] == beliefs[1]
+        tables.append((held, {m.name for m in members.table.suspected}, [m.name for m in members.live()]))
+    assert tables[0] == tables[1]
 
 
 @given(st.lists(records, max_size=12))
 def test_a_left_process_stays_left_and_only_members_raise_their_incarnation(
-    told: list[MemberRecord],
+    received: list[MemberRecord],
 ) -> None:
-    members = Membership(Written(), MembershipSettings(), record("a"), 1, 0)
+    members = Membership(RecordingTransport(), MembershipSettings(), record("a"), 1, 0)
     left = set()
-    for each in told:
+    for each in received:
         members.apply(each)
         left |= {each.process_id} if each.status is MemberStatus.LEFT else set()
         held = members.members[each.name].record
         assert held.process_id not in left or held.status is MemberStatus.LEFT
-        assert held.incarnation in {c.incarnation for c in told if c.process_id == held.process_id}
+        assert held.incarnation in {c.incarnation for c in received if c.process_id == held.process_id}
 
 
 def test_a_suspected_member_refutes_and_lowers_its_local_health(made: Made) -> None:
     members, _ = made
-    meet(members, "b")
+    join(members, "b")
     members.on_message(
         record("b"), wire.Ping(1), (record("a", 0, MemberStatus.SUSPECT, suspected_by="b"),), 10
     )
@@ -137,7 +137,7 @@
 
 def test_confirmations_shorten_a_suspicion_and_poor_local_health_lengthens_it(made: Made) -> None:
     members, _ = made
-    meet(members, "b", "c", "d", "e", "f")
+    join(members, "b", "c", "d", "e", "f")
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="c"))
     suspect = members.members["b"]
     alone = members.suspicion_deadline(suspect)
@@ -146,14 +146,14 @@
     for by in "ef":
         members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by=by))
     assert members.suspicion_deadline(suspect) < two < alone
-    certain = members.suspicion_deadline(suspect)
+    shortest = members.suspicion_deadline(suspect)
     members.apply(record("b", 0, MemberStatus.SUSPECT, suspected_by="e"))
-    assert members.suspicion_deadline(suspect) == certain  # a repeated suspicion by one member counts once
+    assert members.suspicion_deadline(suspect) == shortest  # a repeated suspicion by one member counts once
     members.health.score = 1
-    assert members.suspicion_deadline(suspect) - suspect.status_since == 2 * (certain - suspect.status_since)
+    assert members.suspicion_deadline(suspect) - suspect.status_since == 2 * (shortest - suspect.status_since)
 
 
-def probing(members: Membership) -> tuple[Member, int]:
+def start_probe(members: Membership) -> tuple[Member, int]:
     """Start a probe. Returns its target and the time-out of the ping."""
     members.tick(members.next_period)
     assert members.detector.target is not None
@@ -162,11 +162,11 @@
 
 def test_indirect_probes_precede_a_suspicion(made: Made) -> None:
     members, transport = made
-    meet(members, "b", "c", "d")
-    target, late = probing(members)
-    members.tick(late)
-    asks = transport.messages(wire.PingRequest)
-    assert len(asks) == 2 and {message.name for _, message in asks} == {target.name}
+    join(members, "b", "c", "d")
+    target, timeout_at = start_probe(members)
+    members.tick(timeout_at)
+    requests = transport.messages(wire.PingRequest)
+    assert len(requests) == 2 and {message.name for _, message in requests} == {target.name}
     assert target.status is MemberStatus.ALIVE
     members.tick(members.next_period)
     assert target.record.status is MemberStatus.SUSPECT and target.suspected_by == {"a"}
@@ -174,31 +174,31 @@
 
 def test_an_ack_by_a_relay_prevents_a_suspicion(made: Made) -> None:
     members, _ = made
-    meet(members, "b", "c", "d")
-    target, late = probing(members)
-    members.tick(late)
-    doubt = members.health.score
-    members.on_message(record(target.name), wire.Ack(members.detector.ping_number), (), late + 100)
-    assert members.health.score == doubt - 1
+    join(members, "b", "c", "d")
+    target, timeout_at = start_probe(members)
+    members.tick(timeout_at)
+    score = members.health.score
+    members.on_message(record(target.name), wire.Ack(members.detector.ping_number), (), timeout_at + 100)
+    assert members.health.score == score - 1
     members.tick(members.next_period)
     assert target.status is MemberStatus.ALIVE
 
 
 def test_an_ack_of_an_earlier_ping_does_not_prevent_a_suspicion(made: Made) -> None:
     members, _ = made
-    meet(members, "b", "c")
-    target, late = probing(members)
-    members.on_message(record(target.name), wire.Ack(members.detector.ping_number - 1), (), late - 1)
-    members.tick(late)
+    join(members, "b", "c")
+    target, timeout_at = start_probe(members)
+    members.on_message(record(target.name), wire.Ack(members.detector.ping_number - 1), (), timeout_at - 1)
+    members.tick(timeout_at)
     members.tick(members.next_period)
     assert target.status is MemberStatus.SUSPECT
 
 
 def test_a_stalled_member_suspects_nobody_and_extends_suspicions(made: Made) -> None:
     members, _ = made
-    meet(members, "b", "c")
+    join(members, "b", "c")
     members.apply(record("c", 0, MemberStatus.SUSPECT, suspected_by="b"))
-    probing(members)
+    start_probe(members)
     members.tick(members.next_period + 60 * SECOND)
     assert {m.status for m in members.members.values()} == {MemberStatus.ALIVE, MemberStatus.SUSPECT}
     assert members.health.score >= 1 and "a" not in members.members["c"].suspected_by
@@ -213,7 +213,7 @@
 
 def test_a_relay_pings_the_target_and_sends_a_nack_without_an_answer(made: Made) -> None:
     members, transport = made
-    meet(members, "b", "c")
+    join(members, "b", "c")
     members.on_message(record("b"), wire.PingRequest(77, "c", "127.0.0.1", 1_099), (), 10)
     port, ping = transport.messages(wire.Ping)[-1]
     assert port == 1_099
@@ -235,34 +235,34 @@
 
 
 def test_table_pages_fit_in_a_datagram_and_continue() -> None:
-    transport = Written()
+    transport = RecordingTransport()
     members = Membership(transport, MembershipSettings(), record("a"), 1, 0)
     names = [f"{i:03d}" + "x" * 60 for i in range(60)]
     for name in names:
         long = ("127.127.127.127", 65_535, "z" * 32, "y" * 64)
         members.apply(MemberRecord(name, 2**61, 2**61, 0, MemberStatus.ALIVE, *long))
-    meet(members, "b")
+    join(members, "b")
     read, after, more = list[str](), "", True
     while more:
         members.on_message(record("b"), wire.PageRequest(after), (), 10)
-        _, page, told = transport.sent[-1]
+        _, page, page_records = transport.sent[-1]
         assert isinstance(page, wire.TablePage)
-        data = wire.encode(wire.Datagram("f" * 64, 1, members.me, page, told))
-        assert len(data) <= wire.MAX_DATAGRAM_BYTES and told
-        read += [c.name for c in told]
-        after, more = told[-1].name, page.more
+        data = wire.encode(wire.Datagram("f" * 64, 1, members.me, page, page_records))
+        assert len(data) <= wire.MAX_DATAGRAM_BYTES and page_records
+        read += [c.name for c in page_records]
+        after, more = page_records[-1].name, page.more
     assert read == names
 
 
 def test_of_two_processes_with_one_name_the_later_boot_keeps_it(made: Made) -> None:
     members, transport = made
-    meet(members, "b")
+    join(members, "b")
     members.on_message(record("a", boot=2, nonce=9), wire.Ping(1), (), 10)
     assert members.state is LocalState.DISPLACED and members.size == 0
-    asked = len(transport.sent)
+    sent_before = len(transport.sent)
     members.on_message(record("b"), wire.Ping(5), (), 20)
-    assert not transport.messages(wire.Ack)[asked:]  # a displaced process does not answer as a member
-    transport2 = Written()
+    assert not transport.messages(wire.Ack)[sent_before:]  # a displaced process does not answer as a member
+    transport2 = RecordingTransport()
     later = Membership(transport2, MembershipSettings(), record("a", boot=3), 1, 0)
     later.on_message(record("a", boot=2, nonce=9), wire.Ping(4), (), 10)
     assert later.state is LocalState.JOINING and transport2.messages(wire.Ack)  # the other is notified
@@ -270,7 +270,7 @@
 
 def test_the_name_of_a_dead_process_is_taken_over_despite_a_clock_set_back(made: Made) -> None:
     members, _ = made
-    meet(members, "b")
+    join(members, "b")
     members.on_message(
         record("b"), wire.Ping(1), (record("a", status=MemberStatus.DEAD, boot=50, nonce=7),), 10
     )
@@ -362,16 +362,16 @@
     cluster = Cluster(9)
     cluster.many(8)
     cluster.run(10)
-    process, away = cluster.process("e-3"), 0.0
+    process, absences = cluster.process("e-3"), 0.0
     for _ in range(30):
         process.stall()
         cluster.run(2)
         process.resume()
         cluster.run(2)
-        away += "e-3" not in cluster.view("e-0")
+        absences += "e-3" not in cluster.view("e-0")
     assert not any(" dead" in line for line in runtime_of(cluster.endpoints["e-3"]).logs)
     assert cluster.until(cluster.agreed, 30) < 10
-    assert away <= 3
+    assert absences <= 3
 
 
 def test_a_member_that_can_not_send_is_declared_dead_by_all() -> None:
@@ -379,8 +379,8 @@
     cluster.many(6)
     cluster.run(10)
     ports = {n: t.settings.port for n, t in cluster.endpoints.items()}
-    mute = ports.pop("e-2")
-    cluster.links.sever([mute], list(ports.values()), both=False)
+    severed = ports.pop("e-2")
+    cluster.links.sever([severed], list(ports.values()), both=False)
     rest = lambda: all(cluster.view(n) == set(ports) - {n} for n in ports)  # noqa: E731
     assert cluster.until(rest, 90) < 60
     cluster.links.heal()
@@ -399,7 +399,7 @@
     assert "of version 2" in runtime_of(a).over[-2] and "can't be read" in runtime_of(a).over[-1]
 
 
-def cost(count: int) -> tuple[float, float]:
+def traffic_per_member(count: int) -> tuple[float, float]:
     cluster = Cluster(15)
     endpoints = cluster.many(count)
     assert cluster.until(cluster.agreed, 60) < 30
@@ -411,6 +411,6 @@
 
 
 def test_the_traffic_of_a_member_does_not_grow_with_the_fleet() -> None:
-    small, large = cost(6), cost(48)
+    small, large = traffic_per_member(6), traffic_per_member(48)
     assert large[0] < 1.5 * small[0] < 6
     assert large[1] < 1_200
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -10,7 +10,7 @@
 from lapistrestle.fleet.quota_share import Lease, OpenRequest, QuotaSettings, QuotaShare
 from lapistrestle.wire.fleet import LeaseGrant, LeaseMessage, LeaseRequest, ProcessId
 
-WHOLE, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
+QUOTA, SETTINGS = 100, QuotaSettings(lease_duration=4_000, settling_time=500, clock_drift=0.1)
 
 Datagram = tuple[int, ProcessId, int, ProcessId, LeaseMessage]  # receiver, sender, message
 Use = tuple[float, int]  # end of the use (true time), units
@@ -23,15 +23,15 @@
         self.random, self.kind, self.now = random.Random(seed), kind, 0
         self.rates = [self.random.uniform(0.92, 1.08) for _ in range(count)]
         self.boots = [0] * count
-        self.all = [self.make(i) for i in range(count)]
+        self.shares = [self.make(i) for i in range(count)]
         self.dead = set[int]()
-        self.still = set[int]()
-        self.way: list[Datagram] = []
-        self.worst = 0
-        self.holds: list[list[Use]] = [[] for _ in range(count)]
+        self.stalled = set[int]()
+        self.datagrams: list[Datagram] = []
+        self.max_total = 0
+        self.uses: list[list[Use]] = [[] for _ in range(count)]
 
     def make(self, i: int) -> QuotaShare:
-        return self.kind("loads", WHOLE, len(self.rates), i, SETTINGS, self.clock(i))
+        return self.kind("loads", QUOTA, len(self.rates), i, SETTINGS, self.clock(i))
 
     def clock(self, i: int) -> int:
         return 10_000 * i + int(self.now * self.rates[i])
@@ -41,25 +41,25 @@
 
     def send(self, target: int, source: int, message: LeaseMessage) -> None:
         sent = (target, self.process_id(target), source, self.process_id(source), message)
-        self.way += [sent] * self.random.choice((0, 1, 1, 2))
+        self.datagrams += [sent] * self.random.choice((0, 1, 1, 2))
 
     def step(self) -> int:
-        chance, count = self.random, len(self.all)
-        self.now += chance.choice((0, 5, 20, 100, 700))
-        i = chance.randrange(count)
-        act = chance.choice((*("ask", "use", "take") * 8, "back", "back", "fate"))
+        rng, count = self.random, len(self.shares)
+        self.now += rng.choice((0, 5, 20, 100, 700))
+        i = rng.randrange(count)
+        act = rng.choice((*("ask", "use", "take") * 8, "back", "back", "fate"))
         if act == "fate":
-            fate = chance.choice(("kill", "start", "start", "restart", "restart", "still", "wake", "wake"))
+            fate = rng.choice(("kill", "start", "start", "restart", "restart", "still", "wake", "wake"))
             if fate in ("kill", "restart"):
                 self.dead.add(i)
-                self.holds[i].clear()
+                self.uses[i].clear()
             if fate in ("start", "restart") and i in self.dead:
                 self.boots[i] += 1
                 self.dead.discard(i)
-                self.all[i] = self.make(i)
+                self.shares[i] = self.make(i)
             elif fate in ("still", "wake"):
-                (self.still.add if fate == "still" else self.still.discard)(i)
-        if i not in self.dead | self.still:
+                (self.stalled.add if fate == "still" else self.stalled.discard)(i)
+        if i not in self.dead | self.stalled:
             self.act(act, i)
         return self.total()
 
@@ -67,66 +67,68 @@
         """Run steps. Returns the maximum of `total` so far."""
         for _ in range(steps):
             self.step()
-        return self.worst
+        return self.max_total
 
     def act(self, act: str, i: int) -> None:
-        one, now, chance = self.all[i], self.clock(i), self.random
-        self.holds[i] = [(until, units) for until, units in self.holds[i] if until > self.now]
-        in_use = sum(units for _, units in self.holds[i])
-        one.record_use(in_use, now)
+        share, now, rng = self.shares[i], self.clock(i), self.random
+        self.uses[i] = [(until, units) for until, units in self.uses[i] if until > self.now]
+        in_use = sum(units for _, units in self.uses[i])
+        share.record_use(in_use, now)
         if act == "ask":
-            one.demand = chance.choice((0, 10, 60))
-            other = chance.randrange(len(self.all))
+            share.demand = rng.choice((0, 10, 60))
+            other = rng.randrange(len(self.shares))
             if other != i:
-                request = one.request_lease(self.process_id(other), chance.randint(1, 60), now)
+                request = share.request_lease(self.process_id(other), rng.randint(1, 60), now)
                 if request:
                     self.send(other, i, request)
-        elif act == "use" and (room := one.available(now) - in_use) > 0:
-            units = chance.randint(1, room)
-            self.holds[i].append((self.now + SETTINGS.settling_time / 1.1, units))
-            one.record_use(in_use + units, now)
+        elif act == "use" and (room := share.available(now) - in_use) > 0:
+            units = rng.randint(1, room)
+            self.uses[i].append((self.now + SETTINGS.settling_time / 1.1, units))
+            share.record_use(in_use + units, now)
         elif act == "back":
-            one.demand = 0
-            for lender, returned in one.return_unneeded(now):
+            share.demand = 0
+            for lender, returned in share.return_unneeded(now):
                 self.send(int(lender[0][1:]), i, returned)
-        elif act == "take" and self.way:
-            target, process_id, source, sender, message = self.way.pop(chance.randrange(len(self.way)))
-            if target in self.dead | self.still or self.process_id(target) != process_id:
+        elif act == "take" and self.datagrams:
+            target, process_id, source, sender, message = self.datagrams.pop(
+                rng.randrange(len(self.datagrams))
+            )
+            if target in self.dead | self.stalled or self.process_id(target) != process_id:
                 return
-            there, clock = self.all[target], self.clock(target)
+            receiver, clock = self.shares[target], self.clock(target)
             if isinstance(message, LeaseRequest):
-                answer = there.grant_lease(sender, message, clock)
+                answer = receiver.grant_lease(sender, message, clock)
                 if answer:
                     self.send(source, target, answer)
             elif isinstance(message, LeaseGrant):
-                there.on_grant(sender, message, clock)
+                receiver.on_grant(sender, message, clock)
             else:
-                there.on_return(sender, message)
+                receiver.on_return(sender, message)
 
     def total(self) -> int:
         """Units that all dispatchers together use or may use at this true time."""
-        parts = 0
-        for i, one in enumerate(self.all):
-            used = sum(units for until, units in self.holds[i] if until > self.now)
-            parts += max(used, 0 if i in self.dead else one.available(self.clock(i)))
-        self.worst = max(self.worst, parts)
-        return parts
+        total = 0
+        for i, share in enumerate(self.shares):
+            used = sum(units for until, units in self.uses[i] if until > self.now)
+            total += max(used, 0 if i in self.dead else share.available(self.clock(i)))
+        self.max_total = max(self.max_total, total)
+        return total
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.integers(0, 2**32), st.integers(2, 6))
 def test_the_sum_never_exceeds_the_quota(seed: int, count: int) -> None:
-    assert Schedule(seed, count).run(400) <= WHOLE
+    assert Schedule(seed, count).run(400) <= QUOTA
 
 
-class OutBeforeBack(QuotaShare):
+class ShortensLeases(QuotaShare):
     """Fault: an expired lease is used again though the borrower may still use it."""
 
     def longest_lease(self) -> int:
         return int(self.settings.lease_duration * 0.7)
 
 
-class CountsFromAnswer(QuotaShare):
+class CountsFromGrant(QuotaShare):
     """Fault: the borrower counts the lease from the grant, not from its request."""
 
     def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
@@ -137,14 +139,14 @@
             )
 
 
-class LendsWhatIsInUse(QuotaShare):
+class LeasesUnitsInUse(QuotaShare):
     """Fault: units in use within the settling time are leased out."""
 
     def peak_use(self, now: int) -> int:
         return 0
 
 
-class TakesTwice(QuotaShare):
+class AcceptsDuplicateGrants(QuotaShare):
     """Fault: a duplicate grant counts twice."""
 
     def on_grant(self, lender: ProcessId, message: LeaseGrant, now: int) -> None:
@@ -153,7 +155,7 @@
         )
 
 
-class MixesUpItsLives(QuotaShare):
+class AcceptsGrantsOfPredecessor(QuotaShare):
     """Fault: a grant to the previous process with the same request number is accepted."""
 
     def __init__(self, *args: Any) -> None:
@@ -170,7 +172,7 @@
             )
 
 
-class ForgetsAtStart(QuotaShare):
+class UsesWholeShareAtStart(QuotaShare):
     """Fault: a new process uses its whole share at once, whatever its predecessor leased out."""
 
     def __init__(self, *args: Any) -> None:
@@ -178,12 +180,19 @@
         self.full_from = 0
 
 
-PLANTED = OutBeforeBack, CountsFromAnswer, LendsWhatIsInUse, TakesTwice, ForgetsAtStart, MixesUpItsLives
+FAULTY = (
+    ShortensLeases,
+    CountsFromGrant,
+    LeasesUnitsInUse,
+    AcceptsDuplicateGrants,
+    UsesWholeShareAtStart,
+    AcceptsGrantsOfPredecessor,
+)
 
 
-@pytest.mark.parametrize("planted", PLANTED)
-def test_an_injected_fault_exceeds_the_quota(planted: type[QuotaShare]) -> None:
-    assert any(Schedule(seed, 4, planted).run(400) > WHOLE for seed in range(400))
+@pytest.mark.parametrize("faulty", FAULTY)
+def test_an_injected_fault_exceeds_the_quota(faulty: type[QuotaShare]) -> None:
+    assert any(Schedule(seed, 4, faulty).run(400) > QUOTA for seed in range(400))
 
 
 def test_units_are_leased_on_demand_and_returned() -> None:
@@ -215,12 +224,12 @@
 def test_an_unreturned_lease_expires() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     now = a.full_from
-    lent = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
-    assert lent and a.available(now) == 40
+    grant = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
+    assert grant and a.available(now) == 40
     assert a.available(now + a.longest_lease() - 1) == 40 and a.available(now + a.longest_lease()) == 50
 
 
 def test_shares_add_up_to_the_quota_and_an_unknown_member_has_none() -> None:
     for of in (1, 3, 7, 200, 333):
-        assert sum(QuotaShare("x", WHOLE, of, i, SETTINGS, 0).own_units for i in range(of)) == WHOLE
-    assert QuotaShare("x", WHOLE, 3, 5, SETTINGS, 0).available(10**9) == 0
+        assert sum(QuotaShare("x", QUOTA, of, i, SETTINGS, 0).own_units for i in range(of)) == QUOTA
+    assert QuotaShare("x", QUOTA, 3, 5, SETTINGS, 0).available(10**9) == 0
