--- a/lapistrestle/directory/instances.py
+++ b/lapistrestle/directory/instances.py
@@ -23,13 +23,13 @@
 
 @dataclass(eq=False, slots=True)
 class RegionInstance:
-    """One instance. `entry` has no `up_for`: it is computed from `booted`, on the holder's clock."""
+    """One instance. `entry` has no `up_for`: it is computed from `started_at`, on the holder's clock."""
 
     entry: WireInstance
     started_at: int | None
     last_urgent_due: int = -(10**15)  # when its last urgent change is sent, at the earliest
-    sent_entry_at: int = -1
-    sent_entry: WireInstance | None = None
+    sent_entry_at: int = -1  # when `sent_entry` was made
+    sent_entry: WireInstance | None = None  # with `up_for`, shared by all messages of one moment
 
     def entry_at(self, now: int) -> WireInstance:
         """The entry as sent now, with `up_for`."""
@@ -81,13 +81,13 @@
 
     def warm(self, now: int) -> float:
         """The sum of the sizes of serving instances, each times its current fraction of capacity."""
-        missing = 0.0
+        unavailable = 0.0
         for second in [s for s in self.by_second if now - s * SECOND >= self.ramp_time + SECOND]:
             del self.by_second[second]
         for second, size in self.by_second.items():
             age = min(self.ramp_time, max(0, now - second * SECOND))
-            missing += size * (1 - self.cold_share) * (1 - age / self.ramp_time)
-        return max(0.0, self.size - missing)
+            unavailable += size * (1 - self.cold_share) * (1 - age / self.ramp_time)
+        return max(0.0, self.size - unavailable)
 
 
 class RegionInstances:
@@ -130,7 +130,7 @@
         change_kind = self.change_kind(known, entry)
         if change_kind is ChangeKind.SAME:
             return
-        sized = known is None or known.entry.size != entry.size
+        is_resized = known is None or known.entry.size != entry.size
         if known is None:
             known = self.known[entry.name] = RegionInstance(without_up_for(entry), start_time(entry, now))
         else:
@@ -140,7 +140,7 @@
             known.entry = without_up_for(entry)
             known.sent_entry = None
         self.capacity.count(known, +1)
-        if sized:
+        if is_resized:
             self.ring.insert(entry.name, entry.size)
             changes.added.append(entry.name)
         if change_kind is not ChangeKind.NEW:
--- a/lapistrestle/directory/rate_limits.py
+++ b/lapistrestle/directory/rate_limits.py
@@ -15,7 +15,7 @@
     rate: float
     burst: float
     tokens: float
-    at: int
+    at: int  # when `tokens` was computed
 
     @classmethod
     def full(cls, rate: float, burst: float, now: int) -> "TokenBucket":
@@ -46,9 +46,9 @@
     their retries are scheduled in a queue of their own.
     """
 
-    def __init__(self, rate: float, burst: float, longest: int, now: int, jitter: Jitter) -> None:
+    def __init__(self, rate: float, burst: float, max_retry_after: int, now: int, jitter: Jitter) -> None:
         self.bucket = TokenBucket.full(rate, burst, now)
-        self.max_retry_after = longest
+        self.max_retry_after = max_retry_after
         self.jitter = jitter
         self.reserve = max(0.0, min(burst * RESERVED_FRACTION, burst - 1))
         # the latest retry time given out, by `waiting`
@@ -64,10 +64,10 @@
             self.bucket.take(cost, now)
             return 0
         self.rejected += 1
-        promised = max(self.last_retry_times[waiting], now) + cost * SECOND / self.bucket.rate
-        wait = int(promised) - now
+        retry_at = max(self.last_retry_times[waiting], now) + cost * SECOND / self.bucket.rate
+        wait = int(retry_at) - now
         if wait > self.max_retry_after:  # the queue is full: spread evenly over the later half of the time
-            promised = float(now + self.max_retry_after)
+            retry_at = float(now + self.max_retry_after)
             wait = self.max_retry_after // 2 + self.jitter.below(self.max_retry_after // 2)
-        self.last_retry_times[waiting] = promised
+        self.last_retry_times[waiting] = retry_at
         return max(1, wait)
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -26,22 +26,22 @@
 
     CURRENT_LIST = "current list"
     ROSTER_LOST = "roster lost"
-    STOOD_STILL = "stood still"
+    STALLED = "stood still"
 
 
 TRANSITIONS: dict[tuple[FreshnessState, FreshnessEvent], FreshnessState] = {
     (FreshnessState.EMPTY, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
     (FreshnessState.EMPTY, FreshnessEvent.ROSTER_LOST): FreshnessState.EMPTY,
-    (FreshnessState.EMPTY, FreshnessEvent.STOOD_STILL): FreshnessState.EMPTY,
+    (FreshnessState.EMPTY, FreshnessEvent.STALLED): FreshnessState.EMPTY,
     (FreshnessState.FRESH, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
     (FreshnessState.FRESH, FreshnessEvent.ROSTER_LOST): FreshnessState.DISCONNECTED,
-    (FreshnessState.FRESH, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
+    (FreshnessState.FRESH, FreshnessEvent.STALLED): FreshnessState.CATCHING_UP,
     (FreshnessState.DISCONNECTED, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
     (FreshnessState.DISCONNECTED, FreshnessEvent.ROSTER_LOST): FreshnessState.DISCONNECTED,
-    (FreshnessState.DISCONNECTED, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
+    (FreshnessState.DISCONNECTED, FreshnessEvent.STALLED): FreshnessState.CATCHING_UP,
     (FreshnessState.CATCHING_UP, FreshnessEvent.CURRENT_LIST): FreshnessState.FRESH,
     (FreshnessState.CATCHING_UP, FreshnessEvent.ROSTER_LOST): FreshnessState.CATCHING_UP,
-    (FreshnessState.CATCHING_UP, FreshnessEvent.STOOD_STILL): FreshnessState.CATCHING_UP,
+    (FreshnessState.CATCHING_UP, FreshnessEvent.STALLED): FreshnessState.CATCHING_UP,
 }
 
 TICKS_PER_ENTRY_READ = 0.05  # allowance for decoding each entry of a list
@@ -93,11 +93,9 @@
 
     def record_call(self, now: int, entries: int = 0) -> None:
         """Detect a stall of the process by a late call; `entries` is the length of the list received."""
-        extra_allowance = (
-            self.settings.stall_threshold + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
-        )
-        if now - self.last_call_at > extra_allowance:
-            self.transition(FreshnessEvent.STOOD_STILL, now, self.last_call_at)
+        allowance = self.settings.stall_threshold + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
+        if now - self.last_call_at > allowance:
+            self.transition(FreshnessEvent.STALLED, now, self.last_call_at)
             if self.is_connected:
                 self.request_snapshot(now)
         self.last_call_at = max(now, self.last_call_at)
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -125,13 +125,13 @@
         urgent_first = sorted(session.changed_instances, key=lambda name: not session.changed_instances[name])
         names = dict.fromkeys(urgent_first[:MOST_IN_A_BATCH])
         changes, size = list[PrefixChange](), len(names)
-        for function in list(session.changed_functions):
+        for function_name in list(session.changed_functions):
             if size >= MOST_IN_A_BATCH:
                 break
-            known = self.watched.functions[function]
-            watch = known.watches[session.number]
-            prefix = known.prefixes[watch.count]
-            change = known.difference(watch.sent_prefix, prefix)
+            function = self.watched.functions[function_name]
+            watch = function.watches[session.number]
+            prefix = function.prefixes[watch.count]
+            change = function.difference(watch.sent_prefix, prefix)
             if changes and size + change.size > MOST_IN_A_BATCH:
                 break
             size += change.size
@@ -139,8 +139,8 @@
                 changes.append(change_message(watch.id, change, prefix))
                 names.update(dict.fromkeys(name for _, name in change.inserted))
             watch.sent_prefix = prefix
-            del session.changed_functions[function]
-            self.watched.mark_current(known, session.number)
+            del session.changed_functions[function_name]
+            self.watched.mark_current(function, session.number)
         return self.make_update(session, names, changes, revision, now) if names or changes else None
 
     def make_update(
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -73,8 +73,12 @@
         )
         self.revision = Revision()
         self.superseded = list[str]()  # earlier sources, oldest first
-        rate, burst, longest = settings.snapshot_rate, settings.snapshot_burst, settings.max_retry_after
-        self.snapshot_limit = SnapshotRateLimit(rate, burst, longest, now, Jitter(seed))
+        rate, burst, max_retry_after = (
+            settings.snapshot_rate,
+            settings.snapshot_burst,
+            settings.max_retry_after,
+        )
+        self.snapshot_limit = SnapshotRateLimit(rate, burst, max_retry_after, now, Jitter(seed))
         self.byte_limit = TokenBucket.full(settings.total_bytes, settings.total_bytes * BURST_SECONDS, now)
 
     def take_effects(self) -> list[HolderEffect]:
--- a/lapistrestle/sources/reconnecting.py
+++ b/lapistrestle/sources/reconnecting.py
@@ -12,12 +12,12 @@
 
 
 class ReconnectingSource(ClientFactory):
-    """Keeps one connection to a port on loopback. A subclass implements `speak`, and may override `down`."""
+    """Keeps one connection to a port on loopback. Subclasses implement `make_connection`."""
 
     noisy = False
 
-    def __init__(self, edge: Any, port: int) -> None:
-        self.owner = edge
+    def __init__(self, owner: Any, port: int) -> None:
+        self.owner = owner
         self.port = port
         self.connection: LineConnection | None = None
         self.stopped = False
@@ -38,8 +38,8 @@
     def start(self, _: object = None) -> None:
         """Connect, unless the client was stopped."""
         if not self.stopped:
-            time_out = self.owner.connect_timeout / 10_000
-            self.owner.reactor.connectTCP("127.0.0.1", self.port, self, timeout=time_out)
+            timeout = self.owner.connect_timeout / 10_000
+            self.owner.reactor.connectTCP("127.0.0.1", self.port, self, timeout=timeout)
 
     def stop(self) -> None:
         """Close the connection and don't reconnect."""
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -23,7 +23,7 @@
         return wire.Hello(self.protocol, wire.VERSION, self.source.owner.name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        """The roster has greeted: subscribe to its list, unless that is done on request only."""
+        """The roster has greeted: subscribe to its list; if subscriptions expire, only if one is wanted."""
         if not self.source.owner.endpoints_polled or self.source.is_subscribed:
             self.send_message(wire.RosterSubscribe())
 
@@ -47,7 +47,7 @@
     name: str
     bounds: LineLimits  # of the connection
     connect_timeout: int  # ticks
-    endpoints_polled: bool  # the list is requested periodically instead of subscribed to on connecting
+    endpoints_polled: bool  # subscriptions expire, and `follow` renews them
 
     def input(self) -> None:
         """Data was received from the roster."""
