--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -1,6 +1,6 @@
-"""A request that was read gets its answer, whatever ends its connection or goes on beside it.
+"""Every request read gets an answer, whatever closes its connection or happens on others.
 
-Real connections; each test forces the bad order by what is sent and awaited.
+On real connections; each test forces the bad order by what it sends and awaits.
 """
 
 import errno
@@ -40,12 +40,12 @@
 
 @pytest.fixture
 def stage(stages: Any) -> Any:
-    """One runner: whatever is asked goes there."""
+    """One runner, which gets every call."""
     return stages(runners=1)
 
 
 def hold_runs(stage: Any) -> list[Any]:
-    """The runners keep their calls; returns them as they come."""
+    """Have the runners not answer. Returns the list of their calls."""
     got: list[Any] = []
     for runner in stage.runners:
         runner.on_run = lambda line, said: got.append((line, said))
@@ -59,14 +59,14 @@
 
 
 def hold_requests(stage: Any) -> list[Any]:
-    """The module decides nothing; returns its requests as they come."""
+    """Have the module decide nothing. Returns the list of its requests."""
     met: list[Any] = []
     stage.module.on_request = met.append
     return met
 
 
 class FullSocket:
-    """A listening socket of a process that has no descriptor left until something holds."""
+    """A listening socket of a process that has no descriptor left until `free` returns true."""
 
     def __init__(self, sock: socket.socket, free: Callable[[], object]) -> None:
         self.sock, self.free = sock, free
@@ -84,7 +84,7 @@
 
 
 def connect(stage: Any) -> WebServer:
-    """A connection that the machine has made and the dispatcher has not met."""
+    """A connection that the kernel has established and the dispatcher has not accepted."""
     stage.hand.removeReader(stage.node.front.listener)
     client = WebServer(stage.hand, stage.port)
     stage.ends.append(client)
@@ -98,7 +98,7 @@
 
 
 def fill(stage: Any) -> list[WebServer]:
-    """As many connections as may be, each with an open request."""
+    """Open the maximum number of connections, each with an open request."""
     crowd: list[WebServer] = []
     for _ in range(stage.node.front.max_connections):
         crowd.append(stage.client())
@@ -108,7 +108,7 @@
 
 
 def slow_reader(stage: Any) -> tuple[WebServer, Any]:
-    """A client whose connection holds little and who reads nothing until told to."""
+    """A client with small socket buffers that reads nothing until told to."""
     client = stage.client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32_768)
     stage.hand.until(lambda: stage.node.front.connections)
@@ -132,10 +132,10 @@
     stage.hand.quiet()
 
 
-# an ill-formed neighbour on the same connection
+# malformed requests beside valid ones on the same connection
 
 
-def test_an_open_request_is_answered_before_its_connection_ends_for_what_cannot_be_read(stage: Any) -> None:
+def test_an_open_request_is_answered_before_its_connection_closes_for_invalid_data(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     number = client.ask(method="bill")
     stage.hand.until(lambda: got)
@@ -146,14 +146,14 @@
     assert client.status(number) == 200 and client.ends == [number]
 
 
-def test_a_whole_request_right_before_what_cannot_be_read_is_answered(stage: Any) -> None:
+def test_complete_requests_right_before_invalid_data_are_answered(stage: Any) -> None:
     client = stage.client()
     client.send(request(1) + request(2) + JUNK)
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and client.status(2) == 200
 
 
-def test_what_cannot_be_read_ends_its_connection_in_time_though_a_runner_is_silent(stage: Any) -> None:
+def test_invalid_data_closes_its_connection_in_time_though_a_runner_is_silent(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     number = client.ask(method="bill", patience="4000")
     stage.hand.until(lambda: got)
@@ -162,7 +162,7 @@
     assert client.closed and client.status(number) in (500, 503)
 
 
-def test_of_two_requests_under_one_number_neither_is_served_and_others_are_answered(stage: Any) -> None:
+def test_of_two_requests_under_one_id_neither_is_served_and_others_are_answered(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     doubled, other = client.ask(), client.ask()
     stage.hand.until(lambda: len(got) == 2)
@@ -174,8 +174,8 @@
     assert stage.host.counts["left"] == 1
 
 
-def test_a_client_that_closes_after_what_cannot_be_read_is_met_as_gone(stages: Any) -> None:
-    """No further attempt begins for it, though its bytes count no more."""
+def test_a_client_that_closes_after_invalid_data_counts_as_disconnected(stages: Any) -> None:
+    """No retry is started for it, though its data is discarded."""
     stage = stages(runners=2)
     client, got = stage.client(), hold_runs(stage)
     client.ask()
@@ -190,21 +190,21 @@
 
 
 @pytest.mark.parametrize("bad", ["body", "fields"])
-def test_a_request_too_large_leaves_its_neighbours_their_answers(stage: Any, bad: str) -> None:
+def test_a_request_too_large_does_not_affect_others_on_its_connection(stage: Any, bad: str) -> None:
     client, got = stage.client(), hold_runs(stage)
     number = client.ask()
     stage.hand.until(lambda: got)
     large = client.ask(body=b"x" * 20_000) if bad == "body" else client.ask(HTTP_X_LONG="x" * 20_000)
     stage.hand.until(lambda: client.status(large) is not None)
     assert client.status(large) in (413, 431)
-    late = client.ask(id="9b1f03aa5c7e2d41")  # it may not know yet
+    late = client.ask(id="9b1f03aa5c7e2d41")  # the client may not know yet
     stage.hand.quiet()
     answer_all(stage, got)
     stage.hand.until(lambda: client.closed)
     assert client.status(number) == 200 and client.status(late) in (200, 503)
 
 
-def test_half_a_request_that_falls_silent_leaves_its_neighbours_their_answers(stage: Any) -> None:
+def test_an_incomplete_request_does_not_affect_others_on_its_connection(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
     number, half = client.ask(method="bill", patience="4000"), client.ask(whole=False)
     stage.hand.until(lambda: got)
@@ -215,7 +215,7 @@
     assert client.status(number) == 200
 
 
-def test_a_connection_that_holds_too_much_has_its_open_requests_answered(stages: Any) -> None:
+def test_a_connection_closed_for_its_buffered_bytes_has_its_open_requests_answered(stages: Any) -> None:
     stage = stages(runners=1, memory_mb=4)
     client, got = stage.client(), hold_runs(stage)
     halves: list[int] = []
@@ -234,7 +234,7 @@
     assert all(client.status(half) in (None, 503) for half in halves) and client.status(halves[0]) == 503
 
 
-def test_answers_in_the_kernel_are_not_lost_to_a_reset_by_what_lies_unread(stage: Any) -> None:
+def test_answers_are_not_lost_to_a_reset_for_unread_data(stage: Any) -> None:
     client, _ = slow_reader(stage)
     numbers = ask_in_turn(stage, client, 8)
     client.send(JUNK + bytes(60_000))
@@ -245,12 +245,12 @@
 
 
 def test_a_request_behind_one_without_keep_conn_is_answered(stage: Any) -> None:
-    """The connection was closed, and by that reset, with the next request unread on it."""
+    """Guards against closing, and so resetting, a connection with another request unread."""
     client, got = stage.client(), hold_runs(stage)
     client.send(request(1).replace(begin(1), begin(1, keep=0)))
     stage.hand.until(lambda: got)
     (connection,) = stage.node.front.connections
-    stage.hand.removeReader(connection)  # what comes now is met after the answer that is on its way
+    stage.hand.removeReader(connection)  # data that arrives now is read after the answer is sent
     client.last = 1
     client.ask()
     answer_all(stage, got[:1])
@@ -262,8 +262,8 @@
     assert client.status(1) == 200 and client.status(2) in (200, 503)
 
 
-def test_what_cannot_be_read_any_more_is_discarded_within_bounds(stage: Any) -> None:
-    """Also of a client that does not mind that its connection was shut."""
+def test_data_after_invalid_data_is_discarded_within_bounds(stage: Any) -> None:
+    """Also of a client that goes on sending after the shutdown of its connection."""
     sent = 0
     with socket.create_connection(("127.0.0.1", stage.port)) as client:
         stage.hand.quiet()
@@ -283,8 +283,8 @@
     assert stage.node.front.buffered_bytes == 0 and not stage.node.front.closing
 
 
-def test_a_connection_that_parts_reads_a_flood_without_recursion(stage: Any) -> None:
-    """Each piece read had led to the next one from within."""
+def test_a_closing_connection_reads_a_flood_without_recursion(stage: Any) -> None:
+    """Guards against each read starting the next one recursively."""
     depths: list[int] = []
     client = stage.client()
     (connection,) = stage.node.front.connections
@@ -305,7 +305,7 @@
 
 
 def test_a_client_that_reads_late_gets_every_answer(stage: Any) -> None:
-    """With 1 MiB unsent its connection was dropped, with what it had asked."""
+    """Guards against dropping the connection, with its open requests, at 1 MiB of unsent data."""
     client, connection = slow_reader(stage)
     asked = []
     for _ in range(120):
@@ -317,8 +317,8 @@
     assert [client.status(number) for number in asked] == [200] * 120
 
 
-def test_no_further_attempt_begins_for_a_client_that_aborts_while_it_does_not_read(stages: Any) -> None:
-    """It is not read from meanwhile, so that nobody knows whether it still waits."""
+def test_no_retry_is_started_for_a_client_that_aborts_while_it_does_not_read(stages: Any) -> None:
+    """Its connection is not read meanwhile, so whether it still waits is unknown."""
     stage, held = stages(runners=2), list[Any]()
     for runner in stage.runners:
         runner.on_run = lambda line, said: held.append((line, said))
@@ -350,7 +350,7 @@
     assert connection.dead and stage.host.open_requests == 0
 
 
-def test_a_connection_with_an_answer_on_its_way_makes_no_room_for_others(stage: Any) -> None:
+def test_a_connection_with_an_unsent_answer_is_not_evicted(stage: Any) -> None:
     client, connection = slow_reader(stage)
     numbers = ask_in_turn(stage, client, 20)
     assert connection.unsent
@@ -366,7 +366,7 @@
 
 @pytest.mark.parametrize("when", ["before it is met", "soon after"])
 def test_a_request_on_a_connection_over_the_limit_is_answered(stages: Any, when: str) -> None:
-    """It was closed unread: a new connection's first request had been a free case."""
+    """Guards against closing a connection over the limit without reading its first request."""
     stage = stages(runners=1, sockets=64)
     hold_requests(stage)
     crowd = fill(stage)
@@ -396,10 +396,8 @@
 
 
 @pytest.mark.parametrize("new", ["a silent one", "one that asks"])
-def test_a_new_connection_that_makes_room_for_others_has_its_first_request_answered(
-    stages: Any, new: str
-) -> None:
-    """Of a crowd that was all new the oldest was closed, though its request was on its way."""
+def test_an_evicted_new_connection_has_its_first_request_answered(stages: Any, new: str) -> None:
+    """Guards against evicting the oldest of many new connections while its first request is in transit."""
     stage = stages(runners=1, sockets=64)
     first = stage.client()
     crowd = [stage.client() for _ in range(stage.node.front.max_connections)]
@@ -412,7 +410,7 @@
     assert len(stage.node.front.connections) <= stage.node.front.max_connections
 
 
-def test_a_crowd_over_the_limit_is_bounded_and_told(stages: Any) -> None:
+def test_connections_over_the_limit_are_bounded_and_closed(stages: Any) -> None:
     stage = stages(runners=1, sockets=64)
     met = hold_requests(stage)
     kept = fill(stage)
@@ -427,8 +425,8 @@
     stage.hand.until(lambda: all(client.status(1) == 503 for client in kept))
 
 
-def test_the_listeners_line_is_answered_at_the_end_though_no_descriptor_is_left(stage: Any) -> None:
-    """What the machine had accepted was reset with the listener."""
+def test_the_accept_queue_is_answered_at_shutdown_though_no_descriptor_is_left(stage: Any) -> None:
+    """Guards against closing the listener, which resets the connections in its accept queue."""
     idle = stage.client()
     late = connect(stage)
     late.ask(id="9b1f03aa5c7e2d41")
@@ -442,7 +440,7 @@
     assert late.status(1) in (200, 503) and stopped
 
 
-def test_the_time_in_the_line_of_a_full_listener_counts_towards_the_patience(stage: Any) -> None:
+def test_the_time_in_the_accept_queue_counts_towards_the_patience(stage: Any) -> None:
     got, full = hold_runs(stage), False
     stage.hand.unread_for = lambda sock: 0.4
     client = connect(stage)
@@ -459,11 +457,11 @@
     assert got[0][1]["attrs"]["budget"] <= 1000 - 400
 
 
-# the end of the program
+# shutdown
 
 
-def test_all_requests_that_lie_unread_at_the_end_are_answered(stage: Any) -> None:
-    """The last look read 16 KiB of each connection, and reset the rest."""
+def test_all_unread_requests_at_shutdown_are_answered(stage: Any) -> None:
+    """Guards against reading only 16 KiB of each connection at the end and resetting the rest."""
     client = stage.client()
     stage.hand.quiet()
     stopped = leaving(stage)
@@ -486,7 +484,7 @@
     assert all(client.status(number) in (200, 503) for number in numbers)
 
 
-def test_half_a_request_at_the_end_is_refused(stage: Any) -> None:
+def test_an_incomplete_request_at_shutdown_is_rejected(stage: Any) -> None:
     client = stage.client()
     stopped = leaving(stage)
     stage.hand.run(0.7)
@@ -497,11 +495,11 @@
     assert client.status(half) == 503
 
 
-# trouble beside it
+# faults of other parties
 
 
 @pytest.mark.parametrize("event", ["arrived", "ended", "woken"])
-def test_a_fault_of_the_module_leaves_the_request_one_final_answer(stage: Any, event: str) -> None:
+def test_an_error_in_the_module_leaves_the_request_one_final_answer(stage: Any, event: str) -> None:
     def fault(*args: Any) -> None:
         raise RuntimeError("planted")
 
@@ -517,7 +515,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["silent", "spoilt", "reset", "cut"])
-def test_trouble_of_a_runner_leaves_each_request_one_final_answer_by_its_deadline(
+def test_a_fault_of_a_runner_leaves_each_request_one_final_answer_by_its_deadline(
     stages: Any, trouble: str
 ) -> None:
     stage = stages(runners=2)
@@ -545,7 +543,7 @@
     assert sorted(client.ends) == numbers and stage.host.open_requests == 0
 
 
-def test_a_flood_beside_it_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
+def test_a_flood_of_others_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
     stage = stages(runners=1, sockets=64)
     hold_runs(stage)
     usual = stage.client()
@@ -566,8 +564,8 @@
     assert sorted(usual.ends) == numbers and stage.host.open_requests == 0
 
 
-def test_parting_connections_do_not_outlive_their_time(stage: Any) -> None:
-    """A peer that neither reads nor closes keeps no descriptor."""
+def test_closing_connections_are_closed_after_a_time(stage: Any) -> None:
+    """A peer that neither reads nor closes does not hold a descriptor forever."""
     client, connection = slow_reader(stage)
     client.ask(body=BODY)
     client.send(JUNK)
