--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -1,7 +1,7 @@
-"""Experiments: which runs a file asks for, what counts as the same run, and what their figures say. No I/O.
+"""Experiments: planning the runs that a file asks for, identifying runs, and statistics of results. No I/O.
 
-A variant changes named settings of one day; every variant is run under the same seeds, so it meets the same
-wishes at the same moments, and variants are compared seed by seed.
+A variant changes named settings of one day. Every variant is run with the same seeds, so it gets the same
+client requests at the same times, and variants are compared seed by seed.
 """
 
 import copy
@@ -25,8 +25,8 @@
 
 
 class Experiment(SettingsGroup):
-    """A file's content. `vary`: paths into the day, such as `edges` or `deployment.orders.share`, each with
-    the values to try; all combinations are run."""
+    """Content of an experiment's file. `vary`: paths into the day, such as `edges` or
+    `deployment.orders.share`, each with the values to try; all combinations are run."""
 
     name: str
     day: Any  # inline, or the path of a script beside the file
@@ -39,8 +39,8 @@
 
 
 @dataclass(frozen=True)
-class Planned:
-    """One run: a variant under a seed, and the day that comes of it."""
+class PlannedRun:
+    """One run: a variant, a seed, and the day's script that results."""
 
     variant: Variant
     seed: int
@@ -48,14 +48,15 @@
 
     @property
     def key(self) -> str:
-        """What makes a run the same as another: every setting of its day, and nothing else."""
+        """Identity of the run: a hash over every setting of its day, and nothing else."""
         return blake2b(msgspec.json.encode(self.day, order="deterministic"), digest_size=12).hexdigest()
 
 
-def planned(experiment: Experiment, day: Mapping[str, Any]) -> list[Planned]:
-    """All runs, seed by seed, so that one that is stopped early has whole pairs. Raises
-    DeploymentError where a path
-    leads nowhere."""
+def plan_runs(experiment: Experiment, day: Mapping[str, Any]) -> list[PlannedRun]:
+    """All runs, seed by seed, so that an experiment that is stopped early has results to compare.
+
+    Raises DeploymentError if a path does not exist in the day.
+    """
     variants = [
         tuple(zip(experiment.vary, values, strict=True)) for values in product(*experiment.vary.values())
     ]
@@ -65,12 +66,15 @@
             changed = copy.deepcopy(dict(day)) | {"seed": seed}
             for path, value in variant:
                 put(changed, path, value)
-            made.append(Planned(variant, seed, changed))
+            made.append(PlannedRun(variant, seed, changed))
     return made
 
 
 def put(day: dict[str, Any], path: str, value: Any) -> None:
-    """Set what a path names. The last name may be new: a setting that stands at its default."""
+    """Sets the value at a path. Its last name may be missing from the day: a setting left at its default.
+
+    Raises DeploymentError if the path does not exist.
+    """
     *way, last = path.split(".")
     at: Any = day
     for name in way:
@@ -83,12 +87,12 @@
     at[last] = value
 
 
-def shown(variant: Variant) -> str:
+def variant_label(variant: Variant) -> str:
     return ", ".join(f"{path}={value}" for path, value in variant) or "the day"
 
 
 class Result(msgspec.Struct):
-    """What a run came to; one line of the results. `failed` is no result."""
+    """Result of a run, one line of the results file. `failed`: the traceback of a run that has no result."""
 
     key: str
     variant: list[tuple[str, Any]]
@@ -116,36 +120,36 @@
 
 
 @dataclass(frozen=True)
-class Sure:
-    """A mean and how sure it is: half of its interval, from so many seeds; infinite from one."""
+class ConfidenceInterval:
+    """A mean over seeds with half the width of its confidence interval; infinite with one seed."""
 
     mean: float
-    half: float
+    half_width: float
     seeds: int
 
     @property
-    def noise(self) -> bool:
+    def includes_zero(self) -> bool:
         """Whether 0 lies within the interval."""
-        return abs(self.mean) <= self.half
+        return abs(self.mean) <= self.half_width
 
 
-def sure(values: Sequence[float]) -> Sure:
-    """By Student's t, for means over seeds."""
+def confidence_interval(values: Sequence[float]) -> ConfidenceInterval:
+    """Confidence interval of a mean by Student's t distribution."""
     count = len(values)
     mean = float(np.mean(values))
     if count < 2:
-        return Sure(mean, float("inf"), count)
+        return ConfidenceInterval(mean, float("inf"), count)
     spread = float(stats.sem(values))
-    return Sure(mean, float(stats.t.ppf((1 + CONFIDENCE) / 2, count - 1)) * spread, count)
+    return ConfidenceInterval(mean, float(stats.t.ppf((1 + CONFIDENCE) / 2, count - 1)) * spread, count)
 
 
-def mean(runs: Mapping[int, Result], figure: str) -> Sure:
-    """Of one variant, over its seeds."""
-    return sure([result.figures[figure] for result in runs.values()])
+def mean(runs: Mapping[int, Result], figure: str) -> ConfidenceInterval:
+    """Mean of one figure of a variant, over its seeds."""
+    return confidence_interval([result.figures[figure] for result in runs.values()])
 
 
 def by_variant(results: Iterable[Result]) -> dict[Variant, dict[int, Result]]:
-    """The last good result of each variant and seed, in the order of the file."""
+    """The latest successful result of each variant and seed, in the order of the file."""
     made: dict[Variant, dict[int, Result]] = defaultdict(dict)
     for result in results:
         if not result.failed:
@@ -153,24 +157,25 @@
     return dict(made)
 
 
-def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, Sure]:
-    """Each other variant against the base, seed by seed; only seeds that both have. Raises
-    DeploymentError.
+def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, ConfidenceInterval]:
+    """Each other variant compared with the base, over the seeds that both have results for.
+
+    Raises DeploymentError if the base has no results.
     """
     found = by_variant(results)
     if base not in found:
-        known = "; ".join(shown(variant) for variant in found)
-        raise DeploymentError(f"no results of {shown(base)}; known: {known or 'none'}")
+        known = "; ".join(variant_label(variant) for variant in found)
+        raise DeploymentError(f"no results of {variant_label(base)}; known: {known or 'none'}")
     made = {}
     for variant, runs in found.items():
         both = sorted(set(runs) & set(found[base]))
         if variant != base and both:
             pairs = [(runs[seed].figures, found[base][seed].figures) for seed in both]
-            made[variant] = sure([one[figure] - other[figure] for one, other in pairs])
+            made[variant] = confidence_interval([one[figure] - other[figure] for one, other in pairs])
     return made
 
 
-def missing(plan: Sequence[Planned], results: Iterable[Result], build: str) -> list[Planned]:
-    """Runs that have no good result of this build yet."""
+def missing_runs(plan: Sequence[PlannedRun], results: Iterable[Result], build: str) -> list[PlannedRun]:
+    """Runs that have no successful result of this build yet."""
     done = {result.key for result in results if not result.failed and result.build == build}
     return [run for run in plan if run.key not in done]
