--- a/benchmarks/directory_holder.py
+++ b/benchmarks/directory_holder.py
@@ -21,8 +21,8 @@
 from lapistrestle.wire import messages
 from lapistrestle.wire.directory import DIRECTORY
 
-PATIENCE = 300.0  # seconds
-LOOK_UPS = 500
+TIMEOUT = 300.0  # seconds
+LOOKUPS = 500
 PREFIX = 8  # instances
 
 
@@ -62,11 +62,11 @@
     """A connection to the holder."""
 
     def __init__(self, port: int) -> None:
-        self.socket = socket.create_connection(("127.0.0.1", port), PATIENCE)
+        self.socket = socket.create_connection(("127.0.0.1", port), TIMEOUT)
         self.lines = self.socket.makefile()
-        self.say("hello", protocol=DIRECTORY, version=messages.VERSION)
+        self.send("hello", protocol=DIRECTORY, version=messages.VERSION)
 
-    def say(self, kind: str, **fields: object) -> None:
+    def send(self, kind: str, **fields: object) -> None:
         self.socket.sendall(json.dumps({"is": kind, **fields}).encode() + b"\n")
 
     def next(self, kind: str) -> dict[str, Any]:
@@ -85,10 +85,10 @@
 
 def wait_until_known(port: int) -> None:
     """Wait until the holder has applied the complete list. Raises TimeoutError after `PATIENCE`."""
-    until = time.monotonic() + PATIENCE
+    until = time.monotonic() + TIMEOUT
     while time.monotonic() < until:
         watcher = Watcher(port)
-        watcher.say("show")
+        watcher.send("show")
         if watcher.next("shown")["body"]["knowledge"] == "fresh":
             return
         time.sleep(0.1)
@@ -106,19 +106,19 @@
     holder.start()
     try:
         holder.wait_port()
-        began = time.monotonic()
+        started_at = time.monotonic()
         wait_until_known(port)
-        known, child = time.monotonic() - began, holder.child
+        loaded_after, child = time.monotonic() - started_at, holder.child
         assert child is not None
         watcher, times = Watcher(port), []
-        for number in range(LOOK_UPS):
-            asked = time.perf_counter()
-            watcher.say("watch", id=number, shard=0, epoch=1, function=f"fn-{number}", count=PREFIX)
+        for number in range(LOOKUPS):
+            requested_at = time.perf_counter()
+            watcher.send("watch", id=number, shard=0, epoch=1, function=f"fn-{number}", count=PREFIX)
             watcher.next("snapshot")
-            times.append((time.perf_counter() - asked) * 1_000)
-        half, most = statistics.median(times), statistics.quantiles(times, n=100)[-1]
-        sizes = f"{len(roster.list) / 1e6:.1f} | {known:.1f} | {memory(child.pid, 'VmRSS'):.0f}"
-        return f"| {instances:,} | {sizes} | {memory(child.pid, 'VmHWM'):.0f} | {half:.2f} | {most:.2f} |"
+            times.append((time.perf_counter() - requested_at) * 1_000)
+        median, high = statistics.median(times), statistics.quantiles(times, n=100)[-1]
+        sizes = f"{len(roster.list) / 1e6:.1f} | {loaded_after:.1f} | {memory(child.pid, 'VmRSS'):.0f}"
+        return f"| {instances:,} | {sizes} | {memory(child.pid, 'VmHWM'):.0f} | {median:.2f} | {high:.2f} |"
     finally:
         holder.kill()
 
--- a/benchmarks/directory_schedules.py
+++ b/benchmarks/directory_schedules.py
@@ -13,10 +13,10 @@
 
 from lapistrestle.standins.directory_world import run_simulation
 
-SHOWN = 3  # violations printed per seed
+MAX_SHOWN_VIOLATIONS = 3  # violations printed per seed
 
 
-def judged(seed: int) -> tuple[int, list[str], dict[str, int], list[int], int]:
+def run_seed(seed: int) -> tuple[int, list[str], dict[str, int], list[int], int]:
     world = run_simulation(seed)
     views = [view for watcher in world.watchers for view in watcher.views]
     lookups = [length for view in views for length in view.lookups]
@@ -31,16 +31,16 @@
     began, broken, failed = time.monotonic(), 0, 0
     faults, lookups = Counter[str](), list[int]()
     with Pool(cores) as pool:
-        days = pool.imap(judged, range(first, first + seeds), chunksize=5)
-        for seed, breaches, counts, found, missed in days:
+        days = pool.imap(run_seed, range(first, first + seeds), chunksize=5)
+        for seed, violations, counts, found, missed in days:
             faults.update(counts)
             lookups += found
             failed += missed
-            if breaches:
+            if violations:
                 broken += 1
-                click.echo(f"seed {seed}: {len(breaches)} breaches")
-                for breach in breaches[:SHOWN]:
-                    click.echo(f"  {breach}")
+                click.echo(f"seed {seed}: {len(violations)} breaches")
+                for violation in violations[:MAX_SHOWN_VIOLATIONS]:
+                    click.echo(f"  {violation}")
     lookups.sort()
     took = time.monotonic() - began
     click.echo(f"{seeds} schedules in {took:.0f} s: {broken} broken; faults: {dict(sorted(faults.items()))}")
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -115,11 +115,11 @@
         self.holder.snapshot_requested(self.clock())
         self.perform_effects()
 
-    def list_event(self, news: ListEvent) -> None:
+    def list_event(self, event: ListEvent) -> None:
         """Handle a lost connection, or a roster that can't answer."""
         if self.stopped:
             return
-        if self.list.handle_event(news) is ListAction.REPORT_FAILURE:
+        if self.list.handle_event(event) is ListAction.REPORT_FAILURE:
             self.holder.roster_lost(self.clock())
             self.perform_effects()
 
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -55,7 +55,7 @@
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
         """Handle a list or change. Returns what is to be done with it."""
 
-    def list_event(self, news: ListEvent) -> None:
+    def list_event(self, event: ListEvent) -> None:
         """Handle a lost or failed connection, or a roster that can't answer."""
 
     def message_ignored(self, name: str, why: str) -> None:
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1186,7 +1186,9 @@
 
 
 def violations_of(seeds):
-    return [breach for seed in seeds for breach in run_simulation(seed, rough=8, calm=18).breaches.found]
+    return [
+        violation for seed in seeds for violation in run_simulation(seed, rough=8, calm=18).breaches.found
+    ]
 
 
 def test_checks_detect_a_lost_change(monkeypatch):
@@ -1199,7 +1201,9 @@
         return update
 
     monkeypatch.setattr(Batches, "full_update", drop_a_change)
-    assert any(" after batch " in breach or " ends as " in breach for breach in violations_of(range(3)))
+    assert any(
+        " after batch " in violation or " ends as " in violation for violation in violations_of(range(3))
+    )
 
 
 def run_with_late_renewals():
@@ -1239,7 +1243,7 @@
         connection.lease_until = now + message.lease
 
     monkeypatch.setattr(HolderMessages, "apply_renewal", renewed)
-    assert any("lease that lapsed" in breach for breach in run_with_late_renewals().breaches.found)
+    assert any("lease that lapsed" in violation for violation in run_with_late_renewals().breaches.found)
 
 
 def test_checks_detect_an_accepted_older_epoch(monkeypatch):
@@ -1258,7 +1262,7 @@
 
     monkeypatch.setattr(HolderMessages, "apply_snapshot", accept_any_epoch)
     monkeypatch.setattr(WatchRequests, "send", send_with_old_epoch)
-    assert any("older epoch" in breach for breach in violations_of(range(0, 9, 3)))
+    assert any("older epoch" in violation for violation in violations_of(range(0, 9, 3)))
 
 
 def test_checks_detect_a_batch_applied_out_of_sequence(monkeypatch):
@@ -1280,7 +1284,7 @@
         world.weather = replace(WILD, loss=0.15, doubled=0.15)
         world.day(8)
         found += world.breaches.found
-    assert any(" after batch " in breach for breach in found)
+    assert any(" after batch " in violation for violation in found)
 
 
 def test_checks_detect_a_holder_that_answers_right_after_a_stall(monkeypatch):
@@ -1288,19 +1292,19 @@
         self.last_call_at = now
 
     monkeypatch.setattr(RosterFreshness, "record_call", called)
-    assert any("before it stood still" in breach for breach in violations_of(range(3)))
+    assert any("before it stood still" in violation for violation in violations_of(range(3)))
 
 
 def test_checks_detect_an_accepted_older_revision(monkeypatch):
     monkeypatch.setattr(Revisions, "is_older", lambda self, one, other: False)
     monkeypatch.setattr(Revisions, "is_acceptable", lambda self, source, age, now: True)
-    assert any(" goes back " in breach for breach in violations_of(range(6)))
+    assert any(" goes back " in violation for violation in violations_of(range(6)))
 
 
 def test_checks_detect_a_wrong_unchanged(monkeypatch):
     for module in ("watched_functions", "watch_requests"):
         monkeypatch.setattr(f"lapistrestle.directory.{module}.digest_of", lambda entries, complete: "same")
-    assert any(" after batch " in breach for breach in violations_of(range(6)))
+    assert any(" after batch " in violation for violation in violations_of(range(6)))
 
 
 def test_a_lost_change_is_detected_by_the_prefix_length():
--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -20,50 +20,50 @@
 from lapistrestle.wire.directory import DIRECTORY
 from lapistrestle.wire.messages import RosterEntry
 
-PATIENCE = 20.0  # seconds; time-out of a wait, after which the test fails
+WAIT_TIMEOUT = 20.0  # seconds; time-out of a wait, after which the test fails
 ENTRY_FIELDS = tuple(field.name for field in msgspec.structs.fields(RosterEntry))
 
 
-class Watcher:
+class ScriptedWatcher:
     """A scripted watcher on a blocking socket."""
 
     def __init__(self, port, name="edge-0"):
-        self.socket = socket.create_connection(("127.0.0.1", port), PATIENCE)
+        self.socket = socket.create_connection(("127.0.0.1", port), WAIT_TIMEOUT)
         self.lines = self.socket.makefile()
-        self.heard = []
-        self.say("hello", protocol=DIRECTORY, version=1, name=name)
+        self.received = []
+        self.send("hello", protocol=DIRECTORY, version=1, name=name)
 
-    def say(self, kind, **fields):
+    def send(self, kind, **fields):
         self.socket.sendall(json.dumps({"is": kind, **fields}).encode() + b"\n")
 
     def watch(self, id=1, function="f", count=4, epoch=1, shard=0):
-        self.say("watch", id=id, shard=shard, epoch=epoch, function=function, count=count)
+        self.send("watch", id=id, shard=shard, epoch=epoch, function=function, count=count)
 
     def next(self):
         """The next message. Raises EOFError if the connection ended, TimeoutError if there is none."""
         line = self.lines.readline()
         if not line:
-            raise EOFError(self.heard[-1:])
+            raise EOFError(self.received[-1:])
         message = json.loads(line)
         if "entries" in message:  # each is encoded as an array
             message["entries"] = [dict(zip(ENTRY_FIELDS, row, strict=False)) for row in message["entries"]]
-        self.heard.append(message)
+        self.received.append(message)
         return message
 
     def until(self, kind, holds=lambda message: True):
-        """The next message of that kind that satisfies `holds`; earlier ones are stored in `heard`."""
-        end = time.monotonic() + PATIENCE
+        """The next message of that kind that satisfies `holds`; earlier ones are stored in `received`."""
+        end = time.monotonic() + WAIT_TIMEOUT
         while time.monotonic() < end:
             message = self.next()
             if message["is"] == kind and holds(message):
                 return message
-        raise AssertionError(self.heard)
+        raise AssertionError(self.received)
 
     def close(self):
         self.socket.close()
 
 
-class Directory:
+class DirectoryProcesses:
     """A roster and holders of one shard, as processes."""
 
     def __init__(self, folder, holders=1, instances=12):
@@ -74,14 +74,14 @@
         self.roster.start()
         self.roster.wait_port()
         self.children = {}
-        self.old = []
+        self.ended_children = []
         for number in range(holders):
             self.start(number)
 
     def write(self):
-        told = [{"name": name, **worker} for name, worker in self.workers.items()]
+        entries = [{"name": name, **worker} for name, worker in self.workers.items()]
         part = self.folder / "w.part"
-        part.write_text(json.dumps(told))
+        part.write_text(json.dumps(entries))
         part.replace(self.folder / "w.json5")
 
     def change(self, name, **more):
@@ -113,32 +113,32 @@
         child.start()
         child.wait_port()
         if number in self.children:
-            self.old.append(self.children[number])
+            self.ended_children.append(self.children[number])
         self.children[number] = child
         self.until(lambda: self.show(number)["knowledge"] == "fresh")  # before that it refuses every watch
 
     def watcher(self, number=0):
-        return Watcher(self.ports[number])
+        return ScriptedWatcher(self.ports[number])
 
     def show(self, number=0, function=""):
         """What `lapistrestle directory show --json` prints, without starting a process."""
         watcher = self.watcher(number)
-        watcher.say("show", function=function)
+        watcher.send("show", function=function)
         shown = watcher.until("shown")["body"]
         watcher.close()
         return shown
 
     def until(self, holds):
         """Wait until the condition holds. Raises AssertionError after `PATIENCE`."""
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + WAIT_TIMEOUT
         while time.monotonic() < end:
             if holds():
                 return
             time.sleep(0.02)
         raise AssertionError([self.show(number) for number in self.children])
 
-    def logged(self):
-        children = [*self.children.values(), *self.old]
+    def log_entries(self):
+        children = [*self.children.values(), *self.ended_children]
         return [json.loads(line) for child in children for line in child.log_lines()]
 
     def end(self):
@@ -152,7 +152,7 @@
     made = []
 
     def start(*args, **more):
-        made.append(Directory(tmp_path, *args, **more))
+        made.append(DirectoryProcesses(tmp_path, *args, **more))
         return made[-1]
 
     yield start
@@ -161,37 +161,37 @@
 
 
 def test_a_holder_process_with_a_scripted_watcher(directory):
-    here = directory()
-    edge = here.watcher()
+    processes = directory()
+    edge = processes.watcher()
     edge.watch()
     names = [entry["name"] for entry in edge.until("snapshot")["entries"]]
-    here.change(names[0], listing="draining")
-    told = edge.until("update")
-    assert ("draining", names[0]) in [(e.get("listing"), e["name"]) for e in told["entries"]]
-    here.change(names[1], gone=True)
+    processes.change(names[0], listing="draining")
+    update = edge.until("update")
+    assert ("draining", names[0]) in [(e.get("listing"), e["name"]) for e in update["entries"]]
+    processes.change(names[1], gone=True)
     assert edge.until("update", lambda update: names[1] in update.get("gone", []))
-    port = ("--port", here.ports[0])
+    port = ("--port", processes.ports[0])
     shown = command("directory", "show", *port)
     assert shown.returncode == 0 and "holder-0 in zone a, epoch 1; revision 14 of e1, fresh" in shown.stdout
     assert "11 instances, 1 functions watched" in shown.stdout and "1 watches" in shown.stdout
     shown = command("directory", "show", "f", *port)
-    assert shown.returncode == 0 and f"f is in shard 0, at 127.0.0.1:{here.ports[0]} (a)" in shown.stdout
+    assert shown.returncode == 0 and f"f is in shard 0, at 127.0.0.1:{processes.ports[0]} (a)" in shown.stdout
     assert names[0] in shown.stdout and "draining" in shown.stdout and "1 watchers here" in shown.stdout
     shown = json.loads(command("directory", "show", "f", *port, "--json").stdout)
     order = [entry["name"] for entry in shown["order"]]
     assert [n for n in order if n in names] == [n for n in names if n != names[1]]
-    assert here.children[0].stop() == 0
+    assert processes.children[0].stop() == 0
     assert edge.until("bye")["why"] == "the holder stops"
-    events = [line["event"] for line in here.logged()]
+    events = [line["event"] for line in processes.log_entries()]
     assert events[0] == "listening" and "stopped" in events
-    none = command("directory", "show", *port)
-    assert none.returncode == 1 and "no answer from a holder" in none.stderr
+    no_holder = command("directory", "show", *port)
+    assert no_holder.returncode == 1 and "no answer from a holder" in no_holder.stderr
 
 
 def test_an_edge_reports_its_state_of_the_directory(directory, tmp_path):
-    here = directory(holders=2)
+    processes = directory(holders=2)
     made = json5.loads((EXAMPLES / "slots.json5").read_text())
-    copies = [{"port": port} for port in here.ports]
+    copies = [{"port": port} for port in processes.ports]
     made |= {"listen": {"port": 0}, "directory": {"shards": [copies]}}
     del made["roster"]
     file = tmp_path / "edge.json5"
@@ -202,20 +202,22 @@
         port = edge.wait_port()
         call = ("--port", port, "--fn", "f", "--method", "check-slot", "--customer", "yard")
         command("call", *call)  # no runner listens: the call is denied, but its function is watched
-        said = command("directory", "watched", "--port", port)
-        assert said.returncode == 0 and "edge-0, epoch 1; 1 of 1 shards reached" in said.stdout
-        assert "8 instances of 1 functions; 0 requests wait" in said.stdout and "1 looked up" in said.stdout
+        result = command("directory", "watched", "--port", port)
+        assert result.returncode == 0 and "edge-0, epoch 1; 1 of 1 shards reached" in result.stdout
+        assert (
+            "8 instances of 1 functions; 0 requests wait" in result.stdout and "1 looked up" in result.stdout
+        )
         shown = json.loads(command("directory", "watched", "--port", port, "--json").stdout)
         assert shown["region"]["instances"] == 12 and shown["instances"] == 8
-        assert sum(here.show(number)["watches"] for number in range(2)) == 1
+        assert sum(processes.show(number)["watches"] for number in range(2)) == 1
     finally:
         edge.kill()
 
 
 def test_errors_at_the_start_of_a_holder_are_reported(directory, tmp_path):
-    here = directory()
-    taken = command("directory", "serve", here.settings(0))
-    assert taken.returncode == 1 and "can't listen" in taken.stderr
+    processes = directory()
+    port_in_use = command("directory", "serve", processes.settings(0))
+    assert port_in_use.returncode == 1 and "can't listen" in port_in_use.stderr
     file = tmp_path / "wrong.json5"
     file.write_text("{directory: {shards: [[{port: 7200}]]},\n serve: {shard: [0]}}")
     wrong = command("directory", "serve", file)
@@ -225,74 +227,76 @@
 
 
 def test_after_a_kill_another_replica_and_a_restarted_holder_serve_the_same(directory):
-    here = directory(holders=2)
-    edge = here.watcher(0)
+    processes = directory(holders=2)
+    edge = processes.watcher(0)
     edge.watch()
     names = [entry["name"] for entry in edge.until("snapshot")["entries"]]
-    here.children[0].kill()  # SIGKILL
+    processes.children[0].kill()  # SIGKILL
     with pytest.raises((EOFError, ConnectionError)):
         edge.until("update")
-    other = here.watcher(1)  # the other replica has the same order
+    other = processes.watcher(1)  # the other replica has the same order
     other.watch()
     assert [entry["name"] for entry in other.until("snapshot")["entries"]] == names
-    here.change(names[0], gone=True)
+    processes.change(names[0], gone=True)
     assert other.until("update", lambda update: names[0] in update.get("gone", []))
-    here.start(0)
-    again = here.watcher(0)
-    again.watch()
-    snapshot = again.until("snapshot")
+    processes.start(0)
+    restarted = processes.watcher(0)
+    restarted.watch()
+    snapshot = restarted.until("snapshot")
     assert names[0] not in [entry["name"] for entry in snapshot["entries"]] and snapshot["sequence"] == 1
-    assert not any("Traceback" in line for child in here.old for line in child.log_lines())
+    assert not any("Traceback" in line for child in processes.ended_children for line in child.log_lines())
 
 
 def test_a_resumed_holder_sends_nothing_outdated(directory):
-    here = directory()
-    edge = here.watcher()
+    processes = directory()
+    edge = processes.watcher()
     edge.watch()
     first = edge.until("snapshot")["entries"][0]["name"]
-    here.children[0].stall()  # SIGSTOP
+    processes.children[0].stall()  # SIGSTOP
     stopped = time.monotonic()
-    edge.say("renew", asked=1)
+    edge.send("renew", asked=1)
     edge.watch(id=2, function="g", count=12)
-    here.change(first, start=f"{first}#1", port=9002)
-    here.until(lambda: time.monotonic() > stopped + 0.5)  # longer than the stall threshold
-    here.children[0].resume()
+    processes.change(first, start=f"{first}#1", port=9002)
+    processes.until(lambda: time.monotonic() > stopped + 0.5)  # longer than the stall threshold
+    processes.children[0].resume()
     edge.until("update", lambda update: any(e["start"] == f"{first}#1" for e in update["entries"]))
-    late = [message for message in edge.heard if message["is"] in ("renewed", "snapshot")][1:]
-    assert all(message["revision"]["number"] == 13 for message in late)
+    late_messages = [message for message in edge.received if message["is"] in ("renewed", "snapshot")][1:]
+    assert all(message["revision"]["number"] == 13 for message in late_messages)
     edge.watch(id=3, function="g", count=12)
     snapshot = edge.until("snapshot", lambda snapshot: snapshot["id"] == 3)
     starts = {entry["name"]: entry["start"] for entry in snapshot["entries"]}
     assert starts[first] == f"{first}#1" and snapshot["revision"]["number"] == 13
-    modes = [line["figures"] for line in here.logged() if line["event"] == "directory"]
-    assert any("knowledge catching_up: stood still" in mode for mode in modes)
-    assert "knowledge fresh" in modes[-1]
+    log_texts = [line["figures"] for line in processes.log_entries() if line["event"] == "directory"]
+    assert any("knowledge catching_up: stood still" in mode for mode in log_texts)
+    assert "knowledge fresh" in log_texts[-1]
 
 
 def test_a_lost_roster_shows_in_the_age_and_its_successor_is_followed(directory):
-    here = directory()
-    port = str(here.roster.known)
-    here.roster.kill()
-    here.until(lambda: here.show()["knowledge"] == "cut")
-    edge = here.watcher()
+    processes = directory()
+    port = str(processes.roster.known)
+    processes.roster.kill()
+    processes.until(lambda: processes.show()["knowledge"] == "cut")
+    edge = processes.watcher()
     edge.watch()
     assert edge.until("snapshot")["age"] > 0  # the list stays in use, with its age
-    here.workers["w0"]["listing"] = "draining"
-    here.write()
-    workers = str(here.folder / "w.json5")
-    here.roster = ChildProcess(here.folder, "roster", "roster", workers, "--port", port, "--lag", "0")
-    here.roster.start()
-    here.until(lambda: here.show()["knowledge"] == "fresh")
-    listing = {e["name"]: e.get("listing", "serving") for e in here.show(function="f")["order"]}
+    processes.workers["w0"]["listing"] = "draining"
+    processes.write()
+    workers = str(processes.folder / "w.json5")
+    processes.roster = ChildProcess(
+        processes.folder, "roster", "roster", workers, "--port", port, "--lag", "0"
+    )
+    processes.roster.start()
+    processes.until(lambda: processes.show()["knowledge"] == "fresh")
+    listing = {e["name"]: e.get("listing", "serving") for e in processes.show(function="f")["order"]}
     assert listing["w0"] == "draining"
-    edge.say("renew", asked=5)
+    edge.send("renew", asked=5)
     renewed = edge.until("renewed")
     assert renewed["asked"] == 5 and renewed.get("age", 0) == 0
 
 
 def test_all_watchers_connecting_at_once_are_answered_with_bounded_memory(directory):
-    here = directory(instances=40)
-    edges = [here.watcher() for _ in range(120)]
+    processes = directory(instances=40)
+    edges = [processes.watcher() for _ in range(120)]
     for edge in edges:
         for number in range(30):
             edge.watch(id=number, function=f"f{number}", count=8)
@@ -306,9 +310,9 @@
                 edge.watch(id=message["id"], function=f"f{message['id']}", count=8)
             elif message["is"] == "snapshot":
                 missing.remove(message["id"])
-    shown = here.show()
+    shown = processes.show()
     assert shown["watches"] == 120 * 30 and shown["snapshots refused as busy"] == busy
-    status = Path(f"/proc/{here.children[0].child.pid}/status").read_text()
+    status = Path(f"/proc/{processes.children[0].child.pid}/status").read_text()
     (resident,) = re.findall(r"VmRSS:\s*(\d+) kB", status)
     assert int(resident) < 150_000
 
@@ -322,121 +326,121 @@
 DEPLOYED = {"kind": "deploy", "at": "500 ms", "lasts": "2 s", "share": 0.5}
 
 
-def script(troubles, seed=1, margin="300 ms", **traffic):
+def script(faults, seed=1, margin="300 ms", **traffic):
     """A day with three edges, and three holders of three shards with two replicas each."""
     deployment = json5.loads((EXAMPLES / "slots.json5").read_text())
     deployment["listen"] = {"port": 0, "margin": margin}
     deployment["directory"] = {"shards": SHARDS}
     traffic = {"rate": 40, "functions": 24, **traffic}
-    made = day("slots", troubles, seed, length="6 s", edges=3, traffic=traffic)
+    made = day("slots", faults, seed, length="6 s", edges=3, traffic=traffic)
     return made | {"deployment": deployment, "roster_lag": "100 ms"}
 
 
-def script_of_processes(troubles):
+def script_of_processes(faults):
     """The same for real processes on a machine that may be busy: a larger margin before deadlines, and no
     client retries, since a last retry may have only a few milliseconds left. In virtual time clients retry.
     """
-    return script(troubles, margin="600 ms", retries=0)
+    return script(faults, margin="600 ms", retries=0)
 
 
-def played(folder, troubles):
+def run_day(folder, faults):
     """Run such a day with real processes and sockets. Returns its trace."""
     path, tape = folder / "day.json5", folder / "day.tape"
-    path.write_text(json.dumps(script_of_processes(troubles)))
+    path.write_text(json.dumps(script_of_processes(faults)))
     result = command("day", "run", path, "--tape", tape, "--verbose")
-    story = Trace(read_tape(tape))
-    breaches = [breach for rule in check_rules(story) for breach in rule.violations]
-    assert breaches == []
+    trace = Trace(read_tape(tape))
+    violations = [violation for rule in check_rules(trace) for violation in rule.violations]
+    assert violations == []
     assert result.returncode == 0, result.stdout + result.stderr
     assert "Traceback" not in result.stderr and "module raised" not in result.stderr, result.stderr
-    return story
+    return trace
 
 
-def since(story, kind):
+def fault_times(trace, kind):
     """Start and end of the fault of this kind; there is exactly one."""
-    ((at, lasts),) = [(at, lasts) for at, said, lasts in story.faults if said == kind]
+    ((at, lasts),) = [(at, lasts) for at, name, lasts in trace.faults if name == kind]
     return at, at + lasts
 
 
-def share_ok(story, begin, end=NEVER):
+def success_rate(trace, begin, end=NEVER):
     """The fraction of first attempts between these times that succeeded; there must be more than 20."""
-    calls = [call for call in story.calls if begin < call.at < end and not call.message.is_retry]
+    calls = [call for call in trace.calls if begin < call.at < end and not call.message.is_retry]
     assert len(calls) > 20
     return sum(any(a.verdict == "ok" for _, _, a in call.answers) for call in calls) / len(calls)
 
 
-def watches_again(folder, at):
+def renewed_edges(folder, at):
     """The edges that received the renewal of a lease after that time."""
     lines = [event for event in read_tape(folder / "day.tape") if event.get("is") == ">"]
     return {e["on"].partition("/")[0] for e in lines if e["at"] > at * 1000 and '"is":"renewed"' in e["line"]}
 
 
-def unanswered(story):
+def unanswered_calls(trace):
     """Calls without an answer whose client waited until the deadline, at an edge that was not killed."""
     waited = [
-        c for c in story.calls if not c.answers and c.client_gone_at >= c.deadline and c.deadline < story.end
+        c for c in trace.calls if not c.answers and c.client_gone_at >= c.deadline and c.deadline < trace.end
     ]
     closing = 500  # milliseconds in which a client may still write to a killed edge
-    return [c.message.id for c in waited if not story.was_killed(c.edge, c.at - closing, c.deadline)]
+    return [c.message.id for c in waited if not trace.was_killed(c.edge, c.at - closing, c.deadline)]
 
 
-def told(story):
+def report_count(trace):
     """The number of reports of drains and ends that edges received from holders."""
-    return check_directory_delay(story).figures["words of drains or ends"]
+    return check_directory_delay(trace).figures["words of drains or ends"]
 
 
 KILLED = {"kind": "holder_kill", "at": "1 s", "lasts": "2 s", "share": 0.6}
-STILL = {"kind": "holder_stall", "at": "1 s", "lasts": "3 s", "share": 0.6}
+STALLED = {"kind": "holder_stall", "at": "1 s", "lasts": "3 s", "share": 0.6}
 CUT = {"kind": "directory_cut", "at": "1500 ms", "lasts": "2500 ms", "share": 0.6}
 EDGES = {"edge-0", "edge-1", "edge-2"}
 
 
 def test_a_day_in_which_holders_are_killed_under_load(tmp_path):
-    story = played(tmp_path, [KILLED, REPLACED, DEPLOYED])
-    begin, end = since(story, "holder_kill")
-    assert unanswered(story) == [] and told(story) > 0
-    assert sum(story.kills.get(f"holder-{n}", []) != [] for n in range(3)) == 2
-    assert share_ok(story, begin, end) > 0 < share_ok(story, end)
-    assert watches_again(tmp_path, end) == EDGES
+    trace = run_day(tmp_path, [KILLED, REPLACED, DEPLOYED])
+    begin, end = fault_times(trace, "holder_kill")
+    assert unanswered_calls(trace) == [] and report_count(trace) > 0
+    assert sum(trace.kills.get(f"holder-{n}", []) != [] for n in range(3)) == 2
+    assert success_rate(trace, begin, end) > 0 < success_rate(trace, end)
+    assert renewed_edges(tmp_path, end) == EDGES
 
 
 def test_a_day_in_which_holders_stall_and_resume(tmp_path):
-    story = played(tmp_path, [STILL, REPLACED, DEPLOYED])
-    begin, end = since(story, "holder_stall")
-    assert unanswered(story) == [] and told(story) > 0
-    assert sum(bool(story.stalls.get(f"holder-{n}")) for n in range(3)) == 2
-    assert share_ok(story, begin, end) > 0 < share_ok(story, end)
-    assert watches_again(tmp_path, end) == EDGES
+    trace = run_day(tmp_path, [STALLED, REPLACED, DEPLOYED])
+    begin, end = fault_times(trace, "holder_stall")
+    assert unanswered_calls(trace) == [] and report_count(trace) > 0
+    assert sum(bool(trace.stalls.get(f"holder-{n}")) for n in range(3)) == 2
+    assert success_rate(trace, begin, end) > 0 < success_rate(trace, end)
+    assert renewed_edges(tmp_path, end) == EDGES
 
 
 def test_a_day_in_which_edges_are_cut_from_all_holders(tmp_path):
-    story = played(tmp_path, [CUT, REPLACED, DEPLOYED])
-    assert unanswered(story) == [] and len(story.cuts) == 2 * 3
-    begin, end = since(story, "directory_cut")
-    alone = {edge for edge, _ in story.cuts}
-    served = [c for c in story.calls if c.edge in alone and begin + 700 < c.at < end - 200 and c.answers]
+    trace = run_day(tmp_path, [CUT, REPLACED, DEPLOYED])
+    assert unanswered_calls(trace) == [] and len(trace.cuts) == 2 * 3
+    begin, end = fault_times(trace, "directory_cut")
+    cut_edges = {edge for edge, _ in trace.cuts}
+    served = [c for c in trace.calls if c.edge in cut_edges and begin + 700 < c.at < end - 200 and c.answers]
     assert any(c.answers[0][2].verdict == "ok" for c in served)  # cached prefixes stay in use
-    assert share_ok(story, end) > 0 and watches_again(tmp_path, end) == EDGES
+    assert success_rate(trace, end) > 0 and renewed_edges(tmp_path, end) == EDGES
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-@pytest.mark.parametrize("trouble", [KILLED, STILL, CUT])
-def test_the_same_faults_in_virtual_time_serve_at_least_half(trouble, seed):
+@pytest.mark.parametrize("fault", [KILLED, STALLED, CUT])
+def test_the_same_faults_in_virtual_time_serve_at_least_half(fault, seed):
     """In virtual time the result is independent of the machine's load. Nearly all runners are replaced within
     these six seconds, and 0.54 to 0.88 of the first attempts succeed.
     """
-    played = Played(script([trouble, REPLACED, DEPLOYED], seed))
-    assert played.violations() == [] and unanswered(played.trace) == []
-    assert share_ok(played.trace, since(played.trace, trouble["kind"])[0]) > 0.5
+    run_day = Played(script([fault, REPLACED, DEPLOYED], seed))
+    assert run_day.violations() == [] and unanswered_calls(run_day.trace) == []
+    assert success_rate(run_day.trace, fault_times(run_day.trace, fault["kind"])[0]) > 0.5
 
 
 def test_a_day_in_which_all_edges_restart_at_once(tmp_path):
     killed = {"kind": "edge_kill", "at": "1500 ms", "lasts": "500 ms", "share": 1.0}
-    story = played(tmp_path, [killed, DEPLOYED])
-    assert unanswered(story) == []
-    assert all(len(story.kills[f"edge-{n}"]) == 1 for n in range(3))
-    begin, end = since(story, "edge_kill")
-    back = [c for c in story.connections.values() if c.kind == "directory" and c.opened > end]
+    trace = run_day(tmp_path, [killed, DEPLOYED])
+    assert unanswered_calls(trace) == []
+    assert all(len(trace.kills[f"edge-{n}"]) == 1 for n in range(3))
+    begin, end = fault_times(trace, "edge_kill")
+    back = [c for c in trace.connections.values() if c.kind == "directory" and c.opened > end]
     assert {c.edge for c in back} == EDGES and end > begin
-    last = [call for call in story.calls if call.at > back[-1].opened]
+    last = [call for call in trace.calls if call.at > back[-1].opened]
     assert sum(any(a.verdict == "ok" for _, _, a in call.answers) for call in last) > 0
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -26,25 +26,25 @@
     return made | {"fleet": {"name": "harbour", "port": 1, **fleet}}
 
 
-def fleet_day(troubles: Any, **more: Any) -> dict[str, Any]:
-    script = day("slots", troubles, **more)
+def fleet_day(faults: Any, **more: Any) -> dict[str, Any]:
+    script = day("slots", faults, **more)
     script["deployment"] = deployment()
     return script
 
 
-def look(port: int) -> Any:
+def show_fleet(port: int) -> Any:
     """What `lapistrestle fleet show --json` prints, without starting a process."""
     hello = {"is": "hello", "protocol": CLIENT, "version": VERSION}
-    said = "".join(json.dumps(message) + "\n" for message in (hello, {"is": "look", "what": "fleet"}))
+    lines = "".join(json.dumps(message) + "\n" for message in (hello, {"is": "look", "what": "fleet"}))
     with socket.create_connection(("127.0.0.1", port), 10) as client:
-        client.sendall(said.encode())
+        client.sendall(lines.encode())
         for line in client.makefile():
             if (message := json.loads(line))["is"] == "shown":
                 return message["body"]
     return {"members": []}
 
 
-class Edges:
+class EdgeProcesses:
     """Edges as processes, each with its own gossip port."""
 
     def __init__(self, folder: Path, count: int) -> None:
@@ -71,7 +71,7 @@
         self.children[number] = child
 
     def show(self, number: int) -> Any:
-        return look(self.children[number].wait_port())
+        return show_fleet(self.children[number].wait_port())
 
     def view(self, number: int) -> dict[str, str]:
         return {m["name"]: m["is"] for m in self.show(number)["members"]}
@@ -92,28 +92,30 @@
 
 
 @pytest.fixture
-def edges(tmp_path: Path) -> Iterator[Edges]:
-    made = Edges(tmp_path, 4)
+def edges(tmp_path: Path) -> Iterator[EdgeProcesses]:
+    made = EdgeProcesses(tmp_path, 4)
     yield made
     made.end()
 
 
-def there(view: dict[str, str], name: str) -> bool:
+def is_present(view: dict[str, str], name: str) -> bool:
     return view.get(name) in ("alive", "suspect")
 
 
-def test_edges_that_are_killed_stalled_and_restarted(edges: Edges) -> None:
+def test_edges_that_are_killed_stalled_and_restarted(edges: EdgeProcesses) -> None:
     names = {n: f"edge-{n}" for n in range(4)}
-    edges.until(lambda: all(sum(there(edges.view(n), name) for name in names.values()) == 3 for n in names))
+    edges.until(
+        lambda: all(sum(is_present(edges.view(n), name) for name in names.values()) == 3 for n in names)
+    )
     edges.children[3].kill()  # SIGKILL
     edges.children[2].stall()  # SIGSTOP
     dead = {"edge-2": "dead", "edge-3": "dead"}
     edges.until(lambda: all(edges.view(n).items() >= dead.items() for n in (0, 1)))
-    said = command("fleet", "explain", "edge-3", "--port", edges.children[0].wait_port())
-    assert said.returncode == 0 and "edge-3 is dead: it was silent" in said.stdout
-    told = command("fleet", "show", "--port", edges.children[0].wait_port())
-    assert told.returncode == 0 and "edge-0 is member of harbour" in told.stdout
-    assert "loads: 0 under way, 1 may be (cut 2, lent 0, borrowed 0)" in told.stdout
+    result = command("fleet", "explain", "edge-3", "--port", edges.children[0].wait_port())
+    assert result.returncode == 0 and "edge-3 is dead: it was silent" in result.stdout
+    shown = command("fleet", "show", "--port", edges.children[0].wait_port())
+    assert shown.returncode == 0 and "edge-0 is member of harbour" in shown.stdout
+    assert "loads: 0 under way, 1 may be (cut 2, lent 0, borrowed 0)" in shown.stdout
     edges.children[2].resume()  # it learns that it was declared dead, and refutes that
     edges.until(lambda: all(edges.view(n).get("edge-2") == "alive" for n in (0, 1)))
     edges.start(3)  # the same name, another process
@@ -126,16 +128,16 @@
     assert not any("Traceback" in line for line in lines)
 
 
-def test_of_two_processes_with_one_name_one_is_displaced(edges: Edges) -> None:
+def test_of_two_processes_with_one_name_one_is_displaced(edges: EdgeProcesses) -> None:
     edges.until(lambda: len(edges.view(0)) == 3)
     old, edges.ports = edges.children[3], [*edges.ports[:3], *free_udp_ports(1)]
     edges.start(3)
     try:
-        edges.until(lambda: edges.show(3)["standing"] == "member" and there(edges.view(0), "edge-3"))
+        edges.until(lambda: edges.show(3)["standing"] == "member" and is_present(edges.view(0), "edge-3"))
         port = old.wait_port()
 
         def displaced() -> bool:
-            shown = look(port)
+            shown = show_fleet(port)
             return shown["standing"] == "displaced" and shown["size"] == 0 == shown["loads"]["may"]
 
         edges.until(displaced)
@@ -154,8 +156,8 @@
         port = str(roster.wait_port())
         edge = ChildProcess(tmp_path, "e", "edge", str(tmp_path / "d.json5"), "--roster-port", port)
         edge.start()
-        said = command("fleet", "show", "--port", edge.wait_port())
-        assert said.returncode == 1 and "is in no fleet" in said.stderr
+        result = command("fleet", "show", "--port", edge.wait_port())
+        assert result.returncode == 1 and "is in no fleet" in result.stderr
     finally:
         for child in (roster, edge):
             if child is not None:
@@ -167,13 +169,13 @@
 
     file = tmp_path / "d.json5"
     file.write_text(json.dumps(deployment(port=0)))
-    said = CliRunner().invoke(main, ["deployment", "check", str(file)])
-    assert said.exit_code == 1 and "fleet.port: is missing" in said.output
+    result = CliRunner().invoke(main, ["deployment", "check", str(file)])
+    assert result.exit_code == 1 and "fleet.port: is missing" in result.output
     file.write_text(json.dumps(deployment(period="1 ms")))
     assert "under 100 ms" in CliRunner().invoke(main, ["deployment", "check", str(file)]).output
 
 
-TROUBLES = [
+FAULTS = [
     {"kind": "edges_lossy", "at": "500 ms", "lasts": "5 s", "share": 0.2, "by": "50 ms"},
     {"kind": "edges_apart", "at": "1 s", "lasts": "2 s", "share": 0.5},
     {"kind": "edges_deaf", "at": "2 s", "lasts": "2 s", "share": 0.3},
@@ -184,30 +186,30 @@
 
 
 def test_a_day_of_processes_with_faults_between_edges_keeps_the_rules(tmp_path: Path) -> None:
-    script = fleet_day(TROUBLES, length="6 s", edges=4, traffic={"rate": 30, "functions": 8})
+    script = fleet_day(FAULTS, length="6 s", edges=4, traffic={"rate": 30, "functions": 8})
     script["deployment"]["listen"] = {"port": 7100, "margin": "300 ms"}  # this machine may be busy
     script["deployment"]["fleet"]["loads"] = 40
     path, tape = tmp_path / "day.json5", tmp_path / "day.tape"
     path.write_text(json.dumps(script))
     result = command("day", "run", path, "--tape", tape)
-    story = Trace(read_tape(tape))
-    breaches = [b for rule in check_rules(story) for b in rule.violations]
-    assert result.returncode == 0 and breaches == [], result.stdout + result.stderr
-    assert sum(bool(c.answers) for c in story.calls) > 100
+    trace = Trace(read_tape(tape))
+    violations = [b for rule in check_rules(trace) for b in rule.violations]
+    assert result.returncode == 0 and violations == [], result.stdout + result.stderr
+    assert sum(bool(c.answers) for c in trace.calls) > 100
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_the_same_faults_in_virtual_time_yield_the_same_tape_twice(seed: int) -> None:
-    script = fleet_day(TROUBLES, length="12 s", edges=8, seed=seed)
+    script = fleet_day(FAULTS, length="12 s", edges=8, seed=seed)
     first, second = Played(script), Played(script)
     assert first.violations() == [] and first.tape == second.tape
     assert [m for m in first.logs if m[0] == "fleet"] == [m for m in second.logs if m[0] == "fleet"]
 
 
-def trials(fleet: bool) -> int:
+def failed_attempts(fleet: bool) -> int:
     """Attempts that eight edges send within six seconds to runners that fail every call."""
-    wrong = [{"kind": "fast_errors", "at": "3 s", "lasts": "9 s", "share": 0.3}]
-    script = fleet_day(wrong, length="12 s", edges=8, seed=4, traffic={"rate": 160, "functions": 12})
+    errors = [{"kind": "fast_errors", "at": "3 s", "lasts": "9 s", "share": 0.3}]
+    script = fleet_day(errors, length="12 s", edges=8, seed=4, traffic={"rate": 160, "functions": 12})
     if not fleet:
         del script["deployment"]["fleet"]
     played = Played(script)
@@ -217,7 +219,7 @@
 
 
 def test_gossiped_verdicts_reduce_attempts_at_failing_runners() -> None:
-    assert 0 < trials(fleet=True) < 0.6 * trials(fleet=False)
+    assert 0 < failed_attempts(fleet=True) < 0.6 * failed_attempts(fleet=False)
 
 
 def test_the_fleet_recovers_from_a_burst_far_over_capacity() -> None:
@@ -245,11 +247,11 @@
     assert played.violations() == [] and ok > 0.9 * sum(not c.message.is_retry for c in calls)
 
 
-STILL = {"kind": "balancer_stall", "at": "2 s", "lasts": "4 s"}
+STALLED = {"kind": "balancer_stall", "at": "2 s", "lasts": "4 s"}
 KILLED = {"kind": "edge_kill", "at": "3 s", "lasts": "400 ms"}
 
 
-@pytest.mark.parametrize("second", [STILL, KILLED])
+@pytest.mark.parametrize("second", [STALLED, KILLED])
 def test_overlapping_stalls_and_a_kill_of_an_edge_are_recorded_correctly(
     second: dict[str, Any],
 ) -> None:
@@ -258,7 +260,7 @@
     script = fleet_day([first, second | {"share": 1.0}], length="12 s", edges=2, traffic={"rate": 200})
     played = Played(script)
     assert played.violations() == []
-    marks = [json.loads(line) for line in played.tape.splitlines()]
-    of_one = [mark["is"] for mark in marks if mark.get("on") == "edge-0"]
-    said = [word for word in of_one if word in ("stalled", "resumed")]
-    assert said == ["stalled", "resumed"]
+    events = [json.loads(line) for line in played.tape.splitlines()]
+    edge_events = [event["is"] for event in events if event.get("on") == "edge-0"]
+    states = [name for name in edge_events if name in ("stalled", "resumed")]
+    assert states == ["stalled", "resumed"]
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -141,7 +141,7 @@
         )
 
 
-TROUBLES = [
+FAULTS = [
     {"kind": "edges_lossy", "at": "9 s", "lasts": "8 s", "share": 0.3, "by": "200 ms"},
     {"kind": "edges_apart", "at": "15 s", "lasts": "3 s", "share": 0.5},
     {"kind": "balancer_stall", "at": "14 s", "lasts": "2 s", "share": 0.5},
@@ -154,7 +154,7 @@
 def test_concurrent_loads_of_all_edges_stay_within_the_quota_despite_faults(loads: int, within: bool) -> None:
     """Without the limit the same day has more concurrent loads, which shows that the limit matters."""
     LoadCountingDispatcher.instances, LoadCountingDispatcher.max_loads = (), 0
-    script = fleet_day(TROUBLES, length="26 s", edges=4, seed=3, traffic={"rate": 80, "functions": 60})
+    script = fleet_day(FAULTS, length="26 s", edges=4, seed=3, traffic={"rate": 80, "functions": 60})
     script["deployment"]["fleet"]["loads"] = loads
     script["deployment"]["dispatcher"] |= {"of": 4}
     script["deployment"]["orders"]["time_out"] = "3 s"  # leases are three times as long, and start after that
