--- a/lapistrestle/deployment/__init__.py
+++ b/lapistrestle/deployment/__init__.py
@@ -1,1 +1,1 @@
-"""JSON5 files to checked values, then to the plain map that the module is handed."""
+"""Deployment files: reading, validation and conversion to the settings of the decision module."""
--- a/lapistrestle/deployment/translation.py
+++ b/lapistrestle/deployment/translation.py
@@ -1,4 +1,4 @@
-"""The platform's settings, words and units in ours, and back: for the simulator and for sockets."""
+"""Translation of the platform's settings, codes and units, as used by its simulator and its sockets."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,7 +7,7 @@
 from lapistrestle.policy.types import EndpointState, LoadState, Outcome
 from lapistrestle.ticks import MICROSECONDS
 
-Group = Mapping[str, Any]  # one group of the platform's settings, as JSON has it
+Group = Mapping[str, Any]  # one group of the platform's settings, decoded from JSON
 
 
 OUTCOMES = {
@@ -38,7 +38,7 @@
     LoadState.JOINED_LOAD,
     LoadState.LOAD_FAILED,
 )
-REPORT_FIGURES = {  # figures of a load report as sockets name them, and as settings do
+REPORT_FIGURES = {  # figures of a load report: their names on sockets, and in settings
     "inflight": "outstanding",
     "queue": "backlog",
     "util": "utilization",
@@ -49,33 +49,33 @@
 
 
 def to_ticks_ceil(micros: int) -> int:
-    """A clock reading, rounded up, so that what is left before a deadline is never overstated."""
+    """Convert a clock reading; rounded up, so that the time left to a deadline is never overstated."""
     return -(-micros // MICROSECONDS)
 
 
 def to_ticks_floor(micros: int) -> int:
-    """A deadline or length, rounded down."""
+    """Convert a deadline or duration; rounded down."""
     return micros // MICROSECONDS
 
 
-def to_microseconds(tenths: int) -> int:
-    """A length for the wire; 0 would mean none, so the least is one microsecond."""
-    return max(1, tenths * MICROSECONDS)
+def to_microseconds(ticks: int) -> int:
+    """Convert ticks to microseconds for the wire; at least 1, as 0 means that there is no limit."""
+    return max(1, ticks * MICROSECONDS)
 
 
-def settings_group(whole: Group, key: str) -> Group:
-    """A group of settings; one that is missing or null reads as empty."""
-    return whole.get(key) or {}
+def settings_group(settings: Group, key: str) -> Group:
+    """Return a group of settings, empty if it is missing or null."""
+    return settings.get(key) or {}
 
 
 def number(group: Group, key: str, missing: float = 0) -> Any:
-    """A setting; one that is missing or null has the stated meaning."""
+    """Return a setting, or `missing` if it is missing or null."""
     value = group.get(key)
     return missing if value is None else value
 
 
 def method(profile: Group) -> MethodSettings:
-    """One method of the platform's settings."""
+    """Convert the settings of one method."""
     deadline = to_ticks_floor(number(profile, "deadline"))
     return MethodSettings(
         kind=KINDS.get(profile.get("idempotency") or "", MethodKind.AT_MOST_ONCE),
@@ -91,7 +91,7 @@
 
 
 def to_settings(settings: Group) -> Settings:
-    """The settings as the platform hands them over, in the module's terms; unknown ones pass over."""
+    """Convert the platform's settings to those of the decision module; unknown ones are ignored."""
     limits, rules, info = (
         settings_group(settings, "limits"),
         settings_group(settings, "rules"),
@@ -131,7 +131,7 @@
         overload_factor=number(rules, "fall-multiple", 1.0),
         reports_not_loaded=info.get("when-absent") == "miss",
         preload_window=to_ticks_floor(number(info, "load-period")),
-        preload_delay=0,  # the transport says how long it may let an order wait
+        preload_delay=0,  # the transport decides how long a preload may wait
         preload_free=number(info, "free-loads", 0.0),
         preload_share=number(info, "load-share", 0.0),
         preload_timeout=to_ticks_floor(number(info, "answer-within")),
--- a/lapistrestle/wire/__init__.py
+++ b/lapistrestle/wire/__init__.py
@@ -1,1 +1,1 @@
-"""The line protocols: message types, framing, limits, versions. Nothing here decides."""
+"""Wire formats: message types, framing, limits and protocol versions, free of decisions."""
--- a/lapistrestle/wire/directory.py
+++ b/lapistrestle/wire/directory.py
@@ -1,9 +1,8 @@
 """Messages between a dispatcher that watches functions and a holder of the directory of instances.
 
-Protocol `lapistrestle.directory`, framed like the others (`wire/json_lines.py`). Unless stated otherwise
-times are whole tenths of a millisecond. An instance is sent as the roster's `RosterEntry`, written as an
-array; its `start` tells one incarnation from the next, and its `up_for` (milliseconds) is as of the sending
-of the message.
+Protocol `lapistrestle.directory`, framed as in `wire/json_lines.py`. Times are whole ticks of 0.1 ms unless
+stated otherwise. An instance is sent as a `RosterEntry`, encoded as an array; its `start` identifies an
+incarnation, and its `up_for` (milliseconds) is as of the sending of the message.
 """
 
 from enum import StrEnum
@@ -14,21 +13,21 @@
 from lapistrestle.wire.messages import NO_BODY, Fault, Goodbye, Hello, Message, Name, Number, RosterEntry
 
 DIRECTORY = "lapistrestle.directory"
-MOST_SUPERSEDED = 8  # sources named in a snapshot
-LONGEST_PREFIX = 512  # instances of one prefix, so that a snapshot fits the longest line
+MOST_SUPERSEDED = 8  # superseded epochs named in a snapshot
+LONGEST_PREFIX = 512  # instances of one prefix, so that a snapshot fits the maximum line length
 DIGEST_BYTES = 8  # of a digest, written as hexadecimal digits
 LONGEST_UP_FOR = 86_400_000.0  # milliseconds, the bound of an entry's `up_for`
-MOST_IN_A_BATCH = 512  # entries of one update, for the same reason
+MOST_IN_A_BATCH = 512  # entries of one update, so that it fits the maximum line length
 
 Count = Annotated[int, Meta(ge=1, le=LONGEST_PREFIX)]
 Duration = Annotated[int, Meta(ge=0, le=864_000_000)]
 
 
 class Revision(Struct, frozen=True, omit_defaults=True, gc=False):
-    """How new knowledge is: the roster's epoch (`source`) and the number of the last list or change applied.
+    """The version of a list: the roster's epoch (`source`) and the number of the last list or change applied.
 
-    Within one source the number orders. Between sources nothing does: a watcher remembers which it saw
-    superseded (`directory/revisions.py`).
+    Revisions of one source are ordered by number. Those of different sources have no order of their own: a
+    watcher remembers which sources were superseded (`directory/revisions.py`).
     """
 
     source: str = ""
@@ -36,24 +35,24 @@
 
 
 class Instance(RosterEntry, array_like=True, gc=False):
-    """An entry, on the wire an array of its fields in their order: about half as long as with their names.
+    """A `RosterEntry` encoded as an array of its fields, about half the size of an object with field names.
 
-    Entries are most of what a dispatcher is sent.
+    Entries are most of the traffic towards a dispatcher.
     """
 
 
 def compact(entry: RosterEntry) -> Instance:
-    """An entry as it crosses this wire."""
+    """Convert an entry to its form in this protocol."""
     return convert(entry, Instance, from_attributes=True)
 
 
 class RegionSums(Struct, frozen=True, omit_defaults=True, gc=False):
-    """Sums over all instances of the region, for what a dispatcher doesn't hold one by one."""
+    """Sums over all instances of the region, most of which a dispatcher does not watch."""
 
-    size: float = 0.0  # of the instances that serve
-    warm: float = 0.0  # the same, each times its warmth, by the holder's settings of the ramp
-    serving: int = 0  # instances
-    instances: int = 0  # those that drain among them
+    size: float = 0.0  # total size of the serving instances
+    warm: float = 0.0  # the same with each instance weighted by its slow start, by the holder's settings
+    serving: int = 0  # serving instances
+    instances: int = 0  # serving and draining instances
     dispatchers: int = 0  # 0: unknown
 
 
@@ -61,12 +60,12 @@
 
 
 class Watch(Message, tag="watch"):
-    """Watch the first instances of a function's order: as many as hold `count` that serve.
+    """Watch the shortest prefix of a function's order that contains `count` serving instances.
 
-    Starts a watch, or takes the place of the connection's earlier watch of the same function. `id` is the
-    watcher's and grows with each. `digest`: of the prefix that the watcher holds already
-    (`directory/digests.py`); where the holder's is the same, `Unchanged` is the answer. `has_prefix`: calls
-    are served by what the watcher holds meanwhile; those that wait for a prefix are answered first.
+    Starts a watch or replaces the connection's earlier watch of the same function. `id` is assigned by the
+    watcher and grows with each watch. `digest` is that of the prefix that the watcher has cached
+    (`directory/digests.py`); if the holder's is the same, the answer is `Unchanged`. `has_prefix`: the
+    watcher serves calls from its cache meanwhile, so watches without a prefix are answered first.
     """
 
     id: Number
@@ -80,7 +79,7 @@
 
 
 class Unwatch(Message, tag="unwatch"):
-    """The watch is not needed any more."""
+    """End a watch."""
 
     id: Number
 
@@ -88,27 +87,27 @@
 class Renew(Message, tag="renew"):
     """Renew the lease on all watches of this connection.
 
-    `sent_at`: the watcher's clock, sent back as it is.
+    `sent_at` is the watcher's clock, returned unchanged in the answer.
     """
 
     sent_at: Number = field(name="asked")
 
 
 class InspectRequest(Message, tag="show"):
-    """An operator asks what the holder knows, of one function or in all."""
+    """An operator's request for the state of the holder, or of one function."""
 
     function: str = ""
 
 
-# holder to watcher; each snapshot and update counts the connection's `sequence` one up
+# holder to watcher; each snapshot and update increments the connection's `sequence`
 
 
 class Snapshot(Message, tag="snapshot"):
-    """A complete prefix, the answer to a watch. `complete`: it is the complete order, there are no more.
+    """A prefix, the answer to a watch. `complete`: it contains all instances of the function's order.
 
-    `lease` counts from when the watcher sent its request. `age`: for how long the holder has not been sure
-    to hear its roster; 0 while it hears it. `superseded`: the roster's earlier epochs that it saw end.
-    `up_for_age`: how long before the sending the `up_for` of the entries was true; such lists are shared.
+    `lease` counts from when the watcher sent its request. `age` is the time for which the holder may have
+    missed updates of its roster; 0 while it is connected. `superseded` are earlier epochs of the roster.
+    `up_for_age` is how long before the sending the entries' `up_for` was valid, as encoded lists are cached.
     """
 
     id: Number
@@ -124,9 +123,9 @@
 
 
 class Unchanged(Message, tag="unchanged"):
-    """The answer to a watch whose digest fits: what the watcher had when it asked is the whole prefix.
+    """The answer to a watch with a matching digest: the prefix in the watcher's cache is current.
 
-    The other fields are those of `Snapshot`.
+    The fields are those of `Snapshot`.
     """
 
     id: Number
@@ -139,16 +138,16 @@
 
 
 class PlacedInstance(Struct, omit_defaults=True, gc=False):
-    """An instance that enters a prefix, at this position of the new prefix."""
+    """An instance that enters a prefix, with its position in the new prefix."""
 
     position: Annotated[int, Meta(ge=0, lt=LONGEST_PREFIX)]
     name: Name
 
 
 class PrefixChange(Struct, omit_defaults=True, gc=False):
-    """How one watch's prefix changes: `removed` leave, then `inserted` enter, by rising position.
+    """A change of one watch's prefix: remove `removed`, then insert `inserted` in order of position.
 
-    `length` is that of the new prefix. A result of another length means that a change was lost.
+    `length` is that of the new prefix; if the result has another length, a change was lost.
     """
 
     id: Number
@@ -159,10 +158,10 @@
 
 
 class Update(Message, tag="update"):
-    """One batch of changes for all watches of the connection.
+    """A batch of changes for all watches of the connection.
 
-    `entries`: instances that are new in a prefix or have changed; those gone are named in `gone`, and may
-    leave their prefixes in a later batch only.
+    `entries` are instances that are new in a prefix or have changed. `gone` names instances that left the
+    roster; their prefixes may be updated by a later batch.
     """
 
     sequence: Number
@@ -173,7 +172,7 @@
 
 
 class Renewed(Message, tag="renewed"):
-    """The answer to a renewal. `sequence`: that of the last batch sent before it, so that a loss shows."""
+    """The answer to a renewal. `sequence` is that of the last batch sent, which reveals lost batches."""
 
     sent_at: Number = field(name="asked")
     lease: Duration
@@ -184,24 +183,24 @@
 
 
 class Busy(Message, tag="busy"):
-    """No snapshot now: more are asked for than the holder sends in a second. Ask again after a while."""
+    """The holder has reached its rate limit for snapshots; repeat the watch after `retry_after`."""
 
     id: Number
     retry_after: Duration
 
 
 class RefusalReason(StrEnum):
-    """Why a holder does not serve a watch."""
+    """Why a holder refuses a watch."""
 
-    OLD_EPOCH = "old epoch"  # the watcher's assignment is older than the holder's
-    NEW_EPOCH = "new epoch"  # the holder's assignment is the older one
-    WRONG_SHARD = "shard"  # the holder does not hold the shard
-    OUTDATED = "stale"  # the holder has not heard its roster yet, or not again
+    OLD_EPOCH = "old epoch"  # the watcher's shard assignment is older than the holder's
+    NEW_EPOCH = "new epoch"  # the holder's shard assignment is older than the watcher's
+    WRONG_SHARD = "shard"  # the shard is not assigned to the holder
+    OUTDATED = "stale"  # the holder has no current list from its roster
     TOO_MANY_WATCHES = "full"
 
 
 class Refused(Message, tag="refused"):
-    """The holder doesn't serve this watch. `epoch`: that of the holder."""
+    """The holder refuses this watch. `epoch` is that of the holder's shard assignment."""
 
     id: Number
     reason: RefusalReason = field(name="why")
@@ -209,12 +208,12 @@
 
 
 class InspectResponse(Message, tag="shown"):
-    """The answer to `show`, as JSON for people and tools; its names may grow."""
+    """The answer to an `InspectRequest`, as JSON for people and tools; later versions may add fields."""
 
     body: Raw = NO_BODY
 
 
-# what follows the greeting, each way
+# messages after the greeting, by direction
 WatcherMessage = Watch | Unwatch | Renew | InspectRequest
 HolderMessage = Snapshot | Unchanged | Update | Renewed | Busy | Refused | InspectResponse
 
--- a/lapistrestle/wire/fleet.py
+++ b/lapistrestle/wire/fleet.py
@@ -1,9 +1,9 @@
-"""Datagrams between dispatchers: one msgpack value each, under 1,200 bytes, with fleet and version named.
+"""Datagrams between dispatchers: one msgpack value of at most 1,200 bytes each, with its fleet and version.
 
 The messages are those of SWIM (Das, Gupta, Motivala, DSN 2002: ping, ack, ping-req, piggybacked membership
-updates) with Lifeguard's nack (Dadgar, Phillips, Currey, DSN-W 2018), and beside them gossiped counters and
-leases of quota (docs/fleet.md). Structs are encoded as arrays of their fields in order, messages with a
-number in front, so no Python name is on the wire.
+updates) with Lifeguard's nack (Dadgar, Phillips, Currey, DSN-W 2018), gossiped counters and quota leases
+(docs/fleet.md). Structs are encoded as arrays of their fields, messages with a numeric tag in front, so no
+Python name is on the wire.
 
 Times are whole ticks of 0.1 ms; an age counts from when the value was valid at its source.
 """
@@ -14,23 +14,23 @@
 import msgspec
 from msgspec import Meta, Struct
 
-VERSION = 1  # of the protocol; a datagram of another one is rejected
+VERSION = 1  # of the protocol; datagrams of another version are rejected
 MAX_DATAGRAM_BYTES = 1_200  # so that a datagram crosses any link without fragmentation
-ENVELOPE_BYTES = 160  # reserved for what surrounds the piggybacked parts, with names at their longest
+ENVELOPE_BYTES = 160  # reserved for everything but the piggybacked records, with names of maximum length
 
 MemberName = Annotated[str, Meta(min_length=1, max_length=64)]
-OptionalName = Annotated[str, Meta(max_length=64)]  # "" is nobody
+OptionalName = Annotated[str, Meta(max_length=64)]  # "": no member
 WorkerName = Annotated[str, Meta(min_length=1, max_length=200)]
 Zone = Annotated[str, Meta(max_length=32)]
 Host = Annotated[str, Meta(max_length=15)]  # an IPv4 address
 Port = Annotated[int, Meta(ge=1, le=65_535)]
 NonNegative = Annotated[int, Meta(ge=0, lt=2**62)]
 
-ProcessId = tuple[str, int, int]  # name, boot and nonce: one start of one process
+ProcessId = tuple[str, int, int]  # name, boot and nonce, which identify one start of one process
 
 
 class MemberStatus(IntEnum):
-    """The states of a member after SWIM; within one incarnation the later one here overrides."""
+    """The states of a SWIM member; within one incarnation a greater value overrides."""
 
     ALIVE = 1
     SUSPECT = 2
@@ -43,9 +43,9 @@
 
 
 class MemberRecord(ArrayStruct, frozen=True):
-    """A membership update: one member's address, incarnation and status, as somebody believes them.
+    """A membership update: a member's address, incarnation and status as another member believes them.
 
-    `boot` grows with each start of a process, `nonce` tells two processes under one name apart, and only the
+    `boot` grows with each start of a process, `nonce` distinguishes two processes of one name, and only the
     member itself raises its `incarnation`, to refute a suspicion (SWIM, section 4.2).
     """
 
@@ -57,21 +57,21 @@
     host: Host
     port: Port
     zone: Zone = ""
-    suspected_by: OptionalName = ""  # no part of the precedence
+    suspected_by: OptionalName = ""  # does not count towards the precedence
 
     @property
     def precedence(self) -> tuple[int, int, bool, int, int]:
-        """The record with the greater precedence overrides; leaving ends a boot for good."""
+        """The key by which the greater record overrides; after LEFT no record of the same boot does."""
         return self.boot, self.nonce, self.status is MemberStatus.LEFT, self.incarnation, self.status
 
     @property
     def process_id(self) -> ProcessId:
-        """Which start of which process the record is about."""
+        """The process, and its start, that the record describes."""
         return self.name, self.boot, self.nonce
 
 
 class CounterSnapshot(ArrayStruct, frozen=True):
-    """One member's counters, which only grow, as of `at` on its own clock and `age` ago."""
+    """One member's monotonic counters, as of `at` on its own clock, `age` ago."""
 
     name: MemberName
     boot: NonNegative
@@ -83,7 +83,7 @@
 
 
 class WorkerVerdict(ArrayStruct, frozen=True):
-    """Whether one member found a worker healthy, `age` ago."""
+    """The result of a member's health check of a worker, `age` ago."""
 
     worker: WorkerName
     healthy: bool
@@ -96,19 +96,19 @@
 
 
 class Ping(TaggedStruct, tag=1, frozen=True):
-    """A probe that is to be answered with an `Ack` of the same number."""
+    """A probe, answered by an `Ack` with the same number."""
 
     seq: NonNegative
 
 
 class Ack(TaggedStruct, tag=2, frozen=True):
-    """The answer to the ping of that number; 0 is sent unasked."""
+    """The answer to the ping with the same number; 0 is unsolicited."""
 
     seq: NonNegative
 
 
 class PingRequest(TaggedStruct, tag=3, frozen=True):
-    """SWIM's ping-req: ping that member on the sender's behalf."""
+    """SWIM's ping-req: a request to ping that member on the sender's behalf."""
 
     seq: NonNegative
     name: MemberName
@@ -117,26 +117,26 @@
 
 
 class Nack(TaggedStruct, tag=4, frozen=True):
-    """Lifeguard's nack: the target of the ping-req has not answered the relay, which itself is alive."""
+    """Lifeguard's nack: the target of a ping-req has not answered the relaying member, which is alive."""
 
     seq: NonNegative
 
 
 class PageRequest(TaggedStruct, tag=5, frozen=True):
-    """A request for the records of members whose names follow this one."""
+    """A request for the next page of the member table, of names greater than `after`."""
 
     after: OptionalName
 
 
 class TablePage(TaggedStruct, tag=6, frozen=True):
-    """A page of the sender's member table: the records beside it, and whether `more` follow them."""
+    """A page of the sender's member table, in the datagram's records; `more`: further pages follow."""
 
     after: OptionalName
     more: bool
 
 
 class CounterGossip(TaggedStruct, tag=7, frozen=True):
-    """Counters of members, and verdicts on workers. `layout` is a checksum of the counters' names."""
+    """Counters of members and health verdicts on workers. `layout` is a checksum of the counters' names."""
 
     layout: NonNegative
     snapshots: tuple[CounterSnapshot, ...]
@@ -144,7 +144,7 @@
 
 
 class LeaseRequest(TaggedStruct, tag=8, frozen=True):
-    """A request to lease units of a quota; `requested_at` is the borrower's clock and comes back unread."""
+    """A request to lease units of a quota; `requested_at` is the borrower's clock, returned unchanged."""
 
     quota: MemberName
     number: NonNegative
@@ -153,7 +153,7 @@
 
 
 class LeaseGrant(TaggedStruct, tag=9, frozen=True):
-    """Units leased for `duration`, which the borrower counts from `requested_at`."""
+    """A lease of units for `duration`, which the borrower counts from `requested_at`."""
 
     quota: MemberName
     number: NonNegative
@@ -163,7 +163,7 @@
 
 
 class LeaseReturn(TaggedStruct, tag=10, frozen=True):
-    """The borrower no longer uses the units of the lease with this number."""
+    """The return of a lease's units before it expires."""
 
     quota: MemberName
     number: NonNegative
@@ -174,7 +174,7 @@
 
 
 class Datagram(ArrayStruct, frozen=True):
-    """One datagram: the sender's record of itself, a message, and piggybacked records of others."""
+    """One datagram: the sender's record of itself, a message and piggybacked records of other members."""
 
     fleet: OptionalName
     version: int
@@ -184,16 +184,16 @@
 
 
 class Envelope(ArrayStruct, frozen=True):
-    """As much of a datagram as is the same in every version."""
+    """The fields of a datagram that are the same in every version."""
 
     fleet: str
     version: int
 
 
 class DatagramError(Exception):
-    """A datagram that can not be used: malformed, or of another fleet or version.
+    """A datagram is malformed, or of another fleet or version.
 
-    `field` names the part that is wrong, `found` and `expected` are its values where it could be read.
+    `field` names the invalid part; `found` and `expected` are its values if it could be decoded.
     """
 
     def __init__(
@@ -209,12 +209,12 @@
 
 
 def encode(datagram: Datagram) -> bytes:
-    """The datagram's bytes."""
+    """Encode a datagram."""
     return ENCODER.encode(datagram)
 
 
 def decode(data: bytes, fleet: str) -> Datagram:
-    """The datagram of this fleet in `data`; raises `DatagramError`."""
+    """Decode a datagram of this fleet; raises `DatagramError`."""
     try:
         envelope = ENVELOPE_DECODER.decode(data)
         if envelope.fleet != fleet:
@@ -233,15 +233,15 @@
 
 
 def replace(record: MemberRecord, **fields: object) -> MemberRecord:
-    """The same record with other values in some fields."""
+    """Return a copy of the record with some fields replaced."""
     return msgspec.structs.replace(record, **fields)
 
 
 def with_age(snapshot: CounterSnapshot, age: int) -> CounterSnapshot:
-    """The same snapshot as it is passed on, `age` after it was valid."""
+    """Return a copy of the snapshot with this age, for forwarding it."""
     return msgspec.structs.replace(snapshot, age=age)
 
 
 def encoded_size(part: ArrayStruct) -> int:
-    """Bytes that a record, snapshot or verdict takes in a datagram."""
+    """Return the encoded size in bytes of a record, snapshot or verdict."""
     return len(ENCODER.encode(part))
--- a/lapistrestle/wire/json_lines.py
+++ b/lapistrestle/wire/json_lines.py
@@ -1,4 +1,4 @@
-"""Framing: one message a line over Twisted's LineReceiver, greetings, limits and back-pressure."""
+"""Framing of one JSON message per line on Twisted's LineReceiver, with greetings, limits and backpressure."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -14,18 +14,19 @@
 
 @dataclass(frozen=True)
 class LineLimits:
-    """Limits of one connection, in bytes and calls."""
+    """Limits of one connection."""
 
-    max_line_bytes: int = 262_144  # longest line taken
-    max_unsent_bytes: int = 8_388_608  # unsent bytes towards a slow reader; beyond it the connection is cut
-    max_open_calls: int = 4_096  # RPCs of one client connection at once; further ones are denied
+    max_line_bytes: int = 262_144  # a longer received line closes the connection
+    max_unsent_bytes: int = 8_388_608  # more bytes buffered for a slow reader close the connection
+    max_open_calls: int = 4_096  # concurrent RPCs of a client connection; further ones are denied
 
 
 class LineConnection(LineReceiver):
-    """One end of a connection that says and hears messages; a subclass gives `heard`.
+    """One end of a connection that sends and receives messages; a subclass implements `message_received`.
 
-    The first line each way is a greeting. A peer with another protocol or version is told so and left. A line
-    that can't be read goes to `unreadable`. While the peer reads too slowly nothing more is read from it.
+    The first line in each direction is a greeting. A peer that speaks another protocol or version gets a
+    `Goodbye` and is disconnected. A line that can't be decoded is passed to `unreadable_line_received`. While
+    the peer reads more slowly than this end writes, nothing is read from it.
     """
 
     transport: Any
@@ -35,12 +36,12 @@
     decoder: msgspec.json.Decoder[Any]
     greets_first = True
 
-    def __init__(self, bounds: LineLimits) -> None:
-        self.limits, self.MAX_LENGTH = bounds, bounds.max_line_bytes
+    def __init__(self, limits: LineLimits) -> None:
+        self.limits, self.MAX_LENGTH = limits, limits.max_line_bytes
         self.is_greeted = self.closed = False
-        self.unsent_bytes = 0  # bytes written since the transport last said that it was empty
-        self.partial_line: list[bytes] = []  # of a line whose end has not come
-        self.partial_bytes = 0  # bytes in them
+        self.unsent_bytes = 0  # written since the transport's buffer filled up
+        self.partial_line: list[bytes] = []  # chunks received of a line without its delimiter
+        self.partial_bytes = 0  # total size of these chunks
 
     def greeting(self) -> Hello:
         return Hello(self.protocol, VERSION)
@@ -56,7 +57,7 @@
         self.send_line(encode(message) + b"\n")
 
     def send_line(self, line: bytes) -> None:
-        """Hand over a whole encoded line. Cuts a connection whose reader lets too much wait."""
+        """Write an encoded line with its delimiter; disconnect a peer that exceeds `max_unsent_bytes`."""
         if self.closed:
             return
         self.transport.write(line)
@@ -66,8 +67,11 @@
                 self.close_with_reason("reads too slowly")
 
     def dataReceived(self, data: bytes) -> None:
-        """Pieces without an end of a line are kept apart and joined once: the base class would search and
-        copy all that it has at each of them, and a roster's whole list comes in hundreds."""
+        """Collect chunks without a delimiter and join them once.
+
+        The base class searches and copies its whole buffer for every chunk, which takes quadratic time for a
+        roster snapshot that arrives in hundreds of chunks.
+        """
         if data and self.delimiter not in data:
             self.partial_line.append(data)
             self.partial_bytes += len(data)
@@ -84,10 +88,10 @@
             return
         try:
             message = self.decoder.decode(line)
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as trouble:
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
             if not self.is_greeted:
-                return self.close_with_reason(f"no greeting: {trouble}")
-            return self.unreadable_line_received(line, str(trouble))
+                return self.close_with_reason(f"no greeting: {error}")
+            return self.unreadable_line_received(line, str(error))
         if isinstance(message, Hello):
             self.handle_greeting(message)
         elif isinstance(message, Goodbye):
@@ -98,12 +102,13 @@
             self.message_received(message)
 
     def handle_greeting(self, hello: Hello) -> None:
+        """Check the peer's protocol and version."""
         if self.is_greeted:
             return self.close_with_reason("a second hello")
         if (hello.protocol, hello.version) != (self.protocol, VERSION):
-            wanted = f"{self.protocol} version {VERSION}"
+            expected = f"{self.protocol} version {VERSION}"
             return self.close_with_reason(
-                f"{wanted} is spoken here, not {hello.protocol} version {hello.version}"
+                f"{expected} is spoken here, not {hello.protocol} version {hello.version}"
             )
         self.is_greeted = True
         if not self.greets_first:
@@ -113,10 +118,10 @@
     def lineLengthExceeded(self, line: bytes) -> None:
         self.close_with_reason(f"a line longer than {self.limits.max_line_bytes} bytes")
 
-    def close_with_reason(self, why: str) -> None:
-        """Say why and close, at once if the peer does not read."""
+    def close_with_reason(self, reason: str) -> None:
+        """Send a `Goodbye` with the reason and close; abort at once if the peer does not read."""
         if not self.closed:
-            self.transport.write(encode(Goodbye(why)) + b"\n")
+            self.transport.write(encode(Goodbye(reason)) + b"\n")
             self.closed = True
             self.transport.unregisterProducer()
             if self.paused:
@@ -128,45 +133,49 @@
         self.closed = True
         self.connection_lost()
 
-    # for subclasses
+    # hooks for subclasses
 
-    def greeting_received(self, hello: Hello) -> None: ...
+    def greeting_received(self, hello: Hello) -> None:
+        """Handle a greeting of the right protocol and version."""
 
     def message_received(self, message: Any) -> None:
+        """Handle a message after the greeting."""
         raise NotImplementedError
 
-    def goodbye_received(self, why: str) -> None:
-        """The peer says goodbye; its close follows."""
+    def goodbye_received(self, reason: str) -> None:
+        """Handle the peer's announcement that it closes the connection."""
 
-    def unreadable_line_received(self, line: bytes, why: str) -> None:
-        self.close_with_reason(f"unreadable line: {why}")
+    def unreadable_line_received(self, line: bytes, reason: str) -> None:
+        """Handle a line that can't be decoded; disconnects the peer by default."""
+        self.close_with_reason(f"unreadable line: {reason}")
 
-    def connection_lost(self) -> None: ...
+    def connection_lost(self) -> None:
+        """Handle the end of the connection, by either side or by an error."""
 
     def write_blocked(self, slow: bool) -> None:
-        """The peer has begun, or ceased, to read more slowly than is written."""
+        """The transport's write buffer has filled up (`slow`) or has drained."""
 
 
 @implementer(IPushProducer)
 class WriteBackpressure:
-    """Told by a transport whose buffer is full: stops reading, so that no more answers come to be owed."""
+    """Stops reading from a peer while its write buffer is full, so that it adds no more answers to it."""
 
-    def __init__(self, speaker: LineConnection) -> None:
-        self.speaker = speaker
+    def __init__(self, connection: LineConnection) -> None:
+        self.connection = connection
 
     def pauseProducing(self) -> None:
-        self.speaker.pauseProducing()  # type: ignore[no-untyped-call]
-        self.speaker.write_blocked(True)
+        self.connection.pauseProducing()  # type: ignore[no-untyped-call]
+        self.connection.write_blocked(True)
 
     def resumeProducing(self) -> None:
-        if not self.speaker.closed:
-            self.speaker.unsent_bytes = 0
-            self.speaker.write_blocked(False)
-            self.speaker.resumeProducing()  # type: ignore[no-untyped-call]
+        if not self.connection.closed:
+            self.connection.unsent_bytes = 0
+            self.connection.write_blocked(False)
+            self.connection.resumeProducing()  # type: ignore[no-untyped-call]
 
     def stopProducing(self) -> None: ...
 
 
 def message_decoder(types: Any) -> msgspec.json.Decoder[Any]:
-    """A decoder of the messages of one direction."""
+    """Return a decoder for the messages of one direction, a union of message types."""
     return msgspec.json.Decoder(types)
--- a/lapistrestle/wire/messages.py
+++ b/lapistrestle/wire/messages.py
@@ -1,8 +1,8 @@
-"""Every message of the three protocols; `docs/protocol.md` specifies them for other languages.
+"""Messages of the client, runner and roster protocols, specified for other languages in `docs/protocol.md`.
 
-A message is one JSON object on a line of its own; `is` names its type. Times are milliseconds, whole or with
-a fraction; memory is in MB. Fields at their default are left out. Unknown fields pass over, so that a newer
-peer may add some; unknown types and values out of bounds do not.
+A message is one JSON object per line; its field `is` names the type. Durations are milliseconds, possibly
+fractional; memory is in MB. Fields with their default value are omitted. Unknown fields are ignored, so that
+newer peers may add some; unknown types and values out of bounds are rejected.
 """
 
 from typing import Annotated, Literal
@@ -22,29 +22,32 @@
 
 
 class Message(Struct, tag_field="is", omit_defaults=True, gc=False):
-    """What all messages share."""
+    """Base of all messages."""
 
 
 class Hello(Message, tag="hello"):
-    """First line in each direction. `you` tells a client how the edge names its connection."""
+    """The greeting, the first line in each direction.
+
+    `connection_name` tells a client how the edge names its connection.
+    """
 
     protocol: Name
     version: int
     name: str = ""
     connection_name: str = msgspec.field(default="", name="you")
-    start: str = ""  # a runner's: differs at each of its starts
-    up_for: Millis | None = None  # a runner's: since that start
+    start: str = ""  # identifies one start of a runner's process
+    up_for: Millis | None = None  # time since a runner's start
     draining: bool = False
 
 
 class Goodbye(Message, tag="bye"):
-    """The connection is closed by the sender, for this reason."""
+    """The sender closes the connection for this reason."""
 
     reason: str = msgspec.field(name="why")
 
 
 class Fault(Message, tag="fault"):
-    """A line could not be taken; `id` if it could be read. No RPC came of it."""
+    """A line was rejected and no RPC resulted from it; `id` is that of the line, if it could be read."""
 
     reason: str = msgspec.field(name="why")
     id: str = ""
@@ -54,7 +57,12 @@
 
 
 class Call(Message, tag="call"):
-    """An RPC. `left` is what the client still waits; `key` stays the same over its retries."""
+    """An RPC.
+
+    `timeout` is how long the client still waits. `key` and `token` stay the same over its retries; workers
+    deduplicate by `token`. `lanes` is how many calls one copy runs at once. `work` is the client's estimate
+    of the work, `load_time` how long a stand-in takes to load the function.
+    """
 
     id: Name
     function: Name = msgspec.field(name="fn")
@@ -72,19 +80,19 @@
 
 
 class CancelRequest(Message, tag="leave"):
-    """The client waits no longer for this RPC; no answer follows unless it is on its way."""
+    """The client no longer waits for this RPC; no answer follows except one that is already on its way."""
 
     id: Name
 
 
 class StreamStarted(Message, tag="begun"):
-    """A streamed answer has begun; its end follows as the answer."""
+    """A streamed answer has started; an `Answer` follows at its end."""
 
     id: Name
 
 
 class Answer(Message, tag="answer"):
-    """The final answer. `come_back`: how long the client should stay away after a denial."""
+    """The final answer. `retry_after` is how long the client should wait before a retry after a denial."""
 
     id: Name
     verdict: Literal["ok", "denied", "aborted"]
@@ -93,21 +101,23 @@
 
 
 class InspectRequest(Message, tag="look"):
-    """An operator asks what the edge knows of something."""
+    """An operator's request for the state of an edge's fleet membership or directory client."""
 
     subject: Literal["fleet", "directory"] = msgspec.field(name="what")
 
 
 class InspectResponse(Message, tag="shown"):
-    """The answer to a look, as JSON for people and tools; its names may grow."""
+    """The answer to an `InspectRequest`, as JSON for people and tools; later versions may add fields."""
 
     body: Raw
 
 
-# edge to runner; `call`, `order` and `probe` are numbers of the edge's, counted up on each connection
+# edge to runner; the edge counts `call_id`, `preload_id` and `probe_id` up on each connection
 
 
 class Run(Message, tag="run"):
+    """Run a call within `timeout`. `request` identifies the client's RPC over all attempts."""
+
     call_id: Number = msgspec.field(name="call")
     request: str = msgspec.field(name="rpc")
     function: Name = msgspec.field(name="fn")
@@ -122,11 +132,13 @@
 
 
 class Cancel(Message, tag="cancel"):
+    """Cancel a call; the edge ignores its result."""
+
     call_id: Number = msgspec.field(name="call")
 
 
 class PreloadRequest(Message, tag="hold"):
-    """Hold at least `count` copies; 0 only asks how many stand."""
+    """Load at least `count` copies of a function; 0 only asks how many are loaded."""
 
     preload_id: Number = msgspec.field(name="order")
     function: Name = msgspec.field(name="fn")
@@ -136,10 +148,14 @@
 
 
 class Unload(Message, tag="unload"):
+    """Unload all copies of a function."""
+
     function: Name = msgspec.field(name="fn")
 
 
 class Probe(Message, tag="probe"):
+    """A health check."""
+
     probe_id: Number = msgspec.field(name="probe")
 
 
@@ -147,11 +163,18 @@
 
 
 class RunStarted(Message, tag="begun"):
+    """The streamed answer of a call has started."""
+
     call_id: Number = msgspec.field(name="call")
 
 
 class RunFinished(Message, tag="ended"):
-    """How a call-out ended there; `warmth`, `company` and `report` only where settings say so."""
+    """The result of a call.
+
+    `full`: the runner had no capacity; `miss`: the function was not loaded. Settings decide whether
+    `load_state` (was the function loaded), `concurrency` (calls running on the copy) and `report` (load
+    figures) are sent.
+    """
 
     call_id: Number = msgspec.field(name="call")
     outcome: Literal["ok", "error", "full", "miss", "cancelled"]
@@ -164,33 +187,37 @@
 
 
 class PreloadResult(Message, tag="held"):
+    """The answer to a `PreloadRequest`; `count` copies are loaded."""
+
     preload_id: Number = msgspec.field(name="order")
     outcome: Literal["ok", "full", "error"]
     count: Number = 0
 
 
 class ProbeResult(Message, tag="probed"):
+    """The answer to a `Probe`, with load figures where settings say so."""
+
     probe_id: Number = msgspec.field(name="probe")
     report: dict[str, float] | None = None
 
 
 class Draining(Message, tag="draining"):
-    """The runner finishes what it has and takes nothing new."""
+    """The runner finishes its calls and accepts no new ones."""
 
 
 # edge and roster
 
 
 class RosterSubscribe(Message, tag="follow"):
-    """Send the whole list, then each change."""
+    """Subscribe to the list of workers: a `RosterSnapshot` and then each `RosterUpdate`."""
 
 
 class RosterRequest(Message, tag="ask"):
-    """Send the whole list once more."""
+    """Request another `RosterSnapshot`."""
 
 
 class RosterEntry(Struct, omit_defaults=True, gc=False):
-    """A worker as the roster names it."""
+    """A worker as the roster lists it; `start` and `up_for` are those of its `Hello`."""
 
     name: Name
     port: Annotated[int, Meta(ge=0, le=65535)] = 0
@@ -204,7 +231,7 @@
 
 
 class RosterSnapshot(Message, tag="whole"):
-    """All workers; one that is missing is gone. `epoch` differs each time the numbers begin anew."""
+    """All workers; those missing are gone. `epoch` changes whenever the numbering restarts."""
 
     number: Number
     workers: list[RosterEntry]
@@ -212,7 +239,7 @@
 
 
 class RosterUpdate(Message, tag="change"):
-    """Changed workers only; its number is one more than that of the list it changes."""
+    """The changed workers only; `number` is one more than that of the list to which it applies."""
 
     number: Number
     workers: list[RosterEntry]
@@ -220,13 +247,15 @@
 
 
 class RosterUnavailable(Message, tag="failed"):
-    """The roster could not answer an `ask` or `follow`."""
+    """The roster could not answer a `RosterSubscribe` or `RosterRequest`."""
 
 
 # between edges
 
 
 class PeerMessage(Message, tag="peer"):
+    """A gossip text of the decision module, sent to another edge."""
+
     sender: Number
     text: Annotated[str, Meta(max_length=256)]
 
--- a/lapistrestle/wire/plans.py
+++ b/lapistrestle/wire/plans.py
@@ -1,7 +1,7 @@
 """Messages between the planner and edges, and between operators and the planner.
 
-Protocol `lapistrestle.planner`; `docs/protocol.md` specifies it for other languages. Field names on the wire
-are mapped here. Weights are fractions from 0 to 1.
+Protocol `lapistrestle.planner`, specified for other languages in `docs/protocol.md`. Field names on the wire
+are mapped by `name=`. Weights are fractions from 0 to 1.
 """
 
 from typing import Annotated, NamedTuple
@@ -14,17 +14,17 @@
 PLANNER = "lapistrestle.planner"
 
 DEFAULT_RETENTION = 60_000.0
-"""Milliseconds (one minute) for which clients may come back from a version."""
+"""Milliseconds (one minute) for which clients may still retry requests that they sent to a version."""
 
 Weight = Annotated[float, Meta(ge=0, le=1)]
 Milliseconds = Annotated[float, Meta(ge=0, le=86_400_000)]
 
 Counts = tuple[Number, Number, Number, Number]
-"""Requests of the settled version, bad ones of them, requests of the candidate, bad ones of them."""
+"""Requests of the settled version, failed ones of them, requests of the candidate, failed ones of them."""
 
 
 class SplitMessage(Struct, omit_defaults=True, gc=False):
-    """A `TrafficSplit` as it crosses the wire and as an edge persists it."""
+    """A `TrafficSplit` as it is sent, and as an edge persists it."""
 
     function: Name = field(name="fn")
     settled: str = ""
@@ -38,7 +38,7 @@
 
 
 def to_message(split: TrafficSplit) -> SplitMessage:
-    """Return a split as it crosses the wire."""
+    """Convert a split to its message."""
     return SplitMessage(
         function=split.function,
         settled=split.settled,
@@ -53,7 +53,7 @@
 
 
 def to_split(message: SplitMessage) -> TrafficSplit:
-    """Return the split that a message stands for."""
+    """Convert a message to its split."""
     return TrafficSplit(
         function=message.function,
         settled=message.settled,
@@ -68,7 +68,7 @@
 
 
 class Plan(Message, tag="plan"):
-    """Splits that changed since the number that the edge has; all of them where `complete`."""
+    """The splits that changed since the plan that the edge has; all splits if `complete`."""
 
     number: Number
     epoch: Number
@@ -77,9 +77,9 @@
 
 
 class Heartbeat(Message, tag="beat"):
-    """An edge asks for its lease, with a moment of its own clock (ticks of 0.1 ms) and the plan it has.
+    """An edge's request to renew its lease, answered by the planner with the same `sent_at`.
 
-    The planner answers with that moment.
+    `sent_at` is the edge's clock in ticks of 0.1 ms, `plan_number` the plan that it has applied.
     """
 
     sent_at: Annotated[int, Meta(ge=0)] = field(name="asked")
@@ -87,7 +87,7 @@
 
 
 class OutcomeReport(Message, tag="counts"):
-    """An edge's running counts of a minute of its own clock."""
+    """An edge's cumulative request counts for one minute of its own clock."""
 
     function: Name = field(name="fn")
     candidate: Name
@@ -97,9 +97,9 @@
 
 
 class ReplicaReport(Message, tag="warm"):
-    """The weight that the replicas of both versions are loaded for, as far as this edge can tell.
+    """The weight for which an edge has enough replicas of both versions loaded, sent each second.
 
-    Sent each second; `shortage` says what is missing for more.
+    `shortage` says what prevents a greater weight.
     """
 
     function: Name = field(name="fn")
@@ -109,7 +109,7 @@
 
 
 class RolloutCommand(Message, tag="order"):
-    """An operator's command; one `id` is answered once and for all. `retention` is in milliseconds."""
+    """An operator's command; a repeated `id` gets the first answer again. `retention` is in milliseconds."""
 
     id: Name
     action: RolloutAction = field(name="what")
@@ -122,10 +122,10 @@
 
 
 class CommandReply(Message, tag="reply"):
-    """What a command came to; it is on disk when this is sent.
+    """The result of a command, sent once the command is on disk.
 
-    `outcome` is the value of a `CommandOutcome`, `number` the plan that has it, and `edges_behind` those
-    that do not go by that plan yet. A newer planner may name an outcome that this reader does not know.
+    `outcome` is the value of a `CommandOutcome`, `number` the first plan that includes it, and `edges_behind`
+    the edges that have not applied that plan yet. A newer planner may send outcomes unknown to this version.
     """
 
     id: Name
@@ -138,11 +138,11 @@
 
 
 class StatusRequest(Message, tag="ask"):
-    """An operator asks how things stand."""
+    """An operator's request for the status of all rollouts."""
 
 
 class HistoryLine(NamedTuple):
-    """What moved a rollout: when (ms of the planner's clock), who, why, which input, and the state after."""
+    """One transition of a rollout: time (ms of the planner's clock), actor, reason, input and next state."""
 
     at: float
     actor: str
@@ -152,10 +152,10 @@
 
 
 class RolloutStatus(Struct):
-    """How one rollout stands.
+    """The status of one rollout.
 
-    `log_harm` and `log_safety` are the logarithms of the two tests; `shortages` says by edge what it lacks
-    for `next_weight`.
+    `log_harm` and `log_safety` are the logarithms of the two test statistics; `shortages` says, by edge, what
+    it lacks for `next_weight`.
     """
 
     function: str = field(name="fn")
@@ -173,7 +173,7 @@
 
 
 class PlannerStatus(Message, tag="status"):
-    """How all rollouts stand; `plan_by_edge` is the number of the plan that each edge has."""
+    """The status of all rollouts; `plan_by_edge` is the number of the plan that each edge has applied."""
 
     number: Number
     epoch: Number
