--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -1,8 +1,8 @@
-"""The admission controller of one dispatcher in a fleet: what it counts, admits, and asks to retry later.
+"""The admission controller of one dispatcher in a fleet: counters, load shedding and Retry-After times.
 
-Free of I/O: counts and statistics in, a decision out. The level in force is the fleet's, one's own, or none,
-as far as the statistics can be relied on (`statistics_source`). Both levels are computed all the time, so
-that a change between them begins from what is true and not from nothing.
+Free of I/O: counts and statistics in, decisions out. The admission level in force is the fleet's, the
+dispatcher's own, or none, depending on which statistics are reliable (`statistics_source`). Both levels are
+always computed, so that a switch between them starts from current values.
 """
 
 from collections.abc import Callable, Mapping
@@ -23,46 +23,46 @@
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.fleet import ProcessId
 
-UPDATE_EVERY = SECOND // 2  # between two readings of the statistics, which are sent no sooner
-MIN_RETRY_AFTER = SECOND // 2  # no sooner: the statistics could not show what came of it
-MAX_CUSTOMERS = 24  # counted by name; further ones are never beyond their quota
+UPDATE_EVERY = SECOND // 2  # interval of updates; statistics are not gossiped more often
+MIN_RETRY_AFTER = SECOND // 2  # earlier retries would come before the statistics show the rejection's effect
+MAX_CUSTOMERS = 24  # with counters of their own; the quotas of further ones are not enforced
 
 
 class Counter(StrEnum):
-    """Counters of requests; their names and order are part of the layout that the fleet agrees on."""
+    """Counters of requests. Their names and order are part of the layout that all members must share."""
 
     ADMITTED = "let"
     GOOD = "good"  # finished in time
-    BAD = "bad"  # finished late or not at all
-    EXCLUDED = "gone"  # finished without a sign of how strained the workers are
-    FAULT = "fault"  # finished soon, by a worker's fault
-    RETRIES = "again"  # attempts after the first, made or not
-    CLIENT_RETRIES = "repeat"  # admitted requests that their clients had sent before
+    BAD = "bad"  # finished late or failed
+    EXCLUDED = "gone"  # finished in a way that says nothing about the load of the workers
+    FAULT = "fault"  # failed quickly, by a worker's fault
+    RETRIES = "again"  # attempts after the first, whether the budget allowed them or not
+    CLIENT_RETRIES = "repeat"  # admitted requests that are retries by their clients
 
 
 class RequestOutcome(StrEnum):
-    """How an admitted request finished; the values are the host's."""
+    """How an admitted request finished; the values are those of the host."""
 
     OK = "ok"
     REJECTED = "denied"
     ABORTED = "aborted"
     CLIENT_GONE = "left"
-    MOVED = "moved"  # taken back, to be placed anew under another version
+    MOVED = "moved"  # withdrawn and restarted on another version
 
 
 @dataclass(frozen=True)
 class AdmissionSettings:
-    """What admission goes by, of a deployment. Durations are whole ticks of 0.1 ms."""
+    """The settings of a deployment that admission uses. Durations are whole ticks of 0.1 ms."""
 
     gains: tuple[float, ...]  # of each method
-    over_share_gain: float  # part of a gain that counts beyond a customer's quota
-    soft_deadline: int  # the usual one
+    over_share_gain: float  # factor on the gain of requests beyond a customer's quota
+    soft_deadline: int  # mean over the methods
     quotas: tuple[float, ...]  # of each customer, requests a second; 0: none
-    longest_retry_after: int  # 0: clients are given no time
+    longest_retry_after: int  # 0: clients are given no Retry-After
 
     @classmethod
     def of(cls, settings: Settings) -> "AdmissionSettings":
-        """From the module's settings."""
+        """Return the part of the module's settings that admission uses."""
         methods = settings.methods
         return cls(
             gains=tuple(method.gain for method in methods),
@@ -74,7 +74,7 @@
 
 
 class AdmissionController:
-    """Counts of this dispatcher go out as `counters`; what others sent comes back by `update`."""
+    """Admits or rejects requests; `counters` are gossiped, and `update` reads the fleet's statistics."""
 
     def __init__(
         self,
@@ -101,17 +101,19 @@
         self.reservations = RetryReservations(settings.longest_retry_after, now)
         self.unused_capacity = UnusedCapacityBucket(now)
         self.level = AdmissionLevel(count)  # in force
-        self.retry_capacity = 0.0  # requests a second for clients that retry, of one's own part
-        self.quota_fractions = dict[int, float]()  # by customer: the part of its requests within its quota
-        self.fleet_size = 1  # as last known
+        self.retry_capacity = 0.0  # requests a second that this dispatcher can offer to retrying clients
+        self.quota_fractions = dict[
+            int, float
+        ]()  # by customer: the fraction of its requests within its quota
+        self.fleet_size = 1  # last known
         self.rejected = 0
-        self.retry_rate = inf  # retries a second, of the fleet's budget
-        self.statistics: FleetStatistics | None = None  # the fleet's as last read
+        self.retry_rate = inf  # retries a second that this dispatcher may make of the fleet's budget
+        self.statistics: FleetStatistics | None = None  # the fleet's, as of the last update
 
-    # a request
+    # requests
 
     def admit(self, method: int, customer: int, is_retry: bool, key: str, now: int) -> int | None:
-        """None: admitted. Else rejected, with the Retry-After in ticks; 0: no time can be named."""
+        """Return None to admit a request, else the Retry-After in ticks of the rejection; 0: without one."""
         is_beyond_quota = hash_fraction(f"share {key}") >= self.quota_fractions.get(customer, 1.0)
         priority = self.priorities.priority_of(method, is_beyond_quota, is_retry)
         self.counters.add(self.demand_counters[priority])
@@ -129,21 +131,22 @@
         return self.reservations.reserve(now, MIN_RETRY_AFTER, self.retry_capacity, spread)
 
     def count_restart(self) -> None:
-        """An admitted request begins once more, under another version."""
+        """Count an admitted request that restarts on another version."""
         self.counters.add(Counter.ADMITTED)
 
     def count_retry(self) -> None:
-        """An attempt after the first goes out, or would have where the policy had been allowed one."""
+        """Count an attempt after the first that is sent, or that the retry budget did not allow."""
         self.counters.add(Counter.RETRIES)
 
     def on_request_finished(
         self, outcome: RequestOutcome, is_late: bool, reached_worker: bool, is_worker_fault: bool = False
     ) -> None:
-        """An admitted request has finished.
+        """Count an admitted request that has finished.
 
-        What reached no worker is no sign of strain, however it finished: the policy sheds by itself, and a
-        level that took that for strain would reject ever more. Nor is a soon end by a worker's fault: it
-        took its place there like one served, and admitting fewer would only serve fewer.
+        A request that reached no worker is no sign of overload, however it finished: the policy sheds load
+        itself, and a level that counted these as overload would reject more and more. Nor is a quick failure
+        by a worker's fault: it occupied the worker like a served request, and admitting fewer requests would
+        only serve fewer.
         """
         is_abandoned = outcome in (RequestOutcome.CLIENT_GONE, RequestOutcome.MOVED)
         if outcome is RequestOutcome.OK and not is_late:
@@ -156,10 +159,14 @@
             counter = Counter.BAD
         self.counters.add(counter)
 
-    # the statistics
+    # statistics
 
     def update(self, is_present: Callable[[str], bool], size: int, now: int) -> None:
-        """Compute the level anew. `size` is the fleet's, oneself included; 0: one is no member."""
+        """Recompute the admission level and the budgets.
+
+        `is_present` says whether a member is alive; `size` counts the members including this one, 0 if it is
+        not a member.
+        """
         fleet = self.counters.statistics(now, is_present, max(1, size))
         own = self.counters.own_statistics()
         self.statistics = fleet
@@ -182,14 +189,14 @@
             self.update_budgets(own.rates, own.rates, source)
 
     def update_capacity(self, capacity: float, traffic: Traffic, own: Traffic, now: int) -> None:
-        """Take one's own part of the capacity, for what the level rejects and for clients that retry."""
+        """Update this dispatcher's part of the capacity, for requests above the level and client retries."""
         bucket = self.unused_capacity
         part = bucket.own_part(sum(own.demand), sum(traffic.demand), traffic.age, now)
         bucket.set_rate(capacity * part if self.is_shedding else inf, now)
         self.retry_capacity = self.capacity_for_retries(own, capacity, part)
 
     def capacity_for_retries(self, own: Traffic, capacity: float, part: float) -> float:
-        """What one's own part of the capacity leaves beyond first requests, in requests a second."""
+        """Return the requests a second that this dispatcher's part leaves beyond the first requests."""
         if capacity == inf:
             return 0.0
         by_priority = zip(own.demand, self.priorities.priorities, strict=False)
@@ -199,13 +206,14 @@
     def update_budgets(
         self, rates: Mapping[str, float], own: Mapping[str, float], source: StatisticsSource
     ) -> None:
-        """Take one's part of the retry budget, and which part of each customer's requests is within quota."""
+        """Update this dispatcher's part of the retry budget, and each customer's fraction within quota."""
         is_known = source is not StatisticsSource.NONE
         self.retry_rate = retry_rate(retry_traffic(rates), retry_traffic(own), is_known)
         self.quota_fractions.clear()
         if not is_known:
             return
-        divisor = 1 if source is StatisticsSource.FLEET else self.fleet_size  # alone, one's part of the quota
+        # with its own statistics alone, a dispatcher enforces an equal part of each quota
+        divisor = 1 if source is StatisticsSource.FLEET else self.fleet_size
         for i, name in enumerate(self.customer_counters):
             quota = self.settings.quotas[i] / divisor
             rate = rates[name]
@@ -218,7 +226,7 @@
         return self.level.priority < self.priorities.count
 
     def traffic(self, statistics: FleetStatistics) -> Traffic:
-        """The counters read as traffic; what was excluded was never admitted, for the level's sake."""
+        """Return the counters as traffic; excluded requests do not count as admitted."""
         rates = statistics.rates
         totals = statistics.totals
         finished = (Counter.GOOD, Counter.BAD, Counter.EXCLUDED, Counter.FAULT)
@@ -233,7 +241,7 @@
         )
 
     def show(self) -> dict[str, Any]:
-        """What operators are shown, under the names of `lapistrestle fleet show --json`."""
+        """Return the state for operators, under the names of `lapistrestle fleet show --json`."""
         statistics = self.statistics
         return {
             "step": DISPLAY_NAMES[self.source_selector.source],
@@ -250,7 +258,7 @@
 
 
 def retry_traffic(rates: Mapping[str, float]) -> RetryTraffic:
-    """The part of the rates that a retry budget follows from."""
+    """Return the rates from which the retry budget is computed."""
     return RetryTraffic(
         good=rates[Counter.GOOD],
         retries=rates[Counter.RETRIES],
--- a/lapistrestle/overload/level_controller.py
+++ b/lapistrestle/overload/level_controller.py
@@ -1,12 +1,11 @@
-"""The fleet's admission level, computed alike at every dispatcher from statistics that are seconds old.
-
-There is no state that could drift apart: how much is admitted now is a statistic of the fleet like any other,
-and each step starts from it. So the loop's memory is the fleet's own traffic, seen by all, and a step made on
-old statistics is not made again until they show it: growth is bounded by `GROWTH_PER_LAG` for each age of the
-statistics. A cut goes under what is served in time, so that the queue drains; once it has, the capacity goes
-straight back to nearly the best goodput of late, and on from there in steps. Little's law (Little, 1961)
-gives the sojourn time from what is in flight, so that a queue is seen long before anything is late
-(docs/overload.md).
+"""The fleet's admission level, computed by the same rule at every dispatcher from statistics seconds old.
+
+The dispatchers need no shared state: the current rate of admission is one of the fleet's statistics, and each
+step starts from it. A step is not repeated until the statistics show its effect: growth is bounded by
+`GROWTH_PER_LAG` within each age of the statistics. A cut sets the capacity below the goodput, so that queues
+drain; after that the capacity returns to nearly the best recent goodput and grows from there in steps.
+Little's law (Little, 1961) gives the sojourn time from the requests in flight, so that a growing queue is
+detected long before requests are late (docs/overload.md).
 """
 
 from collections import deque
@@ -18,57 +17,57 @@
 from lapistrestle.overload.priorities import AdmissionLevel, level_for
 from lapistrestle.ticks import SECOND
 
-MAX_BAD_FRACTION = 0.12  # of what finished; with long sojourn times more is overload
-CUT_FACTOR = 0.95  # of the goodput is admitted under overload
-GROWTH_PER_LAG = 0.25  # by which the capacity grows within each lag in which all went well
-MIN_GROWTH_STEP = 0.25  # of a lag: steps are no smaller, so that rounding does not eat them
-MIN_FINISHED = 20.0  # requests in a window, under which no fraction is read off
-FLOOR_FACTOR = 0.3  # of the best goodput within the window: a jam that wastes all is no lack of capacity
-PEAK_WINDOW = 15 * SECOND  # within which the best goodput and the shortest sojourn time count
-RECOVERY_FACTOR = 0.9  # of the best goodput is admitted once the overload is over
-LONG_SOJOURN = 0.4  # of a soft deadline is a long sojourn time, or
-LONG_OVER_SHORTEST = 2.0  # so many times the shortest of late: something has queued up
-MIN_COMPLETION_RATIO = 0.9  # if less of what is admitted finishes, it queues up
-DRAIN_FACTOR = 0.85  # of what finishes is admitted then
-MIN_LAG = 2 * SECOND  # statistics are rates over a window: at least so old whatever their age
+MAX_BAD_FRACTION = 0.12  # of the finished requests; a greater one with long sojourn times is overload
+CUT_FACTOR = 0.95  # fraction of the goodput admitted under overload
+GROWTH_PER_LAG = 0.25  # relative growth of the capacity within each healthy lag
+MIN_GROWTH_STEP = 0.25  # of a lag; smaller steps would be lost to rounding
+MIN_FINISHED = 20.0  # requests in a window; fewer give no meaningful fraction
+FLOOR_FACTOR = 0.3  # of the best goodput, the least capacity: a jam without goodput is no lack of capacity
+PEAK_WINDOW = 15 * SECOND  # for the best goodput and the shortest sojourn time
+RECOVERY_FACTOR = 0.9  # fraction of the best goodput admitted once the overload is over
+LONG_SOJOURN = 0.4  # of a soft deadline: sojourn times are long above this and above
+LONG_OVER_SHORTEST = 2.0  # times the shortest of the window, as requests queue then
+MIN_COMPLETION_RATIO = 0.9  # finished to admitted requests; below it requests queue
+DRAIN_FACTOR = 0.85  # fraction of the finishing rate admitted while requests queue
+MIN_LAG = 2 * SECOND  # the statistics are rates over a window, which adds to their age
 
 
 class SheddingState(Enum):
-    """What the controller does; the values are in log lines and in what operators are shown."""
+    """The state of the controller; the values appear in logs and in `fleet show`."""
 
     NORMAL = "calm"  # everything is admitted
     SHEDDING = "shedding"  # under overload
-    RECOVERING = "easing"  # overload is over, the capacity grows
+    RECOVERING = "easing"  # overload is over and the capacity grows
 
 
 class Condition(Enum):
     """What the statistics show."""
 
-    OVERLOADED = 1  # requests stay long, and many finish late or not at all
-    QUEUEING = 2  # they stay long, or fewer finish than are admitted
+    OVERLOADED = 1  # sojourn times are long, and many requests are late or fail
+    QUEUEING = 2  # sojourn times are long, or fewer requests finish than are admitted
     HEALTHY = 3
-    UNDER_CAPACITY = 4  # the whole demand fits
+    UNDER_CAPACITY = 4  # the capacity suffices for the whole demand
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """Requests a second, of the fleet or of oneself, without those that the policy itself rejected."""
+    """Rates in requests a second, of the fleet or one dispatcher, without those that the policy rejected."""
 
     demand: tuple[float, ...]  # by priority
     admitted: float
     good: float  # finished in time
-    bad: float  # finished late or not at all
-    in_flight: float  # admitted and not finished: a count, not a rate
+    bad: float  # finished late or failed
+    in_flight: float  # admitted and not finished; a count, not a rate
     age: int  # of the oldest snapshot, in ticks
 
     @property
     def finished(self) -> float:
-        """Requests that finished, in time or not."""
+        """Requests a second that finished, in time or not."""
         return self.good + self.bad
 
     @property
     def sojourn_time(self) -> float:
-        """How long a request stays, by Little's law, in ticks."""
+        """The mean sojourn time of a request by Little's law, in ticks."""
         return self.in_flight * SECOND / max(self.finished, 1.0)
 
 
@@ -76,10 +75,10 @@
     """The greatest of the values added within the last `PEAK_WINDOW`: a monotonic queue."""
 
     def __init__(self) -> None:
-        self.samples: deque[tuple[int, float]] = deque()  # when and what; values falling
+        self.samples: deque[tuple[int, float]] = deque()  # time and value, with decreasing values
 
     def add(self, value: float, now: int) -> None:
-        """Add a value, and drop those that are too old."""
+        """Add a value and drop those out of the window."""
         while self.samples and self.samples[-1][1] <= value:
             self.samples.pop()
         self.samples.append((now, value))
@@ -92,7 +91,7 @@
 
     @property
     def greatest(self) -> float:
-        """The greatest value; one was added before."""
+        """The greatest value; at least one must have been added."""
         return self.samples[0][1]
 
 
@@ -102,19 +101,19 @@
     def __init__(
         self, priorities: int, soft_deadline: int, log_line: Callable[[str], None], now: int
     ) -> None:
-        """`priorities` is their count, `soft_deadline` the usual one in ticks."""
+        """`priorities` is the number of priorities, `soft_deadline` the mean over the methods, in ticks."""
         self.priorities = priorities
         self.soft_deadline = soft_deadline
         self.log_line = log_line
         self.state = SheddingState.NORMAL
         self.level = AdmissionLevel(priorities)
         self.capacity = inf  # requests a second to admit
-        self.stepped_at = now  # when the capacity was last set
+        self.stepped_at = now  # time of the last change of the capacity
         self.goodput = WindowExtreme()
-        self.negative_sojourn = WindowExtreme()  # negated, so that its greatest is the shortest
+        self.negative_sojourn = WindowExtreme()  # negated, so that the greatest value is the shortest time
 
     def update(self, traffic: Traffic, now: int) -> AdmissionLevel:
-        """The level from now on, given new statistics."""
+        """Return the level from now on, given new statistics."""
         self.goodput.add(traffic.good, now)
         self.negative_sojourn.add(-traffic.sojourn_time, now)
         state, effect = TRANSITIONS[self.state, self.condition(traffic)]
@@ -132,15 +131,15 @@
     def log_transition(self, traffic: Traffic) -> None:
         """Write a log line for a change of the state."""
         demand = sum(traffic.demand)
-        bad = f"{traffic.bad:.0f} of {traffic.finished:.0f} a second bad, {demand:.0f} asked"
-        capacity = f"room {self.capacity:.0f}, figures {traffic.age} old"
+        bad = f"{traffic.bad:.0f} of {traffic.finished:.0f} a second bad, {demand:.0f} requested"
+        capacity = f"capacity {self.capacity:.0f}, statistics {traffic.age} ticks old"
         self.log_line(f"shedding {self.state.value}: {bad}, {capacity}")
 
     def condition(self, traffic: Traffic) -> Condition:
-        """What the statistics show.
+        """Return what the statistics show.
 
-        Bad ends without long sojourn times are no overload, but workers or loads that fail: admitting less
-        would mend nothing, and the fraction of bad ends would only grow.
+        Failures without long sojourn times are not overload, but failing workers or loads: admitting fewer
+        requests would not help, and the fraction of failures would only grow.
         """
         is_long = self.is_sojourn_long(traffic)
         if is_long and traffic.bad > MAX_BAD_FRACTION * traffic.finished:
@@ -152,7 +151,7 @@
         return Condition.HEALTHY
 
     def is_sojourn_long(self, traffic: Traffic) -> bool:
-        """Whether requests stay long; past the soft deadline always, as a jam that lasts is not normal."""
+        """Whether sojourn times are long; always if above the soft deadline, however long that lasts."""
         if traffic.finished * MIN_LAG / SECOND < MIN_FINISHED:
             return False
         shortest = -self.negative_sojourn.greatest
@@ -162,39 +161,39 @@
     # effects of the transitions
 
     def cut(self, traffic: Traffic, now: int) -> None:
-        """Set the capacity under the goodput, so that the queue drains."""
-        if self.state is SheddingState.RECOVERING:  # a relapse: else the best would be tried again and again
+        """Set the capacity below the goodput, so that queues drain."""
+        if self.state is SheddingState.RECOVERING:  # a relapse; else the same best goodput would be retried
             self.goodput.reset(min(traffic.finished, RECOVERY_FACTOR * self.goodput.greatest), now)
         reduced = min(CUT_FACTOR * traffic.good, self.capacity)
         self.capacity = max(reduced, FLOOR_FACTOR * self.goodput.greatest, 1.0)
         self.stepped_at = now
 
     def drain(self, traffic: Traffic, now: int) -> None:
-        """Reduce the capacity, but to no less than a cut would.
+        """Reduce the capacity, but not below the floor of a cut.
 
-        Guards against a level that shuts itself, as what finishes falls with what is admitted, and what is
-        seen of it falls later.
+        The floor prevents a downward spiral: the finishing rate falls with the admitted rate, and the
+        statistics show it later.
         """
         floor = max(1.0, FLOOR_FACTOR * self.goodput.greatest)
         self.capacity = max(floor, min(self.capacity, DRAIN_FACTOR * traffic.finished))
         self.stepped_at = now
 
     def grow(self, traffic: Traffic, now: int) -> None:
-        """Raise the capacity in proportion to the time in which the statistics could show the last step."""
+        """Raise the capacity in proportion to the time since the last step, at most by one lag."""
         if self.state is SheddingState.SHEDDING:
             self.capacity = max(self.capacity, RECOVERY_FACTOR * self.goodput.greatest)
             self.stepped_at = now
         lag = MIN_LAG + traffic.age
         lags = min(1.0, (now - self.stepped_at) / lag)
         if lags >= MIN_GROWTH_STEP:
-            # no further until the statistics show what was admitted
+            # no further growth until the statistics show that the last one was used
             bound = max(traffic.admitted, 1.0) * (1 + GROWTH_PER_LAG)
             grown = min(self.capacity * (1 + GROWTH_PER_LAG * lags), bound)
             self.capacity = max(self.capacity, grown)
             self.stepped_at = now
 
     def lift(self, _traffic: Traffic, _now: int) -> None:
-        """Admit everything: the whole demand fits."""
+        """Admit everything, as the capacity suffices for the whole demand."""
         self.capacity = inf
 
 
--- a/lapistrestle/overload/priorities.py
+++ b/lapistrestle/overload/priorities.py
@@ -1,33 +1,33 @@
-"""Which requests are shed first: priorities by what they earn, the same at all members of a fleet.
+"""Priorities of requests for load shedding, by gain, the same at all members of a fleet.
 
-Levels by priority that are the same everywhere are those of DAGOR (Zhou et al., "Overload Control for Scaling
-WeChat Microservices", SoCC 2018); see docs/overload.md.
+Admission levels by priority, shared by all servers, are those of DAGOR (Zhou et al., "Overload Control for
+Scaling WeChat Microservices", SoCC 2018); see docs/overload.md.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 from zlib import crc32
 
-MAX_PRIORITIES = 16  # further weights share the last, so that a snapshot of counters stays small
+MAX_PRIORITIES = 16  # further weights share the last one, which bounds the size of a counter snapshot
 
 
 @dataclass(frozen=True)
 class Priority:
-    """What sets requests apart where not all can be admitted."""
+    """A class of requests that are shed together."""
 
-    weight: float  # gain of the method, or of what is beyond a quota as the operators count it
-    is_retry: bool  # the client repeats a request
+    weight: float  # gain of the method, reduced for requests beyond a customer's quota
+    is_retry: bool  # the client has sent the request before
 
 
 class PriorityLevels:
     """Priorities in order; 0 is shed last.
 
-    Of equal weight a first request goes before a retry: whoever was never answered before whoever was, and
-    retries that push out first requests would make more retries.
+    At equal weight a first request has priority over a retry: clients without any answer come first, and
+    retries that displace first requests would cause more retries.
     """
 
     def __init__(self, gains: Sequence[float], over_share_gain: float) -> None:
-        """`gains` are those of the methods; `over_share_gain` is the part that counts beyond a quota."""
+        """`gains` are those of the methods; `over_share_gain` is the factor beyond a customer's quota."""
         self.weights = [(gain, gain * over_share_gain) for gain in gains]  # within and beyond a quota
         distinct = {weight for pair in self.weights for weight in pair}
         priorities = [Priority(weight, is_retry) for weight in distinct for is_retry in (False, True)]
@@ -36,19 +36,19 @@
         self.count = min(MAX_PRIORITIES, len(self.priorities))
 
     def priority_of(self, method: int, is_beyond_quota: bool, is_retry: bool) -> int:
-        """Priority of a request of this method; 0 is shed last."""
+        """Return the priority of a request of this method; 0 is shed last."""
         return self.index[Priority(self.weights[method][is_beyond_quota], is_retry)]
 
 
 @dataclass(frozen=True)
 class AdmissionLevel:
-    """Admits all priorities under `priority`, this `fraction` of its keys, and none of those above."""
+    """Admits all priorities below `priority`, the `fraction` of the keys at it, and none above."""
 
     priority: int
     fraction: float = 0.0
 
     def admits(self, priority: int, key: str) -> bool:
-        """Whether a request is admitted; the same for one key at every member with this level."""
+        """Whether a request is admitted; the same for a key at every member with this level."""
         if priority == self.priority:
             return hash_fraction(key) < self.fraction
         return priority < self.priority
@@ -60,12 +60,12 @@
 
 
 def hash_fraction(key: str) -> float:
-    """Where a key lies in [0, 1), evenly spread and the same everywhere."""
+    """Return the key's hash in [0, 1), uniform and the same at every member."""
     return crc32(key.encode()) / 2**32
 
 
 def level_for(demand: Sequence[float], capacity: float) -> AdmissionLevel:
-    """The level at which demand by priority fits the capacity, both in requests a second."""
+    """Return the level at which the demand by priority fits the capacity, both in requests a second."""
     remaining = capacity
     for priority, amount in enumerate(demand):
         if amount > remaining:
--- a/lapistrestle/overload/retry_after.py
+++ b/lapistrestle/overload/retry_after.py
@@ -1,34 +1,34 @@
-"""Retry-After times, reserved in future capacity: no moment is named to more clients than it can serve."""
+"""Retry-After times as reservations of future capacity, so that no time slot gets more clients than fit."""
 
 from collections import deque
 from math import ceil
 
 from lapistrestle.ticks import SECOND
 
-SLOT = 1_000  # ticks: reservations are counted by slots of this width
-HEADROOM = 0.8  # part of the capacity that is reserved; the rest is for those that were given no time
-NO_SLOT = -(10**9)  # long before any
+SLOT = 1_000  # width in ticks of a time slot
+HEADROOM = 0.8  # fraction of the capacity that is reserved; the rest is for clients without a Retry-After
+NO_SLOT = -(10**9)  # before any slot
 
 
 class RetryReservations:
     """The reservations of one dispatcher.
 
-    It reserves from its own part of the fleet's capacity only, so that those of all add up to no more than
-    the capacity.
+    It reserves only from its own part of the fleet's capacity, so that the reservations of all dispatchers
+    do not exceed the capacity.
     """
 
     def __init__(self, longest: int, now: int) -> None:
-        """`longest` is the longest Retry-After that may be named, in ticks."""
+        """`longest` is the longest allowed Retry-After, in ticks."""
         self.horizon = longest // SLOT  # in slots
         self.first_slot = now // SLOT  # of `reserved`
         self.reserved: deque[float] = deque()  # by slot
-        self.last_slot = NO_SLOT  # the last one reserved, where less than one request fits each
+        self.last_slot = NO_SLOT  # the last one reserved, while the capacity is below one request per slot
 
     def reserve(self, now: int, shortest: int, capacity: float, spread: float) -> int:
-        """A Retry-After of at least `shortest` ticks; 0: no time can be named.
+        """Reserve a slot and return a Retry-After of at least `shortest` ticks; 0: no slot is free.
 
-        `capacity` is in requests a second beyond first requests; `spread` in [0, 1) says where in its slot
-        the request is to come.
+        `capacity` is in requests a second beyond first requests; `spread` in [0, 1) is the position within
+        the slot.
         """
         self.drop_past(now)
         per_slot = HEADROOM * capacity * SLOT / SECOND
@@ -47,12 +47,12 @@
         return 0
 
     def drop_past(self, now: int) -> None:
-        """Drop slots that are over."""
+        """Drop the slots that have passed."""
         while self.first_slot < now // SLOT:
             if self.reserved:
                 self.reserved.popleft()
             self.first_slot += 1
 
     def delay_until(self, slot: int, spread: float, now: int) -> int:
-        """Ticks from now to that part of a slot."""
+        """Return the ticks from now to that position within a slot."""
         return max(1, (self.first_slot + slot) * SLOT + int(spread * SLOT) - now)
--- a/lapistrestle/overload/retry_budget.py
+++ b/lapistrestle/overload/retry_budget.py
@@ -1,31 +1,31 @@
 """One retry budget for the fleet, divided by need.
 
-A retry is worth its cost while what is retried is little beside what is served; past that it is the load that
-makes retries needed (Beyer et al., Site Reliability Engineering, 2016, chapter 21). The budget is a part of
-what the fleet serves, less what its clients retry by themselves, which costs workers the same. Each
-dispatcher takes of it in proportion to the retries that it wants.
+Retries are worth their cost while they are few compared to the served requests; beyond that they cause the
+overload that makes more retries necessary (Beyer et al., Site Reliability Engineering, 2016, chapter 21). The
+budget is a fraction of the requests that the fleet serves, less the retries of its clients, which cost
+workers the same. Each dispatcher gets a part of it in proportion to the retries that it wants to make.
 """
 
 from dataclasses import dataclass
 from math import inf
 
-RETRY_RATIO = 0.2  # of what is served in time may be retried
-MIN_RATE = 1.0  # a second for each dispatcher: without any nothing would show that it works again
+RETRY_RATIO = 0.2  # retries to requests served in time
+MIN_RATE = 1.0  # retries a second of each dispatcher, without which it could not notice a recovery
 
 
 @dataclass(frozen=True)
 class RetryTraffic:
-    """Requests a second, of the fleet or of oneself."""
+    """Rates in requests a second, of the fleet or of one dispatcher."""
 
     good: float  # served in time
-    retries: float  # attempts after the first that were wanted, made or not
-    client_retries: float = 0.0  # admitted requests that clients had sent before
+    retries: float  # attempts after the first, whether the budget allowed them or not
+    client_retries: float = 0.0  # admitted requests that are retries by their clients
 
 
 def retry_rate(fleet: RetryTraffic, own: RetryTraffic, is_known: bool) -> float:
-    """Retries a second that one may make; inf where no statistics are known.
+    """Return the retries a second that a dispatcher may make; inf if no statistics are known.
 
-    The policy's own limit is the only one then. The fleet's traffic includes one's own.
+    In that case only the policy's own limit applies. The fleet's traffic includes the dispatcher's own.
     """
     if not is_known:
         return inf
--- a/lapistrestle/overload/statistics_source.py
+++ b/lapistrestle/overload/statistics_source.py
@@ -1,7 +1,7 @@
-"""Whose statistics admission goes by, as far as they can be relied on: graceful degradation in two steps.
+"""The choice of the statistics that admission uses, with graceful degradation in two steps.
 
-A step down is taken at once, a step up only after a while without a change, so that links that flap do not
-move the level with every gap.
+A step down is immediate, a step up requires a period without change, so that flapping links do not change
+the admission level with every gap.
 """
 
 from collections.abc import Callable
@@ -9,20 +9,20 @@
 
 from lapistrestle.ticks import SECOND
 
-SETTLING_TIME = 3 * SECOND  # without a change before one step up
-MIN_COUNTED_PART = 0.5  # of the members present must have reported, for the fleet's statistics to mean much
-MIN_OWN_RATE = 5.0  # requests a second of one's own, under which one's own statistics are chance
+SETTLING_TIME = 3 * SECOND  # without change before a step up
+MIN_COUNTED_PART = 0.5  # of the live members must have reported for the fleet's statistics to be reliable
+MIN_OWN_RATE = 5.0  # requests a second; below it a dispatcher's own statistics are noise
 
 
 class StatisticsSource(IntEnum):
-    """Whose statistics are used; each is a step down from the one before."""
+    """The statistics in use; each is a step down from the previous one."""
 
-    FLEET = 1  # the fleet's
-    OWN = 2  # one's own alone, which say the same of one's own part of the last known fleet
-    NONE = 3  # nobody's: no level at all, as where no fleet is set
+    FLEET = 1  # those of all members
+    OWN = 2  # the dispatcher's own, taken as representative of its part of the last known fleet
+    NONE = 3  # none: no admission level, as without a fleet
 
 
-# in log lines and in what operators are shown
+# in logs and in `fleet show`
 DISPLAY_NAMES = {
     StatisticsSource.FLEET: "together",
     StatisticsSource.OWN: "part",
@@ -31,7 +31,7 @@
 
 
 class SourceSelector:
-    """Steps down and up between the sources, with one log line for each step."""
+    """Switches between the sources, and logs each step."""
 
     def __init__(self, log_line: Callable[[str], None], now: int) -> None:
         self.source = StatisticsSource.NONE
@@ -39,10 +39,10 @@
         self.changed_at = now
 
     def update(self, counted: int, size: int, own_rate: float, now: int) -> StatisticsSource:
-        """The source from now on.
+        """Return the source to use from now on.
 
-        `counted` of `size` members have young statistics, oneself among them; `own_rate` is one's own traffic
-        in requests a second.
+        `counted` of `size` members, this one included, have recent statistics; `own_rate` is the dispatcher's
+        own traffic in requests a second.
         """
         reliable = reliable_source(counted, size, own_rate)
         is_two_up = self.source is StatisticsSource.NONE and reliable is StatisticsSource.FLEET
@@ -57,7 +57,7 @@
 
 
 def reliable_source(counted: int, size: int, own_rate: float) -> StatisticsSource:
-    """The best source that can be relied on at this moment."""
+    """Return the best source that is reliable now."""
     if size > 1 and counted > 1 and counted >= MIN_COUNTED_PART * size:
         return StatisticsSource.FLEET
     return StatisticsSource.OWN if own_rate >= MIN_OWN_RATE else StatisticsSource.NONE
--- a/lapistrestle/overload/unused_capacity.py
+++ b/lapistrestle/overload/unused_capacity.py
@@ -1,9 +1,8 @@
-"""Capacity that the level leaves unused is filled: each dispatcher admits up to its own part of it.
+"""Use of capacity that the admission level leaves unused: each dispatcher admits up to its own part of it.
 
-The level is computed from statistics that are seconds old. Where demand has fallen since, or what comes is
-not what it was (those that were rejected retry), it admits less than there is capacity for, what is served
-falls, and the capacity after it. What it rejects is admitted while one's own part of the capacity is not used
-up.
+The level is computed from statistics that are seconds old. If the demand has fallen or its mix has changed
+since (rejected clients retry), the level admits less than the capacity; goodput falls, and the computed
+capacity with it. So requests above the level are admitted until the dispatcher's part is used up.
 """
 
 from collections import deque
@@ -12,19 +11,22 @@
 
 from lapistrestle.ticks import SECOND
 
-BURST = SECOND // 2  # of the rate may be saved and used later: statistics are read so often
-DEMAND_RETENTION = 20 * SECOND  # of one's own demand: statistics are never older
+BURST = SECOND // 2  # size of the bucket at the current rate: the interval between updates of the level
+DEMAND_RETENTION = 20 * SECOND  # of the dispatcher's own demand; statistics are never older
 
 
 class DemandSample(NamedTuple):
-    """One's own demand at one moment, in requests a second."""
+    """The dispatcher's own demand at one time, in requests a second."""
 
     at: int
     rate: float
 
 
 class UnusedCapacityBucket:
-    """A token bucket that fills at one's part of the capacity, in requests a second; inf: nothing is shed."""
+    """A token bucket filled at the dispatcher's part of the capacity, in requests a second; inf: no shedding.
+
+    The balance may be negative where the level admits more than that part.
+    """
 
     def __init__(self, now: int) -> None:
         self.rate = inf
@@ -33,9 +35,10 @@
         self.demand: deque[DemandSample] = deque()
 
     def own_part(self, own: float, fleet: float, age: int, now: int) -> float:
-        """One's part of the fleet's demand, both as of when the fleet's was valid.
+        """Return the dispatcher's fraction of the fleet's demand, both as of `age` ago.
 
-        Taken against one's demand of now it would fall with the demand and hand the capacity to nobody.
+        Computed from the current own demand, the fraction would fall with the demand, and the capacity would
+        be assigned to no dispatcher.
         """
         self.demand.append(DemandSample(now, own))
         while self.demand[0].at < now - DEMAND_RETENTION:
@@ -44,32 +47,32 @@
         return min(1.0, rate_then / fleet) if fleet > 0 else 0.0
 
     def set_rate(self, rate: float, now: int) -> None:
-        """Fill at this rate from now on."""
+        """Change the fill rate."""
         self.refill(now)
         if self.rate == inf:
-            self.tokens = 0.0  # nothing was saved while everything was admitted
+            self.tokens = 0.0  # nothing accumulates while everything is admitted
         self.rate = rate
 
     @property
     def size(self) -> float:
-        """Tokens that are saved at the most."""
+        """The maximum number of tokens."""
         return max(1.0, self.rate * BURST / SECOND)
 
     def refill(self, now: int) -> None:
-        """Add what the rate gave since the last time."""
+        """Add the tokens since the last refill."""
         if self.rate < inf:
             gained = self.rate * (now - self.refilled_at) / SECOND
             self.tokens = min(self.size, self.tokens + gained)
         self.refilled_at = now
 
     def charge(self, now: int) -> None:
-        """The level has admitted a request; beyond the rate it is owed, up to the bucket's size."""
+        """Charge a request admitted by the level; the balance may go negative, down to the bucket's size."""
         self.refill(now)
         if self.rate < inf:
             self.tokens = max(-self.size, self.tokens - 1)
 
     def try_take(self, now: int) -> bool:
-        """Whether there is capacity for a request that the level rejects; if so it is used."""
+        """Take a token for a request that the level rejects; return whether there was one."""
         self.refill(now)
         if self.rate == inf or self.tokens < 1:
             return False
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Who sheds what: decisions over the fleet's figures, and the loop they make in a fluid model."""
+"""Overload control: decisions by the fleet's statistics, and their control loop in a fluid model."""
 
 from collections.abc import Sequence
 from dataclasses import replace
@@ -33,24 +33,24 @@
 SECOND = 10_000
 
 
-def seen(
-    asked: Sequence[float] = (100.0, 100.0),
-    let: float = 100.0,
+def traffic(
+    demand: Sequence[float] = (100.0, 100.0),
+    admitted: float = 100.0,
     good: float = 100.0,
     bad: float = 0.0,
     age: int = 0,
-    out: float = 0.0,
+    in_flight: float = 0.0,
 ) -> Traffic:
-    return Traffic(tuple(asked), let, good, bad, out, age)
+    return Traffic(tuple(demand), admitted, good, bad, in_flight, age)
 
 
-def strained(good: float, bad: float, asked: Sequence[float] = (2_000.0, 1_000.0)) -> Traffic:
-    """Late ends, and a second of work ahead of each new one."""
-    return seen(asked, let=good + bad, good=good, bad=bad, out=1.2 * (good + bad))
+def overloaded(good: float, bad: float, demand: Sequence[float] = (2_000.0, 1_000.0)) -> Traffic:
+    """Traffic with late requests and sojourn times above one second."""
+    return traffic(demand, admitted=good + bad, good=good, bad=bad, in_flight=1.2 * (good + bad))
 
 
 @pytest.fixture
-def one() -> LevelController:
+def controller() -> LevelController:
     return LevelController(2, SECOND, lambda text: None, 0)
 
 
@@ -61,7 +61,7 @@
     return PriorityLevels(gains, over)
 
 
-def test_what_earns_more_is_denied_later_and_a_repeat_before_a_first_try_of_its_worth() -> None:
+def test_greater_gain_is_shed_later_and_a_retry_before_a_first_request() -> None:
     made = levels([1.0, 4.0])
     order = [made.priority_of(m, beyond, repeat) for m, beyond, repeat in
              [(1, False, False), (1, False, True), (1, True, False), (0, False, False), (0, False, True),
@@ -69,21 +69,21 @@
     assert order == sorted(set(order)) and order[0] == 0
 
 
-def test_many_worths_share_the_last_rung() -> None:
+def test_surplus_priorities_share_the_last_one() -> None:
     made = levels([float(i) for i in range(1, 40)])
     assert made.count == 16 and made.priority_of(0, True, True) == 15
 
 
 @given(st.lists(st.floats(0, 1e4), min_size=1, max_size=8), st.floats(0, 1e5))
-def test_the_level_fits_the_room(asked: Sequence[float], room: float) -> None:
-    level = level_for(asked, room)
-    let = sum(asked[: level.priority]) + (
-        level.fraction * asked[level.priority] if level.priority < len(asked) else 0
+def test_the_level_fits_the_capacity(demand: Sequence[float], capacity: float) -> None:
+    level = level_for(demand, capacity)
+    admitted = sum(demand[: level.priority]) + (
+        level.fraction * demand[level.priority] if level.priority < len(demand) else 0
     )
-    assert let <= room + 1e-6 and (let >= min(room, sum(asked)) - 1e-6)
+    assert admitted <= capacity + 1e-6 and (admitted >= min(capacity, sum(demand)) - 1e-6)
 
 
-def test_a_key_lies_alike_everywhere_and_keys_are_spread() -> None:
+def test_key_hashes_are_deterministic_and_uniform() -> None:
     level = AdmissionLevel(1, 0.3)
     assert level.admits(0, "x") and not level.admits(2, "x")
     assert 250 < sum(level.admits(1, f"rpc-{i}") for i in range(1_000)) < 350
@@ -93,70 +93,75 @@
 # shedding
 
 
-def test_every_mode_answers_every_sign() -> None:
-    assert set(TRANSITIONS) == {(mode, sign) for mode in SheddingState for sign in Condition}
+def test_the_transition_table_is_complete() -> None:
+    assert set(TRANSITIONS) == {(state, condition) for state in SheddingState for condition in Condition}
 
 
-def test_strain_cuts_under_what_is_done_and_the_best_of_late_is_its_floor(one: LevelController) -> None:
-    one.update(seen(good=1_000, let=1_000), 0)
-    one.update(strained(500, 500), SECOND)
-    assert one.state is SheddingState.SHEDDING and one.capacity == level_controller.CUT_FACTOR * 500
-    one.update(strained(10, 990), 2 * SECOND)
-    assert one.capacity == level_controller.FLOOR_FACTOR * 1_000
-    one.update(strained(10, 990), 20 * SECOND)
-    assert one.capacity == level_controller.CUT_FACTOR * 10  # what was done long ago says nothing
+def test_overload_cuts_below_the_goodput_but_not_below_the_floor(controller: LevelController) -> None:
+    controller.update(traffic(good=1_000, admitted=1_000), 0)
+    controller.update(overloaded(500, 500), SECOND)
+    assert (
+        controller.state is SheddingState.SHEDDING
+        and controller.capacity == level_controller.CUT_FACTOR * 500
+    )
+    controller.update(overloaded(10, 990), 2 * SECOND)
+    assert controller.capacity == level_controller.FLOOR_FACTOR * 1_000
+    controller.update(overloaded(10, 990), 20 * SECOND)
+    assert (
+        controller.capacity == level_controller.CUT_FACTOR * 10
+    )  # goodput out of the window no longer counts
 
 
-def test_few_ends_are_no_strain(one: LevelController) -> None:
-    one.update(seen(good=4, bad=4), SECOND)
-    assert one.state is SheddingState.NORMAL
+def test_too_few_finished_requests_are_no_overload(controller: LevelController) -> None:
+    controller.update(traffic(good=4, bad=4), SECOND)
+    assert controller.state is SheddingState.NORMAL
 
 
-def test_bad_ends_without_long_stays_shut_no_door(one: LevelController) -> None:
-    """Workers or loads that fail: fewer let in would mend nothing."""
+def test_failures_without_long_sojourn_times_shed_nothing(controller: LevelController) -> None:
+    """Failing workers or loads are not overload: admitting fewer requests would not help."""
     for now in range(0, 20 * SECOND, SECOND):
-        one.update(seen((2_000.0, 1_000.0), let=900, good=500, bad=400, out=90), now)
-    assert one.state is SheddingState.NORMAL and one.level == AdmissionLevel(2)
-
-
-def test_the_room_goes_back_to_the_best_of_late_once_but_not_after_a_relapse(one: LevelController) -> None:
-    one.update(seen(good=1_000), 0)
-    jam, fine = strained(300, 700), seen((3_000, 0), 300, 300, 0)
-    one.update(jam, SECOND)
-    one.update(fine, 2 * SECOND)
-    assert one.capacity == level_controller.RECOVERY_FACTOR * 1_000
-    one.update(jam, 3 * SECOND)
-    assert one.capacity == pytest.approx(level_controller.CUT_FACTOR * 300)
-    one.update(fine, 4 * SECOND)
-    assert one.capacity == pytest.approx(
+        controller.update(traffic((2_000.0, 1_000.0), admitted=900, good=500, bad=400, in_flight=90), now)
+    assert controller.state is SheddingState.NORMAL and controller.level == AdmissionLevel(2)
+
+
+def test_capacity_recovers_to_the_best_goodput_and_lower_after_a_relapse(controller: LevelController) -> None:
+    controller.update(traffic(good=1_000), 0)
+    jam, fine = overloaded(300, 700), traffic((3_000, 0), 300, 300, 0)
+    controller.update(jam, SECOND)
+    controller.update(fine, 2 * SECOND)
+    assert controller.capacity == level_controller.RECOVERY_FACTOR * 1_000
+    controller.update(jam, 3 * SECOND)
+    assert controller.capacity == pytest.approx(level_controller.CUT_FACTOR * 300)
+    controller.update(fine, 4 * SECOND)
+    assert controller.capacity == pytest.approx(
         level_controller.RECOVERY_FACTOR * level_controller.RECOVERY_FACTOR * 1_000
-    )  # less with every relapse
-
-
-def test_a_step_is_not_made_again_until_the_figures_can_show_it(one: LevelController) -> None:
-    one.update(strained(500, 500), 0)
-    fine = seen((3_000, 0), 600, 600, 0, age=2 * SECOND)
-    one.update(fine, 10)
-    before = one.capacity
-    for now in range(20, 4 * SECOND, 1_000):  # one lag: the window of two seconds and the age of two
-        one.update(fine, now)
-    assert before < one.capacity <= before * (1 + level_controller.GROWTH_PER_LAG) * 1.05
-    hasty, slow = (
+    )  # lower with every relapse
+
+
+def test_growth_is_bounded_until_the_statistics_show_the_last_step(controller: LevelController) -> None:
+    controller.update(overloaded(500, 500), 0)
+    fine = traffic((3_000, 0), 600, 600, 0, age=2 * SECOND)
+    controller.update(fine, 10)
+    before = controller.capacity
+    for now in range(20, 4 * SECOND, 1_000):  # one lag: a window of 2 s plus an age of 2 s
+        controller.update(fine, now)
+    assert before < controller.capacity <= before * (1 + level_controller.GROWTH_PER_LAG) * 1.05
+    fresh, stale = (
         LevelController(2, SECOND, lambda text: None, 0),
         LevelController(2, SECOND, lambda text: None, 0),
     )
-    for made, age in ((hasty, 0), (slow, 8 * SECOND)):
-        made.update(strained(500, 500), 0)
+    for made, age in ((fresh, 0), (stale, 8 * SECOND)):
+        made.update(overloaded(500, 500), 0)
         for now in range(10, 6 * SECOND, 1_000):
-            made.update(seen((3_000, 0), made.capacity, made.capacity, 0, age=age), now)
-    assert slow.capacity < hasty.capacity
+            made.update(traffic((3_000, 0), made.capacity, made.capacity, 0, age=age), now)
+    assert stale.capacity < fresh.capacity
 
 
-def test_what_piles_up_is_seen_before_anything_is_late(one: LevelController) -> None:
-    one.update(strained(500, 500), 0)
-    one.update(seen((3_000, 0), 1_000, 1_000, 0), SECOND)
-    one.update(seen((3_000, 0), 1_000, 900, 0, out=0.5 * 900), 2 * SECOND)
-    assert one.state is SheddingState.RECOVERING and one.capacity == pytest.approx(
+def test_a_growing_queue_is_detected_before_requests_are_late(controller: LevelController) -> None:
+    controller.update(overloaded(500, 500), 0)
+    controller.update(traffic((3_000, 0), 1_000, 1_000, 0), SECOND)
+    controller.update(traffic((3_000, 0), 1_000, 900, 0, in_flight=0.5 * 900), 2 * SECOND)
+    assert controller.state is SheddingState.RECOVERING and controller.capacity == pytest.approx(
         level_controller.DRAIN_FACTOR * 900
     )
 
@@ -170,45 +175,46 @@
 
 
 @pytest.mark.parametrize(("count", "age"), [(3, 1.0), (12, 2.0), (40, 3.0)])
-def test_three_times_the_capacity_is_shed_without_swinging_and_left_behind(count: int, age: float) -> None:
+def test_threefold_overload_is_shed_without_oscillation(count: int, age: float) -> None:
     story = play(day(count, age=age), ByLevel)
-    assert story.part(5, 15) > 0.995  # nothing lost on calm days
+    assert story.part(5, 15) > 0.995  # nothing is lost without overload
     assert story.part(35, 75) > 0.9
     windows = [story.part(t, t + 5) for t in range(35, 75, 5)]
     assert min(windows) > 0.75
-    assert story.part(80, 90) > 0.95  # five seconds after
+    assert story.part(80, 90) > 0.95  # 5 s after the overload
 
 
-def test_doing_nothing_at_the_door_or_budgets_of_repeats_alone_serve_next_to_nothing() -> None:
+def test_without_shedding_or_with_a_retry_budget_alone_goodput_collapses() -> None:
     for policy in (Open, RetryBudget):
         assert play(day(12), policy).part(35, 75) < 0.1
 
 
-def test_a_level_that_ignores_the_age_of_its_figures_swings(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Planted: steps as if each look at the figures were news."""
+def test_a_controller_that_ignores_the_age_of_statistics_oscillates(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The controller is patched to grow at each update, whether or not the statistics are new."""
 
-    def hasty(self: LevelController, now_seen: Traffic, now: int) -> None:
-        self.capacity = max(self.capacity, now_seen.admitted) * (1 + level_controller.GROWTH_PER_LAG)
+    def grow_at_once(self: LevelController, traffic: Traffic, now: int) -> None:
+        self.capacity = max(self.capacity, traffic.admitted) * (1 + level_controller.GROWTH_PER_LAG)
 
     good = play(day(12, age=3.0), ByLevel).part(35, 75)
     table = {
-        key: (mode, hasty if do is LevelController.grow else do) for key, (mode, do) in TRANSITIONS.items()
+        key: (state, grow_at_once if effect is LevelController.grow else effect)
+        for key, (state, effect) in TRANSITIONS.items()
     }
     monkeypatch.setattr(level_controller, "TRANSITIONS", table)
     assert play(day(12, age=3.0), ByLevel).part(35, 75) < good - 0.15
 
 
-def test_half_of_the_capacity_lost_and_an_uneven_fleet() -> None:
+def test_loss_of_half_the_capacity_in_an_uneven_fleet() -> None:
     story = play(day(12, up=lambda t: 0.5 if 30 < t < 60 else 1.0, uneven=50.0), ByLevel)
     assert story.part(42, 60) > 0.8 and story.part(70, 75) > 0.85
     alone = play(day(12, uneven=50.0), AloneByLevel)
-    assert alone.part(35, 75) > 0.8  # what one falls back to
+    assert alone.part(35, 75) > 0.8  # the fallback to the dispatcher's own statistics
 
 
-# steps down
+# sources of statistics
 
 
-def test_figures_that_age_lead_down_at_once_and_up_in_steps() -> None:
+def test_the_source_steps_down_at_once_and_up_with_delay() -> None:
     made = SourceSelector(lambda text: None, 0)
     assert made.update(12, 12, 50.0, SECOND) is StatisticsSource.NONE
     assert made.update(12, 12, 50.0, 4 * SECOND) is StatisticsSource.OWN
@@ -218,26 +224,31 @@
     assert made.update(1, 1, 0.5, 9 * SECOND + 1) is StatisticsSource.NONE
 
 
-def test_what_ends_falls_with_what_is_let_in_and_that_shuts_nothing(one: LevelController) -> None:
-    one.update(seen(good=1_000, let=1_000), 0)
-    one.update(strained(500, 500), SECOND)
-    one.update(seen((2_000.0, 1_000.0), let=400, good=400), 2 * SECOND)
-    assert one.state is SheddingState.RECOVERING
-    for step in range(1, 20):  # ten seconds in which half of what is let in ends, and stays long
-        let = one.capacity
-        one.update(seen((2_000.0, 1_000.0), let=let, good=let / 2, out=let), 2 * SECOND + step * SECOND // 2)
-        assert one.capacity >= level_controller.FLOOR_FACTOR * 1_000  # the best of the last 15 s
+def test_draining_does_not_spiral_below_the_floor(controller: LevelController) -> None:
+    controller.update(traffic(good=1_000, admitted=1_000), 0)
+    controller.update(overloaded(500, 500), SECOND)
+    controller.update(traffic((2_000.0, 1_000.0), admitted=400, good=400), 2 * SECOND)
+    assert controller.state is SheddingState.RECOVERING
+    for step in range(1, 20):  # 10 s in which half of the admitted requests finish, with long sojourn times
+        admitted = controller.capacity
+        controller.update(
+            traffic((2_000.0, 1_000.0), admitted=admitted, good=admitted / 2, in_flight=admitted),
+            2 * SECOND + step * SECOND // 2,
+        )
+        assert (
+            controller.capacity >= level_controller.FLOOR_FACTOR * 1_000
+        )  # of the best goodput of the last 15 s
 
 
-# room that the level leaves unused
+# unused capacity
 
 
 @given(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=300), st.floats(1, 500))
-def test_no_more_is_filled_in_than_there_is_room_for(asks: list[tuple[int, bool]], rate: float) -> None:
-    """However the level and what it denies take turns."""
+def test_the_bucket_never_exceeds_its_rate(requests: list[tuple[int, bool]], rate: float) -> None:
+    """In any sequence of requests that the level admits and rejects."""
     made, now, taken = UnusedCapacityBucket(0), 0, 0
     made.set_rate(rate, 0)
-    for gap, admitted in asks:
+    for gap, admitted in requests:
         now += gap
         if admitted:
             made.charge(now)
@@ -245,45 +256,47 @@
         assert taken <= max(1.0, rate / 2) + rate * now / SECOND + 1e-6
 
 
-def test_room_that_the_level_leaves_unused_is_filled_and_what_it_uses_is_not() -> None:
+def test_only_capacity_unused_by_the_level_is_filled() -> None:
     made = UnusedCapacityBucket(0)
     made.set_rate(10.0, 0)
     assert sum(made.try_take(now) for now in range(0, 10 * SECOND, 100)) in (99, 100)
-    for now in range(10 * SECOND, 20 * SECOND, SECOND // 10):  # all of the room by the level
+    for now in range(10 * SECOND, 20 * SECOND, SECOND // 10):  # the level uses all of the capacity
         made.charge(now)
     assert sum(made.try_take(now) for now in range(20 * SECOND, 21 * SECOND, 100)) in (9, 10, 14)
     made.set_rate(float("inf"), 21 * SECOND)
     assert not made.try_take(30 * SECOND)
 
 
-def test_ones_part_is_taken_of_figures_of_one_moment() -> None:
+def test_own_part_compares_demand_of_the_same_time() -> None:
     made = UnusedCapacityBucket(0)
-    for second in range(10):  # a burst that ended three seconds ago, which the fleet's figures don't show yet
+    for second in range(10):  # a burst ended 3 s ago; the fleet's statistics do not show that yet
         part = made.own_part(120.0 if second < 7 else 10.0, 960.0, 4 * SECOND, second * SECOND)
     assert part == 120 / 960
 
 
-# come-backs, budgets, probers
+# Retry-After, retry budgets, probers
 
 
 @given(st.lists(st.tuples(st.integers(0, 400), st.floats(0, 0.999)), max_size=200), st.floats(0.1, 200))
-def test_no_moment_is_promised_to_more_than_fit_in_it(denials: list[tuple[int, float]], room: float) -> None:
-    calendar, now = RetryReservations(5 * SECOND, 0), 0
-    promised: dict[int, int] = {}
-    for gap, chance in denials:
+def test_no_slot_is_reserved_beyond_its_capacity(
+    rejections: list[tuple[int, float]], capacity: float
+) -> None:
+    reservations, now = RetryReservations(5 * SECOND, 0), 0
+    reserved: dict[int, int] = {}
+    for gap, chance in rejections:
         now += gap
-        stay = calendar.reserve(now, 500, room, chance)
-        assert stay == 0 or 500 <= stay + SLOT <= 6 * SECOND
-        if stay:
-            slot = (now + stay) // SLOT
-            promised[slot] = promised.get(slot, 0) + 1
-    span = max(1, round(1 / (HEADROOM * room * SLOT / SECOND)))
-    for slot in promised:
-        together = sum(promised.get(s, 0) for s in range(slot, slot + span))
-        assert together <= max(1, HEADROOM * room * SLOT / SECOND * span + 1e-9)
-
-
-def test_nothing_is_promised_without_room() -> None:
+        delay = reservations.reserve(now, 500, capacity, chance)
+        assert delay == 0 or 500 <= delay + SLOT <= 6 * SECOND
+        if delay:
+            slot = (now + delay) // SLOT
+            reserved[slot] = reserved.get(slot, 0) + 1
+    span = max(1, round(1 / (HEADROOM * capacity * SLOT / SECOND)))
+    for slot in reserved:
+        total = sum(reserved.get(s, 0) for s in range(slot, slot + span))
+        assert total <= max(1, HEADROOM * capacity * SLOT / SECOND * span + 1e-9)
+
+
+def test_no_retry_after_without_capacity() -> None:
     assert RetryReservations(5 * SECOND, 0).reserve(0, 0, 0.0, 0.5) == 0
 
 
@@ -291,10 +304,10 @@
 
 
 @given(st.lists(st.tuples(rates, rates, rates), min_size=1, max_size=60))
-def test_budgets_of_all_stay_within_the_whole_whoever_wishes_more(
+def test_retry_rates_of_all_members_stay_within_the_budget(
     members: list[tuple[float, float, float]],
 ) -> None:
-    """Beyond what each may make at the least; and where all wishes fit, each may make what it wishes."""
+    """Apart from minimum rates; if all needs fit the budget, each member gets what it needs."""
     rows = [RetryTraffic(*row) for row in members]
     fleet = RetryTraffic(*(sum(column) for column in zip(*members, strict=True)))
     whole = max(0.0, RETRY_RATIO * fleet.good - fleet.client_retries)
@@ -306,21 +319,21 @@
         assert all(part >= row.retries * (1 - 1e-9) for part, row in zip(parts, rows, strict=True))
 
 
-def test_a_budget_follows_need_and_without_figures_there_is_none() -> None:
+def test_the_retry_budget_follows_need_and_is_unlimited_without_statistics() -> None:
     fleet = RetryTraffic(1_000.0, 400.0, 0.0)
     parts = [retry_rate(fleet, RetryTraffic(333.0, x), True) for x in (300.0, 80.0, 20.0)]
     assert sum(parts) == pytest.approx(RETRY_RATIO * 1_000) and parts == sorted(parts, reverse=True)
     assert retry_rate(fleet, RetryTraffic(333.0, 300.0), False) == float("inf")
 
 
-def test_what_clients_repeat_by_themselves_leaves_less_to_try_again() -> None:
+def test_client_retries_reduce_the_retry_budget() -> None:
     own = RetryTraffic(500.0, 100.0)
     fleet = RetryTraffic(1_000.0, 200.0)
     assert retry_rate(replace(fleet, client_retries=150.0), own, True) == pytest.approx(25.0)
     assert retry_rate(replace(fleet, client_retries=900.0), own, True) == MIN_RATE
 
 
-def test_few_probe_each_worker_and_little_changes_hands() -> None:
+def test_few_members_probe_each_worker_and_few_assignments_move() -> None:
     members = [f"e-{i}" for i in range(50)]
     workers = [f"w-{i}" for i in range(200)]
     before = {w: select_probers(w, members) for w in workers}
@@ -330,7 +343,7 @@
     assert moved and all("e-7" in before[w] for w in moved)
 
 
-def test_a_worker_gets_a_bounded_count_of_probes_and_twice_that_in_a_split() -> None:
+def test_probes_of_a_worker_are_bounded_also_in_a_partition() -> None:
     members = [f"e-{i}" for i in range(30)]
     held = {m: WorkerVerdicts(m) for m in members}
     for views, most in (
@@ -343,7 +356,7 @@
             assert 0 < count <= most
 
 
-def test_the_newest_verdict_holds_and_an_old_one_says_nothing() -> None:
+def test_the_newest_verdict_wins_until_it_expires() -> None:
     made = WorkerVerdicts("a")
     made.record("w", True, 0)
     made.on_verdicts([WorkerVerdict("w", False, 1_000, "b")], SECOND)
