--- a/lapistrestle/agreement/__init__.py
+++ b/lapistrestle/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""A replicated log after Raft: elections, terms, commits. Decisions free of I/O; nothing carries them yet."""
+"""A replicated log by Raft: elections, terms, commits. Free of I/O; no program uses it yet."""
--- a/lapistrestle/agreement/messages.py
+++ b/lapistrestle/agreement/messages.py
@@ -1,20 +1,20 @@
-"""Messages between the members of a Raft group, what they persist, and the effects that they ask for.
+"""Messages between the members of a Raft group, their persistent state, and the effects of events.
 
-Sections are those of Ongaro, "Consensus: Bridging Theory and Practice" (2014): Raft (chapter 3) with pre-vote
-(9.6), a leader that steps down without a quorum (6.2) and linearizable reads without an entry (6.4). Log
-indices count from 1; 0 is "before the first". Times are whole ticks of 0.1 ms.
+Section numbers refer to Ongaro, "Consensus: Bridging Theory and Practice" (2014): Raft (chapter 3) with
+pre-vote (9.6), a leader that steps down without a quorum (6.2) and linearizable reads without a log entry
+(6.4). Log indices count from 1; 0 is "before the first". Times are whole ticks of 0.1 ms.
 """
 
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-Command = object  # what the state machine above the log understands; the log never looks inside
-RequestId = Hashable  # names a read to whoever asked for it
+Command = object  # a command of the replicated state machine, opaque to the log
+RequestId = Hashable  # identifies a read to its requester
 
 
 @dataclass(frozen=True)
 class LogEntry:
-    """One entry of the log; `command` is None for the no-op with which a leader begins its term (6.4)."""
+    """One entry of the log; `command` is None for the no-op with which a leader starts its term (6.4)."""
 
     term: int
     command: Command | None
@@ -22,16 +22,16 @@
 
 @dataclass
 class PersistentState:
-    """What is on disk (figure 3.1): a member that restarts begins from it and from nothing else."""
+    """The state on disk (figure 3.1), from which a member restarts."""
 
     term: int = 0
-    voted_for: str = ""  # in that term; "" is nobody
+    voted_for: str = ""  # in that term; "": nobody
     entries: list[LogEntry] = field(default_factory=list)
 
 
 @dataclass(frozen=True)
 class RequestVote:
-    """A candidate's RPC (3.4). With `pre_vote` it only asks whether a vote would be granted (9.6)."""
+    """A candidate's RPC (3.4); with `pre_vote` it asks whether a vote would be granted (9.6)."""
 
     term: int
     last_log_index: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class RequestVoteReply:
-    """The answer to a `RequestVote`: the voter's `term`, or that of the pre-vote which it grants."""
+    """The answer to a `RequestVote`: `term` is the voter's, or that of the pre-vote if it is granted."""
 
     term: int
     granted: bool
@@ -50,9 +50,9 @@
 
 @dataclass(frozen=True)
 class AppendEntries:
-    """A leader's RPC (3.5): the entries that follow `prev_log_index`; without entries it is a heartbeat.
+    """A leader's RPC (3.5) with the entries that follow `prev_log_index`; without entries it is a heartbeat.
 
-    `round` numbers the leader's heartbeats; the reply brings it back, which is what reads wait for (6.4).
+    `round` numbers the leader's heartbeats and is returned by the reply, for which reads wait (6.4).
     """
 
     term: int
@@ -67,8 +67,8 @@
 class AppendEntriesReply:
     """The answer to an `AppendEntries`.
 
-    On `success` the log is the leader's and on disk up to `index`; else the leader is to try again with the
-    entry after `index`.
+    On `success` the log matches the leader's and is on disk up to `index`; else the leader should retry with
+    the entry after `index`.
     """
 
     term: int
@@ -82,9 +82,9 @@
 
 @dataclass(frozen=True)
 class Persist:
-    """Write term and vote to disk, and `entries` in place of the log from `first_index` on.
+    """Write the term and the vote to disk, and replace the log from `first_index` on by `entries`.
 
-    No effect that follows may be carried out before this is on disk.
+    Later effects must not be executed before this is on disk.
     """
 
     term: int
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Send a message to a member; it may be lost, doubled or late."""
+    """Send a message to a member; it may be lost, duplicated or delayed."""
 
     to: str
     message: Message
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """The entry at `index` is committed; notified in order, once for each in the life of a process."""
+    """The entry at `index` is committed; emitted in order, once per entry and process lifetime."""
 
     index: int
     entry: LogEntry
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True)
 class ReadResult:
-    """A read may be answered from the state up to `index`; None: this member can not answer it."""
+    """A read can be answered from the state up to `index`; None: this member can't answer it."""
 
     request_id: RequestId
     index: int | None
--- a/lapistrestle/agreement/raft.py
+++ b/lapistrestle/agreement/raft.py
@@ -1,10 +1,10 @@
-"""One member of a Raft group: events and a clock in, effects out, in the order in which to carry them out.
+"""One member of a Raft group: events and the time in, effects out, in the order in which to execute them.
 
-Sections are those of Ongaro, "Consensus: Bridging Theory and Practice" (2014). A member sends nothing that a
-restart could contradict: each change of term, vote or log is a `Persist` ahead of the messages that rest on
-it (3.8). A leader commits only entries of its own term by counting replicas; older ones are committed by what
-follows them (3.6.2). A read is answered once a majority has answered a heartbeat sent after it was requested
-(6.4). Times are whole ticks of 0.1 ms.
+Section numbers refer to Ongaro, "Consensus: Bridging Theory and Practice" (2014). A member sends nothing that
+a restart could contradict: each change of term, vote or log is a `Persist` ahead of the messages that depend
+on it (3.8). A leader commits only entries of its own term by counting replicas; older ones are committed with
+a later entry (3.6.2). A read is answered once a majority has answered a heartbeat sent after the read was
+requested (6.4). Times are whole ticks of 0.1 ms.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True)
 class RaftSettings:
-    """Timing and bounds of a group; the same at all members."""
+    """Timing and limits of a group; the same at all members."""
 
     heartbeat_interval: int = SECOND // 10  # ticks between two heartbeats of a leader
-    election_timeout: int = SECOND // 2  # ticks without a leader, at the least; twice that at the most (3.4)
-    max_batch: int = 64  # entries in one message: a follower far behind must not hold up the others
-    max_pending_reads: int = 1_000  # further ones are refused, so that memory is bounded
+    election_timeout: int = SECOND // 2  # minimum in ticks; randomized up to twice that (3.4)
+    max_batch: int = 64  # entries per message, so that a follower far behind does not delay the others
+    max_pending_reads: int = 1_000  # further ones are refused, which bounds memory
 
 
 class Role(Enum):
-    """What a member is in its term (3.3), and whether its candidacy is still a pre-vote (9.6)."""
+    """The role of a member in its term (3.3), with a separate one for a candidate in pre-vote (9.6)."""
 
     FOLLOWER = 1
     PRE_CANDIDATE = 2
@@ -72,7 +72,7 @@
         now: int,
         log_line: Callable[[str], None] = lambda _text: None,
     ) -> None:
-        """`members` are all, oneself among them; `disk` is what was persisted, read here once."""
+        """`members` are all, including this one; `disk` is the persisted state, read only here."""
         self.node_id = node_id
         self.peers = [name for name in members if name != node_id]
         self.settings = settings
@@ -83,10 +83,10 @@
         self.voted_for = disk.voted_for
         self.entries = list(disk.entries)
         self.role = Role.FOLLOWER
-        self.leader = ""  # as far as known
+        self.leader = ""  # "": unknown
         self.commit_index = 0
         self.votes = set[str]()  # granted to this candidate
-        # of a leader, by peer
+        # state of a leader, by peer
         self.next_index = dict[str, int]()
         self.match_index = dict[str, int]()
         self.last_reply_at = dict[str, int]()
@@ -101,19 +101,19 @@
     # events
 
     def tick(self, now: int) -> list[Effect]:
-        """Time has passed; to be called again at `next_deadline`."""
+        """Handle the passing of time; to be called at `next_deadline`."""
         if now < self.next_deadline:
             return self.take_effects()
         if self.role is not Role.LEADER:
             self.start_election(now, pre_vote=True)
         elif self.has_lost_quorum(now):
-            self.become_follower(self.term, "", now, "no majority answers")
+            self.become_follower(self.term, "", now, "no replies from a majority")
         else:
             self.send_heartbeats(now)
         return self.take_effects()
 
     def on_message(self, sender: str, message: Message, now: int) -> list[Effect]:
-        """A message arrived; one whose sender is no member is ignored."""
+        """Handle a message; those of senders that are not members are ignored."""
         if sender in self.peers:
             pre_vote = isinstance(message, RequestVote | RequestVoteReply) and message.pre_vote
             if message.term > self.term and not pre_vote:
@@ -123,7 +123,7 @@
         return self.take_effects()
 
     def propose(self, command: Command, now: int) -> tuple[int | None, list[Effect]]:
-        """The index at which the command stands if it commits under this term; None: not the leader."""
+        """Append a command; return its index, valid if it commits in this term; None: not the leader."""
         if self.role is not Role.LEADER:
             return None, []
         self.append([LogEntry(self.term, command)])
@@ -131,7 +131,7 @@
         return self.last_index, self.take_effects()
 
     def read(self, request_id: RequestId, now: int) -> list[Effect]:
-        """Request a linearizable read (6.4); its `ReadResult` follows, at once or later."""
+        """Request a linearizable read (6.4); its `ReadResult` follows immediately or later."""
         if self.role is not Role.LEADER or len(self.pending_reads) >= self.settings.max_pending_reads:
             self.effects.append(ReadResult(request_id, None))
         else:
@@ -143,11 +143,11 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry; 0: the log is empty."""
+        """Index of the last entry; 0 if the log is empty."""
         return len(self.entries)
 
     def term_at(self, index: int) -> int:
-        """Term of the entry at `index`; 0 where there is none."""
+        """Return the term of the entry at `index`; 0 if there is none."""
         return self.entries[index - 1].term if 0 < index <= self.last_index else 0
 
     def append(self, entries: Sequence[LogEntry]) -> None:
@@ -157,11 +157,11 @@
         self.persist(first_index, entries)
 
     def persist(self, first_index: int = 0, entries: Sequence[LogEntry] = ()) -> None:
-        """Have the term, the vote and the log from `first_index` on written to disk."""
+        """Emit a `Persist` of the term, the vote and the log from `first_index` on."""
         self.effects.append(Persist(self.term, self.voted_for, first_index, tuple(entries)))
 
     def commit_to(self, index: int) -> None:
-        """Commit up to `index`, in order; after a restart again from the first entry."""
+        """Commit up to `index`, in order; a restarted process starts again at the first entry."""
         while self.commit_index < min(index, self.last_index):
             self.commit_index += 1
             self.effects.append(Committed(self.commit_index, self.entries[self.commit_index - 1]))
@@ -176,9 +176,9 @@
         self.next_deadline = now + timeout + spread
 
     def become_follower(self, term: int, leader: str, now: int, reason: str) -> None:
-        """Step down, or end a candidacy. A higher term begins without a vote."""
+        """Step down, or end a candidacy. A higher term starts without a vote."""
         if self.role is Role.LEADER:
-            self.log_line(f"leads no more at term {self.term}: {reason}")
+            self.log_line(f"stepped down as leader of term {self.term}: {reason}")
         if term > self.term:
             self.term = term
             self.voted_for = ""
@@ -190,7 +190,7 @@
         self.reset_election_timer(now)
 
     def start_election(self, now: int, pre_vote: bool) -> None:
-        """Become a candidate; with `pre_vote` first, so that one that was cut off raises no term (9.6)."""
+        """Become a candidate, at first with `pre_vote`, so that a partitioned member raises no term (9.6)."""
         if not pre_vote:
             self.term += 1
             self.voted_for = self.node_id
@@ -205,7 +205,7 @@
         self.count_votes(now)
 
     def count_votes(self, now: int) -> None:
-        """With a majority go on from the pre-vote to an election, or from that to leadership."""
+        """With a majority of votes, proceed from the pre-vote to the election, or become leader."""
         if self.is_majority(len(self.votes)):
             if self.role is Role.PRE_CANDIDATE:
                 self.start_election(now, pre_vote=False)
@@ -213,14 +213,14 @@
                 self.become_leader(now)
 
     def is_majority(self, count: int) -> bool:
-        """Whether so many members are a majority of the group."""
+        """Whether that many members are a majority of the group."""
         return 2 * count > len(self.peers) + 1
 
     def become_leader(self, now: int) -> None:
-        """Lead this term, and begin it with a no-op, which commits what came before (3.6.2, 6.4)."""
+        """Become leader, and append a no-op that lets earlier entries commit (3.6.2, 6.4)."""
         self.role = Role.LEADER
         self.leader = self.node_id
-        self.log_line(f"leads at term {self.term} with {len(self.votes)} votes, log {self.last_index} long")
+        self.log_line(f"leader of term {self.term}: {len(self.votes)} votes, {self.last_index} log entries")
         self.next_index = dict.fromkeys(self.peers, self.last_index + 1)
         self.match_index = dict.fromkeys(self.peers, 0)
         self.last_reply_at = dict.fromkeys(self.peers, now)
@@ -229,13 +229,13 @@
         self.send_heartbeats(now)
 
     def has_lost_quorum(self, now: int) -> bool:
-        """Whether no majority has answered for so long that another leader may have been elected (6.2)."""
+        """Whether a majority has been silent for so long that it may have elected another leader (6.2)."""
         silence = 2 * self.settings.election_timeout
         reachable = sum(now - at < silence for at in self.last_reply_at.values())
         return not self.is_majority(1 + reachable)
 
     def send_heartbeats(self, now: int) -> None:
-        """Send an `AppendEntries` to all peers, each with the entries that it lacks."""
+        """Send an `AppendEntries` to each peer, with the entries that it lacks."""
         self.round += 1
         self.next_deadline = now + self.settings.heartbeat_interval
         for name in self.peers:
@@ -266,14 +266,14 @@
         self.effects.append(Send(sender, RequestVoteReply(self.term, granted, False)))
 
     def answer_pre_vote(self, sender: str, request: RequestVote, up_to_date: bool, now: int) -> None:
-        """Refuse a pre-vote while a leader is heard: one back from a partition must not depose it (9.6)."""
+        """Refuse a pre-vote while there is a leader, so that a rejoining member does not depose it (9.6)."""
         leader_silent = now - self.last_leader_contact >= self.settings.election_timeout
         granted = up_to_date and self.role is not Role.LEADER and leader_silent and request.term > self.term
         term = request.term if granted else self.term
         self.effects.append(Send(sender, RequestVoteReply(term, granted, True)))
 
     def on_request_vote_reply(self, sender: str, reply: RequestVoteReply, now: int) -> None:
-        """Count a vote, or step down from a higher term."""
+        """Count a vote, or step down if the term is higher."""
         if not reply.granted and reply.term > self.term:
             self.become_follower(reply.term, "", now, f"{sender} is at term {reply.term}")
             return
@@ -284,12 +284,12 @@
             self.count_votes(now)
 
     def on_append_entries(self, sender: str, request: AppendEntries, now: int) -> None:
-        """Store the leader's entries where the logs match, else reply how far the leader is to go back."""
+        """Store the leader's entries if the logs match, else reply from where the leader should retry."""
         if request.term < self.term:
             self.reply_to_append(sender, False, 0, request)
             return
         if self.role is not Role.FOLLOWER or self.leader != sender:
-            self.become_follower(request.term, sender, now, f"{sender} leads")
+            self.become_follower(request.term, sender, now, f"{sender} is the leader")
         self.last_leader_contact = now
         self.reset_election_timer(now)
         prev = request.prev_log_index
@@ -306,14 +306,14 @@
         self.effects.append(Send(leader, AppendEntriesReply(self.term, success, index, request.round)))
 
     def conflict_index(self, request: AppendEntries) -> int:
-        """Where the leader is to try next: over whole terms that it can not have, not one by one (3.5)."""
+        """Return the index to retry from, skipping whole terms that the leader can't have (3.5)."""
         index = min(self.last_index, request.prev_log_index - 1)
         while index > self.commit_index and self.term_at(index) > request.prev_log_term:
             index -= 1
         return index
 
     def store(self, prev: int, entries: Sequence[LogEntry]) -> None:
-        """Append the entries after `prev`, over those in conflict; a late message truncates nothing (3.5)."""
+        """Append the entries after `prev` over conflicting ones; a late message truncates nothing (3.5)."""
         for offset, entry in enumerate(entries):
             if self.term_at(prev + offset + 1) != entry.term:
                 del self.entries[prev + offset :]
@@ -321,7 +321,7 @@
                 return
 
     def on_append_entries_reply(self, sender: str, reply: AppendEntriesReply, now: int) -> None:
-        """Record how far a follower's log matches, and send what it lacks next."""
+        """Record how far a follower's log matches, and send the next entries that it lacks."""
         if self.role is not Role.LEADER or reply.term != self.term:
             return
         self.last_reply_at[sender] = now
@@ -337,15 +337,15 @@
             self.replicate_to(sender)
         self.on_majority_progress()
 
-    # what a majority has reached
+    # majority progress
 
     def on_majority_progress(self) -> None:
-        """A peer has got further: commit and answer what a majority now bears out."""
+        """Commit entries and answer reads that a majority has acknowledged."""
         self.advance_commit_index()
         self.answer_reads()
 
     def advance_commit_index(self) -> None:
-        """Commit what a majority has on disk, if it is of this term (3.6.2)."""
+        """Commit the entries that a majority has on disk, if the last of them is of this term (3.6.2)."""
         index = self.majority_value(self.match_index, self.last_index)
         if self.term_at(index) == self.term:
             self.commit_to(index)
@@ -360,12 +360,12 @@
             self.effects.append(ReadResult(pending.request_id, self.commit_index))
 
     def majority_value(self, by_peer: Mapping[str, int], own: int) -> int:
-        """The greatest value that a majority of the group has reached."""
+        """Return the greatest value that a majority of the group has reached."""
         reached = sorted([*by_peer.values(), own], reverse=True)
         return reached[len(reached) // 2]
 
     def take_effects(self) -> list[Effect]:
-        """The effects of this event, in order."""
+        """Return and clear the effects of this event, in order."""
         effects = self.effects
         self.effects = []
         return effects
--- a/lapistrestle/planner/__init__.py
+++ b/lapistrestle/planner/__init__.py
@@ -1,1 +1,1 @@
-"""The program that plans rollouts: its journal's entries, the state they make, and what it sends edges."""
+"""The planner of rollouts: its journal entries, the state built from them, and its connections."""
--- a/lapistrestle/planner/connection.py
+++ b/lapistrestle/planner/connection.py
@@ -1,4 +1,4 @@
-"""The planner's end of a connection: edges that follow its plans, and operators.
+"""The planner's connections to edges, which subscribe to plans, and to operators.
 
 `docs/protocol.md` specifies the messages.
 """
@@ -21,10 +21,10 @@
 
 
 class PlannerConnection(LineConnection):
-    """One connection, of an edge or an operator.
+    """A connection of an edge or an operator.
 
-    `name` is the peer's and `edge_start` identifies an edge's start; an operator gives none. Plans are
-    numbered by entries; -1 stands for none.
+    `name` is that of the peer, and `edge_start` identifies one start of an edge; it is empty for operators.
+    Plans have the number of the journal entry that changed them; -1: no plan.
     """
 
     protocol = plans.PLANNER
@@ -36,15 +36,15 @@
         self.planner = planner
         self.name = ""
         self.edge_start = ""
-        self.acknowledged_plan = -1  # the newest that the edge said it has
-        self.sent_plan = -1  # the newest that was sent to it
+        self.acknowledged_plan = -1  # the newest plan that the edge has acknowledged
+        self.sent_plan = -1  # the newest plan sent to the edge
 
     def greeting(self) -> wire.Hello:
-        """Return what this end says first."""
+        """Return the planner's greeting, with its epoch."""
         return wire.Hello(self.protocol, wire.VERSION, f"planner epoch {self.planner.journal.epoch}")
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        """The peer has greeted: an edge names its start and is sent the plan, an operator does not."""
+        """Send the plan to an edge, which names its start in the greeting; operators do not."""
         self.name = hello.name
         self.edge_start = hello.start
         if hello.start:
@@ -52,7 +52,7 @@
             self.send_changes()
 
     def send_changes(self) -> None:
-        """Send what changed since the last plan; the complete one at first."""
+        """Send the changes since the last plan sent, or the complete plan at first."""
         number = self.planner.state.number
         if self.sent_plan < number or self.sent_plan < 0:
             self.send_message(self.planner.plan(self.sent_plan))
@@ -80,7 +80,7 @@
             self.send_message(plans.Heartbeat(heartbeat.sent_at))
 
     def handle_outcomes(self, report: plans.OutcomeReport) -> None:
-        """Journal an edge's running counts."""
+        """Write an edge's cumulative counts to the journal."""
         entry = OutcomeEntry(
             at=self.planner.now(),
             edge=self.name,
@@ -94,7 +94,7 @@
         self.planner.append(entry)
 
     def handle_command(self, command: plans.RolloutCommand) -> None:
-        """Journal an operator's command, and answer once it is on disk."""
+        """Write an operator's command to the journal, and answer once it is on disk."""
         entry = CommandEntry(
             at=self.planner.now(),
             id=command.id,
@@ -127,18 +127,18 @@
         self.send_message(reply)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """Answer a line that could not be read with a fault; the connection stays."""
+        """Answer a line that can't be decoded with a fault; the connection stays open."""
         self.send_message(wire.Fault(why))
 
     def connection_lost(self) -> None:
-        """Forget the connection, and its edge's replicas where it has no other one."""
+        """Drop the connection, and the edge's replica reports if it has no other connection."""
         self.planner.edge_connections.pop(self, None)
         if not any(connection.name == self.name for connection in self.planner.edge_connections):
             self.planner.readiness.on_edge_gone(self.name)
 
 
 class PlannerConnectionFactory(ServerFactory):
-    """Makes the planner's end of each connection."""
+    """Creates the planner's protocol for accepted connections."""
 
     noisy = False
 
@@ -146,5 +146,5 @@
         self.planner = planner
 
     def buildProtocol(self, addr: Any) -> PlannerConnection:
-        """Return the protocol of one accepted connection."""
+        """Return the protocol for an accepted connection."""
         return PlannerConnection(self.planner)
--- a/lapistrestle/planner/entries.py
+++ b/lapistrestle/planner/entries.py
@@ -1,7 +1,7 @@
-"""Entries of the planner's journal: everything that changes its state.
+"""Entries of the planner's journal, which are the only inputs to its state.
 
-An entry is one JSON object; its bytes are kept for as long as the journal, so stored names are mapped here
-and the rest of the program uses the fields' own. Times are ticks of 0.1 ms since the planner's first start.
+An entry is one JSON object. Entries are never rewritten, so fields with other stored names are mapped by
+`name=`. Times are ticks of 0.1 ms since the planner's first start.
 """
 
 from typing import Annotated
@@ -16,11 +16,11 @@
 
 
 DEFAULT_RETENTION = 60 * SECOND
-"""Ticks (one minute) for which clients may come back from a version, unless a command says otherwise."""
+"""Ticks (one minute) for which clients may retry requests on a version, unless a command says otherwise."""
 
 
 class Entry(Struct, tag_field="is", omit_defaults=True, kw_only=True):
-    """What all entries share: `at`, the time of the entry in ticks."""
+    """Base of all entries; `at` is the time of the entry in ticks."""
 
     at: int
 
@@ -28,8 +28,8 @@
 class CommandEntry(Entry, tag="command"):
     """An operator's command.
 
-    `id` is the command's own: one that comes twice is answered as the first time. `steps` are weights from 0
-    to 1; `retention` is in ticks.
+    `id` identifies the command, so that a repeated one gets the first answer again. `steps` are weights from
+    0 to 1; `retention` is in ticks.
     """
 
     id: Name
@@ -43,10 +43,10 @@
 
 
 class OutcomeEntry(Entry, tag="report"):
-    """An edge's running counts of one minute of one candidate's step.
+    """An edge's cumulative counts of one minute and one step of a candidate.
 
-    `start` identifies the edge's start: its counts begin anew at each. `counts` are those of the settled
-    version, the bad ones of them, those of the candidate, and the bad ones of them.
+    `start` identifies one start of the edge, at which its counts restart. `counts` are the requests of the
+    settled version, the failed ones of them, those of the candidate, and the failed ones of them.
     """
 
     edge: Name
@@ -59,7 +59,7 @@
 
 
 class TickEntry(Entry, tag="look"):
-    """Time has passed; `functions_ready` are those whose replicas for the next step are loaded."""
+    """A periodic tick; `functions_ready` are the functions whose replicas for the next step are loaded."""
 
     functions_ready: tuple[str, ...] = msgspec.field(default=(), name="warm")
 
@@ -71,10 +71,10 @@
 
 
 def decode_entry(data: bytes) -> JournalEntry:
-    """Return the entry of these bytes. Raises msgspec.MsgspecError where they are none."""
+    """Decode an entry. Raises msgspec.MsgspecError if the bytes are invalid."""
     return _DECODER.decode(data)
 
 
 def encode_entry(entry: JournalEntry) -> bytes:
-    """Return the bytes that `decode_entry` reads."""
+    """Encode an entry for `decode_entry`."""
     return _ENCODER.encode(entry)
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -1,6 +1,6 @@
-"""The planner's program: takes operators' commands and edges' counts, journals them, and sends plans.
+"""The planner's server: writes operators' commands and edges' counts to the journal, and sends plans.
 
-All decisions are in `planner/state.py`; here are the journal, the clock and the connections.
+All decisions are in `planner/state.py`; this module handles the journal, the clock and the connections.
 """
 
 from collections.abc import Callable
@@ -20,29 +20,29 @@
 """Seconds between two evaluations of the active rollouts."""
 
 ROUNDING = 0.001
-"""Part of a tick added before truncation, so that a time that stands for a whole tick counts as it."""
+"""Fraction of a tick added before truncation, as floating-point seconds may lie just below a whole tick."""
 
 Log = Callable[..., None]
 
 
 class PlannerReactor(Protocol):
-    """What the planner uses of Twisted's reactor."""
+    """The part of Twisted's reactor interface that the planner uses."""
 
     def seconds(self) -> float:
         """Return the monotonic time in seconds."""
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Any:
-        """Call back after that many seconds."""
+        """Schedule a call after a delay in seconds."""
 
     def listenTCP(self, port: int, factory: Any, *, interface: str) -> Any:
-        """Listen; return a port object as of Twisted."""
+        """Listen and return Twisted's port object."""
 
 
 class Planner:
-    """One planner on one reactor and one journal. A newer one on the same journal ends this one.
+    """A planner on one reactor and one journal. It stops when a newer planner writes the same journal.
 
-    `on_stopped` is called once it has ended by itself. Raises what `Journal.entries` and `decode_entry`
-    raise where the journal can't be read.
+    `on_stopped` is called when it stops by itself. The constructor raises the errors of `Journal.entries` and
+    `decode_entry` if the journal can't be read.
     """
 
     def __init__(self, reactor: PlannerReactor, journal: Journal, log: Log) -> None:
@@ -63,12 +63,12 @@
         log("journal read", entries=self.state.number, epoch=journal.epoch)
 
     def now(self) -> int:
-        """Return the time in ticks, on from where the journal ends: pauses between planners do not count."""
+        """Return the time in ticks, continued from the last journal entry; downtime does not count."""
         elapsed = (self.reactor.seconds() - self.started_at) * SECOND
         return self.journal_time + int(elapsed + ROUNDING)
 
     def start(self, port: int = 0) -> int:
-        """Listen on the loopback interface and begin to tick. Return the port."""
+        """Listen on the loopback interface and start the periodic tick. Return the port."""
         factory = PlannerConnectionFactory(self)
         listening = self.reactor.listenTCP(port, factory, interface="127.0.0.1")
         self.reactor.callLater(TICK_INTERVAL, self.tick)
@@ -77,10 +77,10 @@
         return actual_port
 
     def append(self, entry: JournalEntry) -> CommandResult | None:
-        """Write an entry to disk, apply it, then send edges what changed.
+        """Write an entry to disk, apply it, then send the changes to the edges.
 
-        Return a command's result; None where another planner writes the journal or the disk fails, which
-        ends this planner.
+        Return a command's result; None for other entries, and if another planner writes the journal or the
+        disk fails, which stops this planner.
         """
         if self.is_stopped:
             return None
@@ -96,7 +96,7 @@
         return result
 
     def stop(self, reason: str) -> None:
-        """Write nothing more, and cut all connections."""
+        """Stop writing, and close all connections to edges."""
         self.is_stopped = True
         self.log("ends", why=reason)
         for connection in list(self.edge_connections):
@@ -105,7 +105,7 @@
             self.on_stopped()
 
     def tick(self) -> None:
-        """Evaluate the active rollouts, and again after TICK_INTERVAL."""
+        """Evaluate the active rollouts, and schedule the next tick."""
         if self.is_stopped:
             return
         self.reactor.callLater(TICK_INTERVAL, self.tick)
@@ -113,7 +113,7 @@
             self.append(TickEntry(at=self.now(), functions_ready=self.functions_ready()))
 
     def functions_ready(self) -> tuple[str, ...]:
-        """Return the functions whose next weight has its replicas at every connected edge."""
+        """Return the functions with enough replicas for the next weight at every connected edge."""
         edges = {connection.name for connection in self.edge_connections}
         now = self.now()
         return tuple(
@@ -123,21 +123,21 @@
         )
 
     def verify_newest(self) -> bool:
-        """Return whether no newer planner writes the journal; stop where one does.
+        """Return whether no newer planner writes the journal; stop if one does.
 
-        One that did not ask would go on renewing leases on weights that another has taken back.
+        Without this check an old planner would renew leases on weights that a newer one has withdrawn.
         """
         if not self.is_stopped and not self.journal.is_newest():
             self.stop("a newer planner writes the journal")
         return not self.is_stopped
 
     def plan(self, after: int) -> plans.Plan:
-        """Return what changed after that entry; the complete plan where `after` is negative."""
+        """Return the changes after that entry; the complete plan if `after` is negative."""
         splits = [plans.to_message(split) for split in self.state.splits_changed_after(after).values()]
         return plans.Plan(self.state.number, self.journal.epoch, splits, complete=after < 0)
 
     def status(self) -> plans.PlannerStatus:
-        """Return how all rollouts and edges stand, for operators."""
+        """Return the status of all rollouts and edges, for operators."""
         rollouts = [self.state.rollouts[function] for function in sorted(self.state.rollouts)]
         return plans.PlannerStatus(
             number=self.state.number,
@@ -149,7 +149,7 @@
         )
 
     def _shortages(self, rollout: Rollout) -> dict[str, str]:
-        """Return by edge what it lacks for the rollout's next step."""
+        """Return, by edge, what it lacks for the rollout's next step."""
         if rollout.state in FINAL_STATES or rollout.state is RolloutState.WITHDRAWING:
             return {}
         edges = [connection.name for connection in self.edge_connections]
@@ -157,7 +157,7 @@
         return self.readiness.shortages(rollout.function, rollout.candidate, rollout.next_weight, edges, now)
 
     def _announce_changes(self, number: int) -> None:
-        """Log the rollouts that entry `number` changed, and send every edge its plan."""
+        """Log the rollouts changed by entry `number`, and send the changes to all edges."""
         for function, rollout in self.state.rollouts.items():
             if self.state.changed_at.get(function) == number:
                 state = rollout.state.value
--- a/lapistrestle/planner/state.py
+++ b/lapistrestle/planner/state.py
@@ -1,9 +1,9 @@
-"""The planner's state: all rollouts, as the outcome of its journal's entries in order. Free of I/O.
+"""The planner's state: all rollouts, computed from the journal's entries in order. Free of I/O.
 
-Everything that changes anything is an entry (`planner/entries.py`): an operator's command, an edge's counts,
-a tick. `PlannerState.apply` is the only way in, so the same entries give the same state after a restart, and
-an entry is written before it is applied. Plans are numbered by the entry that changed them; an edge that
-knows a number is sent what changed since. `docs/rollout.md` says why.
+Only entries (`planner/entries.py`) change the state: an operator's command, an edge's counts, a tick. They
+are written before `PlannerState.apply` applies them, so that replaying the journal after a restart gives the
+same state. A plan has the number of the entry that changed it; an edge that has a plan is sent the changes
+since. `docs/rollout.md` gives the reasons.
 """
 
 from collections.abc import Sequence
@@ -17,10 +17,7 @@
 
 
 class EntryOrderError(ValueError):
-    """An entry does not follow the last one that was applied.
-
-    `number` is the entry's, `last` that of the one before it as applied here.
-    """
+    """An entry's number does not follow that of the last applied entry, `last`."""
 
     def __init__(self, number: int, last: int) -> None:
         super().__init__(f"entry {number} does not follow {last}")
@@ -30,10 +27,10 @@
 
 @dataclass(frozen=True)
 class CommandResult:
-    """What a command came to.
+    """The result of a command.
 
-    `message` says it in words; `state` and `weight` are the rollout's after it (`none` and 0 where the
-    function has no rollout); `number` is the entry that answered it.
+    `message` describes it for people; `state` and `weight` are those of the rollout after the command (`none`
+    and 0 if the function has no rollout); `number` is that of the command's entry.
     """
 
     outcome: CommandOutcome
@@ -45,11 +42,11 @@
 
 @dataclass
 class PlannerState:
-    """All rollouts, as of the entries applied; `number` is the last entry's.
+    """All rollouts as of the last applied entry, `number`.
 
-    By function, `rollouts` holds the newest rollout, `settled_versions` what it runs outside of any, and
-    `changed_at` the entry that changed its split. `past_rollouts` are those that a newer one replaced;
-    `results` are the answers to commands, by their ids.
+    By function, `rollouts` are the newest rollouts, `settled_versions` the versions that run without a
+    rollout, and `changed_at` the entries that last changed the splits. `past_rollouts` were replaced by newer
+    ones; `results` are the answers to commands by their ids.
     """
 
     number: int = 0
@@ -60,9 +57,9 @@
     changed_at: dict[str, int] = field(default_factory=dict)
 
     def apply(self, number: int, entry: JournalEntry) -> CommandResult | None:
-        """Apply the entry of that number; return a command's result.
+        """Apply the entry of that number and return a command's result.
 
-        Raises EntryOrderError where it does not follow the last.
+        Raises EntryOrderError if the number does not follow the last one.
         """
         if number != self.number + 1:
             raise EntryOrderError(number, self.number)
@@ -83,7 +80,7 @@
         return result
 
     def execute(self, command: CommandEntry) -> CommandResult:
-        """Carry out a command; one that comes twice is answered as the first time."""
+        """Execute a command; a repeated one gets the first result again."""
         known = self.results.get(command.id)
         if known is not None:
             return known
@@ -99,7 +96,7 @@
         return result
 
     def start_rollout(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
-        """Begin a rollout. Return the outcome and its message."""
+        """Start a rollout. Return the outcome and its message."""
         objection = self._objection_to_start(command)
         if objection is not None:
             return objection
@@ -113,7 +110,7 @@
         return outcome, f"{settled or 'none'} to {command.candidate}"
 
     def steer_rollout(self, command: CommandEntry) -> tuple[CommandOutcome, str]:
-        """Move the function's newest rollout. Return the outcome and its message."""
+        """Apply a command to the function's newest rollout. Return the outcome and its message."""
         rollout = self.rollouts.get(command.function)
         if rollout is None:
             return CommandOutcome.REFUSED, f"{command.function} has no rollout"
@@ -127,21 +124,21 @@
         return outcome, f"{rollout.candidate} is {rollout.state.value} at {rollout.weight:.0%}"
 
     def record_outcomes(self, entry: OutcomeEntry) -> None:
-        """Add an edge's counts to the evidence; those of another step or candidate are none."""
+        """Add an edge's counts to the evidence; those of another step or candidate are ignored."""
         rollout = self.rollouts.get(entry.function)
         if rollout is None or (rollout.candidate, rollout.step) != (entry.candidate, entry.step):
             return
         rollout.evidence.add_report(entry.edge, entry.start, entry.minute, OutcomeCounts(*entry.counts))
 
     def evaluate(self, tick: TickEntry) -> dict[str, Verdict]:
-        """Let the clock and the evidence move what is active; return the verdicts by function."""
+        """Evaluate the active rollouts; return the verdicts by function."""
         return {
             function: rollout.evaluate(tick.at, function in tick.functions_ready)
             for function, rollout in self.active_rollouts().items()
         }
 
     def active_rollouts(self) -> dict[str, Rollout]:
-        """Return, by function, the rollouts that the clock or the evidence may still move."""
+        """Return, by function, the rollouts that time or evidence may still change."""
         return {
             function: rollout
             for function, rollout in self.rollouts.items()
@@ -149,7 +146,7 @@
         }
 
     def splits_changed_after(self, number: int = -1) -> dict[str, TrafficSplit]:
-        """Return, by function, the splits that changed after that entry; all of them by default."""
+        """Return, by function, the splits that changed after that entry; by default all."""
         return {
             function: rollout.split()
             for function, rollout in self.rollouts.items()
@@ -157,7 +154,7 @@
         }
 
     def _objection_to_start(self, command: CommandEntry) -> tuple[CommandOutcome, str] | None:
-        """Return why no rollout can begin by this command, or None."""
+        """Return why this command can't start a rollout, or None if it can."""
         latest = self.rollouts.get(command.function)
         if latest is not None and latest.state not in FINAL_STATES:
             return _objection_of_running(latest, command.candidate)
@@ -178,11 +175,11 @@
         if rollout.state is RolloutState.SETTLED:
             self.settled_versions[function] = rollout.candidate
         elif self.settled_versions.get(function) == rollout.candidate:
-            self.settled_versions[function] = rollout.settled  # it had settled, and was rolled back
+            self.settled_versions[function] = rollout.settled  # a settled candidate was rolled back
 
 
 def _objection_of_running(rollout: Rollout, candidate: str) -> tuple[CommandOutcome, str]:
-    """Return why no rollout of `candidate` can begin beside one that is not over."""
+    """Return why no rollout of `candidate` can start while one is running."""
     if rollout.candidate == candidate and rollout.state is not RolloutState.WITHDRAWING:
         return CommandOutcome.NOTHING_TO_DO, f"{candidate} is being rolled out already"
     message = f"{rollout.function} has {rollout.candidate} {rollout.state.value}; take that back first"
--- a/lapistrestle/planner/status.py
+++ b/lapistrestle/planner/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a rollout."""
+"""The status of a rollout for operators."""
 
 from lapistrestle.rollout.evidence import OutcomeCounts
 from lapistrestle.rollout.state_machine import Rollout
@@ -6,11 +6,11 @@
 from lapistrestle.wire import plans
 
 LOG_DECIMALS = 3
-"""Digits of the two logarithms: enough to compare them with their limits."""
+"""Decimals of the two logarithms, enough to compare them with their thresholds."""
 
 
 def rollout_status(rollout: Rollout, shortages: dict[str, str]) -> plans.RolloutStatus:
-    """Return one rollout's status; `shortages` says by edge what it lacks for the next step."""
+    """Return one rollout's status; `shortages` says, by edge, what it lacks for the next step."""
     verdict = rollout.evidence.verdict()
     total = OutcomeCounts()
     for minute in rollout.evidence.totals_by_minute().values():
--- a/lapistrestle/records/__init__.py
+++ b/lapistrestle/records/__init__.py
@@ -1,1 +1,1 @@
-"""Structured logs."""
+"""Structured logging."""
--- a/lapistrestle/records/json_log.py
+++ b/lapistrestle/records/json_log.py
@@ -1,4 +1,4 @@
-"""Log lines as JSON without structlog, which brings a terminal's colours along: saves memory."""
+"""JSON log lines without structlog, whose console rendering would take memory."""
 
 import sys
 import time
@@ -9,11 +9,11 @@
 
 
 def make_log(sink: TextIO | None = None, **always: Any) -> Callable[..., None]:
-    """A log that takes what happened and its figures; `always` is told with each line."""
+    """Return a function that logs an event with its fields; the fields `always` are in each line."""
     out = sink or sys.stderr
 
-    def log(what: str, **figures: Any) -> None:
-        line = {"event": what, **always, **figures, "timestamp": round(time.time(), 3)}
+    def log(event: str, **fields: Any) -> None:
+        line = {"event": event, **always, **fields, "timestamp": round(time.time(), 3)}
         out.write(msgspec.json.encode(line, enc_hook=str).decode() + "\n")
         out.flush()
 
--- a/lapistrestle/records/logs.py
+++ b/lapistrestle/records/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on structlog: lines for people, or JSON lines."""
+"""Structured logging by structlog, as text or as JSON lines."""
 
 import sys
 from collections.abc import Callable
@@ -8,14 +8,16 @@
 
 
 def make_log(json: bool = False, sink: TextIO | None = None, **always: Any) -> Callable[..., None]:
-    """A log that takes what happened and its figures; `always` is told with each line."""
-    last: Any = structlog.processors.JSONRenderer() if json else structlog.dev.ConsoleRenderer(colors=False)
+    """Return a function that logs an event with its fields; the fields `always` are in each line."""
+    renderer: Any = (
+        structlog.processors.JSONRenderer() if json else structlog.dev.ConsoleRenderer(colors=False)
+    )
     logger = structlog.wrap_logger(
         structlog.WriteLogger(sink or sys.stderr),
-        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), last],
+        processors=[structlog.processors.TimeStamper(fmt="iso", utc=True), renderer],
     ).bind(**always)
 
-    def log(what: str, **figures: Any) -> None:
-        logger.info(what, **figures)
+    def log(event: str, **fields: Any) -> None:
+        logger.info(event, **fields)
 
     return log
--- a/lapistrestle/rollout/__init__.py
+++ b/lapistrestle/rollout/__init__.py
@@ -1,5 +1,5 @@
 """Decisions of a gradual rollout, free of I/O.
 
-Which version of a function a request meets, and when the new one's weight grows or is taken back.
-`docs/rollout.md` says why.
+They choose the version of a function for each request, and decide when the weight of a new version grows or
+the rollout is rolled back. `docs/rollout.md` gives the reasons.
 """
--- a/lapistrestle/rollout/evidence.py
+++ b/lapistrestle/rollout/evidence.py
@@ -1,19 +1,20 @@
-"""What is known of a candidate against the settled version, by tests that may be read at any time.
-
-Edges report running counts for each of their starts and minutes; the largest report of each counts, so that
-one that comes twice, late or out of order adds nothing. In each minute the two versions are compared with
-each other alone: a fault of the fleet raises both, and tells nothing.
-
-Two test martingales grow with the minutes. By Ville's inequality (J. Ville, *Étude critique de la notion de
-collectif*, 1939) the probability that one ever reaches 1/p where its hypothesis is true is at most p,
-however often it is looked at:
-
-- *harm*, against 'the candidate is no worse': given how many requests of a minute went badly, how many of
-  them were the candidate's, under odds of HARM_ODDS_RATIO to 1 instead of 1 (Fisher's noncentral
-  hypergeometric distribution);
-- *safety*, against 'the candidate goes badly MAX_ACCEPTED_EXCESS more often': the candidate's bad ones under
-  the settled version's rate of the same minutes instead of that rate and MAX_ACCEPTED_EXCESS. The rate is
-  itself measured; simulation holds the stated probabilities to account (`docs/rollout.md`, *Evidence*).
+"""Sequential tests of a candidate against the settled version, valid at any time of reading.
+
+Edges report cumulative counts for each of their starts and minutes. The largest report of each counts, so
+that a repeated, late or reordered report adds nothing. The two versions are compared within each minute only:
+a fault of the whole fleet raises the failure rates of both, and is no evidence.
+
+Two test martingales accumulate over the minutes. By Ville's inequality (J. Ville, *Étude critique de la
+notion de collectif*, 1939) the probability that one ever reaches 1/p while its null hypothesis is true is at
+most p, however often it is evaluated:
+
+- *harm*, with the null hypothesis that the candidate is no worse: given the number of failed requests in a
+  minute, the likelihood of the candidate's part of them under odds of HARM_ODDS_RATIO to 1 against odds of 1
+  (Fisher's noncentral hypergeometric distribution);
+- *safety*, with the null hypothesis that the candidate fails MAX_ACCEPTED_EXCESS more often: the likelihood
+  of the candidate's failures under the settled version's rate in the same minute against that rate plus
+  MAX_ACCEPTED_EXCESS. The rate is an estimate, so simulations verify the stated probabilities
+  (`docs/rollout.md`, *Evidence*).
 """
 
 from dataclasses import dataclass, field
@@ -24,29 +25,29 @@
 from scipy.stats import nchypergeom_fisher
 
 HARM_ODDS_RATIO = 2.5
-"""Odds of going badly, candidate against settled version, at which harm is looked for."""
+"""Odds ratio of failure, candidate to settled version, of the alternative hypothesis of the harm test."""
 
 MAX_ACCEPTED_EXCESS = 0.02
-"""Part of the requests going badly more often that must be ruled out before a weight grows."""
+"""Excess failure rate of the candidate that must be ruled out before the weight grows."""
 
 FALSE_ROLLBACK_PROBABILITY = 0.01
-"""Of rolling back a candidate that is no worse."""
+"""Maximum probability of rolling back a candidate that is no worse."""
 
 FALSE_ADVANCE_PROBABILITY = 0.05
-"""Of advancing one that is worse by MAX_ACCEPTED_EXCESS, at each step."""
+"""Maximum probability, at each step, of advancing a candidate that is worse by MAX_ACCEPTED_EXCESS."""
 
 MIN_REQUESTS_PER_VERSION = 50
-"""Requests of each version in what a step is judged by."""
+"""Requests of each version that a step needs as evidence."""
 
 MAX_RATE = 0.999
-"""Of requests going badly, as assumed under the safety hypothesis: its logarithm must exist."""
+"""Upper bound of the failure rate assumed by the safety test, below 1 so that the logarithm exists."""
 
 CACHED_MINUTES = 10_000
-"""Minutes whose harm is remembered: one that is over is asked for again at each look."""
+"""Minutes whose harm ratio is cached, as past minutes are evaluated again at each tick."""
 
 
 class OutcomeCounts(NamedTuple):
-    """Running counts: requests of each version that ended, and those of them that went badly."""
+    """Cumulative counts of finished requests of each version, and of the failed ones among them."""
 
     settled: int = 0
     settled_bad: int = 0
@@ -54,12 +55,12 @@
     candidate_bad: int = 0
 
     def plus(self, other: "OutcomeCounts") -> "OutcomeCounts":
-        """Return the sums of both."""
-        return OutcomeCounts(*(mine + its for mine, its in zip(self, other, strict=True)))
+        """Return the sum of both."""
+        return OutcomeCounts(*(left + right for left, right in zip(self, other, strict=True)))
 
 
 class ReportKey(NamedTuple):
-    """What a report counts for: an edge, which of its starts, and the minute."""
+    """The source of a report: an edge, one of its starts, and a minute of its clock."""
 
     edge: str
     start: str
@@ -68,10 +69,10 @@
 
 @dataclass(frozen=True)
 class Verdict:
-    """What the evidence of a step amounts to.
+    """The result of the tests for one step.
 
     `log_harm` and `log_safety` are the natural logarithms of the two martingales, `settled` and `candidate`
-    the requests of each version that they rest on.
+    the numbers of requests of each version that were counted.
     """
 
     log_harm: float
@@ -81,12 +82,12 @@
 
     @property
     def must_roll_back(self) -> bool:
-        """Whether the candidate has been shown to be worse."""
+        """Whether the harm test has rejected that the candidate is no worse."""
         return self.log_harm >= log(1 / FALSE_ROLLBACK_PROBABILITY)
 
     @property
     def may_advance(self) -> bool:
-        """Whether the candidate has been shown not to be much worse, by enough requests."""
+        """Whether the safety test has rejected, on enough requests, that the candidate is much worse."""
         enough = min(self.settled, self.candidate) >= MIN_REQUESTS_PER_VERSION
         return enough and not self.must_roll_back and self.log_safety >= log(1 / FALSE_ADVANCE_PROBABILITY)
 
@@ -98,7 +99,7 @@
     reports: dict[ReportKey, OutcomeCounts] = field(default_factory=dict)
 
     def add_report(self, edge: str, start: str, minute: int, counts: OutcomeCounts) -> bool:
-        """Take an edge's running counts. Return whether they added anything."""
+        """Merge an edge's cumulative counts. Return whether they added anything."""
         key = ReportKey(edge, start, minute)
         before = self.reports.get(key, OutcomeCounts())
         after = OutcomeCounts(*map(max, before, counts))
@@ -106,14 +107,14 @@
         return after != before
 
     def totals_by_minute(self) -> dict[int, OutcomeCounts]:
-        """Return the sums over all edges, by minute in order."""
+        """Return the sums over all edges by minute, in order."""
         totals: dict[int, OutcomeCounts] = {}
         for key, counts in self.reports.items():
             totals[key.minute] = totals.get(key.minute, OutcomeCounts()).plus(counts)
         return dict(sorted(totals.items()))
 
     def verdict(self) -> Verdict:
-        """Return what all reports amount to."""
+        """Return the result of both tests over all reports."""
         log_harm = log_safety = 0.0
         settled = candidate = 0
         for counts in self.totals_by_minute().values():
@@ -126,7 +127,7 @@
 
 @lru_cache(maxsize=CACHED_MINUTES)
 def log_harm_ratio(counts: OutcomeCounts) -> float:
-    """Return the log of a minute's likelihood ratio for odds of HARM_ODDS_RATIO against 1."""
+    """Return the logarithm of a minute's likelihood ratio for odds of HARM_ODDS_RATIO against 1."""
     bad = counts.settled_bad + counts.candidate_bad
     total = counts.settled + counts.candidate
     if not bad or bad == total or not counts.settled or not counts.candidate:
@@ -137,9 +138,9 @@
 
 
 def log_safety_ratio(counts: OutcomeCounts) -> float:
-    """Return the log of a minute's likelihood ratio for the settled rate against it and MAX_ACCEPTED_EXCESS.
+    """Return the logarithm of a minute's likelihood ratio: settled rate against it plus MAX_ACCEPTED_EXCESS.
 
-    The settled rate is estimated as (bad + 1/2) / (all + 1), which is neither 0 nor 1.
+    The settled rate is estimated as (bad + 1/2) / (all + 1), which is never 0 or 1.
     """
     if not counts.settled or not counts.candidate:
         return 0.0
--- a/lapistrestle/rollout/lease.py
+++ b/lapistrestle/rollout/lease.py
@@ -1,13 +1,13 @@
-"""How long an edge may go on sending to a candidate when the planner is silent.
+"""The lease that allows an edge to send to a candidate while it is connected to the planner.
 
-A rollback must hold at every edge within a second, also where the connection is stalled and not closed, so
-an edge may use an unsettled weight only while a lease lasts. The planner renews leases by its heartbeats.
-The two clocks never meet: an edge counts from when it *sent* the request that a heartbeat answers, so one
-that lay in a socket grants nothing (C. Gray and D. Cheriton, *Leases*, SOSP 1989).
+A rollback must take effect at every edge within a second, even if a connection is stalled but not closed, so
+an edge may use an unsettled weight only while it has a lease. The planner renews leases by its heartbeats.
+The clocks need not be synchronized: an edge counts from when it *sent* the request that a heartbeat answers,
+so that a heartbeat delayed in a socket grants nothing (C. Gray and D. Cheriton, *Leases*, SOSP 1989).
 
-An edge whose lease has run out sends all to the settled version, whose replicas are retained. It takes the
-candidate up again only after some heartbeats in a row, so that a planner that restarts or a link that flaps
-moves the traffic over and back once and not with every gap.
+An edge without a lease sends all requests to the settled version, whose replicas are retained. It returns to
+the candidate only after heartbeats have arrived for some time, so that a restarting planner or a flapping
+link moves the traffic once and not with every gap.
 
 Times are ticks of 0.1 ms on the edge's own clock.
 """
@@ -16,13 +16,13 @@
 from enum import Enum, auto
 
 LEASE_DURATION = 8_000
-"""Ticks from the request on; with a request on its way it stays under the second."""
+"""Ticks counted from when the request was sent; with requests still in transit, below 1 s in all."""
 
 RECOVERY_PERIOD = 30_000
-"""Ticks for which heartbeats must have come before the weight is used again."""
+"""Ticks of uninterrupted heartbeats after which an edge uses the weight again."""
 
 NEVER = -1
-"""Before any time of the clock."""
+"""A time before any reading of the clock."""
 
 
 class LeaseState(Enum):
@@ -30,16 +30,16 @@
 
     ACTIVE = auto()
     EXPIRED = auto()
-    RECOVERING = auto()  # heartbeats come again, not yet for long enough
+    RECOVERING = auto()  # heartbeats arrive again, but not for RECOVERY_PERIOD yet
 
 
 class LeaseEvent(Enum):
-    """What moves a lease."""
+    """An event that may change a lease's state."""
 
-    FRESH_HEARTBEAT = auto()  # answers a request within LEASE_DURATION
-    STALE_HEARTBEAT = auto()  # answers an older one
+    FRESH_HEARTBEAT = auto()  # answers a request sent within LEASE_DURATION
+    STALE_HEARTBEAT = auto()  # answers an older request
     LEASE_EXPIRED = auto()
-    RECOVERY_COMPLETE = auto()  # RECOVERY_PERIOD is over
+    RECOVERY_COMPLETE = auto()  # after RECOVERY_PERIOD
 
 
 LEASE_TRANSITIONS: dict[tuple[LeaseState, LeaseEvent], LeaseState] = {
@@ -56,19 +56,19 @@
     (LeaseState.RECOVERING, LeaseEvent.LEASE_EXPIRED): LeaseState.EXPIRED,
     (LeaseState.RECOVERING, LeaseEvent.RECOVERY_COMPLETE): LeaseState.ACTIVE,
 }
-"""The state after each event; complete."""
+"""The next state for each state and event."""
 
 
 @dataclass
 class Lease:
-    """One edge's lease. `recovering_since` means something only in state RECOVERING."""
+    """One edge's lease. `recovering_since` is valid only in state RECOVERING."""
 
     state: LeaseState = LeaseState.EXPIRED
     expires_at: int = NEVER
     recovering_since: int = 0
 
     def on_heartbeat(self, requested_at: int, now: int) -> None:
-        """Take a heartbeat that answers a request of the time `requested_at`."""
+        """Handle a heartbeat that answers a request sent at `requested_at`."""
         self.update(now)
         expires_at = requested_at + LEASE_DURATION
         self.expires_at = max(self.expires_at, expires_at)
@@ -79,17 +79,16 @@
             self.recovering_since = now
 
     def update(self, now: int) -> None:
-        """Let the lease expire, or its recovery end, by the clock."""
+        """Apply the expiry of the lease or the end of its recovery."""
         if now >= self.expires_at:
             self.state = LEASE_TRANSITIONS[self.state, LeaseEvent.LEASE_EXPIRED]
         elif self.state is LeaseState.RECOVERING and now - self.recovering_since >= RECOVERY_PERIOD:
             self.state = LEASE_TRANSITIONS[self.state, LeaseEvent.RECOVERY_COMPLETE]
 
     def is_usable(self, now: int) -> bool:
-        """Return whether an unsettled weight may be used at this moment.
+        """Return whether an unsettled weight may be used now.
 
-        Asked for each request with the clock of that moment, so that an edge that stood still and wakes with
-        an old plan sends nothing by it.
+        Checked for each request, so that an edge that resumes after a stall does not use an outdated plan.
         """
         self.update(now)
         return self.state is LeaseState.ACTIVE
--- a/lapistrestle/rollout/readiness.py
+++ b/lapistrestle/rollout/readiness.py
@@ -1,21 +1,21 @@
-"""Which edges have the replicas that the next weight of a rollout needs, as the planner knows it. No I/O."""
+"""The planner's record of which edges have the replicas for a rollout's next weight. Free of I/O."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
 
 REPORT_LIFETIME = 30_000
-"""Ticks of 0.1 ms for which a report counts; edges report each second."""
+"""Ticks of 0.1 ms for which a report is valid; edges report each second."""
 
 WEIGHT_TOLERANCE = 1e-9
-"""For weights that went through text."""
+"""For rounding errors of weights that were converted to text and back."""
 
 
 @dataclass(frozen=True)
 class EdgeReport:
-    """What an edge said last of a candidate.
+    """An edge's last report on a candidate.
 
-    Its replicas are loaded for `weight`, and `shortage` says what it lacks for more. `received_at` is in
-    ticks of the planner's clock.
+    Its replicas suffice for `weight`; `shortage` says what prevents a greater one. `received_at` is in ticks
+    of the planner's clock.
     """
 
     weight: float
@@ -25,27 +25,24 @@
 
 @dataclass
 class Readiness:
-    """The last report of each edge, by function and candidate.
-
-    One that was not renewed within `report_lifetime` (ticks) counts for nothing.
-    """
+    """The last report of each edge, by function and candidate; it expires after `report_lifetime` ticks."""
 
     report_lifetime: int = REPORT_LIFETIME
     reports: dict[tuple[str, str], dict[str, EdgeReport]] = field(default_factory=dict)
 
     def on_report(self, function: str, candidate: str, edge: str, report: EdgeReport) -> None:
-        """Take an edge's report."""
+        """Record an edge's report."""
         self.reports.setdefault((function, candidate), {})[edge] = report
 
     def on_edge_gone(self, edge: str) -> None:
-        """Forget what an edge reported."""
+        """Drop the reports of a disconnected edge."""
         for by_edge in self.reports.values():
             by_edge.pop(edge, None)
 
     def shortages(
         self, function: str, candidate: str, weight: float, edges: Collection[str], now: int
     ) -> dict[str, str]:
-        """Return the edges that are not ready for that weight, and why."""
+        """Return the edges that are not ready for that weight, with the reasons."""
         reports = self.reports.get((function, candidate), {})
         found: dict[str, str] = {}
         for edge in edges:
@@ -59,8 +56,5 @@
     def is_ready(
         self, function: str, candidate: str, weight: float, edges: Collection[str], now: int
     ) -> bool:
-        """Return whether all edges are ready.
-
-        Without any edge nothing is: a weight that nobody serves shows nothing.
-        """
+        """Return whether all edges are ready; false without edges, as there would be no traffic to judge."""
         return bool(edges) and not self.shortages(function, candidate, weight, edges, now)
--- a/lapistrestle/rollout/replicas.py
+++ b/lapistrestle/rollout/replicas.py
@@ -1,14 +1,14 @@
-"""How many replicas of either version an edge wants where, and whether the next weight has them. No I/O.
+"""Replicas of the two versions of a rollout: how many an edge needs on which workers. Free of I/O.
 
-A step that grows before its replicas are loaded makes them load under traffic, all at once and at every
-edge. So replicas come first: as many as the next weight will keep busy, and the square root of that as spare
-(square-root staffing), as for ordinary functions. The settled version keeps enough to take everything back
-until the candidate has settled and for as long after it as clients may come back.
+If the weight grew before replicas are loaded, they would all load at once, under traffic and at every edge.
+So replicas are preloaded: as many as the next weight will keep busy plus the square root of that as spare
+(square-root staffing), as for ordinary functions. The settled version keeps enough replicas to take over all
+traffic until the candidate has settled, and after that for as long as clients may retry.
 
-Edges share one order of workers and say 'hold at least so many', so each reckons for the whole fleet from
-its own part of the traffic: where several ask, the largest target counts and nothing is loaded twice. Harms
-where one edge has most of a function's traffic: it asks for more than is needed, within a part of each
-worker's memory. `docs/rollout.md`, *Loads*, weighs the alternatives.
+Edges share one order of workers and request "at least n replicas", so each estimates the number for the
+whole fleet from its own traffic: the largest request counts, and nothing is loaded twice. The drawback: an
+edge with most of a function's traffic requests more than needed, within a fraction of each worker's memory.
+`docs/rollout.md`, *Loads*, weighs the alternatives.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -19,43 +19,40 @@
 from lapistrestle.rollout_types import TrafficSplit
 
 MIN_WORKERS = 2
-"""Workers that a version is loaded on at least: the loss of one must not leave it cold."""
+"""Minimum number of workers with a version, so that the loss of one leaves a loaded replica."""
 
 MAX_REPLICAS_PER_WORKER = 4
-"""Of one version."""
+"""Replicas of one version."""
 
 SCALE_DOWN_RATIO = 0.6
-"""A target falls only below this part of what it is."""
+"""A target is lowered only if the required number is below this fraction of it."""
 
 SUFFICIENT_RATIO = 0.75
-"""Part of the target that a step needs; the rest is spare."""
+"""Fraction of the target that a step requires; the rest is spare."""
 
 PRELOAD_BUDGET_FRACTION = 0.5
-"""Part of the budget of preloads that a rollout may use; what requests wait for may use all of it."""
+"""Fraction of the preload budget for rollouts; preloads that requests wait for may use all of it."""
 
 MAX_DEMAND_FACTOR = 2.0
-"""How much heavier than usual a function counts at most.
-
-Measured: without the limit a full fleet loaded twelve replicas a second in vain.
-"""
+"""Upper bound of `demand_factor`; without it a fully loaded fleet made twelve useless loads a second."""
 
 SLOWDOWN_LIMIT = 2.0
-"""Times as long as the settled version, at which a step is held; workers differ by less."""
+"""Latency ratio of candidate to settled version that holds a step; workers differ by less."""
 
 MEMORY_FRACTION = 0.25
-"""Part of a worker's memory for one version of one function."""
+"""Fraction of a worker's memory for one version of one function."""
 
 
 class RolloutPhase(Enum):
-    """How an edge sees a function with two versions."""
+    """The phase of a rollout at an edge, which determines the replicas that it needs."""
 
-    LOADING = auto()  # the next weight's replicas are being loaded
-    RETAINED = auto()  # the candidate is promoted, the version before it stays loaded
+    LOADING = auto()  # replicas for the next weight are being loaded
+    RETAINED = auto()  # the candidate is promoted, and the previous version stays loaded
     ROLLING_BACK = auto()
 
 
 class Shortage(Enum):
-    """What keeps a version from having its replicas."""
+    """Why a version lacks replicas."""
 
     NONE = auto()
     LOADS_IN_PROGRESS = auto()
@@ -71,12 +68,12 @@
     Shortage.PRELOAD_BUDGET: "no order is free in the budget",
     Shortage.WORKERS: "no worker is fit",
 }
-"""As operators are shown them, by way of the planner."""
+"""Texts that edges report to the planner, which shows them to operators."""
 
 
 @dataclass(frozen=True)
 class TargetWeights:
-    """Weights that the two versions must be loaded for; `candidate` None: the next weight."""
+    """The weights for which the two versions need replicas; `candidate` None: the next weight."""
 
     candidate: float | None
     settled: float
@@ -84,44 +81,44 @@
 
 TARGET_WEIGHTS: dict[RolloutPhase, TargetWeights] = {
     RolloutPhase.LOADING: TargetWeights(candidate=None, settled=1.0),
-    # a promoted candidate has all traffic and keeps itself loaded
+    # a promoted candidate gets all traffic, which keeps it loaded
     RolloutPhase.RETAINED: TargetWeights(candidate=0.0, settled=1.0),
     RolloutPhase.ROLLING_BACK: TargetWeights(candidate=0.0, settled=1.0),
 }
 
 
 def rollout_phase(split: TrafficSplit) -> RolloutPhase:
-    """Return the phase that a split with a candidate stands for."""
+    """Return the phase of a split with a candidate."""
     if split.withdrawn:
         return RolloutPhase.ROLLING_BACK
     return RolloutPhase.RETAINED if split.promoted else RolloutPhase.LOADING
 
 
 def demand_factor(isolated_latency: float, usual_latency: float) -> float:
-    """Return how many times more replicas a function keeps busy than its method's usual one.
+    """Return how many times more replicas a function keeps busy than a usual one of its method.
 
-    What an edge takes for its latency with nothing beside it may have been learned under congestion, which
-    more replicas would only make worse; hence the limit.
+    Bounded, as the learned latency of an isolated request may have been measured under congestion, which
+    more replicas would make worse.
     """
     return min(MAX_DEMAND_FACTOR, max(1.0, isolated_latency / max(usual_latency, 1.0)))
 
 
 def required_replicas(concurrency: float, weight: float, lanes: int, edges: int) -> int:
-    """Return the replicas for that weight of the whole fleet's traffic.
+    """Return the number of replicas for that weight of the whole fleet's traffic.
 
-    `concurrency` is the requests in progress on average at one edge of `edges`, `lanes` how many one replica
-    runs at once.
+    `concurrency` is the mean number of requests in flight at one of the `edges`, `lanes` the number that one
+    replica runs at once.
     """
     lanes_used = concurrency * weight * edges
     return ceil((lanes_used + sqrt(lanes_used)) / max(1, lanes)) if lanes_used > 0 else 0
 
 
 def slowdown_reason(candidate_latency: float | None, settled_latency: float | None) -> str:
-    """Return why a step waits though its replicas are loaded, empty if it does not.
+    """Return why a step is held although its replicas are loaded; empty if it is not.
 
-    It does where the candidate's latency with nothing beside it is far above the settled version's. That
-    holds the step and does not roll it back, as either may have been learned under congestion; both are
-    renewed, and an operator may go on. Not known (None) holds nothing.
+    A step is held if the candidate's latency of isolated requests is far above the settled version's. It is
+    not rolled back, as either latency may have been learned under congestion; both are updated continuously,
+    and an operator may advance the rollout. An unknown latency (None) holds nothing.
     """
     if candidate_latency is None or settled_latency is None:
         return ""
@@ -133,10 +130,10 @@
 
 @dataclass(eq=False)
 class WorkerCapacity:
-    """One worker and one version, as an edge knows it.
+    """What an edge knows of the replicas of one version on one worker.
 
-    `loaded` replicas of at most `limit`; `preload_pending`: more were asked for and have not come;
-    `recently_confirmed`: the worker has said lately what is loaded; `warming_up`: it has just started.
+    `loaded` replicas of at most `limit`; `preload_pending`: a preload is in flight; `recently_confirmed`: the
+    worker has recently reported its loaded replicas; `warming_up`: it is in slow start.
     """
 
     loaded: int
@@ -148,24 +145,24 @@
 
 @dataclass
 class ReplicaTarget:
-    """How many replicas of one version are wanted.
+    """The target number of replicas of one version.
 
-    Rises at once and falls only when clearly less is needed: each replica more or fewer is a load somewhere.
+    It rises at once and falls only if clearly fewer are required, as each change of it causes loads.
     """
 
     count: int = 0
 
     def update(self, required: int) -> int:
-        """Take what is required now; return the target."""
+        """Update the target by the number required now, and return it."""
         if required > self.count or required < SCALE_DOWN_RATIO * self.count:
             self.count = required
         return self.count
 
 
 def replica_limit(memory: float, replica_memory: float) -> int:
-    """Return how many replicas of one version one worker may have.
+    """Return the maximum number of replicas of one version on one worker.
 
-    A part of its memory where both figures (MB, 0: not known) are, and few.
+    Bounded by a fraction of the worker's memory if both sizes are known (MB; 0: unknown).
     """
     if not memory or not replica_memory:
         return MAX_REPLICAS_PER_WORKER
@@ -175,9 +172,9 @@
 
 
 def place_replicas(workers: Iterable[WorkerCapacity], target: int) -> tuple[dict[WorkerCapacity, int], int]:
-    """Return how many replicas go on which worker, and how many found no place.
+    """Return the number of replicas for each worker, and the number that could not be placed.
 
-    The shared order is filled from its front, warm workers before those that warm up, and no worker has all.
+    Workers are filled in the shared order, those in slow start last, and no worker gets all replicas.
     """
     placement: dict[WorkerCapacity, int] = {}
     unplaced = max(target, MIN_WORKERS) if target else 0
@@ -193,7 +190,7 @@
 
 @dataclass(frozen=True)
 class ReplicaStatus:
-    """What one version has of what it needs."""
+    """The replicas of one version: wanted, loaded, and why any are missing."""
 
     wanted: int
     loaded: int
@@ -201,9 +198,9 @@
 
     @property
     def is_sufficient(self) -> bool:
-        """Whether a step may go on, with a part of the spare lacking at most.
+        """Whether a step may proceed, with at most part of the spare replicas missing.
 
-        What is needed moves by one now and then, and no step waits for that.
+        The required number fluctuates by one from time to time, which must not hold up a step.
         """
         sufficient = max(MIN_WORKERS, SUFFICIENT_RATIO * self.wanted)
         return self.shortage is Shortage.NONE or self.loaded >= sufficient
@@ -215,13 +212,11 @@
     loads_available: float,
     preload: Callable[[WorkerCapacity, int], bool],
 ) -> ReplicaStatus:
-    """Preload what is missing, and ask again for what was not confirmed lately.
-
-    Return how the version stands.
+    """Preload missing replicas and renew the preloads of unconfirmed ones; return the version's status.
 
-    `loads_available` more loads may be in progress. `preload(worker, count)` asks a worker to hold at least
-    so many replicas and returns whether the budget allowed it. What is loaded already is asked for before
-    anything new: it is the cheapest replica there is.
+    `loads_available` more loads may be in progress. `preload(worker, count)` asks a worker to keep at least
+    `count` replicas loaded and returns whether the budget allowed it. Loaded replicas are renewed before new
+    ones are requested, as keeping them costs nothing.
     """
     placement, unplaced = place_replicas(workers, target)
     loaded = sum(min(worker.loaded, count) for worker, count in placement.items())
@@ -246,9 +241,9 @@
 def _confirm_loaded(
     placement: dict[WorkerCapacity, int], preload: Callable[[WorkerCapacity, int], bool]
 ) -> None:
-    """Ask again for replicas that were not confirmed lately, for as long as the budget allows.
+    """Renew the preloads of replicas that were not confirmed recently, as far as the budget allows.
 
-    One that is not asked for may be gone by the next look, which then loads it first.
+    A replica that is not renewed may be unloaded by the next call, which then loads it again.
     """
     for worker, count in placement.items():
         is_complete = worker.loaded >= count
--- a/lapistrestle/rollout/routing.py
+++ b/lapistrestle/rollout/routing.py
@@ -1,6 +1,6 @@
-"""What one edge makes of the planner's splits: each request's version, what is barred, and running counts.
+"""Routing of requests to versions at one edge, by the planner's splits, with the counts of their outcomes.
 
-No I/O. Times are ticks of 0.1 ms on the edge's own clock.
+Free of I/O. Times are ticks of 0.1 ms on the edge's own clock.
 """
 
 from dataclasses import dataclass, field, replace
@@ -14,13 +14,13 @@
 TICKS_PER_MINUTE = 600_000
 
 REPORTED_MINUTES = 3
-"""Minutes whose counts are reported again, in case they were lost."""
+"""Number of recent minutes whose counts are sent with each report, in case reports were lost."""
 
 FIRST_PLAN_TIMEOUT = 20_000
-"""Ticks for which an edge that knows no plan waits for its first."""
+"""Ticks for which an edge without a plan waits for its first one."""
 
 MAX_REMEMBERED = 50_000
-"""Tokened requests remembered, twice; of one that is forgotten it is not known which version it met."""
+"""Tokened requests in each of two cache generations; the version of a dropped request is unknown."""
 
 NO_PLAN = -1
 """Epoch and number before the first plan."""
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True)
 class Route:
-    """Where a request goes.
+    """The version to which a request is sent.
 
-    `name` is the versioned function; empty: the request is aborted, as it may have run on what is withdrawn.
-    `candidate` and `step` are of the rollout that it counts for, if any; `to_candidate` says for which of
-    the two versions.
+    `name` is the versioned function; if empty, the request is aborted, as it may have run on a version that
+    is withdrawn. `candidate` and `step` identify the rollout for which its outcome counts, if any;
+    `to_candidate` says for which of the two versions.
     """
 
     name: str
@@ -43,7 +43,7 @@
 
 
 class CountsKey(NamedTuple):
-    """What running counts are of."""
+    """The step of a rollout, and the minute, of cumulative counts."""
 
     function: str
     candidate: str
@@ -52,7 +52,7 @@
 
 
 class SentKey(NamedTuple):
-    """A tokened request: its function, and what stays the same over its client's attempts."""
+    """A tokened request: its function, and the key that is the same for all attempts (`attempt_key`)."""
 
     function: str
     key: str
@@ -60,11 +60,11 @@
 
 @dataclass
 class Routing:
-    """The splits as this edge holds them, of the plan `number` of planner `epoch`.
+    """The state of an edge's routing: the splits of the plan `number` of planner `epoch`, lease and counts.
 
-    `barred_names` are versions that were withdrawn: they stay barred when the planner forgets them, since
-    workers may still have replicas of them, until a plan names them again. `sent_versions` and, filled
-    before, `older_sent_versions` say where tokened requests went.
+    `barred_names` are withdrawn versions. They stay barred after the planner drops them, as workers may still
+    have replicas of them, until a plan uses them again. `sent_versions`, and the previous generation
+    `older_sent_versions`, cache the versions to which tokened requests were sent.
     """
 
     epoch: int = NO_PLAN
@@ -79,9 +79,9 @@
     def apply_plan(
         self, epoch: int, number: int, complete: bool, splits: list[TrafficSplit]
     ) -> list[str] | None:
-        """Take a plan: changes, or the `complete` one. Return the names that it bars anew.
+        """Apply a plan, incremental or `complete`. Return the names that it newly bars.
 
-        None where it is passed over: an older planner sent it, or it is out of order.
+        Return None if it is ignored because it comes from an older planner or is out of order.
         """
         if epoch < self.epoch or (epoch == self.epoch and number < self.number):
             return None
@@ -98,33 +98,33 @@
         return sorted(self.barred_names - barred_before)
 
     def restore_plan(self, epoch: int, number: int, splits: list[TrafficSplit], barred: list[str]) -> None:
-        """Go on from a plan that was persisted over a restart.
+        """Restore a plan that was persisted before a restart.
 
-        There is no lease on it, so its unsettled weights are not used; what it bars stays barred, and no
-        older planner is heeded.
+        Without a lease its unsettled weights are not used. Its barred names stay barred, and plans of older
+        planners are ignored.
         """
         self.apply_plan(epoch, number, True, splits)
         self.barred_names |= set(barred)
 
     def awaits_first_plan(self, age: int) -> bool:
-        """Return whether it is too early, `age` ticks after the edge's start, to say what version runs.
+        """Return whether requests must wait for the first plan, `age` ticks after the edge's start.
 
-        An edge that just started would send to the version before all rollouts. After FIRST_PLAN_TIMEOUT it
-        serves: better than nothing, if the planner stays away.
+        Without a plan an edge would use the versions before all rollouts. After FIRST_PLAN_TIMEOUT it does
+        so, as serving these is better than serving nothing while the planner is unreachable.
         """
         return self.number < 0 and age < FIRST_PLAN_TIMEOUT
 
     def route(
         self, function: str, key: str, kind: str, repeat: bool, now: int, tokens_span: bool = False
     ) -> Route:
-        """Return where a request goes; the arguments are those of `choose_version`."""
+        """Return the route of a request; the arguments are those of `choose_version`."""
         split = self.splits.get(function)
         if split is None:
             return Route(function)
         if not split.candidate:
             return Route(versioned_name(function, split.settled))
         usable = split.promoted or self.lease.is_usable(now)
-        # without a lease a newer plan may have let any key meet the candidate at another edge
+        # without a lease, another edge with a newer plan may have sent any key to the candidate
         effective = split if usable else replace(split, weight=0.0, peak_weight=1.0)
         tokened = kind == "tokened"
         earlier = self.earlier_version(split, key) if tokened and repeat else EarlierVersion.UNKNOWN
@@ -140,14 +140,14 @@
         return Route(versioned_name(function, version), function, counted_for, split.step, to_candidate)
 
     def remember_version(self, function: str, key: str, version: str) -> None:
-        """Remember where a tokened request is sent, for when its client comes back."""
+        """Cache the version to which a tokened request is sent, for retries by its client."""
         if len(self.sent_versions) >= MAX_REMEMBERED:
             self.older_sent_versions = self.sent_versions
             self.sent_versions = {}
         self.sent_versions[SentKey(function, key)] = version
 
     def earlier_version(self, split: TrafficSplit, key: str) -> EarlierVersion:
-        """Return where this edge sent earlier attempts of a tokened request."""
+        """Return the version to which this edge sent earlier attempts of a tokened request."""
         sent = SentKey(split.function, key)
         version = self.sent_versions.get(sent, self.older_sent_versions.get(sent))
         if version is None:
@@ -156,7 +156,7 @@
         return known.get(version, EarlierVersion.UNKNOWN)
 
     def is_barred(self, name: str, now: int) -> bool:
-        """Return whether nothing new may go to this version now: withdrawn, or unsettled without a lease."""
+        """Return whether this version gets no new requests: it is withdrawn, or unsettled without a lease."""
         if name in self.barred_names:
             return True
         function, _, version = name.rpartition("@")
@@ -166,16 +166,16 @@
         return not self.lease.is_usable(now)
 
     def reroute(self, name: str, key: str) -> Route:
-        """Return where a request of a barred version goes instead, and remember it."""
+        """Return and cache the route of a request whose version was barred: the settled version."""
         function = name.rpartition("@")[0]
         split = self.splits.get(function)
         if split is None:
-            return Route(function)  # as where no plan names it
+            return Route(function)  # no plan names the function
         self.remember_version(function, key, split.settled)
         return Route(versioned_name(function, split.settled))
 
     def count_outcome(self, route: Route, bad: bool, now: int) -> None:
-        """Count a request of this route that has ended."""
+        """Count a finished request of this route."""
         if not route.candidate:
             return
         key = CountsKey(route.function, route.candidate, route.step, now // TICKS_PER_MINUTE)
@@ -186,7 +186,7 @@
         self.counts[key] = self.counts.get(key, OutcomeCounts()).plus(outcome)
 
     def recent_counts(self, now: int) -> dict[CountsKey, OutcomeCounts]:
-        """Return the running counts of the last REPORTED_MINUTES; older ones are dropped."""
+        """Return the cumulative counts of the last REPORTED_MINUTES and drop older ones."""
         oldest = now // TICKS_PER_MINUTE - REPORTED_MINUTES
         self.counts = {key: counts for key, counts in self.counts.items() if key.minute > oldest}
         return dict(self.counts)
--- a/lapistrestle/rollout/state_machine.py
+++ b/lapistrestle/rollout/state_machine.py
@@ -1,4 +1,4 @@
-"""The states of one rollout: a table of state, input, next state and effect, read by a short loop.
+"""The state machine of one rollout: a table of transitions with their effects.
 
 Times are ticks of 0.1 ms on the planner's clock; weights are fractions from 0 to 1.
 """
@@ -12,32 +12,32 @@
 from lapistrestle.rollout_types import CommandOutcome, TrafficSplit
 
 MAX_UNSETTLED_WEIGHT = 0.9
-"""Until it settles, a part stays behind as what the candidate is judged by, and stays loaded."""
+"""The settled version keeps the rest until the candidate settles, as control group, and so stays loaded."""
 
 ANNOUNCEMENT_LEAD = 10_000
-"""Ticks between announcing a step and taking it: the plan of an edge with a lease is no older."""
+"""Ticks between the announcement of a step and the step; the plan of an edge with a lease is never older."""
 
 NO_STEP = -1
-"""The step of a rollout whose candidate has no weight yet."""
+"""The step index of a rollout whose candidate has no weight yet."""
 
 
 class RolloutState(Enum):
     """The state of a rollout; the value is the form on the wire."""
 
     PROPOSED = "proposed"
-    WARMING = "warming"  # replicas are being loaded, no traffic yet
-    GROWING = "growing"  # the weight goes on by evidence
-    HELD = "held"  # by an operator
-    SETTLED = "settled"  # the candidate is what runs
-    WITHDRAWING = "withdrawing"  # nothing new goes to it, clients may still come back from it
+    WARMING = "warming"  # replicas are being loaded; the candidate gets no traffic yet
+    GROWING = "growing"  # the weight grows by evidence
+    HELD = "held"  # paused by an operator
+    SETTLED = "settled"  # the candidate gets all traffic
+    WITHDRAWING = "withdrawing"  # the candidate gets no new requests; clients may still retry earlier ones
     WITHDRAWN = "withdrawn"
 
 
 class RolloutInput(Enum):
-    """What moves a rollout; the value is the form in histories and commands."""
+    """An input of the state machine; the value is the form in histories and commands."""
 
     START = "start"
-    ANNOUNCE_STEP = "tell"  # edges are told that the next step comes
+    ANNOUNCE_STEP = "tell"  # announce the next step to the edges
     REPLICAS_READY = "warm"
     EVIDENCE_SUFFICIENT = "grow"
     HARM_FOUND = "bad"
@@ -49,11 +49,11 @@
 
 
 FINAL_STATES = (RolloutState.SETTLED, RolloutState.WITHDRAWN)
-"""States after which another rollout of the function may start."""
+"""States in which another rollout of the function may start."""
 
 
 class HistoryEntry(NamedTuple):
-    """What moved a rollout: when, by whom, why, by which input, and the state after it."""
+    """One transition of a rollout: time, actor, reason, input and the next state."""
 
     at: int
     actor: str
@@ -64,12 +64,12 @@
 
 @dataclass
 class Rollout:
-    """One candidate of one function.
+    """The rollout of one candidate of one function.
 
-    `steps` are its weights in turn, the last is 1; `step` is the index of the present one. `retention` is
-    for how many ticks clients may come back. `announced_at` is when edges were told that the next step
-    comes; with `advance_requested` it comes without evidence. `previous_retained`: the candidate has
-    settled, and the version before it is still loaded.
+    `steps` are its successive weights, the last of which is 1; `step` is the index of the current one.
+    `retention` is the time in ticks for which clients may retry requests on a version. `announced_at` is when
+    the next step was announced to the edges; `advance_requested`: it is taken without evidence.
+    `previous_retained`: the candidate has settled, and the previous version is still loaded.
     """
 
     function: str
@@ -89,7 +89,7 @@
 
     @property
     def weight(self) -> float:
-        """The part of the keys that the candidate gets now."""
+        """The fraction of the keys that is sent to the candidate now."""
         if self.state is RolloutState.SETTLED:
             return 1.0
         if self.state in (RolloutState.GROWING, RolloutState.HELD) and self.step != NO_STEP:
@@ -98,15 +98,15 @@
 
     @property
     def next_weight(self) -> float:
-        """The weight after this one; its replicas come first."""
+        """The weight after the next step, for which replicas are loaded first."""
         is_last = self.step + 1 >= len(self.steps) or self.state is RolloutState.SETTLED
         return 1.0 if is_last else min(self.steps[self.step + 1], MAX_UNSETTLED_WEIGHT)
 
     def split(self) -> TrafficSplit:
-        """Return what edges are sent.
+        """Return the split that edges are sent.
 
-        The peak comes before its step, so that no edge with a lease takes a key for one that can't have met
-        the candidate yet.
+        The peak weight rises when a step is announced, before the step is taken. So an edge with a lease
+        never assumes that a key can't have been sent to the candidate when another edge has taken the step.
         """
         settled = self.state is RolloutState.SETTLED
         if settled and not self.previous_retained:
@@ -130,43 +130,43 @@
         )
 
     def handle(
-        self, given: RolloutInput, now: int, actor: str = "planner", reason: str = ""
+        self, rollout_input: RolloutInput, now: int, actor: str = "planner", reason: str = ""
     ) -> CommandOutcome:
-        """Take an input; return what came of it.
+        """Apply an input and return the outcome.
 
-        What is so already comes to nothing, and what the state has no transition for is refused.
+        An input without effect in this state has nothing to do; one without a transition is refused.
         """
-        if self.state in UNCHANGED_IN.get(given, ()):
+        if self.state in UNCHANGED_IN.get(rollout_input, ()):
             return CommandOutcome.NOTHING_TO_DO
-        transition = TRANSITIONS.get((self.state, given))
+        transition = TRANSITIONS.get((self.state, rollout_input))
         if transition is None:
             return CommandOutcome.REFUSED
         before = self.state
         self.state, effect = transition
         effect(self)
         self.peak_weight = max(self.peak_weight, self.weight)
-        if given is RolloutInput.ANNOUNCE_STEP:
+        if rollout_input is RolloutInput.ANNOUNCE_STEP:
             self.announced_at = now
             return CommandOutcome.DONE
         if self.state is not before:
             self.state_since = now
-        self.history.append(HistoryEntry(now, actor, reason, given, self.state))
+        self.history.append(HistoryEntry(now, actor, reason, rollout_input, self.state))
         return CommandOutcome.DONE
 
     def evaluate(self, now: int, replicas_ready: bool) -> Verdict:
-        """Let the evidence, the replicas and the clock move the rollout; return the evidence's verdict.
+        """Apply the input that is due by evidence, replicas or time; return the verdict on the evidence.
 
-        Called once in a while. `replicas_ready`: those that the next step needs are loaded.
+        Called periodically. `replicas_ready`: the replicas for the next step are loaded.
         """
         verdict = self.evidence.verdict()
-        given, reason = self._due_input(verdict, now, replicas_ready)
-        if given in STEP_INPUTS:
+        rollout_input, reason = self._due_input(verdict, now, replicas_ready)
+        if rollout_input in STEP_INPUTS:
             if self.announced_at is None:
-                given = RolloutInput.ANNOUNCE_STEP
+                rollout_input = RolloutInput.ANNOUNCE_STEP
             elif now - self.announced_at < ANNOUNCEMENT_LEAD:
-                given = None
-        if given is not None:
-            self.handle(given, now, reason=reason)
+                rollout_input = None
+        if rollout_input is not None:
+            self.handle(rollout_input, now, reason=reason)
         return verdict
 
     def _due_input(self, verdict: Verdict, now: int, replicas_ready: bool) -> tuple[RolloutInput | None, str]:
@@ -185,17 +185,17 @@
         return None, ""
 
 
-# Effects of transitions; one may set a state other than the table's.
+# Effects of transitions; an effect may set another state than the table.
 
 
 def no_effect(rollout: Rollout) -> None:
-    """Change nothing but the state."""
+    """Only change the state."""
 
 
 def take_step(rollout: Rollout) -> None:
-    """Go to the next step, or settle after the last.
+    """Take the next step, or settle after the last one.
 
-    Each step is judged by itself, so that a fault that shows only at load can't hide behind the last one.
+    The evidence starts anew, so that a fault that occurs only under load is not masked by earlier steps.
     """
     rollout.evidence = Evidence()
     rollout.announced_at = None
@@ -208,17 +208,17 @@
 
 
 def cancel_advance(rollout: Rollout) -> None:
-    """Call off a step that was asked for."""
+    """Cancel an operator's request to advance."""
     rollout.advance_requested = False
 
 
 def release_previous(rollout: Rollout) -> None:
-    """Let the version before a settled candidate be unloaded."""
+    """Stop retaining the version before the settled candidate."""
     rollout.previous_retained = False
 
 
 def resume(rollout: Rollout) -> None:
-    """Go on; one that was held before its replicas were loaded loads them first."""
+    """Resume; a rollout that was held before its replicas were loaded returns to WARMING."""
     if rollout.step == NO_STEP:
         rollout.state = RolloutState.WARMING
 
@@ -271,4 +271,4 @@
     (RolloutState.SETTLED, RolloutInput.RETENTION_ENDED): (RolloutState.SETTLED, release_previous),
     (RolloutState.WITHDRAWING, RolloutInput.RETENTION_ENDED): (RolloutState.WITHDRAWN, no_effect),
 }
-"""The next state and the effect, by state and input; what is not here is refused."""
+"""The next state and the effect by state and input; other inputs are refused."""
--- a/lapistrestle/rollout/version_choice.py
+++ b/lapistrestle/rollout/version_choice.py
@@ -1,8 +1,8 @@
-"""Which version of a function a request goes to.
+"""The choice of a function's version for a request.
 
-A request's hash position in [0, 1) follows from what stays the same over its client's attempts, so a weight
-that grows only adds keys, and a further attempt meets the version of the first, at whichever edge. What is
-withdrawn overrides that. `docs/rollout.md`, *Which version an RPC meets*, weighs the alternatives.
+A request's hash position in [0, 1) is computed from a key that is the same for all of the client's attempts.
+So a growing weight only adds keys, and a retry gets the same version as the first attempt, at any edge,
+unless that version is withdrawn. `docs/rollout.md`, *Which version an RPC meets*, weighs the alternatives.
 """
 
 from enum import Enum, auto
@@ -14,15 +14,15 @@
 
 
 class VersionChoice(Enum):
-    """What a request gets."""
+    """The version for a request, or its abort."""
 
     SETTLED = auto()
     CANDIDATE = auto()
-    ABORT = auto()  # it may have run on a version that it can't go to now
+    ABORT = auto()  # it may have run on a version to which it can't be sent now
 
 
 class EarlierVersion(Enum):
-    """Where this edge itself sent earlier attempts of a request."""
+    """The version to which this edge sent earlier attempts of a request."""
 
     SETTLED = auto()
     CANDIDATE = auto()
@@ -30,18 +30,18 @@
 
 
 def hash_position(function: str, candidate: str, key: str) -> float:
-    """Return where a key lies in [0, 1).
+    """Return a key's hash position in [0, 1).
 
-    The candidate's name is in the hash, so that not always the same keys go first.
+    The candidate's name is part of the hash, so that each rollout starts with other keys.
     """
     digest = blake2b(f"{function}\0{candidate}\0{key}".encode(), digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big") / 2 ** (8 * DIGEST_BYTES)
 
 
 def attempt_key(key: str, token: int | None, tag: str) -> str:
-    """Return what stays the same over a client's attempts.
+    """Return a key that is the same for all of a client's attempts of a request.
 
-    That is its own key, else the token, else nothing but `tag`, this attempt's id.
+    That is the client's key or else the token; without either only `tag`, the id of this attempt.
     """
     if key:
         return f"k{key}"
@@ -53,16 +53,16 @@
     (False, True): VersionChoice.SETTLED,
     (False, False): VersionChoice.SETTLED,
 }
-"""By whether the key lies within the weight, and within the peak weight."""
+"""The choice by whether the key is within the weight, and within the peak weight."""
 
 REPEATED_ATTEMPT_CHOICES: dict[tuple[bool, bool, EarlierVersion], VersionChoice] = {
     (True, True, EarlierVersion.CANDIDATE): VersionChoice.CANDIDATE,
-    (False, True, EarlierVersion.CANDIDATE): VersionChoice.ABORT,  # withdrawn since, or without a lease
+    (False, True, EarlierVersion.CANDIDATE): VersionChoice.ABORT,  # withdrawn since, or no lease
     (False, False, EarlierVersion.CANDIDATE): VersionChoice.ABORT,
     (True, True, EarlierVersion.SETTLED): VersionChoice.SETTLED,  # the weight has grown since
     (False, True, EarlierVersion.SETTLED): VersionChoice.SETTLED,
     (False, False, EarlierVersion.SETTLED): VersionChoice.SETTLED,
-    (True, True, EarlierVersion.UNKNOWN): VersionChoice.ABORT,  # at another edge, before the step or after
+    (True, True, EarlierVersion.UNKNOWN): VersionChoice.ABORT,  # at another edge, before or after the step
     (False, True, EarlierVersion.UNKNOWN): VersionChoice.ABORT,
     (
         False,
@@ -70,7 +70,7 @@
         EarlierVersion.UNKNOWN,
     ): VersionChoice.SETTLED,  # no edge can have sent it to the candidate
 }
-"""The same where it may repeat work on a version that does not know its token, and by where it was sent."""
+"""The choice for a tokened retry if versions do not share tokens, also by the version of earlier attempts."""
 
 
 def choose_version(
@@ -81,13 +81,13 @@
     tokens_span: bool,
     earlier: EarlierVersion = EarlierVersion.UNKNOWN,
 ) -> VersionChoice:
-    """Return what a request gets.
+    """Return the version for a request.
 
-    `kind` is its method's: an idempotent one goes wherever the weight says. A side-effecting one comes back
-    only after a denial, which promised that nothing ran, so it is new wherever it goes. A tokened one that
-    comes back (`repeat`) may have run: where workers know tokens across versions (`tokens_span`) any of them
-    drops it; where they do not it goes to the version that it met before, and is aborted, which promises
-    nothing, where that is not known or not allowed now.
+    `kind` is that of its method. An idempotent request follows the weight. A side-effecting one is retried
+    only after a denial, which guarantees that nothing ran, so it follows the weight too. A tokened retry
+    (`repeat`) may have run: if versions share tokens (`tokens_span`) any worker drops the duplicate; else it
+    must go to the version of the earlier attempts, and is aborted (which guarantees nothing) if that version
+    is unknown or not allowed now.
     """
     if not split.candidate:
         return VersionChoice.SETTLED
@@ -100,9 +100,10 @@
 
 
 def choose_after_denial(kind: str, may_have_run: bool, tokens_span: bool) -> VersionChoice:
-    """Return what a request gets that was denied on a version that is barred now.
+    """Return the version for a request that was denied on a version that is barred now.
 
-    A tokened one may be denied though it may have run, as its version knows the token; another does not.
+    A tokened request may be denied although it may have run, as its version knows the token; other versions
+    do not, unless versions share tokens.
     """
     harmless = kind == "idempotent" or not may_have_run or (kind == "tokened" and tokens_span)
     return VersionChoice.SETTLED if harmless else VersionChoice.ABORT
--- a/lapistrestle/rollout_types.py
+++ b/lapistrestle/rollout_types.py
@@ -1,7 +1,7 @@
-"""Types of a gradual rollout that cross processes.
+"""Types of a gradual rollout that processes exchange.
 
-The decisions (`rollout/`) and the messages (`wire/`) share them. They stand outside both, so that messages
-depend on no decision and decisions on no encoding.
+The decisions (`rollout/`) and the messages (`wire/`) share them. They are in neither package, so that
+messages do not depend on decisions nor decisions on encodings.
 """
 
 from dataclasses import dataclass, field
@@ -9,14 +9,14 @@
 from typing import Literal
 
 RolloutAction = Literal["start", "advance", "hold", "resume", "back"]
-"""What an operator may ask for; also the form on the wire and in the journal."""
+"""An operator's command, as written on the wire and in the journal."""
 
 DEFAULT_STEPS = (0.01, 0.05, 0.25, 1.0)
-"""Weights that a candidate gets in turn where a command names none."""
+"""Successive weights of a candidate if a command names none."""
 
 
 class CommandOutcome(Enum):
-    """What came of a command or another input; the value is the form on the wire."""
+    """The outcome of a command or another input; the value is the form on the wire."""
 
     DONE = "done"
     NOTHING_TO_DO = "nothing to do"
@@ -25,14 +25,15 @@
 
 @dataclass(frozen=True)
 class TrafficSplit:
-    """How one function's traffic is split over two versions, as an edge holds it.
-
-    The part `weight` of the keys goes to `candidate`, the rest to the `settled` version. `peak_weight` is
-    the largest weight that the candidate has had or gets next: keys below it may have met it at an edge
-    whose plan is newer. A withdrawn candidate has no weight but keeps its peak until clients can no longer
-    come back from it. `next_weight` is the weight to load replicas for, and `step` the index of the present
-    one (-1: none yet). Once `promoted`, the candidate is what runs, with no lease, and the version before it
-    is retained for clients that come back and for a rollback. Weights are fractions from 0 to 1.
+    """How a function's traffic is split between two versions.
+
+    The fraction `weight` of the keys is sent to `candidate`, the rest to the `settled` version. `peak_weight`
+    is the largest weight that the candidate has had or gets next: keys below it may have been sent to the
+    candidate by an edge with a newer plan. A withdrawn candidate has no weight but keeps its peak weight
+    until clients no longer retry requests sent to it. `next_weight` is the weight for which replicas are
+    loaded, and `step` the index of the current weight (-1: none yet). Once `promoted`, the candidate gets all
+    traffic without a lease, and the previous version is retained for retries and a rollback. Weights are
+    fractions from 0 to 1.
     """
 
     function: str
@@ -49,6 +50,6 @@
 def versioned_name(function: str, version: str) -> str:
     """Return the name of a version, `function@version`.
 
-    To workers and to the dispatcher's decisions a version is a function of its own.
+    Workers and the dispatcher's decisions treat each version as a function of its own.
     """
     return f"{function}@{version}" if version else function
--- a/lapistrestle/store/__init__.py
+++ b/lapistrestle/store/__init__.py
@@ -1,1 +1,1 @@
-"""Storage that survives a kill at any byte: a journal, and small files replaced atomically."""
+"""Crash-safe storage: a journal, and small files that are replaced atomically."""
--- a/lapistrestle/store/atomic_files.py
+++ b/lapistrestle/store/atomic_files.py
@@ -1,4 +1,4 @@
-"""Small JSON files that are complete at any moment: with this content, or the one before it."""
+"""Small JSON files replaced atomically: after a crash a file has its new or its previous content."""
 
 import os
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class StoredFileError(ValueError):
-    """A stored file does not hold what its reader expects.
+    """The content of a stored file is invalid.
 
     `path` names the file, `reason` says what was found and what was expected.
     """
@@ -22,9 +22,9 @@
 
 
 def read_atomic(path: Path, decoder: msgspec.json.Decoder[T]) -> T:
-    """Return the file's value.
+    """Return the file's decoded value.
 
-    Raises OSError where it can't be read, and StoredFileError where the decoder does not take it.
+    Raises OSError if it can't be read, and StoredFileError if it can't be decoded.
     """
     try:
         return decoder.decode(path.read_bytes())
@@ -33,10 +33,10 @@
 
 
 def write_atomic(path: Path, data: bytes) -> None:
-    """Replace the file's content, entirely or not at all. Raises OSError.
+    """Replace the file's content atomically. Raises OSError.
 
-    The data go to a file beside it, which is flushed to disk and renamed; then the folder is flushed, since
-    the rename itself is on disk only with it.
+    The data is written to a temporary file in the same directory, which is synced and renamed; then the
+    directory is synced, as only that makes the rename durable.
     """
     temporary = path.with_name(path.name + ".new")
     with temporary.open("wb") as file:
--- a/lapistrestle/store/journal.py
+++ b/lapistrestle/store/journal.py
@@ -1,8 +1,8 @@
-"""A journal of entries in sqlite3: appended completely and in order, or not at all, by one writer at a time.
+"""An append-only journal in sqlite3: entries are appended atomically and in order, by one writer at a time.
 
-Each opening for writing begins a new epoch. A writer of an older epoch, one that hung and comes back, is
-refused at its next entry, so it cannot undo what a newer one decided. `docs/rollout.md`, *State*, says why
-sqlite3.
+Each writer that opens the journal gets a new epoch. A writer of an older epoch that resumes after a stall is
+fenced: its next append fails, so that it cannot override decisions of the newer writer. `docs/rollout.md`,
+*State*, gives the reasons for sqlite3.
 """
 
 import sqlite3
@@ -19,7 +19,7 @@
 
 
 class StaleEpochError(Exception):
-    """A newer writer has opened the journal; this one must stop.
+    """A newer writer has opened the journal, so this one must stop.
 
     `path` names the journal, `epoch` is this writer's and `newest_epoch` the newer writer's.
     """
@@ -32,9 +32,9 @@
 
 
 class JournalError(Exception):
-    """The file is no journal, or its disk fails.
+    """The file is not a journal, or an I/O error occurred.
 
-    `path` names the file, `reason` is what sqlite3 said.
+    `path` names the file, `reason` is the message of sqlite3.
     """
 
     def __init__(self, path: Path, reason: str) -> None:
@@ -46,8 +46,8 @@
 class Journal:
     """A journal opened for writing, with an epoch of its own.
 
-    What `append` returned for is on disk (synchronous=full over a write-ahead log). Raises JournalError
-    where the file can't be opened.
+    Entries are durable once `append` returns (write-ahead log with synchronous=full). The constructor raises
+    JournalError if the file can't be opened.
     """
 
     def __init__(self, path: Path) -> None:
@@ -63,10 +63,9 @@
             raise JournalError(path, str(error)) from None
 
     def append(self, entries: Sequence[bytes]) -> int:
-        """Append all of these entries or none. Return the number of the last.
+        """Append all of these entries or none. Return the number of the last one.
 
-        Raises StaleEpochError where a newer writer has opened the journal, and JournalError where its disk
-        fails.
+        Raises StaleEpochError if a newer writer has opened the journal, and JournalError if writing fails.
         """
         database = self.database
         try:
@@ -82,7 +81,7 @@
         return last
 
     def is_newest(self) -> bool:
-        """Return whether no writer came after this one; a journal that can't be read says no."""
+        """Return whether this is the newest writer; False if the journal can't be read."""
         try:
             return self.newest_epoch() == self.epoch
         except sqlite3.Error:
@@ -94,16 +93,16 @@
         return int(newest)
 
     def entries(self, after: int = 0) -> Iterator[tuple[int, bytes]]:
-        """Yield number and entry of those with a number above `after`, in order. Raises sqlite3.Error."""
+        """Yield the number and bytes of each entry after the number `after`. Raises sqlite3.Error."""
         query = "select number, entry from entries where number > ? order by number"
         yield from self.database.execute(query, (after,))
 
     def close(self) -> None:
-        """Close the file; the journal can't be used after it."""
+        """Close the file; the journal can't be used afterwards."""
         self.database.close()
 
     def _insert(self, entries: Sequence[bytes]) -> int:
-        """Insert the entries within the transaction under way. Return the number of the last."""
+        """Insert the entries in the open transaction. Return the number of the last one."""
         newest_epoch = self.newest_epoch()
         if newest_epoch != self.epoch:
             raise StaleEpochError(self.path, self.epoch, newest_epoch)
--- a/lapistrestle/store/learned_state.py
+++ b/lapistrestle/store/learned_state.py
@@ -1,6 +1,6 @@
-"""What an edge has learned of its methods, in a file that outlives a restart and a move to other workers.
+"""Persistence of the figures that an edge has learned of its methods, over restarts and changes of workers.
 
-The stored names are mapped here: figures of earlier versions are read and written unchanged.
+Stored names are mapped by `name=`, so that files of earlier versions stay readable.
 """
 
 from pathlib import Path
@@ -11,18 +11,18 @@
 from lapistrestle.store.atomic_files import StoredFileError, read_atomic, write_atomic
 
 FORMAT_VERSION = 1
-"""Of the file; one of another version is not read."""
+"""Format version of the file; files of another version are rejected."""
 
 StoredFigure = Annotated[float, msgspec.Meta(ge=0, le=36_000_000)]
-"""A mean, up to an hour in ticks of 0.1 ms; 0: not known."""
+"""A mean, at most an hour in ticks of 0.1 ms; 0: unknown."""
 
 
 class LearnedMethod(msgspec.Struct, forbid_unknown_fields=True):
-    """What was learned of one method.
+    """The learned figures of one method.
 
-    The deadlines, in ticks, tell whether the method's name still means the same. `isolated_latency` is what
-    a usual request takes with nothing beside it, `usual_work` the mean of what clients say of their
-    requests' work, in their own unit.
+    The deadlines, in ticks, reveal whether the method was redefined under the same name. `isolated_latency`
+    is the latency in ticks of a typical request without concurrent ones, `usual_work` the mean of the work
+    that clients estimate, in their own unit.
     """
 
     soft_deadline: int
@@ -32,7 +32,7 @@
 
 
 class LearnedState(msgspec.Struct):
-    """The file's content: what was learned, by method."""
+    """The file's content: the learned figures by method."""
 
     format_version: int = msgspec.field(name="shape")
     methods: dict[str, LearnedMethod]
@@ -42,9 +42,9 @@
 
 
 def read_learned_state(path: Path) -> dict[str, LearnedMethod]:
-    """Return what was learned, by method.
+    """Return the learned figures by method.
 
-    Raises OSError where the file can't be read, and StoredFileError where it is of another format.
+    Raises OSError if the file can't be read, and StoredFileError if it is invalid or of another version.
     """
     state = read_atomic(path, _DECODER)
     if state.format_version != FORMAT_VERSION:
@@ -53,5 +53,5 @@
 
 
 def write_learned_state(path: Path, methods: dict[str, LearnedMethod]) -> None:
-    """Replace the file's content. Raises OSError; what was there before then still is."""
+    """Replace the file's content. Raises OSError and leaves the previous content if that fails."""
     write_atomic(path, msgspec.json.encode(LearnedState(FORMAT_VERSION, methods)))
--- a/lapistrestle/store/persisted_plan.py
+++ b/lapistrestle/store/persisted_plan.py
@@ -1,4 +1,4 @@
-"""The last plan that an edge received, in a file that is complete at any moment, or the one before it."""
+"""Persistence of the last plan that an edge received, in an atomically replaced file."""
 
 from pathlib import Path
 
@@ -9,10 +9,10 @@
 
 
 class PersistedPlan(msgspec.Struct):
-    """What an edge goes on from when it starts and no planner answers.
+    """The plan that an edge uses when it starts and no planner answers.
 
-    `epoch` and `number` are the plan's; `barred` names versions that were withdrawn, also those whose
-    rollout is over.
+    `epoch` and `number` are those of the plan; `barred` names all withdrawn versions, including those of
+    finished rollouts.
     """
 
     epoch: int
@@ -31,9 +31,9 @@
         self.path = path
 
     def read(self) -> PersistedPlan | None:
-        """Return the plan, None where there is no file.
+        """Return the plan, or None if there is no file.
 
-        Raises OSError where it can't be read, and StoredFileError where it holds no plan.
+        Raises OSError if it can't be read, and StoredFileError if it is invalid.
         """
         try:
             return read_atomic(self.path, _DECODER)
@@ -41,5 +41,5 @@
             return None
 
     def write(self, plan: PersistedPlan) -> None:
-        """Replace the plan. Raises OSError; what was there before then still is."""
+        """Replace the plan. Raises OSError and leaves the previous one if that fails."""
         write_atomic(self.path, msgspec.json.encode(plan))
