--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -1,4 +1,4 @@
-"""Copies that a rollout wants before its share grows: how many, where, and in what order. No I/O."""
+"""Replicas that a rollout needs before its weight grows: their number, placement and order of preloads."""
 
 from collections import Counter
 
@@ -30,8 +30,8 @@
 from lapistrestle.rollout_types import TrafficSplit
 
 
-class Orders:
-    """Takes so many orders."""
+class PreloadRecorder:
+    """Records preloads, and refuses those beyond `most`."""
 
     def __init__(self, most: int = 100) -> None:
         self.most = most
@@ -44,7 +44,7 @@
         return True
 
 
-def test_what_the_share_keeps_busy_and_its_square_root() -> None:
+def test_required_replicas_are_the_busy_ones_plus_their_square_root() -> None:
     assert required_replicas(concurrency=4.0, weight=0.25, lanes=1, edges=1) == 2
     assert required_replicas(concurrency=4.0, weight=1.0, lanes=1, edges=4) == 16 + 4
     assert required_replicas(concurrency=4.0, weight=1.0, lanes=4, edges=4) == 5
@@ -55,12 +55,12 @@
     )
 
 
-def test_a_heavy_function_counts_for_more_but_a_jam_does_not_count_for_all() -> None:
+def test_a_heavy_function_needs_more_replicas_up_to_a_bound() -> None:
     assert demand_factor(isolated_latency=150, usual_latency=100) == 1.5 and demand_factor(50, 100) == 1.0
     assert demand_factor(isolated_latency=25_000, usual_latency=980) == MAX_DEMAND_FACTOR
 
 
-def test_a_far_slower_candidate_holds_the_step_and_says_so() -> None:
+def test_a_far_slower_candidate_holds_the_step_with_a_reason() -> None:
     assert slowdown_reason(900, 400) == "an answer takes 2.2 times as long as the settled version's"
     assert (
         slowdown_reason(SLOWDOWN_LIMIT * 400 - 1, 400)
@@ -70,18 +70,18 @@
     )
 
 
-def test_room_is_a_part_of_memory_and_few() -> None:
+def test_the_replica_limit_is_a_fraction_of_memory_and_bounded() -> None:
     assert replica_limit(memory=8_000, replica_memory=1_000) == int(MEMORY_FRACTION * 8_000 / 1_000)
     assert (
         replica_limit(memory=80_000, replica_memory=500)
         == replica_limit(memory=0, replica_memory=500)
         == MAX_REPLICAS_PER_WORKER
-    )  # not told
-    assert replica_limit(memory=8_000, replica_memory=6_000) == 1  # above the part, but it fits
+    )  # without a known size
+    assert replica_limit(memory=8_000, replica_memory=6_000) == 1  # above the fraction, but it fits
     assert replica_limit(memory=8_000, replica_memory=9_000) == 0
 
 
-def test_a_want_follows_up_at_once_and_down_only_when_it_is_clearly_less() -> None:
+def test_the_target_rises_at_once_and_falls_with_hysteresis() -> None:
     target = ReplicaTarget()
     assert [target.update(n) for n in (3, 5, 4, 3, 5, 2, 3, 0)] == [3, 5, 5, 5, 5, 2, 3, 0]
 
@@ -90,57 +90,67 @@
     limits=st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=8),
     wanted=st.integers(0, 20),
 )
-def test_a_spread_keeps_to_rooms_and_says_what_is_short(limits: list[tuple[int, bool]], wanted: int) -> None:
+def test_placement_respects_limits_and_counts_unplaced_replicas(
+    limits: list[tuple[int, bool]], wanted: int
+) -> None:
     workers = [WorkerCapacity(0, size, warming_up=cold) for size, cold in limits]
     placement, unplaced = place_replicas(workers, wanted)
     assert all(0 < count <= worker.limit for worker, count in placement.items())
     assert sum(placement.values()) + unplaced == (max(wanted, MIN_WORKERS) if wanted else 0)
     warm = [s for s in workers if not s.warming_up and s.limit]
     if any(s.warming_up for s in placement):
-        assert all(s in placement for s in warm)  # cold workers only once no warm one is left
+        assert all(s in placement for s in warm)  # workers in slow start only once no warm one is left
 
 
-def test_even_one_copy_is_kept_on_two_workers() -> None:
+def test_a_version_is_always_placed_on_two_workers() -> None:
     workers = [WorkerCapacity(0, 4), WorkerCapacity(0, 4), WorkerCapacity(0, 4)]
     assert place_replicas(workers, 1)[0] == {workers[0]: 1, workers[1]: 1}
     assert place_replicas(workers, 6)[0] == {workers[0]: 3, workers[1]: 3}
 
 
-def test_it_is_whole_once_all_stand_and_orders_nothing_then() -> None:
-    orders = Orders()
+def test_a_complete_version_needs_no_preloads() -> None:
+    preloads = PreloadRecorder()
     status = maintain_replicas(
-        [WorkerCapacity(2, 4), WorkerCapacity(3, 4)], 4, loads_available=9, preload=orders
+        [WorkerCapacity(2, 4), WorkerCapacity(3, 4)], 4, loads_available=9, preload=preloads
     )
-    assert status.is_sufficient and (status.wanted, status.loaded) == (4, 4) and not orders.given
+    assert status.is_sufficient and (status.wanted, status.loaded) == (4, 4) and not preloads.given
 
 
-def test_what_is_missing_is_ordered_no_faster_than_loads_may_be_under_way() -> None:
-    workers, orders = [WorkerCapacity(0, 2) for _ in range(6)], Orders()
-    status = maintain_replicas(workers, 12, loads_available=3.5, preload=orders)
+def test_preloads_stay_within_the_available_loads() -> None:
+    workers, preloads = [WorkerCapacity(0, 2) for _ in range(6)], PreloadRecorder()
+    status = maintain_replicas(workers, 12, loads_available=3.5, preload=preloads)
     assert (
-        orders.given == [(workers[0], 2), (workers[1], 2)] and status.shortage is Shortage.LOADS_IN_PROGRESS
+        preloads.given == [(workers[0], 2), (workers[1], 2)] and status.shortage is Shortage.LOADS_IN_PROGRESS
     )
-    for worker, _ in orders.given:
+    for worker, _ in preloads.given:
         worker.preload_pending = True
-    maintain_replicas(workers, 12, loads_available=3.5, preload=orders)  # those four are still under way
-    assert len(orders.given) == 2
+    maintain_replicas(
+        workers, 12, loads_available=3.5, preload=preloads
+    )  # those four loads are still in progress
+    assert len(preloads.given) == 2
 
 
-def test_copies_not_confirmed_lately_are_asked_for_again_before_any_load() -> None:
+def test_unconfirmed_replicas_are_renewed_before_new_preloads() -> None:
     workers = [
         WorkerCapacity(0, 2),
         WorkerCapacity(2, 2, recently_confirmed=False),
         WorkerCapacity(2, 2, recently_confirmed=False, preload_pending=True),
     ]
-    orders = Orders()
-    maintain_replicas(workers, 6, loads_available=9, preload=orders)
-    assert orders.given == [(workers[1], 2), (workers[0], 2)]
+    preloads = PreloadRecorder()
+    maintain_replicas(workers, 6, loads_available=9, preload=preloads)
+    assert preloads.given == [(workers[1], 2), (workers[0], 2)]
 
 
-def test_a_part_of_the_spare_may_lack_but_never_the_second_worker() -> None:
-    assert maintain_replicas([WorkerCapacity(2, 4), WorkerCapacity(1, 4)], 4, 0, Orders()).is_sufficient
-    assert not maintain_replicas([WorkerCapacity(1, 4), WorkerCapacity(1, 4)], 4, 0, Orders()).is_sufficient
-    assert not maintain_replicas([WorkerCapacity(1, 4), WorkerCapacity(0, 4)], 1, 0, Orders()).is_sufficient
+def test_part_of_the_spare_may_be_missing_but_not_the_second_worker() -> None:
+    assert maintain_replicas(
+        [WorkerCapacity(2, 4), WorkerCapacity(1, 4)], 4, 0, PreloadRecorder()
+    ).is_sufficient
+    assert not maintain_replicas(
+        [WorkerCapacity(1, 4), WorkerCapacity(1, 4)], 4, 0, PreloadRecorder()
+    ).is_sufficient
+    assert not maintain_replicas(
+        [WorkerCapacity(1, 4), WorkerCapacity(0, 4)], 1, 0, PreloadRecorder()
+    ).is_sufficient
 
 
 @pytest.mark.parametrize(
@@ -152,14 +162,14 @@
         ([WorkerCapacity(0, 4), WorkerCapacity(0, 4)], 0, 9, Shortage.LOADS_IN_PROGRESS),
     ],
 )
-def test_it_says_what_is_lacking(
+def test_the_shortage_is_reported(
     workers: list[WorkerCapacity], loads: float, most: int, shortage: Shortage
 ) -> None:
-    status = maintain_replicas(workers, 4, loads, Orders(most))
+    status = maintain_replicas(workers, 4, loads, PreloadRecorder(most))
     assert status.shortage is shortage and not status.is_sufficient
 
 
-def test_the_phase_says_what_each_version_is_loaded_for() -> None:
+def test_the_phase_determines_the_target_weights() -> None:
     loading = TrafficSplit("f", "v1", "v2", 0.1, 0.1, next_weight=0.5)
     assert rollout_phase(loading) is RolloutPhase.LOADING
     assert TARGET_WEIGHTS[RolloutPhase.LOADING] == TargetWeights(None, 1.0)
@@ -169,15 +179,15 @@
     assert {weights.settled for weights in TARGET_WEIGHTS.values()} == {1.0}
 
 
-def test_edges_that_share_an_order_ask_for_the_same_copies() -> None:
-    """Each holds the whole fleet's need on the same workers: the largest wish counts, nothing adds up."""
+def test_edges_that_share_an_order_preload_the_same_replicas() -> None:
+    """Each edge preloads for the whole fleet on the same workers, so the largest one counts, not the sum."""
     asked: Counter[int] = Counter()
     for busy in (2.0, 2.5, 1.5):  # three edges with about a third of the traffic each
-        orders = Orders()
+        preloads = PreloadRecorder()
         maintain_replicas(
-            [WorkerCapacity(0, 3) for _ in range(8)], required_replicas(busy, 1.0, 1, 3), 99, orders
+            [WorkerCapacity(0, 3) for _ in range(8)], required_replicas(busy, 1.0, 1, 3), 99, preloads
         )
-        for place, (_, count) in enumerate(orders.given):
+        for place, (_, count) in enumerate(preloads.given):
             asked[place] = max(asked[place], count)
     assert required_replicas(2.0, 1.0, 1, 3) <= sum(asked.values()) <= required_replicas(2.5, 1.0, 1, 3) + 2
 
@@ -185,9 +195,9 @@
 # readiness, at the planner
 
 
-def test_all_connected_edges_must_have_said_so_lately() -> None:
+def test_readiness_needs_recent_reports_of_all_connected_edges() -> None:
     ready = Readiness()
-    assert not ready.is_ready("f", "v2", 0.1, [], 0)  # nobody serves
+    assert not ready.is_ready("f", "v2", 0.1, [], 0)  # without edges nothing is ready
     ready.on_report("f", "v2", "a", EdgeReport(0.5, "", 0))
     assert ready.is_ready("f", "v2", 0.5, ["a"], 100) and not ready.is_ready("f", "v2", 0.6, ["a"], 100)
     assert set(ready.shortages("f", "v2", 0.5, ["a", "b"], 100)) == {"b"}
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollout decisions: versions, evidence, the life of a rollout, leases. No I/O anywhere."""
+"""Rollout decisions, without I/O: choice of versions, evidence, the state machine, leases."""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -42,23 +42,23 @@
 KEYS = [f"k{n}" for n in range(4_000)]
 
 
-def taken(split: TrafficSplit, **more: Any) -> set[str]:
-    asked: dict[str, Any] = {"kind": "idempotent", "repeat": False, "tokens_span": False} | more
-    return {key for key in KEYS if choose_version(split, key, **asked) is VersionChoice.CANDIDATE}
+def candidate_keys(split: TrafficSplit, **more: Any) -> set[str]:
+    arguments: dict[str, Any] = {"kind": "idempotent", "repeat": False, "tokens_span": False} | more
+    return {key for key in KEYS if choose_version(split, key, **arguments) is VersionChoice.CANDIDATE}
 
 
-def test_a_growing_share_only_adds_keys_and_is_what_it_says() -> None:
-    shares = [taken(replace(SPLIT, weight=s, peak_weight=s)) for s in (0.0, 0.1, 0.3, 0.7, 1.0)]
-    assert all(a <= b for a, b in pairwise(shares))
-    assert [round(len(s) / len(KEYS), 1) for s in shares] == [0.0, 0.1, 0.3, 0.7, 1.0]
+def test_a_growing_weight_only_adds_keys_and_matches_their_fraction() -> None:
+    key_sets = [candidate_keys(replace(SPLIT, weight=s, peak_weight=s)) for s in (0.0, 0.1, 0.3, 0.7, 1.0)]
+    assert all(a <= b for a, b in pairwise(key_sets))
+    assert [round(len(s) / len(KEYS), 1) for s in key_sets] == [0.0, 0.1, 0.3, 0.7, 1.0]
 
 
-def test_another_candidate_begins_with_other_keys() -> None:
-    first, second = taken(SPLIT), taken(replace(SPLIT, candidate="v3"))
+def test_another_candidate_starts_with_other_keys() -> None:
+    first, second = candidate_keys(SPLIT), candidate_keys(replace(SPLIT, candidate="v3"))
     assert 0.2 < len(first & second) / len(first) < 0.4
 
 
-def test_a_further_try_has_the_key_of_the_first() -> None:
+def test_all_attempts_of_a_request_have_the_same_key() -> None:
     assert attempt_key("a", 7, "c1/1") == attempt_key("a", 7, "c9/5")
     assert attempt_key("", 7, "c1/1") == attempt_key("", 7, "c9/5") != attempt_key("7", None, "")
     assert attempt_key("", None, "c1/1") != attempt_key("", None, "c1/2")
@@ -72,18 +72,18 @@
         ("side-effecting", True, False, VersionChoice.SETTLED),
     ],
 )  # fmt: skip
-def test_what_may_have_run_on_a_withdrawn_version_is_not_new(
+def test_the_choice_for_requests_that_may_have_run_on_a_withdrawn_version(
     kind: str, repeat: bool, tokens_span: bool, expected: VersionChoice
 ) -> None:
     back = replace(SPLIT, weight=0.0, withdrawn=True)
-    met = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
+    below_peak = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
     others = [key for key in KEYS if hash_position("f", "v2", key) >= 0.3]
-    assert {choose_version(back, key, kind, repeat, tokens_span) for key in met} == {expected}
+    assert {choose_version(back, key, kind, repeat, tokens_span) for key in below_peak} == {expected}
     assert {choose_version(back, key, kind, repeat, tokens_span) for key in others} == {VersionChoice.SETTLED}
 
 
-def test_a_tokened_one_that_comes_back_meets_only_what_it_older_sent_versions() -> None:
-    """Also where the share has grown since, or the first try went to another edge."""
+def test_a_tokened_retry_goes_only_to_the_version_of_earlier_attempts() -> None:
+    """Also if the weight has grown since, or the first attempt was sent by another edge."""
     grown = replace(SPLIT, weight=0.3, peak_weight=0.6)
 
     def choices(earlier: EarlierVersion) -> list[VersionChoice]:
@@ -111,14 +111,14 @@
 
 @pytest.mark.parametrize("may_have_run", [False, True])
 @pytest.mark.parametrize("span", [False, True])
-def test_a_denial_moves_only_what_harms_nobody_elsewhere(may_have_run: bool, span: bool) -> None:
+def test_a_denied_request_moves_only_if_it_is_safe_on_another_version(may_have_run: bool, span: bool) -> None:
     expected = VersionChoice.ABORT if may_have_run and not span else VersionChoice.SETTLED
     assert choose_after_denial("tokened", may_have_run, span) is expected
     assert choose_after_denial("idempotent", may_have_run, span) is VersionChoice.SETTLED
     assert choose_after_denial("side-effecting", False, span) is VersionChoice.SETTLED
 
 
-def test_an_edge_without_a_lease_knows_no_peak() -> None:
+def test_an_edge_without_a_lease_assumes_the_greatest_peak_weight() -> None:
     routing = Routing()
     routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, peak_weight=0.01)])
     keys = [key for key in KEYS if hash_position("f", "v2", key) > 0.5][:50]
@@ -128,9 +128,9 @@
     assert first == again == {"f@v1"}
 
 
-def test_an_edge_knows_where_it_sent_what_comes_back() -> None:
+def test_an_edge_sends_a_retry_to_the_version_of_the_first_attempt() -> None:
     routing = Routing()
-    beats(routing.lease, 0, 40_001)
+    send_heartbeats(routing.lease, 0, 40_001)
     routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.1, peak_weight=0.3)])
     keys = [key for key in KEYS if hash_position("f", "v2", key) < 0.3]
     first = {key: routing.route("f", key, "tokened", False, 40_100).name for key in keys}
@@ -140,7 +140,7 @@
     assert {routing.route("f", key, "idempotent", True, 40_100).name for key in keys} == {"f@v2"}
 
 
-def test_what_an_edge_remembers_has_a_bound() -> None:
+def test_the_cache_of_sent_versions_is_bounded() -> None:
     routing = Routing()
     for number in range(3 * MAX_REMEMBERED):
         routing.remember_version("f", str(number), "v1")
@@ -149,28 +149,30 @@
     assert routing.earlier_version(SPLIT, "0") is EarlierVersion.UNKNOWN
 
 
-def test_what_was_withdrawn_stays_barred_until_a_plan_names_it_again() -> None:
-    """The planner forgets it, and the module's own holds would load it anew."""
+def test_a_withdrawn_version_stays_barred_until_a_plan_uses_it_again() -> None:
+    """The planner drops it from the plan, and preloads by the decision module would load it again."""
     routing = Routing()
     assert routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, withdrawn=True)]) == ["f@v2"]
     assert routing.apply_plan(1, 2, False, [TrafficSplit("f", "v1")]) == [] and routing.is_barred("f@v2", 0)
     routing.apply_plan(1, 3, False, [TrafficSplit("f", "v1", "v3", 0.1, 0.1)])
     assert routing.is_barred("f@v2", 0)
-    beats(routing.lease, 0, 40_001)
+    send_heartbeats(routing.lease, 0, 40_001)
     routing.apply_plan(1, 4, False, [replace(SPLIT, weight=0.1)])
     assert not routing.is_barred("f@v2", 40_001)
 
 
-def test_a_moved_one_goes_to_the_settled_version_and_comes_back_there() -> None:
+def test_a_rerouted_request_and_its_retries_go_to_the_settled_version() -> None:
     routing = Routing()
     routing.apply_plan(1, 1, True, [replace(SPLIT, weight=0.0, peak_weight=1.0, withdrawn=True)])
     assert routing.reroute("f@v2", "k1").name == "f@v1"
     assert routing.route("f", "k1", "tokened", True, 0).name == "f@v1"
     assert routing.route("f", "k2", "tokened", True, 0).name == ""
-    assert routing.reroute("h@v9", "k1").name == "h"  # never to the barred version itself
+    assert (
+        routing.reroute("h@v9", "k1").name == "h"
+    )  # without a split, the unversioned function and not the barred version
 
 
-def test_a_plan_kept_over_a_restart_gives_no_share_and_no_way_back() -> None:
+def test_a_restored_plan_gives_a_candidate_no_weight_and_ignores_older_planners() -> None:
     routing = Routing()
     routing.restore_plan(
         3, 7, [replace(SPLIT, weight=0.9, peak_weight=0.9), TrafficSplit("g", "v5")], ["h@v1"]
@@ -182,7 +184,7 @@
     assert routing.apply_plan(3, 7, True, [TrafficSplit("g", "v5")]) == []
 
 
-def test_an_edge_that_knows_no_plan_waits_for_its_first_and_not_for_ever() -> None:
+def test_an_edge_without_a_plan_waits_for_the_first_with_a_timeout() -> None:
     routing = Routing()
     assert routing.awaits_first_plan(FIRST_PLAN_TIMEOUT - 1) and not routing.awaits_first_plan(
         FIRST_PLAN_TIMEOUT
@@ -191,37 +193,37 @@
     assert not routing.awaits_first_plan(0)
 
 
-def test_what_is_settled_needs_no_lease() -> None:
+def test_a_promoted_candidate_needs_no_lease() -> None:
     routing = Routing()
     routing.apply_plan(1, 1, True, [TrafficSplit("f", "v1", "v2", 1.0, 1.0, promoted=True)])
     assert routing.route("f", "k1", "idempotent", False, 10**6).name == "f@v2"
     assert not routing.is_barred("f@v2", 10**6) and routing.recent_counts(10**6) == {}
 
 
-def test_without_a_candidate_all_go_to_the_settled_version() -> None:
+def test_without_a_candidate_all_requests_go_to_the_settled_version() -> None:
     assert choose_version(TrafficSplit("f", "v1"), "k", "tokened", True, False) is VersionChoice.SETTLED
 
 
 # evidence
 
 
-def test_a_report_that_comes_twice_late_or_out_of_order_adds_nothing() -> None:
+def test_repeated_late_or_reordered_reports_add_nothing() -> None:
     evidence = Evidence()
     assert evidence.add_report("e0", "s1", 5, OutcomeCounts(100, 1, 10, 0))
     assert not evidence.add_report("e0", "s1", 5, OutcomeCounts(100, 1, 10, 0))
     assert not evidence.add_report("e0", "s1", 5, OutcomeCounts(60, 1, 6, 0))
-    assert evidence.add_report("e0", "s2", 5, OutcomeCounts(5, 0, 1, 0))  # the edge started anew
+    assert evidence.add_report("e0", "s2", 5, OutcomeCounts(5, 0, 1, 0))  # the edge has restarted
     assert evidence.add_report("e1", "s1", 5, OutcomeCounts(7, 0, 2, 1))
     assert evidence.totals_by_minute() == {5: OutcomeCounts(112, 1, 13, 1)}
 
 
-def test_trouble_that_meets_both_alike_tells_nothing_of_harm() -> None:
+def test_a_fault_of_both_versions_is_no_evidence_of_harm() -> None:
     assert log_harm_ratio(OutcomeCounts(900, 900, 100, 100)) == 0.0
     assert log_harm_ratio(OutcomeCounts(900, 450, 100, 50)) < 0
     assert log_harm_ratio(OutcomeCounts(900, 9, 100, 30)) > 10
 
 
-def test_a_version_without_traffic_tells_nothing() -> None:
+def test_a_version_without_traffic_gives_no_evidence() -> None:
     assert (
         log_harm_ratio(OutcomeCounts(900, 9, 0, 0))
         == log_safety_ratio(OutcomeCounts(900, 9, 0, 0))
@@ -233,43 +235,43 @@
     assert not evidence.verdict().may_advance
 
 
-def findings(
+def simulate_evidence(
     rate: float,
     worse: float,
     seed: int,
     minutes: int = 60,
-    each: int = 600,
-    share: float = 0.1,
-    trouble: float = 0.0,
+    requests: int = 600,
+    weight: float = 0.1,
+    fault_rate: float = 0.0,
 ) -> tuple[str, int]:
-    """Minutes until it is turned back and until it may grow, None if neither."""
+    """Return "back", "grow" or "held" for a simulated candidate, and after how many minutes."""
     random, evidence = np.random.default_rng(seed), Evidence()
     for minute in range(minutes):
-        shaken = trouble if minute % 7 == 3 else 0.0
-        new = int(random.binomial(each, share))
-        bad = [min(1.0, r + shaken) for r in (rate, rate + worse)]
-        counts = int(random.binomial(each - new, bad[0])), int(random.binomial(new, bad[1]))
-        evidence.add_report("e", "s", minute, OutcomeCounts(each - new, counts[0], new, counts[1]))
+        fault = fault_rate if minute % 7 == 3 else 0.0
+        new = int(random.binomial(requests, weight))
+        bad = [min(1.0, r + fault) for r in (rate, rate + worse)]
+        counts = int(random.binomial(requests - new, bad[0])), int(random.binomial(new, bad[1]))
+        evidence.add_report("e", "s", minute, OutcomeCounts(requests - new, counts[0], new, counts[1]))
         found = evidence.verdict()
         if found.must_roll_back or found.may_advance:
             return "back" if found.must_roll_back else "grow", minute + 1
     return "held", minutes
 
 
-@pytest.mark.parametrize("trouble", [0.0, 0.3])
-def test_a_good_candidate_is_hardly_ever_turned_back(trouble: float) -> None:
-    ends = [findings(0.01, 0.0, seed, trouble=trouble)[0] for seed in range(100)]
+@pytest.mark.parametrize("fault_rate", [0.0, 0.3])
+def test_a_good_candidate_is_rarely_rolled_back(fault_rate: float) -> None:
+    ends = [simulate_evidence(0.01, 0.0, seed, fault_rate=fault_rate)[0] for seed in range(100)]
     assert ends.count("back") <= 3 and ends.count("grow") >= 90
 
 
 @pytest.mark.parametrize(("worse", "within"), [(0.1, 4), (0.3, 2)])
-def test_a_bad_candidate_is_turned_back_soon(worse: float, within: int) -> None:
-    ends = [findings(0.01, worse, seed) for seed in range(40)]
+def test_a_bad_candidate_is_rolled_back_soon(worse: float, within: int) -> None:
+    ends = [simulate_evidence(0.01, worse, seed) for seed in range(40)]
     assert all(end == "back" for end, _ in ends)
     assert sorted(minute for _, minute in ends)[len(ends) // 2] <= within
 
 
-# the life
+# the state machine
 
 
 def rollout() -> Rollout:
@@ -285,12 +287,12 @@
 
 
 def state_of(made: Rollout) -> RolloutState:
-    """The state now: a type checker takes the attribute for what it was found to be before."""
+    """Return the state; a function call, as type checkers narrow the attribute by earlier assertions."""
     return made.state
 
 
 def step(made: Rollout, at: int, replicas_ready: bool = True) -> None:
-    """A look that tells edges of the step, and one that makes it."""
+    """Evaluate twice: to announce the step, and to take it."""
     made.evaluate(at, replicas_ready)
     made.evaluate(at + S, replicas_ready)
 
@@ -299,7 +301,7 @@
     made.evidence.add_report("e", "s", len(made.history), OutcomeCounts(5_000, 10, 5_000, 10))
 
 
-def test_it_loads_first_and_grows_by_evidence_up_to_settled() -> None:
+def test_a_rollout_loads_first_and_grows_by_evidence_until_settled() -> None:
     made = rollout()
     assert made.handle(RolloutInput.START, 0) == CommandOutcome.DONE
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next_weight=0.01)
@@ -312,7 +314,7 @@
     for turn, expected in enumerate((0.1, 0.5, 0.9)):
         good(made)
         step(made, (10 + 5 * turn) * S, replicas_ready=False)
-        assert made.weight < expected  # evidence, but its copies do not stand
+        assert made.weight < expected  # evidence, but its replicas are not loaded
         step(made, (12 + 5 * turn) * S)
         assert made.weight == expected
     good(made)
@@ -323,7 +325,7 @@
     assert state_of(made) is RolloutState.SETTLED and made.split() == TrafficSplit("f", "v2")
 
 
-def test_harm_turns_it_back_even_while_held(growing: Rollout) -> None:
+def test_harm_rolls_back_even_a_held_rollout(growing: Rollout) -> None:
     assert growing.handle(RolloutInput.HOLD, 2 * S, "duty", "looking") == CommandOutcome.DONE
     growing.evidence.add_report("e", "s", 0, OutcomeCounts(1_000, 5, 100, 40))
     growing.evaluate(3 * S, replicas_ready=True)
@@ -335,13 +337,13 @@
     assert state_of(growing) is RolloutState.WITHDRAWN and growing.split() == TrafficSplit("f", "v1")
 
 
-def test_each_step_is_judged_by_itself(growing: Rollout) -> None:
+def test_each_step_starts_with_no_evidence(growing: Rollout) -> None:
     good(growing)
     step(growing, 2 * S)
     assert growing.weight == 0.1 and growing.evidence.verdict() == Verdict(0.0, 0.0, 0, 0)
 
 
-def test_commands_may_be_given_twice(growing: Rollout) -> None:
+def test_repeated_commands_have_nothing_to_do(growing: Rollout) -> None:
     assert (
         growing.handle(RolloutInput.HOLD, S + 1) == CommandOutcome.DONE
         and growing.handle(RolloutInput.HOLD, S + 2) == CommandOutcome.NOTHING_TO_DO
@@ -358,7 +360,7 @@
     assert [entry.input.value for entry in growing.history] == ["start", "warm", "hold", "back", "forgotten"]
 
 
-def test_one_held_before_its_copies_stood_loads_first() -> None:
+def test_a_rollout_held_before_its_replicas_are_loaded_returns_to_warming() -> None:
     made = rollout()
     made.handle(RolloutInput.START, 0)
     made.handle(RolloutInput.HOLD, 1)
@@ -366,7 +368,7 @@
     assert made.state is RolloutState.WARMING and made.weight == 0.0
 
 
-def test_edges_know_of_a_step_for_a_second_before_it_comes(growing: Rollout) -> None:
+def test_a_step_is_announced_one_second_in_advance(growing: Rollout) -> None:
     assert (
         growing.handle(RolloutInput.ADVANCE, 2 * S) == CommandOutcome.DONE
         and growing.weight == growing.split().peak_weight == 0.01
@@ -379,16 +381,14 @@
     assert growing.weight == growing.split().peak_weight == 0.1
 
 
-@pytest.mark.parametrize("given", [RolloutInput.HOLD, RolloutInput.ROLL_BACK])
-def test_an_advance_that_is_called_off_in_that_second_does_not_come(
-    growing: Rollout, given: RolloutInput
-) -> None:
+@pytest.mark.parametrize("rollout_input", [RolloutInput.HOLD, RolloutInput.ROLL_BACK])
+def test_an_announced_step_can_be_cancelled(growing: Rollout, rollout_input: RolloutInput) -> None:
     growing.handle(RolloutInput.ADVANCE, 2 * S)
     growing.evaluate(2 * S, replicas_ready=True)
-    growing.handle(given, 2 * S + 5)
+    growing.handle(rollout_input, 2 * S + 5)
     growing.evaluate(4 * S, replicas_ready=True)
     assert growing.step < 1 and growing.weight < 0.1
-    if given is RolloutInput.ROLL_BACK:
+    if rollout_input is RolloutInput.ROLL_BACK:
         assert growing.split().peak_weight == 0.01
 
 
@@ -400,7 +400,7 @@
     return made
 
 
-def test_what_has_settled_can_be_taken_back_with_all_its_keys(growing: Rollout) -> None:
+def test_a_settled_candidate_can_be_rolled_back_for_all_keys(growing: Rollout) -> None:
     made = settle(growing)
     assert made.handle(RolloutInput.ROLL_BACK, 6 * S) == CommandOutcome.DONE
     assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
@@ -408,7 +408,7 @@
     assert made.state is RolloutState.WITHDRAWN and made.split() == TrafficSplit("f", "v1")
 
 
-def test_also_when_the_version_before_it_is_no_longer_kept(growing: Rollout) -> None:
+def test_a_settled_candidate_can_be_rolled_back_after_the_retention(growing: Rollout) -> None:
     made = settle(growing)
     made.evaluate(4 * S + made.retention, replicas_ready=False)
     assert not made.previous_retained and made.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
@@ -424,8 +424,8 @@
 ]
 
 
-class Life(RuleBasedStateMachine):
-    """Any inputs in any order, beside a simple reference: what must always hold."""
+class RolloutMachine(RuleBasedStateMachine):
+    """Invariants of a rollout under any sequence of inputs."""
 
     @initialize()
     def begin(self) -> None:
@@ -433,48 +433,50 @@
         self.now = 0
         self.last = 0.0
         self.over = False
-        self.peaks = [(-(10**9), 0.0)]  # when which peak was told
+        self.peaks = [(-(10**9), 0.0)]  # time and value of each announced peak weight
 
-    @rule(given=st.sampled_from(COMMANDS), wait=st.integers(0, 60_000))
-    def tell(self, given: RolloutInput, wait: int) -> None:
+    @rule(rollout_input=st.sampled_from(COMMANDS), wait=st.integers(0, 60_000))
+    def send_input(self, rollout_input: RolloutInput, wait: int) -> None:
         self.now += wait
         before = (self.made.state, self.made.step)
-        said = self.made.handle(given, self.now)
-        if said != CommandOutcome.DONE:
+        outcome = self.made.handle(rollout_input, self.now)
+        if outcome != CommandOutcome.DONE:
             assert (self.made.state, self.made.step) == before
 
     @rule(tally=st.tuples(*[st.integers(0, 300)] * 4), warm=st.booleans())
-    def look(self, tally: tuple[int, int, int, int], warm: bool) -> None:
+    def tick(self, tally: tuple[int, int, int, int], warm: bool) -> None:
         settled, settled_bad, candidate, candidate_bad = tally
         counts = OutcomeCounts(settled + settled_bad, settled_bad, candidate + candidate_bad, candidate_bad)
         self.made.evidence.add_report("e", "s", self.now, counts)
         self.made.evaluate(self.now, warm)
 
     @invariant()
-    def holds(self) -> None:
+    def verify_invariants(self) -> None:
         made, split = self.made, self.made.split()
         gone = made.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
-        assert not (self.over and not gone)  # what is withdrawn never comes back
+        assert not (self.over and not gone)  # a withdrawn candidate never returns
         self.over = gone
         assert split.weight == 0.0 or not gone
         assert 0.0 <= made.weight <= made.peak_weight <= 1.0 or made.state is RolloutState.SETTLED
         if not gone:
-            assert made.weight >= self.last  # a share grows or is taken back, nothing between
+            assert made.weight >= self.last  # the weight grows until it is rolled back
             self.last = made.weight
         if split.candidate and not gone:
-            known = next(peak for at, peak in reversed(self.peaks) if at <= self.now - 10_000)
-            assert split.weight <= known  # also by the plan of a second ago
+            announced = next(peak for at, peak in reversed(self.peaks) if at <= self.now - 10_000)
+            assert split.weight <= announced  # also under the plan of one second ago
             self.peaks.append((self.now, split.peak_weight))
         assert made.weight in (0.0, 0.01, 0.1, 0.5, 0.9, 1.0)
 
 
-Life.TestCase.settings = settings(max_examples=80, stateful_step_count=25, deadline=None, derandomize=True)
-TestLife = Life.TestCase
+RolloutMachine.TestCase.settings = settings(
+    max_examples=80, stateful_step_count=25, deadline=None, derandomize=True
+)
+TestRolloutMachine = RolloutMachine.TestCase
 
 
-def test_every_state_but_the_last_ones_can_be_taken_back() -> None:
+def test_every_state_but_the_withdrawn_ones_can_be_rolled_back() -> None:
     ends = {RolloutState.WITHDRAWING, RolloutState.WITHDRAWN}
-    assert {state for state, given in TRANSITIONS if given is RolloutInput.ROLL_BACK} == set(
+    assert {state for state, rollout_input in TRANSITIONS if rollout_input is RolloutInput.ROLL_BACK} == set(
         RolloutState
     ) - ends
 
@@ -482,45 +484,45 @@
 # leases
 
 
-def beats(lease: Lease, begin: int, end: int, every: int = 2_000, way: int = 100) -> None:
-    for now in range(begin, end, every):
-        lease.on_heartbeat(now - way, now)
+def send_heartbeats(lease: Lease, begin: int, end: int, interval: int = 2_000, delay: int = 100) -> None:
+    for now in range(begin, end, interval):
+        lease.on_heartbeat(now - delay, now)
 
 
-def test_a_share_is_used_only_after_steady_beats() -> None:
+def test_a_weight_is_used_only_after_uninterrupted_heartbeats() -> None:
     lease = Lease()
-    beats(lease, 0, RECOVERY_PERIOD)
+    send_heartbeats(lease, 0, RECOVERY_PERIOD)
     assert not lease.is_usable(RECOVERY_PERIOD - 1)
-    beats(lease, RECOVERY_PERIOD, RECOVERY_PERIOD + 4_001)
+    send_heartbeats(lease, RECOVERY_PERIOD, RECOVERY_PERIOD + 4_001)
     assert lease.is_usable(RECOVERY_PERIOD + 4_100)
 
 
-def test_an_edge_without_word_stops_within_the_second_whatever_lies_in_its_socket() -> None:
+def test_a_lease_expires_within_a_second_also_with_delayed_heartbeats() -> None:
     lease = Lease()
-    beats(lease, 0, 40_001)
+    send_heartbeats(lease, 0, 40_001)
     assert lease.is_usable(40_001)
     assert not lease.is_usable(39_900 + LEASE_DURATION) and LEASE_DURATION + 100 < 10_000
-    lease.on_heartbeat(39_950, 70_000)  # a beat that was held up on its way
+    lease.on_heartbeat(39_950, 70_000)  # a heartbeat delayed in transit
     assert not lease.is_usable(70_000)
 
 
-def test_one_that_stood_still_and_wakes_with_an_old_plan_sends_nothing_by_it() -> None:
+def test_a_stalled_edge_has_no_lease_when_it_resumes() -> None:
     lease = Lease()
-    beats(lease, 0, 40_001)
+    send_heartbeats(lease, 0, 40_001)
     assert not lease.is_usable(60_000)
     lease.on_heartbeat(60_000, 60_050)
     assert not lease.is_usable(60_050)
 
 
-def test_a_flapping_link_moves_the_traffic_once_and_not_with_every_gap() -> None:
-    lease, modes = Lease(), []
-    beats(lease, 0, 40_001)
+def test_a_flapping_link_does_not_restore_the_lease() -> None:
+    lease, usable = Lease(), []
+    send_heartbeats(lease, 0, 40_001)
     for gap in range(5):
         begin = 60_000 + gap * 20_000
-        beats(lease, begin, begin + 10_000)
-        modes.append(lease.is_usable(begin + 9_000))
-    assert modes == [False] * 5
+        send_heartbeats(lease, begin, begin + 10_000)
+        usable.append(lease.is_usable(begin + 9_000))
+    assert usable == [False] * 5
 
 
-def test_the_table_of_leases_is_whole() -> None:
-    assert set(LEASE_TRANSITIONS) == {(mode, news) for mode in LeaseState for news in LeaseEvent}
+def test_the_transition_table_of_leases_is_complete() -> None:
+    assert set(LEASE_TRANSITIONS) == {(state, event) for state in LeaseState for event in LeaseEvent}
