--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's state and the journal beneath it: restarts, kills, and writers that come back."""
+"""The planner's state and its journal: replay after restarts, crashes, and fencing of old writers."""
 
 import os
 import random
@@ -42,22 +42,22 @@
     )
 
 
-class Numbered(PlannerState):
-    """Numbers entries by itself."""
+class NumberingState(PlannerState):
+    """A state that numbers the entries itself."""
 
     def add(self, entry: JournalEntry) -> Any:
         return self.apply(self.number + 1, entry)
 
 
 @pytest.fixture
-def kept() -> Numbered:
-    return Numbered()
+def state() -> NumberingState:
+    return NumberingState()
 
 
-def stepped(kept: Numbered, at: int, functions_ready: tuple[str, ...] = ("f",)) -> None:
-    """Two ticks: edges are told of a step a second before it comes."""
-    kept.add(TickEntry(at=at, functions_ready=functions_ready))
-    kept.add(TickEntry(at=at + 10_000, functions_ready=functions_ready))
+def take_step(state: NumberingState, at: int, functions_ready: tuple[str, ...] = ("f",)) -> None:
+    """Two ticks: the first announces a step, and the second, one second later, takes it."""
+    state.add(TickEntry(at=at, functions_ready=functions_ready))
+    state.add(TickEntry(at=at + 10_000, functions_ready=functions_ready))
 
 
 def good(step: int, minute: int = 0) -> OutcomeEntry:
@@ -73,91 +73,95 @@
     )
 
 
-def test_a_command_that_comes_twice_is_answered_as_the_first_time(kept: Numbered) -> None:
-    first = kept.add(command("1"))
+def test_a_repeated_command_gets_the_first_result(state: NumberingState) -> None:
+    first = state.add(command("1"))
     assert first.outcome == CommandOutcome.DONE and first.state == "warming"
-    kept.add(TickEntry(at=5, functions_ready=("f",)))
-    assert kept.add(command("1")) == first
+    state.add(TickEntry(at=5, functions_ready=("f",)))
+    assert state.add(command("1")) == first
 
 
-def test_two_rollouts_of_one_function(kept: Numbered) -> None:
-    kept.add(command("1"))
-    assert kept.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO
-    refused = kept.add(command("3", candidate="v3"))
+def test_a_function_has_one_rollout_at_a_time(state: NumberingState) -> None:
+    state.add(command("1"))
+    assert state.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO
+    refused = state.add(command("3", candidate="v3"))
     assert refused.outcome == CommandOutcome.REFUSED and "v2" in refused.message
-    assert kept.add(command("4", function="g", candidate="v3")).outcome == CommandOutcome.DONE
+    assert state.add(command("4", function="g", candidate="v3")).outcome == CommandOutcome.DONE
 
 
-def test_a_chain_of_rollouts_and_a_function_that_appears_for_the_first_time(kept: Numbered) -> None:
-    kept.add(command("1", steps=(1.0,)))
-    stepped(kept, 10_000)
-    kept.add(good(0))
-    stepped(kept, 30_000)
-    assert kept.rollouts["f"].state is RolloutState.SETTLED and kept.settled_versions == {"f": "v2"}
-    assert kept.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO  # it is what runs
+def test_successive_rollouts_of_a_new_function(state: NumberingState) -> None:
+    state.add(command("1", steps=(1.0,)))
+    take_step(state, 10_000)
+    state.add(good(0))
+    take_step(state, 30_000)
+    assert state.rollouts["f"].state is RolloutState.SETTLED and state.settled_versions == {"f": "v2"}
+    assert state.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO  # it is the settled version
     assert (
-        kept.add(command("3a", candidate="v3", at=40_001)).outcome == CommandOutcome.REFUSED
-    )  # clients may come back
-    kept.add(TickEntry(at=10**6))
-    assert kept.add(command("3", candidate="v3", at=10**6)).message == "v2 to v3"
-    assert kept.splits_changed_after()["f"].settled == "v2" and len(kept.past_rollouts) == 1
-    kept.add(command("4", "back", candidate="v3", at=10**6))
-    assert kept.splits_changed_after()["f"].withdrawn
-    assert kept.add(command("5", candidate="v4")).outcome == CommandOutcome.REFUSED  # until v3 is forgotten
-    kept.add(TickEntry(at=10**9))
-    assert kept.add(command("6", candidate="v4")).outcome == CommandOutcome.DONE
-
-
-def test_what_has_settled_is_taken_back_to_the_version_before_it(kept: Numbered) -> None:
-    kept.add(command("1", steps=(1.0,)))
-    stepped(kept, 10_000)
-    kept.add(command("2", "advance", at=20_000))
-    stepped(kept, 30_000)
-    kept.add(TickEntry(at=10**7))
-    assert kept.splits_changed_after() == {"f": TrafficSplit("f", "v2")} and not kept.active_rollouts()
-    assert kept.add(command("3", "back", at=10**7)).message == "v2 is withdrawing at 0%"
-    assert kept.splits_changed_after()["f"] == TrafficSplit("f", "", "v2", 0.0, 1.0, withdrawn=True)
-    kept.add(TickEntry(at=2 * 10**7))
-    assert kept.settled_versions["f"] == "" and kept.splits_changed_after()["f"] == TrafficSplit("f", "")
-    assert kept.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"  # and may come again
-
-
-def test_a_command_for_another_candidate_does_nothing(kept: Numbered) -> None:
-    kept.add(command("1"))
-    assert kept.add(command("2", "back", candidate="v9")).outcome == CommandOutcome.REFUSED
-    assert kept.add(command("3", "back", function="nobody")).outcome == CommandOutcome.REFUSED
-    assert kept.rollouts["f"].state is RolloutState.WARMING
+        state.add(command("3a", candidate="v3", at=40_001)).outcome == CommandOutcome.REFUSED
+    )  # clients may still retry requests on v1
+    state.add(TickEntry(at=10**6))
+    assert state.add(command("3", candidate="v3", at=10**6)).message == "v2 to v3"
+    assert state.splits_changed_after()["f"].settled == "v2" and len(state.past_rollouts) == 1
+    state.add(command("4", "back", candidate="v3", at=10**6))
+    assert state.splits_changed_after()["f"].withdrawn
+    assert (
+        state.add(command("5", candidate="v4")).outcome == CommandOutcome.REFUSED
+    )  # until the retention of v3 ends
+    state.add(TickEntry(at=10**9))
+    assert state.add(command("6", candidate="v4")).outcome == CommandOutcome.DONE
+
+
+def test_a_settled_candidate_is_rolled_back_to_the_previous_version(state: NumberingState) -> None:
+    state.add(command("1", steps=(1.0,)))
+    take_step(state, 10_000)
+    state.add(command("2", "advance", at=20_000))
+    take_step(state, 30_000)
+    state.add(TickEntry(at=10**7))
+    assert state.splits_changed_after() == {"f": TrafficSplit("f", "v2")} and not state.active_rollouts()
+    assert state.add(command("3", "back", at=10**7)).message == "v2 is withdrawing at 0%"
+    assert state.splits_changed_after()["f"] == TrafficSplit("f", "", "v2", 0.0, 1.0, withdrawn=True)
+    state.add(TickEntry(at=2 * 10**7))
+    assert state.settled_versions["f"] == "" and state.splits_changed_after()["f"] == TrafficSplit("f", "")
+    assert (
+        state.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"
+    )  # it may be rolled out again
+
+
+def test_a_command_for_another_candidate_does_nothing(state: NumberingState) -> None:
+    state.add(command("1"))
+    assert state.add(command("2", "back", candidate="v9")).outcome == CommandOutcome.REFUSED
+    assert state.add(command("3", "back", function="nobody")).outcome == CommandOutcome.REFUSED
+    assert state.rollouts["f"].state is RolloutState.WARMING
 
 
 @pytest.mark.parametrize("steps", [(), (0.5,), (0.5, 0.1, 1.0), (0.0, 1.0), (0.2, 2.0)])
-def test_steps_must_rise_to_one(kept: Numbered, steps: tuple[float, ...]) -> None:
-    assert kept.add(command("1", steps=steps)).outcome == CommandOutcome.REFUSED and not kept.rollouts
-
-
-def test_evidence_of_another_step_is_none(kept: Numbered) -> None:
-    kept.add(command("1"))
-    stepped(kept, 10_000)
-    kept.add(good(0))
-    stepped(kept, 30_000)
-    assert kept.rollouts["f"].step == 1
-    kept.add(good(0))
-    kept.add(good(5))
-    assert kept.rollouts["f"].evidence.totals_by_minute() == {}
-
-
-def test_edges_are_told_what_changed_since_the_number_they_know(kept: Numbered) -> None:
-    kept.add(command("1"))
-    kept.add(command("2", function="g"))
-    known = kept.number
-    stepped(kept, 10_000, ("g",))
+def test_steps_must_rise_to_one(state: NumberingState, steps: tuple[float, ...]) -> None:
+    assert state.add(command("1", steps=steps)).outcome == CommandOutcome.REFUSED and not state.rollouts
+
+
+def test_evidence_of_another_step_is_ignored(state: NumberingState) -> None:
+    state.add(command("1"))
+    take_step(state, 10_000)
+    state.add(good(0))
+    take_step(state, 30_000)
+    assert state.rollouts["f"].step == 1
+    state.add(good(0))
+    state.add(good(5))
+    assert state.rollouts["f"].evidence.totals_by_minute() == {}
+
+
+def test_edges_are_sent_the_changes_since_their_plan(state: NumberingState) -> None:
+    state.add(command("1"))
+    state.add(command("2", function="g"))
+    known = state.number
+    take_step(state, 10_000, ("g",))
     assert (
-        set(kept.splits_changed_after(known)) == {"g"}
-        and set(kept.splits_changed_after()) == {"f", "g"}
-        and not kept.splits_changed_after(kept.number)
+        set(state.splits_changed_after(known)) == {"g"}
+        and set(state.splits_changed_after()) == {"f", "g"}
+        and not state.splits_changed_after(state.number)
     )
 
 
-def test_the_same_entries_give_the_same_state(kept: Numbered, tmp_path: Path) -> None:
+def test_the_same_entries_give_the_same_state(state: NumberingState, tmp_path: Path) -> None:
     journal = Journal(tmp_path / "j")
     entries: list[JournalEntry] = [
         command("1"),
@@ -167,27 +171,27 @@
         command("2", "back", reason="wrong prices", at=30_000),
     ]
     for entry in entries:
-        kept.apply(journal.append([encode_entry(entry)]), entry)
+        state.apply(journal.append([encode_entry(entry)]), entry)
     journal.close()
     again = PlannerState()
     for number, line in Journal(tmp_path / "j").entries():
         again.apply(number, decode_entry(line))
     assert (
-        again.rollouts == kept.rollouts
-        and again.splits_changed_after() == kept.splits_changed_after()
-        and again.results == kept.results
+        again.rollouts == state.rollouts
+        and again.splits_changed_after() == state.splits_changed_after()
+        and again.results == state.results
     )
     assert again.rollouts["f"].history[-1] == HistoryEntry(
         30_000, "duty", "wrong prices", RolloutInput.ROLL_BACK, RolloutState.WITHDRAWING
     )
 
 
-def test_an_entry_that_does_not_follow_is_refused(kept: Numbered) -> None:
+def test_an_entry_out_of_order_is_rejected(state: NumberingState) -> None:
     with pytest.raises(ValueError, match="does not follow"):
-        kept.apply(2, command("1"))
+        state.apply(2, command("1"))
 
 
-def test_an_older_writer_that_comes_back_is_refused(tmp_path: Path) -> None:
+def test_a_writer_of_an_older_epoch_is_fenced(tmp_path: Path) -> None:
     older = Journal(tmp_path / "j")
     older.append([b"1"])
     newer = Journal(tmp_path / "j")
@@ -199,7 +203,7 @@
     assert [number for number, _ in newer.entries(after=2)] == [3, 4]
 
 
-def test_what_is_no_journal_is_said_to_be_none(tmp_path: Path) -> None:
+def test_a_file_that_is_no_journal_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "j").write_bytes(b"not a database at all, but long enough to be taken for one" * 40)
     with pytest.raises(JournalError, match=r"j: "):
         Journal(tmp_path / "j")
@@ -228,14 +232,14 @@
 """
 
 
-def test_what_was_acknowledged_survives_a_kill_at_any_moment(tmp_path: Path) -> None:
-    """Groups of three are written; each kill must leave all that was acknowledged, and no group in part."""
+def test_acknowledged_entries_survive_a_kill(tmp_path: Path) -> None:
+    """Writes groups of three entries; a kill must lose no acknowledged entry and leave no partial group."""
     path, chance, acknowledged = tmp_path / "j", random.Random(1), 0
     for _ in range(12):
         child = subprocess.Popen([sys.executable, "-c", WRITER, str(path)], stdout=subprocess.PIPE, text=True)
         assert child.stdout
         acknowledged = int(child.stdout.readline())
-        time.sleep(chance.uniform(0, 0.03))  # where in its writing it is met, not a proof of anything
+        time.sleep(chance.uniform(0, 0.03))  # varies the point of the kill; no test condition
         os.kill(child.pid, signal.SIGKILL)
         for line in child.stdout.read().split("\n"):
             acknowledged = int(line) if line.endswith(tuple("0123456789")) else acknowledged
@@ -247,16 +251,16 @@
         assert len(found) >= acknowledged and len(found) % 3 == 0
 
 
-# the plan that an edge keeps
+# the plan persisted by an edge
 
-KEPT = PersistedPlan(3, 7, [SplitMessage("f", "v1", "v2", 0.5, 0.5)], ["g@v9"])
+PLAN = PersistedPlan(3, 7, [SplitMessage("f", "v1", "v2", 0.5, 0.5)], ["g@v9"])
 
 
-def test_a_kept_plan_is_whole_or_the_one_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_persisted_plan_is_replaced_atomically(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     file = PersistedPlanFile(tmp_path / "plan")
     assert file.read() is None
-    file.write(KEPT)
-    assert file.read() == KEPT
+    file.write(PLAN)
+    assert file.read() == PLAN
 
     def full(*asked: object) -> None:
         raise OSError(28, "No space left on device")
@@ -264,11 +268,11 @@
     monkeypatch.setattr("os.fsync", full)
     with pytest.raises(OSError, match="No space"):
         file.write(PersistedPlan(4, 1, []))
-    assert file.read() == KEPT
+    assert file.read() == PLAN
 
 
 @pytest.mark.parametrize("bytes_", [b"", b"{", b'{"epoch":"x"}', b"\xff\xfe"])
-def test_a_kept_plan_that_can_not_be_read_is_named(tmp_path: Path, bytes_: bytes) -> None:
+def test_an_unreadable_persisted_plan_is_reported_with_its_path(tmp_path: Path, bytes_: bytes) -> None:
     (tmp_path / "plan").write_bytes(bytes_)
     with pytest.raises(ValueError, match="plan"):
         PersistedPlanFile(tmp_path / "plan").read()
