--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it."""
+"""The command line: exit codes, output and error messages."""
 
 import json
 import socket
@@ -22,7 +22,7 @@
     return lambda *args: CliRunner().invoke(main, [str(a) for a in args])
 
 
-def test_a_bad_day_is_played_and_judged_in_one_command(run: Run, tmp_path: Path) -> None:
+def test_one_command_runs_and_checks_a_day(run: Run, tmp_path: Path) -> None:
     tape = tmp_path / "bad.tape"
     result = run("day", "run", EXAMPLES / "days" / "bad-day.json5", "--virtual", "--tape", tape)
     assert result.exit_code == 0, result.output
@@ -33,7 +33,7 @@
     assert 0.5 < told["service"]["total"] <= 1
 
 
-def test_a_broken_rule_is_shown_with_its_lines(run: Run, tmp_path: Path) -> None:
+def test_a_violated_rule_is_shown_with_its_lines(run: Run, tmp_path: Path) -> None:
     tape = tmp_path / "bad.tape"
     run("day", "run", EXAMPLES / "days" / "bad-day.json5", "--virtual", "--no-check", "--tape", tape)
     lines = tape.read_text().splitlines(keepends=True)
@@ -57,20 +57,20 @@
 @pytest.mark.parametrize(
     "args", [("day", "run", "none.json5"), ("edge", "none.json5"), ("roster", "none.json5")]
 )
-def test_a_missing_file_ends_in_one_plain_message(run: Run, args: tuple[str, ...]) -> None:
+def test_a_missing_file_gives_an_error_message_without_traceback(run: Run, args: tuple[str, ...]) -> None:
     result = run(*args)
     assert result.exit_code == 1 and "can't be read" in result.output and "Traceback" not in result.output
 
 
 def test_the_programs_run_on_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A machine's clock that is set back must not hold timers."""
+    """Timers would be delayed if they used the wall clock and that were set back."""
     reactor = reactor_of_now()
     before = reactor.seconds()
     monkeypatch.setattr(time, "time", lambda: 0.0)
     assert reactor.seconds is time.monotonic and reactor.seconds() >= before
 
 
-def test_a_port_that_is_taken_ends_in_one_plain_message(run: Run, tmp_path: Path) -> None:
+def test_a_port_in_use_gives_an_error_message(run: Run, tmp_path: Path) -> None:
     path, taken = tmp_path / "d.json5", socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     taken.bind(("127.0.0.1", 0))
     text = (EXAMPLES / "thumbs.json5").read_text()
@@ -80,7 +80,7 @@
     assert result.exit_code == 1 and "can't listen for peers" in result.output
 
 
-def test_an_edge_without_a_roster_says_so(run: Run, tmp_path: Path) -> None:
+def test_an_edge_without_a_roster_gives_an_error_message(run: Run, tmp_path: Path) -> None:
     path = tmp_path / "d.json5"
     path.write_text('{methods: {m: {effect: "idempotent", deadline: "3 s"}}}')
     result = run("edge", path)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""The platform's codecs: any split of the bytes gives the same events, bounds hold, no input raises."""
+"""The platform's codecs: results do not depend on how bytes are split, limits hold, no input raises."""
 
 from typing import Any
 
@@ -34,10 +34,10 @@
     return found
 
 
-ASKED = st.lists(st.tuples(FIELDS, st.binary(max_size=2000)), max_size=4)
+REQUESTS = st.lists(st.tuples(FIELDS, st.binary(max_size=2000)), max_size=4)
 
 
-@given(ASKED, st.lists(st.integers(0, 10**6), max_size=20))
+@given(REQUESTS, st.lists(st.integers(0, 10**6), max_size=20))
 def test_any_split_gives_the_same_requests(
     asked: list[tuple[dict[bytes, bytes], bytes]], cuts: list[int]
 ) -> None:
@@ -52,7 +52,9 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 11), st.integers(0, 3), st.binary(max_size=40)), max_size=30))
-def test_records_in_any_order_never_raise_nor_open_a_number_twice(said: list[tuple[int, int, bytes]]) -> None:
+def test_records_in_any_order_never_raise_or_reuse_an_open_request_number(
+    said: list[tuple[int, int, bytes]],
+) -> None:
     reader = fastcgi.RecordReader()
     for kind, number, content in said:
         for event in reader.feed(fastcgi.encode_record(kind, number, content)):
@@ -60,7 +62,7 @@
                 assert event.number in reader.open_requests and event.number not in reader.partial
 
 
-def test_bounds_hold_before_anything_is_kept() -> None:
+def test_limits_apply_before_data_is_buffered() -> None:
     reader = fastcgi.RecordReader()
     reader.feed(begin(1))
     for _ in range(40):
@@ -71,11 +73,11 @@
     assert isinstance(over, fastcgi.MalformedRequest) and over.status == 413
 
 
-UNFIT = [b"\x05\x05abc", b"\xff\xff\xff\xff\x00", b"\x80", b"\x01\x01ab\x01\x01ac"]
+INVALID_FIELDS = [b"\x05\x05abc", b"\xff\xff\xff\xff\x00", b"\x80", b"\x01\x01ab\x01\x01ac"]
 
 
-@pytest.mark.parametrize("params", UNFIT)
-def test_fields_whose_lengths_do_not_fit_are_refused(params: bytes) -> None:
+@pytest.mark.parametrize("params", INVALID_FIELDS)
+def test_fields_with_invalid_lengths_are_rejected(params: bytes) -> None:
     data = (
         begin(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, params) + fastcgi.encode_record(fastcgi.PARAMS, 1)
     )
@@ -92,7 +94,7 @@
     assert isinstance(odd, fastcgi.ImmediateReply) and odd.data[1] == fastcgi.UNKNOWN
 
 
-def test_an_answer_of_any_size_is_records_that_fit() -> None:
+def test_an_answer_is_split_into_records_of_valid_size() -> None:
     said = fastcgi.encode_response(7, b"Status: 200 OK\r\n\r\n", b"x" * 200_000)
     at, body = 0, b""
     while at < len(said):
@@ -117,7 +119,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_on_the_board_raise_anything_but_unreadable(data: bytes) -> None:
+def test_arbitrary_bytes_of_the_endpoint_list_raise_only_frame_errors(data: bytes) -> None:
     decoder = FrameDecoder()
     try:
         decoder.feed(data)
@@ -127,7 +129,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "path"),
     [
         ({"listen": "nowhere"}, "$.listen"),
         ({"settings": {}}, "profiles"),
@@ -136,16 +138,16 @@
         ({"known": {"notices": [{"rev": 1, "pool": {"full": True, "servers": [{"id": "x"}]}}]}}, "servers"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_says_what_is_wrong(change: dict[str, Any], says: str) -> None:
+def test_an_invalid_configuration_is_rejected_with_the_path(change: dict[str, Any], path: str) -> None:
     settings = {"profiles": [{"name": "a", "deadline": 1}]}
     good = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
     assert parse_configuration(msgspec.json.encode(good), "f.json").file.name == "n"
-    with pytest.raises(ConfigurationError, match=r"f\.json") as trouble:
+    with pytest.raises(ConfigurationError, match=r"f\.json") as error:
         parse_configuration(msgspec.json.encode(good | change), "f.json")
-    assert says in str(trouble.value)
+    assert path in str(error.value)
 
 
-def test_a_file_that_is_not_there_is_named() -> None:
+def test_a_missing_configuration_file_is_named() -> None:
     with pytest.raises(ConfigurationError, match=r"/nowhere/config\.json"):
         read_configuration("/nowhere/config.json")
     with pytest.raises(ConfigurationError, match="EDGE_CONFIG"):
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,4 +1,4 @@
-"""Files that commit d027b98 wrote read with the same values; a newer file is read, or refused as a whole."""
+"""Files written by commit d027b98 are read with the same values; newer files are read or rejected whole."""
 
 import json
 import re
@@ -21,15 +21,15 @@
 from lapistrestle.planner.server import Planner
 from lapistrestle.standins.tape import read as read_tape
 from lapistrestle.store.journal import Journal
-from lapistrestle.store.learned_state import read_learned_state as read_learnt
-from lapistrestle.store.learned_state import write_learned_state as write_learnt
+from lapistrestle.store.learned_state import read_learned_state as read_learned
+from lapistrestle.store.learned_state import write_learned_state as write_learned
 from lapistrestle.store.persisted_plan import PersistedPlanFile
 
-# The names above are all that a rename in the package touches here; what is compared goes by stored names.
+# Only the imports above depend on names in the package; the comparisons use the stored names.
 
 STORED = Path(__file__).parent / "data" / "stored"
 EXPECTED = STORED / "expected.json"
-PLAN, LEARNT, JOURNAL = STORED / "plan.json", STORED / "learnt.json", STORED / "journal.sqlite"
+PLAN, LEARNED, JOURNAL = STORED / "plan.json", STORED / "learnt.json", STORED / "journal.sqlite"
 TAPE, RESULTS = STORED / "short-day.tape.jsonl", STORED / "experiment-results.jsonl"
 
 
@@ -42,14 +42,14 @@
 
 
 def command_line(*words: object) -> Any:
-    """What a command says with `--json`."""
+    """Return the output of a command with `--json`."""
     result = CliRunner().invoke(main, [str(word) for word in words])
     assert result.exit_code == 0, result.output
     return json.loads(result.output)
 
 
 class Operator:
-    """Talks to a planner that has started from a copy of a journal, in the lines of the protocol."""
+    """An operator's connection to a planner that has started from a copy of a journal."""
 
     def __init__(self, path: Path) -> None:
         self.journal = Journal(path)
@@ -58,7 +58,7 @@
         self.protocol, self.transport = self.connected({})
 
     def connected(self, greeting: dict[str, str]) -> tuple[Any, Any]:
-        """One more connection, greeted."""
+        """Open a connection and send a greeting."""
         protocol: Any = PlannerConnectionFactory(self.planner).buildProtocol(None)
         transport: Any = StringTransport()  # type: ignore[no-untyped-call]
         protocol.makeConnection(transport)
@@ -67,13 +67,13 @@
         return protocol, transport
 
     def ask(self, message: dict[str, Any]) -> Any:
-        """The last line that answers this one."""
+        """Send a message and return the last line of the answer."""
         self.transport.clear()
         self.protocol.dataReceived(json.dumps(message).encode() + b"\n")
         return json.loads(self.transport.value().splitlines()[-1])
 
     def edge_plan(self) -> Any:
-        """What an edge that connects now is told first."""
+        """Return the first message to an edge that connects now."""
         _, transport = self.connected({"name": "e", "start": "s"})
         return json.loads(transport.value().splitlines()[-1])
 
@@ -86,12 +86,12 @@
 
 
 def copied(path: Path, folder: Path) -> Path:
-    """A journal is opened for writing, so never in its place."""
+    """Copy a journal, as opening it writes to the file."""
     return Path(shutil.copy(path, folder / path.name))
 
 
 def observed_journal(folder: Path) -> Any:
-    """A journal's entries as they are written again, and what a planner that starts from it says."""
+    """Return the re-encoded entries, and the status, plan and replies of a planner started from them."""
     path = copied(JOURNAL, folder)
     journal = Journal(path)
     lines = [bytes(line) for _, line in journal.entries()]
@@ -112,12 +112,12 @@
 
 
 def observed(folder: Path) -> Any:
-    """All that is read from the files, by stored names."""
+    """Return everything that is read from the files, by stored names."""
     day = command_line("day", "check", TAPE, "--json")
     _, plan = read_experiment(STORED / "experiment.json5")
     return {
         "plan": msgspec.to_builtins(read_plan(PLAN)),
-        "learnt": msgspec.to_builtins(read_learnt(LEARNT)),
+        "learnt": msgspec.to_builtins(read_learned(LEARNED)),
         "journal": observed_journal(folder),
         "tape checked": day,
         "experiment": {
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize("part", ["plan", "learnt", "journal", "tape checked", "experiment", "keys of runs"])
-def test_what_was_stored_reads_as_it_did(found: Any, part: str) -> None:
+def test_stored_files_are_read_with_the_same_values(found: Any, part: str) -> None:
     assert found[part] == json.loads(EXPECTED.read_text())[part]
 
 
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "read", "write"), [(PLAN, read_plan, write_plan), (LEARNT, read_learnt, write_learnt)]
+    ("path", "read", "write"), [(PLAN, read_plan, write_plan), (LEARNED, read_learned, write_learned)]
 )
 def test_small_files_are_written_with_the_same_bytes(
     path: Path, read: Callable[[Path], Any], write: Callable[[Path, Any], None], tmp_path: Path
@@ -178,8 +178,8 @@
     return newer
 
 
-@pytest.mark.parametrize(("path", "read"), [(PLAN, read_plan), (LEARNT, read_learnt)])
-def test_a_newer_file_with_more_in_it_reads_the_same(
+@pytest.mark.parametrize(("path", "read"), [(PLAN, read_plan), (LEARNED, read_learned)])
+def test_unknown_fields_of_a_newer_file_are_ignored(
     path: Path, read: Callable[[Path], Any], tmp_path: Path
 ) -> None:
     newer = read(changed(path, tmp_path, more={"of": ["anything"]}))
@@ -187,13 +187,13 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "read", "fields", "says"),
+    ("path", "read", "fields", "message"),
     [
-        (LEARNT, read_learnt, {"shape": 2}, "shape 2; expected 1"),
-        (LEARNT, read_learnt, {"methods": {"m": {"soft_deadline": 1, "deadline": 2}}}, "`alone`"),
+        (LEARNED, read_learned, {"shape": 2}, "shape 2; expected 1"),
+        (LEARNED, read_learned, {"methods": {"m": {"soft_deadline": 1, "deadline": 2}}}, "`alone`"),
         (
-            LEARNT,
-            read_learnt,
+            LEARNED,
+            read_learned,
             {"methods": {"m": {"soft_deadline": 1, "deadline": 2, "alone": 1, "hint": 0, "new": 1}}},
             "`new`",
         ),
@@ -201,13 +201,13 @@
         (PLAN, read_plan, {"shares": [{"fn": "resize", "share": 1.5}]}, "$.shares[0].share"),
     ],
 )
-def test_a_file_of_another_shape_is_refused_by_name(
-    path: Path, read: Callable[[Path], Any], fields: dict[str, Any], says: str, tmp_path: Path
+def test_a_file_of_another_format_is_rejected_with_its_path(
+    path: Path, read: Callable[[Path], Any], fields: dict[str, Any], message: str, tmp_path: Path
 ) -> None:
     newer = changed(path, tmp_path, **fields)
     with pytest.raises(ValueError, match=re.escape(f"{newer}: ")) as refused:
         read(newer)
-    assert says in str(refused.value)
+    assert message in str(refused.value)
 
 
 def add_entry(path: Path, entry: dict[str, Any]) -> None:
@@ -217,7 +217,7 @@
     database.close()
 
 
-def test_a_journal_with_more_in_an_entry_is_read(tmp_path: Path) -> None:
+def test_unknown_fields_of_a_journal_entry_are_ignored(tmp_path: Path) -> None:
     path = copied(JOURNAL, tmp_path)
     add_entry(path, {"is": "look", "at": 210_000, "newer": True})
     operator = Operator(path)
@@ -226,53 +226,53 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "says"),
+    ("entry", "message"),
     [
         ({"is": "pause", "at": 210_000}, "'pause' - at `$.is`"),
         ({"is": "report", "at": 210_000, "edge": "e"}, "`start`"),
         ({"is": "command", "at": 210_000, "id": "n", "what": "pause", "fn": "f", "who": "w"}, "$.what"),
     ],
 )
-def test_a_journal_with_an_entry_of_another_kind_starts_no_planner(
-    entry: dict[str, Any], says: str, tmp_path: Path
+def test_a_planner_does_not_start_on_an_unknown_journal_entry(
+    entry: dict[str, Any], message: str, tmp_path: Path
 ) -> None:
     path = copied(JOURNAL, tmp_path)
     add_entry(path, entry)
     with pytest.raises(msgspec.ValidationError) as refused:
         Operator(path)
-    assert says in str(refused.value)
+    assert message in str(refused.value)
 
 
-def refused_by_command(*words: object) -> str:
+def error_of_command(*words: object) -> str:
     result = CliRunner().invoke(main, [str(word) for word in words])
     assert result.exit_code and not isinstance(result.exception, msgspec.MsgspecError), result.output
     return result.output
 
 
-def test_a_tape_of_another_version_is_refused(tmp_path: Path) -> None:
+def test_a_tape_of_another_version_is_rejected(tmp_path: Path) -> None:
     header, *events = TAPE.read_text().splitlines(keepends=True)
     newer = tmp_path / "tape"
     newer.write_text("".join([json.dumps(json.loads(header) | {"tape": 2}) + "\n", *events]))
-    says = refused_by_command("day", "check", newer, "--json")
-    assert str(newer) in says and "can't be judged" in says and "no tape" in says
+    message = error_of_command("day", "check", newer, "--json")
+    assert str(newer) in message and "can't be judged" in message and "no tape" in message
 
 
-def test_a_tape_with_a_line_of_something_else_is_refused(tmp_path: Path) -> None:
+def test_a_tape_with_an_invalid_line_is_rejected(tmp_path: Path) -> None:
     newer = tmp_path / "tape"
     newer.write_bytes(TAPE.read_bytes() + b"[]\n")
-    says = refused_by_command("day", "check", newer)
-    assert f"{newer}:{len(TAPE.read_bytes().splitlines()) + 1}: no line of a tape" in says
+    message = error_of_command("day", "check", newer)
+    assert f"{newer}:{len(TAPE.read_bytes().splitlines()) + 1}: no line of a tape" in message
 
 
-def test_results_with_more_in_a_line_read_the_same(found: Any, tmp_path: Path) -> None:
+def test_unknown_fields_of_results_are_ignored(found: Any, tmp_path: Path) -> None:
     newer = tmp_path / "results"
     lines = [json.loads(line) | {"more": [1]} for line in RESULTS.read_text().splitlines()]
     newer.write_text("".join(json.dumps(line) + "\n" for line in lines))
     assert command_line("experiment", "compare", newer, "--json") == found["experiment"]["service"]
 
 
-def test_results_of_another_shape_are_refused(tmp_path: Path) -> None:
+def test_invalid_results_are_rejected(tmp_path: Path) -> None:
     newer = tmp_path / "results"
     newer.write_bytes(RESULTS.read_bytes() + b'{"key":"k","seed":1}\n')
-    says = refused_by_command("experiment", "compare", newer)
-    assert f"{newer}:{len(RESULTS.read_bytes().splitlines()) + 1}: no line of results" in says
+    message = error_of_command("experiment", "compare", newer)
+    assert f"{newer}:{len(RESULTS.read_bytes().splitlines()) + 1}: no line of results" in message
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,4 +1,4 @@
-"""Journal entries, the persisted plan, learned figures and planner messages: their bytes outlive a build."""
+"""Byte-exact forms of journal entries, the persisted plan, learned figures and planner messages."""
 
 from pathlib import Path
 
@@ -134,7 +134,7 @@
     assert message_decoder(plans.ToPlanner | plans.FromPlanner).decode(data) == message
 
 
-def test_a_field_in_code_is_no_field_on_the_wire() -> None:
+def test_python_field_names_are_not_accepted_on_the_wire() -> None:
     with pytest.raises(msgspec.ValidationError, match="missing required field `what`"):
         message_decoder(plans.ToPlanner).decode(
             b'{"is":"order","id":"1","action":"start","fn":"f","who":"duty"}'
