--- a/lapistrestle/command/__init__.py
+++ b/lapistrestle/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""The commands of the program `lapistrestle`."""
--- a/lapistrestle/command/directories.py
+++ b/lapistrestle/command/directories.py
@@ -1,4 +1,4 @@
-"""`lapistrestle directory`: run a holder of the directory of instances, and show what one knows."""
+"""The commands `lapistrestle directory`: run a holder of the directory, and show the state of one."""
 
 import secrets
 from pathlib import Path
@@ -9,8 +9,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from lapistrestle.command.asking import asked
 from lapistrestle.command.programs import as_json, serve, tell_port
+from lapistrestle.command.query import send_query
 from lapistrestle.deployment.load import DeploymentError, load_holder
 from lapistrestle.edge.running import reactor_of_now
 from lapistrestle.records.logs import make_log
@@ -56,8 +56,8 @@
     """Shards, copies, epoch, revision and load of one holder; of FUNCTION its shard and prefix."""
     from lapistrestle.wire import directory as wire
 
-    none = f"no answer from a holder at port {port}"
-    answer = asked(port, wire.DIRECTORY, wire.FromHolder, wire.InspectRequest(function), none)
+    no_answer = f"no answer from a holder at port {port}"
+    answer = send_query(port, wire.DIRECTORY, wire.FromHolder, wire.InspectRequest(function), no_answer)
     shown = msgspec.json.decode(answer.body, type=dict[str, Any])
     if json_:
         return click.echo(msgspec.json.encode(shown).decode())
@@ -74,8 +74,10 @@
     """What one dispatcher holds of its directory."""
     from lapistrestle.wire import messages
 
-    none = f"no answer from an edge at port {port}"
-    answer = asked(port, messages.CLIENT, messages.ToClient, messages.InspectRequest("directory"), none)
+    no_answer = f"no answer from an edge at port {port}"
+    answer = send_query(
+        port, messages.CLIENT, messages.ToClient, messages.InspectRequest("directory"), no_answer
+    )
     shown = msgspec.json.decode(answer.body, type=dict[str, Any])
     if json_:
         return click.echo(msgspec.json.encode(shown).decode())
@@ -91,7 +93,7 @@
 
 
 def show_holder(shown: dict[str, Any]) -> None:
-    """Figures of the whole, for people."""
+    """Print a holder's state as text."""
     click.echo(heading(shown))
     click.echo(f"{shown['instances']} instances, {shown['functions']} functions watched")
     rate = f"{shown['bytes a second']:.0f} bytes a second, at most {shown['most bytes in a second']}"
@@ -106,7 +108,7 @@
 
 
 def show_function(shown: dict[str, Any]) -> None:
-    """A function's shard and the beginning of its order, for people."""
+    """Print a function's shard and the beginning of its order as text."""
     click.echo(heading(shown))
     copies = ", ".join(map(place_of, shown["copies"][shown["shard"]]))
     elsewhere = "" if shown["shard"] in shown["shards"] else ", which is not here"
@@ -122,7 +124,7 @@
 
 
 def heading(shown: dict[str, Any]) -> str:
-    """Which holder, and how new its knowledge is."""
+    """Return the holder's name, epoch and revision as a line of text."""
     revision = shown["revision"]
     number, source = revision.get("number", -1), revision.get("source", "")
     where = f" in zone {shown['zone']}" if shown["zone"] else ""
--- a/lapistrestle/command/main.py
+++ b/lapistrestle/command/main.py
@@ -1,4 +1,4 @@
-"""`lapistrestle`: every command."""
+"""The command group `lapistrestle` with all commands."""
 
 from dataclasses import fields
 from pathlib import Path
@@ -10,13 +10,13 @@
 
 
 class Commands(click.Group):
-    """A wrong file ends in one plain message, not in a traceback."""
+    """A command group that reports an invalid file by its message, without a traceback."""
 
     def invoke(self, ctx: click.Context) -> object:
         try:
             return super().invoke(ctx)
-        except DeploymentError as trouble:
-            raise click.ClickException(str(trouble)) from None
+        except DeploymentError as error:
+            raise click.ClickException(str(error)) from None
 
 
 @click.group(cls=Commands, context_settings={"help_option_names": ["-h", "--help"]})
@@ -33,17 +33,19 @@
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 def check_deployment(files: tuple[Path, ...]) -> None:
     """Check deployment files: the first thing wrong in each, its line, and what would be right."""
-    wrong = 0
+    invalid = 0
     for file in files:
         try:
-            made = load_deployment(file)
-            count = len(fields(to_settings(made)))
-            figures = f"{len(made.methods)} methods, {len(made.customers)} customers, {count} settings"
+            deployment = load_deployment(file)
+            count = len(fields(to_settings(deployment)))
+            figures = (
+                f"{len(deployment.methods)} methods, {len(deployment.customers)} customers, {count} settings"
+            )
             click.echo(f"{file}: fits; {figures}")
-        except DeploymentError as trouble:
-            wrong += 1
-            click.echo(str(trouble), err=True)
-    if wrong:
+        except DeploymentError as error:
+            invalid += 1
+            click.echo(str(error), err=True)
+    if invalid:
         raise SystemExit(1)
 
 
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -1,4 +1,4 @@
-"""The programs: edge, and the stand-ins runner and roster; and `call`, which sends calls to an edge."""
+"""The commands that run an edge, a stand-in runner or roster, and `call`, which sends calls to an edge."""
 
 import random
 import secrets
@@ -32,8 +32,8 @@
 as_json = click.option("--json", "json_", is_flag=True, help="JSON lines instead of lines for people.")
 
 
-def told(path: Path | None, port: int) -> None:
-    """Whole at once, so that a reader never meets half a number."""
+def write_port(path: Path | None, port: int) -> None:
+    """Write the port to the file, if any, by a rename, so that a reader never sees a partial number."""
     if path is not None:
         part = path.with_suffix(".part")
         part.write_text(str(port))
@@ -41,18 +41,18 @@
 
 
 def serve(reactor: Any, start: Callable[[], int], path: Path | None, stop: Callable[[], None]) -> None:
-    """Run until a signal; `stop` is called for each."""
+    """Run a program until it stops the reactor; `start` returns its port, `stop` is called at each signal."""
 
-    def begin() -> None:
+    def start_program() -> None:
         try:
-            told(path, start())
-        except CannotListenError as trouble:
-            click.echo(f"can't listen: {trouble.socketError}", err=True)
+            write_port(path, start())
+        except CannotListenError as error:
+            click.echo(f"can't listen: {error.socketError}", err=True)
             failed.append(1)
             reactor.stop()
 
     failed: list[int] = []
-    run(reactor, begin, dict.fromkeys((signal.SIGTERM, signal.SIGINT), stop))
+    run(reactor, start_program, dict.fromkeys((signal.SIGTERM, signal.SIGINT), stop))
     if failed:
         raise SystemExit(1)
 
@@ -85,8 +85,8 @@
     try:
         boot, nonce = time.time_ns() // 1_000_000, secrets.randbits(32)
         program = Edge(reactor, made, make_log(json_), boot=boot, nonce=nonce)
-    except CannotListenError as trouble:
-        raise click.ClickException(f"can't listen for peers: {trouble}") from None
+    except CannotListenError as error:
+        raise click.ClickException(f"can't listen for peers: {error}") from None
     serve(reactor, program.start, tell_port, lambda: program.stop(reactor.stop))
 
 
@@ -188,78 +188,80 @@
     serve(reactor, start, tell_port, reactor.stop)
 
 
-class Asker(LineConnection):
-    """Sends calls one after another or at a rate, and notes the answers."""
+class CallConnection(LineConnection):
+    """The connection of `lapistrestle call` to an edge."""
 
     protocol = wire.CLIENT
     decoder = message_decoder(wire.ToClient)
 
-    def __init__(self, plan: "Plan") -> None:
+    def __init__(self, batch: "CallBatch") -> None:
         super().__init__(LineLimits())
-        self.plan = plan
+        self.batch = batch
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.plan.begin(self)
+        self.batch.start(self)
 
     def message_received(self, message: Any) -> None:
         match message:
             case wire.Answer():
-                self.plan.answered(message)
+                self.batch.on_answer(message)
             case wire.Fault():
-                self.plan.fault(message)
+                self.batch.on_fault(message)
 
-    def goodbye_received(self, why: str) -> None:
-        self.plan.trouble = why
+    def goodbye_received(self, reason: str) -> None:
+        self.batch.error = reason
 
     def connection_lost(self) -> None:
-        self.plan.lost()
+        self.batch.on_connection_lost()
 
 
-class Plan(ClientFactory):
+class CallBatch(ClientFactory):
+    """Sends `count` calls, all at once or at a rate, and records the answers; then stops the reactor."""
+
     noisy = False
 
     def __init__(self, reactor: Any, call: wire.Call, count: int, rate: float) -> None:
         self.reactor, self.call, self.count, self.rate = reactor, call, count, rate
-        self.sent: dict[str, float] = {}
-        self.done: list[tuple[str, str, float]] = []
+        self.sent: dict[str, float] = {}  # time of sending, by id
+        self.done: list[tuple[str, str, float]] = []  # id, verdict and latency in seconds
         self.faults: list[str] = []
-        self.trouble = ""
-        self.asker: Asker | None = None
+        self.error = ""  # why the connection ended
+        self.connection: CallConnection | None = None
         self.random = random.Random(1)
 
-    def buildProtocol(self, addr: Any) -> Asker:
-        return Asker(self)
+    def buildProtocol(self, addr: Any) -> CallConnection:
+        return CallConnection(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.trouble = reason.getErrorMessage()
+        self.error = reason.getErrorMessage()
         self.reactor.stop()
 
-    def begin(self, asker: Asker) -> None:
-        self.asker = asker
-        self.next()
+    def start(self, connection: CallConnection) -> None:
+        self.connection = connection
+        self.send_next()
 
-    def next(self) -> None:
-        if len(self.sent) >= self.count or self.asker is None:
+    def send_next(self) -> None:
+        if len(self.sent) >= self.count or self.connection is None:
             return
         name = f"call-{len(self.sent) + 1}"
         self.sent[name] = self.reactor.seconds()
-        self.asker.send_message(msgspec.structs.replace(self.call, id=name, key=name))
-        self.reactor.callLater(self.random.expovariate(self.rate) if self.rate else 0.0, self.next)
+        self.connection.send_message(msgspec.structs.replace(self.call, id=name, key=name))
+        self.reactor.callLater(self.random.expovariate(self.rate) if self.rate else 0.0, self.send_next)
 
-    def answered(self, answer: wire.Answer) -> None:
+    def on_answer(self, answer: wire.Answer) -> None:
         self.done.append((answer.id, answer.verdict, self.reactor.seconds() - self.sent[answer.id]))
-        self.look()
+        self.stop_when_done()
 
-    def fault(self, fault: wire.Fault) -> None:
+    def on_fault(self, fault: wire.Fault) -> None:
         self.faults.append(fault.reason)
-        self.look()
+        self.stop_when_done()
 
-    def look(self) -> None:
+    def stop_when_done(self) -> None:
         if len(self.done) + len(self.faults) >= self.count:
             self.reactor.stop()
 
-    def lost(self) -> None:
-        self.trouble = self.trouble or "the connection broke"
+    def on_connection_lost(self) -> None:
+        self.error = self.error or "the connection broke"
         if self.reactor.running:
             self.reactor.stop()
 
@@ -285,26 +287,26 @@
     """Send calls to an edge and show the answers. Ends with status 1 unless all are ok."""
     reactor = reactor_of_now()
     body = msgspec.Raw(msgspec.json.encode({"work": work, "load": load}))
-    made = wire.Call(
+    message = wire.Call(
         "", function, method, left, customer, memory, lanes, work, token=token, load_time=load, body=body
     )
-    plan = Plan(reactor, made, count, rate)
-    reactor.connectTCP("127.0.0.1", port, plan, timeout=5)
+    batch = CallBatch(reactor, message, count, rate)
+    reactor.connectTCP("127.0.0.1", port, batch, timeout=5)
     reactor.callLater(left / 1000 + (count / rate if rate else 0) + 5, reactor.stop)
     reactor.run()
     if json_:
-        for name, verdict, took in plan.done:
-            click.echo(msgspec.json.encode({"id": name, "verdict": verdict, "ms": round(took * 1000, 2)}))
+        for name, verdict, latency in batch.done:
+            click.echo(msgspec.json.encode({"id": name, "verdict": verdict, "ms": round(latency * 1000, 2)}))
     else:
         table = Table("answer", "calls", "fastest ms", "median ms", "slowest ms")
         for verdict in ("ok", "denied", "aborted"):
-            times = sorted(took * 1000 for _, said, took in plan.done if said == verdict)
+            times = sorted(latency * 1000 for _, answered, latency in batch.done if answered == verdict)
             if times:
-                shown = (times[0], times[len(times) // 2], times[-1])
-                table.add_row(verdict, str(len(times)), *(f"{t:.1f}" for t in shown))
+                figures = (times[0], times[len(times) // 2], times[-1])
+                table.add_row(verdict, str(len(times)), *(f"{t:.1f}" for t in figures))
         Console().print(table)
-    for why in sorted(set(plan.faults)):
-        click.echo(f"not taken: {why}", err=True)
-    if len(plan.done) + len(plan.faults) < count:
-        click.echo(f"{count - len(plan.done) - len(plan.faults)} without answer: {plan.trouble}", err=True)
-    sys.exit(0 if len(plan.done) == count and all(v == "ok" for _, v, _ in plan.done) else 1)
+    for reason in sorted(set(batch.faults)):
+        click.echo(f"rejected: {reason}", err=True)
+    if len(batch.done) + len(batch.faults) < count:
+        click.echo(f"{count - len(batch.done) - len(batch.faults)} without answer: {batch.error}", err=True)
+    sys.exit(0 if len(batch.done) == count and all(v == "ok" for _, v, _ in batch.done) else 1)
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -1,4 +1,4 @@
-"""`lapistrestle planner` and `lapistrestle rollout`."""
+"""The commands `lapistrestle planner` and `lapistrestle rollout`."""
 
 import getpass
 import uuid
@@ -12,8 +12,8 @@
 from rich.console import Console
 from rich.table import Table
 
-from lapistrestle.command.asking import asked as ask
 from lapistrestle.command.programs import as_json, serve, tell_port
+from lapistrestle.command.query import send_query
 from lapistrestle.deployment.load import DeploymentError, convert_value, read_json5
 from lapistrestle.deployment.schema import Duration, SettingsGroup
 from lapistrestle.edge.running import reactor_of_now
@@ -27,32 +27,35 @@
 
 @click.command()
 @click.argument("journal", type=click.Path(path_type=Path))
-@click.option("--port", default=0, help="0: a free one.")
+@click.option("--port", default=0, help="0: a free item.")
 @tell_port
 @as_json
 def planner(journal: Path, port: int, tell_port: Path | None, json_: bool) -> None:
     """Run a planner that keeps rollouts in the file JOURNAL and tells edges which version gets what share."""
     reactor = reactor_of_now()
     try:
-        kept = Journal(journal)
-    except JournalError as trouble:
-        raise DeploymentError(str(trouble)) from None
-    program = Planner(reactor, kept, make_log(json_))
+        opened = Journal(journal)
+    except JournalError as error:
+        raise DeploymentError(str(error)) from None
+    program = Planner(reactor, opened, make_log(json_))
     program.on_stopped = reactor.stop
     serve(reactor, lambda: program.start(port), tell_port, reactor.stop)
 
 
-class Policy(SettingsGroup):
-    """Steps in percent, and for how long clients may come back."""
+class RolloutPolicy(SettingsGroup):
+    """A policy file: steps in percent, and for how long clients may retry requests on a version."""
 
     steps: list[Annotated[float, Meta(gt=0, le=100)]]
     remembered: Duration = Duration(600_000)
 
 
-def asked(port: int, message: wire.Message) -> Any:
-    """The planner's answer. Raises ClickException where none comes: the order may be given again, same id."""
-    none = f"no answer from a planner at port {port}; give the same order again"
-    return ask(port, plans.PLANNER, plans.FromPlanner, message, none)
+def query_planner(port: int, message: wire.Message) -> Any:
+    """Return the planner's answer. Raises ClickException if there is none.
+
+    A command without an answer may be repeated with the same id, as the planner executes it only once.
+    """
+    no_answer = f"no answer from a planner at port {port}; give the same order again"
+    return send_query(port, plans.PLANNER, plans.FromPlanner, message, no_answer)
 
 
 @click.group()
@@ -63,12 +66,12 @@
 port = click.option("--port", required=True, type=int, help="Of the planner.")
 
 
-def order(what: Any, help_: str) -> None:
-    """Makes `rollout WHAT`."""
+def add_command(action: Any, help_: str) -> None:
+    """Add the command `rollout ACTION`."""
 
     @port
     @click.option("--fn", "function", required=True, help="The function.")
-    @click.option("--candidate", default="", help="The new version.", required=what == "start")
+    @click.option("--candidate", default="", help="The new version.", required=action == "start")
     @click.option("--why", default="", help="Kept in the history.")
     @click.option("--who", default=getpass.getuser, show_default="you")
     @click.option("--id", "id_", help="The order's own; given twice, it is answered as the first time.")
@@ -85,40 +88,42 @@
     ) -> None:
         if (path := more.pop("policy", None)) is not None:
             value, text = read_json5(path)
-            policy = convert_value(value, Policy, text, str(path))
+            policy = convert_value(value, RolloutPolicy, text, str(path))
             more["steps"] = tuple(step / 100 for step in policy.steps)
             more["retention"] = policy.remembered / 10
-        made = plans.RolloutCommand(id_ or uuid.uuid4().hex, what, function, who, why, candidate, **more)
-        reply = asked(port, made)
+        message = plans.RolloutCommand(id_ or uuid.uuid4().hex, action, function, who, why, candidate, **more)
+        reply = query_planner(port, message)
         if json_:
             click.echo(msgspec.json.encode(reply))
         else:
-            late = f"; not there yet: {', '.join(reply.edges_behind)}" if reply.edges_behind else ""
-            stands = f"{function} is {reply.state} at {reply.weight:.0%}"
-            click.echo(f"{reply.outcome}: {reply.message}; {stands}{late}")
+            behind = f"; not there yet: {', '.join(reply.edges_behind)}" if reply.edges_behind else ""
+            state = f"{function} is {reply.state} at {reply.weight:.0%}"
+            click.echo(f"{reply.outcome}: {reply.message}; {state}{behind}")
         raise SystemExit(1 if reply.outcome == CommandOutcome.REFUSED.value else 0)
 
-    made: Callable[..., None] = command
-    if what == "start":
-        made = click.option("--steps", default="1,5,25,100", callback=shares, show_default=True)(made)
-        made = click.option("--policy", type=click.Path(path_type=Path), help="JSON5 file.")(made)
-        made = click.option("--remembered", "retention", default=60_000.0, show_default=True,
-                            help="Milliseconds in which clients may come back.")(made)  # fmt: skip
-    rollout.command(what, help=help_)(made)
+    decorated: Callable[..., None] = command
+    if action == "start":
+        decorated = click.option("--steps", default="1,5,25,100", callback=parse_weights,
+                                 show_default=True)(decorated)  # fmt: skip
+        decorated = click.option("--policy", type=click.Path(path_type=Path), help="JSON5 file.")(decorated)
+        decorated = click.option("--remembered", "retention", default=60_000.0, show_default=True,
+                                 help="Milliseconds in which clients may come back.")(decorated)  # fmt: skip
+    rollout.command(action, help=help_)(decorated)
 
 
-def shares(ctx: click.Context, option: click.Parameter, said: str) -> tuple[float, ...]:
+def parse_weights(ctx: click.Context, option: click.Parameter, value: str) -> tuple[float, ...]:
+    """Convert comma-separated percentages to weights from 0 to 1."""
     try:
-        return tuple(float(part) / 100 for part in said.split(","))
+        return tuple(float(percent) / 100 for percent in value.split(","))
     except ValueError:
-        raise click.BadParameter(f'"{said}"; expected percentages such as 1,5,25,100') from None
+        raise click.BadParameter(f'"{value}"; expected percentages such as 1,5,25,100') from None
 
 
-order("start", "Begin: load the candidate, then give it its first share.")
-order("advance", "Go to the next step without waiting for evidence.")
-order("hold", "Stay at this share.")
-order("resume", "Go on after a hold.")
-order("back", "Take the candidate back: nothing new reaches it after a second.")
+add_command("start", "Begin: load the candidate, then give it its first share.")
+add_command("advance", "Go to the next step without waiting for evidence.")
+add_command("hold", "Stay at this share.")
+add_command("resume", "Go on after a hold.")
+add_command("back", "Take the candidate back: nothing new reaches it after a second.")
 
 
 @rollout.command()
@@ -126,26 +131,26 @@
 @as_json
 def status(port: int, json_: bool) -> None:
     """How rollouts stand, and which plan each edge has."""
-    told: plans.PlannerStatus = asked(port, plans.StatusRequest())
+    answer: plans.PlannerStatus = query_planner(port, plans.StatusRequest())
     if json_:
-        return click.echo(msgspec.json.encode(told))
-    table = Table(title=f"plan {told.number}, epoch {told.epoch}")
+        return click.echo(msgspec.json.encode(answer))
+    table = Table(title=f"plan {answer.number}, epoch {answer.epoch}")
     for head in ("function", "settled", "candidate", "state", "share", "next", "settled bad/all",
                  "candidate bad/all", "harm (back at 4.6)", "good (on at 3.0)"):  # fmt: skip
         table.add_column(head)
-    for one in told.rollouts:
-        old, old_bad, new, new_bad = one.counts
+    for item in answer.rollouts:
+        old, old_bad, new, new_bad = item.counts
         table.add_row(
-            one.function, one.settled or "-", one.candidate, one.state,
-            f"{one.weight:.0%}", f"{one.next_weight:.0%}",
-            f"{old_bad}/{old}", f"{new_bad}/{new}", f"{one.log_harm:.1f}", f"{one.log_safety:.1f}",
+            item.function, item.settled or "-", item.candidate, item.state,
+            f"{item.weight:.0%}", f"{item.next_weight:.0%}",
+            f"{old_bad}/{old}", f"{new_bad}/{new}", f"{item.log_harm:.1f}", f"{item.log_safety:.1f}",
         )  # fmt: skip
     Console(width=140).print(table)
-    for edge, has in sorted(told.plan_by_edge.items()):
-        click.echo(f"{edge}: plan {has}")
-    for one in told.rollouts:
-        for edge, why in sorted(one.shortages.items()):
-            click.echo(f"{one.function} at {edge}: {why}")
+    for edge, plan in sorted(answer.plan_by_edge.items()):
+        click.echo(f"{edge}: plan {plan}")
+    for item in answer.rollouts:
+        for edge, shortage in sorted(item.shortages.items()):
+            click.echo(f"{item.function} at {edge}: {shortage}")
 
 
 @rollout.command()
@@ -154,11 +159,11 @@
 @as_json
 def history(port: int, function: str, json_: bool) -> None:
     """What happened to a function's newest rollout, by whom and why."""
-    told: plans.PlannerStatus = asked(port, plans.StatusRequest())
-    found = [one for one in told.rollouts if one.function == function]
+    answer: plans.PlannerStatus = query_planner(port, plans.StatusRequest())
+    found = [item for item in answer.rollouts if item.function == function]
     if not found:
         raise click.ClickException(f"{function} has no rollout")
     if json_:
         return click.echo(msgspec.json.encode(found[0].history))
-    for at, who, why, given, state in found[0].history:
-        click.echo(f"{at / 1000:10.1f} s  {given:10} by {who:10} to {state:12} {why}")
+    for at, actor, reason, rollout_input, state in found[0].history:
+        click.echo(f"{at / 1000:10.1f} s  {rollout_input:10} by {actor:10} to {state:12} {reason}")
--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lapistrestle.command.experiments import read as read_experiment
-from lapistrestle.command.rollouts import Policy
+from lapistrestle.command.rollouts import RolloutPolicy
 from lapistrestle.deployment.load import convert_value, load_deployment, load_holder, read_json5
 from lapistrestle.deployment.schema import Deployment, HolderDeployment
 from lapistrestle.model.experiment import Experiment
@@ -41,7 +41,7 @@
     "holder": HolderDeployment,
     "experiment": Experiment,
     "day": Day,
-    "policy": Policy,
+    "policy": RolloutPolicy,
     "platform file": ConfigurationFile,
     "platform settings": PlatformSettings,
     "platform runner's reply": RunnerReply,
@@ -59,7 +59,7 @@
 def load_policy(path: Path) -> Any:
     """Read and validate a rollout policy file."""
     value, text = read_json5(path)
-    return convert_value(value, Policy, text, str(path))
+    return convert_value(value, RolloutPolicy, text, str(path))
 
 
 LOADERS: dict[str, Callable[[Path], Any]] = {
