--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -169,13 +169,13 @@
                 made[0].note(msgspec.structs.replace(entry, listing="gone"), 0.0)
         known.clear()
         known.update(entries)
-        log("read", workers=len(known))
+        log("workers file read", workers=len(known))
 
     def again() -> None:
         try:
             read(False)
         except DeploymentError as trouble:
-            log("not read", why=str(trouble))
+            log("workers file rejected", why=str(trouble))
 
     def start() -> int:
         made.append(RosterStandIn(reactor, lag, port=port))
--- a/lapistrestle/planner/server.py
+++ b/lapistrestle/planner/server.py
@@ -98,7 +98,7 @@
     def stop(self, reason: str) -> None:
         """Stop writing, and close all connections to edges."""
         self.is_stopped = True
-        self.log("ends", why=reason)
+        self.log("planner stopped", why=reason)
         for connection in list(self.edge_connections):
             connection.close_with_reason("another planner writes the journal")
         if self.on_stopped is not None:
