--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -1,4 +1,4 @@
-"""Rollouts in whole days: a planner, edges, runners with faulty versions, and troubles, in virtual time."""
+"""Rollouts in simulated days: a planner, edges, runners with faulty versions, and faults, in virtual time."""
 
 from collections.abc import Callable, Mapping, Sequence
 from functools import partial
@@ -24,11 +24,11 @@
 NAME = "fn-0@v2"
 
 
-class Rolled(Played):
+class RolloutDay(Played):
     """A day with a planner that starts a rollout of fn-0 after two seconds."""
 
-    world: Any  # its handles are those of edges and planners in virtual time
-    older: Planner  # where a newer one has taken over
+    world: Any  # untyped, as its handles of edges and planners exist only in virtual time
+    older: Planner  # the planner that was replaced by a newer one
     older_process: Process
     said: CommandResult | None
 
@@ -39,7 +39,7 @@
         fault: Fault | None = None,
         orders: Sequence[tuple[float, RolloutAction]] = (),
         steps: tuple[float, ...] = (0.3, 1.0),
-        does: Sequence[tuple[float, Callable[["Rolled"], object]]] = (),
+        does: Sequence[tuple[float, Callable[["RolloutDay"], object]]] = (),
         start: Mapping[str, Any] | None = None,
         absent: bool = False,
     ) -> None:
@@ -108,8 +108,8 @@
     return day(like, troubles, seed, length=length, traffic=traffic)
 
 
-def test_a_good_version_is_loaded_first_and_grows_until_it_settles(tmp_path: Path) -> None:
-    played = Rolled(script(length="80 s"), tmp_path / "j")
+def test_a_good_version_is_preloaded_and_grows_until_it_settles(tmp_path: Path) -> None:
+    played = RolloutDay(script(length="80 s"), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
     first = min(run.at for run in played.runs())
@@ -121,8 +121,8 @@
 
 
 @pytest.mark.parametrize("fault", [Fault(errors=0.4), Fault(slower=40.0)])
-def test_a_bad_version_is_turned_back_by_evidence(tmp_path: Path, fault: Fault) -> None:
-    played = Rolled(script(length="30 s"), tmp_path / "j", fault)
+def test_a_bad_version_is_rolled_back_by_evidence(tmp_path: Path, fault: Fault) -> None:
+    played = RolloutDay(script(length="30 s"), tmp_path / "j", fault)
     assert played.breaches() == []
     assert played.rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
     back = next(entry.at for entry in played.rollout.history if entry.input is RolloutInput.HARM_FOUND)
@@ -131,8 +131,8 @@
     assert played.runs() and max(run.at for run in played.runs()) < since + 1_000
 
 
-def test_retries_meet_the_version_of_their_first_try(tmp_path: Path) -> None:
-    played = Rolled(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
+def test_retries_go_to_the_version_of_the_first_attempt(tmp_path: Path) -> None:
+    played = RolloutDay(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
     versions: dict[str, set[str]] = {}
     for run in played.runs() + [r for r in played.story.runs if r.message.function == "fn-0"]:
         if run.at > 8_000:
@@ -140,33 +140,33 @@
     assert len(versions) > 50 and all(len(met) == 1 for met in versions.values())
 
 
-def stall(played: Rolled) -> None:
+def stall(played: RolloutDay) -> None:
     edge = played.world.edges[0]
     played.world.tape.put(edge.name, "stalled")
     edge.stall()
 
 
-def resume(played: Rolled) -> None:
+def resume(played: RolloutDay) -> None:
     edge = played.world.edges[0]
     played.world.tape.put(edge.name, "resumed")
     edge.resume()
 
 
-def mute(played: Rolled) -> None:
-    """From now on no edge is told a plan; beats are answered as before."""
+def mute(played: RolloutDay) -> None:
+    """Stop the planner from sending plans, while it still answers heartbeats."""
     played.planner.edge_connections.clear()
 
 
-def cut_off_half(played: Rolled) -> None:
-    """Nothing from the planner reaches these edges any more; no connection closes."""
-    for speaker in list(played.planner.edge_connections)[::2]:
-        speaker.send_message = lambda message: None  # type: ignore[method-assign]
+def cut_off_half(played: RolloutDay) -> None:
+    """Drop all messages from the planner to every other edge without closing the connections."""
+    for connection in list(played.planner.edge_connections)[::2]:
+        connection.send_message = lambda message: None  # type: ignore[method-assign]
 
 
-TROUBLED: dict[str, list[tuple[float, Callable[[Rolled], object]]]] = {
+SCENARIOS: dict[str, list[tuple[float, Callable[[RolloutDay], object]]]] = {
     "quiet": [],
-    "an edge stands still and wakes with an old plan": [(13.9, stall), (15.9, resume)],
-    "the planner stands still just after": [(14.001, lambda p: p.process.stall())],
+    "an edge stalls and resumes with an old plan": [(13.9, stall), (15.9, resume)],
+    "the planner stalls just after the rollback": [(14.001, lambda p: p.process.stall())],
     "the planner is killed between acceptance and push": [(13.999, mute), (14.0, lambda p: p.kill_planner())],
     "all connections stall, none is closed": [(13.999, mute), (14.0, lambda p: p.process.stall())],
     "the planner restarts": [(14.5, lambda p: p.kill_planner()), (16.0, lambda p: p.begin_planner())],
@@ -175,34 +175,36 @@
 }
 
 
-@pytest.mark.parametrize("name", TROUBLED)
+@pytest.mark.parametrize("name", SCENARIOS)
 @pytest.mark.parametrize("seed", [1, 2])
-def test_after_a_rollback_nothing_new_reaches_the_version_within_a_second(
+def test_one_second_after_a_rollback_the_version_gets_no_new_requests(
     tmp_path: Path, name: str, seed: int
 ) -> None:
     troubles = [{"kind": "zone_loss", "at": "13.5 s", "lasts": "3 s"}, {"kind": "slow", "at": "12.5 s"}]
-    does = TROUBLED[name]
-    played = Rolled(
+    does = SCENARIOS[name]
+    played = RolloutDay(
         script(troubles, "21 s", seed), tmp_path / "j", orders=[(14.0, "back")], steps=(0.5, 1.0), does=does
     )
-    assert [run for run in played.runs() if 13_000 < run.at < 14_000], "it had traffic"
+    assert [run for run in played.runs() if 13_000 < run.at < 14_000], (
+        "the candidate had no traffic before the rollback"
+    )
     assert played.breaches() == []
     assert played.world.crowd.open == 0
     assert not played.logged("module raised") and not played.logged("deadline guarded")
 
 
-def test_an_edge_that_heeds_no_lease_is_caught(tmp_path: Path) -> None:
-    def careless(played: Rolled) -> None:
+def test_an_edge_that_ignores_its_lease_is_detected(tmp_path: Path) -> None:
+    def careless(played: RolloutDay) -> None:
         for edge in played.world.edges:
             edge.edge.routing.lease.is_usable = lambda now: True
 
     does = [(5.0, careless), (6.999, mute), (7.0, lambda p: p.process.stall())]
-    played = Rolled(script(), tmp_path / "j", orders=[(7.0, "back")], steps=(0.5, 1.0), does=does)
+    played = RolloutDay(script(), tmp_path / "j", orders=[(7.0, "back")], steps=(0.5, 1.0), does=does)
     assert {breach.rule for breach in played.breaches()} == {"withdrawn versions left"}
 
 
-def test_what_the_planner_accepted_holds_after_its_restart(tmp_path: Path) -> None:
-    played = Rolled(
+def test_an_accepted_command_survives_a_restart_of_the_planner(tmp_path: Path) -> None:
+    played = RolloutDay(
         script(),
         tmp_path / "j",
         orders=[(7.0, "back")],
@@ -214,29 +216,29 @@
     assert all(edge.routing.splits["fn-0"].withdrawn for edge in edges)
 
 
-def test_a_planner_away_moves_traffic_to_the_settled_version_and_back_once(tmp_path: Path) -> None:
+def test_a_planner_outage_moves_traffic_to_the_settled_version_and_back_once(tmp_path: Path) -> None:
     does = [(6.0, lambda p: p.kill_planner()), (8.5, lambda p: p.begin_planner())]
-    played = Rolled(script(length="20 s"), tmp_path / "j", does=does, steps=(0.5, 1.0))
+    played = RolloutDay(script(length="20 s"), tmp_path / "j", does=does, steps=(0.5, 1.0))
     assert played.breaches() == []
     away = [run.at for run in played.runs() if 7_000 < run.at < 11_000]
     again = [run.at for run in played.runs() if run.at > 13_500]
     assert not away and again
 
 
-def test_an_older_planner_that_comes_back_is_heeded_by_nobody(tmp_path: Path) -> None:
-    def newer(played: Rolled) -> None:
+def test_an_older_planner_that_resumes_is_fenced(tmp_path: Path) -> None:
+    def newer(played: RolloutDay) -> None:
         played.older, played.older_process = played.planner, played.process
         played.port = played.reactor.free_port()
         played.begin_planner()
 
-    def use_older(played: Rolled) -> None:
+    def use_older(played: RolloutDay) -> None:
         played.said = played.older.append(
             CommandEntry(
                 at=0, id="late", action="advance", function="fn-0", operator="nobody", candidate="v2"
             )
         )
 
-    played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
+    played = RolloutDay(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
     assert played.said is None and played.older.is_stopped
     assert "late" not in played.planner.state.results
 
@@ -252,7 +254,7 @@
     ],
     ids=str,
 )
-def test_a_scripted_version_that_is_wrong_in_its_own_way_never_settles(wrong: dict[str, Any]) -> None:
+def test_a_faulty_scripted_version_never_settles(wrong: dict[str, Any]) -> None:
     version = {"candidate": "v2", "at": "2 s", "steps": [30, 100], "wrong": wrong}
     troubles = [{"kind": "planner_kill", "at": "6 s", "lasts": "1 s"}, {"kind": "planner_stall", "at": "9 s"}]
     played = Played(script(troubles, length="60 s") | {"rollouts": [version]})
@@ -265,7 +267,7 @@
     assert world.operator.replies[0].outcome == CommandOutcome.DONE.value
 
 
-def test_a_scripted_rollback_is_judged_and_the_tape_is_the_same_each_time() -> None:
+def test_a_scripted_rollback_passes_the_checks_and_gives_the_same_tape_twice() -> None:
     version = {"candidate": "v2", "at": "2 s", "back": "9 s", "steps": [50, 100]}
     troubles = [{"kind": "planner_kill", "at": "9 s", "lasts": "2 s"}]
     first, second = (Played(script(troubles) | {"rollouts": [version]}) for _ in range(2))
@@ -273,7 +275,7 @@
     assert [version for _, _, version in first.story.backs] == [NAME]
 
 
-def test_an_edge_that_sends_more_than_the_share_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_edge_that_exceeds_the_weight_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     version = {"candidate": "v2", "at": "2 s", "steps": [10, 100]}
     day_ = script(length="20 s") | {"rollouts": [version]}
     assert Played(day_).breaches() == []
@@ -281,25 +283,25 @@
     assert {breach.rule for breach in Played(day_).breaches()} == {"shares kept"}
 
 
-def tokened_day(path: Path, seed: int) -> Rolled:
-    """Every RPC is tokened, and its client comes back, marked, to the next edge while the share grows."""
+def tokened_day(path: Path, seed: int) -> RolloutDay:
+    """A day of tokened RPCs whose clients retry at the next edge while the weight grows."""
     troubles = [{"kind": "delayed", "at": "11 s", "lasts": "14 s", "share": 1.0, "by": "400 ms"}]
     day_ = script(troubles, "22 s", seed, like="thumbs")
     day_["traffic"] |= {"methods": {"publish": {}}, "rate": 90, "patience": [0.1, 0.4], "retries": 4}
     does = [(at, lambda p: p.order("advance")) for at in (12.0, 14.0, 16.0, 18.0)]
-    return Rolled(day_, path, steps=(0.2, 0.4, 0.6, 0.8, 1.0), does=does)
+    return RolloutDay(day_, path, steps=(0.2, 0.4, 0.6, 0.8, 1.0), does=does)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_tokened_ones_that_come_back_take_effect_on_one_version_only(tmp_path: Path, seed: int) -> None:
+def test_tokened_retries_take_effect_on_one_version_only(tmp_path: Path, seed: int) -> None:
     played = tokened_day(tmp_path / "j", seed)
     assert played.breaches() == [] and played.rollout.peak_weight >= 0.4
 
 
-def test_that_repeats_follow_the_share_alone_is_caught(
+def test_retries_that_follow_only_the_weight_are_detected(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """As it was: what comes back meets the candidate wherever its key lies within the share by now."""
+    """Restores a bug: a retry went to the candidate if its key was within the current weight."""
     before = dict.fromkeys(((True, True, met) for met in EarlierVersion), VersionChoice.CANDIDATE)
     monkeypatch.setattr(
         "lapistrestle.rollout.version_choice.REPEATED_ATTEMPT_CHOICES", REPEATED_ATTEMPT_CHOICES | before
@@ -308,7 +310,7 @@
     assert {breach.rule for breach in found} == {"repeats on their version"}
 
 
-# loads that wait, and taking back what has settled
+# queued loads, and rollbacks of settled candidates
 
 
 @pytest.fixture
@@ -321,7 +323,7 @@
     return made
 
 
-def test_an_unload_calls_off_loads_that_wait_or_are_fetched(engine: Any) -> None:
+def test_an_unload_cancels_queued_loads_and_fetches(engine: Any) -> None:
     said: list[tuple[str, str, int]] = []
     for function, count in (("a@v2", 3), ("b", 1)):
         engine.hold(
@@ -340,7 +342,7 @@
     assert said[1:] == [("b", "ok", 1)] and engine.loads == engine.store.active == 0
 
 
-def test_what_a_call_waits_for_is_not_called_off(engine: Any) -> None:
+def test_an_unload_does_not_cancel_a_load_that_a_call_waits_for(engine: Any) -> None:
     ended: list[str] = []
     task = Task("a@v2", 0.01, 500.0, 1, 1.0, lambda _, outcome, *more: ended.append(outcome), lambda _: True)
     engine.run(task)
@@ -349,25 +351,25 @@
     assert ended == ["ok"]
 
 
-def test_a_rollback_while_its_loads_wait_leaves_none_of_them(tmp_path: Path) -> None:
+def test_a_rollback_cancels_queued_loads(tmp_path: Path) -> None:
     seen: dict[float, tuple[int, int]] = {}
 
-    def loads(played: Rolled) -> tuple[int, int]:
+    def loads(played: RolloutDay) -> tuple[int, int]:
         copies = [s.runner.engine.copies.get(NAME) for s in played.world.slots]
         return sum(c.loading + c.standing for c in copies if c), played.world.store.active
 
     does = [(t, lambda p, t=t: seen.__setitem__(t, loads(p))) for t in (4.9, 5.3)]
     slow = [{"kind": "store_slow", "at": "3 s", "lasts": "6 s", "factor": 20}]
-    played = Rolled(script(slow), tmp_path / "j", orders=[(5.0, "back")], does=does)
+    played = RolloutDay(script(slow), tmp_path / "j", orders=[(5.0, "back")], does=does)
     assert seen[4.9][0] > 0 and seen[5.3][0] == 0 and seen[5.3][1] < seen[4.9][1]
     assert played.breaches() == [] and played.world.crowd.open == 0
 
 
 def settled_then_back(path: Path, remembered: int, back: int, seed: int = 1) -> tuple[dict[str, int], float]:
-    """A rollout that operators push to the end, and take back once it has settled; loads after it."""
+    """Settle a rollout and roll it back; return the loads, and the fraction of ok answers after the rollback."""
     fetched: dict[str, int] = {}
 
-    def note(played: Rolled) -> None:
+    def note(played: RolloutDay) -> None:
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
         fetched["standing"] = sum(c.standing for c in copies if c)
         fetched["before"] = played.world.store.fetched
@@ -376,7 +378,9 @@
 
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)] + [(back, note)]
     start = {"retention": remembered}
-    played = Rolled(script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start)
+    played = RolloutDay(
+        script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start
+    )
     fetched["after"] = played.world.store.fetched - fetched["before"]
     calls = [
         c for c in played.story.calls if c.message.function == "fn-0" and c.at > back * 1000 and c.answers
@@ -391,19 +395,19 @@
     return fetched, ok
 
 
-def test_what_has_settled_is_taken_back_onto_copies_that_were_kept(tmp_path: Path) -> None:
+def test_a_settled_candidate_is_rolled_back_onto_retained_copies(tmp_path: Path) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=600_000, back=30)
     assert fetched["standing"] >= 2 and ok > 0.99
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_and_without_a_storm_of_loads_where_none_were(tmp_path: Path, seed: int) -> None:
+def test_a_rollback_without_retained_copies_causes_few_loads(tmp_path: Path, seed: int) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=20_000, back=60, seed=seed)
     assert fetched["standing"] == 0 and 0 < fetched["after"] <= 20 and ok > 0.95
 
 
 def slow_tokened_day(seed: int) -> dict[str, Any]:
-    """A version so slow that its call-outs time out, with tokened RPCs alone, and a rollback."""
+    """A day of tokened RPCs with a version so slow that its attempts time out, and a rollback."""
     version = {"candidate": "v2", "at": "2 s", "back": "13 s", "steps": [50, 100], "wrong": {"slower": 12}}
     day_ = script(length="17 s", seed=seed, like="thumbs") | {"rollouts": [version]}
     day_["traffic"] |= {"methods": {"publish": {}}}
@@ -411,23 +415,26 @@
 
 
 @pytest.mark.parametrize("seed", [1, 3])
-def test_what_may_have_run_on_a_withdrawn_version_is_not_moved(seed: int) -> None:
+def test_requests_that_may_have_run_on_a_withdrawn_version_are_not_moved(seed: int) -> None:
     assert Played(slow_tokened_day(seed)).breaches() == []
 
 
-def test_that_every_denied_one_moves_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As it was: a denial of a tokened RPC was taken for proof that it had not run."""
+def test_moving_every_denied_request_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Restores a bug: a denial of a tokened RPC was taken as proof that it had not run."""
     monkeypatch.setattr("lapistrestle.edge.program.choose_after_denial", lambda *asked: VersionChoice.SETTLED)
     broken = {breach.rule for breach in Played(slow_tokened_day(3)).breaches()}
     assert "2 no effect twice" in broken
-    assert broken <= {"2 no effect twice", "repeats on their version"}  # the second: where a client came back
+    assert broken <= {
+        "2 no effect twice",
+        "repeats on their version",
+    }  # the second occurs if a client retried
 
 
-# an edge that starts
+# restarts of edges
 
 
-def restart(number: int) -> Callable[[Rolled], None]:
-    def do(played: Rolled) -> None:
+def restart(number: int) -> Callable[[RolloutDay], None]:
+    def do(played: RolloutDay) -> None:
         played.world.tape.put(f"edge-{number}", "killed")
         played.world.edges[number].kill()
         played.world.restart_edge(number)
@@ -436,12 +443,12 @@
 
 
 @pytest.mark.parametrize("planner_up", [True, False])
-def test_an_edge_that_starts_anew_never_sends_to_the_version_before(tmp_path: Path, planner_up: bool) -> None:
-    """Settled, and long so, when an edge restarts; with the planner down it goes on from the plan it kept."""
+def test_a_restarted_edge_never_sends_to_the_previous_version(tmp_path: Path, planner_up: bool) -> None:
+    """The rollout settled long before the restart; without a planner the edge uses its persisted plan."""
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)]
     does += [] if planner_up else [(30.0, lambda p: p.kill_planner())]
     does += [(31.0, restart(0)), (32.0, restart(1))]
-    played = Rolled(
+    played = RolloutDay(
         script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"retention": 20_000}
     )
     assert played.rollout.state is RolloutState.SETTLED and played.breaches() == []
@@ -450,17 +457,19 @@
     assert len(played.logged("kept plan")) == 2
 
 
-def test_an_edge_without_plan_or_planner_denies_at_first_and_then_serves(tmp_path: Path) -> None:
-    played = Rolled(script(length="8 s"), tmp_path / "j", absent=True)
+def test_an_edge_without_plan_or_planner_denies_requests_and_serves_after_a_timeout(tmp_path: Path) -> None:
+    played = RolloutDay(script(length="8 s"), tmp_path / "j", absent=True)
     answers = [(c.at, c.answers[0][2].verdict, c.answers[0][0] - c.at) for c in played.story.calls]
     early = [(verdict, took) for at, verdict, took in answers if at < 2_000]
     assert early and {verdict for verdict, _ in early} == {"denied"} and max(took for _, took in early) < 5
     assert sum(verdict == "ok" for at, verdict, _ in answers if at > 2_100) > 100
 
 
-def test_a_version_that_is_three_times_slower_but_in_time_is_held(tmp_path: Path) -> None:
-    played = Rolled(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
+def test_a_three_times_slower_version_within_its_deadline_is_held(tmp_path: Path) -> None:
+    played = RolloutDay(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
     assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
     said = played.planner.status().rollouts[0].shortages
     assert any("times as long as the settled version's" in why for why in said.values())
-    assert played.rollout.evidence.verdict().may_advance  # errors and soft deadlines alone would let it on
+    assert (
+        played.rollout.evidence.verdict().may_advance
+    )  # failures and soft deadlines alone would allow a step
