--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -24,7 +24,7 @@
 NAME = "fn-0@v2"
 
 
-class RolloutDay(Played):
+class Rolled(Played):
     """A day with a planner that starts a rollout of fn-0 after two seconds."""
 
     world: Any  # untyped, as its handles of edges and planners exist only in virtual time
@@ -39,7 +39,7 @@
         fault: Fault | None = None,
         orders: Sequence[tuple[float, RolloutAction]] = (),
         steps: tuple[float, ...] = (0.3, 1.0),
-        does: Sequence[tuple[float, Callable[["RolloutDay"], object]]] = (),
+        does: Sequence[tuple[float, Callable[["Rolled"], object]]] = (),
         start: Mapping[str, Any] | None = None,
         absent: bool = False,
     ) -> None:
@@ -109,7 +109,7 @@
 
 
 def test_a_good_version_is_preloaded_and_grows_until_it_settles(tmp_path: Path) -> None:
-    played = RolloutDay(script(length="80 s"), tmp_path / "j")
+    played = Rolled(script(length="80 s"), tmp_path / "j")
     assert played.breaches() == [] and played.rollout.state is RolloutState.SETTLED
     orders = [hold.at for hold in played.story.holds if hold.message.function == NAME]
     first = min(run.at for run in played.runs())
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("fault", [Fault(errors=0.4), Fault(slower=40.0)])
 def test_a_bad_version_is_rolled_back_by_evidence(tmp_path: Path, fault: Fault) -> None:
-    played = RolloutDay(script(length="30 s"), tmp_path / "j", fault)
+    played = Rolled(script(length="30 s"), tmp_path / "j", fault)
     assert played.breaches() == []
     assert played.rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
     back = next(entry.at for entry in played.rollout.history if entry.input is RolloutInput.HARM_FOUND)
@@ -132,7 +132,7 @@
 
 
 def test_retries_go_to_the_version_of_the_first_attempt(tmp_path: Path) -> None:
-    played = RolloutDay(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
+    played = Rolled(script([{"kind": "refused", "at": "6 s", "lasts": "3 s"}]), tmp_path / "j")
     versions: dict[str, set[str]] = {}
     for run in played.runs() + [r for r in played.story.runs if r.message.function == "fn-0"]:
         if run.at > 8_000:
@@ -140,30 +140,30 @@
     assert len(versions) > 50 and all(len(met) == 1 for met in versions.values())
 
 
-def stall(played: RolloutDay) -> None:
+def stall(played: Rolled) -> None:
     edge = played.world.edges[0]
     played.world.tape.put(edge.name, "stalled")
     edge.stall()
 
 
-def resume(played: RolloutDay) -> None:
+def resume(played: Rolled) -> None:
     edge = played.world.edges[0]
     played.world.tape.put(edge.name, "resumed")
     edge.resume()
 
 
-def mute(played: RolloutDay) -> None:
+def mute(played: Rolled) -> None:
     """Stop the planner from sending plans, while it still answers heartbeats."""
     played.planner.edge_connections.clear()
 
 
-def cut_off_half(played: RolloutDay) -> None:
+def cut_off_half(played: Rolled) -> None:
     """Drop all messages from the planner to every other edge without closing the connections."""
     for connection in list(played.planner.edge_connections)[::2]:
         connection.send_message = lambda message: None  # type: ignore[method-assign]
 
 
-SCENARIOS: dict[str, list[tuple[float, Callable[[RolloutDay], object]]]] = {
+SCENARIOS: dict[str, list[tuple[float, Callable[[Rolled], object]]]] = {
     "quiet": [],
     "an edge stalls and resumes with an old plan": [(13.9, stall), (15.9, resume)],
     "the planner stalls just after the rollback": [(14.001, lambda p: p.process.stall())],
@@ -182,7 +182,7 @@
 ) -> None:
     troubles = [{"kind": "zone_loss", "at": "13.5 s", "lasts": "3 s"}, {"kind": "slow", "at": "12.5 s"}]
     does = SCENARIOS[name]
-    played = RolloutDay(
+    played = Rolled(
         script(troubles, "21 s", seed), tmp_path / "j", orders=[(14.0, "back")], steps=(0.5, 1.0), does=does
     )
     assert [run for run in played.runs() if 13_000 < run.at < 14_000], (
@@ -194,17 +194,17 @@
 
 
 def test_an_edge_that_ignores_its_lease_is_detected(tmp_path: Path) -> None:
-    def careless(played: RolloutDay) -> None:
+    def careless(played: Rolled) -> None:
         for edge in played.world.edges:
             edge.edge.routing.lease.is_usable = lambda now: True
 
     does = [(5.0, careless), (6.999, mute), (7.0, lambda p: p.process.stall())]
-    played = RolloutDay(script(), tmp_path / "j", orders=[(7.0, "back")], steps=(0.5, 1.0), does=does)
+    played = Rolled(script(), tmp_path / "j", orders=[(7.0, "back")], steps=(0.5, 1.0), does=does)
     assert {breach.rule for breach in played.breaches()} == {"withdrawn versions left"}
 
 
 def test_an_accepted_command_survives_a_restart_of_the_planner(tmp_path: Path) -> None:
-    played = RolloutDay(
+    played = Rolled(
         script(),
         tmp_path / "j",
         orders=[(7.0, "back")],
@@ -218,7 +218,7 @@
 
 def test_a_planner_outage_moves_traffic_to_the_settled_version_and_back_once(tmp_path: Path) -> None:
     does = [(6.0, lambda p: p.kill_planner()), (8.5, lambda p: p.begin_planner())]
-    played = RolloutDay(script(length="20 s"), tmp_path / "j", does=does, steps=(0.5, 1.0))
+    played = Rolled(script(length="20 s"), tmp_path / "j", does=does, steps=(0.5, 1.0))
     assert played.breaches() == []
     away = [run.at for run in played.runs() if 7_000 < run.at < 11_000]
     again = [run.at for run in played.runs() if run.at > 13_500]
@@ -226,19 +226,19 @@
 
 
 def test_an_older_planner_that_resumes_is_fenced(tmp_path: Path) -> None:
-    def newer(played: RolloutDay) -> None:
+    def newer(played: Rolled) -> None:
         played.older, played.older_process = played.planner, played.process
         played.port = played.reactor.free_port()
         played.begin_planner()
 
-    def use_older(played: RolloutDay) -> None:
+    def use_older(played: Rolled) -> None:
         played.said = played.older.append(
             CommandEntry(
                 at=0, id="late", action="advance", function="fn-0", operator="nobody", candidate="v2"
             )
         )
 
-    played = RolloutDay(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
+    played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
     assert played.said is None and played.older.is_stopped
     assert "late" not in played.planner.state.results
 
@@ -283,13 +283,13 @@
     assert {breach.rule for breach in Played(day_).breaches()} == {"shares kept"}
 
 
-def tokened_day(path: Path, seed: int) -> RolloutDay:
+def tokened_day(path: Path, seed: int) -> Rolled:
     """A day of tokened RPCs whose clients retry at the next edge while the weight grows."""
     troubles = [{"kind": "delayed", "at": "11 s", "lasts": "14 s", "share": 1.0, "by": "400 ms"}]
     day_ = script(troubles, "22 s", seed, like="thumbs")
     day_["traffic"] |= {"methods": {"publish": {}}, "rate": 90, "patience": [0.1, 0.4], "retries": 4}
     does = [(at, lambda p: p.order("advance")) for at in (12.0, 14.0, 16.0, 18.0)]
-    return RolloutDay(day_, path, steps=(0.2, 0.4, 0.6, 0.8, 1.0), does=does)
+    return Rolled(day_, path, steps=(0.2, 0.4, 0.6, 0.8, 1.0), does=does)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -354,22 +354,22 @@
 def test_a_rollback_cancels_queued_loads(tmp_path: Path) -> None:
     seen: dict[float, tuple[int, int]] = {}
 
-    def loads(played: RolloutDay) -> tuple[int, int]:
+    def loads(played: Rolled) -> tuple[int, int]:
         copies = [s.runner.engine.copies.get(NAME) for s in played.world.slots]
         return sum(c.loading + c.standing for c in copies if c), played.world.store.active
 
     does = [(t, lambda p, t=t: seen.__setitem__(t, loads(p))) for t in (4.9, 5.3)]
     slow = [{"kind": "store_slow", "at": "3 s", "lasts": "6 s", "factor": 20}]
-    played = RolloutDay(script(slow), tmp_path / "j", orders=[(5.0, "back")], does=does)
+    played = Rolled(script(slow), tmp_path / "j", orders=[(5.0, "back")], does=does)
     assert seen[4.9][0] > 0 and seen[5.3][0] == 0 and seen[5.3][1] < seen[4.9][1]
     assert played.breaches() == [] and played.world.crowd.open == 0
 
 
 def settled_then_back(path: Path, remembered: int, back: int, seed: int = 1) -> tuple[dict[str, int], float]:
-    """Settle a rollout and roll it back; return the loads, and the fraction of ok answers after the rollback."""
+    """Settle a rollout and roll it back; return the loads, and the fraction of ok answers after that."""
     fetched: dict[str, int] = {}
 
-    def note(played: RolloutDay) -> None:
+    def note(played: Rolled) -> None:
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
         fetched["standing"] = sum(c.standing for c in copies if c)
         fetched["before"] = played.world.store.fetched
@@ -378,9 +378,7 @@
 
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)] + [(back, note)]
     start = {"retention": remembered}
-    played = RolloutDay(
-        script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start
-    )
+    played = Rolled(script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start)
     fetched["after"] = played.world.store.fetched - fetched["before"]
     calls = [
         c for c in played.story.calls if c.message.function == "fn-0" and c.at > back * 1000 and c.answers
@@ -433,8 +431,8 @@
 # restarts of edges
 
 
-def restart(number: int) -> Callable[[RolloutDay], None]:
-    def do(played: RolloutDay) -> None:
+def restart(number: int) -> Callable[[Rolled], None]:
+    def do(played: Rolled) -> None:
         played.world.tape.put(f"edge-{number}", "killed")
         played.world.edges[number].kill()
         played.world.restart_edge(number)
@@ -448,7 +446,7 @@
     does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)]
     does += [] if planner_up else [(30.0, lambda p: p.kill_planner())]
     does += [(31.0, restart(0)), (32.0, restart(1))]
-    played = RolloutDay(
+    played = Rolled(
         script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"retention": 20_000}
     )
     assert played.rollout.state is RolloutState.SETTLED and played.breaches() == []
@@ -458,7 +456,7 @@
 
 
 def test_an_edge_without_plan_or_planner_denies_requests_and_serves_after_a_timeout(tmp_path: Path) -> None:
-    played = RolloutDay(script(length="8 s"), tmp_path / "j", absent=True)
+    played = Rolled(script(length="8 s"), tmp_path / "j", absent=True)
     answers = [(c.at, c.answers[0][2].verdict, c.answers[0][0] - c.at) for c in played.story.calls]
     early = [(verdict, took) for at, verdict, took in answers if at < 2_000]
     assert early and {verdict for verdict, _ in early} == {"denied"} and max(took for _, took in early) < 5
@@ -466,7 +464,7 @@
 
 
 def test_a_three_times_slower_version_within_its_deadline_is_held(tmp_path: Path) -> None:
-    played = RolloutDay(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
+    played = Rolled(script(length="60 s", seed=2), tmp_path / "j", Fault(slower=3.0))
     assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
     said = played.planner.status().rollouts[0].shortages
     assert any("times as long as the settled version's" in why for why in said.values())
