--- a/lapistrestle/command/query.py
+++ b/lapistrestle/command/query.py
@@ -5,7 +5,7 @@
 import click
 from twisted.internet.protocol import ClientFactory
 
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
@@ -60,7 +60,7 @@
     `answers` is the union of the possible message types. Raises ClickException with the text `no_answer` if
     there is none, and with the reason if the answer is a fault or a goodbye.
     """
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     query = Query(reactor, protocol, answers, message)
     reactor.connectTCP("127.0.0.1", port, query, timeout=CONNECT_TIMEOUT)
     reactor.callLater(ANSWER_TIMEOUT, query.finish, None)
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -1,14 +1,14 @@
-"""What holders send to a watcher: which of it is believed, and what it changes.
+"""Validation of the messages that holders send to a watcher, and their effect on its cache.
 
-An older epoch is not taken, nor a snapshot older than what the shard's holders sent before. A batch is taken
-once and in sequence; a gap leads to fresh snapshots.
+Snapshots of an older epoch, or older than what the shard's holders sent before, are rejected. Each batch is
+applied once and in sequence; after a gap new snapshots are requested.
 """
 
 from collections.abc import Callable
 
-from lapistrestle.directory.cached_instances import aged
+from lapistrestle.directory.cached_instances import advance_up_for
 from lapistrestle.directory.connection_state import CachedFunction, HolderConnection, PendingRequest, Shard
-from lapistrestle.directory.effects import SumsChanged, WatcherEffect, WatcherSettings
+from lapistrestle.directory.effects import RegionSumsChanged, WatcherEffect, WatcherSettings
 from lapistrestle.directory.lookups import Lookups
 from lapistrestle.directory.prefix_cache import PrefixCache
 from lapistrestle.directory.prefixes import RevisionGapError, apply_change
@@ -31,12 +31,12 @@
 )
 from lapistrestle.wire.messages import RosterEntry
 
-MOST_OUTDATED_SNAPSHOTS = 3  # in a row, before another copy is tried
-OUTDATED_RETRY_PAUSE = 100 * MILLISECOND  # before a holder that is behind is asked again
+MAX_OUTDATED_SNAPSHOTS = 3  # consecutive ones, before another replica is tried
+OUTDATED_RETRY_DELAY = 100 * MILLISECOND  # before a watch is requested again from a holder that is behind
 
 
 class HolderMessages:
-    """Applies what holders send to the cache, and leaves holders that can't be relied on."""
+    """Applies holders' messages to the cache, and fails over from holders that are behind or refuse."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
     ) -> None:
         """`epoch`: of the assignment."""
         self.settings = settings
-        self.epoch_seen = epoch  # the latest one; snapshots of an older one are not taken
+        self.epoch_seen = epoch  # the highest seen; snapshots of an older epoch are rejected
         self.cache = cache
         self.connections = connections
         self.requests = requests
@@ -74,16 +74,16 @@
             case Refused():
                 self.apply_refusal(connection, message, now)
             case InspectResponse():
-                pass  # only operators ask for one
+                pass  # answers operators only
 
     def record_epoch(self, epoch: int) -> None:
-        """An assignment of this epoch is known to exist."""
+        """Record that an assignment of this epoch exists."""
         self.epoch_seen = max(self.epoch_seen, epoch)
 
     # the sequence of batches
 
     def in_sequence(self, connection: HolderConnection, sequence: int, now: int) -> bool:
-        """Whether a batch follows the last one. A gap has all functions asked for anew."""
+        """Whether a batch follows the last one. After a gap all functions are requested again."""
         if sequence == connection.sequence + 1:
             connection.sequence = sequence
             return True
@@ -93,8 +93,8 @@
         return False
 
     def resync(self, connection: HolderConnection, reason: str, now: int) -> None:
-        """Ask for fresh snapshots of all functions of a connection."""
-        self.log(f"shard {connection.shard} asks for all {len(connection.watches)} watches anew: {reason}")
+        """Request new snapshots of all functions of a connection."""
+        self.log(f"shard {connection.shard}: requesting all {len(connection.watches)} watches: {reason}")
         connection.watches.clear()
         connection.pending_requests.clear()
         for function in self.shard_of(connection).functions.values():
@@ -102,7 +102,7 @@
             self.requests.send(connection, function, now)
 
     def record_source(self, connection: HolderConnection, revision: Revision, now: int) -> None:
-        """Note the roster's epoch that a holder speaks of; it never goes back to an earlier one."""
+        """Record the roster's epoch in a holder's message; a holder never returns to an earlier epoch."""
         if connection.source is not None and connection.source != revision.source:
             self.cache.revisions.record_superseded([connection.source], revision.source, now)
         connection.source = revision.source
@@ -110,7 +110,7 @@
     # snapshots
 
     def apply_snapshot(self, connection: HolderConnection, snapshot: Snapshot | Unchanged, now: int) -> None:
-        """Take a complete prefix: sent now, or what was cached when the watch was sent."""
+        """Apply the answer to a watch: a snapshot, or that the prefix cached at the request is current."""
         if not self.in_sequence(connection, snapshot.sequence, now):
             return
         pending = self.requests.answered(connection, snapshot.id)
@@ -128,7 +128,7 @@
         self.accept_snapshot(connection, pending, snapshot, now)
         self.store_prefix(pending, snapshot, now)
         self.cache.publish()
-        self.connections.leave_if_stale(connection, snapshot.age, now)
+        self.connections.switch_if_stale(connection, snapshot.age, now)
 
     def is_outdated(self, shard: Shard, revision: Revision, age: int, now: int) -> bool:
         """Whether a snapshot is older than what the shard's holders sent before."""
@@ -141,14 +141,14 @@
     def retry_outdated(
         self, connection: HolderConnection, function: CachedFunction, revision: Revision, now: int
     ) -> None:
-        """Ask a holder that is behind another one again soon; leave it if it stays so."""
+        """Retry a holder that is behind after a short delay; fail over if it stays behind."""
         connection.outdated_snapshots += 1
-        most = MOST_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
+        most = MAX_OUTDATED_SNAPSHOTS + len(connection.pending_requests)
         if connection.outdated_snapshots >= most:
-            reason = f"its knowledge is older: {revision.source} {revision.number}"
+            reason = f"its data is older: {revision.source} {revision.number}"
             self.connections.fail_over(self.shard_of(connection), reason, now)
             return
-        self.requests.schedule_retry(function, now + OUTDATED_RETRY_PAUSE)
+        self.requests.schedule_retry(function, now + OUTDATED_RETRY_DELAY)
 
     def accept_snapshot(
         self,
@@ -157,7 +157,7 @@
         snapshot: Snapshot | Unchanged,
         now: int,
     ) -> None:
-        """Note that the holder can be relied on, and that its changes of this watch are taken from now on."""
+        """Record the lease and the revision, and apply changes of this watch from now on."""
         function = pending.function
         shard = self.shard_of(connection)
         connection.outdated_snapshots = 0
@@ -171,12 +171,14 @@
         function.watch = snapshot.id
 
     def store_prefix(self, pending: PendingRequest, snapshot: Snapshot | Unchanged, now: int) -> None:
-        """Put the instances and the prefix into the cache."""
+        """Store the instances and the prefix in the cache."""
         if isinstance(snapshot, Snapshot):
-            entries: list[RosterEntry] = [aged(entry, snapshot.up_for_age) for entry in snapshot.entries]
+            entries: list[RosterEntry] = [
+                advance_up_for(entry, snapshot.up_for_age) for entry in snapshot.entries
+            ]
             complete = snapshot.complete
         else:
-            entries = [aged(entry, now - pending.sent_at) for entry in pending.entries]
+            entries = [advance_up_for(entry, now - pending.sent_at) for entry in pending.entries]
             complete = pending.complete
         for entry in entries:
             self.cache.instances.apply_entry(entry, snapshot.revision, now)
@@ -187,7 +189,7 @@
     # changes
 
     def apply_update(self, connection: HolderConnection, update: Update, now: int) -> None:
-        """Take a batch of changes. After a gap instances are taken, but no changes of prefixes."""
+        """Apply a batch of changes. After a gap, instances are applied but not changes of prefixes."""
         is_new = update.sequence > connection.sequence
         in_sequence = self.in_sequence(connection, update.sequence, now)
         if not is_new or not connection.has_answered:
@@ -208,14 +210,14 @@
     def apply_prefix_change(
         self, connection: HolderConnection, change: PrefixChange, revision: Revision, now: int
     ) -> None:
-        """Change one watch's prefix; one that the change does not fit is asked for anew."""
+        """Apply a change to one watch's prefix; if it doesn't fit, request a new snapshot."""
         function = connection.watches.get(change.id)
         if function is None:
             return
         try:
             names = apply_change(function.names, change)
         except RevisionGapError as error:
-            self.log(f"{function.name} is asked for anew: {error}")
+            self.log(f"requesting {function.name} again: {error}")
             del connection.watches[change.id]
             function.watch = -1
             current = self.connections.shards[function.shard].connection
@@ -226,8 +228,8 @@
     # other answers
 
     def apply_renewal(self, connection: HolderConnection, renewed: Renewed, now: int) -> None:
-        """Take the answer to a renewal; a batch that was lost before it shows by its number."""
-        connection.renewed(renewed.sent_at, renewed.lease)
+        """Handle the answer to a renewal; its sequence number shows whether a batch was lost."""
+        connection.record_renewal(renewed.sent_at, renewed.lease)
         self.record_source(connection, renewed.revision, now)
         if renewed.sequence != connection.sequence:
             reason = f"batch {renewed.sequence} lost after {connection.sequence}"
@@ -235,13 +237,13 @@
             connection.sequence = max(connection.sequence, renewed.sequence)
         if renewed.sums is not None and renewed.sums != self.sums:
             self.sums = renewed.sums
-            self.emit(SumsChanged(renewed.sums))
+            self.emit(RegionSumsChanged(renewed.sums))
         if connection.has_answered:
             self.cache.revisions.record_seen(renewed.revision.source, now)
-        self.connections.leave_if_stale(connection, renewed.age, now)
+        self.connections.switch_if_stale(connection, renewed.age, now)
 
     def postpone(self, connection: HolderConnection, busy: Busy, now: int) -> None:
-        """Ask a holder again that has more to send than it may; calls that can't wait so long fail."""
+        """Schedule a retry at an overloaded holder; fail the lookup if its deadline is earlier."""
         pending = self.requests.answered(connection, busy.id)
         if pending is None:
             return
@@ -251,15 +253,15 @@
             self.lookups.fail(function.name, busy.retry_after)
 
     def apply_refusal(self, connection: HolderConnection, refused: Refused, now: int) -> None:
-        """Leave a holder that does not serve a watch, or ask again later if it has too many of them."""
+        """Fail over from a holder that does not serve a watch; retry later if it has too many watches."""
         pending = self.requests.answered(connection, refused.id)
         if pending is None:
             return
         function = pending.function
         if refused.reason == RefusalReason.TOO_MANY_WATCHES:
-            self.requests.schedule_retry(function, now + self.settings.longest_pause)
+            self.requests.schedule_retry(function, now + self.settings.max_backoff)
             if function.name in self.lookups.pending:
-                self.lookups.fail(function.name, self.settings.longest_pause)
+                self.lookups.fail(function.name, self.settings.max_backoff)
             return
         if refused.reason == RefusalReason.OLD_EPOCH:
             self.record_epoch(refused.epoch)
@@ -267,5 +269,5 @@
         self.connections.fail_over(self.shard_of(connection), reason, now)
 
     def shard_of(self, connection: HolderConnection) -> Shard:
-        """The shard that a connection is for."""
+        """The shard of a connection."""
         return self.connections.shards[connection.shard]
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -1,7 +1,6 @@
-"""A holder of the directory as a program: it carries out what `ShardHolder` decides. Decides nothing itself.
+"""The process of a directory holder: performs I/O for `ShardHolder`, which makes all decisions.
 
-Times are ticks of a tenth of a millisecond on the reactor's clock, which must be monotonic, unless stated
-otherwise.
+Times are ticks of 0.1 ms on the reactor's clock, which must be monotonic, unless stated otherwise.
 """
 
 from collections.abc import Callable
@@ -10,7 +9,7 @@
 import msgspec
 
 from lapistrestle.deployment.schema import HolderDeployment
-from lapistrestle.directory.effects import AskRoster, CloseSession, HolderEffect, SendTo
+from lapistrestle.directory.effects import CloseSession, HolderEffect, RequestRosterSnapshot, SendTo
 from lapistrestle.directory.holder_counts import HolderCounts
 from lapistrestle.directory.holder_settings import holder_settings
 from lapistrestle.directory.roster_subscription import RosterSubscription
@@ -19,34 +18,34 @@
 from lapistrestle.ticks import MILLISECOND, SECOND
 from lapistrestle.wire.directory import InspectResponse, WatcherMessage
 
-CLOSING_TIME = 1.0  # seconds at the end for what was written to leave
-MOST_LOGGED = 100  # unreadable lines that are logged one by one
-LONGEST_LOGGED = 200  # characters of the reason
-CLOCK_ROUNDING = 0.001  # ticks: a time that floating point keeps just under a tick counts as that tick
+SHUTDOWN_GRACE_SECONDS = 1.0  # seconds for unsent data to be sent at shutdown
+MAX_LOGGED_LINES = 100  # undecodable lines that are logged; further ones are only counted
+MAX_LOGGED_REASON = 200  # characters of the reason
+CLOCK_ROUNDING = 0.001  # ticks; a time that floating point yields just below a tick counts as that tick
 
 
 class HolderProgram:
     """One holder on one reactor."""
 
     def __init__(self, reactor: Any, settings: HolderDeployment, log: Log, seed: int = 0) -> None:
-        """`seed` spreads the times at which busy watchers are asked to come back."""
+        """`seed` is for the jitter of retry times given to watchers while the holder is busy."""
         serve = settings.serve
         self.reactor = reactor
         self.settings = settings
         self.name = serve.name
         self.log = log
-        self.decided = holder_settings(settings)
+        self.holder_settings = holder_settings(settings)
         self.holder = ShardHolder(
-            self.decided, seed, self.clock(), lambda text: log("directory", figures=text)
+            self.holder_settings, seed, self.clock(), lambda text: log("directory", figures=text)
         )
         self.counts = HolderCounts()
         self.roster = RosterSubscription(
-            reactor, serve.name, settings.roster.port, self.holder, self.clock, self.act, self.passed_over,
-            lambda text: log("roster", figures=text),
+            reactor, serve.name, settings.roster.port, self.holder, self.clock, self.perform_effects,
+            self.message_ignored, lambda text: log("roster", figures=text),
         )  # fmt: skip
         self.sessions = WatcherSessions(self, serve.name, serve.unsent, self.counts, log)
-        self.next_turn: Any = None
-        self.turn_at = 0
+        self.timer: Any = None
+        self.timer_due = 0
         self.listening: Any = None
         self.stopped: Callable[[], None] | None = None
         self.stopping = False
@@ -56,87 +55,87 @@
         return int(self.reactor.seconds() * SECOND + CLOCK_ROUNDING)
 
     def start(self) -> int:
-        """Listen, and follow the roster. Returns the port."""
+        """Listen, and subscribe to the roster. Returns the port."""
         factory, port = WatcherFactory(self.sessions), self.settings.serve.port
         self.listening = self.reactor.listenTCP(port, factory, backlog=1024, interface="127.0.0.1")
         made: int = self.listening.getHost().port
-        shards = sorted(self.decided.shards)
-        self.log("listening", port=made, holder=self.name, epoch=self.decided.epoch, shards=shards)
+        shards = sorted(self.holder_settings.shards)
+        self.log("listening", port=made, holder=self.name, epoch=self.holder_settings.epoch, shards=shards)
         self.roster.start()
-        self.schedule_turn()
+        self.schedule_timer()
         return made
 
-    def passed_over(self, name: str, why: str) -> None:
-        """A line of this peer could not be read."""
+    def message_ignored(self, name: str, why: str) -> None:
+        """Count and log a line of a peer that could not be decoded."""
         self.counts.unreadable_lines += 1
-        if self.counts.unreadable_lines <= MOST_LOGGED:
-            self.log("passed over", peer=name, why=why[:LONGEST_LOGGED])
+        if self.counts.unreadable_lines <= MAX_LOGGED_LINES:
+            self.log("passed over", peer=name, why=why[:MAX_LOGGED_REASON])
 
-    # what the sessions report
+    # SessionListener
 
     def session_opened(self, session: int) -> None:
         """A watcher has connected and greeted."""
         self.holder.session_opened(session, self.clock())
-        self.act()
+        self.perform_effects()
 
     def session_message(self, session: int, message: WatcherMessage) -> None:
         """A watcher has sent a message."""
         self.holder.message_received(session, message, self.clock())
-        self.act()
+        self.perform_effects()
 
     def session_closed(self, session: int) -> None:
         """A watcher's connection is over."""
         self.holder.session_closed(session, self.clock())
-        self.act()
+        self.perform_effects()
 
     def connection_ended(self) -> None:
-        """A connection is over; the last one may be what the end waits for."""
+        """A connection has ended; at shutdown, stop after the last one."""
         if self.stopping:
             self.finish_if_idle()
 
-    # turns
+    # effects and timer
 
-    def act(self) -> None:
-        """Carry out what was decided, and be called when more is due."""
+    def perform_effects(self) -> None:
+        """Perform the holder's effects, and schedule its next tick."""
         for effect in self.holder.take_effects():
-            self.carry_out(effect)
-        self.schedule_turn()
+            self.perform(effect)
+        self.schedule_timer()
 
-    def carry_out(self, effect: HolderEffect) -> None:
-        """Do what one effect says."""
+    def perform(self, effect: HolderEffect) -> None:
+        """Perform one effect."""
         match effect:
             case SendTo():
                 self.sessions.send(effect.session, effect.message)
             case CloseSession():
                 self.sessions.close(effect.session, effect.reason)
-            case AskRoster():
+            case RequestRosterSnapshot():
                 self.roster.request_snapshot()
 
-    def schedule_turn(self) -> None:
-        """Be called when the holder's next work is due."""
+    def schedule_timer(self) -> None:
+        """Schedule the timer for the holder's next deadline."""
         due = self.holder.next_due()
-        if self.stopping or (self.next_turn is not None and self.turn_at <= due):
+        if self.stopping or (self.timer is not None and self.timer_due <= due):
             return
-        if self.next_turn is not None:
-            self.next_turn.cancel()
-        self.turn_at = due
+        if self.timer is not None:
+            self.timer.cancel()
+        self.timer_due = due
         delay = max(0.0, due / SECOND - self.reactor.seconds())
-        self.next_turn = self.reactor.callLater(delay, self.turn)
+        self.timer = self.reactor.callLater(delay, self.on_timer)
 
-    def turn(self) -> None:
-        """Let the holder do what is due."""
-        self.next_turn = None
+    def on_timer(self) -> None:
+        """Handle the timer: let the holder do what is due."""
+        self.timer = None
         self.holder.tick(self.clock())
-        self.act()
+        self.perform_effects()
 
     # operators
 
     def inspect(self, function: str) -> InspectResponse:
-        """The answer to an operator."""
+        """The answer to an operator's request."""
         return InspectResponse(msgspec.Raw(msgspec.json.encode(self.report(function))))
 
     def report(self, function: str) -> dict[str, Any]:
-        """What the decisions know, and what only the connections show, as plain values."""
+        """The holder's state and figures of its connections, as plain values."""
         now = self.clock()
         freshness = self.holder.freshness
         mean, most = self.sessions.meter.rates(now)
@@ -156,17 +155,17 @@
             "bytes a second": round(mean, 1),
             "most bytes in a second": most,
             "bytes": self.sessions.meter.total,
-            "list": self.roster.list.mode.name.lower(),
+            "list": self.roster.list.state.value,
             "age ms": freshness.age(now) / MILLISECOND,
             "roster heard ms ago": (now - freshness.last_heard_at) / MILLISECOND,
             **self.counts.as_report(),
             **self.holder.inspect(function),
         }
 
-    # the end
+    # shutdown
 
     def stop(self, stopped: Callable[[], None]) -> None:
-        """Tell every watcher, which goes to the next copy at once, and end. A second call doesn't wait."""
+        """Close all sessions, so that watchers fail over at once, and stop. A second call doesn't wait."""
         if self.stopping:
             self.finish()
             return
@@ -176,16 +175,16 @@
         self.listening.stopListening()
         self.roster.stop()
         self.sessions.close_all("the holder stops")
-        self.reactor.callLater(CLOSING_TIME, self.finish)
+        self.reactor.callLater(SHUTDOWN_GRACE_SECONDS, self.finish)
         self.finish_if_idle()
 
     def finish_if_idle(self) -> None:
-        """End now if no session is open."""
+        """Finish the shutdown if no session is open."""
         if not len(self.sessions):
             self.finish()
 
     def finish(self) -> None:
-        """End; a further call does nothing."""
+        """Finish the shutdown; further calls have no effect."""
         stopped = self.stopped
         self.stopped = None
         if stopped is not None:
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -1,6 +1,6 @@
-"""A holder's connections to watchers and operators: lines in and out, and the session of each.
+"""A holder's connections to watchers and operators, one session each.
 
-Times are ticks of a tenth of a millisecond on the program's clock.
+Times are ticks of 0.1 ms on the process's clock.
 """
 
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class SessionListener(Protocol):
-    """Whom the sessions are for: the program around the holder's decisions."""
+    """Receives the events of sessions; implemented by the holder's process."""
 
     stopping: bool
 
@@ -32,99 +32,99 @@
         """A watcher has sent a message."""
 
     def session_closed(self, session: int) -> None:
-        """A watcher's connection is over, which the program has not closed itself."""
+        """A watcher's connection has ended that the holder did not close itself."""
 
     def connection_ended(self) -> None:
-        """A connection is over, whoever closed it."""
+        """A connection has ended, whoever closed it."""
 
     def inspect(self, function: str) -> wire.InspectResponse:
-        """The answer to an operator."""
+        """The answer to an operator's request."""
 
-    def passed_over(self, name: str, why: str) -> None:
-        """A line of a peer could not be read."""
+    def message_ignored(self, name: str, why: str) -> None:
+        """A line of a peer could not be decoded."""
 
 
 class WatcherSessions:
-    """The sessions of watchers by number; no number is used twice."""
+    """Sessions by number; no number is used twice."""
 
     def __init__(
         self, listener: SessionListener, holder: str, unsent_bytes: int, counts: HolderCounts, log: Log
     ) -> None:
-        """`holder`: its name in greetings. `unsent_bytes`: beyond so many a slow connection is cut."""
+        """`holder`: name in greetings. `unsent_bytes`: a connection with more unsent bytes is closed."""
         self.listener = listener
         self.holder = holder
         self.unsent_bytes = unsent_bytes
         self.counts = counts
         self.log = log
-        self.speakers = dict[int, WatcherSpeaker]()
-        self.opened = 0  # so far
-        self.slow = set[int]()  # sessions that read more slowly than is written
+        self.connections = dict[int, WatcherConnection]()
+        self.opened = 0  # since the start
+        self.slow = set[int]()  # sessions that read more slowly than the holder writes
         self.meter = ByteRateMeter(listener.clock())
 
     def __len__(self) -> int:
-        """Sessions that are open."""
-        return len(self.speakers)
+        """Number of open sessions."""
+        return len(self.connections)
 
     def send(self, session: int, message: Message) -> None:
-        """Send a message, where the session is still open."""
-        speaker = self.speakers.get(session)
-        if speaker is not None:
-            speaker.send_message(message)
+        """Send a message if the session is still open."""
+        connection = self.connections.get(session)
+        if connection is not None:
+            connection.send_message(message)
 
     def close(self, session: int, reason: str) -> None:
-        """Close a session by the holder's decision; nothing more is said of it."""
-        speaker = self.speakers.pop(session, None)
-        if speaker is not None:
+        """Close a session at the holder's request; `session_closed` is not called for it."""
+        connection = self.connections.pop(session, None)
+        if connection is not None:
             self.counts.closed_sessions += 1
-            speaker.close_with_reason(reason)
+            connection.close_with_reason(reason)
 
     def close_all(self, reason: str) -> None:
-        """Tell all watchers that the holder leaves, and close their connections."""
-        for speaker in list(self.speakers.values()):
-            speaker.close_with_reason(reason)
+        """Close all connections with a reason."""
+        for connection in list(self.connections.values()):
+            connection.close_with_reason(reason)
 
-    # what the connections report
+    # events of the connections
 
-    def greeted(self, speaker: "WatcherSpeaker") -> None:
-        """Both ends of a connection have greeted: a session begins, unless the holder stops."""
+    def connection_greeted(self, connection: "WatcherConnection") -> None:
+        """Both ends have greeted: open a session, unless the holder is stopping."""
         if self.listener.stopping:
-            speaker.close_with_reason("the holder stops")
+            connection.close_with_reason("the holder stops")
             return
         self.opened += 1
-        speaker.session = self.opened
-        self.speakers[speaker.session] = speaker
-        self.listener.session_opened(speaker.session)
+        connection.session = self.opened
+        self.connections[connection.session] = connection
+        self.listener.session_opened(connection.session)
 
-    def received(self, speaker: "WatcherSpeaker", message: Any) -> None:
-        """A message has come. Operators are answered here, in the program's own words."""
+    def message_received(self, connection: "WatcherConnection", message: Any) -> None:
+        """Handle a message; requests of operators are answered here."""
         if isinstance(message, wire.InspectRequest):
-            speaker.send_message(self.listener.inspect(message.function))
+            connection.send_message(self.listener.inspect(message.function))
             return
-        self.listener.session_message(speaker.session, message)
+        self.listener.session_message(connection.session, message)
 
-    def ended(self, speaker: "WatcherSpeaker") -> None:
-        """A connection is over."""
-        self.slow.discard(speaker.session)
-        if self.speakers.pop(speaker.session, None) is not None:
-            self.listener.session_closed(speaker.session)
+    def connection_ended(self, connection: "WatcherConnection") -> None:
+        """A connection has ended."""
+        self.slow.discard(connection.session)
+        if self.connections.pop(connection.session, None) is not None:
+            self.listener.session_closed(connection.session)
         self.listener.connection_ended()
 
-    def slowed(self, speaker: "WatcherSpeaker", slow: bool) -> None:
-        """A watcher has begun, or ceased, to read more slowly than it is written to."""
-        self.slow.discard(speaker.session)
+    def write_blocked(self, connection: "WatcherConnection", slow: bool) -> None:
+        """A watcher has started or ceased to read more slowly than the holder writes."""
+        self.slow.discard(connection.session)
         if slow:
-            self.slow.add(speaker.session)
-        figures = {"slow": len(self.slow), "sessions": len(self.speakers)}
-        self.log("watcher slow" if slow else "watcher reads", watcher=speaker.name, **figures)
+            self.slow.add(connection.session)
+        figures = {"slow": len(self.slow), "sessions": len(self.connections)}
+        self.log("watcher slow" if slow else "watcher reads", watcher=connection.name, **figures)
 
-    def cut_as_slow(self, speaker: "WatcherSpeaker", reason: str) -> None:
-        """A connection is cut while too much waits to be read."""
+    def record_slow_disconnect(self, connection: "WatcherConnection", reason: str) -> None:
+        """Count and log a connection that is closed because of too many unsent bytes."""
         self.counts.slow_connections_cut += 1
-        self.log("watcher cut", watcher=speaker.name, why=reason, waiting=speaker.unsent_bytes)
+        self.log("watcher cut", watcher=connection.name, why=reason, waiting=connection.unsent_bytes)
 
 
-class WatcherSpeaker(LineConnection):
-    """The holder's end of a connection, of a dispatcher or an operator."""
+class WatcherConnection(LineConnection):
+    """The holder's end of a connection to a dispatcher or an operator."""
 
     protocol = wire.DIRECTORY
     decoder = message_decoder(wire.FromWatcher)
@@ -133,7 +133,7 @@
     def __init__(self, sessions: WatcherSessions) -> None:
         super().__init__(LineLimits(max_unsent_bytes=sessions.unsent_bytes))
         self.sessions = sessions
-        self.session = 0  # before the greeting
+        self.session = 0  # 0 before the greeting
         self.name = ""
 
     def greeting(self) -> Hello:
@@ -143,11 +143,11 @@
     def greeting_received(self, hello: Hello) -> None:
         """The peer has greeted."""
         self.name = hello.name
-        self.sessions.greeted(self)
+        self.sessions.connection_greeted(self)
 
     def message_received(self, message: Any) -> None:
         """The peer has sent a message."""
-        self.sessions.received(self, message)
+        self.sessions.message_received(self, message)
 
     def send_message(self, message: Message) -> None:
         """Send a message, and count its bytes."""
@@ -160,32 +160,32 @@
     def close_with_reason(self, why: str) -> None:
         """Close the connection with a reason."""
         if not self.closed and self.unsent_bytes > self.limits.max_unsent_bytes:
-            self.sessions.cut_as_slow(self, why)
+            self.sessions.record_slow_disconnect(self, why)
         super().close_with_reason(why)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """What can't be read may have been a watch: the watcher begins anew."""
-        self.sessions.listener.passed_over(self.name, why)
+        """Close the connection: the undecodable line may have been a watch request."""
+        self.sessions.listener.message_ignored(self.name, why)
         super().unreadable_line_received(line, why)
 
     def write_blocked(self, slow: bool) -> None:
-        """The peer has begun, or ceased, to read too slowly."""
+        """The peer has started or ceased to read too slowly."""
         if self.session:
-            self.sessions.slowed(self, slow)
+            self.sessions.write_blocked(self, slow)
 
     def connection_lost(self) -> None:
-        """The connection is over."""
-        self.sessions.ended(self)
+        """The connection has ended."""
+        self.sessions.connection_ended(self)
 
 
 class WatcherFactory(ServerFactory):
-    """Makes the holder's ends of connections."""
+    """Builds the holder's ends of connections."""
 
     noisy = False
 
     def __init__(self, sessions: WatcherSessions) -> None:
         self.sessions = sessions
 
-    def buildProtocol(self, addr: Any) -> WatcherSpeaker:
-        """A protocol for a connection that was accepted."""
-        return WatcherSpeaker(self.sessions)
+    def buildProtocol(self, addr: Any) -> WatcherConnection:
+        """A protocol for an accepted connection."""
+        return WatcherConnection(self.sessions)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -1,4 +1,4 @@
-"""One day in the model: the same script, fleet, troubles, clients and edges as on sockets."""
+"""One day in the model: the same script, fleet, faults, clients and edges as on sockets."""
 
 import io
 from collections.abc import Callable
@@ -9,22 +9,22 @@
 from lapistrestle.checks.service import worth
 from lapistrestle.deployment.load import DeploymentError
 from lapistrestle.deployment.schema import Deployment
-from lapistrestle.edge.linking import Input
+from lapistrestle.edge.connection_state import ConnectionEvent
 from lapistrestle.edge.program import Edge
 from lapistrestle.model.baselines import Baseline
 from lapistrestle.model.clock import Clock
 from lapistrestle.model.links import ModelLine, RunnerLink, Subscription, Ways
 from lapistrestle.policy.dispatcher import Dispatcher
-from lapistrestle.standins.client import Line, Wish
-from lapistrestle.standins.engine import RunnerFacts
-from lapistrestle.standins.runner import RunnerStandIn, Tokens
+from lapistrestle.standins.client import ClientRequest, EdgeLink
+from lapistrestle.standins.engine import RunnerSpec
+from lapistrestle.standins.faults.kinds import schedule
+from lapistrestle.standins.runner import RunnerStandIn, TokenRegistry
 from lapistrestle.standins.script import Day
 from lapistrestle.standins.tape import Tape
-from lapistrestle.standins.troubles.kinds import schedule
 from lapistrestle.standins.world import World, header
 from lapistrestle.ticks import SECOND
 
-# what needs a wire, or a process that stands still: only on sockets
+# faults that need a connection, or a process that can be stopped: only on sockets
 WIRES = frozenset(
     ("balancer_stall", "refused", "broken", "silent", "delayed", "split", "garbled", "edge_kill", "unread",
      "planner_stall", "planner_kill", "holder_stall", "holder_kill", "directory_cut")
@@ -32,8 +32,8 @@
 
 
 class ModelEdge(Edge):
-    """An edge whose connections are links of the model. Its decisions, versions, list and timers are those
-    of the program."""
+    """An edge whose connections are links of the model. Decisions, rollouts, endpoint list and timers are
+    those of the program."""
 
     def __init__(self, world: "ModelWorld", deployment: Deployment, log: Any) -> None:
         self.world = world
@@ -49,7 +49,7 @@
         return 1
 
     wanted = False
-    dials = 0  # links so far
+    dials = 0  # links created so far
 
     def watch_endpoints(self) -> None:
         self.wanted = True
@@ -63,13 +63,13 @@
                 told: Any = handle.edge.host.gossip_received  # type: ignore[attr-defined]
                 self.reactor.callLater(self.world.ways.between, told, me, text)
 
-    def address(self, name: str, address: Any, start: str = "") -> None:
-        """As on sockets: another address is another process."""
+    def address_received(self, name: str, address: Any, start: str = "") -> None:
+        """Replaces the link if the address changed: as on sockets, another address is another process."""
         link: Any = self.runners.get(name)
         at = self.world.runners.get(address)
         if link is not None and (address == 0 or link.runner is not at):
             del self.runners[name]
-            link.step(Input.DROPPED)
+            link.step(ConnectionEvent.REMOVED)
             link = None
         if link is None and address:
             way = self.world.ways.time(self.name, name)
@@ -79,7 +79,7 @@
 
 
 class Handle:
-    """How the day holds an edge of the model."""
+    """The day's handle of an edge of the model (`standins.world.EdgeHandle`)."""
 
     def __init__(self, edge: ModelEdge) -> None:
         self.edge, self.name = edge, edge.name
@@ -96,21 +96,21 @@
 
 
 @dataclass
-class Outcome:
-    """What came of the wishes of a day; times in milliseconds."""
+class DayResult:
+    """Result of a day's client requests; times in milliseconds."""
 
-    wishes: int = 0
+    client_requests: int = 0
     gained: float = 0.0
     asked: float = 0.0
-    windows: dict[int, list[float]] = field(default_factory=dict)  # by second: gain asked and gained
-    took: list[float] = field(default_factory=list)  # of those that were answered ok
+    windows: dict[int, list[float]] = field(default_factory=dict)  # by second: gain asked for and gained
+    latencies: list[float] = field(default_factory=list)  # latencies of those that were answered ok
 
     @property
     def service(self) -> float:
         return self.gained / self.asked if self.asked else 1.0
 
     def worst(self, seconds: int = 10) -> float:
-        """The worst of so many seconds in a row, by when wishes began."""
+        """Lowest service over so many seconds in a row, by the times at which requests started."""
         last = max(self.windows, default=0)
         found = 1.0
         for begin in range(max(1, last - seconds + 2)):
@@ -121,12 +121,12 @@
 
 
 class ModelWorld(World):
-    """Builds one day of the model. Raises DeploymentError for what it can't play."""
+    """Builds one day of the model. Raises DeploymentError for a script that the model can't run."""
 
     def __init__(
         self, day: Day, deployment: Deployment, sink: BinaryIO | None = None, log: Any = None
     ) -> None:
-        for number, trouble in enumerate(day.troubles):
+        for number, trouble in enumerate(day.faults):
             if trouble.kind in WIRES:
                 raise DeploymentError(
                     f"troubles.{number}.kind: {trouble.kind} needs sockets; the model has none"
@@ -136,7 +136,7 @@
         self.runners: dict[int, RunnerStandIn] = {}
         self.ways = Ways()
         self.log = log or (lambda what, **figures: None)
-        self.outcome = Outcome()
+        self.outcome = DayResult()
         make: Callable[..., Any] = lambda made, start: Handle(ModelEdge(self, made, self.log))  # noqa: E731
         self.methods = header(day, deployment)["methods"]
         self.untold = sink is None
@@ -149,22 +149,24 @@
             self.ways.zones[handle.name] = zones[edge % len(zones)] if zones else ""
         self.by_name = {slot.name: slot for slot in self.slots}
         self.ways.zones |= {slot.name: slot.zone for slot in self.slots}
-        self.crowd.ended = self.ended
+        self.clients.ended = self.ended
 
     @property
     def taped(self) -> Tape | None:
-        """The tape, if anybody reads it."""
+        """The tape, if one is recorded."""
         return None if self.untold else self.tape
 
-    def boot(self, name: str, start: int, facts: RunnerFacts, tokens: Tokens, cold: bool) -> RunnerStandIn:
+    def boot(
+        self, name: str, start: int, facts: RunnerSpec, tokens: TokenRegistry, cold: bool
+    ) -> RunnerStandIn:
         made = super().boot(name, start, facts, tokens, cold)
         made.tape = self.taped
         self.runners[made.port] = made
         return made
 
     def sees(self, name: str, function: str) -> tuple[float, float]:
-        """A runner as it is: whether a copy stands (1) or is being loaded (0.5), and calls by core, those on
-        their way too, as slow as it is now."""
+        """True state of a runner: whether a copy is loaded (1) or loading (0.5), and calls per core at its
+        present speed, those in flight included."""
         slot = self.by_name[name]
         engine, copies = slot.runner.engine, slot.runner.engine.copies.get(function)
         coming = sum(h.edge.host.module.out.get(h.edge.host.registry.worker(name), 0) for h in self.edges)  # type: ignore[attr-defined]
@@ -172,28 +174,28 @@
         copy = 0.0 if copies is None else 1.0 if copies.standing else 0.5 if copies.loading else 0.0
         return copy, crowd + (1e9 if engine.dead or engine.failing else 0)
 
-    def lines(self) -> list[Line]:
+    def lines(self) -> list[EdgeLink]:
         return [
-            ModelLine(self.crowd, handle.edge, number, self.ways.within, self.taped)  # type: ignore[attr-defined]
+            ModelLine(self.clients, handle.edge, number, self.ways.within, self.taped)  # type: ignore[attr-defined]
             for number, handle in enumerate(self.edges)
         ]
 
-    def ended(self, wish: Wish, ok: bool) -> None:
-        """A wish is over, for good or bad."""
+    def ended(self, wish: ClientRequest, ok: bool) -> None:
+        """Counts a client's request that was answered or given up."""
         method, outcome = self.methods[wish.method], self.outcome
-        took = (self.reactor.seconds() - wish.began) * 1000
+        took = (self.reactor.seconds() - wish.started_at) * 1000
         gain = worth(method, took, wish.work) if ok else 0.0
-        outcome.wishes += 1
+        outcome.client_requests += 1
         outcome.asked += method["gain"]
         outcome.gained += gain
-        window = outcome.windows.setdefault(int(wish.began - self.began), [0.0, 0.0])
+        window = outcome.windows.setdefault(int(wish.started_at - self.began), [0.0, 0.0])
         window[0] += method["gain"]
         window[1] += gain
         if ok:
-            outcome.took.append(took)
+            outcome.latencies.append(took)
 
-    def play(self) -> Outcome:
-        """The whole day, and on until the last wish is over."""
+    def play(self) -> DayResult:
+        """Runs the whole day, and on until the last request is over."""
         self.start()
         self.begin_traffic()
         schedule(self)
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -1,30 +1,30 @@
-"""The connection to the roster: its lists handed on."""
+"""Client of the roster: passes its lists on to a `RosterFollower`."""
 
 from typing import Any, Protocol
 
 from lapistrestle.sources.numbered_list import ListAction, ListEvent
-from lapistrestle.sources.reconnecting import Source
+from lapistrestle.sources.reconnecting import ReconnectingSource
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 
-class RosterSpeaker(LineConnection):
+class RosterConnection(LineConnection):
     """Our end of the connection to the roster."""
 
     protocol = wire.ROSTER
     decoder = message_decoder(wire.FromRoster)
 
     def __init__(self, source: "RosterSource") -> None:
-        super().__init__(source.edge.bounds)
+        super().__init__(source.owner.bounds)
         self.source = source
 
     def greeting(self) -> wire.Hello:
-        """The follower's greeting."""
-        return wire.Hello(self.protocol, wire.VERSION, self.source.edge.name)
+        """The client's greeting."""
+        return wire.Hello(self.protocol, wire.VERSION, self.source.owner.name)
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        """The roster has greeted: follow its list."""
-        if not self.source.edge.endpoints_polled or self.source.wanted:
+        """The roster has greeted: subscribe to its list, unless that is done on request only."""
+        if not self.source.owner.endpoints_polled or self.source.is_subscribed:
             self.send_message(wire.RosterSubscribe())
 
     def message_received(self, message: Any) -> None:
@@ -32,64 +32,64 @@
         self.source.heard(message)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """A line lost may have been a change: the whole list is asked for anew."""
-        self.source.edge.passed_over("roster", why)
+        """The undecodable line may have been a change: request the complete list."""
+        self.source.owner.message_ignored("roster", why)
         self.send_message(wire.RosterRequest())
 
     def connection_lost(self) -> None:
-        """The connection is over."""
-        self.source.lost(self)
+        """The connection has ended."""
+        self.source.connection_lost(self)
 
 
 class RosterFollower(Protocol):
-    """For whom a `RosterSource` follows the roster: an edge, or a holder of the directory."""
+    """The owner of a `RosterSource`: an edge, or a holder of the directory."""
 
     name: str
     bounds: LineLimits  # of the connection
     connect_timeout: int  # ticks
-    endpoints_polled: bool  # the list is followed for a time, and then asked for again
+    endpoints_polled: bool  # the list is requested periodically instead of subscribed to on connecting
 
-    def input(self) -> None:
-        """Something has come from the roster."""
+    def input_received(self) -> None:
+        """Data was received from the roster."""
 
     def list_received(self, message: wire.RosterSnapshot | wire.RosterUpdate) -> ListAction:
-        """A list or change has come: what is done with it."""
+        """Handle a list or change. Returns what is to be done with it."""
 
     def list_event(self, news: ListEvent) -> None:
-        """The connection is lost, or the roster can't answer."""
+        """Handle a lost or failed connection, or a roster that can't answer."""
 
-    def passed_over(self, name: str, why: str) -> None:
-        """A line of this peer could not be read."""
+    def message_ignored(self, name: str, why: str) -> None:
+        """A line of this peer could not be decoded."""
 
 
-class RosterSource(Source):
-    """Follows the roster at one port."""
+class RosterSource(ReconnectingSource):
+    """A client of the roster at one port."""
 
-    edge: RosterFollower
-    wanted = False
+    owner: RosterFollower
+    is_subscribed = False
 
-    def ask(self) -> None:
-        """Have the whole list once more."""
-        self.say(wire.RosterRequest())
+    def request_snapshot(self) -> None:
+        """Request the complete list."""
+        self.send_message(wire.RosterRequest())
 
-    def speak(self) -> RosterSpeaker:
-        """Our end of a new connection."""
-        return RosterSpeaker(self)
+    def make_connection(self) -> RosterConnection:
+        """Build our end of a new connection."""
+        return RosterConnection(self)
 
     def follow(self) -> None:
-        """Ask for the list, now and with each new connection."""
-        self.wanted = True
-        self.say(wire.RosterSubscribe())
+        """Subscribe to the list, now and on each new connection."""
+        self.is_subscribed = True
+        self.send_message(wire.RosterSubscribe())
 
     def heard(self, message: Any) -> None:
         """The roster has sent a message."""
         if isinstance(message, wire.RosterSnapshot | wire.RosterUpdate):
-            self.edge.input()
-            if self.edge.list_received(message) is ListAction.ASK:
-                self.say(wire.RosterRequest())
+            self.owner.input_received()
+            if self.owner.list_received(message) is ListAction.REQUEST_SNAPSHOT:
+                self.send_message(wire.RosterRequest())
         elif isinstance(message, wire.RosterUnavailable):
-            self.edge.list_event(ListEvent.FAILED)
+            self.owner.list_event(ListEvent.FAILED)
 
-    def down(self, was_up: bool) -> None:
-        """The connection is lost (`was_up`), or could not be made."""
-        self.edge.list_event(ListEvent.CUT if was_up else ListEvent.FAILED)
+    def on_disconnected(self, was_up: bool) -> None:
+        """The connection was lost (`was_up`) or could not be established."""
+        self.owner.list_event(ListEvent.DISCONNECTED if was_up else ListEvent.FAILED)
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -1,4 +1,4 @@
-"""A runner on a socket: greets, takes calls and orders, and says how they ended."""
+"""A runner on a socket: accepts calls, preloads and health checks, and sends their results."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,16 +7,16 @@
 import msgspec
 from twisted.internet.protocol import ServerFactory
 
-from lapistrestle.standins.engine import Engine, RunnerFacts, Task
-from lapistrestle.standins.store import Store
+from lapistrestle.standins.engine import Engine, RunnerSpec, Task
+from lapistrestle.standins.store import PackageStore
 from lapistrestle.standins.tape import Tape
-from lapistrestle.standins.taped import TapedSpeaker, Weather
+from lapistrestle.standins.taped_connection import NetworkFaults, TapedConnection
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
 
 class Body(msgspec.Struct):
-    """What a stand-in client writes into a call: its true work and load time, in milliseconds."""
+    """Body of a stand-in client's call: its true work and load time, in milliseconds."""
 
     work: float = 1.0
     load: float = 500.0
@@ -27,28 +27,28 @@
 
 
 @dataclass
-class Fault:
-    """What is wrong with a version."""
+class VersionFault:
+    """Defects of a version."""
 
-    errors: float = 0.0  # share of its calls that end in an error
-    slower: float = 1.0
+    errors: float = 0.0  # share of its calls that fail
+    slower: float = 1.0  # factor on the work of its calls
     load_errors: float = 0.0  # share of its loads that fail
-    when_busy: float = 0.0  # only where at least this part of the cores is at work
-    customer: str = ""  # only for this one
+    when_busy: float = 0.0  # only on runners with at least this part of the cores busy
+    customer: str = ""  # only for this customer
     after: float = 0.0  # only from this time on, in seconds of the reactor
 
     def shows(self, customer: str, busy: float, now: float) -> bool:
         return self.customer in ("", customer) and busy >= self.when_busy and now >= self.after
 
 
-SOUND = Fault()
+SOUND = VersionFault()
 
 
-class Tokens:
-    """When each token took effect last within a group of runners, for each version by itself.
+class TokenRegistry:
+    """When each idempotency token last took effect within a group of runners, for each version.
 
-    The hard way: one version knows nothing of what ran on another. A call is a repeat by when it came, as it
-    may wait here for longer than tokens are remembered.
+    The hardest case for edges: versions do not share their tokens. Whether a call is a repeat counts from the
+    time of its arrival, as it may wait here for longer than tokens are remembered.
     """
 
     def __init__(self) -> None:
@@ -63,24 +63,25 @@
 
 
 class RunnerStandIn:
-    """One worker process by name; a restart is a new one, on another port."""
+    """One process of a runner. A restarted runner is a new object with the same name, on another port."""
 
     def __init__(
-        self, reactor: Any, name: str, start: int, facts: RunnerFacts, store: Store, tokens: Tokens,
-        tape: Tape | None = None, cold: bool = False, port: int = 0, tells: frozenset[str] = frozenset(),
+        self, reactor: Any, name: str, start: int, facts: RunnerSpec, store: PackageStore,
+        tokens: TokenRegistry, tape: Tape | None = None, cold: bool = False, port: int = 0,
+        tells: frozenset[str] = frozenset(),
         loads: dict[str, float] | None = None, fell: Any = None,
     ) -> None:  # fmt: skip
         self.reactor, self.name, self.start, self.facts = reactor, name, f"{name}#{start}", facts
         self.tokens, self.tape, self.tells, self.fell = tokens, tape, tells, fell
-        self.loads = loads if loads is not None else {}  # milliseconds that a load takes, by function
-        self.weather = Weather(seed=start)
+        self.loads = loads if loads is not None else {}  # time to load a copy in milliseconds, by function
+        self.weather = NetworkFaults(seed=start)
         self.engine = Engine(reactor, facts, store, self.fall, cold)
-        self.faults: dict[str, Fault] = {}  # by the name of a version
-        self.chance = Weather(seed=start + 1)
+        self.faults: dict[str, VersionFault] = {}  # by the name of a version
+        self.chance = NetworkFaults(seed=start + 1)
         self.engine.load_fails = lambda function: self.chance.chance(
             self.faults.get(function, SOUND).load_errors
         )
-        self.speakers: dict[RunnerSpeaker, None] = {}
+        self.speakers: dict[RunnerServerConnection, None] = {}
         self.tasks: dict[tuple[Any, int], Task] = {}  # by the edge's connection and number
         self.count = 0
         self.listening = reactor.listenTCP(port, RunnerFactory(self), interface="127.0.0.1")
@@ -108,7 +109,7 @@
             self.tape.put(self.start, "end", runner=self.name)
 
     def fall(self) -> None:
-        """Fallen over: it stays down."""
+        """Collapses under overload; the process does not come back by itself."""
         if self.tape is not None:
             self.tape.put(self.start, "fell", runner=self.name)
         self.kill()
@@ -121,16 +122,16 @@
             speaker.send_message(wire.Draining())
 
     def refuse(self, on: bool) -> None:
-        """A trouble: nothing is accepted; connections made before go on."""
+        """A fault: no connection is accepted; established ones go on."""
         if on:
             self.listening.stopListening()
         else:
             self.listening = self.reactor.listenTCP(self.port, RunnerFactory(self), interface="127.0.0.1")
 
-    # what edges ask, over whatever they are connected by
+    # messages of edges, on sockets and in the model
 
-    def take(self, message: Any, edge: Any, say: Callable[[Any], None]) -> None:
-        """A message of the edge at the other end of `edge`; answers go to `say`."""
+    def handle(self, message: Any, edge: Any, say: Callable[[Any], None]) -> None:
+        """Handles a message that came over the connection `edge`; answers go to `say`."""
         engine = self.engine
         match message:
             case wire.Run():
@@ -204,14 +205,14 @@
     def __init__(self, runner: RunnerStandIn) -> None:
         self.runner = runner
 
-    def buildProtocol(self, addr: Any) -> "RunnerSpeaker | None":
+    def buildProtocol(self, addr: Any) -> "RunnerServerConnection | None":
         if self.runner.engine.dead:
             return None
         self.runner.count += 1
-        return RunnerSpeaker(self.runner, f"{self.runner.start}/{self.runner.count}")
+        return RunnerServerConnection(self.runner, f"{self.runner.start}/{self.runner.count}")
 
 
-class RunnerSpeaker(TapedSpeaker):
+class RunnerServerConnection(TapedConnection):
     protocol = wire.RUNNER
     decoder = message_decoder(wire.ToRunner)
     greets_first = False
@@ -229,7 +230,7 @@
         return self.runner.hello()
 
     def message_received(self, message: Any) -> None:
-        self.runner.take(message, self, self.send_message)
+        self.runner.handle(message, self, self.send_message)
 
     def connection_lost(self) -> None:
         self.runner.speakers.pop(self, None)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -24,10 +24,10 @@
     Send,
 )
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
-from lapistrestle.standins.raft_cluster import Faults, RaftCluster
+from lapistrestle.standins.raft_cluster import FaultRates, RaftCluster
 
 SECOND = 10_000
-ROUGH = Faults(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
+ROUGH = FaultRates(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
 THREE = ["a", "b", "c"]
 M = TypeVar("M", bound=Message)
 
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5])
 def test_a_cluster_without_faults_has_one_leader_and_commits(count: int) -> None:
-    made = RaftCluster(count, 1, Faults(0, 0, 0, kills=0, cuts=0, stalls=0))
+    made = RaftCluster(count, 1, FaultRates(0, 0, 0, kills=0, cuts=0, stalls=0))
     made.day(6)
     assert len(made.leading()) == 1 and not made.invariants.breaches
     assert len(made.invariants.agreed) > 5 and made.done_reads > 5
@@ -194,7 +194,7 @@
 @given(st.integers(0, 10**6), st.integers(2, 5), st.integers(0, 4), st.integers(0, 3))
 @settings(max_examples=40, deadline=None)
 def test_committed_entries_survive_any_faults(seed: int, count: int, loss: int, kills: int) -> None:
-    faults = Faults(loss=loss / 10, doubled=0.2, late=0.2, kills=kills, cuts=1.0, stalls=1.0)
+    faults = FaultRates(loss=loss / 10, doubled=0.2, late=0.2, kills=kills, cuts=1.0, stalls=1.0)
     made = RaftCluster(count, seed, faults)
     made.day(6)
     assert made.invariants.breaches == []
@@ -277,8 +277,8 @@
 
 
 def broken_invariants(seed: int, make: type[RaftNode]) -> list[str]:
-    """Return the broken_invariants invariants of a cluster with frequent elections and crashes of leaders."""
-    faults = Faults(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
+    """Return the broken invariants of a cluster with frequent elections and crashes of leaders."""
+    faults = FaultRates(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
     made = RaftCluster(
         3 + 2 * (seed % 2),
         seed,
@@ -296,7 +296,7 @@
 
 def test_a_member_that_restarts_with_an_empty_disk_is_found() -> None:
     def lost(seed: int) -> list[str]:
-        made = RaftCluster(3, seed, Faults(kills=0, cuts=1.0, stalls=1.0))
+        made = RaftCluster(3, seed, FaultRates(kills=0, cuts=1.0, stalls=1.0))
         made.again(1.5, lambda: made.kill(made.random.choice(made.names), disk=False))
         made.day(12)
         return made.invariants.breaches
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner, Result
 
 from lapistrestle.command.main import main
-from lapistrestle.edge.running import reactor_of_now
+from lapistrestle.edge.reactor import monotonic_reactor
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 
@@ -64,7 +64,7 @@
 
 def test_the_programs_run_on_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     """Timers would be delayed if they used the wall clock and that were set back."""
-    reactor = reactor_of_now()
+    reactor = monotonic_reactor()
     before = reactor.seconds()
     monkeypatch.setattr(time, "time", lambda: 0.0)
     assert reactor.seconds is time.monotonic and reactor.seconds() >= before
--- a/tests/test_edge_directory.py
+++ b/tests/test_edge_directory.py
@@ -1,4 +1,4 @@
-"""An edge with a directory on virtual wires: what it asks of holders, and what waits and stops by it."""
+"""An edge with a directory on a virtual network: look-ups, waiting requests, drains and removals."""
 
 import subprocess
 import sys
@@ -11,30 +11,30 @@
 from lapistrestle.deployment.schema import Directory, DirectoryCopy
 from lapistrestle.edge.program import Edge
 from lapistrestle.policy.types import EndpointState
-from lapistrestle.standins.virtual import Process, VirtualReactor
+from lapistrestle.standins.virtual import VirtualProcess, VirtualReactor
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import RosterEntry, encode
 
 HELLO = {"is": "hello", "protocol": "lapistrestle.directory", "version": 1, "name": "holder"}
-LEASE = 30_000  # tenths of a millisecond
-LOOKUP = 0.25  # seconds, the default time-out
+LEASE = 30_000  # ticks of 0.1 ms
+LOOKUP = 0.25  # seconds, the default timeout of a look-up
 SECONDS_UP = 3_600
 
 
 class DirectoryStage(Stage):
-    """An edge, two copies of its directory's one shard, and runners; the test plays all but the edge."""
+    """An edge, two replicas of its directory's only shard, and runners; the test plays all but the edge."""
 
     def __init__(self, like="thumbs", runners=3, copies=2, allowed=None, **directory):
         self.reactor = VirtualReactor()
-        self.outside = Process(self.reactor, "test")
-        self.process = Process(self.reactor, "edge")
+        self.outside = VirtualProcess(self.reactor, "test")
+        self.process = VirtualProcess(self.reactor, "edge")
         self.logs = []
         deployment = load_deployment(EXAMPLES / f"{like}.json5")
         deployment.listen = msgspec.structs.replace(deployment.listen, port=0)
         deployment.allowed = msgspec.structs.replace(deployment.allowed, **allowed or {})
         self.rosters, self.clients = [], []
         deployment.roster.port = self.outside.listenTCP(0, Listens(self.rosters)).port
-        self.copies = [[] for _ in range(copies)]  # connections to each
+        self.copies = [[] for _ in range(copies)]  # connections to each replica
         ports = [self.outside.listenTCP(0, Listens(made)).port for made in self.copies]
         shards = [[DirectoryCopy(port=port) for port in ports]]
         deployment.directory = Directory(shards=shards, **directory)
@@ -47,7 +47,7 @@
 
     @property
     def holders(self):
-        """Connections to holders that stand."""
+        """Open connections to holders."""
         return [peer for made in self.copies for peer in made if not peer.closed]
 
     def entry(self, name, **more):
@@ -62,7 +62,7 @@
         self.run(0.002)
 
     def watches(self):
-        """Connection and watch, of those that stand."""
+        """The watches on open connections: connection and message."""
         return [(peer, watch) for peer in self.holders for watch in peer.heard("watch")]
 
     def revision(self):
@@ -105,7 +105,7 @@
         return peer, watch
 
     def look_up(self, client, *names, **more):
-        """A first call whose function's prefix is answered; the connection to the holder."""
+        """Make a first call and answer its look-up. Returns the connection to the holder."""
         self.call(client, **more)
         peer, _ = self.answer_watch(*names)
         for name in names or self.runners:
@@ -124,7 +124,7 @@
     return [(a["id"], a["verdict"]) for a in client.heard("answer")]
 
 
-def test_it_asks_nobody_before_the_first_call_and_never_the_roster(stage):
+def test_no_holder_is_asked_before_the_first_call_and_the_roster_never(stage):
     stage.run(5.0)
     assert not stage.rosters and not any(stage.copies)
 
@@ -141,7 +141,7 @@
         end(runner, run)
     stage.run()
     assert verdicts(client) == [("1", "ok"), ("2", "ok")] and stage.clean()
-    assert set(stage.edge.following.known) == {"r0", "r1"}
+    assert set(stage.edge.known_workers.known) == {"r0", "r1"}
 
 
 def test_many_calls_of_one_function_share_one_look_up(stage):
@@ -149,13 +149,13 @@
     for number in range(20):
         stage.call(client, id=str(number))
     stage.answer_watch()
-    assert len(stage.watches()) == 1 and not stage.edge.directory.waiting
+    assert len(stage.watches()) == 1 and not stage.edge.directory.waiting_requests
     assert stage.edge.host.open_requests == 20
     stage.call(client, id="again")
     assert len(stage.watches()) == 1
 
 
-def test_a_look_up_without_answer_ends_in_a_denial_within_its_time_out():
+def test_a_look_up_without_answer_denies_the_call_within_its_timeout():
     stage = DirectoryStage(allowed={"retry_after": 20_000})
     client = stage.client()
     stage.call(client)
@@ -163,10 +163,10 @@
     stage.run(LOOKUP + 0.05)
     (answer,) = client.heard("answer")
     assert answer["verdict"] == "denied" and 0 < answer["come_back"] <= 2_000
-    assert stage.clean() and not stage.edge.directory.waiting
+    assert stage.clean() and not stage.edge.directory.waiting_requests
 
 
-def test_where_no_holder_can_be_reached_the_denial_comes_at_once():
+def test_a_call_is_denied_at_once_if_no_holder_can_be_reached():
     stage = DirectoryStage(copies=1)
     client = stage.client()
     stage.outside.listeners[1].close()  # the holder's
@@ -185,7 +185,7 @@
     assert verdicts(client) == [("1", "denied")] and stage.clean()
 
 
-def test_a_client_that_leaves_while_its_call_waits_is_forgotten(stage):
+def test_the_waiting_calls_of_a_disconnected_client_are_dropped(stage):
     client, other = stage.client(), stage.client()
     stage.call(client, id="1")
     stage.call(other, id="1")
@@ -193,7 +193,7 @@
     client.transport.loseConnection()
     other.say(**{"is": "leave", "id": "2"})
     stage.run(0.002)
-    assert len(stage.edge.directory.waiting) == 1
+    assert len(stage.edge.directory.waiting_requests) == 1
     stage.answer_watch()
     stage.run(0.01)
     for name in stage.runners:
@@ -204,11 +204,11 @@
     assert run["rpc"] == "c2/1"
 
 
-def test_a_drain_told_by_the_holder_stops_new_work_and_holds_lines_back(stage):
+def test_a_drain_reported_by_the_holder_stops_new_work_and_discards_queued_lines(stage):
     client = stage.client()
     stage.call(client)
     peer, _ = stage.answer_watch("r0", "r1")
-    assert stage.edge.host.worker_calls  # it waits for the runner's greeting
+    assert stage.edge.host.worker_calls  # the line is queued until the runner greets
     stage.update(peer, stage.entry("r0", listing="draining"))
     stage.run(0.002)
     for name in ("r0", "r1"):
@@ -219,13 +219,13 @@
     assert not [run for p, run in stage.runs() if p in stage.runners["r0"]]
 
 
-def test_what_is_gone_gets_nothing_new_and_what_is_out_there_may_still_end(stage):
+def test_a_removed_instance_gets_nothing_new_and_may_finish_its_calls(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
     ((runner, run),) = stage.runs()
     stage.update(peer, gone=["r0"], changes=[wire.PrefixChange(1, 1, ["r0"])])
     stage.run(0.002)
-    assert "r0" not in stage.edge.following.known
+    assert "r0" not in stage.edge.known_workers.known
     end(runner, run)
     stage.run()
     assert verdicts(client) == [("1", "ok")]
@@ -235,25 +235,25 @@
     assert [run["rpc"] for p, run in stage.runs() if p in stage.runners["r1"]] == ["c1/2"]
 
 
-def test_the_runner_s_own_word_of_a_drain_counts(stage):
+def test_a_runner_s_own_notice_of_a_drain_counts(stage):
     client = stage.client()
     stage.look_up(client, "r0", "r1")
     stage.runners["r0"][-1].say(**{"is": "draining"})
     stage.run(0.002)
-    assert stage.edge.host.registry.workers["r0"].listing is EndpointState.DRAINING
+    assert stage.edge.host.registry.workers["r0"].endpoint_state is EndpointState.DRAINING
 
 
 def test_an_instance_replaced_at_its_address_is_another_process(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
-    before = stage.edge.host.registry.workers["r0"].booted
+    before = stage.edge.host.registry.workers["r0"].booted_at
     stage.update(peer, stage.entry("r0", start="r0#1", up_for=100))
     stage.run(0.002)
     worker = stage.edge.host.registry.workers["r0"]
-    assert worker.booted > before and stage.edge.following.known["r0"].start == "r0#1"
+    assert worker.booted_at > before and stage.edge.known_workers.known["r0"].start == "r0#1"
 
 
-def test_one_that_is_gone_and_comes_back_stands_in_the_prefix_again(stage):
+def test_an_instance_that_comes_back_is_in_the_prefix_again(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1")
     for runner, run in stage.runs():
@@ -265,10 +265,10 @@
     stage.run(0.002)
     workers = stage.edge.host.registry.workers
     assert stage.edge.host.registry.functions["f"].prefix == [workers["r0"], workers["r1"]]
-    assert workers["r0"].listing is EndpointState.SERVING
+    assert workers["r0"].endpoint_state is EndpointState.SERVING
 
 
-def test_a_function_not_called_is_watched_no_more_and_its_instances_are_dropped():
+def test_the_watch_of_an_unused_function_ends_and_its_instances_are_dropped():
     stage = DirectoryStage(idle=40_000)
     client = stage.client()
     stage.look_up(client, "r0", "r1")
@@ -278,15 +278,15 @@
         stage.run(0.1)
         for peer in stage.holders:
             stage.renewed(peer)
-    assert not stage.edge.following.known and not stage.edge.runners
+    assert not stage.edge.known_workers.known and not stage.edge.runners
     stage.call(client, id="2")
-    assert stage.edge.directory.waiting
+    assert stage.edge.directory.waiting_requests
     stage.answer_watch("r0", "r1")
-    assert set(stage.edge.following.known) == {"r0", "r1"}
+    assert set(stage.edge.known_workers.known) == {"r0", "r1"}
 
 
-def test_one_that_warms_up_is_kept_in_the_module_when_no_prefix_names_it(stage):
-    """Else it would be met anew with its budget unspent (rule 4)."""
+def test_an_instance_in_slow_start_stays_in_the_module_without_a_prefix(stage):
+    """Otherwise it would be sent more than it can take in slow start, once it is in a prefix again."""
     client, ramp = stage.client(), stage.edge.settings.slow_start_duration
     assert ramp
     stage.call(client)
@@ -298,24 +298,24 @@
     cold.sent_in_slow_start.append((stage.edge.clock(), 5.0))
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     stage.run(0.002)
-    assert "r1" not in stage.edge.following.known and "r1" not in stage.edge.runners
-    assert cold.listing is EndpointState.DRAINING
+    assert "r1" not in stage.edge.known_workers.known and "r1" not in stage.edge.runners
+    assert cold.endpoint_state is EndpointState.DRAINING
     changes = [wire.PrefixChange(1, 2, inserted=[wire.PlacedInstance(1, "r1")])]
     stage.update(peer, stage.entry("r1", up_for=20), changes=changes)
     stage.run(0.002)
     assert (
         stage.edge.host.registry.workers["r1"] is cold
         and cold.sent_in_slow_start
-        and cold.listing is EndpointState.SERVING
+        and cold.endpoint_state is EndpointState.SERVING
     )
     stage.update(peer, changes=[wire.PrefixChange(1, 1, ["r1"])])
     for _ in range(ramp // 1_000 + 2):
         stage.run(0.1)
         stage.renewed(peer)
-    assert "r1" not in stage.edge.host.registry.workers or cold.listing is EndpointState.REMOVED
+    assert "r1" not in stage.edge.host.registry.workers or cold.endpoint_state is EndpointState.REMOVED
 
 
-def test_a_longer_prefix_is_asked_for_where_the_known_one_is_used_up(stage):
+def test_a_longer_prefix_is_requested_when_the_known_one_is_used_up(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch("r0", complete=False)
@@ -330,13 +330,13 @@
     assert [worker.name for worker in function.prefix] == list(stage.runners)
 
 
-def test_a_worker_is_dialled_once_something_is_sent_there_and_left_with_its_prefix(stage):
-    """As it was: every worker of every prefix was dialled, seven for each function that is called once."""
+def test_a_worker_is_dialled_on_first_use_and_closed_with_its_prefix(stage):
+    """Guards against dialling every worker of every prefix: seven connections for a function called once."""
     client = stage.client()
     peer = stage.look_up(client, "r0", "r1", "r2")
     ((_, run),) = stage.runs()
     (used,) = (name for name, connections in stage.runners.items() if connections)
-    assert set(stage.edge.runners) == {used} and len(stage.edge.following.known) == 3
+    assert set(stage.edge.runners) == {used} and len(stage.edge.known_workers.known) == 3
     end(stage.runs()[0][0], run)
     stage.run()
     assert verdicts(client) == [("1", "ok")]
@@ -345,7 +345,7 @@
     assert not stage.edge.runners and stage.runners[used][-1].closed
 
 
-def test_a_worker_that_drains_says_so_before_the_line_that_it_was_dialled_for(stage):
+def test_a_drain_in_the_greeting_comes_before_the_first_line_is_sent(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch()
@@ -364,7 +364,7 @@
     assert verdicts(client) == [("1", "ok")] and stage.clean()
 
 
-def test_a_yet_longer_prefix_waits_for_what_the_last_one_brings(stage):
+def test_a_further_extension_of_the_prefix_waits_for_the_previous_one(stage):
     client = stage.client()
     stage.call(client)
     stage.answer_watch("r0", complete=False)
@@ -388,7 +388,7 @@
     assert ask_for_more()[1]["count"] == 2 * watch["count"]
 
 
-def test_the_module_is_told_the_region_s_sums(stage):
+def test_the_module_receives_the_region_s_sums(stage):
     client = stage.client()
     peer = stage.look_up(client, "r0")
     stage.run(0.25)
@@ -399,7 +399,7 @@
     assert 300.0 <= module.slow_start.warm_size() < 310.0
 
 
-def test_an_operator_sees_what_the_edge_knows_of_its_directory(stage):
+def test_an_operator_can_query_the_state_of_the_directory(stage):
     client = stage.client()
     stage.look_up(client, "r0", "r1")
     client.say(**{"is": "look", "what": "directory"})
@@ -408,7 +408,7 @@
     assert shown["body"]["instances"] == 2 and shown["body"]["shards reached"] == 1
 
 
-def test_an_edge_without_a_directory_says_so():
+def test_an_edge_without_a_directory_answers_with_a_fault():
     stage = Stage()
     client = stage.client()
     client.say(**{"is": "look", "what": "directory"})
@@ -416,7 +416,7 @@
     assert "directory" in client.heard("fault")[0]["why"]
 
 
-def test_stopping_answers_what_still_waits(stage):
+def test_stopping_answers_waiting_calls(stage):
     client = stage.client()
     stage.call(client)
     stopped = []
@@ -443,7 +443,7 @@
     ],
 )
 def test_without_a_directory_nothing_of_it_is_imported(imports):
-    """Run alone, as this process has it imported."""
+    """In a process of its own, as this process has imported it."""
     done = subprocess.run(
         [sys.executable, "-c", LAZY.format(imports=imports)],
         cwd=EXAMPLES.parent / "tests",
@@ -455,8 +455,10 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_what_waited_counts_from_when_it_came(stage):
-    """For its soft deadline, and in the budget of orders (rule 5), where one placed at once came later."""
+def test_a_call_that_waited_counts_from_its_arrival(stage):
+    """The time of arrival counts for the soft deadline and for the preload budget, not that of the
+    look-up's end.
+    """
     client, module = stage.client(), stage.edge.host.module
     stage.look_up(client, fn="known")
     module.preload_budget.requests.clear()
@@ -470,4 +472,4 @@
     first, second = module.preload_budget.requests
     assert came <= first < came + 20 and second - first >= 1_900
     (waited,) = [p for p in stage.edge.front.open() if p.function.name == "f"]
-    assert waited.began == first and waited.attempts
+    assert waited.accepted_at == first and waited.attempts
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -1,4 +1,4 @@
-"""How old the list of workers may be, and what is asked just before a line leaves (rules 1 and 3)."""
+"""How old the list of workers may be, and the last check before a line is sent."""
 
 import json
 import os
@@ -11,23 +11,23 @@
 from test_crossings import Closed, connections, held, slow, stage, stages, still
 from test_node import SETTINGS
 
-from lapistrestle.edge.linking import Link
+from lapistrestle.edge.connection_state import Link
 from lapistrestle.node.configuration import ConfigurationError, read_configuration
 from lapistrestle.node.freshness import ListFreshness
 from lapistrestle.node.notices import Record, decode_frame
 from lapistrestle.node.program import Node
 from lapistrestle.policy.types import EndpointState
-from lapistrestle.standins.platform import BoardEnd, frame, row
+from lapistrestle.standins.platform import BoardStub, board_frame, board_row
 
-SECOND = 10_000  # tenths of a millisecond
-SILENT, BROKEN, MOVED = 4.0, 2.0, 4.0  # seconds after which what the board would have told counts as told
+SECOND = 10_000  # ticks
+SILENT, BROKEN, MOVED = 4.0, 2.0, 4.0  # seconds after which undelivered events count as notified
 SHORTENED = {
     "watch_broke": BROKEN,
     "board_moved": MOVED,
     "watch_started": 0,
     "event_missed": 0,
-}  # seconds, by what happened
-GRACE = 2.0  # seconds, as the settings of `Stage` have it
+}  # seconds until undelivered events count as notified, by method
+GRACE = 2.0  # seconds; the drain grace in the settings of `Stage`
 DRAINING = 1
 
 
@@ -35,7 +35,7 @@
 
 
 def asked(stage: Any, client: Any = None, **fields: Any) -> Any:
-    """The status of one more request."""
+    """Send a request and return its status."""
     client = client or stage.client()
     number = client.ask(id=os.urandom(8).hex(), **fields)
     stage.hand.until(lambda: client.status(number) is not None)
@@ -59,7 +59,9 @@
 def test_whatever_happened_the_list_is_never_used_past_what_counts_as_told_and_the_grace(
     grace: Any, words: Any
 ) -> None:
-    """Told at the latest: 4 s after the last frame, 2 s after a break, at once where asked since then."""
+    """Undelivered events count as notified 4 s after the last frame, 2 s after a break, at once
+    when asked again.
+    """
     freshness, now, told = ListFreshness(grace, usable_until=grace), 0, 0
     for word, pause in words:
         now += pause
@@ -76,7 +78,7 @@
 
 
 def usable_for(stage: Any, most: float = 12.0) -> Any:
-    """When from now on a request was served last, in seconds, asked every tenth of one; None: always."""
+    """For how many seconds requests, sent every 0.1 s, are served; None: all the time."""
     began = last = stage.hand.rightNow
     while stage.hand.rightNow < began + most:
         runs = len(stage.runs())
@@ -89,28 +91,28 @@
     return None
 
 
-def test_a_board_that_is_silent_again_when_asked_anew_ends_new_work_a_grace_later(stage: Any) -> None:
-    """It took the new connection and told nothing: what is in it counts as told from then on."""
+def test_a_board_silent_on_a_new_watch_stops_new_work_after_the_grace(stage: Any) -> None:
+    """It accepts the new connection and sends nothing: its events count as notified from then on."""
     stage.board.beats = False
     taken: list[Any] = []
     stage.board.listener.on_connection = taken.append
     lasted = usable_for(stage)
-    assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked anew after 2.2 to 2.5 s
+    assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked again after 2.2 to 2.5 s
     assert asked(stage, script="/_health") == 503
 
 
-def test_a_board_that_is_gone_ends_new_work_within_the_time_of_a_break_and_a_grace(stage: Any) -> None:
+def test_a_lost_board_stops_new_work_after_the_time_of_a_break_and_the_grace(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
     lasted = usable_for(stage)
     assert lasted is not None and BROKEN + GRACE - 0.3 < lasted < BROKEN + GRACE + 0.001
 
 
-def test_work_goes_on_with_the_first_word_of_a_board_that_is_back(stage: Any) -> None:
+def test_work_continues_with_the_first_frame_of_a_board_that_is_back(stage: Any) -> None:
     stage.board.listener.close()
     stage.board.cut()
     assert usable_for(stage) is not None
-    back = BoardEnd(stage.hand, port=stage.board.port)
+    back = BoardStub(stage.hand, port=stage.board.port)
     back.events = dict(stage.board.events)
     stage.hand.run(1.5)  # its next heartbeat
     assert asked(stage) == 200
@@ -121,14 +123,14 @@
     back.cut()
 
 
-def test_a_break_that_is_mended_at_once_costs_no_request(stage: Any) -> None:
+def test_a_reconnect_without_delay_rejects_no_request(stage: Any) -> None:
     for _ in range(3):
         stage.board.cut()
         stage.hand.run(0.01)
         assert usable_for(stage, most=1.5) is None
 
 
-def test_a_calm_board_is_always_recent_enough(stage: Any) -> None:
+def test_a_board_with_heartbeats_is_always_recent_enough(stage: Any) -> None:
     assert usable_for(stage, most=15.0) is None
     assert stage.board.asked == [0]
 
@@ -137,7 +139,7 @@
 
 
 def written(stage: Any, tmp_path: Any, **more: Any) -> Any:
-    """The file of the configuration."""
+    """Write a configuration file."""
     path = tmp_path / "config.json"
     file = {"name": "n3", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS} | more
     path.write_text(json.dumps(file))
@@ -152,11 +154,13 @@
 
 
 @pytest.mark.parametrize("whole_after", [0.05, 0.65, 3.3, 3.9])
-def test_a_file_that_is_whole_within_the_time_of_a_move_is_read_in_time(
+def test_a_file_completed_within_the_time_of_a_move_is_read_in_time(
     stage: Any, tmp_path: Any, whole_after: Any
 ) -> None:
-    """It was read again after 0.1, 0.3, 0.7, 1.5, 3.1 and 6.3 s: the last is past 4 s and most graces."""
-    began, second = stage.hand.rightNow, BoardEnd(stage.hand)
+    """Guards against retries at growing intervals (0.1 to 6.3 s), the last of which comes after 4 s
+    and the grace.
+    """
+    began, second = stage.hand.rightNow, BoardStub(stage.hand)
     whole = read_configuration(str(written(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
 
     def reading() -> Any:
@@ -171,25 +175,25 @@
     second.cut()
 
 
-def test_a_new_configuration_brings_the_later_events_that_it_holds(stage: Any, tmp_path: Any) -> None:
-    """They were passed over: a drain that stood in the file was waited for until the new board told it."""
+def test_later_events_in_a_new_configuration_are_applied(stage: Any, tmp_path: Any) -> None:
+    """Guards against ignoring a drain in the file until the new board sends it."""
     events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     path = written(stage, tmp_path, known={"rev": 2, "notices": events})
     stage.node.apply_configuration(read_configuration(str(path)))
     assert (
-        stage.workers()["s-00000001"].listing is EndpointState.DRAINING and discovery_of(stage).revision == 2
+        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        and discovery_of(stage).revision == 2
     )
 
 
-def test_events_of_a_configuration_that_miss_one_between_are_left_to_the_board(
-    stage: Any, tmp_path: Any
-) -> None:
+def test_events_in_a_configuration_after_a_gap_are_not_applied(stage: Any, tmp_path: Any) -> None:
     events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
     stage.node.apply_configuration(
         read_configuration(str(written(stage, tmp_path, known={"rev": 3, "notices": events})))
     )
     assert (
-        discovery_of(stage).revision == 1 and stage.workers()["s-00000001"].listing is EndpointState.SERVING
+        discovery_of(stage).revision == 1
+        and stage.workers()["s-00000001"].endpoint_state is EndpointState.SERVING
     )
 
 
@@ -202,7 +206,7 @@
 def test_a_file_replaced_while_it_is_read_is_as_old_as_the_one_before(
     stage: Any, tmp_path: Any, monkeypatch: Any
 ) -> None:
-    """Its age was taken after it was read: of an older list the newer file's."""
+    """Guards against taking the age after reading: an older list would get the newer file's age."""
     path, read_bytes = written(stage, tmp_path), Path.read_bytes
 
     def replaced(self: Path) -> bytes:
@@ -216,7 +220,7 @@
 
 
 def test_without_a_board_the_list_of_the_file_holds(stage: Any, tmp_path: Any) -> None:
-    """Nobody tells anything that it could miss."""
+    """Without a board there are no events to miss."""
     known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(stage)]}}]}
     configuration = read_configuration(str(written(stage, tmp_path, known=known)))
     node = Node(stage.hand, configuration, lambda what, **figures: None)
@@ -225,23 +229,25 @@
     assert node.discovery.ready()
 
 
-# what a frame may hold
+# the content of frames
 
 
-def test_a_record_that_cannot_be_used_costs_the_others_of_its_event_nothing(stages: Any) -> None:
-    """One out of range, and the event was asked for again for ever: no later drain was heard."""
+def test_an_invalid_record_does_not_affect_the_others_of_its_event(stages: Any) -> None:
+    """Guards against requesting an event with an invalid record again forever, so that no later
+    drain arrives.
+    """
     stage = stages()
-    stage.board.tell(2, 2, stage.row(0, state=7), row(9, 0), stage.row(1, state=DRAINING))
-    stage.board.tell(3, 2, row(8, 1234, zone=200, kind=200, state=2))
+    stage.board.tell(2, 2, stage.row(0, state=7), board_row(9, 0), stage.row(1, state=DRAINING))
+    stage.board.tell(3, 2, board_row(8, 1234, zone=200, kind=200, state=2))
     stage.hand.until(lambda: discovery_of(stage).revision == 3)
-    listings = {name: worker.listing for name, worker in stage.workers().items()}
+    listings = {name: worker.endpoint_state for name, worker in stage.workers().items()}
     assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
     assert asked(stage) == 503 and stage.runs() == []
 
 
 @given(state=st.integers(0, 255), port=st.integers(0, 65_535))
 def test_only_the_state_zero_with_a_port_reads_as_ready(state: Any, port: Any) -> None:
-    (record,) = decode_frame(frame(1, 1, row(1, port, state=state))).records
+    (record,) = decode_frame(board_frame(1, 1, board_row(1, port, state=state))).records
     assert isinstance(record, Record)
     assert (record.listing is EndpointState.SERVING) == (state == 0 and port > 0)
 
@@ -250,7 +256,7 @@
 
 
 def late_between_decision_and_write(stage: Any, meanwhile: Any) -> None:
-    """The process stands still after the module has decided and before anything is written."""
+    """Stall the process after the module has decided and before anything is written."""
     sent = stage.node.core.send_call
 
     def run(worker_call: Any) -> None:
@@ -263,7 +269,7 @@
 
 
 @pytest.mark.parametrize("state", [1, 2], ids=["drains", "is gone"])
-def test_a_standstill_between_the_decision_and_the_write_sends_nothing_to_one_that_drains(
+def test_after_a_stall_between_decision_and_write_nothing_is_sent_to_a_draining_worker(
     stage: Any, state: Any
 ) -> None:
     assert asked(stage) == 200
@@ -274,7 +280,7 @@
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
-def test_a_standstill_between_the_decision_and_the_write_begins_nothing_for_a_client_that_left(
+def test_after_a_stall_between_decision_and_write_nothing_is_sent_for_a_disconnected_client(
     stage: Any, how: Any
 ) -> None:
     assert asked(stage) == 200
@@ -293,8 +299,8 @@
     assert len(stage.runs()) == 1 and not stage.host.worker_calls
 
 
-def test_the_last_of_many_requests_is_not_begun_for_a_client_that_closed_behind_them(stage: Any) -> None:
-    """After a standstill 64 KiB were read at once: what lay behind them, the close too, some looks later."""
+def test_none_of_many_requests_is_started_for_a_client_that_closed_behind_them(stage: Any) -> None:
+    """Guards against reading only 64 KiB after a stall, and the close behind them some polls later."""
     client = stage.client()
     assert asked(stage, client) == 200
     stage.hand.readers.pop(next(iter(stage.node.front.connections)))
@@ -309,24 +315,24 @@
     assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
 
-def test_a_socket_that_eases_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
-    """What waited for room left as soon as there was some, before the event of the same look was read."""
+def test_nothing_is_sent_to_a_draining_worker_on_a_socket_writable_after_a_stall(stage: Any) -> None:
+    """Guards against sending queued lines once there is room, before the event of the same poll is read."""
     client, line, connection = slow(stage)
     before = len(stage.runs())
     client.ask(method="bill", patience="3000")
-    stage.hand.until(lambda: connection.linking.state is Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is Link.SLOW)
     watch = discovery_of(stage).watch
-    stage.hand.readers.pop(watch)  # the reactor turns to it last
+    stage.hand.readers.pop(watch)  # the reactor reads it last
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
     still(stage, 0.3)
     stage.hand.addReader(line)
-    stage.hand.until(lambda: connection.linking.state is not Link.SLOW)
+    stage.hand.until(lambda: connection.state_machine.state is not Link.SLOW)
     stage.hand.addReader(watch)
     stage.hand.quiet()
     assert len(stage.runs()) == before and not stage.host.worker_calls
 
 
-def test_a_connection_that_comes_up_in_a_standstill_carries_nothing_to_one_that_drains(stage: Any) -> None:
+def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_during_a_stall(stage: Any) -> None:
     closed, client = Closed(stage), stage.client()
     client.ask(method="bill", patience="3000")
     stage.hand.until(lambda: held(stage))
@@ -341,8 +347,8 @@
     assert stage.runs() == [] and not stage.host.worker_calls
 
 
-def test_an_order_is_not_sent_to_one_that_drains_behind_a_standstill(stage: Any) -> None:
-    """A miss was read first, and the order that followed it left before the event was read."""
+def test_no_preload_is_sent_to_a_draining_worker_after_a_stall(stage: Any) -> None:
+    """Guards against a preload after a miss, sent before the event is read."""
     stage.runners[0].loaded, got = {}, []
     stage.runners[0].on_run = lambda line, said: got.append((line, said))
     client = stage.client()
@@ -352,18 +358,18 @@
     line.say("404", said["rid"])
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)
-    stage.hand.readers[watch] = None  # met last in the look that brings both
+    stage.hand.readers[watch] = None  # read last in the poll that brings both
     stage.board.tell(2, 2, stage.row(0, state=DRAINING))
     still(stage, 3.0)
     stage.hand.until(lambda: client.status(number) is not None)
     assert [said for said in stage.runners[0].others if said["verb"] == "HOLD"] == []
 
 
-# the time that is passed on
+# the time left that is sent to runners
 
 
-def test_the_time_passed_on_is_what_is_left_as_the_line_is_written(stage: Any) -> None:
-    """It was written into the line before the connection was up: 0.2 s of them were gone by then."""
+def test_the_budget_sent_is_the_time_left_when_the_line_is_written(stage: Any) -> None:
+    """Guards against encoding the time left before the connection is established, here 0.2 s later."""
     closed, client = Closed(stage), stage.client()
     client.ask(patience="1000")
     stage.hand.until(lambda: held(stage))
@@ -374,7 +380,7 @@
     assert 0 < said["attrs"]["budget"] <= 800
 
 
-def test_what_has_no_time_left_as_the_connection_comes_up_is_not_sent(stages: Any) -> None:
+def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(stages: Any) -> None:
     usual: Any = SETTINGS["limits"]
     stage = stages(runners=1, limits=usual | {"dial-timeout": 5_000_000})
     closed, client = Closed(stage), stage.client()
@@ -383,12 +389,12 @@
     still(stage, 0.41)
     closed.open()
     stage.hand.until(lambda: client.status(number) is not None)
-    stage.hand.until(lambda: all(c.linking.state is Link.OPEN for c in connections(stage)))
+    stage.hand.until(lambda: all(c.state_machine.state is Link.OPEN for c in connections(stage)))
     assert stage.runs() == []
 
 
-def test_many_requests_on_one_connection_each_have_what_their_client_has_left(stage: Any) -> None:
-    """Of several that lay unread the older ones had counted as new as the last."""
+def test_each_of_many_requests_on_a_connection_has_its_own_time_left(stage: Any) -> None:
+    """Guards against counting older unread requests as recent as the last one."""
     client = stage.client()
     assert asked(stage, client) == 200
     connection = next(iter(stage.node.front.connections))
@@ -396,7 +402,7 @@
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
     still(stage, 0.3)
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
-    stage.hand.unread_for = lambda sock: 0.0  # the kernel tells of the last bytes alone
+    stage.hand.unread_for = lambda sock: 0.0  # the kernel knows the age of the last bytes only
     stage.hand.looked = (stage.hand.rightNow - 0.3, stage.hand.rightNow)
     stage.hand.rightNow += 0.001
     connection.read(1)
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""The dispatcher as the platform starts it: a process, its environment, its signals."""
+"""The dispatcher process as the platform starts it: environment, signals, restarts."""
 
 import gc
 import json
@@ -13,8 +13,16 @@
 
 import pytest
 
-from lapistrestle.edge import running
-from lapistrestle.standins.platform import BoardEnd, Hand, RunnerEnd, WebServer, configuration, free_port, row
+from lapistrestle.edge import reactor as edge_reactor
+from lapistrestle.standins.platform import (
+    BoardStub,
+    ManualReactor,
+    RunnerStub,
+    WebServer,
+    board_row,
+    configuration,
+    free_port,
+)
 
 HEAVY = ("numpy", "scipy", "matplotlib", "rich", "simpy", "lmdb", "structlog", "click", "json5")
 
@@ -23,9 +31,9 @@
     """A board, a runner and a dispatcher in a process of its own."""
 
     def __init__(self, folder: Any) -> None:
-        self.hand = Hand()
-        self.board, self.runner = BoardEnd(self.hand), RunnerEnd(self.hand)
-        self.board.tell(1, 1, row(1, self.runner.port))
+        self.hand = ManualReactor()
+        self.board, self.runner = BoardStub(self.hand), RunnerStub(self.hand)
+        self.board.tell(1, 1, board_row(1, self.runner.port))
         self.port, self.path = free_port(), folder / "config.json"
         self.processes: list[Any] = []
         self.told = configuration(f"127.0.0.1:{self.port}", f"127.0.0.1:{self.board.port}")
@@ -69,30 +77,30 @@
     made.end()
 
 
-def test_it_serves_moves_to_a_new_board_and_ends_with_zero(world: Any) -> None:
+def test_it_serves_moves_to_a_new_board_and_exits_with_zero(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
     status, client = world.call("9b1f03aa5c7e2d41")
     assert status == 200 and client.body(1) == b"hello"
     world.write("{nonsense")
     node.send_signal(signal.SIGHUP)
-    other = BoardEnd(world.hand)
+    other = BoardStub(world.hand)
     world.until(lambda: "refused" in node.stderr.readline())
     world.write(world.told | {"board": f"127.0.0.1:{other.port}"})
     node.send_signal(signal.SIGHUP)
     world.until(lambda: other.asked)
     assert other.asked[0] == 1 and world.call("9b1f03aa5c7e2d42")[0] == 200
     node.send_signal(signal.SIGTERM)
-    assert world.call("9b1f03aa5c7e2d43")[0] == 200  # connections still come
+    assert world.call("9b1f03aa5c7e2d43")[0] == 200  # new connections are still accepted
     world.until(lambda: node.poll() is not None)
     assert node.returncode == 0
     other.listener.close()
 
 
-def test_a_configuration_caught_half_written_is_read_again_without_another_signal(world: Any) -> None:
+def test_a_half_written_configuration_is_read_again_without_another_signal(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
-    other = BoardEnd(world.hand)
+    other = BoardStub(world.hand)
     whole = json.dumps(world.told | {"board": f"127.0.0.1:{other.port}"})
     world.write(whole[: len(whole) // 2])
     node.send_signal(signal.SIGHUP)
@@ -103,10 +111,12 @@
     other.listener.close()
 
 
-def test_idle_clients_that_fill_the_descriptors_leave_the_board_the_runners_and_others_theirs(
+def test_idle_clients_that_use_up_the_descriptors_do_not_affect_others(
     world: Any,
 ) -> None:
-    """Discovery is down at the start, the limit is the process's own, and more come than fit."""
+    """Discovery is down at the start, and more clients connect than the process's limit of
+    descriptors allows.
+    """
     world.told["limits"] = {"sockets": 64}
     world.told["known"] = {"rev": 0, "notices": []}
     world.write(world.told)
@@ -117,8 +127,8 @@
     crowd = [WebServer(world.hand, world.port) for _ in range(150)]
     world.until(lambda: all(not end.dialling for end in crowd))
     world.until(lambda: sum(bool(end.closed) for end in crowd) > 80)
-    board = BoardEnd(world.hand, port=world.board.port)
-    board.tell(1, 1, row(1, world.runner.port))
+    board = BoardStub(world.hand, port=world.board.port)
+    board.tell(1, 1, board_row(1, world.runner.port))
     world.until(lambda: board.asked)
 
     def served() -> Any:
@@ -132,8 +142,8 @@
     board.listener.close()
 
 
-def test_restarts_in_turn_under_load_lose_no_request(world: Any) -> None:
-    """As the platform does it: new connections for 0.3 s after SIGTERM, requests on open ones 0.2 s more."""
+def test_rolling_restarts_under_load_lose_no_request(world: Any) -> None:
+    """As on the platform: new connections for 0.3 s after SIGTERM, requests on open ones for 0.2 s more."""
     ports, hand = [free_port() for _ in range(3)], world.hand
     asked: list[Any] = []
     world.runner.on_run = lambda line, said: hand.callLater(0.05, world.runner.answer, line, said)
@@ -149,7 +159,7 @@
         return client
 
     def again(clients: Any) -> None:
-        """On each connection whose last request has its answer."""
+        """Send another request on each connection whose last one was answered."""
         for client in clients:
             if client.status(client.last) is not None:
                 ask(client=client)
@@ -181,8 +191,8 @@
 
 @pytest.mark.parametrize("list_stands", [True, False])
 @pytest.mark.parametrize("signals", ["TERM", "INT", "TERM TERM", "TERM INT", "HUP TERM", "TERM HUP"])
-def test_it_ends_with_zero_whatever_signals_come_together(world: Any, list_stands: Any, signals: Any) -> None:
-    """Also before it is ready, while the board that should make it so is dialled in vain."""
+def test_it_exits_with_zero_whatever_signals_are_combined(world: Any, list_stands: Any, signals: Any) -> None:
+    """Also before it is ready, while the board can't be reached."""
     if not list_stands:
         world.board.listener.close()
     node = world.start()
@@ -194,9 +204,11 @@
 
 
 def test_it_listens_only_after_the_reactors_first_turn(monkeypatch: Any) -> None:
-    """Killed dispatchers that came back held what came meanwhile for most of a second (herd+mass)."""
+    """Guards against accepting connections before the restarted process can serve them, most of a
+    second later.
+    """
 
-    class Turning(Hand):
+    class Turning(ManualReactor):
         def callWhenRunning(self, call: Any, *args: Any) -> None:
             call(*args)
 
@@ -207,7 +219,7 @@
         monkeypatch.setattr(gc, word, lambda *args: None)
     reactor = Turning()
     begun: list[float] = []
-    running.run(reactor, lambda: begun.append(reactor.seconds()), {})
+    edge_reactor.run(reactor, lambda: begun.append(reactor.seconds()), {})
     assert not begun
     reactor.advance(0.03)
     assert begun
@@ -223,7 +235,7 @@
         (None, {"EDGE_LISTEN": "nowhere"}, 2, "EDGE_LISTEN"),
     ],
 )
-def test_what_it_cannot_start_with_is_told_in_one_line(
+def test_a_failure_to_start_is_reported_in_one_line(
     world: Any, told: Any, more: Any, code: Any, says: Any
 ) -> None:
     if told:
@@ -239,7 +251,7 @@
     assert len(lines) == 1 and says in lines[0]
 
 
-def test_what_is_switched_off_is_not_imported() -> None:
+def test_unused_packages_are_not_imported() -> None:
     code = "import lapistrestle.node.__main__, sys; print(*sys.modules)"
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     loaded = told.stdout.split()
@@ -249,17 +261,17 @@
     assert not [name for name in loaded if name.startswith(tuple(f"lapistrestle.{part}" for part in off))]
 
 
-def test_the_kernel_tells_how_long_bytes_lay_unread() -> None:
+def test_the_kernel_reports_how_long_data_was_unread() -> None:
     listener = socket.create_server(("127.0.0.1", 0))
     sender = socket.create_connection(listener.getsockname())
     receiver, _ = listener.accept()
     sent = time.monotonic()
     sender.sendall(b"x")
     receiver.recv(1, socket.MSG_PEEK)
-    while running.unread_for(receiver) < 0.05:
+    while edge_reactor.unread_for(receiver) < 0.05:
         assert time.monotonic() < sent + 20
-    assert running.unread_for(receiver) <= time.monotonic() - sent + 0.02
+    assert edge_reactor.unread_for(receiver) <= time.monotonic() - sent + 0.02
     one, other = socket.socketpair()
-    assert running.unread_for(one) == 0.0
+    assert edge_reactor.unread_for(one) == 0.0
     for end in (listener, sender, receiver, one, other):
         end.close()
--- a/tests/test_quota_leasing.py
+++ b/tests/test_quota_leasing.py
@@ -1,4 +1,4 @@
-"""Loads that all edges of a fleet share: who borrows of whom, and that their sum stays within the whole."""
+"""A quota of loads shared by all edges of a fleet: leases among them, and the limit of the sum."""
 
 from collections.abc import Callable
 from functools import partial
@@ -21,7 +21,7 @@
 
 
 class Ring:
-    """Some dispatchers with one clock and links that lose what they are told to."""
+    """Dispatchers with a common clock, and links that lose all messages while `lost` is set."""
 
     def __init__(self, count: int) -> None:
         self.now, self.lost, self.use = 0, False, [0] * count
@@ -43,7 +43,7 @@
             self.messages.append((sender, int(to.name[2:]), message))
 
     def step(self, wants: list[int]) -> None:
-        """Half a second: each wants so many, uses what it may, and looks; then the words arrive."""
+        """Advance by half a second: each uses units up to its demand and updates; then messages arrive."""
         self.now += SECOND // 2
         for i, (made, want) in enumerate(zip(self.made, wants, strict=True)):
             part = made.available(self.now)
@@ -58,13 +58,13 @@
         assert sum(min(u, m.available(self.now)) for u, m in zip(self.use, self.made, strict=True)) <= WHOLE
 
 
-def test_one_that_needs_more_borrows_and_what_is_not_needed_goes_back() -> None:
+def test_a_short_member_borrows_and_returns_unneeded_units() -> None:
     ring = Ring(4)
     most = 0
     for _ in range(40):
         ring.step([8, 0, 0, 0])
         most = max(most, ring.use[0])
-    assert most >= 4  # its own 2, and of the 1 that each of three others lends, those that are not settling
+    assert most >= 4  # its own 2, and those of the 1 leased by each of three others that are not settling
     for _ in range(10):
         ring.step([0, 0, 0, 0])
     assert [made.available(ring.now) for made in ring.made] == [2, 2, 2, 2]
@@ -72,29 +72,29 @@
 
 
 @given(st.lists(st.tuples(st.lists(st.integers(0, 9), min_size=4, max_size=4), st.booleans()), max_size=60))
-def test_whoever_wants_what_the_sum_stays_within_the_whole(steps: list[tuple[list[int], bool]]) -> None:
+def test_the_sum_stays_within_the_quota_for_any_demand(steps: list[tuple[list[int], bool]]) -> None:
     ring = Ring(4)
     for wants, lost in steps:
         ring.lost = lost
         ring.step(wants)
 
 
-def test_what_was_put_to_use_since_the_last_look_is_not_lent() -> None:
+def test_units_in_use_since_the_last_update_are_not_leased() -> None:
     ring = Ring(2)
     for _ in range(12):
         ring.step([0, 0])
-    ring.use[1] = 4  # all of it, begun since
+    ring.use[1] = 4  # all units, since the last update
     ring.made[1].on_message(ring.records[0], LeaseRequest("loads", 1, ring.now, 2), ring.now)
     assert ring.messages == [] and ring.made[1].available(ring.now) == 4
 
 
-def test_one_that_is_no_member_uses_nothing() -> None:
+def test_a_displaced_member_uses_no_units() -> None:
     ring = Ring(2)
     ring.made[0].update([], False, SECOND)
     assert ring.made[0].available(SECOND) == 0
 
 
-def test_a_word_for_another_allowance_changes_nothing() -> None:
+def test_a_message_for_another_quota_is_ignored() -> None:
     ring = Ring(2)
     for _ in range(20):
         ring.step([8, 0])
@@ -109,7 +109,7 @@
 
 
 class Watched(Dispatcher):
-    """Writes down the most loads that all instances of a day had under way at one moment."""
+    """Records the maximum number of concurrent loads of all edges of a day."""
 
     living: ClassVar[tuple["Watched", ...]] = ()
     most: ClassVar[int] = 0
@@ -147,12 +147,12 @@
 
 
 @pytest.mark.parametrize(("loads", "within"), [(WHOLE, True), (0, False)])
-def test_loads_under_way_of_all_edges_stay_within_the_whole_whatever_breaks(loads: int, within: bool) -> None:
-    """Without the bound the same day has more under way, so that the day shows something."""
+def test_concurrent_loads_of_all_edges_stay_within_the_quota_despite_faults(loads: int, within: bool) -> None:
+    """Without the limit the same day has more concurrent loads, which shows that the limit matters."""
     Watched.living, Watched.most = (), 0
     script = fleet_day(TROUBLES, length="26 s", edges=4, seed=3, traffic={"rate": 80, "functions": 60})
     script["deployment"]["fleet"]["loads"] = loads
     script["deployment"]["dispatcher"] |= {"of": 4}
-    script["deployment"]["orders"]["time_out"] = "3 s"  # loans are three times as long, and begin after that
+    script["deployment"]["orders"]["time_out"] = "3 s"  # leases are three times as long, and start after that
     played = Played(script, partial(Edge, make=Watched))
-    assert played.breaches() == [] and (Watched.most <= WHOLE) == within
+    assert played.violations() == [] and (Watched.most <= WHOLE) == within
