--- a/lapistrestle/command/days.py
+++ b/lapistrestle/command/days.py
@@ -1,4 +1,4 @@
-"""`lapistrestle day`: play a bad day, and judge one by its tape."""
+"""The commands `lapistrestle day`: run a scripted day, and check a tape against the rules."""
 
 import sys
 import time
@@ -39,17 +39,17 @@
     verbose: bool,
 ) -> None:  # fmt: skip
     """Play a day. The same script and seed give the same tape, byte for byte, where it is virtual."""
-    made, deployment = read_day(script)
+    parsed, deployment = read_day(script)
     if seed is not None:
-        made.seed = seed
+        parsed.seed = seed
     path = tape or script.with_suffix(".tape")
     log = make_log() if verbose else no_log
-    began = time.monotonic()
+    started_at = time.monotonic()
     with path.open("wb") as sink:
-        world = (play_virtual if virtual else play_real)(made, deployment, sink, log)
-    counts = ", ".join(f"{n} {word}" for word, n in world.clients.counts.items())
-    took = time.monotonic() - began
-    click.echo(f"{made.name}: {made.length / 10_000:.0f} s played in {took:.1f} s; {counts}")
+        world = (play_virtual if virtual else play_real)(parsed, deployment, sink, log)
+    counts = ", ".join(f"{n} {name}" for name, n in world.clients.counts.items())
+    duration = time.monotonic() - started_at
+    click.echo(f"{parsed.name}: {parsed.length / 10_000:.0f} s played in {duration:.1f} s; {counts}")
     click.echo(f"tape: {path}")
     if check:
         ctx.invoke(check_day, tape=path, json_=False, most=5)
@@ -62,44 +62,48 @@
 def check_day(tape: Path, json_: bool, most: int) -> None:
     """Judge a tape: the five rules and the service. Status 1: a rule is broken; 2: it is no tape."""
     try:
-        story = Trace(read_tape(tape))
-    except (OSError, ValueError, KeyError) as trouble:
-        click.echo(f"{tape}: can't be judged: {trouble}", err=True)
+        trace = Trace(read_tape(tape))
+    except (OSError, ValueError, KeyError) as error:
+        click.echo(f"{tape}: can't be judged: {error}", err=True)
         sys.exit(2)
-    judged, service = check_rules(story), measure_service(story)
-    broken = sum(len(rule.violations) for rule in judged)
+    results, service = check_rules(trace), measure_service(trace)
+    violations = sum(len(rule.violations) for rule in results)
     if json_:
-        click.echo(msgspec.json.encode(as_plain(judged, service, broken)))
+        click.echo(msgspec.json.encode(to_plain(results, service, violations)))
     else:
-        show(story, judged, service, most)
+        print_results(trace, results, service, most)
     if not json_:
-        click.echo(f"rules: broken ({broken})" if broken else "rules: kept")
-    sys.exit(1 if broken else 0)
+        click.echo(f"rules: broken ({violations})" if violations else "rules: kept")
+    sys.exit(1 if violations else 0)
 
 
-def as_plain(judged: list[RuleResult], service: Service, broken: int) -> dict[str, Any]:
+def to_plain(results: list[RuleResult], service: Service, violations: int) -> dict[str, Any]:
+    """Return the output of `--json`."""
     rules = {
         rule.name: {
             "figures": rule.figures,
             "breaches": [[b.at, b.message, b.lines] for b in rule.violations],
         }
-        for rule in judged
+        for rule in results
     }
-    return {"kept": not broken, "broken": broken, "rules": rules, "service": vars(service)}
+    return {"kept": not violations, "broken": violations, "rules": rules, "service": vars(service)}
 
 
-def show(story: Trace, judged: list[RuleResult], service: Service, most: int) -> None:
+def print_results(trace: Trace, results: list[RuleResult], service: Service, most: int) -> None:
+    """Print a table of the rules, and up to `most` violations of each with their lines of the tape."""
     console = Console(width=110, highlight=False)
-    table = Table("rule", "breaches", "figures", title=f"{story.header['day']}, seed {story.header['seed']}")
-    for rule in judged:
+    table = Table("rule", "breaches", "figures", title=f"{trace.header['day']}, seed {trace.header['seed']}")
+    for rule in results:
         figures = "; ".join(f"{name} {value:.4g}" for name, value in rule.figures.items())
         table.add_row(rule.name, str(len(rule.violations) or "none"), figures)
     console.print(table)
-    for rule in judged:
-        for breach in rule.violations[:most]:
-            console.print(f"broken: {rule.name}, at {breach.at / 1000:.3f} s: {breach.message}", markup=False)
-            for number in breach.lines:
-                console.print(f"    {number}: {story.texts.get(number, '')}", markup=False)
+    for rule in results:
+        for violation in rule.violations[:most]:
+            console.print(
+                f"broken: {rule.name}, at {violation.at / 1000:.3f} s: {violation.message}", markup=False
+            )
+            for number in violation.lines:
+                console.print(f"    {number}: {trace.texts.get(number, '')}", markup=False)
         if len(rule.violations) > most:
             console.print(f"    and {len(rule.violations) - most} more of rule {rule.name}", markup=False)
     method, customer = service.worst_method, service.worst_customer
--- a/lapistrestle/command/demo.py
+++ b/lapistrestle/command/demo.py
@@ -1,4 +1,4 @@
-"""`lapistrestle demo`: roster, runners and edge as processes, calls, and a live table."""
+"""The command `lapistrestle demo`: a roster, runners and an edge as processes, with a live table of calls."""
 
 import json
 import tempfile
@@ -30,53 +30,55 @@
 }
 
 
-class Gauge(LineConnection):
-    """Asks a runner for its load now and again."""
+class LoadProbe(LineConnection):
+    """A connection to a runner that receives its load reports."""
 
     protocol = wire.RUNNER
     decoder = message_decoder(wire.FromRunner)
 
-    def __init__(self, show: dict[str, float]) -> None:
+    def __init__(self, report: dict[str, float]) -> None:
         super().__init__(LineLimits())
-        self.show = show
+        self.report = report
 
     def message_received(self, message: Any) -> None:
         if isinstance(message, wire.ProbeResult) and message.report:
-            self.show.update(message.report)
+            self.report.update(message.report)
 
 
-class Gauges(ClientFactory):
+class LoadProbes(ClientFactory):
+    """The connections to all runners, with the last load report of each by port."""
+
     noisy = False
 
     def __init__(self) -> None:
-        self.shown: dict[str, dict[str, float]] = {}
-        self.made: list[Gauge] = []
+        self.reports: dict[str, dict[str, float]] = {}
+        self.probes: list[LoadProbe] = []
         self.naming: list[str] = []
 
-    def buildProtocol(self, addr: Any) -> Gauge:
-        show = self.shown.setdefault(str(addr.port), {})
-        self.made.append(Gauge(show))
-        return self.made[-1]
+    def buildProtocol(self, addr: Any) -> LoadProbe:
+        report = self.reports.setdefault(str(addr.port), {})
+        self.probes.append(LoadProbe(report))
+        return self.probes[-1]
 
-    def ask(self) -> None:
-        for gauge in self.made:
-            if gauge.is_greeted:
-                gauge.send_message(wire.Probe(0))
+    def send_probes(self) -> None:
+        for probe in self.probes:
+            if probe.is_greeted:
+                probe.send_message(wire.Probe(0))
 
 
-class DemoCrowd(ClientPool):
-    """Notes how long answers took."""
+class DemoClients(ClientPool):
+    """A client pool that records the latencies of its last 1,000 ok answers, in seconds."""
 
-    def __init__(self, reactor: Any, habits: ClientBehaviour) -> None:
-        super().__init__(reactor, habits, 1)
+    def __init__(self, reactor: Any, behaviour: ClientBehaviour) -> None:
+        super().__init__(reactor, behaviour, 1)
         self.verdicts = dict.fromkeys(("ok", "denied", "aborted", "fault"), 0)
-        self.took: list[float] = []
+        self.latencies: list[float] = []
 
-    def on_verdict(self, wish: ClientRequest, verdict: str, retry_after: float) -> None:
+    def on_verdict(self, request: ClientRequest, verdict: str, retry_after: float) -> None:
         self.verdicts[verdict] += 1
         if verdict == "ok":
-            self.took = [*self.took[-999:], self.reactor.seconds() - wish.started_at]
-        super().on_verdict(wish, verdict, retry_after)
+            self.latencies = [*self.latencies[-999:], self.reactor.seconds() - request.started_at]
+        super().on_verdict(request, verdict, retry_after)
 
 
 @click.command()
@@ -108,49 +110,50 @@
             (folder / "edge.json5").write_text(json.dumps(DEPLOYMENT))
             edge = start("edge", "edge", str(folder / "edge.json5"), "--roster-port", str(roster.wait_port()))
             edge.wait_port()
-            crowd = play(console, edge, workers, seconds, rate)
-            ended = {child.name: child.stop() for child in reversed(children)}
+            clients = send_calls(console, edge, workers, seconds, rate)
+            exit_codes = {child.name: child.stop() for child in reversed(children)}
         finally:
             for child in children:
                 child.stop()
-    clean = all(status == 0 for status in ended.values())
-    done = sum(crowd.verdicts.values())
+    clean = all(status == 0 for status in exit_codes.values())
+    done = sum(clients.verdicts.values())
     console.print(
-        f"{crowd.counts['wishes']} RPCs wanted, {done} answers ({crowd.verdicts['ok']} ok), "
-        f"{len(ended)} processes stopped {'clean' if clean else f'not clean: {ended}'}"
+        f"{clients.counts['wishes']} RPCs wanted, {done} answers ({clients.verdicts['ok']} ok), "
+        f"{len(exit_codes)} processes stopped {'clean' if clean else f'not clean: {exit_codes}'}"
     )
-    if not clean or not crowd.verdicts["ok"]:
+    if not clean or not clients.verdicts["ok"]:
         raise SystemExit(1)
 
 
-def play(
+def send_calls(
     console: Console, edge: ChildProcess, workers: list[dict[str, Any]], seconds: float, rate: float
-) -> DemoCrowd:
+) -> DemoClients:
+    """Send calls at random times for some seconds, and show a live table; return the clients at the end."""
     reactor = monotonic_reactor()
-    crowd, gauges = DemoCrowd(reactor, ClientBehaviour()), Gauges()
-    crowd.links = [EdgeLink(crowd, "edge-0", edge.port)]
+    clients, probes = DemoClients(reactor, ClientBehaviour()), LoadProbes()
+    clients.links = [EdgeLink(clients, "edge-0", edge.port)]
     for worker in workers:
-        reactor.connectTCP("127.0.0.1", worker["port"], gauges)
+        reactor.connectTCP("127.0.0.1", worker["port"], probes)
     until = reactor.seconds() + seconds
 
-    def want() -> None:
+    def send_next() -> None:
         now = reactor.seconds()
         if now >= until:
             return
-        number = crowd.counts["wishes"] + 1
-        method = "book" if crowd.random.random() < 0.2 else "price"
-        function = f"{method}-rules-{min(int(crowd.random.expovariate(0.4)), 9)}"
-        work = crowd.random.gammavariate(4.0, 10.0)
-        crowd.submit(
+        number = clients.counts["wishes"] + 1
+        method = "book" if clients.random.random() < 0.2 else "price"
+        function = f"{method}-rules-{min(int(clients.random.expovariate(0.4)), 9)}"
+        work = clients.random.gammavariate(4.0, 10.0)
+        clients.submit(
             ClientRequest(
                 f"op{number}", function, method, "", 300.0, 2, work, round(work), None,
                 "idempotent" if method == "price" else "side-effecting", "all", 3.0, now,
             )
         )  # fmt: skip
-        reactor.callLater(crowd.random.expovariate(rate), want)
+        reactor.callLater(clients.random.expovariate(rate), send_next)
 
     def stop_when_done() -> None:
-        if reactor.seconds() >= until and not crowd.open:
+        if reactor.seconds() >= until and not clients.open:
             reactor.stop()
         else:
             reactor.callLater(0.1, stop_when_done)
@@ -158,29 +161,30 @@
     with Live(console=console, refresh_per_second=4) as live:
 
         def draw() -> None:
-            gauges.ask()
-            live.update(table(crowd, gauges, workers))
+            probes.send_probes()
+            live.update(live_table(clients, probes, workers))
             reactor.callLater(0.25, draw)
 
-        reactor.callLater(0.3, want)
+        reactor.callLater(0.3, send_next)
         reactor.callLater(0.3, draw)
         reactor.callLater(seconds + 0.5, stop_when_done)
         reactor.callLater(seconds + 10, reactor.stop)
         reactor.run()
-    return crowd
+    return clients
 
 
-def table(crowd: DemoCrowd, gauges: Gauges, workers: list[dict[str, Any]]) -> Table:
-    took = sorted(crowd.took) or [0.0]
-    half, most = took[len(took) // 2] * 1000, took[int(len(took) * 0.99)] * 1000
-    answers = ", ".join(f"{n} {word}" for word, n in crowd.verdicts.items())
-    made = Table(title=f"{answers}; latency p50 {half:.0f} ms, p99 {most:.0f} ms")
+def live_table(clients: DemoClients, probes: LoadProbes, workers: list[dict[str, Any]]) -> Table:
+    """Return a table of the runners' load, with the verdicts and latencies so far in its title."""
+    latencies = sorted(clients.latencies) or [0.0]
+    p50, p99 = latencies[len(latencies) // 2] * 1000, latencies[int(len(latencies) * 0.99)] * 1000
+    answers = ", ".join(f"{n} {verdict}" for verdict, n in clients.verdicts.items())
+    table = Table(title=f"{answers}; latency p50 {p50:.0f} ms, p99 {p99:.0f} ms")
     for column in ("runner", "port", "cores busy", "waiting", "loads under way", "memory in use"):
-        made.add_column(column, justify="left" if column == "runner" else "right")
+        table.add_column(column, justify="left" if column == "runner" else "right")
     for worker in workers:
-        report = gauges.shown.get(str(worker["port"]), {})
-        made.add_row(
+        report = probes.reports.get(str(worker["port"]), {})
+        table.add_row(
             worker["name"], str(worker["port"]), f"{report.get('utilization', 0):.0%}",
             f"{report.get('backlog', 0):.0f}", f"{report.get('x1', 0):.0f}", f"{report.get('x0', 0):.0%}",
         )  # fmt: skip
-    return made
+    return table
--- a/lapistrestle/command/directories.py
+++ b/lapistrestle/command/directories.py
@@ -36,15 +36,15 @@
     """
     from lapistrestle.directory.server import HolderProgram
 
-    made = load_holder(settings)
+    deployment = load_holder(settings)
     if port is not None:
-        made.serve.port = port
+        deployment.serve.port = port
     if roster_port is not None:
-        made.roster.port = roster_port
-    if not made.roster.port:
+        deployment.roster.port = roster_port
+    if not deployment.roster.port:
         raise DeploymentError(f"{settings}: roster.port: is missing; a holder needs one (or --roster-port)")
     reactor = monotonic_reactor()
-    program = HolderProgram(reactor, made, make_log(json_), secrets.randbits(32))
+    program = HolderProgram(reactor, deployment, make_log(json_), secrets.randbits(32))
     serve(reactor, program.start, tell_port, lambda: program.stop(reactor.stop))
 
 
@@ -58,13 +58,13 @@
 
     no_answer = f"no answer from a holder at port {port}"
     answer = send_query(port, wire.DIRECTORY, wire.FromHolder, wire.InspectRequest(function), no_answer)
-    shown = msgspec.json.decode(answer.body, type=dict[str, Any])
+    state = msgspec.json.decode(answer.body, type=dict[str, Any])
     if json_:
-        return click.echo(msgspec.json.encode(shown).decode())
+        return click.echo(msgspec.json.encode(state).decode())
     if function:
-        show_function(shown)
+        print_function(state)
     else:
-        show_holder(shown)
+        print_holder(state)
 
 
 @directory.command("watched")
@@ -78,60 +78,61 @@
     answer = send_query(
         port, messages.CLIENT, messages.ToClient, messages.InspectRequest("directory"), no_answer
     )
-    shown = msgspec.json.decode(answer.body, type=dict[str, Any])
+    state = msgspec.json.decode(answer.body, type=dict[str, Any])
     if json_:
-        return click.echo(msgspec.json.encode(shown).decode())
-    reached = f"{shown['shards reached']} of {shown['shards']} shards reached"
-    click.echo(f"{shown['name']}, epoch {shown['epoch']}; {reached}, {shown['connections']} connections")
-    held = f"{shown['instances']} instances of {shown['functions']} functions"
-    click.echo(f"{held}; {shown['waiting']} requests wait for a look-up")
-    counts = ", ".join(f"{count} {what}" for what, count in shown["look-ups"].items())
+        return click.echo(msgspec.json.encode(state).decode())
+    reached = f"{state['shards reached']} of {state['shards']} shards reached"
+    click.echo(f"{state['name']}, epoch {state['epoch']}; {reached}, {state['connections']} connections")
+    held = f"{state['instances']} instances of {state['functions']} functions"
+    click.echo(f"{held}; {state['waiting']} requests wait for a look-up")
+    counts = ", ".join(f"{count} {what}" for what, count in state["look-ups"].items())
     click.echo(f"look-ups so far: {counts}")
-    if region := shown["region"]:
+    if region := state["region"]:
         sums = f"{region['instances']} instances, size {region['size']:g}, warm {region['warm']:g}"
         click.echo(f"region: {sums}, told {region['told ms ago']:.0f} ms ago")
 
 
-def show_holder(shown: dict[str, Any]) -> None:
+def print_holder(state: dict[str, Any]) -> None:
     """Print a holder's state as text."""
-    click.echo(heading(shown))
-    click.echo(f"{shown['instances']} instances, {shown['functions']} functions watched")
-    rate = f"{shown['bytes a second']:.0f} bytes a second, at most {shown['most bytes in a second']}"
-    click.echo(f"{shown['sessions']} sessions ({shown['slow']} slow), {shown['watches']} watches, {rate}")
-    busy = shown["snapshots refused as busy"]
-    click.echo(f"{busy} told to come back, {shown['turned away']} closed, {shown['cut as slow']} cut as slow")
+    click.echo(headline(state))
+    click.echo(f"{state['instances']} instances, {state['functions']} functions watched")
+    rate = f"{state['bytes a second']:.0f} bytes a second, at most {state['most bytes in a second']}"
+    click.echo(f"{state['sessions']} sessions ({state['slow']} slow), {state['watches']} watches, {rate}")
+    busy = state["snapshots refused as busy"]
+    click.echo(f"{busy} told to come back, {state['turned away']} closed, {state['cut as slow']} cut as slow")
     table = Table("shard", "here", "copies")
-    for number, copies in enumerate(shown["copies"]):
-        here = "yes" if number in shown["shards"] else ""
-        table.add_row(str(number), here, ", ".join(map(place_of, copies)))
+    for number, copies in enumerate(state["copies"]):
+        here = "yes" if number in state["shards"] else ""
+        table.add_row(str(number), here, ", ".join(map(format_copy, copies)))
     Console().print(table)
 
 
-def show_function(shown: dict[str, Any]) -> None:
+def print_function(state: dict[str, Any]) -> None:
     """Print a function's shard and the beginning of its order as text."""
-    click.echo(heading(shown))
-    copies = ", ".join(map(place_of, shown["copies"][shown["shard"]]))
-    elsewhere = "" if shown["shard"] in shown["shards"] else ", which is not here"
-    click.echo(f"{shown['function']} is in shard {shown['shard']}{elsewhere}, at {copies}")
-    prefix = f"the longest prefix has {shown['longest prefix']} of {shown['instances']} instances"
-    click.echo(f"{shown['watchers']} watchers here, {prefix}; the order begins:")
+    click.echo(headline(state))
+    copies = ", ".join(map(format_copy, state["copies"][state["shard"]]))
+    elsewhere = "" if state["shard"] in state["shards"] else ", which is not here"
+    click.echo(f"{state['function']} is in shard {state['shard']}{elsewhere}, at {copies}")
+    prefix = f"the longest prefix has {state['longest prefix']} of {state['instances']} instances"
+    click.echo(f"{state['watchers']} watchers here, {prefix}; the order begins:")
     table = Table("place", "instance", "port", "zone", "size", "is", "start")
-    for place, entry in enumerate(shown["order"], 1):
+    for place, entry in enumerate(state["order"], 1):
         size, listing = entry.get("size", 1.0), entry.get("listing", "serving")
         zone, start = entry.get("zone", ""), entry.get("start", "")
         table.add_row(str(place), entry["name"], str(entry.get("port", 0)), zone, f"{size:g}", listing, start)
     Console().print(table)
 
 
-def heading(shown: dict[str, Any]) -> str:
+def headline(state: dict[str, Any]) -> str:
     """Return the holder's name, epoch and revision as a line of text."""
-    revision = shown["revision"]
+    revision = state["revision"]
     number, source = revision.get("number", -1), revision.get("source", "")
-    where = f" in zone {shown['zone']}" if shown["zone"] else ""
-    known = f"revision {number} of {source or 'no roster yet'}, {shown['knowledge']}"
-    return f"{shown['holder']}{where}, epoch {shown['epoch']}; {known}, {shown['age ms']:.0f} ms old"
+    where = f" in zone {state['zone']}" if state["zone"] else ""
+    known = f"revision {number} of {source or 'no roster yet'}, {state['knowledge']}"
+    return f"{state['holder']}{where}, epoch {state['epoch']}; {known}, {state['age ms']:.0f} ms old"
 
 
-def place_of(copy: dict[str, Any]) -> str:
+def format_copy(copy: dict[str, Any]) -> str:
+    """Return the address of a shard's holder, with its zone."""
     zone = f" ({copy['zone']})" if copy["zone"] else ""
     return f"{copy['host']}:{copy['port']}{zone}"
--- a/lapistrestle/command/experiments.py
+++ b/lapistrestle/command/experiments.py
@@ -1,4 +1,4 @@
-"""`lapistrestle experiment`: run, compare and plot experiments in the model."""
+"""The commands `lapistrestle experiment`: run, compare and plot experiments in the simulation model."""
 
 import multiprocessing
 import os
@@ -20,7 +20,7 @@
 from lapistrestle.model.world import ModelWorld
 from lapistrestle.standins.script import parse_day
 
-LINE = msgspec.json.Decoder(model.Result)
+RESULT_DECODER = msgspec.json.Decoder(model.Result)
 
 
 @click.group()
@@ -28,64 +28,69 @@
     """Try settings and fleets in the model: many runs, one file of results."""
 
 
-def read(path: Path) -> tuple[model.Experiment, list[model.PlannedRun]]:
-    """The runs of a file, each of its days checked. Raises DeploymentError before anything runs."""
+def read_experiment(path: Path) -> tuple[model.Experiment, list[model.PlannedRun]]:
+    """Read an experiment and plan its runs. Raises DeploymentError if the file or a variant is invalid."""
     value, text = read_json5(path)
-    made = convert_value(value, model.Experiment, text, str(path))
-    day, where = made.day, path
+    parsed = convert_value(value, model.Experiment, text, str(path))
+    day, day_path = parsed.day, path
     if isinstance(day, str):
-        where = path.parent / day
-        day, _ = read_json5(where)
+        day_path = path.parent / day
+        day, _ = read_json5(day_path)
     if not isinstance(day, dict):
         raise DeploymentError(f"{path}: day: is no group {{ … }}")
     if isinstance(day.get("deployment"), str):
-        day["deployment"], _ = read_json5(where.parent / day["deployment"])
-    plan = model.plan_runs(made, day)
+        day["deployment"], _ = read_json5(day_path.parent / day["deployment"])
+    plan = model.plan_runs(parsed, day)
     for run in plan:
-        if run.seed == made.first_seed:
+        if run.seed == parsed.first_seed:
             ModelWorld(
                 *parse_day(
-                    run.day, "", where.with_name(f"{where.name} with {model.variant_label(run.variant)}")
+                    run.day,
+                    "",
+                    day_path.with_name(f"{day_path.name} with {model.variant_label(run.variant)}"),
                 )
             )
-    return made, plan
+    return parsed, plan
 
 
 def results_of(path: Path) -> list[model.Result]:
-    """Every whole line; a torn last one is the run that was stopped."""
+    """Return the results in a file, without an incomplete last line of an interrupted run.
+
+    Raises DeploymentError if a line is invalid.
+    """
     if not path.exists():
         return []
-    made = []
+    results = []
     for number, line in enumerate(path.read_bytes().splitlines(keepends=True), 1):
         if not line.endswith(b"\n"):
             break
         try:
-            made.append(LINE.decode(line))
-        except msgspec.MsgspecError as trouble:
-            raise DeploymentError(f"{path}:{number}: no line of results: {trouble}") from None
-    return made
+            results.append(RESULT_DECODER.decode(line))
+        except msgspec.MsgspecError as error:
+            raise DeploymentError(f"{path}:{number}: no line of results: {error}") from None
+    return results
 
 
-def play(task: tuple[model.PlannedRun, str]) -> model.Result:
-    """One run in a process of its own."""
+def execute(task: tuple[model.PlannedRun, str]) -> model.Result:
+    """Execute one run; called in a worker process."""
     run, build = task
-    made = model.Result(run.key, list(run.variant), run.seed, build=build)
-    began = time.perf_counter()
+    result = model.Result(run.key, list(run.variant), run.seed, build=build)
+    started_at = time.perf_counter()
     try:
         world = ModelWorld(*parse_day(run.day))
         outcome = world.play()
-        made.figures = model.figures(
+        result.figures = model.figures(
             outcome.latencies, outcome.client_requests, outcome.service, outcome.worst(),
             world.clients.counts["tries"], world.store.fetched,
         )  # fmt: skip
     except Exception:
-        made.failed = traceback.format_exc()[-1_000:]
-    made.seconds = round(time.perf_counter() - began, 3)
-    return made
+        result.failed = traceback.format_exc()[-1_000:]
+    result.seconds = round(time.perf_counter() - started_at, 3)
+    return result
 
 
-def build() -> str:
-    """What the results are results of: the package's own sources."""
+def build_id() -> str:
+    """Return a digest of the package's sources, which identifies the build that results belong to."""
     digest = blake2b(digest_size=6)
     for file in sorted(Path(__file__).parents[1].rglob("*.py")):
         digest.update(file.read_bytes())
@@ -98,38 +103,38 @@
 @click.option("--processes", default=0, help="0: as many as there are cores.")
 def run(file: Path, results: Path | None, processes: int) -> None:
     """Play all runs of FILE that have no result yet; one that is stopped goes on where it was."""
-    _, plan = read(file)
-    kept = results or file.with_suffix(".results.jsonl")
-    known, name = results_of(kept), build()
-    todo = [(run, name) for run in model.missing_runs(plan, known, name)]
-    click.echo(f"{len(plan)} runs, {len(plan) - len(todo)} done before; results in {kept}")
-    began, failed, calls = time.perf_counter(), 0, 0.0
-    if kept.exists():
-        whole = kept.read_bytes()
-        os.truncate(kept, whole.rfind(b"\n") + 1)  # drops a line that was torn, also where it is the only one
-    with kept.open("ab") as sink, multiprocessing.Pool(processes or None) as pool:
-        for made in track(pool.imap(play, todo), "runs", len(todo), console=Console(stderr=True)):
-            sink.write(msgspec.json.encode(made) + b"\n")
+    _, plan = read_experiment(file)
+    result_file = results or file.with_suffix(".results.jsonl")
+    known, build = results_of(result_file), build_id()
+    todo = [(run, build) for run in model.missing_runs(plan, known, build)]
+    click.echo(f"{len(plan)} runs, {len(plan) - len(todo)} done before; results in {result_file}")
+    started_at, failed, calls = time.perf_counter(), 0, 0.0
+    if result_file.exists():
+        content = result_file.read_bytes()
+        os.truncate(result_file, content.rfind(b"\n") + 1)  # drops an incomplete last line
+    with result_file.open("ab") as sink, multiprocessing.Pool(processes or None) as pool:
+        for result in track(pool.imap(execute, todo), "runs", len(todo), console=Console(stderr=True)):
+            sink.write(msgspec.json.encode(result) + b"\n")
             sink.flush()
-            failed += bool(made.failed)
-            calls += made.figures.get("calls", 0.0)
-            if made.failed:
+            failed += bool(result.failed)
+            calls += result.figures.get("calls", 0.0)
+            if result.failed:
                 click.echo(
-                    f"failed, no result: {model.variant_label(tuple(made.variant))}, seed {made.seed}",
+                    f"failed, no result: {model.variant_label(tuple(result.variant))}, seed {result.seed}",
                     err=True,
                 )
-    took = time.perf_counter() - began
-    click.echo(f"{calls:.0f} calls simulated in {took:.1f} s, {calls / max(took, 1e-9):.0f} a second")
+    duration = time.perf_counter() - started_at
+    click.echo(f"{calls:.0f} calls simulated in {duration:.1f} s, {calls / max(duration, 1e-9):.0f} a second")
     raise SystemExit(1 if failed else 0)
 
 
-def asked(said: tuple[str, ...], found: dict[model.Variant, Any]) -> model.Variant:
-    """The variant that PATH=VALUE options name; the first where none are given. Raises DeploymentError."""
+def select_variant(options: tuple[str, ...], found: dict[model.Variant, Any]) -> model.Variant:
+    """Return the variant named by PATH=VALUE options, by default the first. Raises DeploymentError."""
     for variant in found:
-        if all(f"{path}={value}" in said for path, value in variant) or not said:
+        if all(f"{path}={value}" in options for path, value in variant) or not options:
             return variant
     raise DeploymentError(
-        f"no results of {', '.join(said)}; known: {'; '.join(map(model.variant_label, found)) or 'none'}"
+        f"no results of {', '.join(options)}; known: {'; '.join(map(model.variant_label, found)) or 'none'}"
     )
 
 
@@ -140,28 +145,28 @@
 @as_json
 def compare(results: Path, base: tuple[str, ...], figure: str, json_: bool) -> None:
     """Means of each variant, and differences to the base, seed by seed, with 95% intervals."""
-    told = results_of(results)
-    found = model.by_variant(told)
-    first = asked(base, found)
-    apart = model.differences(told, first, figure)
+    all_results = results_of(results)
+    found = model.by_variant(all_results)
+    base_variant = select_variant(base, found)
+    differences = model.differences(all_results, base_variant, figure)
     rows: list[dict[str, Any]] = []
     for variant, runs in found.items():
-        mean, gap = model.mean(runs, figure), apart.get(variant)
+        mean, difference = model.mean(runs, figure), differences.get(variant)
         rows.append({"variant": dict(variant), "seeds": mean.seeds, "mean": mean.mean,
-                     "half": mean.half_width,
-                     "difference": gap and gap.mean, "difference_half": gap and gap.half_width,
-                     "noise": gap and gap.includes_zero})  # fmt: skip
+                     "half": mean.half_width, "difference": difference and difference.mean,
+                     "difference_half": difference and difference.half_width,
+                     "noise": difference and difference.includes_zero})  # fmt: skip
     if json_:
         return click.echo(msgspec.json.encode(rows))
-    table = Table(title=f"{figure}, against {model.variant_label(first)}")
+    table = Table(title=f"{figure}, against {model.variant_label(base_variant)}")
     for head in ("variant", "seeds", "mean", "difference", ""):
         table.add_column(head, justify="left" if head in ("variant", "") else "right")
     for row, variant in zip(rows, found, strict=True):
-        gap = apart.get(variant)
+        difference = differences.get(variant)
         table.add_row(
             model.variant_label(variant), str(row["seeds"]), f"{row['mean']:.4g} ± {row['half']:.2g}",
-            f"{gap.mean:+.4g} ± {gap.half_width:.2g}" if gap else "",
-            "noise" if gap and gap.includes_zero else "",
+            f"{difference.mean:+.4g} ± {difference.half_width:.2g}" if difference else "",
+            "noise" if difference and difference.includes_zero else "",
         )  # fmt: skip
     Console(width=120).print(table)
 
@@ -187,15 +192,15 @@
         )
     figure, axes = pyplot.subplots(len(chosen), 1, figsize=(7, 2.6 * len(chosen)), sharex=True, squeeze=False)
     for row, name in enumerate(chosen):
-        lines: dict[str, list[tuple[Any, model.ConfidenceInterval]]] = {}
+        lines: dict[str, list[tuple[Any, model.ConfidenceInterval]]] = {}  # by the other varied settings
         for variant, runs in found.items():
-            rest = model.variant_label(tuple(pair for pair in variant if pair[0] != axis))
-            lines.setdefault(rest, []).append((dict(variant)[axis], model.mean(runs, name)))
-        for rest, points in lines.items():
+            label = model.variant_label(tuple(pair for pair in variant if pair[0] != axis))
+            lines.setdefault(label, []).append((dict(variant)[axis], model.mean(runs, name)))
+        for label, points in lines.items():
             xs = [x for x, _ in points]
             axes[row][0].errorbar(
                 xs, [s.mean for _, s in points], [s.half_width if s.seeds > 1 else 0 for _, s in points],
-                marker="o", capsize=3, label=rest,
+                marker="o", capsize=3, label=label,
             )  # fmt: skip
         axes[row][0].set_ylabel(name)
         axes[row][0].grid(alpha=0.3)
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -27,6 +27,12 @@
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
+COLD_SHARE = 0.2  # of its capacity that a runner started with --cold has at first
+COLD_RAMP_SECONDS = 15.0  # until it has its full capacity
+DRAIN_POLL_SECONDS = 0.05  # between two checks whether a draining runner is idle
+LAST_ANSWER_SECONDS = 0.1  # for the last answers to be sent before a drained runner exits
+DEFAULT_UP_FOR_MS = 86_400_000.0  # of workers whose entry does not state it: long past slow start
+
 PATH = click.Path(path_type=Path)
 tell_port = click.option("--tell-port", type=PATH, help="Write the port to this file once it listens.")
 as_json = click.option("--json", "json_", is_flag=True, help="JSON lines instead of lines for people.")
@@ -72,19 +78,19 @@
 
     SIGTERM stops taking and finishes what is out; a second one aborts it.
     """
-    made = load_deployment(deployment)
+    settings = load_deployment(deployment)
     if port is not None:
-        made.listen.port = port
+        settings.listen.port = port
     if roster_port is not None:
-        made.roster.port = roster_port
+        settings.roster.port = roster_port
     if planner_port is not None:
-        made.planner.port = planner_port
-    if not made.roster.port and not made.directory.shards:
+        settings.planner.port = planner_port
+    if not settings.roster.port and not settings.directory.shards:
         raise DeploymentError(f"{deployment}: roster.port: is missing; an edge needs one (or --roster-port)")
     reactor = monotonic_reactor()
     try:
         boot, nonce = time.time_ns() // 1_000_000, secrets.randbits(32)
-        program = Edge(reactor, made, make_log(json_), boot=boot, nonce=nonce)
+        program = Edge(reactor, settings, make_log(json_), boot=boot, nonce=nonce)
     except CannotListenError as error:
         raise click.ClickException(f"can't listen for peers: {error}") from None
     serve(reactor, program.start, tell_port, lambda: program.stop(reactor.stop))
@@ -109,37 +115,37 @@
     SIGTERM drains it, a second one ends it.
     """
     reactor = monotonic_reactor()
-    facts = RunnerSpec(cores, speed, memory, queue, absent=absent)
+    spec = RunnerSpec(cores, speed, memory, queue, absent=absent)
     if cold:
-        facts.cold_share, facts.ramp = 0.2, 15.0
+        spec.cold_share, spec.ramp = COLD_SHARE, COLD_RAMP_SECONDS
     log = make_log(runner=name)
-    made: list[RunnerStandIn] = []
+    started: list[RunnerStandIn] = []  # empty until `start` is called
 
     def start() -> int:
         tells = frozenset({"inline", "warm", "company"})
         store = PackageStore(reactor, StoreSpec())
         stamp = time.time_ns() % 1_000_000_000
-        made.append(
+        started.append(
             RunnerStandIn(
-                reactor, name, stamp, facts, store, TokenRegistry(), cold=cold, port=port, tells=tells
+                reactor, name, stamp, spec, store, TokenRegistry(), cold=cold, port=port, tells=tells
             )
         )
-        log("listening", port=made[0].port)
-        return made[0].port
+        log("listening", port=started[0].port)
+        return started[0].port
 
     def stop() -> None:
-        standin = made[0]
+        standin = started[0]
         if standin.engine.draining:
             return reactor.stop()
         standin.drain()
         log("draining", running=standin.engine.running)
-        look()
+        stop_when_idle()
 
-    def look() -> None:
-        if made[0].engine.running or made[0].engine.queue:
-            reactor.callLater(0.05, look)
+    def stop_when_idle() -> None:
+        if started[0].engine.running or started[0].engine.queue:
+            reactor.callLater(DRAIN_POLL_SECONDS, stop_when_idle)
         else:
-            reactor.callLater(0.1, reactor.stop)
+            reactor.callLater(LAST_ANSWER_SECONDS, reactor.stop)
 
     serve(reactor, start, tell_port, stop)
 
@@ -156,37 +162,37 @@
     """
     reactor = monotonic_reactor()
     log = make_log(roster=str(workers))
-    made: list[RosterStandIn] = []
+    started: list[RosterStandIn] = []  # empty until `start` is called
     known: dict[str, wire.RosterEntry] = {}
 
-    def read(first: bool) -> None:
+    def read_workers(first: bool) -> None:
         value, text = read_json5(workers)
         entries = {e.name: e for e in convert_value(value, list[wire.RosterEntry], text, str(workers))}
         for name, entry in entries.items():
             if entry != known.get(name):
-                up_for = (entry.up_for if entry.up_for is not None else 86_400_000.0) / 1000
-                made[0].record(entry, reactor.seconds() - up_for, now=first)
+                up_for = (entry.up_for if entry.up_for is not None else DEFAULT_UP_FOR_MS) / 1000
+                started[0].record(entry, reactor.seconds() - up_for, now=first)
         for name, entry in known.items():
             if name not in entries:
-                made[0].record(msgspec.structs.replace(entry, listing="gone"), 0.0)
+                started[0].record(msgspec.structs.replace(entry, listing="gone"), 0.0)
         known.clear()
         known.update(entries)
         log("workers file read", workers=len(known))
 
-    def again() -> None:
+    def reload_workers() -> None:
         try:
-            read(False)
-        except DeploymentError as trouble:
-            log("workers file rejected", why=str(trouble))
+            read_workers(False)
+        except DeploymentError as error:
+            log("workers file rejected", why=str(error))
 
     def start() -> int:
-        made.append(RosterStandIn(reactor, lag, port=port))
-        read(True)
-        return made[0].port
+        started.append(RosterStandIn(reactor, lag, port=port))
+        read_workers(True)
+        return started[0].port
 
     value, text = read_json5(workers)
     convert_value(value, list[wire.RosterEntry], text, str(workers))
-    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(again))
+    signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(reload_workers))
     serve(reactor, start, tell_port, reactor.stop)
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -14,7 +14,7 @@
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
 
-from lapistrestle.command.experiments import read as read_experiment
+from lapistrestle.command.experiments import read_experiment
 from lapistrestle.command.main import main
 from lapistrestle.planner.connection import PlannerConnectionFactory
 from lapistrestle.planner.entries import decode_entry, encode_entry
--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lapistrestle.command.experiments import read as read_experiment
+from lapistrestle.command.experiments import read_experiment
 from lapistrestle.command.rollouts import RolloutPolicy
 from lapistrestle.deployment.load import convert_value, load_deployment, load_holder, read_json5
 from lapistrestle.deployment.schema import Deployment, HolderDeployment
