--- a/tests/wire_names.py
+++ b/tests/wire_names.py
@@ -1,4 +1,4 @@
-"""Python names of what the pinned data describes, in one place: renames are followed here alone."""
+"""The Python names that the pinned data describes, so that a rename changes only this file of the tests."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from lapistrestle.command.experiments import read as read_experiment
-from lapistrestle.command.rollouts import Policy
+from lapistrestle.command.experiments import read_experiment
+from lapistrestle.command.rollouts import RolloutPolicy
 from lapistrestle.deployment.load import convert_value, load_deployment, load_holder, read_json5
 from lapistrestle.deployment.schema import Deployment, HolderDeployment
 from lapistrestle.model.experiment import Experiment
@@ -41,7 +41,7 @@
     "holder": HolderDeployment,
     "experiment": Experiment,
     "day": Day,
-    "policy": Policy,
+    "policy": RolloutPolicy,
     "platform file": ConfigurationFile,
     "platform settings": PlatformSettings,
     "platform runner's reply": RunnerReply,
@@ -52,14 +52,14 @@
 
 
 def line_decoder(union: Any) -> Callable[[bytes], Any]:
-    """Reads one line of a protocol's direction."""
+    """Return a decoder of the lines of one direction of a protocol."""
     return msgspec.json.Decoder(union).decode
 
 
 def load_policy(path: Path) -> Any:
-    """A checked file of a rollout's policy."""
+    """Read and validate a rollout policy file."""
     value, text = read_json5(path)
-    return convert_value(value, Policy, text, str(path))
+    return convert_value(value, RolloutPolicy, text, str(path))
 
 
 LOADERS: dict[str, Callable[[Path], Any]] = {
