--- a/lapistrestle/checks/directory.py
+++ b/lapistrestle/checks/directory.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(eq=False)
-class Held:
+class KnownPeriod:
     """A period in which an edge knew a runner's start as serving, by the latest message of one connection.
 
     Times in milliseconds.
@@ -28,205 +28,210 @@
     edge: str
     holder: str
     start: str
-    at: float
+    started_at: float
     line: int
-    until: float = NEVER
-    told: bool = False  # ended by a message about a drain or removal, not by leaving the watched prefixes
+    ended_at: float = NEVER
+    # ended by a message about a drain or removal, not by leaving the watched prefixes
+    ended_by_message: bool = False
 
 
 @dataclass(eq=False)
-class Watching:
+class WatchConnection:
     """State of one connection between an edge and a holder, as both ends know it."""
 
     edge: str
     holder: str
     functions: dict[int, str] = field(default_factory=dict)  # by watch id
     prefixes: dict[int, dict[str, None]] = field(default_factory=dict)  # runner names, by watch id
-    held: dict[str, Held] = field(default_factory=dict)  # by runner name
+    known: dict[str, KnownPeriod] = field(default_factory=dict)  # by runner name
     serving: dict[str, str] = field(default_factory=dict)  # start by runner name, also outside the prefixes
-    asked: float = NEVER  # when the edge last renewed its watches or added one
+    renewed_at: float = NEVER  # when the edge last renewed its watches or added one
     lease: float = NEVER  # milliseconds
 
-    def lapses(self) -> float:
+    def expires_at(self) -> float:
         """When the lease of its watches expires unless it is renewed."""
-        return self.asked + self.lease
+        return self.renewed_at + self.lease
 
 
-class Epochs:
+class EpochOrder:
     """The roster's epochs in the order in which they first appear on the tape, whoever received them."""
 
     def __init__(self) -> None:
         self.order: dict[str, int] = {}
 
-    def met(self, epoch: str) -> None:
+    def add(self, epoch: str) -> None:
         self.order.setdefault(epoch, len(self.order))
 
-    def age(self, revision: wire.Revision) -> tuple[int, int]:
+    def sort_key(self, revision: wire.Revision) -> tuple[int, int]:
         """Sort key of a revision: older ones are smaller."""
         return self.order.get(revision.source, -1), revision.number
 
 
-class DirectoryStory:
+class DirectoryTrace:
     """Follows the lines of all relayed connections in order."""
 
-    def __init__(self, epochs: Epochs, lists: dict[str, dict[str, str]], tell: Tell) -> None:
+    def __init__(self, epochs: EpochOrder, lists: dict[str, dict[str, str]], tell: Tell) -> None:
         """`lists`: for each edge, the latest known start of each runner."""
-        self.epochs, self.lists, self.tell = epochs, lists, tell
-        self.watching: dict[str, Watching] = {}
+        self.epochs, self.known_starts, self.notify = epochs, lists, tell
+        self.connections: dict[str, WatchConnection] = {}
         # age of the latest revision, by edge and runner name
-        self.words: dict[tuple[str, str], tuple[int, int]] = {}
+        self.revisions: dict[tuple[str, str], tuple[int, int]] = {}
         # names in the latest prefix, by edge and function
         self.prefixes: dict[tuple[str, str], dict[str, None]] = {}
         self.entries: dict[tuple[str, str], wire.Instance] = {}  # the latest entry, by edge and name
-        self.holds: list[Held] = []
-        self.number, self.at = 0, 0.0  # line number and time of the line being processed
+        self.known_periods: list[KnownPeriod] = []
+        self.line_number, self.at = 0, 0.0  # line number and time of the line being processed
 
-    def opened(self, connection: str, edge: str, holder: str) -> None:
-        self.watching[connection] = Watching(edge, holder)
+    def on_opened(self, connection: str, edge: str, holder: str) -> None:
+        self.connections[connection] = WatchConnection(edge, holder)
 
-    def closed(self, connection: str, at: float) -> None:
-        watching = self.watching.pop(connection, None)
-        if watching is not None:
-            self.drop(watching, min(at, watching.lapses()))
+    def on_closed(self, connection: str, at: float) -> None:
+        connection_state = self.connections.pop(connection, None)
+        if connection_state is not None:
+            self.end_all_watches(connection_state, min(at, connection_state.expires_at()))
 
-    def line(self, number: int, at: float, connection: str, message: Any) -> None:
-        watching = self.watching.get(connection)
-        if watching is None:
+    def add_line(self, number: int, at: float, connection: str, message: Any) -> None:
+        connection_state = self.connections.get(connection)
+        if connection_state is None:
             return
-        self.number, self.at = number, at
-        if at > watching.lapses():
-            self.drop(watching, watching.lapses())
+        self.line_number, self.at = number, at
+        if at > connection_state.expires_at():
+            self.end_all_watches(connection_state, connection_state.expires_at())
         match message:
             case wire.Watch():
-                watching.asked = at
-                watching.functions[message.id] = message.function
+                connection_state.renewed_at = at
+                connection_state.functions[message.id] = message.function
             case wire.Renew():
-                watching.asked = at
+                connection_state.renewed_at = at
             case wire.Unwatch():
-                self.forget(watching, message.id)
+                self.end_watch(connection_state, message.id)
             case wire.Renewed():
-                watching.lease = message.lease / TENTHS
+                connection_state.lease = message.lease / TENTHS
             case wire.Snapshot():
-                self.snapshot(watching, message)
+                self.on_snapshot(connection_state, message)
             case wire.Unchanged():
-                self.unchanged(watching, message)
+                self.on_unchanged(connection_state, message)
             case wire.Update():
-                self.update(watching, message)
+                self.on_update(connection_state, message)
 
-    def unchanged(self, watching: Watching, message: wire.Unchanged) -> None:
+    def on_unchanged(self, connection_state: WatchConnection, message: wire.Unchanged) -> None:
         """The edge has the prefix already: the same as a snapshot of what it last received on any
         connection."""
-        function = watching.functions.get(message.id, "")
-        names = self.prefixes.get((watching.edge, function), {})
-        known = (self.entries.get((watching.edge, name)) for name in names)
+        function = connection_state.functions.get(message.id, "")
+        names = self.prefixes.get((connection_state.edge, function), {})
+        known = (self.entries.get((connection_state.edge, name)) for name in names)
         entries = [entry for entry in known if entry is not None]
         snapshot = wire.Snapshot(message.id, message.epoch, message.revision, message.sequence, entries)
         snapshot.lease = message.lease
-        self.snapshot(watching, snapshot)
-
-    def snapshot(self, watching: Watching, message: wire.Snapshot) -> None:
-        watching.lease = message.lease / TENTHS
-        function = watching.functions.get(message.id)
-        before = [id_ for id_, name in watching.functions.items() if name == function and id_ < message.id]
-        watching.prefixes[message.id] = {entry.name: None for entry in message.entries}
+        self.on_snapshot(connection_state, snapshot)
+
+    def on_snapshot(self, connection_state: WatchConnection, message: wire.Snapshot) -> None:
+        connection_state.lease = message.lease / TENTHS
+        function = connection_state.functions.get(message.id)
+        before = [
+            id_ for id_, name in connection_state.functions.items() if name == function and id_ < message.id
+        ]
+        connection_state.prefixes[message.id] = {entry.name: None for entry in message.entries}
         if function is not None:
-            self.prefixes[watching.edge, function] = watching.prefixes[message.id]
+            self.prefixes[connection_state.edge, function] = connection_state.prefixes[message.id]
         for id_ in before:
-            self.forget(watching, id_)
-        age = self.epochs.age(message.revision)
+            self.end_watch(connection_state, id_)
+        age = self.epochs.sort_key(message.revision)
         for entry in message.entries:
-            self.entry(watching, entry, age)
+            self.on_entry(connection_state, entry, age)
         if message.complete:
-            named = watching.prefixes[message.id]
-            for name in [n for n in self.lists.get(watching.edge, {}) if n not in named]:
-                self.gone(watching, name, age)
+            named = connection_state.prefixes[message.id]
+            for name in [n for n in self.known_starts.get(connection_state.edge, {}) if n not in named]:
+                self.on_gone(connection_state, name, age)
 
-    def update(self, watching: Watching, message: wire.Update) -> None:
-        age = self.epochs.age(message.revision)
+    def on_update(self, connection_state: WatchConnection, message: wire.Update) -> None:
+        age = self.epochs.sort_key(message.revision)
         for name in message.gone:
-            self.gone(watching, name, age)
+            self.on_gone(connection_state, name, age)
         for change in message.changes:
-            prefix = watching.prefixes.get(change.id)
+            prefix = connection_state.prefixes.get(change.id)
             if prefix is None:
                 continue  # the edge has ended this watch in the meantime
             for name in change.removed:
                 prefix.pop(name, None)
             prefix.update((placed.name, None) for placed in change.inserted)
         for entry in message.entries:
-            self.entry(watching, entry, age)
-        for name in [n for n in watching.held if not self.in_prefix(watching, n)]:
-            self.over(watching, name, self.at, told=False)
-        for name, start in watching.serving.items():
-            if name not in watching.held and self.in_prefix(watching, name):
-                self.hold(watching, name, start)
-
-    def entry(self, watching: Watching, entry: RosterEntry, age: tuple[int, int]) -> None:
+            self.on_entry(connection_state, entry, age)
+        for name in [n for n in connection_state.known if not self.in_prefix(connection_state, n)]:
+            self.end_period(connection_state, name, self.at, by_message=False)
+        for name, start in connection_state.serving.items():
+            if name not in connection_state.known and self.in_prefix(connection_state, name):
+                self.start_period(connection_state, name, start)
+
+    def on_entry(self, connection_state: WatchConnection, entry: RosterEntry, age: tuple[int, int]) -> None:
         """Applies the state of one runner. An edge ignores revisions older than the one that it has."""
         serves = entry.listing == "serving"
-        held = watching.held.get(entry.name)
-        if held is not None and (held.start != entry.start or not serves):
-            self.over(watching, entry.name, self.at, told=True)
+        period = connection_state.known.get(entry.name)
+        if period is not None and (period.start != entry.start or not serves):
+            self.end_period(connection_state, entry.name, self.at, by_message=True)
         if serves:
-            watching.serving[entry.name] = entry.start
-            if entry.name not in watching.held and self.in_prefix(watching, entry.name):
-                self.hold(watching, entry.name, entry.start)
+            connection_state.serving[entry.name] = entry.start
+            if entry.name not in connection_state.known and self.in_prefix(connection_state, entry.name):
+                self.start_period(connection_state, entry.name, entry.start)
         else:
-            watching.serving.pop(entry.name, None)
-        if not self.newest(watching.edge, entry.name, age):
+            connection_state.serving.pop(entry.name, None)
+        if not self.record_revision(connection_state.edge, entry.name, age):
             return
-        self.entries[watching.edge, entry.name] = wire.compact(entry)
-        known = self.lists.setdefault(watching.edge, {})
+        self.entries[connection_state.edge, entry.name] = wire.compact(entry)
+        known = self.known_starts.setdefault(connection_state.edge, {})
         before = known.get(entry.name, entry.start)
         if before != entry.start:
-            self.tell(self.number, self.at, watching.edge, before, True)
+            self.notify(self.line_number, self.at, connection_state.edge, before, True)
         known[entry.name] = entry.start
-        self.tell(self.number, self.at, watching.edge, entry.start, not serves)
+        self.notify(self.line_number, self.at, connection_state.edge, entry.start, not serves)
         if entry.listing == "gone":
             del known[entry.name]
 
-    def gone(self, watching: Watching, name: str, age: tuple[int, int]) -> None:
-        if name in watching.held:
-            self.over(watching, name, self.at, told=True)
-        watching.serving.pop(name, None)
-        if self.newest(watching.edge, name, age):
-            self.entries.pop((watching.edge, name), None)
-            start = self.lists.get(watching.edge, {}).pop(name, None)
+    def on_gone(self, connection_state: WatchConnection, name: str, age: tuple[int, int]) -> None:
+        if name in connection_state.known:
+            self.end_period(connection_state, name, self.at, by_message=True)
+        connection_state.serving.pop(name, None)
+        if self.record_revision(connection_state.edge, name, age):
+            self.entries.pop((connection_state.edge, name), None)
+            start = self.known_starts.get(connection_state.edge, {}).pop(name, None)
             if start is not None:
-                self.tell(self.number, self.at, watching.edge, start, True)
+                self.notify(self.line_number, self.at, connection_state.edge, start, True)
 
-    def newest(self, edge: str, name: str, age: tuple[int, int]) -> bool:
+    def record_revision(self, edge: str, name: str, age: tuple[int, int]) -> bool:
         """Records a revision; False if this edge already had a newer one about that runner."""
-        if age < self.words.get((edge, name), age):
+        if age < self.revisions.get((edge, name), age):
             return False
-        self.words[edge, name] = age
+        self.revisions[edge, name] = age
         return True
 
-    def in_prefix(self, watching: Watching, name: str) -> bool:
-        return any(name in prefix for prefix in watching.prefixes.values())
+    def in_prefix(self, connection_state: WatchConnection, name: str) -> bool:
+        return any(name in prefix for prefix in connection_state.prefixes.values())
 
-    def hold(self, watching: Watching, name: str, start: str) -> None:
-        made = watching.held[name] = Held(watching.edge, watching.holder, start, self.at, self.number)
-        self.holds.append(made)
+    def start_period(self, connection_state: WatchConnection, name: str, start: str) -> None:
+        made = connection_state.known[name] = KnownPeriod(
+            connection_state.edge, connection_state.holder, start, self.at, self.line_number
+        )
+        self.known_periods.append(made)
 
-    def over(self, watching: Watching, name: str, at: float, told: bool) -> None:
-        held = watching.held.pop(name)
-        held.until, held.told = at, told
+    def end_period(self, connection_state: WatchConnection, name: str, at: float, by_message: bool) -> None:
+        period = connection_state.known.pop(name)
+        period.ended_at, period.ended_by_message = at, by_message
 
-    def forget(self, watching: Watching, id_: int) -> None:
+    def end_watch(self, connection_state: WatchConnection, id_: int) -> None:
         """Ends one watch."""
-        watching.functions.pop(id_, None)
-        watching.prefixes.pop(id_, None)
-        for name in [n for n in watching.held if not self.in_prefix(watching, n)]:
-            self.over(watching, name, self.at, told=False)
+        connection_state.functions.pop(id_, None)
+        connection_state.prefixes.pop(id_, None)
+        for name in [n for n in connection_state.known if not self.in_prefix(connection_state, n)]:
+            self.end_period(connection_state, name, self.at, by_message=False)
 
-    def drop(self, watching: Watching, at: float) -> None:
+    def end_all_watches(self, connection_state: WatchConnection, at: float) -> None:
         """Ends all watches of a connection."""
-        watching.functions.clear()
-        watching.prefixes.clear()
-        watching.serving.clear()
-        for name in list(watching.held):
-            self.over(watching, name, at, told=False)
+        connection_state.functions.clear()
+        connection_state.prefixes.clear()
+        connection_state.serving.clear()
+        for name in list(connection_state.known):
+            self.end_period(connection_state, name, at, by_message=False)
 
     def finish(self, end: float) -> None:
-        for connection in list(self.watching):
-            self.closed(connection, end)
+        for connection in list(self.connections):
+            self.on_closed(connection, end)
--- a/lapistrestle/checks/service.py
+++ b/lapistrestle/checks/service.py
@@ -21,43 +21,45 @@
     tries: float
 
 
-def gain(story: Trace, wish: ClientRequest) -> float:
+def request_gain(trace: Trace, request: ClientRequest) -> float:
     """Gain of a client's request, counting its retries as part of it, from its first attempt on."""
-    return worth(story.header["methods"][wish.method], wish.answered - wish.at, wish.work)
+    return answer_gain(
+        trace.header["methods"][request.method], request.answered_at - request.at, request.work
+    )
 
 
-def worth(method: Mapping[str, Any], took: float, work: float) -> float:
+def answer_gain(method: Mapping[str, Any], latency: float, work: float) -> float:
     """Gain of an answer after `took` milliseconds for `work` milliseconds, by a method's figures in the
     header."""
-    if took <= min(method["deadline"], method["soft"] + method["stretch"] * work):
+    if latency <= min(method["deadline"], method["soft"] + method["stretch"] * work):
         return float(method["gain"])
-    return float(method["gain"] * method["late_gain"]) if took <= method["deadline"] else 0.0
+    return float(method["gain"] * method["late_gain"]) if latency <= method["deadline"] else 0.0
 
 
-def share(story: Trace, wishes: Iterable[ClientRequest]) -> float:
-    chosen = list(wishes)
-    asked = sum(story.header["methods"][w.method]["gain"] for w in chosen)
-    return sum(gain(story, w) for w in chosen) / asked if asked else 1.0
+def service_ratio(trace: Trace, requests: Iterable[ClientRequest]) -> float:
+    chosen = list(requests)
+    asked = sum(trace.header["methods"][r.method]["gain"] for r in chosen)
+    return sum(request_gain(trace, r) for r in chosen) / asked if asked else 1.0
 
 
-def measure_service(story: Trace) -> Service:
-    end = story.began + story.header["length"]
-    wishes = [w for w in story.client_requests.values() if w.at <= end]
+def measure_service(trace: Trace) -> Service:
+    end = trace.traffic_started_at + trace.header["length"]
+    requests = [r for r in trace.client_requests.values() if r.at <= end]
     windows: list[tuple[float, float]] = []
-    begin = story.began
+    begin = trace.traffic_started_at
     while not windows or begin + WINDOW <= end:
-        windows.append((share(story, (w for w in wishes if begin <= w.at < begin + WINDOW)), begin))
+        windows.append((service_ratio(trace, (r for r in requests if begin <= r.at < begin + WINDOW)), begin))
         begin += 1000
     by_method, by_customer = defaultdict(list), defaultdict(list)
-    for wish in wishes:
-        by_method[wish.method].append(wish)
-        by_customer[wish.customer].append(wish)
-    methods = [(share(story, ws), name) for name, ws in by_method.items()]
-    customers = [(share(story, ws), name) for name, ws in by_customer.items()]
+    for request in requests:
+        by_method[request.method].append(request)
+        by_customer[request.customer].append(request)
+    methods = [(service_ratio(trace, rs), name) for name, rs in by_method.items()]
+    customers = [(service_ratio(trace, rs), name) for name, rs in by_customer.items()]
     worst, at = min(windows)
     method, customer = min(methods, default=(1.0, "")), min(customers, default=(1.0, ""))
-    calls = max(1, len(story.calls))
+    calls = max(1, len(trace.calls))
     return Service(
-        len(wishes), share(story, wishes), worst, at / 1000, (method[1], method[0]),
-        (customer[1], customer[0]), len(story.attempts) / calls,
+        len(requests), service_ratio(trace, requests), worst, at / 1000, (method[1], method[0]),
+        (customer[1], customer[0]), len(trace.attempts) / calls,
     )  # fmt: skip
--- a/lapistrestle/checks/trace.py
+++ b/lapistrestle/checks/trace.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapistrestle.checks.directory import DirectoryStory, Epochs
+from lapistrestle.checks.directory import DirectoryTrace, EpochOrder
 from lapistrestle.wire import directory as directory_wire
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import message_decoder
@@ -44,17 +44,17 @@
     call: "Call | None" = None
     results: list[tuple[float, int, str]] = field(default_factory=list)  # time, line, outcome
     cancelled_at: float = NEVER
-    broke: float = NEVER
+    disconnected_at: float = NEVER
 
-    def proven_unrun(self, at: float) -> bool:
+    def known_not_run(self, at: float) -> bool:
         """Whether the runner had reported by then that the attempt did not run."""
         return any(when <= at and outcome in ("full", "miss") for when, _, outcome in self.results)
 
-    def over(self, grace: float) -> float:
+    def ended_by(self, grace: float) -> float:
         """When the edge may treat the attempt as over: its result, the loss of the connection, a cancel or,
         `grace` milliseconds early, its timeout."""
         ended = min((when for when, _, _ in self.results), default=NEVER)
-        return min(ended, self.broke, self.cancelled_at, self.at + self.message.timeout - grace)
+        return min(ended, self.disconnected_at, self.cancelled_at, self.at + self.message.timeout - grace)
 
 
 @dataclass(eq=False)
@@ -68,16 +68,16 @@
     message: wire.Call
     answers: list[tuple[float, int, wire.Answer]] = field(default_factory=list)
     stream_started_at: float = NEVER
-    faulted: bool = False
+    got_fault: bool = False
     client_gone_at: float = NEVER  # when the client cancelled the call
-    closed: float = NEVER  # when the connection ended
+    disconnected_at: float = NEVER  # when the connection ended
     attempts: list[Attempt] = field(default_factory=list)
 
     @property
     def deadline(self) -> float:
         return self.at + self.message.timeout
 
-    def first_answer(self) -> float:
+    def first_answered_at(self) -> float:
         return self.answers[0][0] if self.answers else NEVER
 
 
@@ -101,11 +101,11 @@
     at: float
     cores: float
     speed: float
-    share: float
+    initial_speed: float
     zone: str = ""
     cell: int = 0
-    fell: float = NEVER
-    ended: float = NEVER
+    collapsed_at: float = NEVER
+    ended_at: float = NEVER
 
 
 @dataclass(eq=False)
@@ -115,7 +115,7 @@
     edge: str = ""
     start: str = ""
     runner: str = ""
-    you: str = ""
+    client_name: str = ""
     opened: float = 0.0
     closed: float = NEVER
     unread: list[tuple[float, float]] = field(default_factory=list)
@@ -130,7 +130,7 @@
     method: str
     customer: str
     work: float
-    answered: float = NEVER
+    answered_at: float = NEVER
 
 
 @dataclass
@@ -140,8 +140,8 @@
 
     line: int
     at: float
-    drains: bool
-    by_roster: bool
+    draining: bool
+    from_list: bool
 
 
 class Trace:
@@ -151,9 +151,9 @@
         self.texts: dict[int, str] = {}
         self.connections: dict[str, Connection] = {}
         self.calls: list[Call] = []
-        self.open: dict[tuple[str, str], Call] = {}  # by edge, and connection and id of the call
+        self.open_calls: dict[tuple[str, str], Call] = {}  # by edge, and connection and id of the call
         self.attempts: list[Attempt] = []
-        self.out: dict[tuple[str, int], Attempt] = {}  # by connection and number
+        self.attempts_by_number: dict[tuple[str, int], Attempt] = {}  # by connection and number
         self.preloads: list[Preload] = []
         self.runner_starts: dict[str, RunnerStart] = {}
         self.client_requests: dict[str, ClientRequest] = {}
@@ -162,9 +162,9 @@
             tuple[str, str], list[Notification]
         ] = {}  # by edge or holder, and start of the runner
         # by edge or holder: the latest known start of each runner
-        self.lists: dict[str, dict[str, str]] = {}
-        self.epochs = Epochs()
-        self.directory = DirectoryStory(self.epochs, self.lists, self.directory_told)
+        self.known_starts: dict[str, dict[str, str]] = {}
+        self.epochs = EpochOrder()
+        self.directory = DirectoryTrace(self.epochs, self.known_starts, self.on_holder_message)
         self.cuts: dict[tuple[str, str], list[tuple[float, float]]] = {}  # periods, by edge and holder
         self.stalls: dict[str, list[tuple[float, float]]] = {}
         self.kills: dict[str, list[float]] = {}
@@ -172,23 +172,23 @@
         # by version: earliest and latest time at which the share took effect, and the share
         self.shares: dict[str, list[tuple[float, float, float]]] = {}
         self.faults: list[tuple[float, str, float]] = []
-        self.began = 0.0  # when the clients' traffic started
+        self.traffic_started_at = 0.0  # when the clients' traffic started
         self.end = 0.0
         lines = iter(tape)
         self.header = next(lines, {})
         if self.header.get("tape") != 1:
             raise ValueError("no tape: the first line is no header")
         for number, event in enumerate(lines, 2):
-            self.take(number, event)
+            self.add_event(number, event)
         self.finish()
 
-    def take(self, number: int, event: dict[str, Any]) -> None:
-        at, what, on = event["at"] / 1000, event["is"], event["on"]
+    def add_event(self, number: int, event: dict[str, Any]) -> None:
+        at, event_type, on = event["at"] / 1000, event["is"], event["on"]
         self.end = max(self.end, at)
-        match what:
+        match event_type:
             case ">" | "<":
                 if not event.get("cut"):
-                    self.line(number, at, on, what == ">", event["line"])
+                    self.add_line(number, at, on, event_type == ">", event["line"])
             case "open":
                 kind = next((k for k in ("roster", "runner", "directory") if k in event), "client")
                 self.connections[on] = Connection(
@@ -196,10 +196,10 @@
                 )
                 self.connections[on].opened = at
                 if kind == "directory":
-                    self.directory.opened(on, event["edge"], event["holder"])
+                    self.directory.on_opened(on, event["edge"], event["holder"])
             case "close":
                 self.connections[on].closed = at
-                self.directory.closed(on, at)
+                self.directory.on_closed(on, at)
             case "cut":
                 self.cuts.setdefault((event["edge"], event["holder"]), []).append((at, NEVER))
             case "healed":
@@ -212,15 +212,15 @@
             case "place":
                 self.runner_starts[on].zone, self.runner_starts[on].cell = event["zone"], event["cell"]
             case "fell":
-                self.runner_starts[on].fell = at
+                self.runner_starts[on].collapsed_at = at
             case "end":
-                self.runner_starts[on].ended = at
+                self.runner_starts[on].ended_at = at
             case "wish":
                 self.client_requests[on] = ClientRequest(
                     on, at, event["method"], event["customer"], event["work"]
                 )
             case "effect":
-                run = self.out.get((on, event["call"]))
+                run = self.attempts_by_number.get((on, event["call"]))
                 self.effects.append((at, number, event["key"], event["method"], event["token"], run))
             case "stalled":
                 self.stalls.setdefault(on, []).append((at, NEVER))
@@ -231,19 +231,19 @@
             case "unread":
                 self.connections[on].unread.append((at, NEVER))
             case "reads":
-                paused = self.connections[on].unread
-                paused[-1] = (paused[-1][0], at)
+                intervals = self.connections[on].unread
+                intervals[-1] = (intervals[-1][0], at)
             case "back":
                 self.withdrawals.append((at, number, event["version"]))
             case "share":
                 told = self.shares.setdefault(event["version"], [])
                 told.append((event["since"] / 1000, at, event["share"]))
             case "begins":
-                self.began = at
+                self.traffic_started_at = at
             case "trouble":
                 self.faults.append((at, event["kind"], event["lasts"]))
 
-    def line(self, number: int, at: float, on: str, to_edge: bool, text: str) -> None:
+    def add_line(self, number: int, at: float, on: str, to_edge: bool, text: str) -> None:
         connection = self.connections[on]
         decoder = (TO_EDGE if to_edge else FROM_EDGE)[connection.kind]
         try:
@@ -252,30 +252,30 @@
             return
         self.texts[number] = text if len(text) <= 300 else text[:297] + "..."
         if connection.kind == "directory":
-            self.directory.line(number, at, on, message)
+            self.directory.add_line(number, at, on, message)
         elif isinstance(message, wire.Hello) and not to_edge:
             if connection.kind == "client":
-                connection.you = message.connection_name
+                connection.client_name = message.connection_name
             else:
                 connection.edge = message.name
                 if connection.kind == "runner":
-                    self.tell(connection.edge, connection.start, Notification(number, at, False, False))
+                    self.notify(connection.edge, connection.start, Notification(number, at, False, False))
         elif connection.kind == "client":
-            self.client(number, at, connection, message)
+            self.on_client_message(number, at, connection, message)
         elif connection.kind == "runner":
-            self.runner(number, at, connection, message)
+            self.on_runner_message(number, at, connection, message)
         elif isinstance(message, wire.RosterSnapshot | wire.RosterUpdate):
-            self.roster(number, at, connection, message)
+            self.on_roster_message(number, at, connection, message)
 
-    def client(self, number: int, at: float, connection: Connection, message: Any) -> None:
-        key = (connection.edge, f"{connection.you}/{getattr(message, 'id', '')}")
-        call = self.open.get(key)
+    def on_client_message(self, number: int, at: float, connection: Connection, message: Any) -> None:
+        key = (connection.edge, f"{connection.client_name}/{getattr(message, 'id', '')}")
+        call = self.open_calls.get(key)
         match message:
             case wire.Call():
                 made = Call(number, at, connection.edge, connection.name, message)
                 if call is not None and not call.answers and call.client_gone_at == NEVER:
                     return  # an id that is still in use: the edge answers with a fault, no RPC starts
-                self.open[key] = made
+                self.open_calls[key] = made
                 self.calls.append(made)
             case wire.CancelRequest() if call is not None:
                 call.client_gone_at = min(call.client_gone_at, at)
@@ -283,68 +283,68 @@
                 call.answers.append((at, number, message))
                 wish = self.client_requests.get(call.message.key)
                 if wish is not None and message.verdict == "ok":
-                    wish.answered = min(wish.answered, at)
+                    wish.answered_at = min(wish.answered_at, at)
             case wire.StreamStarted() if call is not None:
                 call.stream_started_at = min(call.stream_started_at, at)
             case wire.Fault() if call is not None:
-                call.faulted = True
+                call.got_fault = True
 
-    def runner(self, number: int, at: float, connection: Connection, message: Any) -> None:
+    def on_runner_message(self, number: int, at: float, connection: Connection, message: Any) -> None:
         match message:
             case wire.Run():
-                call = self.open.get((connection.edge, message.request))
+                call = self.open_calls.get((connection.edge, message.request))
                 run = Attempt(number, at, connection.edge, connection.start, connection.name, message, call)
                 self.attempts.append(run)
-                self.out[connection.name, message.call_id] = run
+                self.attempts_by_number[connection.name, message.call_id] = run
                 if call is not None:
                     call.attempts.append(run)
             case wire.Cancel():
-                run_ = self.out.get((connection.name, message.call_id))
+                run_ = self.attempts_by_number.get((connection.name, message.call_id))
                 if run_ is not None:
                     run_.cancelled_at = min(run_.cancelled_at, at)
             case wire.PreloadRequest() if message.count > 0:
                 self.preloads.append(Preload(number, at, connection.edge, connection.start, message))
             case wire.RunFinished():
-                run_ = self.out.get((connection.name, message.call_id))
+                run_ = self.attempts_by_number.get((connection.name, message.call_id))
                 if run_ is not None:
                     run_.results.append((at, number, message.outcome))
             case wire.Draining():
-                self.tell(connection.edge, connection.start, Notification(number, at, True, False))
+                self.notify(connection.edge, connection.start, Notification(number, at, True, False))
 
-    def roster(self, number: int, at: float, connection: Connection, message: Any) -> None:
-        known = self.lists.setdefault(connection.edge, {})
-        self.epochs.met(message.epoch)
+    def on_roster_message(self, number: int, at: float, connection: Connection, message: Any) -> None:
+        known = self.known_starts.setdefault(connection.edge, {})
+        self.epochs.add(message.epoch)
         if isinstance(message, wire.RosterSnapshot):
             named = {entry.name for entry in message.workers}
             for name in [n for n in known if n not in named]:
-                self.tell(connection.edge, known.pop(name), Notification(number, at, True, True))
+                self.notify(connection.edge, known.pop(name), Notification(number, at, True, True))
         for entry in message.workers:
             before = known.get(entry.name, entry.start)
             if before != entry.start:
-                self.tell(connection.edge, before, Notification(number, at, True, True))
+                self.notify(connection.edge, before, Notification(number, at, True, True))
             known[entry.name] = entry.start
             drains = entry.listing != "serving"
-            self.tell(connection.edge, entry.start, Notification(number, at, drains, True))
+            self.notify(connection.edge, entry.start, Notification(number, at, drains, True))
             if entry.listing == "gone":
                 del known[entry.name]
 
-    def tell(self, edge: str, start: str, told: Notification) -> None:
-        self.notifications.setdefault((edge, start), []).append(told)
+    def notify(self, edge: str, start: str, notification: Notification) -> None:
+        self.notifications.setdefault((edge, start), []).append(notification)
 
-    def directory_told(self, number: int, at: float, edge: str, start: str, drains: bool) -> None:
+    def on_holder_message(self, number: int, at: float, edge: str, start: str, drains: bool) -> None:
         """With a directory, a holder's message to an edge counts like one of the roster."""
-        self.tell(edge, start, Notification(number, at, drains, True))
+        self.notify(edge, start, Notification(number, at, drains, True))
 
     def finish(self) -> None:
         self.directory.finish(self.end)
         for call in self.calls:
-            call.closed = self.connections[call.connection].closed
+            call.disconnected_at = self.connections[call.connection].closed
         for run in self.attempts:
-            run.broke = self.connections[run.connection].closed
+            run.disconnected_at = self.connections[run.connection].closed
 
     # queries of the rules
 
-    def read_at(self, edge: str, at: float) -> float:
+    def can_act_at(self, edge: str, at: float) -> float:
         """When an edge could act on input that arrived at `at`: at the end of a stall, if it was stalled."""
         for begin, end in self.stalls.get(edge, ()):
             if begin <= at < end:
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -20,10 +20,10 @@
 from lapistrestle.policy.types import Attempt, AttemptResult, EndpointState, Outcome, WorkerInfo
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
-BOUND = 1.25  # of the even share, for hashing with bounded loads
-NO_COPY = 4.0  # calls per core: the cost that `greedy` counts for loading a copy
+LOAD_BOUND = 1.25  # of the even share, for hashing with bounded loads
+LOAD_COST = 4.0  # calls per core: the cost that `greedy` counts for loading a copy
 # by runner and function: copies loaded (0, 0.5 while loading, or 1), and calls per core at its present speed
-Sight = Callable[[str, str], tuple[float, float]]
+TrueState = Callable[[str, str], tuple[float, float]]
 
 
 class Baseline:
@@ -37,21 +37,21 @@
         now: int,
         fleet: FleetGuidance | None,
         policy: str,
-        sees: Sight | None = None,
+        true_state: TrueState | None = None,
     ) -> None:
-        self.host, self.settings, self.seed, self.now, self.sees = host, settings, seed, now, sees
+        self.host, self.settings, self.seed, self.now, self.true_state = host, settings, seed, now, true_state
         self.choose = POLICIES[policy]
         self.serving: list[Worker] = []
         self.known: dict[Worker, None] = {}
-        self.out: dict[Worker, int] = {}
-        self.draws = self.turn = 0
+        self.in_flight: dict[Worker, int] = {}
+        self.draws = self.turns = 0
         self.waiting: dict[tuple[Worker, Function], list[Request]] = {}
-        self.orders: deque[int] = deque()
-        self.taken: deque[int] = deque()
+        self.preload_times: deque[int] = deque()
+        self.request_times: deque[int] = deque()
         if settings.endpoints_polled:
             host.watch_endpoints()
 
-    def chance(self, below: int) -> int:
+    def draw(self, below: int) -> int:
         self.draws += 1
         return crc32(f"{self.seed}:{self.draws}".encode()) % max(1, below)
 
@@ -60,24 +60,24 @@
     def on_endpoints(self, workers: Sequence[tuple[Worker, WorkerInfo]], snapshot: bool) -> None:
         for worker in self.known if snapshot else ():
             worker.endpoint_state = EndpointState.REMOVED
-        for worker, told in workers:
+        for worker, info in workers:
             self.known[worker] = None
-            worker.endpoint_state, worker.size = told.endpoint_state, told.size
+            worker.endpoint_state, worker.size = info.endpoint_state, info.size
         self.serving = sorted(
             (s for s in self.known if s.endpoint_state is EndpointState.SERVING), key=lambda s: s.name
         )
 
     def on_request(self, request: Request) -> None:
-        self.taken.append(self.now)
+        self.request_times.append(self.now)
         self.place(request)
 
     def on_attempt_finished(self, attempt: Attempt, outcome: Outcome, answer: AttemptResult) -> None:
         request, worker = attempt.request, attempt.worker
         attempt.outcome = outcome
-        self.out[worker] = self.out.get(worker, 1) - 1
+        self.in_flight[worker] = self.in_flight.get(worker, 1) - 1
         if request.over or answer.over:
             request.over = True
-        elif outcome is Outcome.NOT_LOADED and self.order(worker, request):
+        elif outcome is Outcome.NOT_LOADED and self.request_preload(worker, request):
             pass
         elif outcome in NEVER_RAN or self.settings.methods[request.method].kind == "idempotent":
             self.place(request)
@@ -109,20 +109,24 @@
 
     def place(self, request: Request) -> None:
         tried = {attempt.worker for attempt in request.attempts}
-        able = [worker for worker in self.serving if worker not in tried]
-        if not able or len(request.attempts) >= self.settings.attempt_limit or request.deadline <= self.now:
+        candidates = [worker for worker in self.serving if worker not in tried]
+        if (
+            not candidates
+            or len(request.attempts) >= self.settings.attempt_limit
+            or request.deadline <= self.now
+        ):
             request.over = True
-            may_have = [c for c in request.attempts if c.outcome not in NEVER_RAN]
-            return self.host.abort(request) if may_have else self.host.reject(request, 0)
-        self.send(request, self.choose(self, request, able))
+            possibly_run = [c for c in request.attempts if c.outcome not in NEVER_RAN]
+            return self.host.abort(request) if possibly_run else self.host.reject(request, 0)
+        self.send(request, self.choose(self, request, candidates))
 
     def send(self, request: Request, worker: Worker) -> None:
-        self.out[worker] = self.out.get(worker, 0) + 1
+        self.in_flight[worker] = self.in_flight.get(worker, 0) + 1
         attempt = Attempt(request, worker, self.now)
         request.attempts.append(attempt)
         self.host.send_attempt(attempt, 0)
 
-    def order(self, worker: Worker, request: Request) -> bool:
+    def request_preload(self, worker: Worker, request: Request) -> bool:
         """Requests a preload, if the budget for preloads allows it; False if not.
 
         Needed where runners answer a call to a function that is not loaded with `miss` instead of loading it.
@@ -132,61 +136,65 @@
             waiting.append(request)
             return True
         window = self.settings.preload_window
-        for times in (self.orders, self.taken):
+        for times in (self.preload_times, self.request_times):
             while times and times[0] <= self.now - window:
                 times.popleft()
-        most = self.settings.preload_free + self.settings.preload_share * len(self.taken)
-        room = self.settings.may_preload and (not window or len(self.orders) + 1 <= most)
+        most = self.settings.preload_free + self.settings.preload_share * len(self.request_times)
+        room = self.settings.may_preload and (not window or len(self.preload_times) + 1 <= most)
         if not room or worker.endpoint_state is not EndpointState.SERVING:
             return False
-        self.orders.append(self.now)
+        self.preload_times.append(self.now)
         self.waiting[worker, request.function] = [request]
         self.host.preload(worker, request.function, 1)
         return True
 
     # policies
 
-    def by_random(self, request: Request, able: list[Worker]) -> Worker:
-        return able[self.chance(len(able))]
+    def by_random(self, request: Request, candidates: list[Worker]) -> Worker:
+        return candidates[self.draw(len(candidates))]
 
-    def by_turns(self, request: Request, able: list[Worker]) -> Worker:
-        self.turn += 1
-        return able[self.turn % len(able)]
+    def by_round_robin(self, request: Request, candidates: list[Worker]) -> Worker:
+        self.turns += 1
+        return candidates[self.turns % len(candidates)]
 
-    def by_two(self, request: Request, able: list[Worker]) -> Worker:
-        return min((able[self.chance(len(able))] for _ in range(2)), key=self.crowded)
+    def by_fewest_of_two(self, request: Request, candidates: list[Worker]) -> Worker:
+        return min((candidates[self.draw(len(candidates))] for _ in range(2)), key=self.relative_load)
 
-    def by_fewest(self, request: Request, able: list[Worker]) -> Worker:
-        least = min(map(self.crowded, able))
-        return self.by_random(request, [worker for worker in able if self.crowded(worker) == least])
+    def by_fewest(self, request: Request, candidates: list[Worker]) -> Worker:
+        least = min(map(self.relative_load, candidates))
+        return self.by_random(
+            request, [worker for worker in candidates if self.relative_load(worker) == least]
+        )
 
-    def by_hash(self, request: Request, able: list[Worker]) -> Worker:
+    def by_hash(self, request: Request, candidates: list[Worker]) -> Worker:
         """Hashing with bounded loads: the first worker in the function's order that is below the bound."""
-        bound = ceil(BOUND * (sum(self.out.values()) + 1) / len(self.serving))
-        order = sorted(able, key=lambda worker: crc32(f"{request.function.name} {worker.name}".encode()))
-        return next((worker for worker in order if self.out.get(worker, 0) < bound), order[0])
+        bound = ceil(LOAD_BOUND * (sum(self.in_flight.values()) + 1) / len(self.serving))
+        order = sorted(
+            candidates, key=lambda worker: crc32(f"{request.function.name} {worker.name}".encode())
+        )
+        return next((worker for worker in order if self.in_flight.get(worker, 0) < bound), order[0])
 
-    def by_sight(self, request: Request, able: list[Worker]) -> Worker:
+    def by_true_state(self, request: Request, candidates: list[Worker]) -> Worker:
         """The least loaded worker at its present speed, where a missing copy counts as `NO_COPY` calls; ties
         go by the function's order of workers, so that its copies are used again."""
-        assert self.sees is not None
-        seen = {worker: self.sees(worker.name, request.function.name) for worker in able}
+        assert self.true_state is not None
+        seen = {worker: self.true_state(worker.name, request.function.name) for worker in candidates}
 
         def cost(worker: Worker) -> tuple[float, int]:
             copy, crowd = seen[worker]
-            return crowd + (1 - copy) * NO_COPY, crc32(f"{request.function.name} {worker.name}".encode())
+            return crowd + (1 - copy) * LOAD_COST, crc32(f"{request.function.name} {worker.name}".encode())
 
-        return min(able, key=cost)
+        return min(candidates, key=cost)
 
-    def crowded(self, worker: Worker) -> float:
-        return self.out.get(worker, 0) / max(worker.size, 1e-9)
+    def relative_load(self, worker: Worker) -> float:
+        return self.in_flight.get(worker, 0) / max(worker.size, 1e-9)
 
 
 POLICIES: dict[str, Callable[[Any, Request, list[Worker]], Worker]] = {
     "random": Baseline.by_random,
-    "round robin": Baseline.by_turns,
-    "fewest of two": Baseline.by_two,
+    "round robin": Baseline.by_round_robin,
+    "fewest of two": Baseline.by_fewest_of_two,
     "fewest": Baseline.by_fewest,
     "hash": Baseline.by_hash,
-    "greedy": Baseline.by_sight,
+    "greedy": Baseline.by_true_state,
 }
--- a/lapistrestle/model/clock.py
+++ b/lapistrestle/model/clock.py
@@ -10,10 +10,10 @@
 import simpy
 from simpy.events import NORMAL, Event
 
-START = 1_000_000_000  # microseconds; above 0, so that times before the start of the day are positive
+START_US = 1_000_000_000  # microseconds; above 0, so that times before the start of the day are positive
 
 
-class Due(Event):
+class ScheduledCall(Event):
     """A scheduled call, which may be cancelled; the counterpart of Twisted's DelayedCall."""
 
     def __init__(self, env: simpy.Environment, delay: int, call: Callable[..., Any], args: Any) -> None:
@@ -34,13 +34,13 @@
         self.done, self.args = True, ()
 
 
-class Port:
+class ListeningPort:
     """A listening port in the model: only a number by which it is found."""
 
     def __init__(self, number: int) -> None:
         self.port = number
 
-    def getHost(self) -> "Port":
+    def getHost(self) -> "ListeningPort":
         return self
 
     def stopListening(self) -> None: ...
@@ -50,18 +50,18 @@
     """A reactor without sockets."""
 
     def __init__(self) -> None:
-        self.env = simpy.Environment(START)
+        self.env = simpy.Environment(START_US)
         self.last_port = 0
 
     def seconds(self) -> float:
         return float(self.env.now) / 1e6
 
-    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> Due:
-        return Due(self.env, max(0, -int(-delay * 1e6 // 1)), call, args)
+    def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> ScheduledCall:
+        return ScheduledCall(self.env, max(0, -int(-delay * 1e6 // 1)), call, args)
 
-    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> Port:
+    def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> ListeningPort:
         self.last_port += not port
-        return Port(port or self.last_port)
+        return ListeningPort(port or self.last_port)
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "") -> None:
         """Does nothing: edges of the model exchange gossip without datagrams."""
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -65,19 +65,19 @@
         for variant in variants:
             changed = copy.deepcopy(dict(day)) | {"seed": seed}
             for path, value in variant:
-                put(changed, path, value)
+                set_path(changed, path, value)
             made.append(PlannedRun(variant, seed, changed))
     return made
 
 
-def put(day: dict[str, Any], path: str, value: Any) -> None:
+def set_path(day: dict[str, Any], path: str, value: Any) -> None:
     """Sets the value at a path. Its last name may be missing from the day: a setting left at its default.
 
     Raises DeploymentError if the path does not exist.
     """
-    *way, last = path.split(".")
+    *parents, last = path.split(".")
     at: Any = day
-    for name in way:
+    for name in parents:
         if isinstance(at, list):
             at = at[int(name)] if name.isdigit() and int(name) < len(at) else None
         elif isinstance(at, dict):
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -21,19 +21,19 @@
 
 
 @dataclass
-class Ways:
+class Latencies:
     """One-way latencies within and between zones, in seconds."""
 
-    within: float = 0.00015
-    between: float = 0.0005
+    same_zone: float = 0.00015
+    across_zones: float = 0.0005
     zones: dict[str, str] = field(default_factory=dict)  # of edges and runners, by name
 
-    def time(self, one: str, other: str) -> float:
+    def one_way(self, one: str, other: str) -> float:
         same = self.zones.get(one, "") == self.zones.get(other, "")
-        return self.within if same else self.between
+        return self.same_zone if same else self.across_zones
 
 
-class Taped:
+class RecordedConnection:
     """One connection on the tape, if a tape is recorded: lines as they would have crossed the socket of the
     peer of the edge, in the form that the checker reads."""
 
@@ -54,20 +54,20 @@
         self.tape = None
 
 
-class RunnerLink(Taped):
+class RunnerLink(RecordedConnection):
     """An edge's link to a runner at one port. It is also its own `state_machine`, since nothing here can
     stall."""
 
     def __init__(
-        self, edge: Any, name: str, runner: RunnerStandIn | None, way: float, tape: Tape | None = None
+        self, edge: Any, name: str, runner: RunnerStandIn | None, latency: float, tape: Tape | None = None
     ) -> None:
-        self.edge, self.name, self.runner, self.way = edge, name, runner, way
+        self.edge, self.name, self.runner, self.latency = edge, name, runner, latency
         self.state_machine = self
-        self.out: dict[int, WorkerCall | WorkerTask] = {}
+        self.in_flight: dict[int, WorkerCall | WorkerTask] = {}
         self.later = edge.reactor.callLater
-        self.later(2 * way, self.meet)
+        self.later(2 * latency, self.connect)
         start = runner.start if runner is not None else ""
-        super().__init__(tape, f"{start}/{edge.name}/{edge.dials}", edge.name, runner=name, start=start)
+        super().__init__(tape, f"{start}/{edge.name}/{edge.link_count}", edge.name, runner=name, start=start)
 
     # interface of a runner's connection at the edge
 
@@ -78,37 +78,37 @@
     def discard_unsent(self) -> None:
         """Does nothing: no request waits here for a connection."""
 
-    def meet(self) -> None:
+    def connect(self) -> None:
         runner = self.runner
         if runner is None or runner.engine.dead:
             return
-        runner.speakers[self] = None  # type: ignore[index]
+        runner.connections[self] = None  # type: ignore[index]
         hello = runner.hello()
         self.put(">", hello)
         self.edge.runner_greeted(self.name, hello)
 
-    def reached(self) -> bool:
+    def is_reachable(self) -> bool:
         return self.runner is not None and not self.runner.engine.dead
 
     def send(self, task: WorkerCall | WorkerTask, message: Any) -> None:
         task.connection = self
-        self.out[task.number] = task
-        self.later(self.way, self.arrive, task.number, message)
+        self.in_flight[task.number] = task
+        self.later(self.latency, self.deliver, task.number, message)
 
-    def arrive(self, number: int, message: Any) -> None:
+    def deliver(self, number: int, message: Any) -> None:
         """Delivers a message to the runner; one that does not run refuses at once."""
-        if number not in self.out:
+        if number not in self.in_flight:
             return
-        if not self.reached():
-            self.later(self.way, self.end, number, Outcome.UNREACHABLE)
+        if not self.is_reachable():
+            self.later(self.latency, self.finish, number, Outcome.UNREACHABLE)
         else:
             assert self.runner is not None
             self.put("<", message)
             self.runner.handle(message, self, self.answer)
 
-    def answer(self, said: Any) -> None:
-        self.put(">", said)
-        self.later(self.way, self.back, said)
+    def answer(self, reply: Any) -> None:
+        self.put(">", reply)
+        self.later(self.latency, self.on_reply, reply)
 
     def send_call(self, worker_call: WorkerCall) -> None:
         self.send(worker_call, call_message(worker_call, self.edge.clock()))
@@ -120,22 +120,22 @@
         self.send(task, wire.Probe(task.number))
 
     def unload(self, function: str) -> None:
-        if self.reached():
+        if self.is_reachable():
             assert self.runner is not None
-            self.later(self.way, self.runner.engine.unload, function)
+            self.later(self.latency, self.runner.engine.unload, function)
 
     def cancel_unsent(self, number: int) -> bool:
         return False  # nothing is queued: a message is in flight as soon as it is sent
 
     def withdraw(self, number: int, notify: bool) -> bool:
-        if notify and self.reached():
+        if notify and self.is_reachable():
             assert self.runner is not None
-            self.later(self.way, self.cancelled, number)
-        self.out.pop(number, None)
+            self.later(self.latency, self.cancelled, number)
+        self.in_flight.pop(number, None)
         return False
 
     def cancelled(self, number: int) -> None:
-        if self.reached():
+        if self.is_reachable():
             assert self.runner is not None
             self.put("<", wire.Cancel(number))
             self.runner.handle(wire.Cancel(number), self, self.answer)
@@ -144,89 +144,89 @@
 
     # messages of the runner
 
-    def back(self, said: Any) -> None:
+    def on_reply(self, reply: Any) -> None:
         host = self.edge.host
-        match said:
+        match reply:
             case wire.RunFinished():
-                number = said.call_id
+                number = reply.call_id
             case wire.PreloadResult():
-                number = said.preload_id
+                number = reply.preload_id
             case wire.ProbeResult():
-                number = said.probe_id
-        if self.out.pop(number, None) is not None:
-            report_reply(host, said)
+                number = reply.probe_id
+        if self.in_flight.pop(number, None) is not None:
+            report_reply(host, reply)
         else:
             host.unmatched_reply()
 
-    def end(self, number: int, outcome: Outcome) -> None:
-        if self.out.pop(number, None) is not None:
+    def finish(self, number: int, outcome: Outcome) -> None:
+        if self.in_flight.pop(number, None) is not None:
             self.edge.host.finished_without_reply(number, outcome)
 
     def send_message(self, message: Any) -> None:
         self.put(">", message)
         if isinstance(message, wire.Draining) and self.runner is not None:
-            self.later(self.way, self.edge.runner_draining, self.name, self.runner.start)
+            self.later(self.latency, self.edge.runner_draining, self.name, self.runner.start)
 
     def break_off(self) -> None:
         """The runner died: what is in flight may have run, and ends as reset."""
         self.close()
-        for number in list(self.out):
-            self.later(self.way, self.end, number, Outcome.RESET)
+        for number in list(self.in_flight):
+            self.later(self.latency, self.finish, number, Outcome.RESET)
 
 
-class Seat(ClientConnection):
+class EdgeEnd(ClientConnection):
     """The edge's end of a client's link."""
 
-    def __init__(self, edge: Any, line: "ModelLine") -> None:
+    def __init__(self, edge: Any, line: "ModelLink") -> None:
         super().__init__(edge, line.number)
         self.line = line
         edge.client_connections[self] = None
 
     def send_message(self, message: Any) -> None:
-        self.line.pool.reactor.callLater(self.line.way, self.line.message_received, message)
+        self.line.pool.reactor.callLater(self.line.latency, self.line.message_received, message)
 
 
-class ModelLine(EdgeLink, Taped):
+class ModelLink(EdgeLink, RecordedConnection):
     """A client's link to one edge of the model."""
 
     def __init__(
-        self, crowd: ClientPool, edge: Any, number: int, way: float, tape: Tape | None = None
+        self, crowd: ClientPool, edge: Any, number: int, latency: float, tape: Tape | None = None
     ) -> None:
-        Taped.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
-        self.pool, self.edge, self.number, self.way = crowd, edge.name, number, way
+        RecordedConnection.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
+        self.pool, self.edge, self.number, self.latency = crowd, edge.name, number, latency
         self.put("<", wire.Hello("lapistrestle", wire.VERSION, connection_name=f"c{number}"))
-        self.open: dict[str, tuple[ClientRequest, Any]] = {}
+        self.open_calls: dict[str, tuple[ClientRequest, Any]] = {}
         self.stopped = self.closed = False
-        self.seat = Seat(edge, self)
-        self.up = self  # type: ignore[assignment]
+        self.edge_end = EdgeEnd(edge, self)
+        self.active_connection = self  # type: ignore[assignment]
 
     def send_message(self, message: Any) -> None:
         self.put(">", message)
-        self.pool.reactor.callLater(self.way, self.seat.message_received, message)
+        self.pool.reactor.callLater(self.latency, self.edge_end.message_received, message)
 
     def message_received(self, message: Any) -> None:
         self.put("<", message)
         match message:
             case wire.Answer():
-                self.answered(message.id, message.verdict, message.retry_after / 1000)
+                self.on_answer(message.id, message.verdict, message.retry_after / 1000)
             case wire.Fault():
-                self.answered(message.id, "fault", 0.0)
+                self.on_answer(message.id, "fault", 0.0)
 
 
-class Subscription(Taped):
+class Subscription(RecordedConnection):
     """An edge's subscription to the roster."""
 
-    def __init__(self, edge: Any, roster: Any, way: float, tape: Tape | None = None) -> None:
+    def __init__(self, edge: Any, roster: Any, latency: float, tape: Tape | None = None) -> None:
         super().__init__(tape, f"roster/{edge.name}", edge.name, roster=True)
-        self.edge, self.roster, self.way = edge, roster, way
+        self.edge, self.roster, self.latency = edge, roster, latency
 
     def start(self) -> None:
-        self.later(self.follow)
+        self.later(self.subscribe)
 
     def later(self, call: Any, *args: Any) -> None:
-        self.edge.reactor.callLater(self.way, call, *args)
+        self.edge.reactor.callLater(self.latency, call, *args)
 
-    def follow(self) -> None:
+    def subscribe(self) -> None:
         self.roster.subscribers[self] = None
         self.send_message(self.roster.snapshot())
 
@@ -236,9 +236,9 @@
 
     def message_received(self, message: Any) -> None:
         if self.edge.list_received(message) is ListAction.REQUEST_SNAPSHOT:
-            self.later(self.follow)
+            self.later(self.subscribe)
 
     def break_off(self) -> None:
         """The roster restarted: subscribe again."""
         self.roster.subscribers.pop(self, None)
-        self.later(self.follow)
+        self.later(self.subscribe)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -6,18 +6,18 @@
 from functools import partial
 from typing import Any, BinaryIO
 
-from lapistrestle.checks.service import worth
+from lapistrestle.checks.service import answer_gain
 from lapistrestle.deployment.load import DeploymentError
 from lapistrestle.deployment.schema import Deployment
 from lapistrestle.edge.connection_state import ConnectionEvent
 from lapistrestle.edge.program import Edge
 from lapistrestle.model.baselines import Baseline
 from lapistrestle.model.clock import Clock
-from lapistrestle.model.links import ModelLine, RunnerLink, Subscription, Ways
+from lapistrestle.model.links import Latencies, ModelLink, RunnerLink, Subscription
 from lapistrestle.policy.dispatcher import Dispatcher
 from lapistrestle.standins.client import ClientRequest, EdgeLink
 from lapistrestle.standins.engine import RunnerSpec
-from lapistrestle.standins.faults.kinds import schedule
+from lapistrestle.standins.faults.kinds import schedule_faults
 from lapistrestle.standins.runner import RunnerStandIn, TokenRegistry
 from lapistrestle.standins.script import Day
 from lapistrestle.standins.tape import Tape
@@ -25,7 +25,7 @@
 from lapistrestle.ticks import SECOND
 
 # faults that need a connection, or a process that can be stopped: only on sockets
-WIRES = frozenset(
+SOCKET_FAULTS = frozenset(
     ("balancer_stall", "refused", "broken", "silent", "delayed", "split", "garbled", "edge_kill", "unread",
      "planner_stall", "planner_kill", "holder_stall", "holder_kill", "directory_cut")
 )  # fmt: skip
@@ -39,20 +39,26 @@
         self.world = world
         self.subscription: Subscription | None = None
         policy = world.day.policy
-        make = Dispatcher if policy == "module" else partial(Baseline, policy=policy, sees=world.sees)
+        make = (
+            Dispatcher
+            if policy == "module"
+            else partial(Baseline, policy=policy, true_state=world.true_state)
+        )
         super().__init__(world.reactor, deployment, log, make=make)
 
     def start(self) -> int:
-        self.subscription = Subscription(self, self.world.roster, self.world.ways.within, self.world.taped)
-        if not self.settings.endpoints_polled or self.wanted:
+        self.subscription = Subscription(
+            self, self.world.roster, self.world.latencies.same_zone, self.world.recorded_tape
+        )
+        if not self.settings.endpoints_polled or self.endpoints_wanted:
             self.subscription.start()
         return 1
 
-    wanted = False
-    dials = 0  # links created so far
+    endpoints_wanted = False
+    link_count = 0  # links created so far
 
     def watch_endpoints(self) -> None:
-        self.wanted = True
+        self.endpoints_wanted = True
         if self.subscription is not None:
             self.subscription.start()
 
@@ -60,8 +66,8 @@
         me = self.settings.instance_index
         for number, handle in enumerate(self.world.edges):
             if number != me and peer in (None, number):
-                told: Any = handle.edge.host.gossip_received  # type: ignore[attr-defined]
-                self.reactor.callLater(self.world.ways.between, told, me, text)
+                receive: Any = handle.edge.host.gossip_received  # type: ignore[attr-defined]
+                self.reactor.callLater(self.world.latencies.across_zones, receive, me, text)
 
     def address_received(self, name: str, address: Any, start: str = "") -> None:
         """Replaces the link if the address changed: as on sockets, another address is another process."""
@@ -72,13 +78,13 @@
             link.step(ConnectionEvent.REMOVED)
             link = None
         if link is None and address:
-            way = self.world.ways.time(self.name, name)
-            self.dials += 1
-            made: Any = RunnerLink(self, name, at, way, self.world.taped)
+            latency = self.world.latencies.one_way(self.name, name)
+            self.link_count += 1
+            made: Any = RunnerLink(self, name, at, latency, self.world.recorded_tape)
             self.runners[name] = made
 
 
-class Handle:
+class ModelEdgeHandle:
     """The day's handle of an edge of the model (`standins.world.EdgeHandle`)."""
 
     def __init__(self, edge: ModelEdge) -> None:
@@ -101,13 +107,13 @@
 
     client_requests: int = 0
     gained: float = 0.0
-    asked: float = 0.0
+    requested: float = 0.0
     windows: dict[int, list[float]] = field(default_factory=dict)  # by second: gain asked for and gained
     latencies: list[float] = field(default_factory=list)  # latencies of those that were answered ok
 
     @property
     def service(self) -> float:
-        return self.gained / self.asked if self.asked else 1.0
+        return self.gained / self.requested if self.requested else 1.0
 
     def worst(self, seconds: int = 10) -> float:
         """Lowest service over so many seconds in a row, by the times at which requests started."""
@@ -126,80 +132,88 @@
     def __init__(
         self, day: Day, deployment: Deployment, sink: BinaryIO | None = None, log: Any = None
     ) -> None:
-        for number, trouble in enumerate(day.faults):
-            if trouble.kind in WIRES:
+        for number, fault in enumerate(day.faults):
+            if fault.kind in SOCKET_FAULTS:
                 raise DeploymentError(
-                    f"troubles.{number}.kind: {trouble.kind} needs sockets; the model has none"
+                    f"troubles.{number}.kind: {fault.kind} needs sockets; the model has none"
                 )
         if day.rollouts:
             raise DeploymentError("rollouts: the model has no planner yet")
         self.runners: dict[int, RunnerStandIn] = {}
-        self.ways = Ways()
+        self.latencies = Latencies()
         self.log = log or (lambda what, **figures: None)
-        self.outcome = DayResult()
-        make: Callable[..., Any] = lambda made, start: Handle(ModelEdge(self, made, self.log))  # noqa: E731
+        self.result = DayResult()
+        make: Callable[..., Any] = lambda made, start: ModelEdgeHandle(ModelEdge(self, made, self.log))  # noqa: E731
         self.methods = header(day, deployment)["methods"]
-        self.untold = sink is None
+        self.no_tape = sink is None
         super().__init__(Clock(), day, deployment, sink or io.BytesIO(), make)
         self.began = self.reactor.seconds()
-        if self.untold:
+        if self.no_tape:
             self.tape.put = lambda *what, **more: None  # type: ignore[method-assign]
         for edge, handle in enumerate(self.edges):
             zones = deployment.zones
-            self.ways.zones[handle.name] = zones[edge % len(zones)] if zones else ""
+            self.latencies.zones[handle.name] = zones[edge % len(zones)] if zones else ""
         self.by_name = {slot.name: slot for slot in self.slots}
-        self.ways.zones |= {slot.name: slot.zone for slot in self.slots}
-        self.clients.ended = self.ended
+        self.latencies.zones |= {slot.name: slot.zone for slot in self.slots}
+        self.clients.on_finished = self.ended
 
     @property
-    def taped(self) -> Tape | None:
+    def recorded_tape(self) -> Tape | None:
         """The tape, if one is recorded."""
-        return None if self.untold else self.tape
+        return None if self.no_tape else self.tape
 
     def boot(
         self, name: str, start: int, facts: RunnerSpec, tokens: TokenRegistry, cold: bool
     ) -> RunnerStandIn:
         made = super().boot(name, start, facts, tokens, cold)
-        made.tape = self.taped
+        made.tape = self.recorded_tape
         self.runners[made.port] = made
         return made
 
-    def sees(self, name: str, function: str) -> tuple[float, float]:
+    def true_state(self, name: str, function: str) -> tuple[float, float]:
         """True state of a runner: whether a copy is loaded (1) or loading (0.5), and calls per core at its
         present speed, those in flight included."""
         slot = self.by_name[name]
         engine, copies = slot.runner.engine, slot.runner.engine.copies.get(function)
-        coming = sum(h.edge.host.module.out.get(h.edge.host.registry.worker(name), 0) for h in self.edges)  # type: ignore[attr-defined]
-        crowd = coming * engine.slower / (max(1, engine.facts.cores - engine.taken) * engine.facts.speed)
+        calls = sum(
+            h.edge.host.module.in_flight.get(  # type: ignore[attr-defined]
+                h.edge.host.registry.worker(name),  # type: ignore[attr-defined]
+                0,
+            )
+            for h in self.edges
+        )
+        load = (
+            calls * engine.slowdown / (max(1, engine.facts.cores - engine.cores_taken) * engine.facts.speed)
+        )
         copy = 0.0 if copies is None else 1.0 if copies.standing else 0.5 if copies.loading else 0.0
-        return copy, crowd + (1e9 if engine.dead or engine.failing else 0)
+        return copy, load + (1e9 if engine.dead or engine.failing else 0)
 
-    def lines(self) -> list[EdgeLink]:
+    def make_links(self) -> list[EdgeLink]:
         return [
-            ModelLine(self.clients, handle.edge, number, self.ways.within, self.taped)  # type: ignore[attr-defined]
+            ModelLink(self.clients, handle.edge, number, self.latencies.same_zone, self.recorded_tape)  # type: ignore[attr-defined]
             for number, handle in enumerate(self.edges)
         ]
 
-    def ended(self, wish: ClientRequest, ok: bool) -> None:
+    def ended(self, request: ClientRequest, ok: bool) -> None:
         """Counts a client's request that was answered or given up."""
-        method, outcome = self.methods[wish.method], self.outcome
-        took = (self.reactor.seconds() - wish.started_at) * 1000
-        gain = worth(method, took, wish.work) if ok else 0.0
-        outcome.client_requests += 1
-        outcome.asked += method["gain"]
-        outcome.gained += gain
-        window = outcome.windows.setdefault(int(wish.started_at - self.began), [0.0, 0.0])
+        method, result = self.methods[request.method], self.result
+        latency = (self.reactor.seconds() - request.started_at) * 1000
+        gain = answer_gain(method, latency, request.work) if ok else 0.0
+        result.client_requests += 1
+        result.requested += method["gain"]
+        result.gained += gain
+        window = result.windows.setdefault(int(request.started_at - self.began), [0.0, 0.0])
         window[0] += method["gain"]
         window[1] += gain
         if ok:
-            outcome.latencies.append(took)
+            result.latencies.append(latency)
 
     def play(self) -> DayResult:
         """Runs the whole day, and on until the last request is over."""
         self.start()
-        self.begin_traffic()
-        schedule(self)
+        self.start_traffic()
+        schedule_faults(self)
         self.reactor.run(self.day.length / SECOND)
-        self.over = True
+        self.traffic_stopped = True
         self.reactor.run(max(m.deadline for m in self.deployment.methods.values()) / SECOND + 1.0)
-        return self.outcome
+        return self.result
--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -43,36 +43,36 @@
     scope: str
     deadline: float  # seconds for all attempts together
     started_at: float
-    tries: int = 0
+    attempts: int = 0
     abuses: bool = False
 
 
-class ClientSpeaker(TapedConnection):
+class ClientSideConnection(TapedConnection):
     """The client's end of a connection to an edge."""
 
     protocol = wire.CLIENT
     decoder = message_decoder(wire.ToClient)
 
     def __init__(self, line: "EdgeLink", name: str) -> None:
-        super().__init__(LineLimits(), line.pool.reactor, line.pool.tape, line.weather, name)
+        super().__init__(LineLimits(), line.pool.reactor, line.pool.tape, line.faults, name)
         self.line = line
 
     def connectionMade(self) -> None:
-        self.opened(edge=self.line.edge)
+        self.record_open(edge=self.line.edge)
         super().connectionMade()
 
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, "stand-in")
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.line.up = self
+        self.line.active_connection = self
 
     def message_received(self, message: Any) -> None:
         match message:
             case wire.Answer():
-                self.line.answered(message.id, message.verdict, message.retry_after / 1000)
+                self.line.on_answer(message.id, message.verdict, message.retry_after / 1000)
             case wire.Fault():
-                self.line.answered(message.id, "fault", 0.0)
+                self.line.on_answer(message.id, "fault", 0.0)
 
     def connection_lost(self) -> None:
         self.line.lost(self)
@@ -85,83 +85,85 @@
 
     def __init__(self, crowd: "ClientPool", edge: str, port: Callable[[], int]) -> None:
         self.pool, self.edge, self.port, self.count = crowd, edge, port, 0
-        self.up: ClientSpeaker | None = None
-        self.open: dict[str, tuple[ClientRequest, Any]] = {}
-        self.weather = NetworkFaults(seed=7)
+        self.active_connection: ClientSideConnection | None = None
+        self.open_calls: dict[str, tuple[ClientRequest, Any]] = {}
+        self.faults = NetworkFaults(seed=7)
         self.stopped = False
-        self.dial()
+        self.connect()
 
-    def dial(self) -> None:
+    def connect(self) -> None:
         if not self.stopped:
             if self.port():
                 self.pool.reactor.connectTCP("127.0.0.1", self.port(), self, timeout=0.5)
             else:
-                self.pool.reactor.callLater(0.1, self.dial)
+                self.pool.reactor.callLater(0.1, self.connect)
 
-    def buildProtocol(self, addr: Any) -> ClientSpeaker:
+    def buildProtocol(self, addr: Any) -> ClientSideConnection:
         self.count += 1
-        return ClientSpeaker(self, f"{self.edge}/client{self.count}")
+        return ClientSideConnection(self, f"{self.edge}/client{self.count}")
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.pool.reactor.callLater(0.1, self.dial)
+        self.pool.reactor.callLater(0.1, self.connect)
 
-    def lost(self, speaker: ClientSpeaker) -> None:
+    def lost(self, speaker: ClientSideConnection) -> None:
         """Calls that were open here may have run: they are retried only if that is safe."""
-        if self.up is speaker:
-            self.up = None
-        tries, self.open = self.open, {}
-        for wish, timer in tries.values():
+        if self.active_connection is speaker:
+            self.active_connection = None
+        open_calls, self.open_calls = self.open_calls, {}
+        for request, timer in open_calls.values():
             timer.cancel()
-            if wish.effect == "idempotent" or (wish.effect == "tokened" and wish.scope == "all"):
-                self.pool.again(wish, 0.0)
+            if request.effect == "idempotent" or (request.effect == "tokened" and request.scope == "all"):
+                self.pool.retry(request, 0.0)
             else:
-                self.pool.gave_up(wish)
-        self.pool.reactor.callLater(0.1, self.dial)
+                self.pool.fail(request)
+        self.pool.reactor.callLater(0.1, self.connect)
 
-    def send(self, wish: ClientRequest) -> None:
-        assert self.up is not None
+    def send(self, request: ClientRequest) -> None:
+        assert self.active_connection is not None
         crowd, now = self.pool, self.pool.reactor.seconds()
-        wish.tries += 1
-        left = min(wish.deadline * crowd.random.uniform(*crowd.behaviour.patience), self.left(wish, now))
-        name = f"{wish.key}.{wish.tries}"
-        self.open[name] = (wish, crowd.reactor.callLater(left, self.give_up, name))
-        self.up.send_message(
+        request.attempts += 1
+        timeout = min(
+            request.deadline * crowd.random.uniform(*crowd.behaviour.patience), self.time_left(request, now)
+        )
+        name = f"{request.key}.{request.attempts}"
+        self.open_calls[name] = (request, crowd.reactor.callLater(timeout, self.give_up, name))
+        self.active_connection.send_message(
             wire.Call(
                 name,
-                wish.function,
-                wish.method,
-                round(left * 1000, 1),
-                wish.customer,
-                wish.memory,
-                wish.lanes,
-                wish.hint,
-                bool(crowd.behaviour.marks and wish.tries > 1),
-                wish.token,
-                wish.key,
-                msgspec.Raw(msgspec.json.encode({"work": wish.work})),
+                request.function,
+                request.method,
+                round(timeout * 1000, 1),
+                request.customer,
+                request.memory,
+                request.lanes,
+                request.hint,
+                bool(crowd.behaviour.marks and request.attempts > 1),
+                request.token,
+                request.key,
+                msgspec.Raw(msgspec.json.encode({"work": request.work})),
             )
         )
 
-    def left(self, wish: ClientRequest, now: float) -> float:
-        return max(0.001, wish.started_at + wish.deadline - now)
+    def time_left(self, request: ClientRequest, now: float) -> float:
+        return max(0.001, request.started_at + request.deadline - now)
 
     def give_up(self, name: str) -> None:
         """The attempt has taken too long: the client cancels it."""
-        wish, _ = self.open.pop(name)
-        if self.up is not None:
-            self.up.send_message(wire.CancelRequest(name))
-        if wish.effect == "idempotent" or (wish.effect == "tokened" and wish.scope == "all"):
-            self.pool.again(wish, 0.0)
+        request, _ = self.open_calls.pop(name)
+        if self.active_connection is not None:
+            self.active_connection.send_message(wire.CancelRequest(name))
+        if request.effect == "idempotent" or (request.effect == "tokened" and request.scope == "all"):
+            self.pool.retry(request, 0.0)
         else:
-            self.pool.gave_up(wish)
+            self.pool.fail(request)
 
-    def answered(self, name: str, verdict: str, retry_after: float) -> None:
-        found = self.open.pop(name, None)
+    def on_answer(self, name: str, verdict: str, retry_after: float) -> None:
+        found = self.open_calls.pop(name, None)
         if found is None:
             return
-        wish, timer = found
+        request, timer = found
         timer.cancel()
-        self.pool.on_verdict(wish, verdict, retry_after)
+        self.pool.on_verdict(request, verdict, retry_after)
 
 
 class ClientPool:
@@ -171,55 +173,58 @@
         self.reactor, self.behaviour, self.tape = reactor, habits, tape
         self.random = random.Random(seed)
         self.links: list[EdgeLink] = []
-        self.turn = 0
+        self.next_link = 0
         self.counts = dict.fromkeys(("wishes", "ok", "given up", "tries"), 0)
         self.open = 0
-        self.ended: Callable[[ClientRequest, bool], None] = lambda wish, ok: None
+        self.on_finished: Callable[[ClientRequest, bool], None] = lambda request, ok: None
 
-    def submit(self, wish: ClientRequest) -> None:
+    def submit(self, request: ClientRequest) -> None:
         self.counts["wishes"] += 1
         self.open += 1
         if self.tape is not None:
-            self.tape.put(wish.key, "wish", method=wish.method, customer=wish.customer, work=wish.work)
-        self.attempt(wish)
+            self.tape.put(
+                request.key, "wish", method=request.method, customer=request.customer, work=request.work
+            )
+        self.attempt(request)
 
-    def attempt(self, wish: ClientRequest) -> None:
+    def attempt(self, request: ClientRequest) -> None:
         """Sends to the next connected edge; where none is connected the client tries again soon."""
-        if self.reactor.seconds() >= wish.started_at + wish.deadline:
-            return self.gave_up(wish)
+        if self.reactor.seconds() >= request.started_at + request.deadline:
+            return self.fail(request)
         for _ in self.links:
-            self.turn += 1
-            line = self.links[self.turn % len(self.links)]
-            if line.up is not None and not line.up.closed:
+            self.next_link += 1
+            line = self.links[self.next_link % len(self.links)]
+            if line.active_connection is not None and not line.active_connection.closed:
                 self.counts["tries"] += 1
-                return line.send(wish)
-        self.reactor.callLater(0.1, self.attempt, wish)
+                return line.send(request)
+        self.reactor.callLater(0.1, self.attempt, request)
 
-    def on_verdict(self, wish: ClientRequest, verdict: str, retry_after: float) -> None:
+    def on_verdict(self, request: ClientRequest, verdict: str, retry_after: float) -> None:
         if verdict == "ok":
             self.counts["ok"] += 1
             self.open -= 1
-            self.ended(wish, True)
+            self.on_finished(request, True)
         elif verdict == "denied" or (
-            (verdict == "aborted" and (wish.effect, wish.scope) in RETRIED) or wish.effect == "idempotent"
+            (verdict == "aborted" and (request.effect, request.scope) in RETRIED_IF_ABORTED)
+            or request.effect == "idempotent"
         ):
-            self.again(wish, retry_after if self.behaviour.heeds else 0.0)
+            self.retry(request, retry_after if self.behaviour.heeds else 0.0)
         else:
-            self.gave_up(wish)
+            self.fail(request)
 
-    def again(self, wish: ClientRequest, retry_after: float) -> None:
+    def retry(self, request: ClientRequest, retry_after: float) -> None:
         wait = self.behaviour.wait * self.random.uniform(1, 2)
-        if wish.abuses and wish.tries < 30:
-            self.reactor.callLater(0.005, self.attempt, wish)
-        elif wish.tries <= self.behaviour.retries:
-            self.reactor.callLater(max(wait, retry_after), self.attempt, wish)
+        if request.abuses and request.attempts < 30:
+            self.reactor.callLater(0.005, self.attempt, request)
+        elif request.attempts <= self.behaviour.retries:
+            self.reactor.callLater(max(wait, retry_after), self.attempt, request)
         else:
-            self.gave_up(wish)
+            self.fail(request)
 
-    def gave_up(self, wish: ClientRequest) -> None:
+    def fail(self, request: ClientRequest) -> None:
         self.counts["given up"] += 1
         self.open -= 1
-        self.ended(wish, False)
+        self.on_finished(request, False)
 
 
-RETRIED = {("tokened", "all")}
+RETRIED_IF_ABORTED = {("tokened", "all")}
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -43,12 +43,13 @@
     memory: float  # MB that a copy takes
     lanes: int
     load: float  # seconds to load a copy
-    end: Callable[["Task", str, str, dict[str, Any]], None]  # outcome, load state, report
-    begin: Callable[["Task"], bool]  # called when it starts to run; False: a repeat, which has no work to do
-    warmth: str = ""
-    company: int = 0
+    on_finished: Callable[["Task", str, str, dict[str, Any]], None]  # outcome, load state, report
+    # called when it starts to run; False: a repeat, which has no work to do
+    on_started: Callable[["Task"], bool]
+    load_state: str = ""
+    concurrency: int = 0
     running: bool = False
-    over: bool = False
+    finished: bool = False
 
 
 @dataclass(eq=False)
@@ -62,8 +63,8 @@
     loading: int = 0
     busy: int = 0  # calls running
     tasks: int = 0  # calls waiting or running
-    used: float = 0.0  # when a copy was last used or requested
-    orders: list[tuple[int, Callable[[str, int], None]]] = field(default_factory=list)
+    last_used: float = 0.0  # when a copy was last used or requested
+    preloads: list[tuple[int, Callable[[str, int], None]]] = field(default_factory=list)
     fetches: list[Fetch] = field(default_factory=list)
 
     def idle(self) -> int:
@@ -76,46 +77,47 @@
     def __init__(
         self, reactor: Any, facts: RunnerSpec, store: PackageStore, fall: Callable[[], None], cold: bool
     ) -> None:
-        self.reactor, self.facts, self.store, self.fall = reactor, facts, store, fall
+        self.reactor, self.facts, self.store, self.on_collapse = reactor, facts, store, fall
         self.booted = reactor.seconds() - (0.0 if cold else 1e6)
         self.copies: dict[str, Copies] = {}
         self.queue: deque[Task] = deque()
         self.load_queue: deque[str] = deque()
         self.running = self.loads = 0
-        self.draining = self.dead = self.pushed_over = False
-        self.slower = 1.0  # fault: work takes so many times longer
-        self.taken = 0  # fault: cores used by another program
+        self.draining = self.dead = self.collapsed = False
+        self.slowdown = 1.0  # fault: work takes so many times longer
+        self.cores_taken = 0  # fault: cores used by another program
         self.failing = False  # fault: every call fails at once
         self.paused = False  # fault: the process is stopped
-        self.kept: deque[Callable[[], None]] = deque()  # calls deferred by a pause
-        self.pushed: deque[tuple[float, float]] = deque()  # time and work of calls sent in slow start
+        self.deferred: deque[Callable[[], None]] = deque()  # calls deferred by a pause
+        # time and work of calls sent in slow start
+        self.slow_start_work: deque[tuple[float, float]] = deque()
         self.load_fails: Callable[[str], bool] = lambda function: False
-        self.report_late = 0.0
+        self.report_delay = 0.0
         self.reports: deque[tuple[float, dict[str, float]]] = deque()
-        reactor.callLater(0.5, self.sweep)
+        reactor.callLater(0.5, self.unload_idle)
 
     # capacity
 
-    def warmth(self) -> float:
+    def relative_speed(self) -> float:
         facts = self.facts
         if not facts.ramp:
             return 1.0
         age = self.reactor.seconds() - self.booted
         return min(1.0, facts.cold_share + (1 - facts.cold_share) * age / facts.ramp)
 
-    def push(self, work: float) -> None:
+    def count_slow_start_work(self, work: float) -> None:
         """Counts the work sent in slow start, rejected calls included; too much of it makes the runner
         collapse."""
-        share, facts, now = self.warmth(), self.facts, self.reactor.seconds()
+        share, facts, now = self.relative_speed(), self.facts, self.reactor.seconds()
         if share >= 1:
             return
-        self.pushed.append((now, work))
-        while self.pushed[0][0] <= now - facts.fall_time:
-            self.pushed.popleft()
+        self.slow_start_work.append((now, work))
+        while self.slow_start_work[0][0] <= now - facts.fall_time:
+            self.slow_start_work.popleft()
         most = facts.fall_multiple * share * facts.cores * facts.speed * facts.fall_time
-        if sum(w for _, w in self.pushed) > most:
-            self.dead = self.pushed_over = True
-            self.fall()
+        if sum(w for _, w in self.slow_start_work) > most:
+            self.dead = self.collapsed = True
+            self.on_collapse()
 
     def report(self) -> dict[str, float]:
         """The latest load report, or an older one if a fault delays reports."""
@@ -129,16 +131,16 @@
             "outstanding": float(len(self.queue) + self.running),
         }
         self.reports.append((now, fresh))
-        while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_late:
+        while len(self.reports) > 1 and self.reports[1][0] <= now - self.report_delay:
             self.reports.popleft()
         return self.reports[0][1]
 
     # calls
 
     def run(self, task: Task) -> None:
-        copies = self.of(task.function, task.memory, task.lanes, task.load)
-        task.company = copies.tasks
-        self.push(task.work)
+        copies = self.copies_of(task.function, task.memory, task.lanes, task.load)
+        task.concurrency = copies.tasks
+        self.count_slow_start_work(task.work)
         if self.dead:
             return
         if self.failing:
@@ -146,43 +148,43 @@
         if self.draining or len(self.queue) >= self.facts.queue:
             return self.answer(task, "full")
         if copies.standing:
-            task.warmth = "stood"
+            task.load_state = "stood"
         elif copies.loading:
-            task.warmth = "joined load"
+            task.load_state = "joined load"
         elif self.facts.absent == "miss":
             return self.answer(task, "miss")
-        elif self.room(task.memory):
-            task.warmth = "began load"
+        elif self.make_room(task.memory):
+            task.load_state = "began load"
         else:
             return self.answer(task, "full")
         copies.tasks += 1
-        copies.used = self.reactor.seconds()
+        copies.last_used = self.reactor.seconds()
         self.queue.append(task)
-        self.move()
+        self.start_waiting()
 
-    def answer(self, task: Task, outcome: str, warmth: str = "") -> None:
-        task.over = True
-        more = {"company": task.company, "report": self.report()}
-        self.when_awake(lambda: task.end(task, outcome, warmth or task.warmth, more))
+    def answer(self, task: Task, outcome: str, load_state: str = "") -> None:
+        task.finished = True
+        more = {"company": task.concurrency, "report": self.report()}
+        self.when_awake(lambda: task.on_finished(task, outcome, load_state or task.load_state, more))
 
     def when_awake(self, call: Callable[[], None]) -> None:
         if self.paused:
-            self.kept.append(call)
+            self.deferred.append(call)
         elif not self.dead:
             call()
 
     def pause(self, on: bool) -> None:
         self.paused = on
-        while self.kept and not self.paused:
-            self.kept.popleft()()
-        self.move()
+        while self.deferred and not self.paused:
+            self.deferred.popleft()()
+        self.start_waiting()
 
-    def move(self) -> None:
+    def start_waiting(self) -> None:
         """Starts waiting calls that have a copy and a core; loads a further copy where all are busy."""
         if self.paused or self.dead:
             return
         waiting: deque[Task] = deque()
-        cores = max(1, self.facts.cores - self.taken)
+        cores = max(1, self.facts.cores - self.cores_taken)
         while self.queue:
             task = self.queue.popleft()
             copies = self.copies[task.function]
@@ -197,25 +199,25 @@
     def start(self, task: Task, copies: Copies) -> None:
         self.running += 1
         copies.busy += 1
-        copies.used = self.reactor.seconds()
+        copies.last_used = self.reactor.seconds()
         task.running = True
-        took = task.work * self.slower / (self.facts.speed * self.warmth())
-        if not task.begin(task):
-            took = 0.001
-        self.reactor.callLater(took, self.when_awake, lambda: self.finish(task, copies))
+        duration = task.work * self.slowdown / (self.facts.speed * self.relative_speed())
+        if not task.on_started(task):
+            duration = 0.001
+        self.reactor.callLater(duration, self.when_awake, lambda: self.finish(task, copies))
 
     def finish(self, task: Task, copies: Copies) -> None:
         self.running -= 1
         copies.busy -= 1
         copies.tasks -= 1
-        copies.used = self.reactor.seconds()
-        if not task.over:
+        copies.last_used = self.reactor.seconds()
+        if not task.finished:
             self.answer(task, "ok")
-        self.move()
+        self.start_waiting()
 
     def cancel(self, task: Task) -> bool:
         """Ends a call as cancelled if the runner supports that in its present state; True if it did."""
-        if task.over:
+        if task.finished:
             return False
         if not task.running and self.facts.drops_waiting and task in self.queue:
             self.queue.remove(task)
@@ -229,7 +231,7 @@
 
     # copies
 
-    def of(self, function: str, memory: float, lanes: int, load: float) -> Copies:
+    def copies_of(self, function: str, memory: float, lanes: int, load: float) -> Copies:
         if function not in self.copies:
             self.copies[function] = Copies(memory, max(1, lanes), load)
         return self.copies[function]
@@ -237,7 +239,7 @@
     def used(self) -> float:
         return sum(c.memory * (c.standing + c.loading) for c in self.copies.values())
 
-    def room(self, memory: float) -> bool:
+    def make_room(self, memory: float) -> bool:
         """Makes room for one more copy: evicts idle ones of functions without calls, the least recently used
         first.
 
@@ -245,14 +247,14 @@
         """
         if memory > self.facts.memory:
             return False
-        for copies in sorted(self.copies.values(), key=lambda c: c.used):
+        for copies in sorted(self.copies.values(), key=lambda c: c.last_used):
             while self.used() + memory > self.facts.memory and copies.idle() > 0 and not copies.tasks:
                 copies.standing -= 1
         return self.used() + memory <= self.facts.memory
 
     def load(self, function: str) -> bool:
         copies = self.copies[function]
-        if not self.room(copies.memory):
+        if not self.make_room(copies.memory):
             return False
         copies.loading += 1
         self.load_queue.append(function)
@@ -270,7 +272,7 @@
             copies.fetches.remove(fetch)
             if not ok or self.load_fails(function):
                 return self.when_awake(lambda: self.loaded(function, False))
-            rest = copies.load * (1 - self.facts.fetch_share) * self.slower
+            rest = copies.load * (1 - self.facts.fetch_share) * self.slowdown
             self.reactor.callLater(rest, self.when_awake, lambda: self.loaded(function, True))
 
         fetch = self.store.fetch(copies.load * self.facts.fetch_share, done)
@@ -280,7 +282,7 @@
         copies = self.copies[function]
         self.loads -= 1
         copies.loading -= 1
-        copies.used = self.reactor.seconds()
+        copies.last_used = self.reactor.seconds()
         copies.standing += ok
         if not ok and not copies.standing and not copies.loading:
             failed = "miss" if self.facts.absent == "miss" else "error"
@@ -288,16 +290,16 @@
                 self.queue.remove(task)
                 copies.tasks -= 1
                 self.answer(task, failed, "load failed")
-        self.settle(copies, ok)
+        self.answer_preloads(copies, ok)
         self.next_load()
-        self.move()
+        self.start_waiting()
 
-    def settle(self, copies: Copies, ok: bool = True) -> None:
+    def answer_preloads(self, copies: Copies, ok: bool = True) -> None:
         """Answers preloads that have reached their count, or that can't any more."""
-        for order in list(copies.orders):
+        for order in list(copies.preloads):
             count, done = order
             if copies.standing >= count or copies.standing + copies.loading < count:
-                copies.orders.remove(order)
+                copies.preloads.remove(order)
                 done("ok" if copies.standing >= count else "full" if ok else "error", copies.standing)
 
     def hold(
@@ -309,15 +311,15 @@
         load: float,
         done: Callable[[str, int], None],
     ) -> None:
-        copies = self.of(function, memory, lanes, load)
+        copies = self.copies_of(function, memory, lanes, load)
         if count and self.draining:
             return done("full", copies.standing)
         if count:
-            copies.used = self.reactor.seconds()
+            copies.last_used = self.reactor.seconds()
         while copies.standing + copies.loading < count and self.load(function):
             pass
-        copies.orders.append((count, done))
-        self.settle(copies)
+        copies.preloads.append((count, done))
+        self.answer_preloads(copies)
 
     def unload(self, function: str) -> None:
         """Drops idle copies, and loads that wait or are being fetched; a copy that is already starting goes
@@ -329,21 +331,21 @@
         waiting = self.load_queue.count(function)
         self.load_queue = deque(name for name in self.load_queue if name != function)
         for fetch in copies.fetches:
-            self.store.call_off(fetch)
+            self.store.cancel(fetch)
         self.loads -= len(copies.fetches)
         copies.loading -= waiting + len(copies.fetches)
         copies.fetches.clear()
-        self.settle(copies)
+        self.answer_preloads(copies)
         self.next_load()
 
-    def sweep(self) -> None:
+    def unload_idle(self) -> None:
         """Unloads copies that have been idle for too long."""
         if self.dead:
             return
         now = self.reactor.seconds()
         for function, copies in list(self.copies.items()):
-            if now - copies.used > self.facts.idle_life and not copies.tasks:
+            if now - copies.last_used > self.facts.idle_life and not copies.tasks:
                 copies.standing = 0
-                if not copies.loading and not copies.orders:
+                if not copies.loading and not copies.preloads:
                     del self.copies[function]
-        self.reactor.callLater(0.5, self.sweep)
+        self.reactor.callLater(0.5, self.unload_idle)
--- a/lapistrestle/standins/faults/edges.py
+++ b/lapistrestle/standins/faults/edges.py
@@ -2,7 +2,7 @@
 
 from functools import partial
 
-from lapistrestle.standins.faults.effects import End, all_of
+from lapistrestle.standins.faults.effects import EndFault, all_of
 from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
@@ -13,52 +13,52 @@
     return world.random.sample(numbers, max(1, round(share * len(numbers))))
 
 
-def balancer_stall(world: World, trouble: ScriptedFault) -> End:
+def balancer_stall(world: World, fault: ScriptedFault) -> EndFault:
     """Stalls edges. Two of these faults may overlap on one edge: it resumes when the last is over."""
-    chosen = [world.edges[n] for n in edges_of(world, trouble.share)]
+    chosen = [world.edges[n] for n in edges_of(world, fault.share)]
     for edge in chosen:
-        world.still[edge] += 1
-        if world.still[edge] == 1:
+        world.stall_counts[edge] += 1
+        if world.stall_counts[edge] == 1:
             world.tape.put(edge.name, "stalled")
             edge.stall()
 
     def end() -> None:
         for edge in chosen:
-            if edge not in world.still:
+            if edge not in world.stall_counts:
                 continue  # killed in the meantime
-            world.still[edge] -= 1
-            if not world.still[edge]:
+            world.stall_counts[edge] -= 1
+            if not world.stall_counts[edge]:
                 world.tape.put(edge.name, "resumed")
                 edge.resume()
 
     return end
 
 
-def edge_kill(world: World, trouble: ScriptedFault) -> End:
+def edge_kill(world: World, fault: ScriptedFault) -> EndFault:
     """Kills edges; they restart under the same names when the fault ends."""
-    chosen = edges_of(world, trouble.share)
+    chosen = edges_of(world, fault.share)
     for number in chosen:
         edge = world.edges[number]
-        if world.still.pop(edge, 0):  # its successor is not stalled
+        if world.stall_counts.pop(edge, 0):  # its successor is not stalled
             world.tape.put(edge.name, "resumed")
         world.tape.put(edge.name, "killed")
         edge.kill()
     return all_of(partial(world.restart_edge, n) for n in chosen)
 
 
-def edges_apart(world: World, trouble: ScriptedFault) -> End:
+def edges_apart(world: World, fault: ScriptedFault) -> EndFault:
     """Partitions a share of the edges from the others, for gossip."""
-    return sever(world, trouble, both=True)
+    return sever(world, fault, both=True)
 
 
-def edges_deaf(world: World, trouble: ScriptedFault) -> End:
+def edges_deaf(world: World, fault: ScriptedFault) -> EndFault:
     """One-way partition: a share of the edges receives no gossip of the others, but can still send."""
-    return sever(world, trouble, both=False)
+    return sever(world, fault, both=False)
 
 
-def sever(world: World, trouble: ScriptedFault, both: bool) -> End:
+def sever(world: World, fault: ScriptedFault, both: bool) -> EndFault:
     """Cuts the links from the other edges to a share of them, and back where `both`."""
-    chosen = edges_of(world, trouble.share)
+    chosen = edges_of(world, fault.share)
     ports = world.fleet_ports
     others = [port for n, port in enumerate(ports) if n not in chosen]
     before = set(world.links.cut)
@@ -71,14 +71,14 @@
     return end
 
 
-def edges_lossy(world: World, trouble: ScriptedFault) -> End:
+def edges_lossy(world: World, fault: ScriptedFault) -> EndFault:
     """Loses a share of the datagrams between edges, duplicates as many, and delays all by up to `by`."""
     links = world.links
-    links.loss, links.duplication = links.loss + trouble.share, links.duplication + trouble.share
-    links.delays = (links.delays[0], links.delays[1] + int(trouble.by) * 100)
+    links.loss, links.duplication = links.loss + fault.share, links.duplication + fault.share
+    links.delays = (links.delays[0], links.delays[1] + int(fault.by) * 100)
 
     def end() -> None:
-        links.loss, links.duplication = links.loss - trouble.share, links.duplication - trouble.share
-        links.delays = (links.delays[0], links.delays[1] - int(trouble.by) * 100)
+        links.loss, links.duplication = links.loss - fault.share, links.duplication - fault.share
+        links.delays = (links.delays[0], links.delays[1] - int(fault.by) * 100)
 
     return end
--- a/lapistrestle/standins/faults/effects.py
+++ b/lapistrestle/standins/faults/effects.py
@@ -6,15 +6,15 @@
 from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
-End = Callable[[], None]
-Begin = Callable[[World, ScriptedFault], End]
+EndFault = Callable[[], None]
+StartFault = Callable[[World, ScriptedFault], EndFault]
 
 
 def nothing() -> None:
     """The end of a fault that ends by itself."""
 
 
-def all_of(calls: Iterable[End]) -> End:
+def all_of(calls: Iterable[EndFault]) -> EndFault:
     """An end that calls each of these."""
     kept = list(calls)
 
@@ -25,13 +25,13 @@
     return end
 
 
-def increase(owner: Any, name: str, amount: float) -> End:
+def increase(owner: Any, name: str, amount: float) -> EndFault:
     """Adds to an attribute of the owner until the end."""
     setattr(owner, name, getattr(owner, name) + amount)
     return lambda: setattr(owner, name, getattr(owner, name) - amount)
 
 
-def multiply(owner: Any, name: str, factor: float) -> End:
+def multiply(owner: Any, name: str, factor: float) -> EndFault:
     """Multiplies an attribute of the owner until the end."""
     setattr(owner, name, getattr(owner, name) * factor)
     return lambda: setattr(owner, name, getattr(owner, name) / factor)
--- a/lapistrestle/standins/faults/kinds.py
+++ b/lapistrestle/standins/faults/kinds.py
@@ -10,33 +10,33 @@
     sources,
     traffic,
 )
-from lapistrestle.standins.faults.effects import Begin, End
+from lapistrestle.standins.faults.effects import EndFault, StartFault
 from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 from lapistrestle.ticks import SECOND
 
 
-def schedule(world: World) -> None:
+def schedule_faults(world: World) -> None:
     """Schedules every fault of the day."""
-    for trouble in world.day.faults:
-        world.reactor.callLater(trouble.at / SECOND, begin, world, trouble)
+    for fault in world.day.faults:
+        world.reactor.callLater(fault.at / SECOND, start_fault, world, fault)
 
 
-def begin(world: World, trouble: ScriptedFault) -> None:
+def start_fault(world: World, fault: ScriptedFault) -> None:
     """Starts a fault and schedules its end."""
-    world.tape.put("day", "trouble", kind=trouble.kind, lasts=trouble.lasts / 10)
-    end = FAULTS[trouble.kind](world, trouble)
-    world.reactor.callLater(trouble.lasts / SECOND, finish, world, trouble, end)
+    world.tape.put("day", "trouble", kind=fault.kind, lasts=fault.lasts / 10)
+    end = FAULTS[fault.kind](world, fault)
+    world.reactor.callLater(fault.lasts / SECOND, end_fault, world, fault, end)
 
 
-def finish(world: World, trouble: ScriptedFault, end: End) -> None:
+def end_fault(world: World, fault: ScriptedFault, end: EndFault) -> None:
     end()
-    world.tape.put("day", "trouble ends", kind=trouble.kind)
+    world.tape.put("day", "trouble ends", kind=fault.kind)
 
 
-LINES = 20  # lines over which a share is spread: each line is affected with 1/20 of the probability
+SHARE_LINES = 20  # lines over which a share is spread: each line is affected with 1/20 of the probability
 
-FAULTS: dict[str, Begin] = {
+FAULTS: dict[str, StartFault] = {
     "balancer_stall": edges.balancer_stall,
     "edge_kill": edges.edge_kill,
     "edges_apart": edges.edges_apart,
@@ -50,23 +50,23 @@
     "zone_loss": runners.zone_loss,
     "preempt": runners.preempt,
     "deploy": runners.deploy,
-    "slow": machines.engines(machines.slow),
-    "fast_errors": machines.engines(machines.fast_errors),
-    "report_late": machines.engines(machines.report_late),
+    "slow": machines.engine_fault(machines.slow),
+    "fast_errors": machines.engine_fault(machines.fast_errors),
+    "report_late": machines.engine_fault(machines.report_late),
     "neighbour": machines.neighbour,
-    "pauses": machines.stops(every=2.5, lasts=0.35),
-    "throttle": machines.stops(every=0.1, lasts=0.06),
+    "pauses": machines.periodic_stops(every=2.5, lasts=0.35),
+    "throttle": machines.periodic_stops(every=0.1, lasts=0.06),
     "store_slow": sources.store_slow,
     "discovery_stale": sources.discovery_stale,
     "roster_back": sources.roster_back,
     "roster_gap": sources.roster_gap,
     "roster_restart": sources.roster_restart,
     "refused": sockets.refused,
-    "broken": sockets.set_to("cut", lambda t: t.share / LINES, 0.0),
-    "silent": sockets.set_to("silent", lambda t: True, False),
-    "delayed": sockets.set_to("delay", lambda t: t.by / SECOND, 0.0),
-    "split": sockets.set_to("split", lambda t: True, False),
-    "garbled": sockets.set_to("garble", lambda t: t.share / LINES, 0.0),
+    "broken": sockets.set_field("cut", lambda t: t.share / SHARE_LINES, 0.0),
+    "silent": sockets.set_field("silent", lambda t: True, False),
+    "delayed": sockets.set_field("delay", lambda t: t.by / SECOND, 0.0),
+    "split": sockets.set_field("split", lambda t: True, False),
+    "garbled": sockets.set_field("garble", lambda t: t.share / SHARE_LINES, 0.0),
     "unread": sockets.unread,
     "planner_stall": planner.planner_stall,
     "planner_kill": planner.planner_kill,
--- a/lapistrestle/standins/faults/machines.py
+++ b/lapistrestle/standins/faults/machines.py
@@ -3,7 +3,15 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapistrestle.standins.faults.effects import Begin, End, all_of, increase, multiply, nothing, repeatedly
+from lapistrestle.standins.faults.effects import (
+    EndFault,
+    StartFault,
+    all_of,
+    increase,
+    multiply,
+    nothing,
+    repeatedly,
+)
 from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 from lapistrestle.ticks import SECOND
@@ -12,22 +20,22 @@
 NEIGHBOUR_HELD = 0.9  # seconds for which it uses the cores
 
 
-def engines(change: Callable[[Any, ScriptedFault], End]) -> Begin:
+def engine_fault(change: Callable[[Any, ScriptedFault], EndFault]) -> StartFault:
     """A fault of runner processes; a runner that restarts no longer has it."""
 
-    def began(world: World, trouble: ScriptedFault) -> End:
-        chosen = world.some(trouble.share, trouble.zone)
-        return all_of([change(slot.runner.engine, trouble) for slot in chosen])
+    def began(world: World, fault: ScriptedFault) -> EndFault:
+        chosen = world.pick_runners(fault.share, fault.zone)
+        return all_of([change(slot.runner.engine, fault) for slot in chosen])
 
     return began
 
 
-def slow(engine: Any, trouble: ScriptedFault) -> End:
+def slow(engine: Any, fault: ScriptedFault) -> EndFault:
     """Everything takes longer."""
-    return multiply(engine, "slower", trouble.factor)
+    return multiply(engine, "slowdown", fault.factor)
 
 
-def fast_errors(engine: Any, trouble: ScriptedFault) -> End:
+def fast_errors(engine: Any, fault: ScriptedFault) -> EndFault:
     """Every call fails at once."""
     engine.failing = True
 
@@ -37,35 +45,35 @@
     return end
 
 
-def report_late(engine: Any, trouble: ScriptedFault) -> End:
+def report_late(engine: Any, fault: ScriptedFault) -> EndFault:
     """Load reports are out of date."""
-    return increase(engine, "report_late", trouble.by / SECOND)
+    return increase(engine, "report_delay", fault.by / SECOND)
 
 
-def neighbour(world: World, trouble: ScriptedFault) -> End:
+def neighbour(world: World, fault: ScriptedFault) -> EndFault:
     """Another program periodically takes half of the cores."""
-    chosen = [slot.runner.engine for slot in world.some(trouble.share, trouble.zone)]
+    chosen = [slot.runner.engine for slot in world.pick_runners(fault.share, fault.zone)]
     held = [max(1, engine.facts.cores // 2) for engine in chosen]
 
     def take() -> None:
         for engine, cores in zip(chosen, held, strict=True):
-            engine.taken += cores
+            engine.cores_taken += cores
         world.reactor.callLater(NEIGHBOUR_HELD, give)
 
     def give() -> None:
         for engine, cores in zip(chosen, held, strict=True):
-            engine.taken -= cores
-            engine.move()
+            engine.cores_taken -= cores
+            engine.start_waiting()
 
-    repeatedly(world, NEIGHBOUR_EVERY, trouble.lasts / SECOND, take)
+    repeatedly(world, NEIGHBOUR_EVERY, fault.lasts / SECOND, take)
     return nothing
 
 
-def stops(every: float, lasts: float) -> Begin:
+def periodic_stops(every: float, lasts: float) -> StartFault:
     """Machines stop every `every` seconds, each time for `lasts` seconds."""
 
-    def began(world: World, trouble: ScriptedFault) -> End:
-        chosen = [slot.runner.engine for slot in world.some(trouble.share, trouble.zone)]
+    def began(world: World, fault: ScriptedFault) -> EndFault:
+        chosen = [slot.runner.engine for slot in world.pick_runners(fault.share, fault.zone)]
 
         def stop() -> None:
             for engine in chosen:
@@ -76,7 +84,7 @@
             for engine in chosen:
                 engine.pause(False)
 
-        repeatedly(world, every, trouble.lasts / SECOND, stop)
+        repeatedly(world, every, fault.lasts / SECOND, stop)
         return nothing
 
     return began
--- a/lapistrestle/standins/faults/planner.py
+++ b/lapistrestle/standins/faults/planner.py
@@ -1,11 +1,11 @@
 """Faults of the planner."""
 
-from lapistrestle.standins.faults.effects import End, nothing
+from lapistrestle.standins.faults.effects import EndFault, nothing
 from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.world import World
 
 
-def planner_stall(world: World, trouble: ScriptedFault) -> End:
+def planner_stall(world: World, fault: ScriptedFault) -> EndFault:
     """Stalls the planner; it resumes with its state."""
     planner = world.planner
     if planner is None:
@@ -14,9 +14,9 @@
     return planner.resume
 
 
-def planner_kill(world: World, trouble: ScriptedFault) -> End:
+def planner_kill(world: World, fault: ScriptedFault) -> EndFault:
     """Kills the planner; it restarts at the same port, on the same journal."""
     if world.planner is None:
         return nothing
     world.planner.kill()
-    return world.begin_planner
+    return world.start_planner
--- a/lapistrestle/standins/faults/sockets.py
+++ b/lapistrestle/standins/faults/sockets.py
@@ -4,48 +4,48 @@
 from functools import partial
 from typing import Any
 
-from lapistrestle.standins.faults.effects import Begin, End, all_of
+from lapistrestle.standins.faults.effects import EndFault, StartFault, all_of
 from lapistrestle.standins.script import ScriptedFault
 from lapistrestle.standins.taped_connection import NetworkFaults
 from lapistrestle.standins.world import World
 
 
-def weathers(world: World, trouble: ScriptedFault) -> list[NetworkFaults]:
+def affected_connections(world: World, fault: ScriptedFault) -> list[NetworkFaults]:
     """The connections that a fault affects: those of the roster, of some clients or of some runners."""
-    if trouble.on == "roster":
+    if fault.on == "roster":
         return [world.roster.weather]
-    if trouble.on == "clients":
+    if fault.on == "clients":
         lines = world.clients.links
-        chosen = world.random.sample(lines, max(1, round(trouble.share * len(lines))))
-        return [line.weather for line in chosen]
-    return [slot.runner.weather for slot in world.some(trouble.share, trouble.zone)]
+        chosen = world.random.sample(lines, max(1, round(fault.share * len(lines))))
+        return [line.faults for line in chosen]
+    return [slot.runner.network_faults for slot in world.pick_runners(fault.share, fault.zone)]
 
 
-def weather(
+def connection_fault(
     change: Callable[[NetworkFaults, ScriptedFault], None], undo: Callable[[NetworkFaults], None]
-) -> Begin:
+) -> StartFault:
     """A fault that changes how connections behave."""
 
-    def began(world: World, trouble: ScriptedFault) -> End:
-        chosen = weathers(world, trouble)
+    def began(world: World, fault: ScriptedFault) -> EndFault:
+        chosen = affected_connections(world, fault)
         for each in chosen:
-            change(each, trouble)
+            change(each, fault)
         return all_of(partial(undo, each) for each in chosen)
 
     return began
 
 
-def set_to(name: str, value: Callable[[ScriptedFault], Any], calm: Any) -> Begin:
+def set_field(name: str, value: Callable[[ScriptedFault], Any], calm: Any) -> StartFault:
     """Sets one field of the connections' faults to `value`, and back to `calm` at the end."""
-    return weather(lambda w, t: setattr(w, name, value(t)), lambda w: setattr(w, name, calm))
+    return connection_fault(lambda w, t: setattr(w, name, value(t)), lambda w: setattr(w, name, calm))
 
 
-def refused(world: World, trouble: ScriptedFault) -> End:
+def refused(world: World, fault: ScriptedFault) -> EndFault:
     """Breaks the connections of runners, and accepts no new ones."""
-    chosen = [slot.runner for slot in world.some(trouble.share, trouble.zone)]
+    chosen = [slot.runner for slot in world.pick_runners(fault.share, fault.zone)]
     for runner in chosen:
         runner.refuse(True)
-        for speaker in list(runner.speakers):
+        for speaker in list(runner.connections):
             speaker.break_off()
 
     def end() -> None:
@@ -56,10 +56,10 @@
     return end
 
 
-def unread(world: World, trouble: ScriptedFault) -> End:
+def unread(world: World, fault: ScriptedFault) -> EndFault:
     """Clients stop reading their answers."""
-    lines = world.random.sample(world.clients.links, max(1, round(trouble.share * len(world.clients.links))))
-    stopped = [line.up for line in lines if line.up is not None]
+    lines = world.random.sample(world.clients.links, max(1, round(fault.share * len(world.clients.links))))
+    stopped = [line.active_connection for line in lines if line.active_connection is not None]
     for speaker in stopped:
         world.tape.put(speaker.connection, "unread")
         speaker.transport.pauseProducing()
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -13,15 +13,15 @@
 from lapistrestle.edge.program import Edge
 from lapistrestle.planner.server import Planner
 from lapistrestle.standins.child_processes import ChildProcess, free_tcp_ports
-from lapistrestle.standins.faults.kinds import schedule
+from lapistrestle.standins.faults.kinds import schedule_faults
 from lapistrestle.standins.script import Day, to_plain
 from lapistrestle.standins.virtual import VirtualProcess, VirtualReactor
 from lapistrestle.standins.world import World
 from lapistrestle.store.journal import Journal
 from lapistrestle.ticks import SECOND
 
-PATIENCE = 20.0  # seconds that programs may take to start
-LAST = 1.0  # seconds of traffic at the end, after all programs are up again
+START_TIMEOUT = 20.0  # seconds that programs may take to start
+FINAL_TRAFFIC = 1.0  # seconds of traffic at the end, after all programs are up again
 
 Log = Callable[..., None]
 EdgeMaker = Callable[[Any, Deployment, Log], Edge]
@@ -76,7 +76,7 @@
 
     `prepare` is called before anything is built, `started` once the day has started.
     """
-    decided_by_module(day)
+    require_module(day)
     reactor = VirtualReactor()
     outside = VirtualProcess(reactor, "stand-ins")
     if prepare is not None:
@@ -94,7 +94,7 @@
     return world
 
 
-def decided_by_module(day: Day) -> None:
+def require_module(day: Day) -> None:
     """Raises DeploymentError for a baseline policy, which only the model has."""
     if day.policy != "module":
         raise DeploymentError(
@@ -106,12 +106,12 @@
     day, deployment = world.day, world.deployment
     began = reactor.seconds()
     world.start()
-    world.begin_traffic()
-    schedule(world)
+    world.start_traffic()
+    schedule_faults(world)
     if started is not None:
         started(world)
     reactor.run(began + day.length / SECOND)
-    world.over = True
+    world.traffic_stopped = True
     longest = max(m.deadline for m in deployment.methods.values()) / SECOND
     reactor.run(began + day.length / SECOND + longest + 1.0)
     for line in world.clients.links:
@@ -217,7 +217,7 @@
 
 def play_real(day: Day, deployment: Deployment, sink: BinaryIO, log: Log = no_log) -> World:
     """Runs the day on loopback sockets in real time. Edges are processes; stand-ins run in this one."""
-    decided_by_module(day)
+    require_module(day)
     from twisted.internet import reactor as default
 
     reactor: Any = default
@@ -245,7 +245,7 @@
             )  # fmt: skip
             worlds.append(world)
             world.start()
-            when_up(world, reactor.seconds() + PATIENCE, begin_day)
+            when_up(world, reactor.seconds() + START_TIMEOUT, begin_day)
 
         def when_up(world: World, until: float, then: Callable[[World], None]) -> None:
             """Waits until all programs are up; they take seconds to start on a busy machine."""
@@ -257,16 +257,16 @@
             """Starts the traffic. Requests from before all edges are up would reach the first one late, in a
             burst."""
             world.tape.put("day", "begins")
-            world.begin_traffic()
-            schedule(world)
+            world.start_traffic()
+            schedule_faults(world)
             length = day.length / SECOND
-            reactor.callLater(length, when_up, world, reactor.seconds() + length + PATIENCE, end_day)
+            reactor.callLater(length, when_up, world, reactor.seconds() + length + START_TIMEOUT, end_day)
 
         def end_day(world: World) -> None:
             """Runs on for a moment, so that programs that restarted late also get traffic, then stops."""
             longest = max(m.deadline for m in deployment.methods.values()) / SECOND
-            reactor.callLater(LAST, setattr, world, "over", True)
-            reactor.callLater(LAST + longest + 1.0, reactor.stop)
+            reactor.callLater(FINAL_TRAFFIC, setattr, world, "traffic_stopped", True)
+            reactor.callLater(FINAL_TRAFFIC + longest + 1.0, reactor.stop)
 
         reactor.callWhenRunning(begin)
         try:
--- a/lapistrestle/standins/roster.py
+++ b/lapistrestle/standins/roster.py
@@ -20,30 +20,32 @@
         ] = {}  # entry and time of the process's start, by name
         self.number, self.epoch, self.count = 0, "e1", 0
         self.weather = NetworkFaults(seed=99)
-        self.stale = 0.0  # fault: seconds of additional delay
-        self.due = 0.0  # when the latest change is published: changes stay in order
-        self.subscribers: dict[RosterSpeaker, None] = {}
+        self.extra_delay = 0.0  # fault: seconds of additional delay
+        self.next_publication = 0.0  # when the latest change is published: changes stay in order
+        self.subscribers: dict[RosterServerConnection, None] = {}
         self.port: int = reactor.listenTCP(port, RosterFactory(self), interface="127.0.0.1").getHost().port
 
-    def record(self, entry: wire.RosterEntry, booted: float, now: bool = False) -> None:
+    def record(self, entry: wire.RosterEntry, booted_at: float, now: bool = False) -> None:
         """Records a change, to be published after the delay."""
         if now:
-            return self.publish(entry, booted)
-        at = self.due = max(self.due, self.reactor.seconds() + self.lag + self.stale)
-        self.reactor.callLater(max(0.0, at - self.reactor.seconds()), self.publish, entry, booted)
+            return self.publish(entry, booted_at)
+        at = self.next_publication = max(
+            self.next_publication, self.reactor.seconds() + self.lag + self.extra_delay
+        )
+        self.reactor.callLater(max(0.0, at - self.reactor.seconds()), self.publish, entry, booted_at)
 
-    def publish(self, entry: wire.RosterEntry, booted: float) -> None:
+    def publish(self, entry: wire.RosterEntry, booted_at: float) -> None:
         if entry.listing == "gone":
             self.published.pop(entry.name, None)
         else:
-            self.published[entry.name] = (entry, booted)
+            self.published[entry.name] = (entry, booted_at)
         self.number += 1
-        change = wire.RosterUpdate(self.number, [self.dated(entry, booted)], self.epoch)
+        change = wire.RosterUpdate(self.number, [self.with_up_for(entry, booted_at)], self.epoch)
         for follower in self.subscribers:
             follower.send_message(change)
 
-    def dated(self, entry: wire.RosterEntry, booted: float) -> wire.RosterEntry:
-        up_for = round(min(86_400_000.0, max(0.0, self.reactor.seconds() - booted) * 1000), 1)
+    def with_up_for(self, entry: wire.RosterEntry, booted_at: float) -> wire.RosterEntry:
+        up_for = round(min(86_400_000.0, max(0.0, self.reactor.seconds() - booted_at) * 1000), 1)
         return wire.RosterEntry(
             entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing,
             entry.start, up_for,
@@ -51,7 +53,7 @@
 
     def snapshot(self) -> wire.RosterSnapshot:
         return wire.RosterSnapshot(
-            self.number, [self.dated(*told) for told in self.published.values()], self.epoch
+            self.number, [self.with_up_for(*published) for published in self.published.values()], self.epoch
         )
 
     # faults of the roster
@@ -65,7 +67,7 @@
         whole = self.snapshot()
         self.say_all(wire.RosterSnapshot(max(0, self.number - by), whole.workers, self.epoch))
 
-    def skip(self) -> None:
+    def skip_number(self) -> None:
         """Skips a number, so that subscribers miss a change."""
         self.number += 1
 
@@ -82,12 +84,12 @@
     def __init__(self, roster: RosterStandIn) -> None:
         self.roster = roster
 
-    def buildProtocol(self, addr: Any) -> "RosterSpeaker":
+    def buildProtocol(self, addr: Any) -> "RosterServerConnection":
         self.roster.count += 1
-        return RosterSpeaker(self.roster, f"roster/{self.roster.count}")
+        return RosterServerConnection(self.roster, f"roster/{self.roster.count}")
 
 
-class RosterSpeaker(TapedConnection):
+class RosterServerConnection(TapedConnection):
     protocol = wire.ROSTER
     decoder = message_decoder(wire.ToRoster)
     greets_first = False
@@ -97,7 +99,7 @@
         self.roster = roster
 
     def connectionMade(self) -> None:
-        self.opened(roster=True)
+        self.record_open(roster=True)
         super().connectionMade()
 
     def message_received(self, message: Any) -> None:
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -23,7 +23,7 @@
 
 
 BODY = msgspec.json.Decoder(Body)
-DID, DID_NOT = msgspec.Raw(b'{"did":true}'), msgspec.Raw(b'{"did":false}')
+EFFECT, NO_EFFECT = msgspec.Raw(b'{"did":true}'), msgspec.Raw(b'{"did":false}')
 
 
 @dataclass
@@ -37,11 +37,11 @@
     customer: str = ""  # only for this customer
     after: float = 0.0  # only from this time on, in seconds of the reactor
 
-    def shows(self, customer: str, busy: float, now: float) -> bool:
+    def applies(self, customer: str, busy: float, now: float) -> bool:
         return self.customer in ("", customer) and busy >= self.when_busy and now >= self.after
 
 
-SOUND = VersionFault()
+NO_FAULT = VersionFault()
 
 
 class TokenRegistry:
@@ -52,14 +52,16 @@
     """
 
     def __init__(self) -> None:
-        self.took: dict[tuple[str, int], float] = {}
+        self.took_effect_at: dict[tuple[str, int], float] = {}
 
-    def repeats(self, function: str, token: int | None, came: float, remembered: float) -> bool:
-        return token is not None and self.took.get((function, token), -1e9) >= came - remembered
+    def is_repeat(self, function: str, token: int | None, arrived_at: float, remembered: float) -> bool:
+        return (
+            token is not None and self.took_effect_at.get((function, token), -1e9) >= arrived_at - remembered
+        )
 
-    def note(self, function: str, token: int | None, now: float) -> None:
+    def record(self, function: str, token: int | None, now: float) -> None:
         if token is not None:
-            self.took[function, token] = now
+            self.took_effect_at[function, token] = now
 
 
 class RunnerStandIn:
@@ -72,16 +74,16 @@
         loads: dict[str, float] | None = None, fell: Any = None,
     ) -> None:  # fmt: skip
         self.reactor, self.name, self.start, self.facts = reactor, name, f"{name}#{start}", facts
-        self.tokens, self.tape, self.tells, self.fell = tokens, tape, tells, fell
+        self.tokens, self.tape, self.tells, self.on_collapse = tokens, tape, tells, fell
         self.loads = loads if loads is not None else {}  # time to load a copy in milliseconds, by function
-        self.weather = NetworkFaults(seed=start)
-        self.engine = Engine(reactor, facts, store, self.fall, cold)
-        self.faults: dict[str, VersionFault] = {}  # by the name of a version
+        self.network_faults = NetworkFaults(seed=start)
+        self.engine = Engine(reactor, facts, store, self.collapse, cold)
+        self.version_faults: dict[str, VersionFault] = {}  # by the name of a version
         self.chance = NetworkFaults(seed=start + 1)
         self.engine.load_fails = lambda function: self.chance.chance(
-            self.faults.get(function, SOUND).load_errors
+            self.version_faults.get(function, NO_FAULT).load_errors
         )
-        self.speakers: dict[RunnerServerConnection, None] = {}
+        self.connections: dict[RunnerServerConnection, None] = {}
         self.tasks: dict[tuple[Any, int], Task] = {}  # by the edge's connection and number
         self.count = 0
         self.listening = reactor.listenTCP(port, RunnerFactory(self), interface="127.0.0.1")
@@ -103,22 +105,22 @@
     def kill(self) -> None:
         self.engine.dead = True
         self.listening.stopListening()
-        for speaker in list(self.speakers):
+        for speaker in list(self.connections):
             speaker.break_off()
         if self.tape is not None:
             self.tape.put(self.start, "end", runner=self.name)
 
-    def fall(self) -> None:
+    def collapse(self) -> None:
         """Collapses under overload; the process does not come back by itself."""
         if self.tape is not None:
             self.tape.put(self.start, "fell", runner=self.name)
         self.kill()
-        if self.fell is not None:
-            self.fell(self)
+        if self.on_collapse is not None:
+            self.on_collapse(self)
 
     def drain(self) -> None:
         self.engine.draining = True
-        for speaker in self.speakers:
+        for speaker in self.connections:
             speaker.send_message(wire.Draining())
 
     def refuse(self, on: bool) -> None:
@@ -130,12 +132,12 @@
 
     # messages of edges, on sockets and in the model
 
-    def handle(self, message: Any, edge: Any, say: Callable[[Any], None]) -> None:
+    def handle(self, message: Any, edge: Any, send: Callable[[Any], None]) -> None:
         """Handles a message that came over the connection `edge`; answers go to `say`."""
         engine = self.engine
         match message:
             case wire.Run():
-                self.run(message, edge, say)
+                self.run(message, edge, send)
             case wire.Cancel():
                 if task := self.tasks.get((edge, message.call_id)):
                     engine.cancel(task)
@@ -143,33 +145,33 @@
                 load = self.loads.get(message.function, 500.0) / 1000
 
                 def held(outcome: Any, count: int) -> None:
-                    engine.when_awake(lambda: say(wire.PreloadResult(message.preload_id, outcome, count)))
+                    engine.when_awake(lambda: send(wire.PreloadResult(message.preload_id, outcome, count)))
 
                 engine.hold(message.function, message.count, message.memory, message.lanes, load, held)
             case wire.Unload():
                 engine.unload(message.function)
             case wire.Probe():
-                engine.when_awake(lambda: say(wire.ProbeResult(message.probe_id, self.report("on_probe"))))
+                engine.when_awake(lambda: send(wire.ProbeResult(message.probe_id, self.report("on_probe"))))
 
     def report(self, how: str) -> dict[str, float] | None:
         return self.engine.report() if {how, "inline"} & self.tells else None
 
-    def run(self, run: wire.Run, edge: Any, say: Callable[[Any], None]) -> None:
+    def run(self, run: wire.Run, edge: Any, send: Callable[[Any], None]) -> None:
         try:
             body = BODY.decode(run.body)
         except msgspec.MsgspecError:
             body = Body()
-        did = [False]
-        engine, fault = self.engine, self.faults.get(run.function, SOUND)
+        took_effect = [False]
+        engine, fault = self.engine, self.version_faults.get(run.function, NO_FAULT)
         busy = engine.running / engine.facts.cores
-        came = self.reactor.seconds()
-        fault = fault if fault.shows(run.customer, busy, came) else SOUND
+        arrived_at = self.reactor.seconds()
+        fault = fault if fault.applies(run.customer, busy, arrived_at) else NO_FAULT
 
         def begin(task: Task) -> bool:
-            if self.tokens.repeats(run.function, run.token, came, self.facts.remembers):
+            if self.tokens.is_repeat(run.function, run.token, arrived_at, self.facts.remembers):
                 return False
-            self.tokens.note(run.function, run.token, self.reactor.seconds())
-            did[0] = True
+            self.tokens.record(run.function, run.token, self.reactor.seconds())
+            took_effect[0] = True
             if self.tape is not None:
                 self.tape.put(
                     edge.connection,
@@ -185,11 +187,12 @@
             self.tasks.pop((edge, run.call_id), None)
             if outcome == "ok" and self.chance.chance(fault.errors):
                 outcome = "error"
-            say(
+            send(
                 wire.RunFinished(
                     run.call_id, outcome, warmth if "warm" in self.tells or warmth == "load failed" else "",
                     more["company"] if "company" in self.tells else None,
-                    more["report"] if "inline" in self.tells else None, DID if did[0] else DID_NOT,
+                    more["report"] if "inline" in self.tells else None,
+                    EFFECT if took_effect[0] else NO_EFFECT,
                 )
             )  # fmt: skip
 
@@ -218,12 +221,12 @@
     greets_first = False
 
     def __init__(self, runner: RunnerStandIn, name: str) -> None:
-        super().__init__(LineLimits(), runner.reactor, runner.tape, runner.weather, name)
+        super().__init__(LineLimits(), runner.reactor, runner.tape, runner.network_faults, name)
         self.runner = runner
 
     def connectionMade(self) -> None:
-        self.runner.speakers[self] = None
-        self.opened(runner=self.runner.name, start=self.runner.start)
+        self.runner.connections[self] = None
+        self.record_open(runner=self.runner.name, start=self.runner.start)
         super().connectionMade()
 
     def greeting(self) -> wire.Hello:
@@ -233,4 +236,4 @@
         self.runner.handle(message, self, self.send_message)
 
     def connection_lost(self) -> None:
-        self.runner.speakers.pop(self, None)
+        self.runner.connections.pop(self, None)
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -33,7 +33,7 @@
 ]  # fmt: skip
 
 
-class Machines(SettingsGroup):
+class RunnerGroup(SettingsGroup):
     """Runners of one kind, spread over the zones round robin."""
 
     count: Annotated[int, Meta(ge=1, le=1000)] = 4
@@ -45,7 +45,7 @@
     cell_of: Annotated[int, Meta(ge=1)] = 3  # runners in a cell
 
 
-class StorePlan(SettingsGroup):
+class StoreSettings(SettingsGroup):
     """Capacity of the package store, as in `standins.store`."""
 
     fetches: Annotated[float, Meta(gt=0)] = 12.0
@@ -55,7 +55,7 @@
     stops_for: Duration = Duration(40_000)
 
 
-class Mix(SettingsGroup):
+class MethodTraffic(SettingsGroup):
     """The RPCs of one method."""
 
     share: Annotated[float, Meta(gt=0)] = 1.0
@@ -72,7 +72,7 @@
     rate: Annotated[float, Meta(gt=0)] = 100.0  # RPCs a second
     functions: Annotated[int, Meta(ge=1, le=100_000)] = 40
     popularity: NonNegative = 0.9  # exponent of Zipf's law
-    methods: dict[str, Mix] = field(default_factory=dict)
+    methods: dict[str, MethodTraffic] = field(default_factory=dict)
     hints: Fraction = 0.2  # greatest relative error of the hints of work; 1: no hints
     retries: Annotated[int, Meta(ge=0, le=100)] = 2
     wait: Duration = Duration(2_000)  # least retry delay; it is up to twice as long
@@ -95,7 +95,7 @@
     on: Literal["runners", "roster", "clients"] = "runners"
 
 
-class Wrongness(SettingsGroup):
+class VersionDefects(SettingsGroup):
     """Defects of a version, and the conditions under which they show."""
 
     errors: Fraction = 0.0  # share of its calls that fail
@@ -106,7 +106,7 @@
     after: Duration = Duration(0)  # only this long after the rollout's start
 
 
-class Version(SettingsGroup):
+class ScriptedRollout(SettingsGroup):
     """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back`
     (0: never)."""
 
@@ -117,7 +117,7 @@
     advance: list[Duration] = field(default_factory=list)
     remembered: Duration = Duration(600_000)
     steps: list[Annotated[float, Meta(gt=0, le=100)]] = field(default_factory=lambda: [5.0, 30.0, 100.0])
-    wrong: Wrongness = field(default_factory=Wrongness)
+    wrong: VersionDefects = field(default_factory=VersionDefects)
 
 
 class Day(SettingsGroup):
@@ -130,14 +130,14 @@
     edges: Annotated[int, Meta(ge=1, le=1000)] = 3
     # what decides: the decision module or, in the model only, a baseline policy
     policy: Literal["module", "random", "round robin", "fewest of two", "fewest", "hash", "greedy"] = "module"
-    fleet: dict[str, Machines] = field(default_factory=lambda: {"plain": Machines(count=8)})
+    fleet: dict[str, RunnerGroup] = field(default_factory=lambda: {"plain": RunnerGroup(count=8)})
     fetch_share: Fraction = 0.7
     drops_waiting: bool = True
     stops_running: bool = False
-    store: StorePlan = field(default_factory=StorePlan)
+    store: StoreSettings = field(default_factory=StoreSettings)
     roster_lag: Duration = Duration(10_000)
     traffic: Traffic = field(default_factory=Traffic)
-    rollouts: list[Version] = field(default_factory=list)
+    rollouts: list[ScriptedRollout] = field(default_factory=list)
     faults: list[ScriptedFault] = field(name="troubles", default_factory=list)
 
 
@@ -160,17 +160,17 @@
         deployment = convert_value(day.deployment, Deployment, text, f"{source} (deployment)")
         validate_deployment(deployment, text, f"{source} (deployment)")
     if not day.traffic.methods:
-        day.traffic.methods = {name: Mix() for name in deployment.methods}
+        day.traffic.methods = {name: MethodTraffic() for name in deployment.methods}
     for name in day.traffic.methods:
         if name not in deployment.methods:
             known = ", ".join(deployment.methods)
             raise DeploymentError(f"{source}: traffic.methods.{name}: no such method; known: {known}")
-    for number, trouble in enumerate(day.faults):
-        if trouble.zone and trouble.zone not in deployment.zones:
+    for number, fault in enumerate(day.faults):
+        if fault.zone and fault.zone not in deployment.zones:
             raise DeploymentError(
-                f'{source}: troubles.{number}.zone: is "{trouble.zone}"; known: {deployment.zones}'
+                f'{source}: troubles.{number}.zone: is "{fault.zone}"; known: {deployment.zones}'
             )
-        if trouble.at >= day.length:
+        if fault.at >= day.length:
             raise DeploymentError(f"{source}: troubles.{number}.at: is past the day's length")
     return day, deployment
 
--- a/lapistrestle/standins/store.py
+++ b/lapistrestle/standins/store.py
@@ -23,7 +23,7 @@
 
     done: Callable[[bool], None]
     counted: bool = False
-    called_off: bool = False
+    cancelled: bool = False
 
 
 class PackageStore:
@@ -49,17 +49,17 @@
             self.crowded_since = now
         elif now - self.crowded_since > facts.tips_after:
             self.stopped_until, self.crowded_since = now + facts.stops_for, -1.0
-        took = seconds * self.factor * max(1.0, self.active / facts.fetches)
-        self.reactor.callLater(took, self.end, fetch)
+        duration = seconds * self.factor * max(1.0, self.active / facts.fetches)
+        self.reactor.callLater(duration, self.end, fetch)
         return fetch
 
     def end(self, fetch: Fetch, ok: bool = True) -> None:
         self.active -= fetch.counted
         fetch.counted = False
-        if not fetch.called_off:
+        if not fetch.cancelled:
             fetch.done(ok and self.reactor.seconds() >= self.stopped_until)
 
-    def call_off(self, fetch: Fetch) -> None:
+    def cancel(self, fetch: Fetch) -> None:
         """Cancels a fetch: its capacity is free at once, and `done` is not called."""
         self.active -= fetch.counted
-        fetch.counted, fetch.called_off = False, True
+        fetch.counted, fetch.cancelled = False, True
--- a/lapistrestle/standins/tape.py
+++ b/lapistrestle/standins/tape.py
@@ -18,7 +18,7 @@
     """Writes events in the order in which they happen. Times are whole microseconds since the day's start."""
 
     def __init__(self, sink: BinaryIO, seconds: Callable[[], float], header: dict[str, Any]) -> None:
-        self.sink, self.seconds, self.zero = sink, seconds, seconds()
+        self.sink, self.seconds, self.started_at = sink, seconds, seconds()
         sink.write(ENCODE({"tape": 1, **header}) + b"\n")
 
     def put(self, connection: str, what: str, **more: Any) -> None:
@@ -27,26 +27,26 @@
 
     def moment(self, seconds: float) -> int:
         """A time of the reactor, in seconds, as the tape has it: microseconds since the day's start."""
-        return max(0, round((seconds - self.zero) * 1e6))
+        return max(0, round((seconds - self.started_at) * 1e6))
 
 
 class Recorder:
     """Splits the bytes of one direction of a connection into lines for the tape."""
 
     def __init__(self, tape: Tape, connection: str, sign: str) -> None:
-        self.tape, self.connection, self.sign, self.rest = tape, connection, sign, b""
+        self.tape, self.connection, self.direction, self.partial_line = tape, connection, sign, b""
 
     def bytes(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
-            self.tape.put(self.connection, self.sign, line=line.decode("utf-8", "backslashreplace"))
+            self.tape.put(self.connection, self.direction, line=line.decode("utf-8", "backslashreplace"))
 
     def end(self) -> None:
         """Records an incomplete last line as cut off."""
-        if self.rest:
-            text = self.rest.decode("utf-8", "backslashreplace")[:2_000]
-            self.tape.put(self.connection, self.sign, line=text, cut=True)
-            self.rest = b""
+        if self.partial_line:
+            text = self.partial_line.decode("utf-8", "backslashreplace")[:2_000]
+            self.tape.put(self.connection, self.direction, line=text, cut=True)
+            self.partial_line = b""
 
 
 def read_tape(path: Path) -> Iterator[dict[str, Any]]:
@@ -59,5 +59,5 @@
                 return
             try:
                 yield decode(line)
-            except msgspec.MsgspecError as trouble:
-                raise ValueError(f"{path}:{number}: no line of a tape: {trouble}") from None
+            except msgspec.MsgspecError as error:
+                raise ValueError(f"{path}:{number}: no line of a tape: {error}") from None
--- a/lapistrestle/standins/taped_connection.py
+++ b/lapistrestle/standins/taped_connection.py
@@ -35,49 +35,49 @@
     """A connection that records what crosses its socket, after the injected faults."""
 
     def __init__(
-        self, bounds: LineLimits, reactor: Any, tape: Tape | None, weather: NetworkFaults, name: str
+        self, bounds: LineLimits, reactor: Any, tape: Tape | None, faults: NetworkFaults, name: str
     ) -> None:
         super().__init__(bounds)
-        self.reactor, self.tape, self.weather, self.connection = reactor, tape, weather, name
-        self.sent = self.got = None
+        self.reactor, self.tape, self.faults, self.connection = reactor, tape, faults, name
+        self.sent = self.received = None
         if tape is not None:
-            self.sent, self.got = Recorder(tape, name, ">"), Recorder(tape, name, "<")
-        self.held_until = 0.0
+            self.sent, self.received = Recorder(tape, name, ">"), Recorder(tape, name, "<")
+        self.delayed_until = 0.0
 
-    def opened(self, **who: Any) -> None:
+    def record_open(self, **who: Any) -> None:
         if self.tape is not None:
             self.tape.put(self.connection, "open", **who)
 
     def send_message(self, message: Message) -> None:
-        if not self.weather.silent:
+        if not self.faults.silent:
             super().send_message(message)
 
     def send_line(self, line: bytes) -> None:
-        weather = self.weather
-        if self.closed or weather.silent:
+        faults = self.faults
+        if self.closed or faults.silent:
             return
-        if weather.chance(weather.garble):
+        if faults.chance(faults.garble):
             middle = len(line) // 2
             line = line[:middle] + b"\xff{" + line[middle + 1 :]
-        if weather.chance(weather.cut):
-            self.later(line[: len(line) // 2], self.break_off)
-        elif weather.split:
+        if faults.chance(faults.cut):
+            self.schedule_write(line[: len(line) // 2], self.break_off)
+        elif faults.split:
             middle = len(line) // 2
-            self.later(line[:middle])
-            self.later(line[middle:])
+            self.schedule_write(line[:middle])
+            self.schedule_write(line[middle:])
         else:
-            self.later(line)
+            self.schedule_write(line)
 
-    def later(self, data: bytes, then: Callable[[], None] | None = None) -> None:
+    def schedule_write(self, data: bytes, then: Callable[[], None] | None = None) -> None:
         """Writes at once or, where bytes are delayed, after those before them; then calls `then`."""
         now = self.reactor.seconds()
-        at = max(self.held_until, now + self.weather.delay + (0.001 if self.weather.split else 0.0))
+        at = max(self.delayed_until, now + self.faults.delay + (0.001 if self.faults.split else 0.0))
         if at <= now:
-            return self.put(data, then)
-        self.held_until = at
-        self.reactor.callLater(at - now, self.put, data, then)
+            return self.write_now(data, then)
+        self.delayed_until = at
+        self.reactor.callLater(at - now, self.write_now, data, then)
 
-    def put(self, data: bytes, then: Callable[[], None] | None = None) -> None:
+    def write_now(self, data: bytes, then: Callable[[], None] | None = None) -> None:
         if self.closed:
             return
         if self.sent is not None:
@@ -93,13 +93,13 @@
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        if self.got is not None:
-            self.got.bytes(data)
-        if not self.weather.silent:
+        if self.received is not None:
+            self.received.bytes(data)
+        if not self.faults.silent:
             super().dataReceived(data)
 
     def connectionLost(self, reason: Any = None) -> None:
-        for recorder in (self.sent, self.got):
+        for recorder in (self.sent, self.received):
             if recorder is not None:
                 recorder.end()
         if self.tape is not None:
--- a/lapistrestle/standins/virtual.py
+++ b/lapistrestle/standins/virtual.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 LATENCY_US = 150  # microseconds one way
-SOCKET = 262_144  # bytes in the socket buffers of both ends together
+SOCKET_BUFFERS = 262_144  # bytes in the socket buffers of both ends together
 TRANSPORT_BUFFER = 65_536  # bytes in a transport's own buffer at which its producer is paused
 
 
@@ -44,7 +44,7 @@
         self.heap: list[tuple[int, int, DelayedCall]] = []
         self.count = 0
         self.ports: dict[int, Listener] = {}
-        self.datagrams: dict[int, Datagrams] = {}
+        self.datagrams: dict[int, DatagramPort] = {}
         # by source and target port: latencies of a datagram's copies; none if it is lost
         self.datagram_delays: Callable[[int, int], list[int]] = lambda source, target: [LATENCY_US]
         self.last_port = 20_000
@@ -110,11 +110,11 @@
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30) -> "Connector":
         connector = Connector(self, port, factory)
-        self.reactor.schedule(2 * LATENCY_US, connector.arrive, timeout)
+        self.reactor.schedule(2 * LATENCY_US, connector.connect, timeout)
         return connector
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "") -> None:
-        protocol.transport = self.reactor.datagrams[port] = Datagrams(self, port, protocol)
+        protocol.transport = self.reactor.datagrams[port] = DatagramPort(self, port, protocol)
 
     def deliver(self, call: Callable[..., Any], *args: Any) -> None:
         """Delivers input to this process; a stalled one gets it when it resumes."""
@@ -172,34 +172,34 @@
     def __init__(self, process: VirtualProcess, port: int, factory: Any) -> None:
         self.process, self.port, self.factory = process, port, factory
         self.wire: VirtualTransport | None = None
-        self.given_up = False
+        self.cancelled = False
 
     def disconnect(self) -> None:
-        self.given_up = True
+        self.cancelled = True
         if self.wire is not None:
             self.wire.loseConnection()
 
-    def arrive(self, timeout: float) -> None:
+    def connect(self, timeout: float) -> None:
         listener = self.process.reactor.ports.get(self.port)
-        if self.given_up or self.process.dead:
+        if self.cancelled or self.process.dead:
             return
         if listener is None or listener.process.dead:
             return self.process.deliver(self.fail, ConnectionRefusedError())  # type: ignore[no-untyped-call]
         here, there = VirtualTransport(self.process, self.port), VirtualTransport(listener.process, self.port)
         here.peer, there.peer, self.wire = there, here, here
         listener.process.deliver(there.accept, listener)
-        self.process.deliver(self.made, here)
+        self.process.deliver(self.connected, here)
 
-    def made(self, wire: "VirtualTransport") -> None:
-        if self.given_up:
+    def connected(self, wire: "VirtualTransport") -> None:
+        if self.cancelled:
             return wire.abortConnection()
         protocol = self.factory.buildProtocol(wire.getPeer())
         if protocol is None:
             return wire.abortConnection()
-        wire.begin(protocol)
+        wire.connect_protocol(protocol)
 
     def fail(self, why: Exception) -> None:
-        if not self.given_up:
+        if not self.cancelled:
             self.factory.clientConnectionFailed(self, Failure(why))  # type: ignore[no-untyped-call]
 
 
@@ -212,10 +212,10 @@
         self.protocol: Any = None
         self.unread: deque[bytes] = deque()  # arrived and not yet read
         self.unread_size = 0
-        self.on_way = 0  # bytes written and not yet read by the peer
+        self.in_flight = 0  # bytes written and not yet read by the peer
         self.reading, self.closed, self.ended = True, False, False
         self.producer: Any = None
-        self.braked = False
+        self.producer_paused = False
         process.transports[self] = None
 
     @property
@@ -228,9 +228,9 @@
         protocol = listener.factory.buildProtocol(self.getPeer())
         if protocol is None:
             return self.abortConnection()
-        self.begin(protocol)
+        self.connect_protocol(protocol)
 
-    def begin(self, protocol: Any) -> None:
+    def connect_protocol(self, protocol: Any) -> None:
         self.protocol = protocol
         protocol.makeConnection(self)
         self.read()
@@ -276,10 +276,14 @@
     def write(self, data: bytes) -> None:
         if self.closed or not data:
             return
-        self.on_way += len(data)
+        self.in_flight += len(data)
         self.reactor.schedule(LATENCY_US, self.peer.arrive, data)
-        if self.producer is not None and not self.braked and self.on_way > SOCKET + TRANSPORT_BUFFER:
-            self.braked = True
+        if (
+            self.producer is not None
+            and not self.producer_paused
+            and self.in_flight > SOCKET_BUFFERS + TRANSPORT_BUFFER
+        ):
+            self.producer_paused = True
             self.producer.pauseProducing()
 
     def arrive(self, data: bytes) -> None:
@@ -292,22 +296,22 @@
         while self.unread and self.reading and self.protocol is not None:
             data = self.unread.popleft()
             self.unread_size -= len(data)
-            self.peer.taken(len(data))
+            self.peer.peer_read(len(data))
             self.protocol.dataReceived(data)
         if self.ended and not self.unread and self.protocol is not None:
             self.lost(ConnectionDone())
         elif self.ended and not self.reading and self.protocol is not None and not self.closed:
             self.closed = True  # writing to a closed peer fails
 
-    def taken(self, size: int) -> None:
-        self.on_way -= size
-        if self.braked and self.on_way <= SOCKET:
-            self.braked = False
+    def peer_read(self, size: int) -> None:
+        self.in_flight -= size
+        if self.producer_paused and self.in_flight <= SOCKET_BUFFERS:
+            self.producer_paused = False
             if self.producer is not None and not self.closed:
-                self.reactor.schedule(LATENCY_US, self.process.deliver, self.ease)
+                self.reactor.schedule(LATENCY_US, self.process.deliver, self.resume_producer)
 
-    def ease(self) -> None:
-        if self.producer is not None and not self.closed and not self.braked:
+    def resume_producer(self) -> None:
+        if self.producer is not None and not self.closed and not self.producer_paused:
             self.producer.resumeProducing()
 
     # flow control and socket options
@@ -332,15 +336,15 @@
     def setTcpNoDelay(self, enabled: bool) -> None: ...
 
 
-class Datagrams:
+class DatagramPort:
     def __init__(self, process: VirtualProcess, port: int, protocol: Any) -> None:
         self.process, self.port, self.protocol = process, port, protocol
 
     def write(self, data: bytes, address: tuple[str, int]) -> None:
         for delay in self.process.reactor.datagram_delays(self.port, address[1]):
-            self.process.reactor.schedule(delay, self.pass_on, data, address[1])
+            self.process.reactor.schedule(delay, self.deliver, data, address[1])
 
-    def pass_on(self, data: bytes, port: int) -> None:
+    def deliver(self, data: bytes, port: int) -> None:
         there = self.process.reactor.datagrams.get(port)
         if there is not None:
             there.process.deliver(there.protocol.datagramReceived, data, ("127.0.0.1", self.port))
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -19,14 +19,14 @@
 from lapistrestle.standins.operator import Operator
 from lapistrestle.standins.roster import RosterStandIn
 from lapistrestle.standins.runner import RunnerStandIn, TokenRegistry, VersionFault
-from lapistrestle.standins.script import Day, Machines
+from lapistrestle.standins.script import Day, RunnerGroup
 from lapistrestle.standins.store import PackageStore, StoreSpec
 from lapistrestle.standins.tape import Tape
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.messages import RosterEntry
 from lapistrestle.wire.plans import RolloutCommand
 
-FLEET = 46_000  # first port for gossip between edges, in virtual time
+FIRST_GOSSIP_PORT = 46_000  # first port for gossip between edges, in virtual time
 
 
 class EdgeHandle(Protocol):
@@ -51,7 +51,7 @@
 
     name: str
     kind: str
-    machines: Machines
+    machines: RunnerGroup
     zone: str
     cell: int
     facts: RunnerSpec
@@ -102,7 +102,7 @@
         self.loads: dict[str, float] = {}
         self.version_faults: dict[str, VersionFault] = {}
         self.slots = self.fleet()
-        self.functions = self.catalogue()
+        self.functions = self.make_functions()
         weights = [1 / (i + 1) ** day.traffic.popularity for i in range(len(self.functions))]
         self.weights = list(accumulate(weights))
         traffic = day.traffic
@@ -111,7 +111,7 @@
         self.clients = ClientPool(reactor, habits, day.seed + 1, self.tape)
         self.make_planner, self.folder = make_planner, folder
         self.links = DatagramLinks(day.seed + 2)  # gossip between edges
-        self.fleet_ports = self.told_ports = [FLEET + i for i in range(day.edges)]
+        self.fleet_ports = self.told_ports = [FIRST_GOSSIP_PORT + i for i in range(day.edges)]
         if relayed and deployment.fleet.name:
             self.fleet_ports = free_udp_ports(day.edges)
             self.told_ports = relay(reactor, self.links, self.fleet_ports)
@@ -120,25 +120,25 @@
             self.directory = DirectoryHolders(reactor, self.tape, deployment, self.roster.port, holders)
         self.planner: EdgeHandle | None = None
         if day.rollouts and make_planner is not None:
-            self.begin_planner()
+            self.start_planner()
         self.edges = [make_edge(self.edge_deployment(i), 0) for i in range(day.edges)]
         self.make_edge = make_edge
-        self.still: Counter[EdgeHandle] = Counter()  # number of faults by which each edge is stalled
-        self.rate, self.hot, self.scan = 1.0, 0.0, 0.0  # faults of the traffic
+        self.stall_counts: Counter[EdgeHandle] = Counter()  # number of faults by which each edge is stalled
+        self.rate_factor, self.hot_share, self.scan_share = 1.0, 0.0, 0.0  # faults of the traffic
         self.hot_functions: list[Function] = []
         self.count = self.one_offs = 0
-        self.over = False
+        self.traffic_stopped = False
         self.operator: Operator | None = None
 
     # building
 
-    def begin_planner(self) -> None:
+    def start_planner(self) -> None:
         assert self.make_planner is not None
         self.planner = self.make_planner()
         self.planner.start()
         self.deployment.planner = Planner(port=self.planner.port())
 
-    def roll_out(self) -> None:
+    def schedule_rollouts(self) -> None:
         """Schedules the commands of the day's rollouts; an operator sends each until it is answered."""
         operator = self.operator = Operator(self.reactor, lambda: self.deployment.planner.port, self.tape)
         for version in self.day.rollouts:
@@ -206,7 +206,7 @@
                 name = f"{kind}-{number}"
                 runner = self.boot(name, 0, facts, tokens, cold=False)
                 slots.append(Slot(name, kind, machines, zone, cell, facts, tokens, runner))
-                self.note(slots[-1], "serving", now=True)
+                self.record_status(slots[-1], "serving", now=True)
                 self.tape.put(runner.start, "place", runner=name, zone=zone, cell=cell)
         return slots
 
@@ -214,30 +214,30 @@
         self, name: str, start: int, facts: RunnerSpec, tokens: TokenRegistry, cold: bool
     ) -> RunnerStandIn:
         workers = self.deployment.workers
-        tells: set[str] = {workers.reports}
-        tells |= {"warm"} if workers.tells_warm else set()
-        tells |= {"company"} if workers.tells_company else set()
+        reported: set[str] = {workers.reports}
+        reported |= {"warm"} if workers.tells_warm else set()
+        reported |= {"company"} if workers.tells_company else set()
         made = RunnerStandIn(
-            self.reactor, name, start, facts, self.store, tokens, self.tape, cold, 0, frozenset(tells),
-            self.loads, lambda runner: self.lost(runner),
+            self.reactor, name, start, facts, self.store, tokens, self.tape, cold, 0, frozenset(reported),
+            self.loads, lambda runner: self.on_collapse(runner),
         )  # fmt: skip
-        made.faults = self.version_faults
+        made.version_faults = self.version_faults
         return made
 
-    def lost(self, runner: RunnerStandIn) -> None:
+    def on_collapse(self, runner: RunnerStandIn) -> None:
         """A runner collapsed: the roster records that its process is gone."""
         for slot in self.slots:
             if slot.runner is runner:
-                self.note(slot, "gone")
+                self.record_status(slot, "gone")
 
-    def note(self, slot: Slot, listing: Any, now: bool = False) -> None:
+    def record_status(self, slot: Slot, listing: Any, now: bool = False) -> None:
         size = slot.machines.cores * slot.machines.speed
         entry = RosterEntry(
             slot.name, slot.runner.port, slot.zone, slot.cell, slot.kind, size, listing, slot.runner.start
         )
         self.roster.record(entry, slot.runner.engine.booted, now)
 
-    def catalogue(self) -> list[Function]:
+    def make_functions(self) -> list[Function]:
         mixes, made = self.day.traffic.methods, []
         methods = self.random.choices(
             list(mixes), [m.share for m in mixes.values()], k=max(self.day.traffic.functions, len(mixes))
@@ -263,50 +263,50 @@
             self.directory.start()
         for edge in self.edges:
             edge.start()
-        self.clients.links = self.lines()
+        self.clients.links = self.make_links()
 
-    def begin_traffic(self) -> None:
+    def start_traffic(self) -> None:
         """Starts the clients' traffic and schedules the rollouts."""
-        self.reactor.callLater(0.5, self.next_wish)
+        self.reactor.callLater(0.5, self.submit_and_schedule)
         if self.planner is not None:
-            self.roll_out()
+            self.schedule_rollouts()
 
     def up(self) -> bool:
         """Whether clients are connected to every edge, and every holder listens."""
-        lines = all(line.up is not None for line in self.clients.links)
+        lines = all(line.active_connection is not None for line in self.clients.links)
         return lines and (self.directory is None or self.directory.up())
 
-    def lines(self) -> list[EdgeLink]:
+    def make_links(self) -> list[EdgeLink]:
         return [EdgeLink(self.clients, e.name, e.port) for e in self.edges]
 
-    def next_wish(self) -> None:
+    def submit_and_schedule(self) -> None:
         """Submits a client's request and schedules the next: Poisson arrivals."""
-        if self.over:
+        if self.traffic_stopped:
             return
-        self.wish()
-        gap = self.random.expovariate(self.day.traffic.rate * self.rate)
-        self.reactor.callLater(gap, self.next_wish)
+        self.submit_request()
+        gap = self.random.expovariate(self.day.traffic.rate * self.rate_factor)
+        self.reactor.callLater(gap, self.submit_and_schedule)
 
-    def pick(self) -> Function:
+    def pick_function(self) -> Function:
         draw = self.random.random()
-        if draw < self.scan:
+        if draw < self.scan_share:
             self.one_offs += 1
             return self.function(f"once-{self.one_offs}", self.random.choice(self.functions).method)
-        if draw < self.scan + self.hot and self.hot_functions:
+        if draw < self.scan_share + self.hot_share and self.hot_functions:
             return self.random.choice(self.hot_functions)
         return self.random.choices(self.functions, cum_weights=self.weights)[0]
 
-    def wish(self) -> None:
-        function, deployment = self.pick(), self.deployment
+    def submit_request(self) -> None:
+        function, deployment = self.pick_function(), self.deployment
         method, mix = deployment.methods[function.method], self.day.traffic.methods[function.method]
         self.count += 1
         work = self.random.gammavariate(4.0, mix.work / 10 / 4.0)
-        stray = self.day.traffic.hints
-        hint = round(work * self.random.uniform(1 - stray, 1 + stray), 1) if stray < 1 else None
+        spread = self.day.traffic.hints
+        hint = round(work * self.random.uniform(1 - spread, 1 + spread), 1) if spread < 1 else None
         customers = deployment.customers
         shares = [max(c.share, 1e-9) for c in customers.values()]
         customer = self.random.choices(list(customers), shares)[0] if customers else ""
-        wish = ClientRequest(
+        request = ClientRequest(
             f"op{self.count}",
             function.name,
             function.method,
@@ -322,11 +322,11 @@
             self.reactor.seconds(),
             abuses=bool(self.clients.behaviour.abuse) and self.random.random() < self.clients.behaviour.abuse,
         )
-        self.clients.submit(wish)
+        self.clients.submit(request)
 
     # used by faults
 
-    def some(self, share: float, zone: str = "") -> list[Slot]:
+    def pick_runners(self, share: float, zone: str = "") -> list[Slot]:
         """A random share of the running runners, at least one; all in the zone if one is named."""
         up = [s for s in self.slots if s.up and zone in ("", s.zone)]
         return up if zone else self.random.sample(up, min(len(up), max(1, round(share * len(up)))))
@@ -334,21 +334,21 @@
     def kill(self, slot: Slot) -> None:
         if slot.up:
             slot.runner.kill()
-            self.note(slot, "gone")
+            self.record_status(slot, "gone")
 
     def drain(self, slot: Slot) -> None:
         if slot.up and not slot.runner.engine.draining:
             slot.runner.drain()
-            self.note(slot, "draining")
+            self.record_status(slot, "draining")
 
-    def back(self, slot: Slot) -> None:
+    def restart(self, slot: Slot) -> None:
         """Restarts a runner under the same name, cold and on another port."""
         if slot.up:
             self.kill(slot)
         slot.starts += 1
         slot.runner = self.boot(slot.name, slot.starts, slot.facts, slot.tokens, cold=True)
         self.tape.put(slot.runner.start, "place", runner=slot.name, zone=slot.zone, cell=slot.cell)
-        self.note(slot, "serving")
+        self.record_status(slot, "serving")
 
     def restart_edge(self, number: int) -> None:
         deployment = self.edge_deployment(number)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -22,7 +22,7 @@
     differences,
     missing_runs,
     plan_runs,
-    put,
+    set_path,
 )
 
 DAY: dict[str, Any] = {"name": "d", "traffic": {"rate": 10}, "troubles": [{"kind": "crash"}]}
@@ -38,11 +38,11 @@
 
 def test_a_path_may_name_a_setting_left_at_its_default_or_an_item_of_a_list() -> None:
     day: dict[str, Any] = {"troubles": [{"kind": "crash"}]}
-    put(day, "store.fetches", 4)
-    put(day, "troubles.0.share", 0.5)
+    set_path(day, "store.fetches", 4)
+    set_path(day, "troubles.0.share", 0.5)
     assert day == {"troubles": [{"kind": "crash", "share": 0.5}], "store": {"fetches": 4}}
     with pytest.raises(DeploymentError, match=r"vary.troubles.7.share"):
-        put(day, "troubles.7.share", 1)
+        set_path(day, "troubles.7.share", 1)
 
 
 def test_the_key_of_a_run_depends_on_its_settings_only() -> None:
