--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -107,9 +107,7 @@
         return prefix is not None
 
     def wait(self, pending: PendingRequest) -> None:
-        """Have a request wait for `PrefixReady`, `LookupFailed` (within the look-up timeout) or its
-        deadline.
-        """
+        """Have a request wait for `PrefixReady`, `LookupFailed` or its deadline, whichever comes first."""
         self.waiting_requests.add(pending)
         self.carry_out_effects()
 
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -81,9 +81,7 @@
         return False
 
     def loads_in_progress(self) -> int:
-        """Loads in progress for this edge: one for each function and worker, however many calls
-        wait for it.
-        """
+        """Loads in progress for this edge: one per function and worker, whatever the calls that wait."""
         return sum(worker.functions_loading for worker in self.edge.host.module.endpoints.workers)
 
     def start(self) -> None:
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -41,9 +41,7 @@
         self.dial.connections.message_received(self.dial, message)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """Close the connection: the line may have announced a drain, so the watches restart on
-        another one.
-        """
+        """Close the connection, as the line may have announced a drain; another one restarts its watches."""
         self.dial.connections.edge.message_ignored("holder", why)
         super().unreadable_line_received(line, why)
 
--- a/lapistrestle/edge/planner_source.py
+++ b/lapistrestle/edge/planner_source.py
@@ -135,9 +135,7 @@
         self.persist_plan()
 
     def withdraw_version(self, name: str) -> None:
-        """Stop using a barred version: RPCs not sent to it yet go to the settled one, its copies
-        are unloaded.
-        """
+        """Move RPCs that were not sent to a barred version to the settled one, and unload its copies."""
         function = self.owner.host.registry.functions.get(name)
         for client in list(self.owner.client_connections):
             for pending in list(client.open_requests.values()):
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -43,9 +43,7 @@
         self, reactor: Any, deployment: Deployment, log: Log, seed: int | None = None,
         make: Callable[..., Any] = Dispatcher, boot: int | None = None, nonce: int = 0,
     ) -> None:  # fmt: skip
-        """`boot` and `nonce` distinguish this start of the process from others of the same name in
-        a fleet.
-        """
+        """In a fleet, `boot` and `nonce` distinguish this start of the process from earlier ones."""
         dispatcher = deployment.dispatcher
         self.deployment, self.bounds = deployment, line_bounds(deployment.listen)
         self.methods = {name: i for i, name in enumerate(deployment.methods)}
--- a/lapistrestle/edge/runners.py
+++ b/lapistrestle/edge/runners.py
@@ -88,9 +88,7 @@
             self.runner.message_received(message)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """Ignore the line, so that other calls are not affected; a call that it may have ended will
-        time out.
-        """
+        """Ignore the line: other calls are not affected, and one that it may have ended will time out."""
         if self.runner:
             self.runner.edge.message_ignored(self.runner.state_machine.name, why)
 
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -30,7 +30,7 @@
         """Apply a worker list (`whole`) or a change to it."""
         if whole:
             self.states.clear()
-        self.states.update((facts.name, facts.endpoint_state) for facts in workers)
+        self.states.update((worker.name, worker.endpoint_state) for worker in workers)
 
     def may_start(self, work: WorkerCall | WorkerTask, runner: Any) -> bool:
         """Whether work may start at this runner.
--- a/lapistrestle/node/client_connection.py
+++ b/lapistrestle/node/client_connection.py
@@ -15,7 +15,7 @@
 PAUSE_TRUSTED = 500  # ticks of 0.1 ms after a pause of reading until the client may have aborted unnoticed
 MAX_DISCARDED = 262_144  # bytes that a connection being closed may still send, without open requests
 MAX_DISCARDED_WHILE_OPEN = 67_108_864  # the same with open requests: more than the longest body
-DISCARDING_TIME_OUT = 20_000  # ticks after which requests on an unreadable connection are aborted
+DISCARDING_TIMEOUT = 20_000  # ticks after which requests on an unreadable connection are aborted
 MAX_BUFFERED = 65_536  # bytes of incomplete requests that one connection may hold when memory runs short
 STATUS = {RequestEnd.OK: 200, RequestEnd.REJECTED: 503, RequestEnd.ABORTED: 500}  # of a final answer
 TOO_LARGE = (413, 431)  # statuses after which the connection is closed
@@ -112,8 +112,8 @@
         events = self.reader.feed(data)
         for event in events:
             # the kernel knows the age of the last bytes only; earlier ones may be as old as the previous poll
-            newest = event is events[-1] and len(data) < READ_SIZE
-            self.receive_delay = receive_delay if newest else longest
+            is_newest = event is events[-1] and len(data) < READ_SIZE
+            self.receive_delay = receive_delay if is_newest else longest
             if self.dead:
                 return
             match event:
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -19,11 +19,11 @@
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.ticks import MILLISECOND, SECOND
 
-HEARTBEAT_TIME_OUT = 22_000  # two heartbeats were missed
-FIRST_FRAME_TIME_OUT = 12_000  # on a new watch, the first heartbeat was missed
-CHECK_INTERVAL = HEARTBEAT_TIME_OUT // 8
+HEARTBEAT_TIMEOUT = 22_000  # two heartbeats were missed
+FIRST_FRAME_TIMEOUT = 12_000  # on a new watch, the first heartbeat was missed
+CHECK_INTERVAL = HEARTBEAT_TIMEOUT // 8
 RECONNECT_PAUSE = 1_000
-CONNECT_TIME_OUT = 5_000
+CONNECT_TIMEOUT = 5_000
 PROGRESS_BYTES = 1_024  # a read of this size counts as a sign of life: part of a long snapshot
 
 RevisionOrder = Enum("RevisionOrder", "REPEATED NEXT GAP")
@@ -126,7 +126,7 @@
     def start(self) -> None:
         """Apply the list in the configuration, and start to watch the board."""
         self.apply_known(self.configuration.file.known)
-        self.core.after(HEARTBEAT_TIME_OUT, self.check_heartbeat, None)
+        self.core.after(HEARTBEAT_TIMEOUT, self.check_heartbeat, None)
         self.connect()
 
     def follow(self) -> None:
@@ -188,7 +188,7 @@
         except OSError:
             self.core.after(RECONNECT_PAUSE, self.connect, None)
             return
-        self.core.after(CONNECT_TIME_OUT, self.watch.connect_timed_out, None)
+        self.core.after(CONNECT_TIMEOUT, self.watch.connect_timed_out, None)
         self.watch.start()
 
     def watch_lost(self, watch: Watch, reason: str) -> None:
@@ -207,7 +207,7 @@
     def check_heartbeat(self, _: object) -> None:
         """Drop a watch that has been silent for too long."""
         watch = self.watch
-        time_out = HEARTBEAT_TIME_OUT if watch is not None and watch.is_answered else FIRST_FRAME_TIME_OUT
+        time_out = HEARTBEAT_TIMEOUT if watch is not None and watch.is_answered else FIRST_FRAME_TIMEOUT
         if watch is not None and not watch.dialling and self.core.clock() - watch.last_received >= time_out:
             watch.drop("silence")
         if not self.stopped:
--- a/lapistrestle/node/front.py
+++ b/lapistrestle/node/front.py
@@ -1,5 +1,7 @@
-"""The front of the platform: web servers that speak FastCGI. Requests are checked strictly (`invocation`):
-what can't be used gets its answer at once and meets neither the module nor a runner.
+"""The front of the platform's dispatcher: connections of web servers, in FastCGI.
+
+Requests are validated strictly (`invocation`); an invalid one is answered at once and reaches neither the
+module nor a runner.
 """
 
 import socket
@@ -10,7 +12,7 @@
 from lapistrestle.edge.core import Core
 from lapistrestle.hosting.requests import PendingRequest
 from lapistrestle.node import fastcgi
-from lapistrestle.node.client_connection import DISCARDING_TIME_OUT, ClientConnection, Phase
+from lapistrestle.node.client_connection import DISCARDING_TIMEOUT, ClientConnection, Phase
 from lapistrestle.node.configuration import Configuration, split_address
 from lapistrestle.node.invocation import InvalidRequestError, Invocation, InvocationParser
 from lapistrestle.node.runner_connection import RunnerConnection
@@ -19,11 +21,11 @@
 
 # Ticks of 0.1 ms:
 DEADLINE_MARGIN = 60  # taken off a request's deadline, for the answer's way back and the event loop
-FIRST_REQUEST_TIME = 5_000  # for which a new connection's first request may be in transit
-FIRST_REQUEST_TIME_OUT = 20_000  # after which a connection without a complete request is closed
-IDLE_TIME_OUT = 60_000  # after which idle connections are closed; well-behaved clients close theirs earlier
+FIRST_REQUEST_TRANSIT = 5_000  # for which a new connection's first request may be in transit
+FIRST_REQUEST_TIMEOUT = 20_000  # after which a connection without a complete request is closed
+IDLE_TIMEOUT = 60_000  # after which idle connections are closed; well-behaved clients close theirs earlier
 SWEEP_INTERVAL = 2_500  # between two sweeps for connections to close
-CLOSING_TIME_OUT = 10_000  # for which a connection being closed is still read
+CLOSING_TIMEOUT = 10_000  # for which a connection being closed is still read
 
 CLIENT_SOCKETS_SHARE = (9, 20)  # the fraction of the process's sockets for clients
 CLOSING_DIVISOR = 8  # one in so many of these is for connections being closed
@@ -95,9 +97,7 @@
         self.drain_listener()
 
     def drain_listener(self) -> bool:
-        """Close the listener if its accept queue can be emptied; False if that fails for lack of
-        descriptors.
-        """
+        """Accept all waiting connections and close the listener; False if there are no descriptors left."""
         if self.listener is not None and not self.listener.closed and self.listener.accept_all():
             self.listener.close()
         return self.listener is None or self.listener.closed
@@ -145,9 +145,7 @@
         return len(self.connections) < self.max_connections or self.evict_idle()
 
     def answer_over_limit(self, connection: ClientConnection) -> None:
-        """Keep a connection beyond the limit for a while, to reject its first request, which may be
-        in transit.
-        """
+        """Keep a connection beyond the limit for a while, and reject its first request if that arrives."""
         self.connections.pop(connection, None)
         self.idle.pop(connection, None)
         connection.is_over_limit = True
@@ -156,9 +154,7 @@
         self.keep_closing(connection)
 
     def admit(self, connection: ClientConnection) -> None:
-        """Serve a connection that was over the limit, as its first request has come, if there is
-        room by now.
-        """
+        """Serve a connection that was over the limit if there is room when its first request arrives."""
         connection.is_over_limit = False
         del self.closing[connection]
         if self.has_room():
@@ -174,12 +170,10 @@
             self.keep_closing(connection)
 
     def keep_closing(self, connection: ClientConnection) -> None:
-        """Keep a connection that is being closed for CLOSING_TIME_OUT; the oldest goes if there are
-        too many.
-        """
+        """Keep a connection for CLOSING_TIMEOUT while it closes; if there are too many, drop the oldest."""
         if len(self.closing) >= self.max_closing:
             next(iter(self.closing)).close_now("evicted for another connection")
-        self.closing[connection] = self.core.clock() + CLOSING_TIME_OUT
+        self.closing[connection] = self.core.clock() + CLOSING_TIMEOUT
 
     def free_descriptor(self) -> bool:
         """Close one connection to free a descriptor; False if there is none to close."""
@@ -196,16 +190,16 @@
         first request may be in transit, is evicted only if there is no other, and treated as over the limit.
         """
         now = self.core.clock()
-        free = [connection for connection in self.idle if not connection.reader.partial]
-        old = [
+        without_partial = [connection for connection in self.idle if not connection.reader.partial]
+        settled = [
             connection
-            for connection in free
-            if connection.has_sent_request or now - connection.idle_since > FIRST_REQUEST_TIME
+            for connection in without_partial
+            if connection.has_sent_request or now - connection.idle_since > FIRST_REQUEST_TRANSIT
         ]
-        never_used = [connection for connection in old if not connection.has_sent_request]
-        for connection in never_used or old or free or list(self.idle):
+        never_used = [connection for connection in settled if not connection.has_sent_request]
+        for connection in never_used or settled or without_partial or list(self.idle):
             if self.is_unused(connection):
-                if connection.has_sent_request or now - connection.idle_since > FIRST_REQUEST_TIME:
+                if connection.has_sent_request or now - connection.idle_since > FIRST_REQUEST_TRANSIT:
                     connection.drop("evicted for another connection")
                 else:
                     self.answer_over_limit(connection)
@@ -233,20 +227,20 @@
             self.check_connection(connection, now)
         while self.closing and next(iter(self.closing.values())) <= now:
             next(iter(self.closing)).close_now("not closed by the client in time")
-        over = [
+        finished = [
             tag for tag, pending in self.unfinished.items() if pending.is_closed and not pending.in_flight
         ]
-        for tag in over:
+        for tag in finished:
             self.unfinished.pop(tag).attempts.clear()  # breaks a reference cycle
         self.core.after(SWEEP_INTERVAL, self.sweep, None)
 
     def check_connection(self, connection: ClientConnection, now: int) -> None:
         """Close a connection that does not read, does not complete its request, or is idle for too long."""
-        if connection.unread_time(now) > IDLE_TIME_OUT:
+        if connection.unread_time(now) > IDLE_TIMEOUT:
             connection.drop("does not read")
-        elif connection.phase is Phase.DISCARDING and now - connection.phase_since > DISCARDING_TIME_OUT:
+        elif connection.phase is Phase.DISCARDING and now - connection.phase_since > DISCARDING_TIMEOUT:
             self.core.host.abort_all(list(connection.requests.values()))
-        elif connection.oldest_partial and now - connection.partial_since > FIRST_REQUEST_TIME_OUT:
+        elif connection.oldest_partial and now - connection.partial_since > FIRST_REQUEST_TIMEOUT:
             connection.reject_partial(408)
             connection.begin_close(Phase.REJECTING)
         elif connection.requests or connection.oldest_partial:
@@ -256,7 +250,7 @@
 
     def idle_limit(self, connection: ClientConnection) -> int:
         """How long a connection may be without an open request, in ticks."""
-        return IDLE_TIME_OUT if connection.has_sent_request else FIRST_REQUEST_TIME_OUT
+        return IDLE_TIMEOUT if connection.has_sent_request else FIRST_REQUEST_TIMEOUT
 
     def seen_recently(self, tag: str) -> bool:
         """Whether a request of this id was received within the preload window.
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -23,7 +23,7 @@
 # A configuration that can't be used is read again at this interval, for this time. Events of another board
 # that it names count as notified 4 s after the signal.
 RELOAD_INTERVAL = 1_000
-RELOAD_TIME_OUT = 60_000
+RELOAD_TIMEOUT = 60_000
 
 
 @dataclass(frozen=True)
@@ -77,7 +77,7 @@
         except ConfigurationError as error:
             if not reload.tries:
                 self.core.log("configuration refused, the old one holds", reason=str(error))
-            if reload.tries < RELOAD_TIME_OUT // RELOAD_INTERVAL:
+            if reload.tries < RELOAD_TIMEOUT // RELOAD_INTERVAL:
                 again = Reload(reload.number, reload.tries + 1, reload.read)
                 self.core.after(RELOAD_INTERVAL, self.try_reload, again)
 
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -35,9 +35,7 @@
         """Does nothing: a runner is dialled on first use, as most dispatchers never use most runners."""
 
     def removed(self) -> None:
-        """Handle the removal from the list: calls may still finish, preloads and health checks are
-        dropped.
-        """
+        """Handle the removal from the list: drop preloads and health checks; calls may still finish."""
         for connection in list(self.connections):
             connection.end_tasks()
             connection.state_machine.step(ConnectionEvent.REMOVED)
