--- a/lapistrestle/edge/clients.py
+++ b/lapistrestle/edge/clients.py
@@ -55,7 +55,7 @@
         self.read_at = self.edge.clock()
         match message:
             case wire.Call():
-                self.call(message)
+                self.call_received(message)
             case wire.CancelRequest():
                 pending = self.open_requests.pop(message.id, None)
                 if pending is not None:
@@ -72,7 +72,7 @@
             return self.send_message(wire.Fault(NOT_AVAILABLE[what]))
         self.send_message(wire.InspectResponse(msgspec.Raw(msgspec.json.encode(shown.show()))))
 
-    def call(self, call: wire.Call) -> None:
+    def call_received(self, call: wire.Call) -> None:
         """Check a call, route it to a version, and hand it to the host unless it is rejected."""
         edge = self.edge
         if call.id in self.open_requests:
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -87,7 +87,7 @@
         self.counts = dict.fromkeys(("turned away", "unreadable", "passed over", NOT_STARTED), 0)
         self.stopping = False
         self.dial_on_first_use = False  # connect to a runner on first use instead of when it is listed
-        self.stopped: Callable[[], None] | None = None
+        self.on_stopped: Callable[[], None] | None = None
         # set once all requests were aborted: the deadline for sending their answers
         self.answer_flush_deadline: int | None = None
         self.inputs_received = 0  # network inputs processed so far
@@ -286,7 +286,7 @@
                 else self.answer_flush_deadline
             )
             return self.check_finished()
-        self.stopping, self.stopped = True, stopped
+        self.stopping, self.on_stopped = True, stopped
         self.log("stopping", open=self.host.open_requests)
         self.front.close()
         self.check_finished()
@@ -299,7 +299,7 @@
         self.after(FINISH_CHECK_INTERVAL, self.check_finished, None)
 
     def finish(self) -> None:
-        stopped, self.stopped = self.stopped, None
+        stopped, self.on_stopped = self.on_stopped, None
         if stopped is None:
             return
         self.log("stopped", **self.host.counts, **self.counts)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -292,6 +292,6 @@
             self.gossip.send(peer, text)
 
     def finish(self) -> None:
-        if self.stopped is not None and self.learned_state_file is not None:
+        if self.on_stopped is not None and self.learned_state_file is not None:
             self.learned_state_file.write()
         super().finish()
--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -109,6 +109,7 @@
         now = core.clock()
         age = configuration.age(time.time())
         grace = core.settings.drain_grace
+        # a list of unknown age is not usable until the board answers
         self.freshness = ListFreshness(grace, now - 1 if age is None else now - age + grace)
         self.was_usable = False  # the last result of `is_current`
         self.watch: Watch | None = None
@@ -130,7 +131,7 @@
         self.connect()
 
     def follow(self) -> None:
-        """Does nothing: the board is always watched."""
+        """Do nothing: the board is always watched."""
 
     def read_now(self) -> None:
         """Process unread data of the watch."""
@@ -140,9 +141,8 @@
     def is_current(self) -> bool:
         """Whether the list is recent enough for new work; a change of that is logged."""
         now = self.core.clock()
-        usable = self.address is None or self.freshness.is_usable(
-            now
-        )  # without a board there are no notifications
+        # without a board no events can be missed
+        usable = self.address is None or self.freshness.is_usable(now)
         if usable is not self.was_usable:
             self.was_usable = usable
             event = "list usable" if usable else "list too old for new work"
@@ -150,7 +150,7 @@
         return usable
 
     def stop(self) -> None:
-        """End the watch for good."""
+        """End the watch, and start no other."""
         self.stopped = True
         if self.watch is not None:
             self.watch.drop("the dispatcher ends")
--- a/lapistrestle/node/program.py
+++ b/lapistrestle/node/program.py
@@ -94,5 +94,5 @@
 
     def cut_short(self, stopped: Any) -> None:
         """Abort the open requests, as SIGKILL may come soon."""
-        if not self.core.stopping or self.core.stopped is not None:
+        if not self.core.stopping or self.core.on_stopped is not None:
             self.core.stop(stopped)
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -300,7 +300,7 @@
         self.release()
 
     def schedule_redial(self, delay: int) -> None:
-        """Does nothing: a lost connection is not dialled again; the pool opens another when needed."""
+        """Do nothing: a lost connection is not dialled again; the pool opens another when needed."""
 
     def report_unreachable(self, numbers: list[int]) -> None:
         """Report lines as unreachable: the connection was not established."""
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -32,7 +32,7 @@
     # core.RunnerHandle
 
     def added(self) -> None:
-        """Does nothing: a runner is dialled on first use, as most dispatchers never use most runners."""
+        """Do nothing: a runner is dialled on first use, as most dispatchers never use most runners."""
 
     def removed(self) -> None:
         """Handle the removal from the list: drop preloads and health checks; calls may still finish."""
