--- a/lapistrestle/node/discovery.py
+++ b/lapistrestle/node/discovery.py
@@ -19,11 +19,11 @@
 from lapistrestle.policy.types import EndpointState, WorkerInfo
 from lapistrestle.ticks import MILLISECOND, SECOND
 
-HEARTBEAT_TIME_OUT = 22_000  # two heartbeats were missed
-FIRST_FRAME_TIME_OUT = 12_000  # on a new watch, the first heartbeat was missed
-CHECK_INTERVAL = HEARTBEAT_TIME_OUT // 8
+HEARTBEAT_TIMEOUT = 22_000  # two heartbeats were missed
+FIRST_FRAME_TIMEOUT = 12_000  # on a new watch, the first heartbeat was missed
+CHECK_INTERVAL = HEARTBEAT_TIMEOUT // 8
 RECONNECT_PAUSE = 1_000
-CONNECT_TIME_OUT = 5_000
+CONNECT_TIMEOUT = 5_000
 PROGRESS_BYTES = 1_024  # a read of this size counts as a sign of life: part of a long snapshot
 
 RevisionOrder = Enum("RevisionOrder", "REPEATED NEXT GAP")
@@ -109,6 +109,7 @@
         now = core.clock()
         age = configuration.age(time.time())
         grace = core.settings.drain_grace
+        # a list of unknown age is not usable until the board answers
         self.freshness = ListFreshness(grace, now - 1 if age is None else now - age + grace)
         self.was_usable = False  # the last result of `is_current`
         self.watch: Watch | None = None
@@ -126,11 +127,11 @@
     def start(self) -> None:
         """Apply the list in the configuration, and start to watch the board."""
         self.apply_known(self.configuration.file.known)
-        self.core.after(HEARTBEAT_TIME_OUT, self.check_heartbeat, None)
+        self.core.after(HEARTBEAT_TIMEOUT, self.check_heartbeat, None)
         self.connect()
 
     def follow(self) -> None:
-        """Does nothing: the board is always watched."""
+        """Do nothing: the board is always watched."""
 
     def read_now(self) -> None:
         """Process unread data of the watch."""
@@ -140,9 +141,8 @@
     def is_current(self) -> bool:
         """Whether the list is recent enough for new work; a change of that is logged."""
         now = self.core.clock()
-        usable = self.address is None or self.freshness.is_usable(
-            now
-        )  # without a board there are no notifications
+        # without a board no events can be missed
+        usable = self.address is None or self.freshness.is_usable(now)
         if usable is not self.was_usable:
             self.was_usable = usable
             event = "list usable" if usable else "list too old for new work"
@@ -150,7 +150,7 @@
         return usable
 
     def stop(self) -> None:
-        """End the watch for good."""
+        """End the watch, and start no other."""
         self.stopped = True
         if self.watch is not None:
             self.watch.drop("the dispatcher ends")
@@ -188,7 +188,7 @@
         except OSError:
             self.core.after(RECONNECT_PAUSE, self.connect, None)
             return
-        self.core.after(CONNECT_TIME_OUT, self.watch.connect_timed_out, None)
+        self.core.after(CONNECT_TIMEOUT, self.watch.connect_timed_out, None)
         self.watch.start()
 
     def watch_lost(self, watch: Watch, reason: str) -> None:
@@ -207,7 +207,7 @@
     def check_heartbeat(self, _: object) -> None:
         """Drop a watch that has been silent for too long."""
         watch = self.watch
-        time_out = HEARTBEAT_TIME_OUT if watch is not None and watch.is_answered else FIRST_FRAME_TIME_OUT
+        time_out = HEARTBEAT_TIMEOUT if watch is not None and watch.is_answered else FIRST_FRAME_TIMEOUT
         if watch is not None and not watch.dialling and self.core.clock() - watch.last_received >= time_out:
             watch.drop("silence")
         if not self.stopped:
