--- a/lapistrestle/directory/cached_instances.py
+++ b/lapistrestle/directory/cached_instances.py
@@ -34,12 +34,12 @@
 
 
 @dataclass(slots=True)
-class WatchEvent:
+class CacheChanges:
     """Changes in the cache since the last `take_event`; the dicts are ordered sets of names."""
 
     changed: dict[str, RosterEntry] = field(default_factory=dict)
     gone: dict[str, None] = field(default_factory=dict)
-    forgotten: dict[str, None] = field(default_factory=dict)
+    evicted: dict[str, None] = field(default_factory=dict)
     functions: dict[str, None] = field(default_factory=dict)  # functions whose prefix has to be published
 
 
@@ -52,20 +52,20 @@
         self.known = dict[str, CachedInstance]()
         self.retired = dict[str, CachedInstance]()  # in no prefix any more, oldest first
         self.floor: Revision | None = None  # snapshots of an older revision are rejected
-        self.event = WatchEvent()
+        self.changes = CacheChanges()
 
-    def take_event(self) -> WatchEvent:
+    def take_changes(self) -> CacheChanges:
         """Return the changes since the last call."""
-        event = self.event
-        self.event = WatchEvent()
-        return event
+        changes = self.changes
+        self.changes = CacheChanges()
+        return changes
 
     def apply_entry(self, entry: RosterEntry, revision: Revision, now: int) -> None:
         """Apply an entry received from a holder; one with an older revision is ignored."""
         known = self.known.get(entry.name) or self.restore(entry.name, now)
         if known is None:
             self.known[entry.name] = CachedInstance(entry, revision, now)
-            self.event.changed[entry.name] = entry
+            self.changes.changed[entry.name] = entry
             return
         if self.revisions.is_older(revision, known.revision):
             return
@@ -75,10 +75,10 @@
         known.up_for_at = now
         if without_up_for(before) == without_up_for(entry):
             return
-        self.event.changed[entry.name] = entry
-        self.event.gone.pop(entry.name, None)
+        self.changes.changed[entry.name] = entry
+        self.changes.gone.pop(entry.name, None)
         if before.listing == "gone":
-            self.event.functions.update(dict.fromkeys(known.functions))
+            self.changes.functions.update(dict.fromkeys(known.functions))
 
     def restore(self, name: str, now: int) -> CachedInstance | None:
         """Move an instance back from `retired` to `known`; `None` if it was not retired."""
@@ -86,11 +86,11 @@
         if known is None:
             return None
         self.known[name] = known
-        self.event.forgotten.pop(name, None)
+        self.changes.evicted.pop(name, None)
         known.entry = advance_up_for(known.entry, now - known.up_for_at)
         known.up_for_at = now
         if not known.gone:
-            self.event.changed[name] = known.entry
+            self.changes.changed[name] = known.entry
         return known
 
     def current_entries(self, names: Iterable[str], now: int) -> tuple[RosterEntry, ...]:
@@ -110,9 +110,9 @@
             return
         known.entry = msgspec.structs.replace(known.entry, listing="gone")
         known.revision = revision
-        self.event.gone[name] = None
-        self.event.changed.pop(name, None)
-        self.event.functions.update(dict.fromkeys(known.functions))
+        self.changes.gone[name] = None
+        self.changes.changed.pop(name, None)
+        self.changes.functions.update(dict.fromkeys(known.functions))
 
     def replace_prefix(
         self, function: str, before: Iterable[str], after: Iterable[str], revision: Revision, now: int
@@ -136,15 +136,15 @@
             if known is None or known.functions:
                 continue
             self.retired[name] = self.known.pop(name)
-            self.event.changed.pop(name, None)
+            self.changes.changed.pop(name, None)
             if not known.gone:
-                self.event.forgotten[name] = None
+                self.changes.evicted[name] = None
         while len(self.retired) > self.max_retired:
             oldest = self.retired.pop(next(iter(self.retired)))
             if self.floor is None or self.revisions.is_older(self.floor, oldest.revision):
                 self.floor = oldest.revision
 
-    def usable(self, names: Iterable[str]) -> tuple[str, ...]:
+    def names_not_gone(self, names: Iterable[str]) -> tuple[str, ...]:
         """Those of these names that are known and not gone, in the same order."""
         return tuple(name for name in names if name in self.known and not self.known[name].gone)
 
--- a/lapistrestle/directory/connection_state.py
+++ b/lapistrestle/directory/connection_state.py
@@ -20,7 +20,7 @@
     method: str
     shard: int
     count: int  # serving instances requested
-    used_at: int
+    last_used_at: int
     has_prefix: bool = False  # a snapshot was received from some holder
     names: tuple[str, ...] = ()  # the prefix as received from the holder
     complete: bool = False
@@ -29,7 +29,7 @@
     watch: int = -1  # id of the watch whose changes are applied; -1: none, the prefix may be outdated
     pending_watch: int = -1  # id of the watch request without an answer; -1: none
     retry_at: int = NEVER  # when the watch is requested again
-    deadline: int = NEVER  # of the lookup that calls wait for; `NEVER`: no lookup is pending
+    lookup_deadline: int = NEVER  # of the lookup that calls wait for; `NEVER`: no lookup is pending
     furthest_used: int = 0  # positions used, counted from the first, since the last review of the length
     extended_at: int = -NEVER  # when a longer prefix was last requested
 
@@ -49,7 +49,7 @@
     """A connection to a replica, from dialling on."""
 
     number: int
-    shard: int
+    shard_number: int
     replica: ShardReplica
     dialled_at: int
     is_ready: bool = False  # both ends have greeted
--- a/lapistrestle/directory/holder_messages.py
+++ b/lapistrestle/directory/holder_messages.py
@@ -70,7 +70,7 @@
             case Renewed():
                 self.apply_renewal(connection, message, now)
             case Busy():
-                self.postpone(connection, message, now)
+                self.apply_busy(connection, message, now)
             case Refused():
                 self.apply_refusal(connection, message, now)
             case InspectResponse():
@@ -94,7 +94,9 @@
 
     def resync(self, connection: HolderConnection, reason: str, now: int) -> None:
         """Request new snapshots of all functions of a connection."""
-        self.log(f"shard {connection.shard}: requesting all {len(connection.watches)} watches: {reason}")
+        self.log(
+            f"shard {connection.shard_number}: requesting all {len(connection.watches)} watches: {reason}"
+        )
         connection.watches.clear()
         connection.pending_requests.clear()
         for function in self.shard_of(connection).functions.values():
@@ -113,7 +115,7 @@
         """Apply the answer to a watch: a snapshot, or that the prefix cached at the request is current."""
         if not self.in_sequence(connection, snapshot.sequence, now):
             return
-        pending = self.requests.answered(connection, snapshot.id)
+        pending = self.requests.take_request(connection, snapshot.id)
         if pending is None:
             return
         if snapshot.epoch < self.epoch_seen:
@@ -242,19 +244,19 @@
             self.cache.revisions.record_seen(renewed.revision.source, now)
         self.connections.switch_if_stale(connection, renewed.age, now)
 
-    def postpone(self, connection: HolderConnection, busy: Busy, now: int) -> None:
+    def apply_busy(self, connection: HolderConnection, busy: Busy, now: int) -> None:
         """Schedule a retry at an overloaded holder; fail the lookup if its deadline is earlier."""
-        pending = self.requests.answered(connection, busy.id)
+        pending = self.requests.take_request(connection, busy.id)
         if pending is None:
             return
         function = pending.function
         self.requests.schedule_retry(function, now + busy.retry_after)
-        if function.name in self.lookups.pending and now + busy.retry_after >= function.deadline:
+        if function.name in self.lookups.pending and now + busy.retry_after >= function.lookup_deadline:
             self.lookups.fail(function.name, busy.retry_after)
 
     def apply_refusal(self, connection: HolderConnection, refused: Refused, now: int) -> None:
         """Fail over from a holder that does not serve a watch; retry later if it has too many watches."""
-        pending = self.requests.answered(connection, refused.id)
+        pending = self.requests.take_request(connection, refused.id)
         if pending is None:
             return
         function = pending.function
@@ -270,4 +272,4 @@
 
     def shard_of(self, connection: HolderConnection) -> Shard:
         """The shard of a connection."""
-        return self.connections.shards[connection.shard]
+        return self.connections.shards[connection.shard_number]
--- a/lapistrestle/directory/lookups.py
+++ b/lapistrestle/directory/lookups.py
@@ -25,14 +25,14 @@
         if len(self.pending) >= self.settings.max_pending:
             self.fail(function.name, self.settings.lookup_timeout)
             return
-        function.deadline = now + self.settings.lookup_timeout
+        function.lookup_deadline = now + self.settings.lookup_timeout
         self.pending[function.name] = function
 
     def fail(self, name: str, retry_after: int) -> None:
         """Fail a lookup; it may be retried after at least `retry_after` ticks, plus jitter."""
         function = self.pending.pop(name, None)
         if function is not None:
-            function.deadline = NEVER
+            function.lookup_deadline = NEVER
         spread = self.jitter.below(self.settings.lookup_timeout)
         self.emit(LookupFailed(name, max(self.settings.initial_backoff, retry_after) + spread))
 
@@ -43,10 +43,10 @@
 
     def finish(self, function: CachedFunction) -> bool:
         """Finish a lookup successfully. Returns whether one was pending."""
-        function.deadline = NEVER
+        function.lookup_deadline = NEVER
         return self.pending.pop(function.name, None) is not None
 
-    def abandon(self, function: CachedFunction) -> None:
+    def cancel(self, function: CachedFunction) -> None:
         """Fail the lookup of a function that is no longer watched."""
         if self.pending.pop(function.name, None) is not None:
             self.emit(LookupFailed(function.name, self.settings.lookup_timeout))
@@ -54,10 +54,10 @@
     def expire(self, now: int) -> None:
         """Fail the lookups that have timed out."""
         for name, function in list(self.pending.items()):
-            if function.deadline > now:
+            if function.lookup_deadline > now:
                 break
             self.fail(name, self.settings.lookup_timeout)
 
     def next_due(self) -> int:
         """When the oldest lookup times out; `NEVER` if none is pending."""
-        return next(iter(self.pending.values())).deadline if self.pending else NEVER
+        return next(iter(self.pending.values())).lookup_deadline if self.pending else NEVER
--- a/lapistrestle/directory/prefix_cache.py
+++ b/lapistrestle/directory/prefix_cache.py
@@ -31,7 +31,7 @@
     def record_use(self, function: CachedFunction, now: int) -> None:
         """Record that a call uses this function, which makes it the most recently used one."""
         self.functions.move_to_end(function.name)
-        function.used_at = now
+        function.last_used_at = now
 
     def replace_prefix(
         self, function: CachedFunction, names: tuple[str, ...], complete: bool, revision: Revision, now: int
@@ -42,7 +42,7 @@
         function.complete = complete
         self.instances.replace_prefix(function.name, before, names, revision, now)
         self.instances.retire(before)
-        self.instances.event.functions[function.name] = None
+        self.instances.changes.functions[function.name] = None
 
     def remove(self, function: CachedFunction, now: int) -> None:
         """Remove a function's prefix; instances that are in no other prefix are retired."""
@@ -51,21 +51,21 @@
 
     def publish(self) -> None:
         """Notify the edge of changes, of instances before the prefixes that contain them."""
-        event = self.instances.take_event()
-        if event.changed:
-            self.emit(InstancesChanged(tuple(event.changed.values())))
-        if event.gone:
-            self.emit(InstancesGone(tuple(event.gone)))
-        for name in event.functions:
+        changes = self.instances.take_changes()
+        if changes.changed:
+            self.emit(InstancesChanged(tuple(changes.changed.values())))
+        if changes.gone:
+            self.emit(InstancesGone(tuple(changes.gone)))
+        for name in changes.functions:
             function = self.functions.get(name)
             if function is not None and function.has_prefix:
                 self.publish_prefix(function)
-        if event.forgotten:
-            self.emit(InstancesEvicted(tuple(event.forgotten)))
+        if changes.evicted:
+            self.emit(InstancesEvicted(tuple(changes.evicted)))
 
     def publish_prefix(self, function: CachedFunction) -> None:
         """Notify the edge of a prefix, if a lookup waits for it or it differs from the last one sent."""
-        names = self.instances.usable(function.names)
+        names = self.instances.names_not_gone(function.names)
         waited = self.lookups.finish(function)
         if not waited and (names, function.complete) == (function.published, function.published_complete):
             return
--- a/lapistrestle/directory/rate_limits.py
+++ b/lapistrestle/directory/rate_limits.py
@@ -15,7 +15,7 @@
     rate: float
     burst: float
     tokens: float
-    at: int  # when `tokens` was computed
+    updated_at: int  # when `tokens` was computed
 
     @classmethod
     def full(cls, rate: float, burst: float, now: int) -> "TokenBucket":
@@ -24,9 +24,9 @@
 
     def level(self, now: int) -> float:
         """Tokens available now; negative if too many were taken."""
-        if now > self.at:
-            self.tokens = min(self.burst, self.tokens + (now - self.at) * self.rate / SECOND)
-            self.at = now
+        if now > self.updated_at:
+            self.tokens = min(self.burst, self.tokens + (now - self.updated_at) * self.rate / SECOND)
+            self.updated_at = now
         return self.tokens
 
     def take(self, amount: float, now: int) -> None:
--- a/lapistrestle/directory/revisions.py
+++ b/lapistrestle/directory/revisions.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.order = list[str]()  # oldest first; the last one is current
-        self.last_heard_at = dict[str, int]()  # when a holder last reported each source
+        self.last_reported_at = dict[str, int]()  # when a holder last reported each source
 
     def is_older(self, one: Revision, other: Revision) -> bool:
         """Whether `one` is older than `other`, whose source this watcher has seen."""
@@ -31,37 +31,41 @@
 
     def rank(self, source: str) -> int:
         """Position in the order: the higher, the newer. An unseen source counts as the newest."""
-        return self.order.index(source) if source in self.last_heard_at else len(self.order)
+        return self.order.index(source) if source in self.last_reported_at else len(self.order)
 
     def record_seen(self, source: str, now: int) -> None:
         """Record that a message with this source was accepted."""
-        if source not in self.last_heard_at:
+        if source not in self.last_reported_at:
             self.insert(source, len(self.order), now)
-        self.last_heard_at[source] = max(now, self.last_heard_at[source])
+        self.last_reported_at[source] = max(now, self.last_reported_at[source])
 
     def insert(self, source: str, at: int, now: int) -> None:
         """Insert a source not seen before at this position of the order."""
         self.order.insert(at, source)
-        self.last_heard_at[source] = now
+        self.last_reported_at[source] = now
         while len(self.order) > MAX_SOURCES:
-            del self.last_heard_at[self.order.pop(0)]
+            del self.last_reported_at[self.order.pop(0)]
 
     def record_superseded(self, sources: Sequence[str], by: str, now: int) -> None:
         """Record that a holder saw `sources` superseded in this order, the last one by `by`."""
         later = by
         for source in reversed(sources):
-            if source not in self.last_heard_at:
-                at = self.rank(later) if later in self.last_heard_at else self.after_known(sources, source)
+            if source not in self.last_reported_at:
+                at = (
+                    self.rank(later)
+                    if later in self.last_reported_at
+                    else self.position_after_known(sources, source)
+                )
                 self.insert(source, at, now)
-            elif later in self.last_heard_at and self.rank(later) < self.rank(source):
+            elif later in self.last_reported_at and self.rank(later) < self.rank(source):
                 self.order.remove(source)
                 self.order.insert(self.rank(later), source)
             later = source
 
-    def after_known(self, sources: Sequence[str], source: str) -> int:
+    def position_after_known(self, sources: Sequence[str], source: str) -> int:
         """The position after the last known one of the sources that precede `source`; 0 if none is known."""
         earlier = sources[: sources.index(source)]
-        ahead = [self.rank(known) for known in earlier if known in self.last_heard_at]
+        ahead = [self.rank(known) for known in earlier if known in self.last_reported_at]
         return max(ahead, default=-1) + 1
 
     def is_acceptable(self, source: str, age: int, now: int) -> bool:
@@ -72,10 +76,10 @@
         """
         if not self.order or source == self.order[-1]:
             return True
-        if source not in self.last_heard_at:
-            return not age or now - self.last_heard_at[self.order[-1]] >= SOURCE_REVERSAL_TIMEOUT
+        if source not in self.last_reported_at:
+            return not age or now - self.last_reported_at[self.order[-1]] >= SOURCE_REVERSAL_TIMEOUT
         later = self.order[self.rank(source) + 1 :]
-        if age or any(now - self.last_heard_at[other] < SOURCE_REVERSAL_TIMEOUT for other in later):
+        if age or any(now - self.last_reported_at[other] < SOURCE_REVERSAL_TIMEOUT for other in later):
             return False
         self.order.remove(source)
         self.order.append(source)
--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -63,8 +63,8 @@
         self.log = log
         self.state = FreshnessState.EMPTY
         self.last_call_at = now
-        self.extra_allowance = 0  # added to the stall threshold for the work of the last call
-        self.last_heard_at = now  # when the last list or change was received
+        self.work_allowance = 0  # added to the stall threshold for the work of the last call
+        self.last_received_at = now  # when the last list or change was received
         self.outdated_since = now  # since when the list may be outdated
         self.is_connected = False  # to the roster, as far as known
         self.open_requests = 0  # unanswered requests; each complete list answers one
@@ -88,18 +88,18 @@
                 self.outdated_since = outdated_since
             text = f"knowledge {self.state.value}: {event.value}"
             self.log(
-                f"{text}, {(now - self.last_heard_at) / MILLISECOND:.0f} ms after the roster's last message"
+                f"{text}, {(now - self.last_received_at) / MILLISECOND:.0f} ms after the last roster message"
             )
 
     def record_call(self, now: int, entries: int = 0) -> None:
         """Detect a stall of the process by a late call; `entries` is the length of the list received."""
-        allowance = self.settings.stall_threshold + self.extra_allowance + int(entries * TICKS_PER_ENTRY_READ)
+        allowance = self.settings.stall_threshold + self.work_allowance + int(entries * TICKS_PER_ENTRY_READ)
         if now - self.last_call_at > allowance:
             self.transition(FreshnessEvent.STALLED, now, self.last_call_at)
             if self.is_connected:
                 self.request_snapshot(now)
         self.last_call_at = max(now, self.last_call_at)
-        self.extra_allowance = 0
+        self.work_allowance = 0
 
     def request_snapshot(self, now: int) -> None:
         """Request the complete list from the roster."""
@@ -114,9 +114,9 @@
 
     def list_applied(self, complete: bool, entries: int, entered: int, now: int) -> None:
         """Record that a list or a change was applied; `entered`: new instances in it."""
-        self.last_heard_at = now
+        self.last_received_at = now
         self.is_connected = True
-        self.extra_allowance = int(entries * TICKS_PER_ENTRY_READ + entered * TICKS_PER_NEW_INSTANCE)
+        self.work_allowance = int(entries * TICKS_PER_ENTRY_READ + entered * TICKS_PER_NEW_INSTANCE)
         if complete:
             self.open_requests = max(0, self.open_requests - 1)
             if not self.open_requests:
@@ -142,8 +142,8 @@
             return
         if self.open_requests:
             if now - self.requested_at >= self.settings.roster_response_timeout:
-                self.transition(FreshnessEvent.ROSTER_LOST, now, self.last_heard_at)
-        elif now - self.last_heard_at >= self.settings.roster_idle_timeout:
+                self.transition(FreshnessEvent.ROSTER_LOST, now, self.last_received_at)
+        elif now - self.last_received_at >= self.settings.roster_idle_timeout:
             self.request_snapshot(now)
 
     def next_due(self) -> int:
@@ -155,4 +155,4 @@
             return due
         if self.open_requests:
             return min(due, self.requested_at + self.settings.roster_response_timeout)
-        return min(due, self.last_heard_at + self.settings.roster_idle_timeout)
+        return min(due, self.last_received_at + self.settings.roster_idle_timeout)
--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -29,7 +29,7 @@
         """Number of instances known now."""
         return len(self.names)
 
-    def record(self, entries: list[RosterEntry], complete: bool) -> None:
+    def update_names(self, entries: list[RosterEntry], complete: bool) -> None:
         """Update the names after a list or change was accepted. `complete`: names not in it are gone."""
         if complete:
             if not entries and self.names:
@@ -98,7 +98,7 @@
         complete = isinstance(message, RosterSnapshot)
         now = self.clock()
         if action is ListAction.APPLY:
-            self.list.record(message.workers, complete)
+            self.list.update_names(message.workers, complete)
             revision = Revision(message.epoch, message.number)
             self.holder.instances_changed(message.workers, complete, revision, now)
         elif (
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -157,7 +157,7 @@
             "bytes": self.sessions.meter.total,
             "list": self.roster.list.state.value,
             "age ms": freshness.age(now) / MILLISECOND,
-            "roster heard ms ago": (now - freshness.last_heard_at) / MILLISECOND,
+            "roster heard ms ago": (now - freshness.last_received_at) / MILLISECOND,
             **self.counts.as_report(),
             **self.holder.inspect(function),
         }
--- a/lapistrestle/directory/sessions.py
+++ b/lapistrestle/directory/sessions.py
@@ -33,8 +33,8 @@
     watch_ids: dict[str, int] = field(default_factory=dict)  # watch id by function
     changed_instances: dict[str, bool] = field(default_factory=dict)  # to be sent; whether urgently
     changed_functions: dict[str, None] = field(default_factory=dict)  # functions whose prefix is to be sent
-    due: int = NEVER  # when the next batch is sent
-    sums_at: int = -NEVER  # when the region's sums were last sent
+    batch_due: int = NEVER  # when the next batch is sent
+    sums_sent_at: int = -NEVER  # when the region's sums were last sent
 
     def next_sequence(self) -> int:
         """Return the number of the next snapshot or batch."""
@@ -76,8 +76,8 @@
 
     def schedule_batch(self, session: Session, at: int) -> None:
         """Schedule this session's next batch for `at`, unless it is due earlier."""
-        if at < session.due:
-            session.due = at
+        if at < session.batch_due:
+            session.batch_due = at
             heappush(self.due_heap, (at, session.number))
 
     def take_due(self, now: int) -> list[Session]:
@@ -86,8 +86,8 @@
         while self.due_heap and self.due_heap[0][0] <= now:
             at, number = heappop(self.due_heap)
             session = self.all.get(number)
-            if session is not None and session.due == at:
-                session.due = NEVER
+            if session is not None and session.batch_due == at:
+                session.batch_due = NEVER
                 due.append(session)
         return due
 
@@ -96,7 +96,7 @@
         while self.due_heap:
             at, number = self.due_heap[0]
             session = self.all.get(number)
-            if session is not None and session.due == at:
+            if session is not None and session.batch_due == at:
                 return at
             heappop(self.due_heap)
         return NEVER
--- a/lapistrestle/directory/shard_connections.py
+++ b/lapistrestle/directory/shard_connections.py
@@ -42,7 +42,7 @@
         self.log = log
         self.shards = dict[int, Shard]()
         self.connections = dict[int, HolderConnection]()
-        self.last_connection = 0
+        self.last_connection_number = 0
 
     # functions of a shard
 
@@ -88,9 +88,9 @@
         """Dial the selected replica, unless the shard has a connection, is in backoff or has no functions."""
         if shard.connection is not None or shard.dial_at > now or not shard.functions:
             return
-        self.last_connection += 1
+        self.last_connection_number += 1
         replica = shard.replicas[shard.replica_index]
-        connection = HolderConnection(self.last_connection, shard.number, replica, now)
+        connection = HolderConnection(self.last_connection_number, shard.number, replica, now)
         shard.connection = connection
         shard.dial_at = NEVER
         self.connections[connection.number] = connection
@@ -116,7 +116,7 @@
             return None
         connection.is_ready = True
         connection.silence_counted_from = now
-        if self.shards[connection.shard].replica_index:
+        if self.shards[connection.shard_number].replica_index:
             rebalance = self.settings.rebalance_interval
             connection.rebalance_at = now + rebalance // 2 + self.jitter.below(rebalance)
         return connection
@@ -133,7 +133,7 @@
         """Handle the end of a connection; an unknown one is ignored."""
         connection = self.connections.pop(number, None)
         if connection is not None:
-            self.fail_over(self.shards[connection.shard], reason, now)
+            self.fail_over(self.shards[connection.shard_number], reason, now)
 
     def fail_over(self, shard: Shard, reason: str, now: int) -> None:
         """Switch to the next replica after a failure, with exponential backoff and jitter."""
@@ -178,7 +178,7 @@
         Replicas that were recently found stale or unreachable are skipped. `age`: ticks since the holder's
         list was last known to be current.
         """
-        shard = self.shards[connection.shard]
+        shard = self.shards[connection.shard_number]
         if not age:
             shard.freshness_moves = 0
             shard.next_freshness_move_at = 0
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -259,9 +259,9 @@
             self.snapshot_limit.bucket.take(1 - UNCHANGED_COST, now)
         snapshot = Snapshot(
             request.id, request.epoch, self.revision, sequence, answer.entries, answer.complete,
-            lease, age, self.superseded, now - answer.at,
+            lease, age, self.superseded, now - answer.made_at,
         )  # fmt: skip
-        self.byte_limit.take(LINE_BYTES + answer.size, now)
+        self.byte_limit.take(LINE_BYTES + answer.estimated_bytes, now)
         self.send(session, snapshot)
 
     def refusal_for(self, session: Session, request: Watch) -> Refused | None:
@@ -296,14 +296,14 @@
             return
         self.sessions.renew(session, now + self.settings.lease)
         sums: RegionSums | None = None
-        if now - session.sums_at >= SECOND:
+        if now - session.sums_sent_at >= SECOND:
             sums = self.instances.sums(now)
-            session.sums_at = now
+            session.sums_sent_at = now
         age = self.freshness.age(now)
         lease, sequence = self.settings.lease, session.sequence
         self.send(session, Renewed(request.sent_at, lease, sequence, self.revision, age, sums))
 
-    def configure(self, settings: HolderSettings, now: int) -> None:
+    def replace_settings(self, settings: HolderSettings, now: int) -> None:
         """Apply new settings; those of an older epoch are ignored."""
         self.freshness.record_call(now)
         if settings.epoch < self.settings.epoch:
--- a/lapistrestle/directory/watch_requests.py
+++ b/lapistrestle/directory/watch_requests.py
@@ -19,19 +19,19 @@
         self.instances = instances
         self.epoch = epoch
         self.emit = emit
-        self.last_watch = 0
+        self.last_watch_id = 0
         self.retries = list[tuple[int, str]]()  # a heap of (time, function), stale unless `retry_at`
 
     def send(self, connection: HolderConnection, function: CachedFunction, now: int) -> None:
         """Request a snapshot of a function's prefix."""
-        self.last_watch += 1
-        function.pending_watch = self.last_watch
+        self.last_watch_id += 1
+        function.pending_watch = self.last_watch_id
         function.retry_at = NEVER
         pending = PendingRequest(function, now)
-        connection.pending_requests[self.last_watch] = pending
+        connection.pending_requests[self.last_watch_id] = pending
         watch = Watch(
-            self.last_watch, function.shard, self.epoch, function.name, function.count,
-            function.method, self.digest(pending, now), function.has_prefix,
+            self.last_watch_id, function.shard, self.epoch, function.name, function.count,
+            function.method, self.cached_digest(pending, now), function.has_prefix,
         )  # fmt: skip
         self.emit(Send(connection.number, watch))
 
@@ -44,10 +44,12 @@
 
     def send_all(self, connection: HolderConnection, functions: Iterable[CachedFunction], now: int) -> None:
         """Request a snapshot of each function, those that calls wait for first."""
-        for function in sorted(functions, key=lambda function: (function.has_prefix, function.deadline)):
+        for function in sorted(
+            functions, key=lambda function: (function.has_prefix, function.lookup_deadline)
+        ):
             self.send(connection, function, now)
 
-    def digest(self, pending: PendingRequest, now: int) -> str:
+    def cached_digest(self, pending: PendingRequest, now: int) -> str:
         """The digest of the cached prefix if the function has one but no watch; else empty.
 
         The entries that it covers are stored with the request, for the answer `Unchanged`.
@@ -59,7 +61,7 @@
         pending.complete = function.complete
         return digest_of(pending.entries, pending.complete) if pending.entries else ""
 
-    def answered(self, connection: HolderConnection, watch: int) -> PendingRequest | None:
+    def take_request(self, connection: HolderConnection, watch: int) -> PendingRequest | None:
         """Remove and return the request that an answer belongs to; `None` if there is none."""
         pending = connection.pending_requests.pop(watch, None)
         if pending is not None:
--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -43,9 +43,9 @@
 
     entries: list[Instance]
     complete: bool
-    size: int  # estimated bytes
+    estimated_bytes: int  # estimated bytes
     digest: str
-    at: int  # when the entries' `up_for` was correct
+    made_at: int  # when the entries' `up_for` was correct
 
 
 @dataclass(eq=False)
@@ -58,8 +58,8 @@
     prefixes: dict[int, Prefix] = field(default_factory=dict)  # by count
     answers: dict[int, Answer] = field(default_factory=dict)  # by count, for the current prefixes
     positions: frozenset[int] = frozenset()  # from which the ring was searched for the prefixes
-    members: set[str] = field(default_factory=set)  # instances indexed for this function
-    length: int = 0  # of the longest prefix
+    indexed_instances: set[str] = field(default_factory=set)  # instances indexed for this function
+    max_prefix_length: int = 0  # of the longest prefix
     outdated_sessions: set[int] = field(default_factory=set)  # not sent the latest prefix yet
     differences: dict[tuple[Prefix, Prefix], Difference] = field(default_factory=dict)
 
@@ -107,7 +107,7 @@
         """The answer to a watch of this count, shared by all watchers."""
         watched = self.functions[function]
         answer = watched.answers.get(count)
-        if answer is None or now - answer.at > ANSWER_LIFETIME:
+        if answer is None or now - answer.made_at > ANSWER_LIFETIME:
             prefix = watched.prefixes[count]
             entries = [self.instances.known[name].entry_at(now) for name in prefix.names]
             digest = digest_of(entries, prefix.complete)
@@ -217,22 +217,22 @@
         (self.complete.add if complete else self.complete.discard)(watched.name)
         self.index_positions(watched, frozenset(positions))
         self.index_length(watched, len(names))
-        self.index_members(watched, watched.members | set(names))
-        if len(watched.members) > MAX_MEMBERS:
+        self.index_members(watched, watched.indexed_instances | set(names))
+        if len(watched.indexed_instances) > MAX_MEMBERS:
             sent_names = {name for watch in watched.watches.values() for name in watch.sent_prefix.names}
             self.index_members(watched, sent_names | set(names))
 
     def index_length(self, watched: WatchedFunction, length: int) -> None:
         """Update the index by length of the longest prefix."""
-        if length == watched.length:
+        if length == watched.max_prefix_length:
             return
-        functions = self.by_length.get(watched.length, set())
+        functions = self.by_length.get(watched.max_prefix_length, set())
         functions.discard(watched.name)
         if not functions:
-            self.by_length.pop(watched.length, None)
+            self.by_length.pop(watched.max_prefix_length, None)
         if length:
             self.by_length.setdefault(length, set()).add(watched.name)
-        watched.length = length
+        watched.max_prefix_length = length
 
     def index_positions(self, watched: WatchedFunction, positions: frozenset[int]) -> None:
         """Update the index of ring positions from which prefixes were searched."""
@@ -244,14 +244,14 @@
 
     def index_members(self, watched: WatchedFunction, members: set[str]) -> None:
         """Update the index from instances to functions."""
-        for name in watched.members - members:
+        for name in watched.indexed_instances - members:
             functions = self.functions_by_instance[name]
             functions.discard(watched.name)
             if not functions:
                 del self.functions_by_instance[name]
-        for name in members - watched.members:
+        for name in members - watched.indexed_instances:
             self.functions_by_instance.setdefault(name, set()).add(watched.name)
-        watched.members = members
+        watched.indexed_instances = members
 
 
 def max_prefix_length(count: int) -> int:
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -126,7 +126,7 @@
         self.cache.record_use(cached, now)
         if cached.has_prefix:
             return Prefix(cached.published, cached.published_complete)
-        if cached.deadline == NEVER:
+        if cached.lookup_deadline == NEVER:
             self.wait_for_prefix(cached, now)
         return None
 
@@ -210,7 +210,7 @@
         ready = self.shard_connections.mark_ready(connection, now)
         if ready is not None:
             self.leases.renew(ready, now)
-            self.requests.send_all(ready, self.shards[ready.shard].functions.values(), now)
+            self.requests.send_all(ready, self.shards[ready.shard_number].functions.values(), now)
 
     def connection_failed(self, connection: int, now: int) -> None:
         """A connection could not be opened."""
@@ -283,7 +283,7 @@
         """Unwatch functions that have been unused for the idle time."""
         while self.functions:
             function = next(iter(self.functions.values()))
-            if now - function.used_at < self.settings.idle_timeout:
+            if now - function.last_used_at < self.settings.idle_timeout:
                 break
             self.unwatch_function(function)
 
@@ -301,7 +301,7 @@
         shard = self.shards[function.shard]
         del self.functions[function.name]
         self.shard_connections.remove_function(function)
-        self.lookups.abandon(function)
+        self.lookups.cancel(function)
         if shard.connection is not None and shard.connection.is_ready:
             self.requests.cancel(shard.connection, function)
         self.cache.remove(function, self.last_call_at)
@@ -311,7 +311,7 @@
         """When `tick` is to be called next; any other call may make it earlier."""
         dues = [self.last_call_at + self.settings.heartbeat, self.review_at]
         if self.functions:
-            dues.append(next(iter(self.functions.values())).used_at + self.settings.idle_timeout)
+            dues.append(next(iter(self.functions.values())).last_used_at + self.settings.idle_timeout)
         dues.append(self.lookups.next_due())
         dues.append(self.requests.next_due())
         dues.extend(self.shard_due(shard) for shard in self.shards.values())
--- a/lapistrestle/fleet/failure_detector.py
+++ b/lapistrestle/fleet/failure_detector.py
@@ -95,7 +95,7 @@
 
     # effects of the transitions
 
-    def ping_next(self) -> None:
+    def probe_next(self) -> None:
         """Ping the next member, round-robin in an order that is shuffled each round (SWIM, section 4.3)."""
         while self.probe_order and not (self.probe_order[-1].is_known and self.probe_order[-1].is_live):
             self.probe_order.pop()
@@ -135,7 +135,7 @@
         if target.is_known and target.is_live:
             me = self.table.me.name
             self.apply(wire.replace(target.record, status=MemberStatus.SUSPECT, suspected_by=me))
-        self.ping_next()
+        self.probe_next()
 
     def on_target_acknowledged(self) -> None:
         """The target has answered, so our own network and process work."""
@@ -174,7 +174,7 @@
 
 Effect = Callable[[FailureDetector], None]
 TRANSITIONS: dict[tuple[ProbePhase, ProbeEvent], tuple[ProbePhase, Effect]] = {
-    (ProbePhase.IDLE, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.ping_next),
+    (ProbePhase.IDLE, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.probe_next),
     (ProbePhase.DIRECT, ProbeEvent.ACK_RECEIVED): (
         ProbePhase.ACKNOWLEDGED, FailureDetector.on_target_acknowledged),
     (ProbePhase.DIRECT, ProbeEvent.PING_TIMED_OUT): (ProbePhase.INDIRECT, FailureDetector.ping_indirectly),
@@ -182,5 +182,5 @@
     (ProbePhase.INDIRECT, ProbeEvent.ACK_RECEIVED): (
         ProbePhase.ACKNOWLEDGED, FailureDetector.on_target_acknowledged),
     (ProbePhase.INDIRECT, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.suspect_target),
-    (ProbePhase.ACKNOWLEDGED, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.ping_next),
+    (ProbePhase.ACKNOWLEDGED, ProbeEvent.PERIOD_BEGAN): (ProbePhase.DIRECT, FailureDetector.probe_next),
 }  # fmt: skip
--- a/lapistrestle/fleet/gossip_counters.py
+++ b/lapistrestle/fleet/gossip_counters.py
@@ -227,7 +227,7 @@
         if weights:
             by_reporter = np.array(reported)
             rates = own + np.array(weights) @ np.minimum(by_reporter[1:], self.rate_bounds(by_reporter))
-        return self.by_column(rates, totals, 1 + len(weights), size, oldest)
+        return self.named_statistics(rates, totals, 1 + len(weights), size, oldest)
 
     def rate_bounds(self, by_reporter: Rates) -> Rates:
         """The limit of each counter's rate for one reporter."""
@@ -239,14 +239,14 @@
 
     def own_statistics(self) -> FleetStatistics:
         """Statistics of this process only."""
-        return self.by_column(self.own_rates(), self.counts, 1, 1, 0)
+        return self.named_statistics(self.own_rates(), self.counts, 1, 1, 0)
 
     def own_rates(self) -> Rates:
         """Rates of this process; 0 while there is only one snapshot."""
         rates = self.reporters[self.process_id[0]].rates
         return np.zeros(len(self.columns)) if rates is None else rates
 
-    def by_column(
+    def named_statistics(
         self, rates: Rates, totals: Sequence[int], counted: int, size: int, age: int
     ) -> FleetStatistics:
         """Statistics under the names of the counters."""
--- a/lapistrestle/fleet/quota_share.py
+++ b/lapistrestle/fleet/quota_share.py
@@ -70,11 +70,13 @@
             next_start = total_units * (member_index + 1) // members
             self.own_units = next_start - total_units * member_index // members
         self.reserved = int(self.own_units * settings.reserved_part)
-        self.full_from = now + self.longest_lease()  # before it, leases of the previous process may be valid
+        self.full_share_from = (
+            now + self.longest_lease()
+        )  # before it, leases of the previous process may be valid
         self.leased_out: dict[LeaseKey, Lease] = {}
         self.borrowed: dict[LeaseKey, Lease] = {}
         self.open_requests: dict[int, OpenRequest] = {}  # by number
-        self.uses: deque[UseSample] = deque()  # units decreasing, so that the first is the peak
+        self.use_samples: deque[UseSample] = deque()  # units decreasing, so that the first is the peak
         self.last_number = now  # so that no request number of the previous process is reused
         self.demand = 0  # units wanted
         self.is_suspended = False  # displaced or left: no units may be used
@@ -87,7 +89,7 @@
         """Units that may be in use now; to be checked at each use, since leases may expire during a stall."""
         if self.is_suspended:
             return 0
-        own = self.own_units if now >= self.full_from else self.reserved
+        own = self.own_units if now >= self.full_share_from else self.reserved
         self.leased_out = {key: lease for key, lease in self.leased_out.items() if now < lease.until}
         self.borrowed = {key: lease for key, lease in self.borrowed.items() if now < lease.until}
         return own - self.leased_out_units() + self.borrowed_units()
@@ -102,15 +104,15 @@
 
     def record_use(self, units: int, now: int) -> None:
         """Record the units in use now."""
-        while self.uses and self.uses[-1].units <= units:
-            self.uses.pop()
-        self.uses.append(UseSample(now, units))
+        while self.use_samples and self.use_samples[-1].units <= units:
+            self.use_samples.pop()
+        self.use_samples.append(UseSample(now, units))
 
     def peak_use(self, now: int) -> int:
         """The maximum of units in use within the settling time."""
-        while len(self.uses) > 1 and self.uses[1].at <= now - self.settings.settling_time:
-            self.uses.popleft()
-        return max((sample.units for sample in self.uses), default=0)
+        while len(self.use_samples) > 1 and self.use_samples[1].at <= now - self.settings.settling_time:
+            self.use_samples.popleft()
+        return max((sample.units for sample in self.use_samples), default=0)
 
     def headroom(self, now: int) -> int:
         """Available units that were not in use within the settling time."""
@@ -168,7 +170,7 @@
         known = self.leased_out.get((borrower, request.number))
         if known is not None and now < known.until:
             return self.grant(request, known.units)
-        if request.quota != self.name or now < self.full_from or self.is_suspended:
+        if request.quota != self.name or now < self.full_share_from or self.is_suspended:
             return None
         if len(self.leased_out) >= MAX_LEASES:
             return None
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -443,14 +443,14 @@
     harness.connect(1)
     harness.watch(1, "f", epoch=EPOCH)
     newer = replace(harness.holder.settings, epoch=EPOCH + 1)
-    harness.holder.configure(newer, harness.now)
+    harness.holder.replace_settings(newer, harness.now)
     harness.watch(1, "g", epoch=EPOCH)
     harness.watch(1, "h", epoch=EPOCH + 1)
     assert [m.epoch for m in harness.collected(wire.Snapshot)] == [EPOCH, EPOCH, EPOCH + 1]
-    harness.holder.configure(replace(newer, oldest_epoch=EPOCH + 1), harness.now)
+    harness.holder.replace_settings(replace(newer, oldest_epoch=EPOCH + 1), harness.now)
     harness.collect_effects()
     assert 1 in harness.closed
-    harness.holder.configure(replace(newer, epoch=EPOCH), harness.now)
+    harness.holder.replace_settings(replace(newer, epoch=EPOCH), harness.now)
     assert harness.holder.settings.epoch == EPOCH + 1
 
 
@@ -925,9 +925,9 @@
     second.instances.replace_prefix("f", (), ("w2",), wire.Revision("e1", 3), 0)
     second.instances.mark_gone("w2", wire.Revision("e1", 9))
     second.instances.apply_entry(entry(2), wire.Revision("e1", 8), 0)
-    assert second.instances.usable(["w2"]) == ()
+    assert second.instances.names_not_gone(["w2"]) == ()
     second.instances.apply_entry(entry(2, "2"), wire.Revision("e1", 10), 0)
-    assert second.instances.usable(["w2"]) == ("w2",)
+    assert second.instances.names_not_gone(["w2"]) == ("w2",)
 
 
 def test_an_instance_restarted_at_its_address_is_published_as_changed():
--- a/tests/test_quota_share.py
+++ b/tests/test_quota_share.py
@@ -177,7 +177,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.full_from = 0
+        self.full_share_from = 0
 
 
 FAULTY = (
@@ -216,14 +216,14 @@
 def test_reserved_units_are_never_leased_and_available_at_once_after_a_start() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
     assert a.available(0) == 25 and a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 50), 0) is None
-    now = a.full_from
+    now = a.full_share_from
     given = [a.grant_lease(("b", 0, 0), LeaseRequest("loads", n, 0, 50), now) for n in range(2, 12)]
     assert sum(g.units for g in given if g) == 25 and a.available(now) == 25
 
 
 def test_an_unreturned_lease_expires() -> None:
     a = QuotaShare("loads", 100, 2, 0, SETTINGS, 0)
-    now = a.full_from
+    now = a.full_share_from
     grant = a.grant_lease(("b", 0, 0), LeaseRequest("loads", 1, 0, 10), now)
     assert grant and a.available(now) == 40
     assert a.available(now + a.longest_lease() - 1) == 40 and a.available(now + a.longest_lease()) == 50
