--- a/lapistrestle/directory/roster_subscription.py
+++ b/lapistrestle/directory/roster_subscription.py
@@ -134,10 +134,10 @@
         super().greeting_received(hello)
         self.source.owner.list_requested()
 
-    def unreadable_line_received(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, reason: str) -> None:
         """Reconnect: the line may have answered a request, and only a new connection has none open."""
-        self.source.owner.message_ignored("roster", why)
-        self.close_with_reason(f"unreadable line: {why}")
+        self.source.owner.message_ignored("roster", reason)
+        self.close_with_reason(f"unreadable line: {reason}")
 
 
 class HolderRosterSource(RosterSource):
--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -65,11 +65,11 @@
         self.schedule_timer()
         return made
 
-    def message_ignored(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, reason: str) -> None:
         """Count and log a line of a peer that could not be decoded."""
         self.counts.unreadable_lines += 1
         if self.counts.unreadable_lines <= MAX_LOGGED_LINES:
-            self.log("passed over", peer=name, why=why[:MAX_LOGGED_REASON])
+            self.log("passed over", peer=name, why=reason[:MAX_LOGGED_REASON])
 
     # SessionListener
 
--- a/lapistrestle/directory/watcher_sessions.py
+++ b/lapistrestle/directory/watcher_sessions.py
@@ -40,7 +40,7 @@
     def inspect(self, function: str) -> wire.InspectResponse:
         """The answer to an operator's request."""
 
-    def message_ignored(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, reason: str) -> None:
         """A line of a peer could not be decoded."""
 
 
@@ -157,16 +157,16 @@
         self.sessions.meter.add(len(line), self.sessions.listener.clock())
         self.send_line(line)
 
-    def close_with_reason(self, why: str) -> None:
+    def close_with_reason(self, reason: str) -> None:
         """Close the connection with a reason."""
         if not self.closed and self.unsent_bytes > self.limits.max_unsent_bytes:
-            self.sessions.record_slow_disconnect(self, why)
-        super().close_with_reason(why)
+            self.sessions.record_slow_disconnect(self, reason)
+        super().close_with_reason(reason)
 
-    def unreadable_line_received(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, reason: str) -> None:
         """Close the connection: the undecodable line may have been a watch request."""
-        self.sessions.listener.message_ignored(self.name, why)
-        super().unreadable_line_received(line, why)
+        self.sessions.listener.message_ignored(self.name, reason)
+        super().unreadable_line_received(line, reason)
 
     def write_blocked(self, slow: bool) -> None:
         """The peer has started or ceased to read too slowly."""
--- a/lapistrestle/fleet/gossip_endpoint.py
+++ b/lapistrestle/fleet/gossip_endpoint.py
@@ -49,7 +49,7 @@
     def input_received(self) -> None:
         """Data was received on a socket."""
 
-    def message_ignored(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, reason: str) -> None:
         """Input from `name` could not be decoded."""
 
     def log(self, what: str, **figures: Any) -> None:
--- a/lapistrestle/sources/roster.py
+++ b/lapistrestle/sources/roster.py
@@ -31,9 +31,9 @@
         """The roster has sent a message."""
         self.source.heard(message)
 
-    def unreadable_line_received(self, line: bytes, why: str) -> None:
+    def unreadable_line_received(self, line: bytes, reason: str) -> None:
         """The undecodable line may have been a change: request the complete list."""
-        self.source.owner.message_ignored("roster", why)
+        self.source.owner.message_ignored("roster", reason)
         self.send_message(wire.RosterRequest())
 
     def connection_lost(self) -> None:
@@ -58,7 +58,7 @@
     def list_event(self, event: ListEvent) -> None:
         """Handle a lost or failed connection, or a roster that can't answer."""
 
-    def message_ignored(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, reason: str) -> None:
         """A line of this peer could not be decoded."""
 
 
