--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -168,20 +168,20 @@
 
     # watchers
 
-    def session_opened(self, session: int, now: int) -> None:
+    def session_opened(self, number: int, now: int) -> None:
         """A watcher has connected and greeted. Session numbers must be unique."""
         self.freshness.record_call(now)
         if len(self.sessions.all) >= self.settings.max_sessions:
-            self.effects.append(CloseSession(session, f"{self.settings.max_sessions} watchers are connected"))
+            self.effects.append(CloseSession(number, f"{self.settings.max_sessions} watchers are connected"))
             return
-        self.sessions.open(session, now + self.settings.lease, self.settings.session_bytes, now)
+        self.sessions.open(number, now + self.settings.lease, self.settings.session_bytes, now)
 
-    def session_closed(self, session: int, now: int) -> None:
+    def session_closed(self, number: int, now: int) -> None:
         """A session has ended; an unknown one is ignored."""
         self.freshness.record_call(now)
-        known = self.sessions.all.get(session)
-        if known is not None:
-            self.remove_session(known)
+        session = self.sessions.all.get(number)
+        if session is not None:
+            self.remove_session(session)
 
     def remove_session(self, session: Session) -> None:
         """Remove a session and its watches."""
@@ -194,21 +194,21 @@
         self.remove_session(session)
         self.effects.append(CloseSession(session.number, reason))
 
-    def message_received(self, session: int, message: WatcherMessage, now: int) -> None:
+    def message_received(self, number: int, message: WatcherMessage, now: int) -> None:
         """A watcher has sent a message."""
         self.freshness.record_call(now)
-        known = self.sessions.all.get(session)
-        if known is None:
+        session = self.sessions.all.get(number)
+        if session is None:
             return
         if isinstance(message, Watch):
-            self.watch(known, message, now)
+            self.watch(session, message, now)
         elif isinstance(message, Unwatch):
-            self.unwatch(known, message.id)
+            self.unwatch(session, message.id)
         elif isinstance(message, Renew):
-            self.renew(known, message, now)
+            self.renew(session, message, now)
         else:
             self.send(
-                known, InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
+                session, InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
             )
 
     def send(self, session: Session, message: Message) -> None:
