--- a/lapistrestle/directory/watched_functions.py
+++ b/lapistrestle/directory/watched_functions.py
@@ -59,7 +59,7 @@
     answers: dict[int, Answer] = field(default_factory=dict)  # by count, for the current prefixes
     positions: frozenset[int] = frozenset()  # from which the ring was searched for the prefixes
     indexed_instances: set[str] = field(default_factory=set)  # instances indexed for this function
-    max_prefix_length: int = 0  # of the longest prefix
+    indexed_length: int = 0  # length of the longest prefix, as indexed
     outdated_sessions: set[int] = field(default_factory=set)  # not sent the latest prefix yet
     differences: dict[tuple[Prefix, Prefix], Difference] = field(default_factory=dict)
 
@@ -224,15 +224,15 @@
 
     def index_length(self, watched: WatchedFunction, length: int) -> None:
         """Update the index by length of the longest prefix."""
-        if length == watched.max_prefix_length:
+        if length == watched.indexed_length:
             return
-        functions = self.by_length.get(watched.max_prefix_length, set())
+        functions = self.by_length.get(watched.indexed_length, set())
         functions.discard(watched.name)
         if not functions:
-            self.by_length.pop(watched.max_prefix_length, None)
+            self.by_length.pop(watched.indexed_length, None)
         if length:
             self.by_length.setdefault(length, set()).add(watched.name)
-        watched.max_prefix_length = length
+        watched.indexed_length = length
 
     def index_positions(self, watched: WatchedFunction, positions: frozenset[int]) -> None:
         """Update the index of ring positions from which prefixes were searched."""
