--- a/lapistrestle/directory/server.py
+++ b/lapistrestle/directory/server.py
@@ -65,11 +65,11 @@
         self.schedule_timer()
         return made
 
-    def message_ignored(self, name: str, why: str) -> None:
+    def message_ignored(self, name: str, reason: str) -> None:
         """Count and log a line of a peer that could not be decoded."""
         self.counts.unreadable_lines += 1
         if self.counts.unreadable_lines <= MAX_LOGGED_LINES:
-            self.log("passed over", peer=name, why=why[:MAX_LOGGED_REASON])
+            self.log("passed over", peer=name, why=reason[:MAX_LOGGED_REASON])
 
     # SessionListener
 
@@ -157,7 +157,7 @@
             "bytes": self.sessions.meter.total,
             "list": self.roster.list.state.value,
             "age ms": freshness.age(now) / MILLISECOND,
-            "roster heard ms ago": (now - freshness.last_heard_at) / MILLISECOND,
+            "roster heard ms ago": (now - freshness.last_received_at) / MILLISECOND,
             **self.counts.as_report(),
             **self.holder.inspect(function),
         }
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -168,20 +168,20 @@
 
     # watchers
 
-    def session_opened(self, session: int, now: int) -> None:
+    def session_opened(self, number: int, now: int) -> None:
         """A watcher has connected and greeted. Session numbers must be unique."""
         self.freshness.record_call(now)
         if len(self.sessions.all) >= self.settings.max_sessions:
-            self.effects.append(CloseSession(session, f"{self.settings.max_sessions} watchers are connected"))
+            self.effects.append(CloseSession(number, f"{self.settings.max_sessions} watchers are connected"))
             return
-        self.sessions.open(session, now + self.settings.lease, self.settings.session_bytes, now)
+        self.sessions.open(number, now + self.settings.lease, self.settings.session_bytes, now)
 
-    def session_closed(self, session: int, now: int) -> None:
+    def session_closed(self, number: int, now: int) -> None:
         """A session has ended; an unknown one is ignored."""
         self.freshness.record_call(now)
-        known = self.sessions.all.get(session)
-        if known is not None:
-            self.remove_session(known)
+        session = self.sessions.all.get(number)
+        if session is not None:
+            self.remove_session(session)
 
     def remove_session(self, session: Session) -> None:
         """Remove a session and its watches."""
@@ -194,21 +194,21 @@
         self.remove_session(session)
         self.effects.append(CloseSession(session.number, reason))
 
-    def message_received(self, session: int, message: WatcherMessage, now: int) -> None:
+    def message_received(self, number: int, message: WatcherMessage, now: int) -> None:
         """A watcher has sent a message."""
         self.freshness.record_call(now)
-        known = self.sessions.all.get(session)
-        if known is None:
+        session = self.sessions.all.get(number)
+        if session is None:
             return
         if isinstance(message, Watch):
-            self.watch(known, message, now)
+            self.watch(session, message, now)
         elif isinstance(message, Unwatch):
-            self.unwatch(known, message.id)
+            self.unwatch(session, message.id)
         elif isinstance(message, Renew):
-            self.renew(known, message, now)
+            self.renew(session, message, now)
         else:
             self.send(
-                known, InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
+                session, InspectResponse(msgspec.Raw(msgspec.json.encode(self.inspect(message.function))))
             )
 
     def send(self, session: Session, message: Message) -> None:
@@ -259,9 +259,9 @@
             self.snapshot_limit.bucket.take(1 - UNCHANGED_COST, now)
         snapshot = Snapshot(
             request.id, request.epoch, self.revision, sequence, answer.entries, answer.complete,
-            lease, age, self.superseded, now - answer.at,
+            lease, age, self.superseded, now - answer.made_at,
         )  # fmt: skip
-        self.byte_limit.take(LINE_BYTES + answer.size, now)
+        self.byte_limit.take(LINE_BYTES + answer.estimated_bytes, now)
         self.send(session, snapshot)
 
     def refusal_for(self, session: Session, request: Watch) -> Refused | None:
@@ -296,14 +296,14 @@
             return
         self.sessions.renew(session, now + self.settings.lease)
         sums: RegionSums | None = None
-        if now - session.sums_at >= SECOND:
+        if now - session.sums_sent_at >= SECOND:
             sums = self.instances.sums(now)
-            session.sums_at = now
+            session.sums_sent_at = now
         age = self.freshness.age(now)
         lease, sequence = self.settings.lease, session.sequence
         self.send(session, Renewed(request.sent_at, lease, sequence, self.revision, age, sums))
 
-    def configure(self, settings: HolderSettings, now: int) -> None:
+    def replace_settings(self, settings: HolderSettings, now: int) -> None:
         """Apply new settings; those of an older epoch are ignored."""
         self.freshness.record_call(now)
         if settings.epoch < self.settings.epoch:
