--- a/tests/pins.py
+++ b/tests/pins.py
@@ -50,17 +50,20 @@
 
 def fleet_wire() -> Any:
     """Describe datagrams: the fields, and by tag of the message two encoded examples in hexadecimal."""
-    whole = schema.sample(FLEET_DATAGRAM)
+    datagram_fields = schema.sample(FLEET_DATAGRAM)
     examples = {
-        tag: [encode_datagram(decode_datagram(datagram(whole, message), FLEET)).hex() for message in messages]
+        tag: [
+            encode_datagram(decode_datagram(datagram(datagram_fields, message), FLEET)).hex()
+            for message in messages
+        ]
         for tag, messages in schema.examples(FLEET_UNION).items()
     }
     return {"holds": schema.described(FLEET_DATAGRAM), "datagrams": examples}
 
 
-def datagram(whole: list[Any], message: list[Any]) -> bytes:
+def datagram(datagram_fields: list[Any], message: list[Any]) -> bytes:
     """Encode a datagram with this message; the other fields are the same in all examples."""
-    _, _, sender, _, records = whole
+    _, _, sender, _, records = datagram_fields
     return msgspec.msgpack.encode([FLEET, 1, sender, message, records])
 
 
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -173,37 +173,37 @@
 
 @pytest.mark.parametrize("count", [1, 2, 3, 5])
 def test_a_cluster_without_faults_has_one_leader_and_commits(count: int) -> None:
-    made = RaftCluster(count, 1, FaultRates(0, 0, 0, kills=0, cuts=0, stalls=0))
-    made.day(6)
-    assert len(made.leading()) == 1 and not made.invariants.breaches
-    assert len(made.invariants.agreed) > 5 and made.done_reads > 5
-    assert made.kills == 0 and len({made.members[n].term for n in made.names}) == 1
+    cluster = RaftCluster(count, 1, FaultRates(0, 0, 0, kills=0, cuts=0, stalls=0))
+    cluster.day(6)
+    assert len(cluster.leading()) == 1 and not cluster.invariants.breaches
+    assert len(cluster.invariants.agreed) > 5 and cluster.done_reads > 5
+    assert cluster.kills == 0 and len({cluster.members[n].term for n in cluster.names}) == 1
 
 
 @pytest.mark.parametrize("seed", range(60))
 def test_no_invariant_breaks_under_faults_and_all_members_converge_after(seed: int) -> None:
-    made = RaftCluster(3 + 2 * (seed % 2), seed, ROUGH)
-    made.day(20)
-    assert made.invariants.breaches == [] and made.kills > 5
-    made.calm(8)
-    assert made.invariants.breaches == [] and len(made.leading()) == 1
-    logs = [made.members[name].entries[: made.invariants.acknowledged] for name in made.names]
-    assert all(log == logs[0] for log in logs) and len(logs[0]) == made.invariants.acknowledged
+    cluster = RaftCluster(3 + 2 * (seed % 2), seed, ROUGH)
+    cluster.day(20)
+    assert cluster.invariants.breaches == [] and cluster.kills > 5
+    cluster.calm(8)
+    assert cluster.invariants.breaches == [] and len(cluster.leading()) == 1
+    logs = [cluster.members[name].entries[: cluster.invariants.acknowledged] for name in cluster.names]
+    assert all(log == logs[0] for log in logs) and len(logs[0]) == cluster.invariants.acknowledged
 
 
 @given(st.integers(0, 10**6), st.integers(2, 5), st.integers(0, 4), st.integers(0, 3))
 @settings(max_examples=40, deadline=None)
 def test_committed_entries_survive_any_faults(seed: int, count: int, loss: int, kills: int) -> None:
     faults = FaultRates(loss=loss / 10, doubled=0.2, late=0.2, kills=kills, cuts=1.0, stalls=1.0)
-    made = RaftCluster(count, seed, faults)
-    made.day(6)
-    assert made.invariants.breaches == []
+    cluster = RaftCluster(count, seed, faults)
+    cluster.day(6)
+    assert cluster.invariants.breaches == []
 
 
 def test_a_seed_gives_the_same_run_twice() -> None:
     first, second = RaftCluster(5, 7, ROUGH), RaftCluster(5, 7, ROUGH)
-    for made in (first, second):
-        made.day(15)
+    for cluster in (first, second):
+        cluster.day(15)
     assert first.invariants == second.invariants and first.disks == second.disks
 
 
@@ -279,15 +279,15 @@
 def broken_invariants(seed: int, make: type[RaftNode]) -> list[str]:
     """Return the broken invariants of a cluster with frequent elections and crashes of leaders."""
     faults = FaultRates(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
-    made = RaftCluster(
+    cluster = RaftCluster(
         3 + 2 * (seed % 2),
         seed,
         faults,
         make,
         RaftSettings(election_timeout=300, heartbeat_interval=80, max_batch=1),
     )
-    made.day(6)
-    return made.invariants.breaches
+    cluster.day(6)
+    return cluster.invariants.breaches
 
 
 def test_the_same_runs_break_no_invariant_without_a_bug() -> None:
@@ -296,9 +296,9 @@
 
 def test_a_member_that_restarts_with_an_empty_disk_is_found() -> None:
     def lost(seed: int) -> list[str]:
-        made = RaftCluster(3, seed, FaultRates(kills=0, cuts=1.0, stalls=1.0))
-        made.again(1.5, lambda: made.kill(made.random.choice(made.names), disk=False))
-        made.day(12)
-        return made.invariants.breaches
+        cluster = RaftCluster(3, seed, FaultRates(kills=0, cuts=1.0, stalls=1.0))
+        cluster.again(1.5, lambda: cluster.kill(cluster.random.choice(cluster.names), disk=False))
+        cluster.day(12)
+        return cluster.invariants.breaches
 
     assert any(lost(seed) for seed in range(200))
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -28,9 +28,9 @@
     assert result.exit_code == 0, result.output
     assert result.output.rstrip().endswith("rules: kept") and "gain answered over gain asked" in result.output
     again = run("day", "check", tape, "--json")
-    told = json.loads(again.output)
-    assert again.exit_code == 0 and told["kept"] and len(told["rules"]) == 9
-    assert 0.5 < told["service"]["total"] <= 1
+    report = json.loads(again.output)
+    assert again.exit_code == 0 and report["kept"] and len(report["rules"]) == 9
+    assert 0.5 < report["service"]["total"] <= 1
 
 
 def test_a_violated_rule_is_shown_with_its_lines(run: Run, tmp_path: Path) -> None:
@@ -71,12 +71,12 @@
 
 
 def test_a_port_in_use_gives_an_error_message(run: Run, tmp_path: Path) -> None:
-    path, taken = tmp_path / "d.json5", socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    taken.bind(("127.0.0.1", 0))
+    path, occupied = tmp_path / "d.json5", socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    occupied.bind(("127.0.0.1", 0))
     text = (EXAMPLES / "thumbs.json5").read_text()
-    path.write_text(text.replace("7201", str(taken.getsockname()[1])))
+    path.write_text(text.replace("7201", str(occupied.getsockname()[1])))
     result = run("edge", path)
-    taken.close()
+    occupied.close()
     assert result.exit_code == 1 and "can't listen for peers" in result.output
 
 
--- a/tests/test_deployment.py
+++ b/tests/test_deployment.py
@@ -46,13 +46,13 @@
 def test_examples_and_platform_set_every_setting_of_the_module(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made, named = recorded(
+    deployment, named = recorded(
         monkeypatch, load_module, lambda: to_settings(load_deployment(EXAMPLES / f"{name}.json5"))
     )
     _, platform = recorded(monkeypatch, translation, lambda: translation.to_settings({"profiles": [{}]}))
     assert named["Settings"] == platform["Settings"] == {f.name for f in fields(Settings)}
     assert named["MethodSettings"] == platform["MethodSettings"] == {f.name for f in fields(MethodSettings)}
-    assert made.methods[0].deadline in (30_000, 40_000, 25_000)
+    assert deployment.methods[0].deadline in (30_000, 40_000, 25_000)
 
 
 @pytest.mark.parametrize(
@@ -100,8 +100,8 @@
 
 def directory(**more: object) -> str:
     """A deployment with a directory of two shards, as text."""
-    made: dict[str, object] = {"shards": [[{"port": 7200}, {"port": 7201}], [{"port": 7201}]], **more}
-    return "{" + METHODS + ",\n directory: " + json.dumps(made) + "}"
+    settings: dict[str, object] = {"shards": [[{"port": 7200}, {"port": 7201}], [{"port": 7201}]], **more}
+    return "{" + METHODS + ",\n directory: " + json.dumps(settings) + "}"
 
 
 @pytest.mark.parametrize(
@@ -137,9 +137,9 @@
     path.write_text("{" + METHODS + ', directory: {epoch: 4, lease: "1 ms"}}')
     assert load_deployment(path).directory.shards == []
     path.write_text(directory())
-    made = load_deployment(path).directory
-    assert [len(copies) for copies in made.shards] == [2, 1]
-    assert (made.lease, made.silence, made.lookup_time_out) == (30_000, 6_000, 2_500)
+    settings = load_deployment(path).directory
+    assert [len(copies) for copies in settings.shards] == [2, 1]
+    assert (settings.lease, settings.silence, settings.lookup_time_out) == (30_000, 6_000, 2_500)
 
 
 @pytest.mark.parametrize(
@@ -178,10 +178,10 @@
 
 @pytest.mark.parametrize("name", ["slots", "archive", "thumbs"])
 def test_a_deployment_written_out_reads_the_same(tmp_path: Path, name: str) -> None:
-    made = load_deployment(EXAMPLES / f"{name}.json5")
+    deployment = load_deployment(EXAMPLES / f"{name}.json5")
     path = tmp_path / "again.json5"
-    path.write_text(json.dumps(to_plain(made)))
-    assert to_settings(load_deployment(path)) == to_settings(made)
+    path.write_text(json.dumps(to_plain(deployment)))
+    assert to_settings(load_deployment(path)) == to_settings(deployment)
 
 
 @pytest.mark.parametrize(
@@ -211,7 +211,10 @@
     assert all(holder.directory == edge.directory for holder in holders)
     ports = {copy.port for copies in edge.directory.shards for copy in copies}
     assert ports == {holder.serve.port for holder in holders}
-    ramps = {(made.cold_share, made.ramp) for made in (edge.workers, *(one.workers for one in holders))}
+    ramps = {
+        (workers.cold_share, workers.ramp)
+        for workers in (edge.workers, *(holder.workers for holder in holders))
+    }
     assert len(ramps) == 1  # dispatchers use the holders' warm sums for their budget of workers in slow start
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -62,16 +62,16 @@
 
 
 def test_greater_gain_is_shed_later_and_a_retry_before_a_first_request() -> None:
-    made = levels([1.0, 4.0])
-    order = [made.priority_of(m, beyond, repeat) for m, beyond, repeat in
+    priorities = levels([1.0, 4.0])
+    order = [priorities.priority_of(m, beyond, repeat) for m, beyond, repeat in
              [(1, False, False), (1, False, True), (1, True, False), (0, False, False), (0, False, True),
               (0, True, False), (0, True, True)]]  # fmt: skip
     assert order == sorted(set(order)) and order[0] == 0
 
 
 def test_surplus_priorities_share_the_last_one() -> None:
-    made = levels([float(i) for i in range(1, 40)])
-    assert made.count == 16 and made.priority_of(0, True, True) == 15
+    priorities = levels([float(i) for i in range(1, 40)])
+    assert priorities.count == 16 and priorities.priority_of(0, True, True) == 15
 
 
 @given(st.lists(st.floats(0, 1e4), min_size=1, max_size=8), st.floats(0, 1e5))
@@ -126,13 +126,13 @@
 
 def test_capacity_recovers_to_the_best_goodput_and_lower_after_a_relapse(controller: LevelController) -> None:
     controller.update(traffic(good=1_000), 0)
-    jam, fine = overloaded(300, 700), traffic((3_000, 0), 300, 300, 0)
-    controller.update(jam, SECOND)
-    controller.update(fine, 2 * SECOND)
+    overload, healthy = overloaded(300, 700), traffic((3_000, 0), 300, 300, 0)
+    controller.update(overload, SECOND)
+    controller.update(healthy, 2 * SECOND)
     assert controller.capacity == level_controller.RECOVERY_FACTOR * 1_000
-    controller.update(jam, 3 * SECOND)
+    controller.update(overload, 3 * SECOND)
     assert controller.capacity == pytest.approx(level_controller.CUT_FACTOR * 300)
-    controller.update(fine, 4 * SECOND)
+    controller.update(healthy, 4 * SECOND)
     assert controller.capacity == pytest.approx(
         level_controller.RECOVERY_FACTOR * level_controller.RECOVERY_FACTOR * 1_000
     )  # lower with every relapse
@@ -140,20 +140,20 @@
 
 def test_growth_is_bounded_until_the_statistics_show_the_last_step(controller: LevelController) -> None:
     controller.update(overloaded(500, 500), 0)
-    fine = traffic((3_000, 0), 600, 600, 0, age=2 * SECOND)
-    controller.update(fine, 10)
+    healthy = traffic((3_000, 0), 600, 600, 0, age=2 * SECOND)
+    controller.update(healthy, 10)
     before = controller.capacity
     for now in range(20, 4 * SECOND, 1_000):  # one lag: a window of 2 s plus an age of 2 s
-        controller.update(fine, now)
+        controller.update(healthy, now)
     assert before < controller.capacity <= before * (1 + level_controller.GROWTH_PER_LAG) * 1.05
     fresh, stale = (
         LevelController(2, SECOND, lambda text: None, 0),
         LevelController(2, SECOND, lambda text: None, 0),
     )
-    for made, age in ((fresh, 0), (stale, 8 * SECOND)):
-        made.update(overloaded(500, 500), 0)
+    for subject, age in ((fresh, 0), (stale, 8 * SECOND)):
+        subject.update(overloaded(500, 500), 0)
         for now in range(10, 6 * SECOND, 1_000):
-            made.update(traffic((3_000, 0), made.capacity, made.capacity, 0, age=age), now)
+            subject.update(traffic((3_000, 0), subject.capacity, subject.capacity, 0, age=age), now)
     assert stale.capacity < fresh.capacity
 
 
@@ -176,12 +176,12 @@
 
 @pytest.mark.parametrize(("count", "age"), [(3, 1.0), (12, 2.0), (40, 3.0)])
 def test_threefold_overload_is_shed_without_oscillation(count: int, age: float) -> None:
-    story = simulate(day(count, age=age), SharedLevel)
-    assert story.service_ratio(5, 15) > 0.995  # nothing is lost without overload
-    assert story.service_ratio(35, 75) > 0.9
-    windows = [story.service_ratio(t, t + 5) for t in range(35, 75, 5)]
+    result = simulate(day(count, age=age), SharedLevel)
+    assert result.service_ratio(5, 15) > 0.995  # nothing is lost without overload
+    assert result.service_ratio(35, 75) > 0.9
+    windows = [result.service_ratio(t, t + 5) for t in range(35, 75, 5)]
     assert min(windows) > 0.75
-    assert story.service_ratio(80, 90) > 0.95  # 5 s after the overload
+    assert result.service_ratio(80, 90) > 0.95  # 5 s after the overload
 
 
 def test_without_shedding_or_with_a_retry_budget_alone_goodput_collapses() -> None:
@@ -195,18 +195,18 @@
     def grow_at_once(self: LevelController, traffic: Traffic, now: int) -> None:
         self.capacity = max(self.capacity, traffic.admitted) * (1 + level_controller.GROWTH_PER_LAG)
 
-    good = simulate(day(12, age=3.0), SharedLevel).service_ratio(35, 75)
+    expected = simulate(day(12, age=3.0), SharedLevel).service_ratio(35, 75)
     table = {
         key: (state, grow_at_once if effect is LevelController.grow else effect)
         for key, (state, effect) in TRANSITIONS.items()
     }
     monkeypatch.setattr(level_controller, "TRANSITIONS", table)
-    assert simulate(day(12, age=3.0), SharedLevel).service_ratio(35, 75) < good - 0.15
+    assert simulate(day(12, age=3.0), SharedLevel).service_ratio(35, 75) < expected - 0.15
 
 
 def test_loss_of_half_the_capacity_in_an_uneven_fleet() -> None:
-    story = simulate(day(12, up=lambda t: 0.5 if 30 < t < 60 else 1.0, uneven=50.0), SharedLevel)
-    assert story.service_ratio(42, 60) > 0.8 and story.service_ratio(70, 75) > 0.85
+    result = simulate(day(12, up=lambda t: 0.5 if 30 < t < 60 else 1.0, uneven=50.0), SharedLevel)
+    assert result.service_ratio(42, 60) > 0.8 and result.service_ratio(70, 75) > 0.85
     alone = simulate(day(12, uneven=50.0), LocalLevel)
     assert alone.service_ratio(35, 75) > 0.8  # the fallback to the dispatcher's own statistics
 
@@ -215,13 +215,13 @@
 
 
 def test_the_source_steps_down_at_once_and_up_with_delay() -> None:
-    made = SourceSelector(lambda text: None, 0)
-    assert made.update(12, 12, 50.0, SECOND) is StatisticsSource.NONE
-    assert made.update(12, 12, 50.0, 4 * SECOND) is StatisticsSource.OWN
-    assert made.update(12, 12, 50.0, 8 * SECOND) is StatisticsSource.FLEET
-    assert made.update(5, 12, 50.0, 8 * SECOND + 1) is StatisticsSource.OWN
-    assert made.update(12, 12, 50.0, 9 * SECOND) is StatisticsSource.OWN
-    assert made.update(1, 1, 0.5, 9 * SECOND + 1) is StatisticsSource.NONE
+    selector = SourceSelector(lambda text: None, 0)
+    assert selector.update(12, 12, 50.0, SECOND) is StatisticsSource.NONE
+    assert selector.update(12, 12, 50.0, 4 * SECOND) is StatisticsSource.OWN
+    assert selector.update(12, 12, 50.0, 8 * SECOND) is StatisticsSource.FLEET
+    assert selector.update(5, 12, 50.0, 8 * SECOND + 1) is StatisticsSource.OWN
+    assert selector.update(12, 12, 50.0, 9 * SECOND) is StatisticsSource.OWN
+    assert selector.update(1, 1, 0.5, 9 * SECOND + 1) is StatisticsSource.NONE
 
 
 def test_draining_does_not_spiral_below_the_floor(controller: LevelController) -> None:
@@ -246,31 +246,31 @@
 @given(st.lists(st.tuples(st.integers(0, 300), st.booleans()), max_size=300), st.floats(1, 500))
 def test_the_bucket_never_exceeds_its_rate(requests: list[tuple[int, bool]], rate: float) -> None:
     """In any sequence of requests that the level admits and rejects."""
-    made, now, taken = UnusedCapacityBucket(0), 0, 0
-    made.set_rate(rate, 0)
+    bucket, now, taken = UnusedCapacityBucket(0), 0, 0
+    bucket.set_rate(rate, 0)
     for gap, admitted in requests:
         now += gap
         if admitted:
-            made.charge(now)
-        taken += not admitted and made.try_take(now)
+            bucket.charge(now)
+        taken += not admitted and bucket.try_take(now)
         assert taken <= max(1.0, rate / 2) + rate * now / SECOND + 1e-6
 
 
 def test_only_capacity_unused_by_the_level_is_filled() -> None:
-    made = UnusedCapacityBucket(0)
-    made.set_rate(10.0, 0)
-    assert sum(made.try_take(now) for now in range(0, 10 * SECOND, 100)) in (99, 100)
+    bucket = UnusedCapacityBucket(0)
+    bucket.set_rate(10.0, 0)
+    assert sum(bucket.try_take(now) for now in range(0, 10 * SECOND, 100)) in (99, 100)
     for now in range(10 * SECOND, 20 * SECOND, SECOND // 10):  # the level uses all of the capacity
-        made.charge(now)
-    assert sum(made.try_take(now) for now in range(20 * SECOND, 21 * SECOND, 100)) in (9, 10, 14)
-    made.set_rate(float("inf"), 21 * SECOND)
-    assert not made.try_take(30 * SECOND)
+        bucket.charge(now)
+    assert sum(bucket.try_take(now) for now in range(20 * SECOND, 21 * SECOND, 100)) in (9, 10, 14)
+    bucket.set_rate(float("inf"), 21 * SECOND)
+    assert not bucket.try_take(30 * SECOND)
 
 
 def test_own_part_compares_demand_of_the_same_time() -> None:
-    made = UnusedCapacityBucket(0)
+    bucket = UnusedCapacityBucket(0)
     for second in range(10):  # a burst ended 3 s ago; the fleet's statistics do not show that yet
-        part = made.own_part(120.0 if second < 7 else 10.0, 960.0, 4 * SECOND, second * SECOND)
+        part = bucket.own_part(120.0 if second < 7 else 10.0, 960.0, 4 * SECOND, second * SECOND)
     assert part == 120 / 960
 
 
@@ -357,12 +357,12 @@
 
 
 def test_the_newest_verdict_wins_until_it_expires() -> None:
-    made = WorkerVerdicts("a")
-    made.record("w", True, 0)
-    made.on_verdicts([WorkerVerdict("w", False, 1_000, "b")], SECOND)
-    assert made.is_unhealthy("w", SECOND)
-    made.on_verdicts([WorkerVerdict("w", True, 9_900, "c")], SECOND)  # older than b's
-    assert made.is_unhealthy("w", SECOND) and not made.is_unhealthy("w", 1_000 + 9_000 + EXPIRY_AGE)
-    made.on_verdicts([WorkerVerdict("w", False, EXPIRY_AGE, "d")], 10 * SECOND)
-    assert not made.is_unhealthy("w", 10 * SECOND)
-    assert [v.worker for v in made.to_send(SECOND, 5)] == ["w"]
+    verdicts = WorkerVerdicts("a")
+    verdicts.record("w", True, 0)
+    verdicts.on_verdicts([WorkerVerdict("w", False, 1_000, "b")], SECOND)
+    assert verdicts.is_unhealthy("w", SECOND)
+    verdicts.on_verdicts([WorkerVerdict("w", True, 9_900, "c")], SECOND)  # older than b's
+    assert verdicts.is_unhealthy("w", SECOND) and not verdicts.is_unhealthy("w", 1_000 + 9_000 + EXPIRY_AGE)
+    verdicts.on_verdicts([WorkerVerdict("w", False, EXPIRY_AGE, "d")], 10 * SECOND)
+    assert not verdicts.is_unhealthy("w", 10 * SECOND)
+    assert [v.worker for v in verdicts.to_send(SECOND, 5)] == ["w"]
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -60,7 +60,7 @@
     state.add(TickEntry(at=at + 10_000, functions_ready=functions_ready))
 
 
-def good(step: int, minute: int = 0) -> OutcomeEntry:
+def good_outcomes(step: int, minute: int = 0) -> OutcomeEntry:
     return OutcomeEntry(
         at=1,
         edge="e",
@@ -91,7 +91,7 @@
 def test_successive_rollouts_of_a_new_function(state: NumberingState) -> None:
     state.add(command("1", steps=(1.0,)))
     take_step(state, 10_000)
-    state.add(good(0))
+    state.add(good_outcomes(0))
     take_step(state, 30_000)
     assert state.rollouts["f"].state is RolloutState.SETTLED and state.settled_versions == {"f": "v2"}
     assert state.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO  # it is the settled version
@@ -141,11 +141,11 @@
 def test_evidence_of_another_step_is_ignored(state: NumberingState) -> None:
     state.add(command("1"))
     take_step(state, 10_000)
-    state.add(good(0))
+    state.add(good_outcomes(0))
     take_step(state, 30_000)
     assert state.rollouts["f"].step == 1
-    state.add(good(0))
-    state.add(good(5))
+    state.add(good_outcomes(0))
+    state.add(good_outcomes(5))
     assert state.rollouts["f"].evidence.totals_by_minute() == {}
 
 
@@ -166,7 +166,7 @@
     entries: list[JournalEntry] = [
         command("1"),
         TickEntry(at=10_000, functions_ready=("f",)),
-        good(0),
+        good_outcomes(0),
         TickEntry(at=20_000, functions_ready=("f",)),
         command("2", "back", reason="wrong prices", at=30_000),
     ]
@@ -262,10 +262,10 @@
     file.write(PLAN)
     assert file.read() == PLAN
 
-    def full(*asked: object) -> None:
+    def disk_full(*args: object) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("os.fsync", full)
+    monkeypatch.setattr("os.fsync", disk_full)
     with pytest.raises(OSError, match="No space"):
         file.write(PersistedPlan(4, 1, []))
     assert file.read() == PLAN
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -39,10 +39,10 @@
 
 @given(REQUESTS, st.lists(st.integers(0, 10**6), max_size=20))
 def test_any_split_gives_the_same_requests(
-    asked: list[tuple[dict[bytes, bytes], bytes]], cuts: list[int]
+    requests: list[tuple[dict[bytes, bytes], bytes]], cuts: list[int]
 ) -> None:
-    data = b"".join(request(i + 1, *one) for i, one in enumerate(asked))
-    wanted = [fastcgi.Request(i + 1, True, fields, body) for i, (fields, body) in enumerate(asked)]
+    data = b"".join(request(i + 1, *one) for i, one in enumerate(requests))
+    wanted = [fastcgi.Request(i + 1, True, fields, body) for i, (fields, body) in enumerate(requests)]
     assert events(data, cuts) == events(data, []) == wanted
 
 
@@ -53,10 +53,10 @@
 
 @given(st.lists(st.tuples(st.integers(1, 11), st.integers(0, 3), st.binary(max_size=40)), max_size=30))
 def test_records_in_any_order_never_raise_or_reuse_an_open_request_number(
-    said: list[tuple[int, int, bytes]],
+    records: list[tuple[int, int, bytes]],
 ) -> None:
     reader = fastcgi.RecordReader()
-    for kind, number, content in said:
+    for kind, number, content in records:
         for event in reader.feed(fastcgi.encode_record(kind, number, content)):
             if isinstance(event, fastcgi.Request):
                 assert event.number in reader.open_requests and event.number not in reader.partial
@@ -87,22 +87,22 @@
 
 
 def test_management_records_are_answered() -> None:
-    asked = fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"") + fastcgi.encode_pair(b"OTHER", b"")
-    (told,) = events(fastcgi.encode_record(fastcgi.GET_VALUES, 0, asked), [])
-    assert isinstance(told, fastcgi.ImmediateReply) and told.data.endswith(
+    requests = fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"") + fastcgi.encode_pair(b"OTHER", b"")
+    (reply,) = events(fastcgi.encode_record(fastcgi.GET_VALUES, 0, requests), [])
+    assert isinstance(reply, fastcgi.ImmediateReply) and reply.data.endswith(
         fastcgi.encode_pair(b"FCGI_MPXS_CONNS", b"1")
     )
-    (odd,) = events(fastcgi.encode_record(77, 0), [])
-    assert isinstance(odd, fastcgi.ImmediateReply) and odd.data[1] == fastcgi.UNKNOWN
+    (unknown,) = events(fastcgi.encode_record(77, 0), [])
+    assert isinstance(unknown, fastcgi.ImmediateReply) and unknown.data[1] == fastcgi.UNKNOWN
 
 
 def test_an_answer_is_split_into_records_of_valid_size() -> None:
-    said = fastcgi.encode_response(7, b"Status: 200 OK\r\n\r\n", b"x" * 200_000)
+    records = fastcgi.encode_response(7, b"Status: 200 OK\r\n\r\n", b"x" * 200_000)
     at, body = 0, b""
-    while at < len(said):
-        _, kind, number, size, padding, _ = fastcgi.HEAD.unpack_from(said, at)
+    while at < len(records):
+        _, kind, number, size, padding, _ = fastcgi.HEAD.unpack_from(records, at)
         assert number == 7
-        body += said[at + 8 : at + 8 + size] if kind == fastcgi.STDOUT else b""
+        body += records[at + 8 : at + 8 + size] if kind == fastcgi.STDOUT else b""
         at += 8 + size + padding
     assert body == b"Status: 200 OK\r\n\r\n" + b"x" * 200_000
 
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -35,12 +35,12 @@
 
     def __init__(self, most: int = 100) -> None:
         self.most = most
-        self.given: list[tuple[WorkerCapacity, int]] = []
+        self.accepted: list[tuple[WorkerCapacity, int]] = []
 
     def __call__(self, worker: WorkerCapacity, count: int) -> bool:
-        if len(self.given) >= self.most:
+        if len(self.accepted) >= self.most:
             return False
-        self.given.append((worker, count))
+        self.accepted.append((worker, count))
         return True
 
 
@@ -113,21 +113,22 @@
     status = maintain_replicas(
         [WorkerCapacity(2, 4), WorkerCapacity(3, 4)], 4, loads_available=9, preload=preloads
     )
-    assert status.is_sufficient and (status.wanted, status.loaded) == (4, 4) and not preloads.given
+    assert status.is_sufficient and (status.wanted, status.loaded) == (4, 4) and not preloads.accepted
 
 
 def test_preloads_stay_within_the_available_loads() -> None:
     workers, preloads = [WorkerCapacity(0, 2) for _ in range(6)], PreloadRecorder()
     status = maintain_replicas(workers, 12, loads_available=3.5, preload=preloads)
     assert (
-        preloads.given == [(workers[0], 2), (workers[1], 2)] and status.shortage is Shortage.LOADS_IN_PROGRESS
+        preloads.accepted == [(workers[0], 2), (workers[1], 2)]
+        and status.shortage is Shortage.LOADS_IN_PROGRESS
     )
-    for worker, _ in preloads.given:
+    for worker, _ in preloads.accepted:
         worker.preload_pending = True
     maintain_replicas(
         workers, 12, loads_available=3.5, preload=preloads
     )  # those four loads are still in progress
-    assert len(preloads.given) == 2
+    assert len(preloads.accepted) == 2
 
 
 def test_unconfirmed_replicas_are_renewed_before_new_preloads() -> None:
@@ -138,7 +139,7 @@
     ]
     preloads = PreloadRecorder()
     maintain_replicas(workers, 6, loads_available=9, preload=preloads)
-    assert preloads.given == [(workers[1], 2), (workers[0], 2)]
+    assert preloads.accepted == [(workers[1], 2), (workers[0], 2)]
 
 
 def test_part_of_the_spare_may_be_missing_but_not_the_second_worker() -> None:
@@ -181,15 +182,15 @@
 
 def test_edges_that_share_an_order_preload_the_same_replicas() -> None:
     """Each edge preloads for the whole fleet on the same workers, so the largest one counts, not the sum."""
-    asked: Counter[int] = Counter()
+    largest: Counter[int] = Counter()
     for busy in (2.0, 2.5, 1.5):  # three edges with about a third of the traffic each
         preloads = PreloadRecorder()
         maintain_replicas(
             [WorkerCapacity(0, 3) for _ in range(8)], required_replicas(busy, 1.0, 1, 3), 99, preloads
         )
-        for place, (_, count) in enumerate(preloads.given):
-            asked[place] = max(asked[place], count)
-    assert required_replicas(2.0, 1.0, 1, 3) <= sum(asked.values()) <= required_replicas(2.5, 1.0, 1, 3) + 2
+        for place, (_, count) in enumerate(preloads.accepted):
+            largest[place] = max(largest[place], count)
+    assert required_replicas(2.0, 1.0, 1, 3) <= sum(largest.values()) <= required_replicas(2.5, 1.0, 1, 3) + 2
 
 
 # readiness, at the planner
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -83,15 +83,15 @@
 
 
 def test_a_tokened_retry_goes_only_to_the_version_of_earlier_attempts() -> None:
-    """Also if the weight has grown since, or the first attempt was sent by another edge."""
-    grown = replace(SPLIT, weight=0.3, peak_weight=0.6)
+    """Also if the weight has split since, or the first attempt was sent by another edge."""
+    split = replace(SPLIT, weight=0.3, peak_weight=0.6)
 
     def choices(earlier: EarlierVersion) -> list[VersionChoice]:
-        made: dict[float, VersionChoice] = {}
+        by_range: dict[float, VersionChoice] = {}
         for low, high in ((0.0, 0.3), (0.3, 0.6), (0.6, 1.0)):
             keys = [key for key in KEYS if low <= hash_position("f", "v2", key) < high]
-            (made[low],) = {choose_version(grown, key, "tokened", True, False, earlier) for key in keys}
-        return list(made.values())
+            (by_range[low],) = {choose_version(split, key, "tokened", True, False, earlier) for key in keys}
+        return list(by_range.values())
 
     assert choices(EarlierVersion.SETTLED) == [VersionChoice.SETTLED] * 3
     assert choices(EarlierVersion.CANDIDATE) == [
@@ -260,69 +260,69 @@
 
 @pytest.mark.parametrize("fault_rate", [0.0, 0.3])
 def test_a_good_candidate_is_rarely_rolled_back(fault_rate: float) -> None:
-    ends = [simulate_evidence(0.01, 0.0, seed, fault_rate=fault_rate)[0] for seed in range(100)]
-    assert ends.count("back") <= 3 and ends.count("grow") >= 90
+    results = [simulate_evidence(0.01, 0.0, seed, fault_rate=fault_rate)[0] for seed in range(100)]
+    assert results.count("back") <= 3 and results.count("grow") >= 90
 
 
 @pytest.mark.parametrize(("worse", "within"), [(0.1, 4), (0.3, 2)])
 def test_a_bad_candidate_is_rolled_back_soon(worse: float, within: int) -> None:
-    ends = [simulate_evidence(0.01, worse, seed) for seed in range(40)]
-    assert all(end == "back" for end, _ in ends)
-    assert sorted(minute for _, minute in ends)[len(ends) // 2] <= within
+    results = [simulate_evidence(0.01, worse, seed) for seed in range(40)]
+    assert all(result == "back" for result, _ in results)
+    assert sorted(minute for _, minute in results)[len(results) // 2] <= within
 
 
 # the state machine
 
 
-def rollout() -> Rollout:
+def new_rollout() -> Rollout:
     return Rollout("f", "v1", "v2", (0.01, 0.1, 0.5, 1.0), retention=50_000)
 
 
 @pytest.fixture
 def growing() -> Rollout:
-    made = rollout()
-    made.handle(RolloutInput.START, 0)
-    made.handle(RolloutInput.REPLICAS_READY, S)
-    return made
+    rollout = new_rollout()
+    rollout.handle(RolloutInput.START, 0)
+    rollout.handle(RolloutInput.REPLICAS_READY, S)
+    return rollout
 
 
-def state_of(made: Rollout) -> RolloutState:
+def state_of(rollout: Rollout) -> RolloutState:
     """Return the state; a function call, as type checkers narrow the attribute by earlier assertions."""
-    return made.state
+    return rollout.state
 
 
-def step(made: Rollout, at: int, replicas_ready: bool = True) -> None:
+def take_step(rollout: Rollout, at: int, replicas_ready: bool = True) -> None:
     """Evaluate twice: to announce the step, and to take it."""
-    made.evaluate(at, replicas_ready)
-    made.evaluate(at + S, replicas_ready)
+    rollout.evaluate(at, replicas_ready)
+    rollout.evaluate(at + S, replicas_ready)
 
 
-def good(made: Rollout) -> None:
-    made.evidence.add_report("e", "s", len(made.history), OutcomeCounts(5_000, 10, 5_000, 10))
+def add_good_evidence(rollout: Rollout) -> None:
+    rollout.evidence.add_report("e", "s", len(rollout.history), OutcomeCounts(5_000, 10, 5_000, 10))
 
 
 def test_a_rollout_loads_first_and_grows_by_evidence_until_settled() -> None:
-    made = rollout()
-    assert made.handle(RolloutInput.START, 0) == CommandOutcome.DONE
-    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next_weight=0.01)
-    made.evaluate(S, replicas_ready=False)
-    assert state_of(made) is RolloutState.WARMING
-    step(made, 2 * S)
-    assert made.split() == TrafficSplit("f", "v1", "v2", 0.01, 0.01, next_weight=0.1)
-    step(made, 4 * S)
-    assert made.weight == 0.01  # no evidence, no step
+    rollout = new_rollout()
+    assert rollout.handle(RolloutInput.START, 0) == CommandOutcome.DONE
+    assert rollout.split() == TrafficSplit("f", "v1", "v2", 0.0, 0.0, next_weight=0.01)
+    rollout.evaluate(S, replicas_ready=False)
+    assert state_of(rollout) is RolloutState.WARMING
+    take_step(rollout, 2 * S)
+    assert rollout.split() == TrafficSplit("f", "v1", "v2", 0.01, 0.01, next_weight=0.1)
+    take_step(rollout, 4 * S)
+    assert rollout.weight == 0.01  # no evidence, no step
     for turn, expected in enumerate((0.1, 0.5, 0.9)):
-        good(made)
-        step(made, (10 + 5 * turn) * S, replicas_ready=False)
-        assert made.weight < expected  # evidence, but its replicas are not loaded
-        step(made, (12 + 5 * turn) * S)
-        assert made.weight == expected
-    good(made)
-    step(made, 40 * S)
-    assert state_of(made) is RolloutState.SETTLED
-    assert made.split() == TrafficSplit("f", "v1", "v2", 1.0, 1.0, next_weight=1.0, promoted=True)
-    made.evaluate(41 * S + made.retention, replicas_ready=True)
-    assert state_of(made) is RolloutState.SETTLED and made.split() == TrafficSplit("f", "v2")
+        add_good_evidence(rollout)
+        take_step(rollout, (10 + 5 * turn) * S, replicas_ready=False)
+        assert rollout.weight < expected  # evidence, but its replicas are not loaded
+        take_step(rollout, (12 + 5 * turn) * S)
+        assert rollout.weight == expected
+    add_good_evidence(rollout)
+    take_step(rollout, 40 * S)
+    assert state_of(rollout) is RolloutState.SETTLED
+    assert rollout.split() == TrafficSplit("f", "v1", "v2", 1.0, 1.0, next_weight=1.0, promoted=True)
+    rollout.evaluate(41 * S + rollout.retention, replicas_ready=True)
+    assert state_of(rollout) is RolloutState.SETTLED and rollout.split() == TrafficSplit("f", "v2")
 
 
 def test_harm_rolls_back_even_a_held_rollout(growing: Rollout) -> None:
@@ -338,8 +338,8 @@
 
 
 def test_each_step_starts_with_no_evidence(growing: Rollout) -> None:
-    good(growing)
-    step(growing, 2 * S)
+    add_good_evidence(growing)
+    take_step(growing, 2 * S)
     assert growing.weight == 0.1 and growing.evidence.verdict() == Verdict(0.0, 0.0, 0, 0)
 
 
@@ -361,11 +361,11 @@
 
 
 def test_a_rollout_held_before_its_replicas_are_loaded_returns_to_warming() -> None:
-    made = rollout()
-    made.handle(RolloutInput.START, 0)
-    made.handle(RolloutInput.HOLD, 1)
-    made.handle(RolloutInput.ADVANCE, S)
-    assert made.state is RolloutState.WARMING and made.weight == 0.0
+    rollout = new_rollout()
+    rollout.handle(RolloutInput.START, 0)
+    rollout.handle(RolloutInput.HOLD, 1)
+    rollout.handle(RolloutInput.ADVANCE, S)
+    assert rollout.state is RolloutState.WARMING and rollout.weight == 0.0
 
 
 def test_a_step_is_announced_one_second_in_advance(growing: Rollout) -> None:
@@ -392,27 +392,30 @@
         assert growing.split().peak_weight == 0.01
 
 
-def settle(made: Rollout) -> Rollout:
+def settle(rollout: Rollout) -> Rollout:
     for turn in range(4):
-        made.handle(RolloutInput.ADVANCE, turn * S)
-        step(made, turn * S)
-    assert made.state is RolloutState.SETTLED and made.state_since == 4 * S
-    return made
+        rollout.handle(RolloutInput.ADVANCE, turn * S)
+        take_step(rollout, turn * S)
+    assert rollout.state is RolloutState.SETTLED and rollout.state_since == 4 * S
+    return rollout
 
 
 def test_a_settled_candidate_can_be_rolled_back_for_all_keys(growing: Rollout) -> None:
-    made = settle(growing)
-    assert made.handle(RolloutInput.ROLL_BACK, 6 * S) == CommandOutcome.DONE
-    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
-    made.evaluate(6 * S + made.retention, replicas_ready=False)
-    assert made.state is RolloutState.WITHDRAWN and made.split() == TrafficSplit("f", "v1")
+    rollout = settle(growing)
+    assert rollout.handle(RolloutInput.ROLL_BACK, 6 * S) == CommandOutcome.DONE
+    assert rollout.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
+    rollout.evaluate(6 * S + rollout.retention, replicas_ready=False)
+    assert rollout.state is RolloutState.WITHDRAWN and rollout.split() == TrafficSplit("f", "v1")
 
 
 def test_a_settled_candidate_can_be_rolled_back_after_the_retention(growing: Rollout) -> None:
-    made = settle(growing)
-    made.evaluate(4 * S + made.retention, replicas_ready=False)
-    assert not made.previous_retained and made.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
-    assert made.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
+    rollout = settle(growing)
+    rollout.evaluate(4 * S + rollout.retention, replicas_ready=False)
+    assert (
+        not rollout.previous_retained
+        and rollout.handle(RolloutInput.ROLL_BACK, 100 * S) == CommandOutcome.DONE
+    )
+    assert rollout.split() == TrafficSplit("f", "v1", "v2", 0.0, 1.0, withdrawn=True)
 
 
 COMMANDS = [
@@ -429,7 +432,7 @@
 
     @initialize()
     def begin(self) -> None:
-        self.made = rollout()
+        self.rollout = new_rollout()
         self.now = 0
         self.last = 0.0
         self.over = False
@@ -438,34 +441,34 @@
     @rule(rollout_input=st.sampled_from(COMMANDS), wait=st.integers(0, 60_000))
     def send_input(self, rollout_input: RolloutInput, wait: int) -> None:
         self.now += wait
-        before = (self.made.state, self.made.step)
-        outcome = self.made.handle(rollout_input, self.now)
+        before = (self.rollout.state, self.rollout.step)
+        outcome = self.rollout.handle(rollout_input, self.now)
         if outcome != CommandOutcome.DONE:
-            assert (self.made.state, self.made.step) == before
+            assert (self.rollout.state, self.rollout.step) == before
 
     @rule(tally=st.tuples(*[st.integers(0, 300)] * 4), warm=st.booleans())
     def tick(self, tally: tuple[int, int, int, int], warm: bool) -> None:
         settled, settled_bad, candidate, candidate_bad = tally
         counts = OutcomeCounts(settled + settled_bad, settled_bad, candidate + candidate_bad, candidate_bad)
-        self.made.evidence.add_report("e", "s", self.now, counts)
-        self.made.evaluate(self.now, warm)
+        self.rollout.evidence.add_report("e", "s", self.now, counts)
+        self.rollout.evaluate(self.now, warm)
 
     @invariant()
     def verify_invariants(self) -> None:
-        made, split = self.made, self.made.split()
-        gone = made.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
+        rollout, split = self.rollout, self.rollout.split()
+        gone = rollout.state in (RolloutState.WITHDRAWING, RolloutState.WITHDRAWN)
         assert not (self.over and not gone)  # a withdrawn candidate never returns
         self.over = gone
         assert split.weight == 0.0 or not gone
-        assert 0.0 <= made.weight <= made.peak_weight <= 1.0 or made.state is RolloutState.SETTLED
+        assert 0.0 <= rollout.weight <= rollout.peak_weight <= 1.0 or rollout.state is RolloutState.SETTLED
         if not gone:
-            assert made.weight >= self.last  # the weight grows until it is rolled back
-            self.last = made.weight
+            assert rollout.weight >= self.last  # the weight grows until it is rolled back
+            self.last = rollout.weight
         if split.candidate and not gone:
             announced = next(peak for at, peak in reversed(self.peaks) if at <= self.now - 10_000)
             assert split.weight <= announced  # also under the plan of one second ago
             self.peaks.append((self.now, split.peak_weight))
-        assert made.weight in (0.0, 0.01, 0.1, 0.5, 0.9, 1.0)
+        assert rollout.weight in (0.0, 0.01, 0.1, 0.5, 0.9, 1.0)
 
 
 RolloutMachine.TestCase.settings = settings(
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -30,16 +30,16 @@
     world: Any  # untyped, as its handles of edges and planners exist only in virtual time
     older: Planner  # the planner that was replaced by a newer one
     older_process: VirtualProcess
-    said: CommandResult | None
+    late_result: CommandResult | None
 
     def __init__(
         self,
         script: Mapping[str, Any],
         path: Path,
         fault: VersionFault | None = None,
-        orders: Sequence[tuple[float, RolloutAction]] = (),
+        commands: Sequence[tuple[float, RolloutAction]] = (),
         steps: tuple[float, ...] = (0.3, 1.0),
-        does: Sequence[tuple[float, Callable[["Rolled"], object]]] = (),
+        actions: Sequence[tuple[float, Callable[["Rolled"], object]]] = (),
         start: Mapping[str, Any] | None = None,
         absent: bool = False,
     ) -> None:
@@ -47,9 +47,9 @@
         self.absent = absent
         self.path = path
         self.fault = fault
-        self.orders = orders
+        self.commands = commands
         self.steps = steps
-        self.does = does
+        self.actions = actions
         super().__init__(dict(script))
 
     def prepare(self, reactor: VirtualReactor) -> None:
@@ -57,9 +57,9 @@
         self.port = reactor.free_port()
         self.deployment.planner.port = self.port
         if not self.absent:
-            self.begin_planner()
+            self.start_planner()
 
-    def begin_planner(self) -> None:
+    def start_planner(self) -> None:
         self.process = VirtualProcess(self.reactor, "planner")
         self.planner = Planner(self.process, Journal(self.path), self.log)
         self.planner.start(self.port)
@@ -74,24 +74,24 @@
             world.version_faults[NAME] = self.fault
         if self.absent:
             return
-        self.at(2.0, lambda: self.order("start", steps=self.steps, **self.start))
-        for when, what in self.orders:
-            self.at(when, partial(self.order, what))
-        for when, do in self.does:
-            self.at(when, partial(do, self))
+        self.at(2.0, lambda: self.send_command("start", steps=self.steps, **self.start))
+        for when, action in self.commands:
+            self.at(when, partial(self.send_command, action))
+        for when, action_at in self.actions:
+            self.at(when, partial(action_at, self))
 
     def at(self, seconds: float, call: Callable[[], object]) -> None:
         self.world.reactor.callLater(seconds, call)
 
-    def order(self, what: RolloutAction, **more: Any) -> CommandResult | None:
+    def send_command(self, action: RolloutAction, **more: Any) -> CommandResult | None:
         planner = self.planner
         now = planner.now()
-        name = f"{what}-{now}"
+        name = f"{action}-{now}"
         command = CommandEntry(
-            at=now, id=name, action=what, function="fn-0", operator="duty", candidate="v2", **more
+            at=now, id=name, action=action, function="fn-0", operator="duty", candidate="v2", **more
         )
         reply = planner.append(command)
-        if what == "back":
+        if action == "back":
             self.world.tape.put("planner", "back", version=NAME)
         return reply
 
@@ -103,17 +103,17 @@
         return [run for run in self.trace.attempts if run.message.function == NAME]
 
 
-def script(troubles: Any = (), length: str = "14 s", seed: int = 1, like: str = "slots") -> dict[str, Any]:
+def script(faults: Any = (), length: str = "14 s", seed: int = 1, like: str = "slots") -> dict[str, Any]:
     traffic = {"rate": 60, "functions": 3, "popularity": 1.2}
-    return day(like, troubles, seed, length=length, traffic=traffic)
+    return day(like, faults, seed, length=length, traffic=traffic)
 
 
 def test_a_good_version_is_preloaded_and_grows_until_it_settles(tmp_path: Path) -> None:
     played = Rolled(script(length="80 s"), tmp_path / "j")
     assert played.violations() == [] and played.rollout.state is RolloutState.SETTLED
-    orders = [hold.at for hold in played.trace.preloads if hold.message.function == NAME]
+    preloads = [preload.at for preload in played.trace.preloads if preload.message.function == NAME]
     first = min(run.at for run in played.runs())
-    assert min(orders) < first
+    assert min(preloads) < first
     late = [
         run for run in played.trace.attempts if run.at > 78_000 and run.message.function.startswith("fn-0")
     ]
@@ -139,7 +139,7 @@
     for run in played.runs() + [r for r in played.trace.attempts if r.message.function == "fn-0"]:
         if run.at > 8_000:
             versions.setdefault(run.message.key, set()).add(run.message.function)
-    assert len(versions) > 50 and all(len(met) == 1 for met in versions.values())
+    assert len(versions) > 50 and all(len(sent_to) == 1 for sent_to in versions.values())
 
 
 def stall(played: Rolled) -> None:
@@ -154,12 +154,12 @@
     edge.resume()
 
 
-def mute(played: Rolled) -> None:
+def stop_sending_plans(played: Rolled) -> None:
     """Stop the planner from sending plans, while it still answers heartbeats."""
     played.planner.edge_connections.clear()
 
 
-def cut_off_half(played: Rolled) -> None:
+def drop_messages_to_half(played: Rolled) -> None:
     """Drop all messages from the planner to every other edge without closing the connections."""
     for connection in list(played.planner.edge_connections)[::2]:
         connection.send_message = lambda message: None  # type: ignore[method-assign]
@@ -169,11 +169,17 @@
     "quiet": [],
     "an edge stalls and resumes with an old plan": [(13.9, stall), (15.9, resume)],
     "the planner stalls just after the rollback": [(14.001, lambda p: p.process.stall())],
-    "the planner is killed between acceptance and push": [(13.999, mute), (14.0, lambda p: p.kill_planner())],
-    "all connections stall, none is closed": [(13.999, mute), (14.0, lambda p: p.process.stall())],
-    "the planner restarts": [(14.5, lambda p: p.kill_planner()), (16.0, lambda p: p.begin_planner())],
-    "half of the edges are cut off": [(13.9, cut_off_half)],
-    "half are cut off long before": [(12.0, cut_off_half)],
+    "the planner is killed between acceptance and push": [
+        (13.999, stop_sending_plans),
+        (14.0, lambda p: p.kill_planner()),
+    ],
+    "all connections stall, none is closed": [
+        (13.999, stop_sending_plans),
+        (14.0, lambda p: p.process.stall()),
+    ],
+    "the planner restarts": [(14.5, lambda p: p.kill_planner()), (16.0, lambda p: p.start_planner())],
+    "half of the edges are cut off": [(13.9, drop_messages_to_half)],
+    "half are cut off long before": [(12.0, drop_messages_to_half)],
 }
 
 
@@ -182,10 +188,14 @@
 def test_one_second_after_a_rollback_the_version_gets_no_new_requests(
     tmp_path: Path, name: str, seed: int
 ) -> None:
-    troubles = [{"kind": "zone_loss", "at": "13.5 s", "lasts": "3 s"}, {"kind": "slow", "at": "12.5 s"}]
-    does = SCENARIOS[name]
+    faults = [{"kind": "zone_loss", "at": "13.5 s", "lasts": "3 s"}, {"kind": "slow", "at": "12.5 s"}]
+    actions = SCENARIOS[name]
     played = Rolled(
-        script(troubles, "21 s", seed), tmp_path / "j", orders=[(14.0, "back")], steps=(0.5, 1.0), does=does
+        script(faults, "21 s", seed),
+        tmp_path / "j",
+        commands=[(14.0, "back")],
+        steps=(0.5, 1.0),
+        actions=actions,
     )
     assert [run for run in played.runs() if 13_000 < run.at < 14_000], (
         "the candidate had no traffic before the rollback"
@@ -196,12 +206,12 @@
 
 
 def test_an_edge_that_ignores_its_lease_is_detected(tmp_path: Path) -> None:
-    def careless(played: Rolled) -> None:
+    def ignore_lease(played: Rolled) -> None:
         for edge in played.world.edges:
             edge.edge.routing.lease.is_usable = lambda now: True
 
-    does = [(5.0, careless), (6.999, mute), (7.0, lambda p: p.process.stall())]
-    played = Rolled(script(), tmp_path / "j", orders=[(7.0, "back")], steps=(0.5, 1.0), does=does)
+    actions = [(5.0, ignore_lease), (6.999, stop_sending_plans), (7.0, lambda p: p.process.stall())]
+    played = Rolled(script(), tmp_path / "j", commands=[(7.0, "back")], steps=(0.5, 1.0), actions=actions)
     assert {breach.rule for breach in played.violations()} == {"withdrawn versions left"}
 
 
@@ -209,8 +219,8 @@
     played = Rolled(
         script(),
         tmp_path / "j",
-        orders=[(7.0, "back")],
-        does=[(7.0, lambda p: p.kill_planner()), (9.0, lambda p: p.begin_planner())],
+        commands=[(7.0, "back")],
+        actions=[(7.0, lambda p: p.kill_planner()), (9.0, lambda p: p.start_planner())],
     )
     assert played.rollout.state is RolloutState.WITHDRAWING and played.violations() == []
     edges = [edge.edge for edge in played.world.edges]
@@ -219,8 +229,8 @@
 
 
 def test_a_planner_outage_moves_traffic_to_the_settled_version_and_back_once(tmp_path: Path) -> None:
-    does = [(6.0, lambda p: p.kill_planner()), (8.5, lambda p: p.begin_planner())]
-    played = Rolled(script(length="20 s"), tmp_path / "j", does=does, steps=(0.5, 1.0))
+    actions = [(6.0, lambda p: p.kill_planner()), (8.5, lambda p: p.start_planner())]
+    played = Rolled(script(length="20 s"), tmp_path / "j", actions=actions, steps=(0.5, 1.0))
     assert played.violations() == []
     away = [run.at for run in played.runs() if 7_000 < run.at < 11_000]
     again = [run.at for run in played.runs() if run.at > 13_500]
@@ -231,17 +241,17 @@
     def newer(played: Rolled) -> None:
         played.older, played.older_process = played.planner, played.process
         played.port = played.reactor.free_port()
-        played.begin_planner()
+        played.start_planner()
 
     def use_older(played: Rolled) -> None:
-        played.said = played.older.append(
+        played.late_result = played.older.append(
             CommandEntry(
                 at=0, id="late", action="advance", function="fn-0", operator="nobody", candidate="v2"
             )
         )
 
-    played = Rolled(script(), tmp_path / "j", does=[(5.0, newer), (6.0, use_older)])
-    assert played.said is None and played.older.is_stopped
+    played = Rolled(script(), tmp_path / "j", actions=[(5.0, newer), (6.0, use_older)])
+    assert played.late_result is None and played.older.is_stopped
     assert "late" not in played.planner.state.results
 
 
@@ -258,8 +268,8 @@
 )
 def test_a_faulty_scripted_version_never_settles(wrong: dict[str, Any]) -> None:
     version = {"candidate": "v2", "at": "2 s", "steps": [30, 100], "wrong": wrong}
-    troubles = [{"kind": "planner_kill", "at": "6 s", "lasts": "1 s"}, {"kind": "planner_stall", "at": "9 s"}]
-    played = Played(script(troubles, length="60 s") | {"rollouts": [version]})
+    faults = [{"kind": "planner_kill", "at": "6 s", "lasts": "1 s"}, {"kind": "planner_stall", "at": "9 s"}]
+    played = Played(script(faults, length="60 s") | {"rollouts": [version]})
     assert played.violations() == [] and played.world.clients.open == 0
     world: Any = played.world
     rollout = world.planner.planner.state.rollouts["fn-0"]
@@ -271,8 +281,8 @@
 
 def test_a_scripted_rollback_passes_the_checks_and_gives_the_same_tape_twice() -> None:
     version = {"candidate": "v2", "at": "2 s", "back": "9 s", "steps": [50, 100]}
-    troubles = [{"kind": "planner_kill", "at": "9 s", "lasts": "2 s"}]
-    first, second = (Played(script(troubles) | {"rollouts": [version]}) for _ in range(2))
+    faults = [{"kind": "planner_kill", "at": "9 s", "lasts": "2 s"}]
+    first, second = (Played(script(faults) | {"rollouts": [version]}) for _ in range(2))
     assert first.tape == second.tape and first.violations() == []
     assert [version for _, _, version in first.trace.withdrawals] == [NAME]
 
@@ -281,17 +291,17 @@
     version = {"candidate": "v2", "at": "2 s", "steps": [10, 100]}
     day_ = script(length="20 s") | {"rollouts": [version]}
     assert Played(day_).violations() == []
-    monkeypatch.setattr("lapistrestle.rollout.version_choice.hash_position", lambda *asked: 0.05)
+    monkeypatch.setattr("lapistrestle.rollout.version_choice.hash_position", lambda *args: 0.05)
     assert {breach.rule for breach in Played(day_).violations()} == {"shares kept"}
 
 
 def tokened_day(path: Path, seed: int) -> Rolled:
     """A day of tokened RPCs whose clients retry at the next edge while the weight grows."""
-    troubles = [{"kind": "delayed", "at": "11 s", "lasts": "14 s", "share": 1.0, "by": "400 ms"}]
-    day_ = script(troubles, "22 s", seed, like="thumbs")
+    faults = [{"kind": "delayed", "at": "11 s", "lasts": "14 s", "share": 1.0, "by": "400 ms"}]
+    day_ = script(faults, "22 s", seed, like="thumbs")
     day_["traffic"] |= {"methods": {"publish": {}}, "rate": 90, "patience": [0.1, 0.4], "retries": 4}
-    does = [(at, lambda p: p.order("advance")) for at in (12.0, 14.0, 16.0, 18.0)]
-    return Rolled(day_, path, steps=(0.2, 0.4, 0.6, 0.8, 1.0), does=does)
+    actions = [(at, lambda p: p.send_command("advance")) for at in (12.0, 14.0, 16.0, 18.0)]
+    return Rolled(day_, path, steps=(0.2, 0.4, 0.6, 0.8, 1.0), actions=actions)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -326,7 +336,7 @@
 
 
 def test_an_unload_cancels_queued_loads_and_fetches(engine: Any) -> None:
-    said: list[tuple[str, str, int]] = []
+    results: list[tuple[str, str, int]] = []
     for function, count in (("a@v2", 3), ("b", 1)):
         engine.hold(
             function,
@@ -334,14 +344,14 @@
             500.0,
             1,
             1.0,
-            lambda outcome, n, function=function: said.append((function, outcome, n)),
+            lambda outcome, n, function=function: results.append((function, outcome, n)),
         )
     engine.run_for(0.3)
     assert engine.store.active == 1 and list(engine.load_queue) == ["a@v2", "a@v2", "b"]
     engine.unload("a@v2")
-    assert said == [("a@v2", "full", 0)] and engine.copies["a@v2"].loading == 0
+    assert results == [("a@v2", "full", 0)] and engine.copies["a@v2"].loading == 0
     engine.run_for(2.0)
-    assert said[1:] == [("b", "ok", 1)] and engine.loads == engine.store.active == 0
+    assert results[1:] == [("b", "ok", 1)] and engine.loads == engine.store.active == 0
 
 
 def test_an_unload_does_not_cancel_a_load_that_a_call_waits_for(engine: Any) -> None:
@@ -360,9 +370,9 @@
         copies = [s.runner.engine.copies.get(NAME) for s in played.world.slots]
         return sum(c.loading + c.standing for c in copies if c), played.world.store.active
 
-    does = [(t, lambda p, t=t: seen.__setitem__(t, loads(p))) for t in (4.9, 5.3)]
+    actions = [(t, lambda p, t=t: seen.__setitem__(t, loads(p))) for t in (4.9, 5.3)]
     slow = [{"kind": "store_slow", "at": "3 s", "lasts": "6 s", "factor": 20}]
-    played = Rolled(script(slow), tmp_path / "j", orders=[(5.0, "back")], does=does)
+    played = Rolled(script(slow), tmp_path / "j", commands=[(5.0, "back")], actions=actions)
     assert seen[4.9][0] > 0 and seen[5.3][0] == 0 and seen[5.3][1] < seen[4.9][1]
     assert played.violations() == [] and played.world.clients.open == 0
 
@@ -376,11 +386,13 @@
         fetched["standing"] = sum(c.standing for c in copies if c)
         fetched["before"] = played.world.store.fetched
         assert played.rollout.state is RolloutState.SETTLED
-        played.order("back")
+        played.send_command("back")
 
-    does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)] + [(back, note)]
+    actions = [(t, lambda p: p.send_command("advance")) for t in (8.0, 11.0, 14.0, 17.0)] + [(back, note)]
     start = {"retention": remembered}
-    played = Rolled(script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), does=does, start=start)
+    played = Rolled(
+        script(length=f"{back + 8} s", seed=seed), path, steps=(0.5, 1.0), actions=actions, start=start
+    )
     fetched["after"] = played.world.store.fetched - fetched["before"]
     calls = [
         c for c in played.trace.calls if c.message.function == "fn-0" and c.at > back * 1000 and c.answers
@@ -421,7 +433,7 @@
 
 def test_moving_every_denied_request_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Restores a bug: a denial of a tokened RPC was taken as proof that it had not run."""
-    monkeypatch.setattr("lapistrestle.edge.program.choose_after_denial", lambda *asked: VersionChoice.SETTLED)
+    monkeypatch.setattr("lapistrestle.edge.program.choose_after_denial", lambda *args: VersionChoice.SETTLED)
     broken = {breach.rule for breach in Played(slow_tokened_day(3)).violations()}
     assert "2 no effect twice" in broken
     assert broken <= {
@@ -445,11 +457,11 @@
 @pytest.mark.parametrize("planner_up", [True, False])
 def test_a_restarted_edge_never_sends_to_the_previous_version(tmp_path: Path, planner_up: bool) -> None:
     """The rollout settled long before the restart; without a planner the edge uses its persisted plan."""
-    does = [(t, lambda p: p.order("advance")) for t in (8.0, 11.0, 14.0, 17.0)]
-    does += [] if planner_up else [(30.0, lambda p: p.kill_planner())]
-    does += [(31.0, restart(0)), (32.0, restart(1))]
+    actions = [(t, lambda p: p.send_command("advance")) for t in (8.0, 11.0, 14.0, 17.0)]
+    actions += [] if planner_up else [(30.0, lambda p: p.kill_planner())]
+    actions += [(31.0, restart(0)), (32.0, restart(1))]
     played = Rolled(
-        script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), does=does, start={"retention": 20_000}
+        script(length="36 s"), tmp_path / "j", steps=(0.5, 1.0), actions=actions, start={"retention": 20_000}
     )
     assert played.rollout.state is RolloutState.SETTLED and played.violations() == []
     after = {run.message.function for run in played.trace.attempts if run.at > 31_000}
@@ -468,8 +480,8 @@
 def test_a_three_times_slower_version_within_its_deadline_is_held(tmp_path: Path) -> None:
     played = Rolled(script(length="60 s", seed=2), tmp_path / "j", VersionFault(slower=3.0))
     assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
-    said = played.planner.status().rollouts[0].shortages
-    assert any("times as long as the settled version's" in why for why in said.values())
+    shortages = played.planner.status().rollouts[0].shortages
+    assert any("times as long as the settled version's" in shortage for shortage in shortages.values())
     assert (
         played.rollout.evidence.verdict().may_advance
     )  # failures and soft deadlines alone would allow a step
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -41,9 +41,9 @@
     PersistedPlanFile(path).write(plan)
 
 
-def command_line(*words: object) -> Any:
+def command_line(*arguments: object) -> Any:
     """Return the output of a command with `--json`."""
-    result = CliRunner().invoke(main, [str(word) for word in words])
+    result = CliRunner().invoke(main, [str(argument) for argument in arguments])
     assert result.exit_code == 0, result.output
     return json.loads(result.output)
 
@@ -243,8 +243,8 @@
     assert message in str(refused.value)
 
 
-def error_of_command(*words: object) -> str:
-    result = CliRunner().invoke(main, [str(word) for word in words])
+def error_of_command(*arguments: object) -> str:
+    result = CliRunner().invoke(main, [str(argument) for argument in arguments])
     assert result.exit_code and not isinstance(result.exception, msgspec.MsgspecError), result.output
     return result.output
 
