--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -27,7 +27,7 @@
 
 @click.command()
 @click.argument("journal", type=click.Path(path_type=Path))
-@click.option("--port", default=0, help="0: a free item.")
+@click.option("--port", default=0, help="0: a free one.")
 @tell_port
 @as_json
 def planner(journal: Path, port: int, tell_port: Path | None, json_: bool) -> None:
--- a/lapistrestle/wire/json_lines.py
+++ b/lapistrestle/wire/json_lines.py
@@ -44,6 +44,7 @@
         self.partial_bytes = 0  # total size of these chunks
 
     def greeting(self) -> Hello:
+        """Return the greeting that this end sends; subclasses add their name and start."""
         return Hello(self.protocol, VERSION)
 
     def connectionMade(self) -> None:
