--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -54,10 +54,8 @@
         counts = draw_minute(random, weight, rate, worse, calls)
         harm += counts.candidate * worse
         rollout.evidence.add_report("e", "s", minute, counts)
-        for at in (
-            minute * MINUTE,
-            minute * MINUTE + ANNOUNCEMENT_LEAD,
-        ):  # a step is announced one second in advance
+        # a step is announced one second in advance
+        for at in (minute * MINUTE, minute * MINUTE + ANNOUNCEMENT_LEAD):
             rollout.evaluate(at, replicas_ready=True)
         if rollout.state not in (RolloutState.GROWING, RolloutState.HELD):
             return RolloutResult(rollout.state is RolloutState.SETTLED, minute + 1, round(harm))
--- a/lapistrestle/deployment/schema.py
+++ b/lapistrestle/deployment/schema.py
@@ -114,9 +114,8 @@
     probe: bool = False
     parallel: bool = False
     peers: bool = False
-    retry_after: Duration = field(
-        name="come_back", default=Duration(0)
-    )  # longest Retry-After; "0 s": clients are given none
+    # longest Retry-After; "0 s": clients are given none
+    retry_after: Duration = field(name="come_back", default=Duration(0))
     answer_slack: Duration = Duration(160)
 
 
--- a/lapistrestle/overload/admission.py
+++ b/lapistrestle/overload/admission.py
@@ -102,9 +102,7 @@
         self.unused_capacity = UnusedCapacityBucket(now)
         self.level = AdmissionLevel(count)  # in force
         self.retry_capacity = 0.0  # requests a second that this dispatcher can offer to retrying clients
-        self.quota_fractions = dict[
-            int, float
-        ]()  # by customer: the fraction of its requests within its quota
+        self.quota_fractions = dict[int, float]()  # by customer: fraction of its requests within quota
         self.fleet_size = 1  # last known
         self.rejected = 0
         self.retry_rate = inf  # retries a second that this dispatcher may make of the fleet's budget
--- a/lapistrestle/rollout/version_choice.py
+++ b/lapistrestle/rollout/version_choice.py
@@ -64,11 +64,8 @@
     (False, False, EarlierVersion.SETTLED): VersionChoice.SETTLED,
     (True, True, EarlierVersion.UNKNOWN): VersionChoice.ABORT,  # at another edge, before or after the step
     (False, True, EarlierVersion.UNKNOWN): VersionChoice.ABORT,
-    (
-        False,
-        False,
-        EarlierVersion.UNKNOWN,
-    ): VersionChoice.SETTLED,  # no edge can have sent it to the candidate
+    # no edge can have sent it to the candidate
+    (False, False, EarlierVersion.UNKNOWN): VersionChoice.SETTLED,
 }
 """The choice for a tokened retry if versions do not share tokens, also by the version of earlier attempts."""
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -107,9 +107,8 @@
     controller.update(overloaded(10, 990), 2 * SECOND)
     assert controller.capacity == level_controller.FLOOR_FACTOR * 1_000
     controller.update(overloaded(10, 990), 20 * SECOND)
-    assert (
-        controller.capacity == level_controller.CUT_FACTOR * 10
-    )  # goodput out of the window no longer counts
+    # goodput out of the window no longer counts
+    assert controller.capacity == level_controller.CUT_FACTOR * 10
 
 
 def test_too_few_finished_requests_are_no_overload(controller: LevelController) -> None:
@@ -133,9 +132,10 @@
     controller.update(overload, 3 * SECOND)
     assert controller.capacity == pytest.approx(level_controller.CUT_FACTOR * 300)
     controller.update(healthy, 4 * SECOND)
+    # lower with every relapse
     assert controller.capacity == pytest.approx(
         level_controller.RECOVERY_FACTOR * level_controller.RECOVERY_FACTOR * 1_000
-    )  # lower with every relapse
+    )
 
 
 def test_growth_is_bounded_until_the_statistics_show_the_last_step(controller: LevelController) -> None:
@@ -235,9 +235,8 @@
             traffic((2_000.0, 1_000.0), admitted=admitted, good=admitted / 2, in_flight=admitted),
             2 * SECOND + step * SECOND // 2,
         )
-        assert (
-            controller.capacity >= level_controller.FLOOR_FACTOR * 1_000
-        )  # of the best goodput of the last 15 s
+        # of the best goodput of the last 15 s
+        assert controller.capacity >= level_controller.FLOOR_FACTOR * 1_000
 
 
 # unused capacity
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -95,17 +95,15 @@
     take_step(state, 30_000)
     assert state.rollouts["f"].state is RolloutState.SETTLED and state.settled_versions == {"f": "v2"}
     assert state.add(command("2")).outcome == CommandOutcome.NOTHING_TO_DO  # it is the settled version
-    assert (
-        state.add(command("3a", candidate="v3", at=40_001)).outcome == CommandOutcome.REFUSED
-    )  # clients may still retry requests on v1
+    # clients may still retry requests on v1
+    assert state.add(command("3a", candidate="v3", at=40_001)).outcome == CommandOutcome.REFUSED
     state.add(TickEntry(at=10**6))
     assert state.add(command("3", candidate="v3", at=10**6)).message == "v2 to v3"
     assert state.splits_changed_after()["f"].settled == "v2" and len(state.past_rollouts) == 1
     state.add(command("4", "back", candidate="v3", at=10**6))
     assert state.splits_changed_after()["f"].withdrawn
-    assert (
-        state.add(command("5", candidate="v4")).outcome == CommandOutcome.REFUSED
-    )  # until the retention of v3 ends
+    # until the retention of v3 ends
+    assert state.add(command("5", candidate="v4")).outcome == CommandOutcome.REFUSED
     state.add(TickEntry(at=10**9))
     assert state.add(command("6", candidate="v4")).outcome == CommandOutcome.DONE
 
@@ -121,9 +119,8 @@
     assert state.splits_changed_after()["f"] == TrafficSplit("f", "", "v2", 0.0, 1.0, withdrawn=True)
     state.add(TickEntry(at=2 * 10**7))
     assert state.settled_versions["f"] == "" and state.splits_changed_after()["f"] == TrafficSplit("f", "")
-    assert (
-        state.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"
-    )  # it may be rolled out again
+    # it may be rolled out again
+    assert state.add(command("4", candidate="v2", at=2 * 10**7)).message == "none to v2"
 
 
 def test_a_command_for_another_candidate_does_nothing(state: NumberingState) -> None:
--- a/tests/test_replicas.py
+++ b/tests/test_replicas.py
@@ -72,11 +72,12 @@
 
 def test_the_replica_limit_is_a_fraction_of_memory_and_bounded() -> None:
     assert replica_limit(memory=8_000, replica_memory=1_000) == int(MEMORY_FRACTION * 8_000 / 1_000)
+    # without a known size
     assert (
         replica_limit(memory=80_000, replica_memory=500)
         == replica_limit(memory=0, replica_memory=500)
         == MAX_REPLICAS_PER_WORKER
-    )  # without a known size
+    )
     assert replica_limit(memory=8_000, replica_memory=6_000) == 1  # above the fraction, but it fits
     assert replica_limit(memory=8_000, replica_memory=9_000) == 0
 
@@ -125,9 +126,8 @@
     )
     for worker, _ in preloads.accepted:
         worker.preload_pending = True
-    maintain_replicas(
-        workers, 12, loads_available=3.5, preload=preloads
-    )  # those four loads are still in progress
+    # those four loads are still in progress
+    maintain_replicas(workers, 12, loads_available=3.5, preload=preloads)
     assert len(preloads.accepted) == 2
 
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -167,9 +167,8 @@
     assert routing.reroute("f@v2", "k1").name == "f@v1"
     assert routing.route("f", "k1", "tokened", True, 0).name == "f@v1"
     assert routing.route("f", "k2", "tokened", True, 0).name == ""
-    assert (
-        routing.reroute("h@v9", "k1").name == "h"
-    )  # without a split, the unversioned function and not the barred version
+    # without a split, the unversioned function and not the barred version
+    assert routing.reroute("h@v9", "k1").name == "h"
 
 
 def test_a_restored_plan_gives_a_candidate_no_weight_and_ignores_older_planners() -> None:
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -436,10 +436,8 @@
     monkeypatch.setattr("lapistrestle.edge.program.choose_after_denial", lambda *args: VersionChoice.SETTLED)
     broken = {breach.rule for breach in Played(slow_tokened_day(3)).violations()}
     assert "2 no effect twice" in broken
-    assert broken <= {
-        "2 no effect twice",
-        "repeats on their version",
-    }  # the second occurs if a client retried
+    # the second occurs if a client retried
+    assert broken <= {"2 no effect twice", "repeats on their version"}
 
 
 # restarts of edges
@@ -482,6 +480,5 @@
     assert played.rollout.state is RolloutState.GROWING and played.rollout.step == 0
     shortages = played.planner.status().rollouts[0].shortages
     assert any("times as long as the settled version's" in shortage for shortage in shortages.values())
-    assert (
-        played.rollout.evidence.verdict().may_advance
-    )  # failures and soft deadlines alone would allow a step
+    # failures and soft deadlines alone would allow a step
+    assert played.rollout.evidence.verdict().may_advance
