--- a/lapistrestle/agreement/raft.py
+++ b/lapistrestle/agreement/raft.py
@@ -77,7 +77,7 @@
         self.peers = [name for name in members if name != node_id]
         self.settings = settings
         self.seed = seed
-        self.timer_draws = 0
+        self.timer_draws = 0  # number of random election timeouts so far
         self.log_line = log_line
         self.term = disk.term
         self.voted_for = disk.voted_for
@@ -93,6 +93,7 @@
         self.acknowledged_round = dict[str, int]()
         self.round = 0  # of the latest heartbeat
         self.pending_reads: list[PendingRead] = []
+        # before any election timeout, so that pre-votes are granted right after a start
         self.last_leader_contact = now - 2 * settings.election_timeout
         self.effects: list[Effect] = []
         self.next_deadline = now
@@ -123,7 +124,10 @@
         return self.take_effects()
 
     def propose(self, command: Command, now: int) -> tuple[int | None, list[Effect]]:
-        """Append a command; return its index, valid if it commits in this term; None: not the leader."""
+        """Append a command; return its index, or None if this member is not the leader.
+
+        The entry at that index is the command only if it commits in this term; a later leader may replace it.
+        """
         if self.role is not Role.LEADER:
             return None, []
         self.append([LogEntry(self.term, command)])
@@ -157,11 +161,14 @@
         self.persist(first_index, entries)
 
     def persist(self, first_index: int = 0, entries: Sequence[LogEntry] = ()) -> None:
-        """Emit a `Persist` of the term, the vote and the log from `first_index` on."""
+        """Emit a `Persist` of term, vote and the log from `first_index` on; 0: the log is unchanged."""
         self.effects.append(Persist(self.term, self.voted_for, first_index, tuple(entries)))
 
     def commit_to(self, index: int) -> None:
-        """Commit up to `index`, in order; a restarted process starts again at the first entry."""
+        """Commit up to `index`, in order.
+
+        A restarted process emits `Committed` again from the first entry, which rebuilds the state machine.
+        """
         while self.commit_index < min(index, self.last_index):
             self.commit_index += 1
             self.effects.append(Committed(self.commit_index, self.entries[self.commit_index - 1]))
@@ -302,7 +309,7 @@
         self.reply_to_append(sender, True, match_index, request)
 
     def reply_to_append(self, leader: str, success: bool, index: int, request: AppendEntries) -> None:
-        """Answer an `AppendEntries`."""
+        """Answer an `AppendEntries`; `index` is the last matching entry, or the one after which to retry."""
         self.effects.append(Send(leader, AppendEntriesReply(self.term, success, index, request.round)))
 
     def conflict_index(self, request: AppendEntries) -> int:
@@ -326,13 +333,13 @@
             return
         self.last_reply_at[sender] = now
         self.acknowledged_round[sender] = max(self.acknowledged_round[sender], reply.round)
-        following = reply.index + 1
+        next_index = reply.index + 1
         if reply.success:
             self.match_index[sender] = max(self.match_index[sender], reply.index)
-            self.next_index[sender] = max(self.next_index[sender], following)
-            if self.next_index[sender] <= self.last_index and following == self.next_index[sender]:
+            self.next_index[sender] = max(self.next_index[sender], next_index)
+            if self.next_index[sender] <= self.last_index and next_index == self.next_index[sender]:
                 self.replicate_to(sender)
-        elif following < self.next_index[sender]:
+        elif next_index < self.next_index[sender]:
             self.next_index[sender] = max(self.match_index[sender], reply.index) + 1
             self.replicate_to(sender)
         self.on_majority_progress()
--- a/lapistrestle/overload/level_controller.py
+++ b/lapistrestle/overload/level_controller.py
@@ -2,8 +2,9 @@
 
 The dispatchers need no shared state: the current rate of admission is one of the fleet's statistics, and each
 step starts from it. A step is not repeated until the statistics show its effect: growth is bounded by
-`GROWTH_PER_LAG` within each age of the statistics. A cut sets the capacity below the goodput, so that queues
-drain; after that the capacity returns to nearly the best recent goodput and grows from there in steps.
+`GROWTH_PER_LAG` within each lag, which is `MIN_LAG` plus the age of the statistics. A cut sets the capacity
+below the goodput, so that queues drain; after that the capacity returns to nearly the best recent goodput and
+grows from there in steps.
 Little's law (Little, 1961) gives the sojourn time from the requests in flight, so that a growing queue is
 detected long before requests are late (docs/overload.md).
 """
@@ -19,16 +20,17 @@
 
 MAX_BAD_FRACTION = 0.12  # of the finished requests; a greater one with long sojourn times is overload
 CUT_FACTOR = 0.95  # fraction of the goodput admitted under overload
-GROWTH_PER_LAG = 0.25  # relative growth of the capacity within each healthy lag
+GROWTH_PER_LAG = 0.25  # maximum relative growth of the capacity within each lag
 MIN_GROWTH_STEP = 0.25  # of a lag; smaller steps would be lost to rounding
 MIN_FINISHED = 20.0  # requests in a window; fewer give no meaningful fraction
-FLOOR_FACTOR = 0.3  # of the best goodput, the least capacity: a jam without goodput is no lack of capacity
+FLOOR_FACTOR = 0.3  # of the best goodput: minimum capacity, however low the goodput is during an overload
 PEAK_WINDOW = 15 * SECOND  # for the best goodput and the shortest sojourn time
 RECOVERY_FACTOR = 0.9  # fraction of the best goodput admitted once the overload is over
-LONG_SOJOURN = 0.4  # of a soft deadline: sojourn times are long above this and above
-LONG_OVER_SHORTEST = 2.0  # times the shortest of the window, as requests queue then
+# a sojourn time is long above both of these, and always above the soft deadline
+LONG_SOJOURN = 0.4  # fraction of the soft deadline
+LONG_OVER_SHORTEST = 2.0  # multiple of the shortest sojourn time of the window
 MIN_COMPLETION_RATIO = 0.9  # finished to admitted requests; below it requests queue
-DRAIN_FACTOR = 0.85  # fraction of the finishing rate admitted while requests queue
+DRAIN_FACTOR = 0.85  # fraction of the completion rate admitted while requests queue
 MIN_LAG = 2 * SECOND  # the statistics are rates over a window, which adds to their age
 
 
@@ -144,6 +146,7 @@
         is_long = self.is_sojourn_long(traffic)
         if is_long and traffic.bad > MAX_BAD_FRACTION * traffic.finished:
             return Condition.OVERLOADED
+        # before QUEUEING: as long as nothing is rejected, queueing alone is no reason to reject requests
         if sum(traffic.demand) <= self.capacity:
             return Condition.UNDER_CAPACITY
         if is_long or traffic.finished < MIN_COMPLETION_RATIO * traffic.admitted:
@@ -171,7 +174,7 @@
     def drain(self, traffic: Traffic, now: int) -> None:
         """Reduce the capacity, but not below the floor of a cut.
 
-        The floor prevents a downward spiral: the finishing rate falls with the admitted rate, and the
+        The floor prevents a downward spiral: the completion rate falls with the admitted rate, and the
         statistics show it later.
         """
         floor = max(1.0, FLOOR_FACTOR * self.goodput.greatest)
@@ -192,7 +195,7 @@
             self.capacity = max(self.capacity, grown)
             self.stepped_at = now
 
-    def lift(self, _traffic: Traffic, _now: int) -> None:
+    def admit_all(self, _traffic: Traffic, _now: int) -> None:
         """Admit everything, as the capacity suffices for the whole demand."""
         self.capacity = inf
 
@@ -210,5 +213,5 @@
     (SheddingState.RECOVERING, Condition.OVERLOADED): (SheddingState.SHEDDING, LevelController.cut),
     (SheddingState.RECOVERING, Condition.QUEUEING): (SheddingState.RECOVERING, LevelController.drain),
     (SheddingState.RECOVERING, Condition.HEALTHY): (SheddingState.RECOVERING, LevelController.grow),
-    (SheddingState.RECOVERING, Condition.UNDER_CAPACITY): (SheddingState.NORMAL, LevelController.lift),
+    (SheddingState.RECOVERING, Condition.UNDER_CAPACITY): (SheddingState.NORMAL, LevelController.admit_all),
 }
--- a/lapistrestle/rollout/replicas.py
+++ b/lapistrestle/rollout/replicas.py
@@ -34,7 +34,7 @@
 """Fraction of the preload budget for rollouts; preloads that requests wait for may use all of it."""
 
 MAX_DEMAND_FACTOR = 2.0
-"""Upper bound of `demand_factor`; without it a fully loaded fleet made twelve useless loads a second."""
+"""Upper bound of `demand_factor`; without it, a full fleet made twelve loads a second in vain."""
 
 SLOWDOWN_LIMIT = 2.0
 """Latency ratio of candidate to settled version that holds a step; workers differ by less."""
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True)
 class TargetWeights:
-    """The weights for which the two versions need replicas; `candidate` None: the next weight."""
+    """The weights for which the two versions need replicas; `candidate` None: the split's `next_weight`."""
 
     candidate: float | None
     settled: float
@@ -95,10 +95,11 @@
 
 
 def demand_factor(isolated_latency: float, usual_latency: float) -> float:
-    """Return how many times more replicas a function keeps busy than a usual one of its method.
+    """Return how many times more replicas a function keeps busy than the usual function of its method.
 
-    Bounded, as the learned latency of an isolated request may have been measured under congestion, which
-    more replicas would make worse.
+    `isolated_latency` is the function's learned latency without concurrent requests, `usual_latency` that of
+    its method. The factor is bounded, as the former may have been learned under congestion, which more
+    replicas would make worse.
     """
     return min(MAX_DEMAND_FACTOR, max(1.0, isolated_latency / max(usual_latency, 1.0)))
 
@@ -118,7 +119,7 @@
 
     A step is held if the candidate's latency of isolated requests is far above the settled version's. It is
     not rolled back, as either latency may have been learned under congestion; both are updated continuously,
-    and an operator may advance the rollout. An unknown latency (None) holds nothing.
+    and an operator may advance the rollout. An unknown latency (None) does not hold the step.
     """
     if candidate_latency is None or settled_latency is None:
         return ""
@@ -174,13 +175,14 @@
 def place_replicas(workers: Iterable[WorkerCapacity], target: int) -> tuple[dict[WorkerCapacity, int], int]:
     """Return the number of replicas for each worker, and the number that could not be placed.
 
-    Workers are filled in the shared order, those in slow start last, and no worker gets all replicas.
+    `workers` come in the order that all edges share. They are filled in that order, those in slow start last,
+    and no worker gets all replicas.
     """
     placement: dict[WorkerCapacity, int] = {}
     unplaced = max(target, MIN_WORKERS) if target else 0
-    most_on_one = max(1, ceil(unplaced / MIN_WORKERS))
+    max_per_worker = max(1, ceil(unplaced / MIN_WORKERS))
     for worker in sorted(workers, key=lambda worker: worker.warming_up):
-        count = min(worker.limit, unplaced, most_on_one)
+        count = min(worker.limit, unplaced, max_per_worker)
         if count <= 0:
             continue
         placement[worker] = count
