--- a/lapistrestle/command/experiments.py
+++ b/lapistrestle/command/experiments.py
@@ -111,7 +111,7 @@
     started_at, failed, calls = time.perf_counter(), 0, 0.0
     if result_file.exists():
         content = result_file.read_bytes()
-        os.truncate(result_file, content.rfind(b"\n") + 1)  # drops an incomplete last line
+        os.truncate(result_file, content.rfind(b"\n") + 1)  # drops an incomplete last line, even an only one
     with result_file.open("ab") as sink, multiprocessing.Pool(processes or None) as pool:
         for result in track(pool.imap(execute, todo), "runs", len(todo), console=Console(stderr=True)):
             sink.write(msgspec.json.encode(result) + b"\n")
--- a/lapistrestle/overload/level_controller.py
+++ b/lapistrestle/overload/level_controller.py
@@ -154,7 +154,10 @@
         return Condition.HEALTHY
 
     def is_sojourn_long(self, traffic: Traffic) -> bool:
-        """Whether sojourn times are long; always if above the soft deadline, however long that lasts."""
+        """Whether sojourn times are long.
+
+        They are always if above the soft deadline, as a lasting overload also raises the window's shortest.
+        """
         if traffic.finished * MIN_LAG / SECOND < MIN_FINISHED:
             return False
         shortest = -self.negative_sojourn.greatest
