--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -177,23 +177,23 @@
 class EdgeEnd(ClientConnection):
     """The edge's end of a client's link."""
 
-    def __init__(self, edge: Any, line: "ModelLink") -> None:
-        super().__init__(edge, line.number)
-        self.line = line
+    def __init__(self, edge: Any, link: "ModelLink") -> None:
+        super().__init__(edge, link.number)
+        self.link = link
         edge.client_connections[self] = None
 
     def send_message(self, message: Any) -> None:
-        self.line.pool.reactor.callLater(self.line.latency, self.line.message_received, message)
+        self.link.pool.reactor.callLater(self.link.latency, self.link.message_received, message)
 
 
 class ModelLink(EdgeLink, RecordedConnection):
     """A client's link to one edge of the model."""
 
     def __init__(
-        self, crowd: ClientPool, edge: Any, number: int, latency: float, tape: Tape | None = None
+        self, pool: ClientPool, edge: Any, number: int, latency: float, tape: Tape | None = None
     ) -> None:
         RecordedConnection.__init__(self, tape, f"{edge.name}/client", "", edge=edge.name)
-        self.pool, self.edge, self.number, self.latency = crowd, edge.name, number, latency
+        self.pool, self.edge, self.number, self.latency = pool, edge.name, number, latency
         self.put("<", wire.Hello("lapistrestle", wire.VERSION, connection_name=f"c{number}"))
         self.open_calls: dict[str, tuple[ClientRequest, Any]] = {}
         self.stopped = self.closed = False
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -162,10 +162,10 @@
         """The tape, if one is recorded."""
         return None if self.no_tape else self.tape
 
-    def boot(
-        self, name: str, start: int, facts: RunnerSpec, tokens: TokenRegistry, cold: bool
+    def start_runner(
+        self, name: str, start: int, spec: RunnerSpec, tokens: TokenRegistry, cold: bool
     ) -> RunnerStandIn:
-        made = super().boot(name, start, facts, tokens, cold)
+        made = super().start_runner(name, start, spec, tokens, cold)
         made.tape = self.recorded_tape
         self.runners[made.port] = made
         return made
@@ -182,9 +182,7 @@
             )
             for h in self.edges
         )
-        load = (
-            calls * engine.slowdown / (max(1, engine.facts.cores - engine.cores_taken) * engine.facts.speed)
-        )
+        load = calls * engine.slowdown / (max(1, engine.spec.cores - engine.cores_taken) * engine.spec.speed)
         copy = 0.0 if copies is None else 1.0 if copies.standing else 0.5 if copies.loading else 0.0
         return copy, load + (1e9 if engine.dead or engine.failing else 0)
 
--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -19,10 +19,10 @@
     """How clients behave. Times in seconds."""
 
     retries: int = 2
-    wait: float = 0.2  # least retry delay; it is up to twice as long
+    retry_delay: float = 0.2  # least retry delay; it is up to twice as long
     patience: tuple[float, float] = (0.5, 1.0)  # an attempt is given up after this part of the deadline
-    marks: bool = True  # retries are marked
-    heeds: bool = True  # retry_after is respected
+    marks_retries: bool = True  # retries are marked
+    respects_retry_after: bool = True  # retry_after is respected
     abuse: float = 0.0  # share of RPCs whose client retries at once, up to 30 attempts
 
 
@@ -40,11 +40,11 @@
     hint: float | None  # hint of the work in milliseconds
     token: int | None
     effect: str
-    scope: str
+    token_scope: str
     deadline: float  # seconds for all attempts together
     started_at: float
     attempts: int = 0
-    abuses: bool = False
+    retries_at_once: bool = False
 
 
 class ClientSideConnection(TapedConnection):
@@ -53,29 +53,29 @@
     protocol = wire.CLIENT
     decoder = message_decoder(wire.ToClient)
 
-    def __init__(self, line: "EdgeLink", name: str) -> None:
-        super().__init__(LineLimits(), line.pool.reactor, line.pool.tape, line.faults, name)
-        self.line = line
+    def __init__(self, link: "EdgeLink", name: str) -> None:
+        super().__init__(LineLimits(), link.pool.reactor, link.pool.tape, link.faults, name)
+        self.link = link
 
     def connectionMade(self) -> None:
-        self.record_open(edge=self.line.edge)
+        self.record_open(edge=self.link.edge)
         super().connectionMade()
 
     def greeting(self) -> wire.Hello:
         return wire.Hello(self.protocol, wire.VERSION, "stand-in")
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.line.active_connection = self
+        self.link.active_connection = self
 
     def message_received(self, message: Any) -> None:
         match message:
             case wire.Answer():
-                self.line.on_answer(message.id, message.verdict, message.retry_after / 1000)
+                self.link.on_answer(message.id, message.verdict, message.retry_after / 1000)
             case wire.Fault():
-                self.line.on_answer(message.id, "fault", 0.0)
+                self.link.on_answer(message.id, "fault", 0.0)
 
     def connection_lost(self) -> None:
-        self.line.lost(self)
+        self.link.on_disconnected(self)
 
 
 class EdgeLink(ClientFactory):
@@ -83,8 +83,8 @@
 
     noisy = False
 
-    def __init__(self, crowd: "ClientPool", edge: str, port: Callable[[], int]) -> None:
-        self.pool, self.edge, self.port, self.count = crowd, edge, port, 0
+    def __init__(self, pool: "ClientPool", edge: str, port: Callable[[], int]) -> None:
+        self.pool, self.edge, self.port, self.count = pool, edge, port, 0
         self.active_connection: ClientSideConnection | None = None
         self.open_calls: dict[str, tuple[ClientRequest, Any]] = {}
         self.faults = NetworkFaults(seed=7)
@@ -105,14 +105,16 @@
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.pool.reactor.callLater(0.1, self.connect)
 
-    def lost(self, speaker: ClientSideConnection) -> None:
+    def on_disconnected(self, connection: ClientSideConnection) -> None:
         """Calls that were open here may have run: they are retried only if that is safe."""
-        if self.active_connection is speaker:
+        if self.active_connection is connection:
             self.active_connection = None
         open_calls, self.open_calls = self.open_calls, {}
         for request, timer in open_calls.values():
             timer.cancel()
-            if request.effect == "idempotent" or (request.effect == "tokened" and request.scope == "all"):
+            if request.effect == "idempotent" or (
+                request.effect == "tokened" and request.token_scope == "all"
+            ):
                 self.pool.retry(request, 0.0)
             else:
                 self.pool.fail(request)
@@ -120,16 +122,16 @@
 
     def send(self, request: ClientRequest) -> None:
         assert self.active_connection is not None
-        crowd, now = self.pool, self.pool.reactor.seconds()
+        pool, now = self.pool, self.pool.reactor.seconds()
         request.attempts += 1
         timeout = min(
-            request.deadline * crowd.random.uniform(*crowd.behaviour.patience), self.time_left(request, now)
+            request.deadline * pool.random.uniform(*pool.behaviour.patience), self.time_left(request, now)
         )
-        name = f"{request.key}.{request.attempts}"
-        self.open_calls[name] = (request, crowd.reactor.callLater(timeout, self.give_up, name))
+        call_id = f"{request.key}.{request.attempts}"
+        self.open_calls[call_id] = (request, pool.reactor.callLater(timeout, self.give_up, call_id))
         self.active_connection.send_message(
             wire.Call(
-                name,
+                call_id,
                 request.function,
                 request.method,
                 round(timeout * 1000, 1),
@@ -137,7 +139,7 @@
                 request.memory,
                 request.lanes,
                 request.hint,
-                bool(crowd.behaviour.marks and request.attempts > 1),
+                bool(pool.behaviour.marks_retries and request.attempts > 1),
                 request.token,
                 request.key,
                 msgspec.Raw(msgspec.json.encode({"work": request.work})),
@@ -147,21 +149,21 @@
     def time_left(self, request: ClientRequest, now: float) -> float:
         return max(0.001, request.started_at + request.deadline - now)
 
-    def give_up(self, name: str) -> None:
+    def give_up(self, call_id: str) -> None:
         """The attempt has taken too long: the client cancels it."""
-        request, _ = self.open_calls.pop(name)
+        request, _ = self.open_calls.pop(call_id)
         if self.active_connection is not None:
-            self.active_connection.send_message(wire.CancelRequest(name))
-        if request.effect == "idempotent" or (request.effect == "tokened" and request.scope == "all"):
+            self.active_connection.send_message(wire.CancelRequest(call_id))
+        if request.effect == "idempotent" or (request.effect == "tokened" and request.token_scope == "all"):
             self.pool.retry(request, 0.0)
         else:
             self.pool.fail(request)
 
-    def on_answer(self, name: str, verdict: str, retry_after: float) -> None:
-        found = self.open_calls.pop(name, None)
-        if found is None:
+    def on_answer(self, call_id: str, verdict: str, retry_after: float) -> None:
+        entry = self.open_calls.pop(call_id, None)
+        if entry is None:
             return
-        request, timer = found
+        request, timer = entry
         timer.cancel()
         self.pool.on_verdict(request, verdict, retry_after)
 
@@ -193,10 +195,10 @@
             return self.fail(request)
         for _ in self.links:
             self.next_link += 1
-            line = self.links[self.next_link % len(self.links)]
-            if line.active_connection is not None and not line.active_connection.closed:
+            link = self.links[self.next_link % len(self.links)]
+            if link.active_connection is not None and not link.active_connection.closed:
                 self.counts["tries"] += 1
-                return line.send(request)
+                return link.send(request)
         self.reactor.callLater(0.1, self.attempt, request)
 
     def on_verdict(self, request: ClientRequest, verdict: str, retry_after: float) -> None:
@@ -205,16 +207,16 @@
             self.open -= 1
             self.on_finished(request, True)
         elif verdict == "denied" or (
-            (verdict == "aborted" and (request.effect, request.scope) in RETRIED_IF_ABORTED)
+            (verdict == "aborted" and (request.effect, request.token_scope) in RETRIED_IF_ABORTED)
             or request.effect == "idempotent"
         ):
-            self.retry(request, retry_after if self.behaviour.heeds else 0.0)
+            self.retry(request, retry_after if self.behaviour.respects_retry_after else 0.0)
         else:
             self.fail(request)
 
     def retry(self, request: ClientRequest, retry_after: float) -> None:
-        wait = self.behaviour.wait * self.random.uniform(1, 2)
-        if request.abuses and request.attempts < 30:
+        wait = self.behaviour.retry_delay * self.random.uniform(1, 2)
+        if request.retries_at_once and request.attempts < 30:
             self.reactor.callLater(0.005, self.attempt, request)
         elif request.attempts <= self.behaviour.retries:
             self.reactor.callLater(max(wait, retry_after), self.attempt, request)
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -23,15 +23,15 @@
     queue: int = 100  # calls waiting at most; further ones are rejected
     loads: int = 4  # at once
     absent: str = "load"  # what happens to a call without a copy: "load" or "miss"
-    idle_life: float = 10.0  # seconds after which an unused copy is unloaded
+    idle_timeout: float = 10.0  # seconds after which an unused copy is unloaded
     cold_share: float = 1.0  # part of the full speed at the start
     ramp: float = 0.0  # seconds from the start to full speed
-    fall_multiple: float = 4.0  # collapses if sent more than this multiple of its present capacity
-    fall_time: float = 3.0  # over so many seconds
+    collapse_multiple: float = 4.0  # more work than this multiple of its present capacity
+    collapse_time: float = 3.0  # within so many seconds makes a runner in slow start collapse
     fetch_share: float = 0.7  # part of a load's time for fetching the package; the rest starts the copy
-    drops_waiting: bool = True  # a cancel drops a waiting call
-    stops_running: bool = False  # a cancel ends a running call
-    remembers: float = 5.0  # seconds for which a token is remembered
+    cancels_waiting: bool = True  # a cancel drops a waiting call
+    cancels_running: bool = False  # a cancel ends a running call
+    token_memory: float = 5.0  # seconds for which a token is remembered
 
 
 @dataclass(eq=False)
@@ -75,9 +75,9 @@
     """The execution of calls by one runner process."""
 
     def __init__(
-        self, reactor: Any, facts: RunnerSpec, store: PackageStore, fall: Callable[[], None], cold: bool
+        self, reactor: Any, spec: RunnerSpec, store: PackageStore, on_collapse: Callable[[], None], cold: bool
     ) -> None:
-        self.reactor, self.facts, self.store, self.on_collapse = reactor, facts, store, fall
+        self.reactor, self.spec, self.store, self.on_collapse = reactor, spec, store, on_collapse
         self.booted = reactor.seconds() - (0.0 if cold else 1e6)
         self.copies: dict[str, Copies] = {}
         self.queue: deque[Task] = deque()
@@ -99,23 +99,23 @@
     # capacity
 
     def relative_speed(self) -> float:
-        facts = self.facts
-        if not facts.ramp:
+        spec = self.spec
+        if not spec.ramp:
             return 1.0
         age = self.reactor.seconds() - self.booted
-        return min(1.0, facts.cold_share + (1 - facts.cold_share) * age / facts.ramp)
+        return min(1.0, spec.cold_share + (1 - spec.cold_share) * age / spec.ramp)
 
     def count_slow_start_work(self, work: float) -> None:
         """Counts the work sent in slow start, rejected calls included; too much of it makes the runner
         collapse."""
-        share, facts, now = self.relative_speed(), self.facts, self.reactor.seconds()
+        share, spec, now = self.relative_speed(), self.spec, self.reactor.seconds()
         if share >= 1:
             return
         self.slow_start_work.append((now, work))
-        while self.slow_start_work[0][0] <= now - facts.fall_time:
+        while self.slow_start_work[0][0] <= now - spec.collapse_time:
             self.slow_start_work.popleft()
-        most = facts.fall_multiple * share * facts.cores * facts.speed * facts.fall_time
-        if sum(w for _, w in self.slow_start_work) > most:
+        limit = spec.collapse_multiple * share * spec.cores * spec.speed * spec.collapse_time
+        if sum(w for _, w in self.slow_start_work) > limit:
             self.dead = self.collapsed = True
             self.on_collapse()
 
@@ -124,9 +124,9 @@
         now = self.reactor.seconds()
         busy = sum(c.memory * (c.standing - c.idle() + c.loading) for c in self.copies.values())
         fresh = {
-            "utilization": min(1.0, self.running / self.facts.cores),
+            "utilization": min(1.0, self.running / self.spec.cores),
             "backlog": float(len(self.queue)),
-            "x0": round(busy / self.facts.memory, 4),
+            "x0": round(busy / self.spec.memory, 4),
             "x1": float(self.loads + len(self.load_queue)),
             "outstanding": float(len(self.queue) + self.running),
         }
@@ -145,13 +145,13 @@
             return
         if self.failing:
             return self.answer(task, "error")
-        if self.draining or len(self.queue) >= self.facts.queue:
+        if self.draining or len(self.queue) >= self.spec.queue:
             return self.answer(task, "full")
         if copies.standing:
             task.load_state = "stood"
         elif copies.loading:
             task.load_state = "joined load"
-        elif self.facts.absent == "miss":
+        elif self.spec.absent == "miss":
             return self.answer(task, "miss")
         elif self.make_room(task.memory):
             task.load_state = "began load"
@@ -165,9 +165,9 @@
     def answer(self, task: Task, outcome: str, load_state: str = "") -> None:
         task.finished = True
         more = {"company": task.concurrency, "report": self.report()}
-        self.when_awake(lambda: task.on_finished(task, outcome, load_state or task.load_state, more))
+        self.when_running(lambda: task.on_finished(task, outcome, load_state or task.load_state, more))
 
-    def when_awake(self, call: Callable[[], None]) -> None:
+    def when_running(self, call: Callable[[], None]) -> None:
         if self.paused:
             self.deferred.append(call)
         elif not self.dead:
@@ -184,7 +184,7 @@
         if self.paused or self.dead:
             return
         waiting: deque[Task] = deque()
-        cores = max(1, self.facts.cores - self.cores_taken)
+        cores = max(1, self.spec.cores - self.cores_taken)
         while self.queue:
             task = self.queue.popleft()
             copies = self.copies[task.function]
@@ -201,10 +201,10 @@
         copies.busy += 1
         copies.last_used = self.reactor.seconds()
         task.running = True
-        duration = task.work * self.slowdown / (self.facts.speed * self.relative_speed())
+        duration = task.work * self.slowdown / (self.spec.speed * self.relative_speed())
         if not task.on_started(task):
             duration = 0.001
-        self.reactor.callLater(duration, self.when_awake, lambda: self.finish(task, copies))
+        self.reactor.callLater(duration, self.when_running, lambda: self.finish(task, copies))
 
     def finish(self, task: Task, copies: Copies) -> None:
         self.running -= 1
@@ -219,12 +219,12 @@
         """Ends a call as cancelled if the runner supports that in its present state; True if it did."""
         if task.finished:
             return False
-        if not task.running and self.facts.drops_waiting and task in self.queue:
+        if not task.running and self.spec.cancels_waiting and task in self.queue:
             self.queue.remove(task)
             self.copies[task.function].tasks -= 1
             self.answer(task, "cancelled")
             return True
-        if task.running and self.facts.stops_running:
+        if task.running and self.spec.cancels_running:
             self.answer(task, "cancelled")  # a simplification: its core stays busy for the whole of its work
             return True
         return False
@@ -245,12 +245,12 @@
 
         False if there is not enough memory.
         """
-        if memory > self.facts.memory:
+        if memory > self.spec.memory:
             return False
         for copies in sorted(self.copies.values(), key=lambda c: c.last_used):
-            while self.used() + memory > self.facts.memory and copies.idle() > 0 and not copies.tasks:
+            while self.used() + memory > self.spec.memory and copies.idle() > 0 and not copies.tasks:
                 copies.standing -= 1
-        return self.used() + memory <= self.facts.memory
+        return self.used() + memory <= self.spec.memory
 
     def load(self, function: str) -> bool:
         copies = self.copies[function]
@@ -262,7 +262,7 @@
         return True
 
     def next_load(self) -> None:
-        while self.load_queue and self.loads < self.facts.loads and not self.dead:
+        while self.load_queue and self.loads < self.spec.loads and not self.dead:
             function = self.load_queue.popleft()
             self.loads += 1
             self.fetch(function, self.copies[function])
@@ -271,11 +271,11 @@
         def done(ok: bool) -> None:
             copies.fetches.remove(fetch)
             if not ok or self.load_fails(function):
-                return self.when_awake(lambda: self.loaded(function, False))
-            rest = copies.load * (1 - self.facts.fetch_share) * self.slowdown
-            self.reactor.callLater(rest, self.when_awake, lambda: self.loaded(function, True))
+                return self.when_running(lambda: self.loaded(function, False))
+            start_time = copies.load * (1 - self.spec.fetch_share) * self.slowdown
+            self.reactor.callLater(start_time, self.when_running, lambda: self.loaded(function, True))
 
-        fetch = self.store.fetch(copies.load * self.facts.fetch_share, done)
+        fetch = self.store.fetch(copies.load * self.spec.fetch_share, done)
         copies.fetches.append(fetch)
 
     def loaded(self, function: str, ok: bool) -> None:
@@ -285,7 +285,7 @@
         copies.last_used = self.reactor.seconds()
         copies.standing += ok
         if not ok and not copies.standing and not copies.loading:
-            failed = "miss" if self.facts.absent == "miss" else "error"
+            failed = "miss" if self.spec.absent == "miss" else "error"
             for task in [t for t in self.queue if t.function == function]:
                 self.queue.remove(task)
                 copies.tasks -= 1
@@ -296,10 +296,10 @@
 
     def answer_preloads(self, copies: Copies, ok: bool = True) -> None:
         """Answers preloads that have reached their count, or that can't any more."""
-        for order in list(copies.preloads):
-            count, done = order
+        for preload in list(copies.preloads):
+            count, done = preload
             if copies.standing >= count or copies.standing + copies.loading < count:
-                copies.preloads.remove(order)
+                copies.preloads.remove(preload)
                 done("ok" if copies.standing >= count else "full" if ok else "error", copies.standing)
 
     def hold(
@@ -344,7 +344,7 @@
             return
         now = self.reactor.seconds()
         for function, copies in list(self.copies.items()):
-            if now - copies.last_used > self.facts.idle_life and not copies.tasks:
+            if now - copies.last_used > self.spec.idle_timeout and not copies.tasks:
                 copies.standing = 0
                 if not copies.loading and not copies.preloads:
                     del self.copies[function]
--- a/lapistrestle/standins/faults/edges.py
+++ b/lapistrestle/standins/faults/edges.py
@@ -48,18 +48,18 @@
 
 def edges_apart(world: World, fault: ScriptedFault) -> EndFault:
     """Partitions a share of the edges from the others, for gossip."""
-    return sever(world, fault, both=True)
+    return cut_links(world, fault, both=True)
 
 
 def edges_deaf(world: World, fault: ScriptedFault) -> EndFault:
     """One-way partition: a share of the edges receives no gossip of the others, but can still send."""
-    return sever(world, fault, both=False)
+    return cut_links(world, fault, both=False)
 
 
-def sever(world: World, fault: ScriptedFault, both: bool) -> EndFault:
+def cut_links(world: World, fault: ScriptedFault, both: bool) -> EndFault:
     """Cuts the links from the other edges to a share of them, and back where `both`."""
     chosen = edges_of(world, fault.share)
-    ports = world.fleet_ports
+    ports = world.gossip_ports
     others = [port for n, port in enumerate(ports) if n not in chosen]
     before = set(world.links.cut)
     world.links.sever(others, [ports[n] for n in chosen], both)
@@ -75,10 +75,10 @@
     """Loses a share of the datagrams between edges, duplicates as many, and delays all by up to `by`."""
     links = world.links
     links.loss, links.duplication = links.loss + fault.share, links.duplication + fault.share
-    links.delays = (links.delays[0], links.delays[1] + int(fault.by) * 100)
+    links.delays = (links.delays[0], links.delays[1] + int(fault.delay) * 100)
 
     def end() -> None:
         links.loss, links.duplication = links.loss - fault.share, links.duplication - fault.share
-        links.delays = (links.delays[0], links.delays[1] - int(fault.by) * 100)
+        links.delays = (links.delays[0], links.delays[1] - int(fault.delay) * 100)
 
     return end
--- a/lapistrestle/standins/faults/kinds.py
+++ b/lapistrestle/standins/faults/kinds.py
@@ -24,9 +24,9 @@
 
 def start_fault(world: World, fault: ScriptedFault) -> None:
     """Starts a fault and schedules its end."""
-    world.tape.put("day", "trouble", kind=fault.kind, lasts=fault.lasts / 10)
+    world.tape.put("day", "trouble", kind=fault.kind, lasts=fault.duration / 10)
     end = FAULTS[fault.kind](world, fault)
-    world.reactor.callLater(fault.lasts / SECOND, end_fault, world, fault, end)
+    world.reactor.callLater(fault.duration / SECOND, end_fault, world, fault, end)
 
 
 def end_fault(world: World, fault: ScriptedFault, end: EndFault) -> None:
@@ -64,7 +64,7 @@
     "refused": sockets.refused,
     "broken": sockets.set_field("cut", lambda t: t.share / SHARE_LINES, 0.0),
     "silent": sockets.set_field("silent", lambda t: True, False),
-    "delayed": sockets.set_field("delay", lambda t: t.by / SECOND, 0.0),
+    "delayed": sockets.set_field("delay", lambda t: t.delay / SECOND, 0.0),
     "split": sockets.set_field("split", lambda t: True, False),
     "garbled": sockets.set_field("garble", lambda t: t.share / SHARE_LINES, 0.0),
     "unread": sockets.unread,
--- a/lapistrestle/standins/faults/machines.py
+++ b/lapistrestle/standins/faults/machines.py
@@ -23,11 +23,11 @@
 def engine_fault(change: Callable[[Any, ScriptedFault], EndFault]) -> StartFault:
     """A fault of runner processes; a runner that restarts no longer has it."""
 
-    def began(world: World, fault: ScriptedFault) -> EndFault:
+    def start(world: World, fault: ScriptedFault) -> EndFault:
         chosen = world.pick_runners(fault.share, fault.zone)
         return all_of([change(slot.runner.engine, fault) for slot in chosen])
 
-    return began
+    return start
 
 
 def slow(engine: Any, fault: ScriptedFault) -> EndFault:
@@ -47,13 +47,13 @@
 
 def report_late(engine: Any, fault: ScriptedFault) -> EndFault:
     """Load reports are out of date."""
-    return increase(engine, "report_delay", fault.by / SECOND)
+    return increase(engine, "report_delay", fault.delay / SECOND)
 
 
 def neighbour(world: World, fault: ScriptedFault) -> EndFault:
     """Another program periodically takes half of the cores."""
     chosen = [slot.runner.engine for slot in world.pick_runners(fault.share, fault.zone)]
-    held = [max(1, engine.facts.cores // 2) for engine in chosen]
+    held = [max(1, engine.spec.cores // 2) for engine in chosen]
 
     def take() -> None:
         for engine, cores in zip(chosen, held, strict=True):
@@ -65,14 +65,14 @@
             engine.cores_taken -= cores
             engine.start_waiting()
 
-    repeatedly(world, NEIGHBOUR_EVERY, fault.lasts / SECOND, take)
+    repeatedly(world, NEIGHBOUR_EVERY, fault.duration / SECOND, take)
     return nothing
 
 
 def periodic_stops(every: float, lasts: float) -> StartFault:
     """Machines stop every `every` seconds, each time for `lasts` seconds."""
 
-    def began(world: World, fault: ScriptedFault) -> EndFault:
+    def start(world: World, fault: ScriptedFault) -> EndFault:
         chosen = [slot.runner.engine for slot in world.pick_runners(fault.share, fault.zone)]
 
         def stop() -> None:
@@ -84,7 +84,7 @@
             for engine in chosen:
                 engine.pause(False)
 
-        repeatedly(world, every, fault.lasts / SECOND, stop)
+        repeatedly(world, every, fault.duration / SECOND, stop)
         return nothing
 
-    return began
+    return start
--- a/lapistrestle/standins/faults/runners.py
+++ b/lapistrestle/standins/faults/runners.py
@@ -46,7 +46,7 @@
 def deploy(world: World, fault: ScriptedFault) -> EndFault:
     """Replaces runners one after another: each drains, ends, and restarts."""
     slots = world.pick_runners(fault.share, fault.zone)
-    step = fault.lasts / SECOND / max(1, len(slots))
+    step = fault.duration / SECOND / max(1, len(slots))
     for number, slot in enumerate(slots):
         world.reactor.callLater(number * step, world.drain, slot)
         world.reactor.callLater(number * step + DRAINING, replace, world, slot)
--- a/lapistrestle/standins/faults/sockets.py
+++ b/lapistrestle/standins/faults/sockets.py
@@ -15,9 +15,9 @@
     if fault.on == "roster":
         return [world.roster.weather]
     if fault.on == "clients":
-        lines = world.clients.links
-        chosen = world.random.sample(lines, max(1, round(fault.share * len(lines))))
-        return [line.faults for line in chosen]
+        links = world.clients.links
+        chosen = world.random.sample(links, max(1, round(fault.share * len(links))))
+        return [link.faults for link in chosen]
     return [slot.runner.network_faults for slot in world.pick_runners(fault.share, fault.zone)]
 
 
@@ -26,18 +26,21 @@
 ) -> StartFault:
     """A fault that changes how connections behave."""
 
-    def began(world: World, fault: ScriptedFault) -> EndFault:
+    def start(world: World, fault: ScriptedFault) -> EndFault:
         chosen = affected_connections(world, fault)
-        for each in chosen:
-            change(each, fault)
-        return all_of(partial(undo, each) for each in chosen)
+        for faults in chosen:
+            change(faults, fault)
+        return all_of(partial(undo, faults) for faults in chosen)
 
-    return began
+    return start
 
 
-def set_field(name: str, value: Callable[[ScriptedFault], Any], calm: Any) -> StartFault:
+def set_field(name: str, value: Callable[[ScriptedFault], Any], normal: Any) -> StartFault:
     """Sets one field of the connections' faults to `value`, and back to `calm` at the end."""
-    return connection_fault(lambda w, t: setattr(w, name, value(t)), lambda w: setattr(w, name, calm))
+    return connection_fault(
+        lambda faults, fault: setattr(faults, name, value(fault)),
+        lambda faults: setattr(faults, name, normal),
+    )
 
 
 def refused(world: World, fault: ScriptedFault) -> EndFault:
@@ -45,8 +48,8 @@
     chosen = [slot.runner for slot in world.pick_runners(fault.share, fault.zone)]
     for runner in chosen:
         runner.refuse(True)
-        for speaker in list(runner.connections):
-            speaker.break_off()
+        for connection in list(runner.connections):
+            connection.break_off()
 
     def end() -> None:
         for runner in chosen:
@@ -58,16 +61,16 @@
 
 def unread(world: World, fault: ScriptedFault) -> EndFault:
     """Clients stop reading their answers."""
-    lines = world.random.sample(world.clients.links, max(1, round(fault.share * len(world.clients.links))))
-    stopped = [line.active_connection for line in lines if line.active_connection is not None]
-    for speaker in stopped:
-        world.tape.put(speaker.connection, "unread")
-        speaker.transport.pauseProducing()
+    links = world.random.sample(world.clients.links, max(1, round(fault.share * len(world.clients.links))))
+    stopped = [link.active_connection for link in links if link.active_connection is not None]
+    for connection in stopped:
+        world.tape.put(connection.connection, "unread")
+        connection.transport.pauseProducing()
 
     def end() -> None:
-        for speaker in stopped:
-            world.tape.put(speaker.connection, "reads")
-            if not speaker.closed:
-                speaker.transport.resumeProducing()
+        for connection in stopped:
+            world.tape.put(connection.connection, "reads")
+            if not connection.closed:
+                connection.transport.resumeProducing()
 
     return end
--- a/lapistrestle/standins/faults/sources.py
+++ b/lapistrestle/standins/faults/sources.py
@@ -15,7 +15,7 @@
 
 def discovery_stale(world: World, fault: ScriptedFault) -> EndFault:
     """The roster publishes changes late."""
-    return increase(world.roster, "extra_delay", fault.by / SECOND)
+    return increase(world.roster, "extra_delay", fault.delay / SECOND)
 
 
 def roster_back(world: World, fault: ScriptedFault) -> EndFault:
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -38,14 +38,14 @@
     def __init__(self, reactor: VirtualReactor, name: str) -> None:
         self.name = name
         self.process = VirtualProcess(reactor, name)
-        self.listens = 0
+        self.listening_port = 0
 
     def start(self) -> None:
         raise NotImplementedError
 
     def port(self) -> int:
         """The port where it listens; 0 once it is dead."""
-        return 0 if self.process.dead else self.listens
+        return 0 if self.process.dead else self.listening_port
 
     def stall(self) -> None:
         self.process.stall()
@@ -65,7 +65,7 @@
         self.edge = make(self.process, deployment, log)
 
     def start(self) -> None:
-        self.listens = self.edge.start()
+        self.listening_port = self.edge.start()
 
 
 def play_virtual(
@@ -123,15 +123,15 @@
 
     def __init__(self, reactor: VirtualReactor, port: int, journal: Path, log: Log) -> None:
         super().__init__(reactor, "planner")
-        self.at = port
+        self.fixed_port = port
         self.planner = Planner(self.process, Journal(journal), log)
 
     def start(self) -> None:
-        self.planner.start(self.at)
+        self.planner.start(self.fixed_port)
 
     def port(self) -> int:
         """The port, also while it is dead: edges go on connecting to it."""
-        return self.at
+        return self.fixed_port
 
     def kill(self) -> None:
         super().kill()
@@ -153,7 +153,7 @@
         self.program = HolderProgram(self.process, settings, log, seed)
 
     def start(self) -> None:
-        self.listens = self.program.start()
+        self.listening_port = self.program.start()
 
 
 class VirtualHolders:
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -68,16 +68,17 @@
     """One process of a runner. A restarted runner is a new object with the same name, on another port."""
 
     def __init__(
-        self, reactor: Any, name: str, start: int, facts: RunnerSpec, store: PackageStore,
+        self, reactor: Any, name: str, start: int, spec: RunnerSpec, store: PackageStore,
         tokens: TokenRegistry, tape: Tape | None = None, cold: bool = False, port: int = 0,
         tells: frozenset[str] = frozenset(),
-        loads: dict[str, float] | None = None, fell: Any = None,
+        load_times: dict[str, float] | None = None, on_collapse: Any = None,
     ) -> None:  # fmt: skip
-        self.reactor, self.name, self.start, self.facts = reactor, name, f"{name}#{start}", facts
-        self.tokens, self.tape, self.tells, self.on_collapse = tokens, tape, tells, fell
-        self.loads = loads if loads is not None else {}  # time to load a copy in milliseconds, by function
+        self.reactor, self.name, self.start, self.spec = reactor, name, f"{name}#{start}", spec
+        self.tokens, self.tape, self.tells, self.on_collapse = tokens, tape, tells, on_collapse
+        # time to load a copy in milliseconds, by function
+        self.load_times = load_times if load_times is not None else {}
         self.network_faults = NetworkFaults(seed=start)
-        self.engine = Engine(reactor, facts, store, self.collapse, cold)
+        self.engine = Engine(reactor, spec, store, self.collapse, cold)
         self.version_faults: dict[str, VersionFault] = {}  # by the name of a version
         self.chance = NetworkFaults(seed=start + 1)
         self.engine.load_fails = lambda function: self.chance.chance(
@@ -89,8 +90,8 @@
         self.listening = reactor.listenTCP(port, RunnerFactory(self), interface="127.0.0.1")
         self.port: int = self.listening.getHost().port
         if tape is not None:
-            share = 1.0 if not cold else facts.cold_share
-            tape.put(self.start, "boot", runner=name, cores=facts.cores, speed=facts.speed, share=share)
+            share = 1.0 if not cold else spec.cold_share
+            tape.put(self.start, "boot", runner=name, cores=spec.cores, speed=spec.speed, share=share)
 
     def up_for(self) -> float:
         """Milliseconds since the start."""
@@ -105,8 +106,8 @@
     def kill(self) -> None:
         self.engine.dead = True
         self.listening.stopListening()
-        for speaker in list(self.connections):
-            speaker.break_off()
+        for connection in list(self.connections):
+            connection.break_off()
         if self.tape is not None:
             self.tape.put(self.start, "end", runner=self.name)
 
@@ -120,8 +121,8 @@
 
     def drain(self) -> None:
         self.engine.draining = True
-        for speaker in self.connections:
-            speaker.send_message(wire.Draining())
+        for connection in self.connections:
+            connection.send_message(wire.Draining())
 
     def refuse(self, on: bool) -> None:
         """A fault: no connection is accepted; established ones go on."""
@@ -132,49 +133,49 @@
 
     # messages of edges, on sockets and in the model
 
-    def handle(self, message: Any, edge: Any, send: Callable[[Any], None]) -> None:
+    def handle(self, message: Any, peer: Any, send: Callable[[Any], None]) -> None:
         """Handles a message that came over the connection `edge`; answers go to `say`."""
         engine = self.engine
         match message:
             case wire.Run():
-                self.run(message, edge, send)
+                self.run(message, peer, send)
             case wire.Cancel():
-                if task := self.tasks.get((edge, message.call_id)):
+                if task := self.tasks.get((peer, message.call_id)):
                     engine.cancel(task)
             case wire.PreloadRequest():
-                load = self.loads.get(message.function, 500.0) / 1000
+                load = self.load_times.get(message.function, 500.0) / 1000
 
                 def held(outcome: Any, count: int) -> None:
-                    engine.when_awake(lambda: send(wire.PreloadResult(message.preload_id, outcome, count)))
+                    engine.when_running(lambda: send(wire.PreloadResult(message.preload_id, outcome, count)))
 
                 engine.hold(message.function, message.count, message.memory, message.lanes, load, held)
             case wire.Unload():
                 engine.unload(message.function)
             case wire.Probe():
-                engine.when_awake(lambda: send(wire.ProbeResult(message.probe_id, self.report("on_probe"))))
+                engine.when_running(lambda: send(wire.ProbeResult(message.probe_id, self.report("on_probe"))))
 
     def report(self, how: str) -> dict[str, float] | None:
         return self.engine.report() if {how, "inline"} & self.tells else None
 
-    def run(self, run: wire.Run, edge: Any, send: Callable[[Any], None]) -> None:
+    def run(self, run: wire.Run, peer: Any, send: Callable[[Any], None]) -> None:
         try:
             body = BODY.decode(run.body)
         except msgspec.MsgspecError:
             body = Body()
         took_effect = [False]
         engine, fault = self.engine, self.version_faults.get(run.function, NO_FAULT)
-        busy = engine.running / engine.facts.cores
+        busy = engine.running / engine.spec.cores
         arrived_at = self.reactor.seconds()
         fault = fault if fault.applies(run.customer, busy, arrived_at) else NO_FAULT
 
         def begin(task: Task) -> bool:
-            if self.tokens.is_repeat(run.function, run.token, arrived_at, self.facts.remembers):
+            if self.tokens.is_repeat(run.function, run.token, arrived_at, self.spec.token_memory):
                 return False
             self.tokens.record(run.function, run.token, self.reactor.seconds())
             took_effect[0] = True
             if self.tape is not None:
                 self.tape.put(
-                    edge.connection,
+                    peer.connection,
                     "effect",
                     call=run.call_id,
                     key=run.key,
@@ -183,22 +184,24 @@
                 )
             return True
 
-        def end(task: Task, outcome: Any, warmth: Any, more: dict[str, Any]) -> None:
-            self.tasks.pop((edge, run.call_id), None)
+        def end(task: Task, outcome: Any, load_state: Any, details: dict[str, Any]) -> None:
+            self.tasks.pop((peer, run.call_id), None)
             if outcome == "ok" and self.chance.chance(fault.errors):
                 outcome = "error"
             send(
                 wire.RunFinished(
-                    run.call_id, outcome, warmth if "warm" in self.tells or warmth == "load failed" else "",
-                    more["company"] if "company" in self.tells else None,
-                    more["report"] if "inline" in self.tells else None,
+                    run.call_id,
+                    outcome,
+                    load_state if "warm" in self.tells or load_state == "load failed" else "",
+                    details["company"] if "company" in self.tells else None,
+                    details["report"] if "inline" in self.tells else None,
                     EFFECT if took_effect[0] else NO_EFFECT,
                 )
             )  # fmt: skip
 
-        load = self.loads.get(run.function, body.load) / 1000
+        load = self.load_times.get(run.function, body.load) / 1000
         task = Task(run.function, body.work * fault.slower / 1000, run.memory, run.lanes, load, end, begin)
-        self.tasks[edge, run.call_id] = task
+        self.tasks[peer, run.call_id] = task
         engine.run(task)
 
 
--- a/lapistrestle/standins/script.py
+++ b/lapistrestle/standins/script.py
@@ -42,7 +42,7 @@
     memory: Annotated[float, Meta(gt=0)] = 14_000.0  # MB
     queue: Annotated[int, Meta(ge=1)] = 100
     loads: Annotated[int, Meta(ge=1)] = 4
-    cell_of: Annotated[int, Meta(ge=1)] = 3  # runners in a cell
+    cell_size: Annotated[int, Meta(ge=1)] = field(name="cell_of", default=3)  # runners in a cell
 
 
 class StoreSettings(SettingsGroup):
@@ -50,9 +50,9 @@
 
     fetches: Annotated[float, Meta(gt=0)] = 12.0
     limit: Annotated[int, Meta(ge=1)] = 60
-    tips_at: Annotated[float, Meta(gt=1)] = 3.0
-    tips_after: Duration = Duration(30_000)
-    stops_for: Duration = Duration(40_000)
+    overload_multiple: Annotated[float, Meta(gt=1)] = field(name="tips_at", default=3.0)
+    overload_time: Duration = field(name="tips_after", default=Duration(30_000))
+    outage_time: Duration = field(name="stops_for", default=Duration(40_000))
 
 
 class MethodTraffic(SettingsGroup):
@@ -73,24 +73,26 @@
     functions: Annotated[int, Meta(ge=1, le=100_000)] = 40
     popularity: NonNegative = 0.9  # exponent of Zipf's law
     methods: dict[str, MethodTraffic] = field(default_factory=dict)
-    hints: Fraction = 0.2  # greatest relative error of the hints of work; 1: no hints
+    # greatest relative error of the hints of work; 1: no hints
+    hint_error: Fraction = field(name="hints", default=0.2)
     retries: Annotated[int, Meta(ge=0, le=100)] = 2
-    wait: Duration = Duration(2_000)  # least retry delay; it is up to twice as long
+    # least retry delay; it is up to twice as long
+    retry_delay: Duration = field(name="wait", default=Duration(2_000))
     # part of the deadline after which a client gives an attempt up, least and most
     patience: tuple[Fraction, Fraction] = (0.5, 1.0)
-    marks: bool = True  # clients mark retries
-    heeds: bool = True  # clients respect retry_after
+    marks_retries: bool = field(name="marks", default=True)  # clients mark retries
+    respects_retry_after: bool = field(name="heeds", default=True)  # clients respect retry_after
 
 
 class ScriptedFault(SettingsGroup):
-    """A fault that starts at `at` and lasts for `lasts`; kinds use the other fields as they need."""
+    """A fault that starts at `at` and lasts for `duration`; kinds use the other fields as they need."""
 
     kind: FaultKind
     at: Duration
-    lasts: Duration = Duration(50_000)
+    duration: Duration = field(name="lasts", default=Duration(50_000))
     share: Fraction = 0.25  # of the runners, edges, holders, or RPCs affected
     factor: NonNegative = 4.0  # factor of the slowdown, or of the traffic
-    by: Duration = Duration(20_000)  # delay
+    delay: Duration = field(name="by", default=Duration(20_000))
     zone: str = ""
     on: Literal["runners", "roster", "clients"] = "runners"
 
@@ -107,17 +109,17 @@
 
 
 class ScriptedRollout(SettingsGroup):
-    """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `back`
+    """A rollout: started at `at`, advanced by the operator at each `advance`, reverted at `revert_at`
     (0: never)."""
 
     function: str = field(name="fn", default="fn-0")
     candidate: str = "v2"
     at: Duration = Duration(20_000)
-    back: Duration = Duration(0)
+    revert_at: Duration = field(name="back", default=Duration(0))
     advance: list[Duration] = field(default_factory=list)
     remembered: Duration = Duration(600_000)
     steps: list[Annotated[float, Meta(gt=0, le=100)]] = field(default_factory=lambda: [5.0, 30.0, 100.0])
-    wrong: VersionDefects = field(default_factory=VersionDefects)
+    defects: VersionDefects = field(name="wrong", default_factory=VersionDefects)
 
 
 class Day(SettingsGroup):
@@ -132,8 +134,8 @@
     policy: Literal["module", "random", "round robin", "fewest of two", "fewest", "hash", "greedy"] = "module"
     fleet: dict[str, RunnerGroup] = field(default_factory=lambda: {"plain": RunnerGroup(count=8)})
     fetch_share: Fraction = 0.7
-    drops_waiting: bool = True
-    stops_running: bool = False
+    cancels_waiting: bool = field(name="drops_waiting", default=True)
+    cancels_running: bool = field(name="stops_running", default=False)
     store: StoreSettings = field(default_factory=StoreSettings)
     roster_lag: Duration = Duration(10_000)
     traffic: Traffic = field(default_factory=Traffic)
--- a/lapistrestle/standins/store.py
+++ b/lapistrestle/standins/store.py
@@ -12,9 +12,9 @@
 
     fetches: float = 12.0  # concurrent fetches at full speed; more share the capacity
     limit: int = 60  # concurrent fetches at most; further ones are rejected
-    tips_at: float = 3.0  # more than this multiple of `fetches` for `tips_after` makes the store fail
-    tips_after: float = 3.0  # seconds
-    stops_for: float = 4.0  # seconds for which a failed store rejects everything
+    overload_multiple: float = 3.0  # more concurrent fetches than this multiple of `fetches`
+    overload_time: float = 3.0  # for so many seconds make the store fail
+    outage_time: float = 4.0  # seconds for which a failed store rejects everything
 
 
 @dataclass(eq=False)
@@ -27,29 +27,29 @@
 
 
 class PackageStore:
-    def __init__(self, reactor: Any, facts: StoreSpec) -> None:
-        self.reactor, self.facts = reactor, facts
+    def __init__(self, reactor: Any, spec: StoreSpec) -> None:
+        self.reactor, self.spec = reactor, spec
         self.active, self.crowded_since, self.stopped_until = 0, -1.0, -1.0
         self.factor = 1.0  # fault: times slower
         self.fetched = self.turned_away = 0
 
     def fetch(self, seconds: float, done: Callable[[bool], None]) -> Fetch:
-        now, facts = self.reactor.seconds(), self.facts
+        now, spec = self.reactor.seconds(), self.spec
         fetch = Fetch(done)
-        if now < self.stopped_until or self.active >= facts.limit:
+        if now < self.stopped_until or self.active >= spec.limit:
             self.turned_away += 1
             self.reactor.callLater(0.005, self.end, fetch, False)
             return fetch
         self.active += 1
         self.fetched += 1
         fetch.counted = True
-        if self.active <= facts.tips_at * facts.fetches:
+        if self.active <= spec.overload_multiple * spec.fetches:
             self.crowded_since = -1.0
         elif self.crowded_since < 0:
             self.crowded_since = now
-        elif now - self.crowded_since > facts.tips_after:
-            self.stopped_until, self.crowded_since = now + facts.stops_for, -1.0
-        duration = seconds * self.factor * max(1.0, self.active / facts.fetches)
+        elif now - self.crowded_since > spec.overload_time:
+            self.stopped_until, self.crowded_since = now + spec.outage_time, -1.0
+        duration = seconds * self.factor * max(1.0, self.active / spec.fetches)
         self.reactor.callLater(duration, self.end, fetch)
         return fetch
 
--- a/lapistrestle/standins/virtual.py
+++ b/lapistrestle/standins/virtual.py
@@ -55,10 +55,10 @@
     def schedule(
         self, delay: int, call: Callable[..., Any], *args: Any, process: "VirtualProcess | None" = None
     ) -> DelayedCall:
-        made = DelayedCall(self.now + max(0, delay), process, call, args)
+        delayed_call = DelayedCall(self.now + max(0, delay), process, call, args)
         self.count += 1
-        heappush(self.heap, (made.when, self.count, made))
-        return made
+        heappush(self.heap, (delayed_call.when, self.count, delayed_call))
+        return delayed_call
 
     def run(self, until: float) -> None:
         """Runs everything that is due up to that time, in seconds."""
@@ -69,7 +69,7 @@
                 continue
             self.now = when
             if due.process is not None and not due.process.awake():
-                due.process.timers.append(due)
+                due.process.overdue_timers.append(due)
                 continue
             due.done = True
             due.call(*due.args)
@@ -86,7 +86,7 @@
     def __init__(self, reactor: VirtualReactor, name: str) -> None:
         self.reactor, self.name = reactor, name
         self.stalled = self.dead = False
-        self.timers: list[DelayedCall] = []  # timers that came due during a stall
+        self.overdue_timers: list[DelayedCall] = []  # timers that came due during a stall
         self.inbox: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
         self.transports: dict[VirtualTransport, None] = {}
         self.listeners: list[Listener] = []
@@ -133,7 +133,7 @@
         if self.dead:
             return
         self.stalled = False
-        timers, self.timers = self.timers, []
+        timers, self.overdue_timers = self.overdue_timers, []
         for timer in timers:
             if not timer.done:
                 timer.done = True
@@ -198,9 +198,9 @@
             return wire.abortConnection()
         wire.connect_protocol(protocol)
 
-    def fail(self, why: Exception) -> None:
+    def fail(self, reason: Exception) -> None:
         if not self.cancelled:
-            self.factory.clientConnectionFailed(self, Failure(why))  # type: ignore[no-untyped-call]
+            self.factory.clientConnectionFailed(self, Failure(reason))  # type: ignore[no-untyped-call]
 
 
 class VirtualTransport:
@@ -211,9 +211,9 @@
         self.peer: VirtualTransport
         self.protocol: Any = None
         self.unread: deque[bytes] = deque()  # arrived and not yet read
-        self.unread_size = 0
+        self.unread_bytes = 0
         self.in_flight = 0  # bytes written and not yet read by the peer
-        self.reading, self.closed, self.ended = True, False, False
+        self.reading, self.closed, self.peer_closed = True, False, False
         self.producer: Any = None
         self.producer_paused = False
         process.transports[self] = None
@@ -245,31 +245,31 @@
         """Closes; what was written still arrives."""
         if not self.closed:
             self.closed = True
-            self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.finish)
-            self.reactor.schedule(0, self.process.deliver, self.lost, ConnectionDone())
+            self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.on_peer_closed)
+            self.reactor.schedule(0, self.process.deliver, self.on_closed, ConnectionDone())
 
     def abortConnection(self) -> None:
         """Closes; what was written and not yet read may be lost."""
         self.closed = True
-        self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.lost, ConnectionLost())
-        self.reactor.schedule(0, self.process.deliver, self.lost, ConnectionLost())
+        self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.on_closed, ConnectionLost())
+        self.reactor.schedule(0, self.process.deliver, self.on_closed, ConnectionLost())
 
     def break_off(self) -> None:
-        self.closed = self.ended = True
-        self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.lost, ConnectionLost())
+        self.closed = self.peer_closed = True
+        self.reactor.schedule(LATENCY_US, self.peer.process.deliver, self.peer.on_closed, ConnectionLost())
 
-    def finish(self) -> None:
+    def on_peer_closed(self) -> None:
         """The peer has closed: the connection ends here once everything before that has been read."""
-        self.ended = True
+        self.peer_closed = True
         self.read()
 
-    def lost(self, why: Exception) -> None:
+    def on_closed(self, reason: Exception) -> None:
         self.closed = True
         self.process.transports.pop(self, None)
         protocol, self.protocol = self.protocol, None
         self.unread.clear()
         if protocol is not None:
-            protocol.connectionLost(Failure(why))  # type: ignore[no-untyped-call]
+            protocol.connectionLost(Failure(reason))  # type: ignore[no-untyped-call]
 
     # bytes
 
@@ -289,18 +289,18 @@
     def arrive(self, data: bytes) -> None:
         """Bytes reached this end's socket, whether or not its process is stalled."""
         self.unread.append(data)
-        self.unread_size += len(data)
+        self.unread_bytes += len(data)
         self.process.deliver(self.read)
 
     def read(self) -> None:
         while self.unread and self.reading and self.protocol is not None:
             data = self.unread.popleft()
-            self.unread_size -= len(data)
+            self.unread_bytes -= len(data)
             self.peer.peer_read(len(data))
             self.protocol.dataReceived(data)
-        if self.ended and not self.unread and self.protocol is not None:
-            self.lost(ConnectionDone())
-        elif self.ended and not self.reading and self.protocol is not None and not self.closed:
+        if self.peer_closed and not self.unread and self.protocol is not None:
+            self.on_closed(ConnectionDone())
+        elif self.peer_closed and not self.reading and self.protocol is not None and not self.closed:
             self.closed = True  # writing to a closed peer fails
 
     def peer_read(self, size: int) -> None:
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -54,10 +54,10 @@
     machines: RunnerGroup
     zone: str
     cell: int
-    facts: RunnerSpec
+    spec: RunnerSpec
     tokens: TokenRegistry
     runner: RunnerStandIn
-    starts: int = 0
+    start_count: int = 0
 
     @property
     def up(self) -> bool:
@@ -91,30 +91,36 @@
         self.reactor, self.day, self.deployment = reactor, day, deployment
         self.random = random.Random(day.seed)
         self.tape = Tape(sink, reactor.seconds, header(day, deployment))
-        plan = day.store
+        store = day.store
         self.store = PackageStore(
             reactor,
             StoreSpec(
-                plan.fetches, plan.limit, plan.tips_at, plan.tips_after / SECOND, plan.stops_for / SECOND
+                store.fetches,
+                store.limit,
+                store.overload_multiple,
+                store.overload_time / SECOND,
+                store.outage_time / SECOND,
             ),
         )
         self.roster = RosterStandIn(reactor, day.roster_lag / SECOND, self.tape)
-        self.loads: dict[str, float] = {}
+        self.load_times: dict[str, float] = {}
         self.version_faults: dict[str, VersionFault] = {}
-        self.slots = self.fleet()
+        self.slots = self.make_slots()
         self.functions = self.make_functions()
         weights = [1 / (i + 1) ** day.traffic.popularity for i in range(len(self.functions))]
         self.weights = list(accumulate(weights))
         traffic = day.traffic
-        wait = traffic.wait / SECOND
-        habits = ClientBehaviour(traffic.retries, wait, traffic.patience, traffic.marks, traffic.heeds)
-        self.clients = ClientPool(reactor, habits, day.seed + 1, self.tape)
+        wait = traffic.retry_delay / SECOND
+        behaviour = ClientBehaviour(
+            traffic.retries, wait, traffic.patience, traffic.marks_retries, traffic.respects_retry_after
+        )
+        self.clients = ClientPool(reactor, behaviour, day.seed + 1, self.tape)
         self.make_planner, self.folder = make_planner, folder
         self.links = DatagramLinks(day.seed + 2)  # gossip between edges
-        self.fleet_ports = self.told_ports = [FIRST_GOSSIP_PORT + i for i in range(day.edges)]
+        self.gossip_ports = self.announced_ports = [FIRST_GOSSIP_PORT + i for i in range(day.edges)]
         if relayed and deployment.fleet.name:
-            self.fleet_ports = free_udp_ports(day.edges)
-            self.told_ports = relay(reactor, self.links, self.fleet_ports)
+            self.gossip_ports = free_udp_ports(day.edges)
+            self.announced_ports = relay(reactor, self.links, self.gossip_ports)
         self.directory: DirectoryHolders | None = None
         if deployment.directory.shards and holders is not None:
             self.directory = DirectoryHolders(reactor, self.tape, deployment, self.roster.port, holders)
@@ -142,13 +148,13 @@
         """Schedules the commands of the day's rollouts; an operator sends each until it is answered."""
         operator = self.operator = Operator(self.reactor, lambda: self.deployment.planner.port, self.tape)
         for version in self.day.rollouts:
-            wrong, name = version.wrong, f"{version.function}@{version.candidate}"
-            at, back = version.at / SECOND, version.back / SECOND
+            defects, name = version.defects, f"{version.function}@{version.candidate}"
+            at, revert_at = version.at / SECOND, version.revert_at / SECOND
             self.version_faults[name] = VersionFault(
-                wrong.errors, wrong.slower, wrong.load_errors, wrong.when_busy, wrong.customer,
-                self.reactor.seconds() + at + wrong.after / SECOND,
+                defects.errors, defects.slower, defects.load_errors, defects.when_busy, defects.customer,
+                self.reactor.seconds() + at + defects.after / SECOND,
             )  # fmt: skip
-            orders: list[tuple[float, Any]] = [(at, "start"), *([(back, "back")] if back else [])]
+            orders: list[tuple[float, Any]] = [(at, "start"), *([(revert_at, "back")] if revert_at else [])]
             orders += [(when / SECOND, "advance") for when in version.advance]
             steps = tuple(step / 100 for step in version.steps)
             for when, what in orders:
@@ -174,8 +180,12 @@
         made.roster = msgspec.structs.replace(made.roster, port=self.roster.port)
         made.listen = msgspec.structs.replace(made.listen, port=0)
         if made.fleet.name:
-            port, told, seeds = self.fleet_ports[number], self.told_ports[number], self.told_ports[:2]
-            made.fleet = msgspec.structs.replace(made.fleet, port=port, told_port=told, seeds=seeds)
+            port, announced, seeds = (
+                self.gossip_ports[number],
+                self.announced_ports[number],
+                self.announced_ports[:2],
+            )
+            made.fleet = msgspec.structs.replace(made.fleet, port=port, told_port=announced, seeds=seeds)
         if self.directory is not None:
             made.directory = self.directory.directory_of(made.dispatcher.name)
         if self.folder is not None:
@@ -183,7 +193,7 @@
             made.planner = msgspec.structs.replace(made.planner, keep=keep)
         return made
 
-    def fleet(self) -> list[Slot]:
+    def make_slots(self) -> list[Slot]:
         day, workers = self.day, self.deployment.workers
         methods = self.deployment.methods.values()
         scope = next((m.repeats_dropped_by for m in methods if m.effect == "tokened"), "")
@@ -194,32 +204,32 @@
             for _ in range(machines.count):
                 number = len(slots)
                 zones = self.deployment.zones or [""]
-                zone, cell = zones[number % len(zones)], number // machines.cell_of
-                facts = RunnerSpec(
+                zone, cell = zones[number % len(zones)], number // machines.cell_size
+                spec = RunnerSpec(
                     machines.cores, machines.speed, machines.memory, machines.queue, machines.loads,
                     workers.absent, workers.idle_life / SECOND, workers.cold_share, workers.ramp / SECOND,
-                    workers.fall_multiple, workers.fall_time / SECOND, day.fetch_share, day.drops_waiting,
-                    day.stops_running, remembered / SECOND,
+                    workers.fall_multiple, workers.fall_time / SECOND, day.fetch_share, day.cancels_waiting,
+                    day.cancels_running, remembered / SECOND,
                 )  # fmt: skip
                 group = {"all": "all", "zone": zone}.get(scope, f"cell {cell}")
                 tokens = groups.setdefault(group, TokenRegistry())
                 name = f"{kind}-{number}"
-                runner = self.boot(name, 0, facts, tokens, cold=False)
-                slots.append(Slot(name, kind, machines, zone, cell, facts, tokens, runner))
+                runner = self.start_runner(name, 0, spec, tokens, cold=False)
+                slots.append(Slot(name, kind, machines, zone, cell, spec, tokens, runner))
                 self.record_status(slots[-1], "serving", now=True)
                 self.tape.put(runner.start, "place", runner=name, zone=zone, cell=cell)
         return slots
 
-    def boot(
-        self, name: str, start: int, facts: RunnerSpec, tokens: TokenRegistry, cold: bool
+    def start_runner(
+        self, name: str, start: int, spec: RunnerSpec, tokens: TokenRegistry, cold: bool
     ) -> RunnerStandIn:
         workers = self.deployment.workers
         reported: set[str] = {workers.reports}
         reported |= {"warm"} if workers.tells_warm else set()
         reported |= {"company"} if workers.tells_company else set()
         made = RunnerStandIn(
-            self.reactor, name, start, facts, self.store, tokens, self.tape, cold, 0, frozenset(reported),
-            self.loads, lambda runner: self.on_collapse(runner),
+            self.reactor, name, start, spec, self.store, tokens, self.tape, cold, 0, frozenset(reported),
+            self.load_times, lambda runner: self.on_collapse(runner),
         )  # fmt: skip
         made.version_faults = self.version_faults
         return made
@@ -248,12 +258,16 @@
         return made
 
     def function(self, name: str, method: str) -> Function:
-        mix = self.day.traffic.methods[method]
-        load = self.random.uniform(*mix.load) / 10
+        method_traffic = self.day.traffic.methods[method]
+        load = self.random.uniform(*method_traffic.load) / 10
         made = Function(
-            name, method, round(self.random.uniform(*mix.memory), 1), self.random.choice(mix.lanes), load
+            name,
+            method,
+            round(self.random.uniform(*method_traffic.memory), 1),
+            self.random.choice(method_traffic.lanes),
+            load,
         )
-        self.loads[name] = load
+        self.load_times[name] = load
         return made
 
     # running
@@ -298,10 +312,13 @@
 
     def submit_request(self) -> None:
         function, deployment = self.pick_function(), self.deployment
-        method, mix = deployment.methods[function.method], self.day.traffic.methods[function.method]
+        method, method_traffic = (
+            deployment.methods[function.method],
+            self.day.traffic.methods[function.method],
+        )
         self.count += 1
-        work = self.random.gammavariate(4.0, mix.work / 10 / 4.0)
-        spread = self.day.traffic.hints
+        work = self.random.gammavariate(4.0, method_traffic.work / 10 / 4.0)
+        spread = self.day.traffic.hint_error
         hint = round(work * self.random.uniform(1 - spread, 1 + spread), 1) if spread < 1 else None
         customers = deployment.customers
         shares = [max(c.share, 1e-9) for c in customers.values()]
@@ -320,7 +337,8 @@
             method.repeats_dropped_by,
             method.deadline / SECOND,
             self.reactor.seconds(),
-            abuses=bool(self.clients.behaviour.abuse) and self.random.random() < self.clients.behaviour.abuse,
+            retries_at_once=bool(self.clients.behaviour.abuse)
+            and self.random.random() < self.clients.behaviour.abuse,
         )
         self.clients.submit(request)
 
@@ -345,8 +363,8 @@
         """Restarts a runner under the same name, cold and on another port."""
         if slot.up:
             self.kill(slot)
-        slot.starts += 1
-        slot.runner = self.boot(slot.name, slot.starts, slot.facts, slot.tokens, cold=True)
+        slot.start_count += 1
+        slot.runner = self.start_runner(slot.name, slot.start_count, slot.spec, slot.tokens, cold=True)
         self.tape.put(slot.runner.start, "place", runner=slot.name, zone=slot.zone, cell=slot.cell)
         self.record_status(slot, "serving")
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -45,7 +45,7 @@
 
 def waits(clock, cores, rate, works, seed=1):
     """The time that each call waited for a core."""
-    facts = RunnerSpec(cores=cores, memory=1e9, queue=10**9, idle_life=1e9)
+    facts = RunnerSpec(cores=cores, memory=1e9, queue=10**9, idle_timeout=1e9)
     engine = Engine(clock, facts, PackageStore(clock, StoreSpec()), lambda: None, cold=False)
     engine.hold("f", 1, 1.0, 10**6, 0.0, lambda outcome, count: None)
     clock.run(1.0)
@@ -102,7 +102,7 @@
 
 def test_the_store_serves_what_its_capacity_says(clock):
     """Above the capacity fetches slow down in proportion, so the throughput stays the same."""
-    store, done = PackageStore(clock, StoreSpec(fetches=10, limit=1_000, tips_at=100.0)), []
+    store, done = PackageStore(clock, StoreSpec(fetches=10, limit=1_000, overload_multiple=100.0)), []
 
     def again(ok):
         done.append(ok)
