--- a/lapistrestle/checks/directory.py
+++ b/lapistrestle/checks/directory.py
@@ -15,7 +15,7 @@
 NEVER = float("inf")
 TENTHS = 10  # leases are in tenths of a millisecond, times on the tape in milliseconds
 # line, time, edge, start of the runner, whether it drains or is gone
-Tell = Callable[[int, float, str, str, bool], None]
+Notify = Callable[[int, float, str, str, bool], None]
 
 
 @dataclass(eq=False)
@@ -70,9 +70,9 @@
 class DirectoryTrace:
     """Follows the lines of all relayed connections in order."""
 
-    def __init__(self, epochs: EpochOrder, lists: dict[str, dict[str, str]], tell: Tell) -> None:
-        """`lists`: for each edge, the latest known start of each runner."""
-        self.epochs, self.known_starts, self.notify = epochs, lists, tell
+    def __init__(self, epochs: EpochOrder, known_starts: dict[str, dict[str, str]], notify: Notify) -> None:
+        """`known_starts`: for each edge, the latest known start of each runner."""
+        self.epochs, self.known_starts, self.notify = epochs, known_starts, notify
         self.connections: dict[str, WatchConnection] = {}
         # age of the latest revision, by edge and runner name
         self.revisions: dict[tuple[str, str], tuple[int, int]] = {}
@@ -208,10 +208,10 @@
         return any(name in prefix for prefix in connection_state.prefixes.values())
 
     def start_period(self, connection_state: WatchConnection, name: str, start: str) -> None:
-        made = connection_state.known[name] = KnownPeriod(
+        period = connection_state.known[name] = KnownPeriod(
             connection_state.edge, connection_state.holder, start, self.at, self.line_number
         )
-        self.known_periods.append(made)
+        self.known_periods.append(period)
 
     def end_period(self, connection_state: WatchConnection, name: str, at: float, by_message: bool) -> None:
         period = connection_state.known.pop(name)
--- a/lapistrestle/checks/rules.py
+++ b/lapistrestle/checks/rules.py
@@ -181,14 +181,16 @@
             result.add_violation(at, message, by, line)
     asked = ok = 0
     for attempt in trace.attempts:
-        told = [
+        drained_at = [
             t.at
             for t in trace.notifications.get((attempt.edge, attempt.start), ())
             if t.draining and t.at > attempt.at
         ]
         if (
-            told
-            and min((w for w, _, _ in attempt.results), default=NEVER) > told[0] < attempt.disconnected_at
+            drained_at
+            and min((w for w, _, _ in attempt.results), default=NEVER)
+            > drained_at[0]
+            < attempt.disconnected_at
         ):
             asked += 1
             ok += any(outcome == "ok" for _, _, outcome in attempt.results)
@@ -221,14 +223,14 @@
     """A drain or removal that the roster reports to a directory's holder reaches the edges that know the
     runner within a second, not counting times when the holder was stalled or its link to the edge was cut."""
     result = RuleResult("directory told in time")
-    longest, told = 0.0, 0
+    longest, reported = 0.0, 0
     for period in trace.directory.known_periods:
         since, by = _draining_since(trace, period.holder, period.start, period.ended_at)
         if since is None:
             continue
         due = _propagation_deadline(trace, period, since)
         if period.ended_by_message:
-            told += 1
+            reported += 1
             longest = max(longest, period.ended_at - due + DIRECTORY_DELAY)
         if period.ended_at > due + CLOCK_TOLERANCE:
             after = min(period.ended_at, trace.end) - since
@@ -237,7 +239,7 @@
                 f"{after:.0f} ms after that was told"
             )
             result.add_violation(due, message, period.line, by)
-    result.figures = {"words of drains or ends": told, "longest way to an edge, ms": max(0.0, longest)}
+    result.figures = {"words of drains or ends": reported, "longest way to an edge, ms": max(0.0, longest)}
     return result
 
 
--- a/lapistrestle/checks/trace.py
+++ b/lapistrestle/checks/trace.py
@@ -284,9 +284,9 @@
                 call.client_gone_at = min(call.client_gone_at, at)
             case wire.Answer() if call is not None:
                 call.answers.append((at, number, message))
-                wish = self.client_requests.get(call.message.key)
-                if wish is not None and message.verdict == "ok":
-                    wish.answered_at = min(wish.answered_at, at)
+                client_request = self.client_requests.get(call.message.key)
+                if client_request is not None and message.verdict == "ok":
+                    client_request.answered_at = min(client_request.answered_at, at)
             case wire.StreamStarted() if call is not None:
                 call.stream_started_at = min(call.stream_started_at, at)
             case wire.Fault() if call is not None:
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -181,8 +181,8 @@
         seen = {worker: self.true_state(worker.name, request.function.name) for worker in candidates}
 
         def cost(worker: Worker) -> tuple[float, int]:
-            copy, crowd = seen[worker]
-            return crowd + (1 - copy) * LOAD_COST, crc32(f"{request.function.name} {worker.name}".encode())
+            loaded, load = seen[worker]
+            return load + (1 - loaded) * LOAD_COST, crc32(f"{request.function.name} {worker.name}".encode())
 
         return min(candidates, key=cost)
 
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -60,14 +60,14 @@
     variants = [
         tuple(zip(experiment.vary, values, strict=True)) for values in product(*experiment.vary.values())
     ]
-    made = []
+    runs = []
     for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
         for variant in variants:
             changed = copy.deepcopy(dict(day)) | {"seed": seed}
             for path, value in variant:
                 set_path(changed, path, value)
-            made.append(PlannedRun(variant, seed, changed))
-    return made
+            runs.append(PlannedRun(variant, seed, changed))
+    return runs
 
 
 def set_path(day: dict[str, Any], path: str, value: Any) -> None:
@@ -104,18 +104,18 @@
 
 
 def figures(
-    took: Sequence[float], wishes: int, service: float, worst: float, tries: int, fetches: int
+    latencies: Sequence[float], request_count: int, service: float, worst: float, attempts: int, fetches: int
 ) -> Any:
-    times = np.array(took) if took else np.array([0.0])
+    times = np.array(latencies) if latencies else np.array([0.0])
     return {
         "service": service,
         "worst": worst,
         "p50": float(np.quantile(times, 0.5)),
         "p99": float(np.quantile(times, 0.99)),
-        "ok": len(took) / max(1, wishes),
-        "tries": tries / max(1, wishes),
+        "ok": len(latencies) / max(1, request_count),
+        "tries": attempts / max(1, request_count),
         "fetches": float(fetches),
-        "calls": float(wishes),
+        "calls": float(request_count),
     }
 
 
@@ -150,11 +150,11 @@
 
 def by_variant(results: Iterable[Result]) -> dict[Variant, dict[int, Result]]:
     """The latest successful result of each variant and seed, in the order of the file."""
-    made: dict[Variant, dict[int, Result]] = defaultdict(dict)
+    grouped: dict[Variant, dict[int, Result]] = defaultdict(dict)
     for result in results:
         if not result.failed:
-            made[tuple((path, value) for path, value in map(tuple, result.variant))][result.seed] = result
-    return dict(made)
+            grouped[tuple((path, value) for path, value in map(tuple, result.variant))][result.seed] = result
+    return dict(grouped)
 
 
 def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, ConfidenceInterval]:
@@ -166,13 +166,13 @@
     if base not in found:
         known = "; ".join(variant_label(variant) for variant in found)
         raise DeploymentError(f"no results of {variant_label(base)}; known: {known or 'none'}")
-    made = {}
+    intervals = {}
     for variant, runs in found.items():
         both = sorted(set(runs) & set(found[base]))
         if variant != base and both:
             pairs = [(runs[seed].figures, found[base][seed].figures) for seed in both]
-            made[variant] = confidence_interval([one[figure] - other[figure] for one, other in pairs])
-    return made
+            intervals[variant] = confidence_interval([one[figure] - other[figure] for one, other in pairs])
+    return intervals
 
 
 def missing_runs(plan: Sequence[PlannedRun], results: Iterable[Result], build: str) -> list[PlannedRun]:
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -175,9 +175,9 @@
         queue.append([step, admitted])
         capacity, done = day.capacity * day.up(t) * STEP, 0.0
         while queue and capacity > 1e-6:
-            began, waiting = queue[0]
+            arrived, waiting = queue[0]
             total = waiting.sum()
-            age = (step - began) * STEP
+            age = (step - arrived) * STEP
             if age > day.patience or total <= 1e-9:
                 if total > 1e-9:
                     failed[step] += waiting.sum((1, 2))
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -80,8 +80,8 @@
         if link is None and address:
             latency = self.world.latencies.one_way(self.name, name)
             self.link_count += 1
-            made: Any = RunnerLink(self, name, at, latency, self.world.recorded_tape)
-            self.runners[name] = made
+            new_link: Any = RunnerLink(self, name, at, latency, self.world.recorded_tape)
+            self.runners[name] = new_link
 
 
 class ModelEdgeHandle:
@@ -165,10 +165,10 @@
     def start_runner(
         self, name: str, start: int, spec: RunnerSpec, tokens: TokenRegistry, cold: bool
     ) -> RunnerStandIn:
-        made = super().start_runner(name, start, spec, tokens, cold)
-        made.tape = self.recorded_tape
-        self.runners[made.port] = made
-        return made
+        runner = super().start_runner(name, start, spec, tokens, cold)
+        runner.tape = self.recorded_tape
+        self.runners[runner.port] = runner
+        return runner
 
     def true_state(self, name: str, function: str) -> tuple[float, float]:
         """True state of a runner: whether a copy is loaded (1) or loading (0.5), and calls per core at its
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -164,8 +164,8 @@
 
     def answer(self, task: Task, outcome: str, load_state: str = "") -> None:
         task.finished = True
-        more = {"company": task.concurrency, "report": self.report()}
-        self.when_running(lambda: task.on_finished(task, outcome, load_state or task.load_state, more))
+        details = {"company": task.concurrency, "report": self.report()}
+        self.when_running(lambda: task.on_finished(task, outcome, load_state or task.load_state, details))
 
     def when_running(self, call: Callable[[], None]) -> None:
         if self.paused:
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -134,7 +134,7 @@
     # messages of edges, on sockets and in the model
 
     def handle(self, message: Any, peer: Any, send: Callable[[Any], None]) -> None:
-        """Handles a message that came over the connection `edge`; answers go to `say`."""
+        """Handles a message that came over the connection `peer`; answers go to `send`."""
         engine = self.engine
         match message:
             case wire.Run():
@@ -145,10 +145,12 @@
             case wire.PreloadRequest():
                 load = self.load_times.get(message.function, 500.0) / 1000
 
-                def held(outcome: Any, count: int) -> None:
+                def on_preloaded(outcome: Any, count: int) -> None:
                     engine.when_running(lambda: send(wire.PreloadResult(message.preload_id, outcome, count)))
 
-                engine.hold(message.function, message.count, message.memory, message.lanes, load, held)
+                engine.hold(
+                    message.function, message.count, message.memory, message.lanes, load, on_preloaded
+                )
             case wire.Unload():
                 engine.unload(message.function)
             case wire.Probe():
@@ -168,7 +170,7 @@
         arrived_at = self.reactor.seconds()
         fault = fault if fault.applies(run.customer, busy, arrived_at) else NO_FAULT
 
-        def begin(task: Task) -> bool:
+        def on_started(task: Task) -> bool:
             if self.tokens.is_repeat(run.function, run.token, arrived_at, self.spec.token_memory):
                 return False
             self.tokens.record(run.function, run.token, self.reactor.seconds())
@@ -184,7 +186,7 @@
                 )
             return True
 
-        def end(task: Task, outcome: Any, load_state: Any, details: dict[str, Any]) -> None:
+        def on_finished(task: Task, outcome: Any, load_state: Any, details: dict[str, Any]) -> None:
             self.tasks.pop((peer, run.call_id), None)
             if outcome == "ok" and self.chance.chance(fault.errors):
                 outcome = "error"
@@ -200,7 +202,15 @@
             )  # fmt: skip
 
         load = self.load_times.get(run.function, body.load) / 1000
-        task = Task(run.function, body.work * fault.slower / 1000, run.memory, run.lanes, load, end, begin)
+        task = Task(
+            run.function,
+            body.work * fault.slower / 1000,
+            run.memory,
+            run.lanes,
+            load,
+            on_finished,
+            on_started,
+        )
         self.tasks[peer, run.call_id] = task
         engine.run(task)
 
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -171,27 +171,29 @@
                 self.reactor.callLater(when, operator.give, order)
 
     def edge_deployment(self, number: int) -> Deployment:
-        made = msgspec.structs.replace(self.deployment)
-        zones = made.zones
-        made.dispatcher = DispatcherIdentity(
+        settings = msgspec.structs.replace(self.deployment)
+        zones = settings.zones
+        settings.dispatcher = DispatcherIdentity(
             name=f"edge-{number}", number=number, of=self.day.edges,
             zone=zones[number % len(zones)] if zones else "", seed=self.day.seed * 100 + number,
         )  # fmt: skip
-        made.roster = msgspec.structs.replace(made.roster, port=self.roster.port)
-        made.listen = msgspec.structs.replace(made.listen, port=0)
-        if made.fleet.name:
+        settings.roster = msgspec.structs.replace(settings.roster, port=self.roster.port)
+        settings.listen = msgspec.structs.replace(settings.listen, port=0)
+        if settings.fleet.name:
             port, announced, seeds = (
                 self.gossip_ports[number],
                 self.announced_ports[number],
                 self.announced_ports[:2],
             )
-            made.fleet = msgspec.structs.replace(made.fleet, port=port, told_port=announced, seeds=seeds)
+            settings.fleet = msgspec.structs.replace(
+                settings.fleet, port=port, told_port=announced, seeds=seeds
+            )
         if self.directory is not None:
-            made.directory = self.directory.directory_of(made.dispatcher.name)
+            settings.directory = self.directory.directory_of(settings.dispatcher.name)
         if self.folder is not None:
-            keep = str(self.folder / f"edge-{number}.plan")
-            made.planner = msgspec.structs.replace(made.planner, keep=keep)
-        return made
+            plan_file = str(self.folder / f"edge-{number}.plan")
+            settings.planner = msgspec.structs.replace(settings.planner, keep=plan_file)
+        return settings
 
     def make_slots(self) -> list[Slot]:
         day, workers = self.day, self.deployment.workers
@@ -227,12 +229,12 @@
         reported: set[str] = {workers.reports}
         reported |= {"warm"} if workers.tells_warm else set()
         reported |= {"company"} if workers.tells_company else set()
-        made = RunnerStandIn(
+        runner = RunnerStandIn(
             self.reactor, name, start, spec, self.store, tokens, self.tape, cold, 0, frozenset(reported),
             self.load_times, lambda runner: self.on_collapse(runner),
         )  # fmt: skip
-        made.version_faults = self.version_faults
-        return made
+        runner.version_faults = self.version_faults
+        return runner
 
     def on_collapse(self, runner: RunnerStandIn) -> None:
         """A runner collapsed: the roster records that its process is gone."""
@@ -248,19 +250,21 @@
         self.roster.record(entry, slot.runner.engine.booted, now)
 
     def make_functions(self) -> list[Function]:
-        mixes, made = self.day.traffic.methods, []
+        traffic, functions = self.day.traffic.methods, []
         methods = self.random.choices(
-            list(mixes), [m.share for m in mixes.values()], k=max(self.day.traffic.functions, len(mixes))
+            list(traffic),
+            [m.share for m in traffic.values()],
+            k=max(self.day.traffic.functions, len(traffic)),
         )
-        methods[: len(mixes)] = list(mixes)  # each method has at least one function
+        methods[: len(traffic)] = list(traffic)  # each method has at least one function
         for number, method in enumerate(methods):
-            made.append(self.function(f"fn-{number}", method))
-        return made
+            functions.append(self.function(f"fn-{number}", method))
+        return functions
 
     def function(self, name: str, method: str) -> Function:
         method_traffic = self.day.traffic.methods[method]
         load = self.random.uniform(*method_traffic.load) / 10
-        made = Function(
+        function = Function(
             name,
             method,
             round(self.random.uniform(*method_traffic.memory), 1),
@@ -268,7 +272,7 @@
             load,
         )
         self.load_times[name] = load
-        return made
+        return function
 
     # running
 
