--- a/tests/days.py
+++ b/tests/days.py
@@ -17,7 +17,7 @@
 from lapistrestle.standins.world import World
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
-TROUBLE = {"at": "3 s", "lasts": "4 s"}
+DEFAULT_FAULT = {"at": "3 s", "lasts": "4 s"}
 
 
 def day(like: str = "thumbs", troubles: Any = (), seed: int = 1, **more: Any) -> dict[str, Any]:
@@ -34,7 +34,7 @@
         "store": {"fetches": 8, "limit": 40},
         "roster_lag": "1 s",
         "traffic": {"rate": 60, "functions": 20},
-        "troubles": [TROUBLE | t for t in troubles],
+        "troubles": [DEFAULT_FAULT | t for t in troubles],
     } | more
 
 
@@ -51,10 +51,10 @@
 
     def __init__(self, script: dict[str, Any], make: EdgeMaker = Edge) -> None:
         self.logs: list[tuple[str, dict[str, Any]]] = []
-        made, self.deployment = parse_day(script, path=EXAMPLES / "day.json5")
+        script_day, self.deployment = parse_day(script, path=EXAMPLES / "day.json5")
         sink = io.BytesIO()
         self.world: World = play_virtual(
-            made, self.deployment, sink, self.log, make, self.prepare, self.started
+            script_day, self.deployment, sink, self.log, make, self.prepare, self.started
         )
         self.tape = sink.getvalue()
         decode: Callable[[bytes], dict[str, Any]] = msgspec.json.Decoder(dict[str, Any]).decode
@@ -70,7 +70,7 @@
         self.logs.append((what, figures))
 
     def violations(self) -> list[Violation]:
-        return [breach for rule in check_rules(self.trace) for breach in rule.violations]
+        return [violation for rule in check_rules(self.trace) for violation in rule.violations]
 
-    def logged(self, what: str) -> list[dict[str, Any]]:
-        return [figures for said, figures in self.logs if said == what]
+    def logged(self, event: str) -> list[dict[str, Any]]:
+        return [figures for logged_event, figures in self.logs if logged_event == event]
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -10,7 +10,7 @@
 from lapistrestle.wire import messages as wire
 
 
-def sabotaged(change):
+def with_modified_edges(change):
     """Makes edges that `change` has modified."""
 
     def make(reactor, deployment, log):
@@ -21,9 +21,11 @@
     return make
 
 
-def caught(change, script):
-    breaches = Played(script, sabotaged(change)).violations()
-    return {breach.rule[0] for breach in breaches}, " ".join(breach.message for breach in breaches)
+def violations_of(change, script):
+    violations = Played(script, with_modified_edges(change)).violations()
+    return {violation.rule[0] for violation in violations}, " ".join(
+        violation.message for violation in violations
+    )
 
 
 def wrap(owner, name, around):
@@ -39,8 +41,8 @@
 
         wrap(edge, "send_answer", twice)
 
-    rules, says = caught(change, day(length="4 s"))
-    assert rules == {"1"} and "2 final answers" in says
+    rules, messages = violations_of(change, day(length="4 s"))
+    assert rules == {"1"} and "2 final answers" in messages
 
 
 def test_rule_1_no_answer():
@@ -51,8 +53,8 @@
 
         wrap(edge, "send_answer", some)
 
-    rules, says = caught(change, day(length="4 s"))
-    assert rules == {"1"} and "never answered" in says
+    rules, messages = violations_of(change, day(length="4 s"))
+    assert rules == {"1"} and "never answered" in messages
 
 
 def test_rule_1_a_late_answer():
@@ -63,8 +65,8 @@
 
         wrap(edge, "send_answer", later)
 
-    rules, says = caught(change, day(length="4 s", traffic={"rate": 60, "patience": [1, 1]}))
-    assert "1" in rules and "late" in says
+    rules, messages = violations_of(change, day(length="4 s", traffic={"rate": 60, "patience": [1, 1]}))
+    assert "1" in rules and "late" in messages
 
 
 def test_rule_1_work_after_the_answer():
@@ -85,8 +87,8 @@
 
         wrap(edge, "send_answer", again)
 
-    rules, says = caught(change, day("slots", length="4 s"))
-    assert "1" in rules and "sent out after its end" in says
+    rules, messages = violations_of(change, day("slots", length="4 s"))
+    assert "1" in rules and "sent out after its end" in messages
 
 
 def test_rule_2_a_rejection_of_a_call_that_may_have_run():
@@ -96,16 +98,18 @@
 
         wrap(edge, "send_answer", deny)
 
-    rules, says = caught(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
-    assert rules == {"2"} and "rejected as not run though it may have run" in says
+    rules, messages = violations_of(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
+    assert rules == {"2"} and "rejected as not run though it may have run" in messages
 
 
 def test_rule_2_a_retry_of_a_call_that_may_have_run():
     def change(edge):
         edge.host.module.candidates.allows_repeat = lambda request, worker: True
 
-    rules, says = caught(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
-    assert rules == {"2"} and ("side-effecting RPC is retried" in says or "retried outside its cell" in says)
+    rules, messages = violations_of(change, day("archive", [{"kind": "fast_errors", "share": 0.8}]))
+    assert rules == {"2"} and (
+        "side-effecting RPC is retried" in messages or "retried outside its cell" in messages
+    )
 
 
 def test_rule_2_two_attempts_at_once():
@@ -123,41 +127,41 @@
 
         wrap(edge, "send_call", both)
 
-    rules, says = caught(change, day("slots", length="4 s"))
-    assert "2" in rules and "two attempts at once" in says
+    rules, messages = violations_of(change, day("slots", length="4 s"))
+    assert "2" in rules and "two attempts at once" in messages
 
 
-def serving_for_ever(edge):
-    def told(facts, known):
+def always_serving(edge):
+    def with_serving_state(facts, known):
         made = facts(known)
         made.endpoint_state = EndpointState.SERVING
         return made
 
-    wrap(edge.known_workers, "worker_info", told)
+    wrap(edge.known_workers, "worker_info", with_serving_state)
 
 
 def test_rule_3_rpcs_to_a_drained_runner():
-    rules, says = caught(
-        serving_for_ever,
+    rules, messages = violations_of(
+        always_serving,
         day("slots", [{"kind": "deploy", "share": 0.5, "lasts": "1 s"}], roster_lag="100 ms"),
     )
-    assert rules == {"3"} and "an RPC goes to" in says
+    assert rules == {"3"} and "an RPC goes to" in messages
 
 
 def test_rule_3_preloads_to_a_drained_runner():
     def change(edge):
-        serving_for_ever(edge)
+        always_serving(edge)
         edge.host.module.candidates.eligible = lambda request, order, include_not_loaded=False: iter(
             ()
         )  # only its holds go out
 
-    rules, says = caught(
+    rules, messages = violations_of(
         change, day("slots", [{"kind": "deploy", "share": 0.9, "lasts": "1 s"}], roster_lag="100 ms")
     )
     assert rules <= {"3"}  # no calls are sent: no other rule is reported
 
     def orders(edge):
-        serving_for_ever(edge)
+        always_serving(edge)
 
         def order(drains, name, start):
             edge.after(15_000, lambda _: edge.runners[name].write(HOLD), None)
@@ -165,8 +169,8 @@
 
         wrap(edge.known_workers, "drain_announced", order)
 
-    rules, says = caught(orders, day("slots", [{"kind": "deploy", "share": 0.5, "lasts": "1 s"}]))
-    assert "3" in rules and "a preload goes to" in says
+    rules, messages = violations_of(orders, day("slots", [{"kind": "deploy", "share": 0.5, "lasts": "1 s"}]))
+    assert "3" in rules and "a preload goes to" in messages
 
 
 HOLD = wire.encode(wire.PreloadRequest(10**9, "fn-1", 1, 100.0, 1)) + b"\n"
@@ -180,30 +184,30 @@
     def change(edge):
         edge.host.module.slow_start.has_capacity = lambda worker, request: True
 
-    rules, says = caught(change, REPLACED)
-    assert rules == {"4"} and "collapsed" in says
+    rules, messages = violations_of(change, REPLACED)
+    assert rules == {"4"} and "collapsed" in messages
     assert Played(REPLACED).violations() == []
 
 
 def test_rule_4_starts_hidden_from_the_module():
     def change(edge):
-        def told(facts, known):
+        def without_start_time(facts, known):
             made = facts(known)
             made.booted_at = None
             return made
 
-        wrap(edge.known_workers, "worker_info", told)
+        wrap(edge.known_workers, "worker_info", without_start_time)
 
-    rules, says = caught(change, REPLACED)
-    assert rules == {"4"} and "collapsed" in says
+    rules, messages = violations_of(change, REPLACED)
+    assert rules == {"4"} and "collapsed" in messages
 
 
 def test_rule_5_preloads_are_not_counted():
     def change(edge):
         edge.host.module.preload_budget.settings = replace(edge.settings, preload_window=0)
 
-    rules, says = caught(change, day("archive"))
-    assert rules == {"5"} and "allowed" in says
+    rules, messages = violations_of(change, day("archive"))
+    assert rules == {"5"} and "allowed" in messages
 
 
 def test_rule_5_a_budget_that_is_too_large():
@@ -212,7 +216,7 @@
             edge.settings, preload_share=4 * edge.settings.preload_share
         )
 
-    assert caught(change, day("archive"))[0] == {"5"}
+    assert violations_of(change, day("archive"))[0] == {"5"}
 
 
 def test_a_file_that_is_not_a_tape_is_reported(tmp_path):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -64,18 +64,18 @@
 
     On these days the few new runners were sent the traffic of the whole fleet.
     """
-    troubles = [
+    faults = [
         {"kind": "deploy", "at": "6 s", "lasts": "1 s", "share": 0.4},
         {"kind": "preempt", "at": "8.6 s", "lasts": "0.4 s", "share": 0.8},
     ]
     assert_rules_kept(
-        Played(day(like, troubles[::-1], seed, length="12 s", traffic={"rate": rate, "functions": 20}))
+        Played(day(like, faults[::-1], seed, length="12 s", traffic={"rate": rate, "functions": 20}))
     )
 
 
 def test_the_same_seed_gives_the_same_tape_and_another_a_different_one() -> None:
-    troubles = [{"kind": "zone_loss"}, {"kind": "garbled"}, {"kind": "edge_kill"}]
-    tapes = [Played(day("thumbs", troubles, seed, length="6 s")).tape for seed in (3, 3, 4)]
+    faults = [{"kind": "zone_loss"}, {"kind": "garbled"}, {"kind": "edge_kill"}]
+    tapes = [Played(day("thumbs", faults, seed, length="6 s")).tape for seed in (3, 3, 4)]
     assert tapes[0] == tapes[1] != tapes[2]
 
 
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -102,45 +102,45 @@
 
 
 def test_runs_are_stored_resumed_compared_and_plotted(file: Path, tmp_path: Path) -> None:
-    kept = tmp_path / "try.results.jsonl"
+    results_file = tmp_path / "try.results.jsonl"
     first = run("run", file, "--processes", 2)
     assert first.exit_code == 0 and "4 runs, 0 done before" in first.output, first.output
-    whole = kept.read_bytes().splitlines(keepends=True)
-    kept.write_bytes(b"".join(whole[:2]) + whole[2][:40])  # killed in the middle of a line
-    assert len(results_of(kept)) == 2
+    whole = results_file.read_bytes().splitlines(keepends=True)
+    results_file.write_bytes(b"".join(whole[:2]) + whole[2][:40])  # killed in the middle of a line
+    assert len(results_of(results_file)) == 2
     again = run("run", file, "--processes", 1)
-    assert "4 runs, 2 done before" in again.output and len(results_of(kept)) == 4
-    strip = [[r.key, r.figures] for r in results_of(kept)]
+    assert "4 runs, 2 done before" in again.output and len(results_of(results_file)) == 4
+    strip = [[r.key, r.figures] for r in results_of(results_file)]
     assert sorted(strip) == sorted([json.loads(line)["key"], json.loads(line)["figures"]] for line in whole)
-    told = json.loads(run("compare", kept, "--base", "edges=1", "--json").output)
-    assert [row["variant"] for row in told] == [{"edges": 1}, {"edges": 2}]
-    assert told[0]["difference"] is None and told[1]["difference"] is not None
-    drawn = run("plot", kept, tmp_path / "p.svg")
+    rows = json.loads(run("compare", results_file, "--base", "edges=1", "--json").output)
+    assert [row["variant"] for row in rows] == [{"edges": 1}, {"edges": 2}]
+    assert rows[0]["difference"] is None and rows[1]["difference"] is not None
+    drawn = run("plot", results_file, tmp_path / "p.svg")
     assert drawn.exit_code == 0 and (tmp_path / "p.svg").read_text().count("<path") > 10
 
 
 def test_an_experiment_killed_in_its_first_line_is_resumed(file: Path, tmp_path: Path) -> None:
-    kept = tmp_path / "try.results.jsonl"
-    kept.write_bytes(b'{"key":"abc')
+    results_file = tmp_path / "try.results.jsonl"
+    results_file.write_bytes(b'{"key":"abc')
     assert run("run", file, "--processes", 1).exit_code == 0
-    assert len(results_of(kept)) == 4
+    assert len(results_of(results_file)) == 4
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "says"),
+    ("path", "value", "message"),
     [
         ("edges", 0, "edges"), ("traffic.rates", 5, "did you mean rate"),
         ("troubles", [{"kind": "silent", "at": "1 s"}], "needs sockets"),
     ],
 )  # fmt: skip
 def test_errors_are_reported_before_anything_runs(
-    file: Path, tmp_path: Path, path: str, value: Any, says: str
+    file: Path, tmp_path: Path, path: str, value: Any, message: str
 ) -> None:
     content = json.loads(file.read_text())
     content["vary"] = {path: [value]}
     file.write_text(json.dumps(content))
     failed = run("run", file)
-    assert failed.exit_code == 1 and says in failed.output
+    assert failed.exit_code == 1 and message in failed.output
     assert not (tmp_path / "try.results.jsonl").exists()
 
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -49,7 +49,7 @@
     engine = Engine(clock, facts, PackageStore(clock, StoreSpec()), lambda: None, cold=False)
     engine.hold("f", 1, 1.0, 10**6, 0.0, lambda outcome, count: None)
     clock.run(1.0)
-    random, found = np.random.default_rng(seed), []
+    random, waits_found = np.random.default_rng(seed), []
 
     def arrive(number):
         if number < len(works):
@@ -57,19 +57,19 @@
             clock.callLater(random.exponential(1 / rate), arrive, number + 1)
             engine.run(
                 Task("f", work, 1.0, 10**6, 0.0, lambda *ended: None,
-                     lambda task: found.append(clock.seconds() - came) or True)
+                     lambda task: waits_found.append(clock.seconds() - came) or True)
             )  # fmt: skip
 
     arrive(0)
     clock.run(len(works) / rate + 1_000)
-    assert len(found) == len(works)
-    return np.array(found[len(found) // 10 :])
+    assert len(waits_found) == len(works)
+    return np.array(waits_found[len(waits_found) // 10 :])
 
 
-def within(found, expected, batches=20):
+def within(waits, expected, batches=20):
     """Whether the mean agrees within four standard errors, by batch means, as successive waits are
     correlated."""
-    means = np.array([batch.mean() for batch in np.array_split(found, batches)])
+    means = np.array([batch.mean() for batch in np.array_split(waits, batches)])
     error = means.std(ddof=1) / batches**0.5
     assert error < 0.15 * expected, "too few calls to say anything"
     return abs(means.mean() - expected) < 4 * error
@@ -118,10 +118,10 @@
 
 
 def played(like="slots", troubles=(), seed=1, length="20 s", **more):
-    made, deployment = parse_day(
+    script_day, deployment = parse_day(
         day(like, troubles, seed, length=length, **more), path=EXAMPLES / "day.json5"
     )
-    return ModelWorld(made, deployment)
+    return ModelWorld(script_day, deployment)
 
 
 def test_the_same_seed_gives_the_same_day_and_another_seed_another_day():
@@ -134,9 +134,9 @@
 def test_the_model_agrees_with_the_program_on_in_memory_sockets(like, kind):
     troubles = [{"kind": kind, "at": "8 s", "lasts": "4 s"}] if kind else []
     outcome = played(like, troubles).play()
-    made, deployment = parse_day(day(like, troubles, 1, length="20 s"), path=EXAMPLES / "day.json5")
+    script_day, deployment = parse_day(day(like, troubles, 1, length="20 s"), path=EXAMPLES / "day.json5")
     sink = io.BytesIO()
-    play_virtual(made, deployment, sink)
+    play_virtual(script_day, deployment, sink)
     service = measure_service(Trace(msgspec.json.decode(line) for line in sink.getvalue().splitlines()))
     assert outcome.client_requests == service.asked  # the same requests
     assert outcome.service == pytest.approx(service.total, abs=0.03)
@@ -168,21 +168,21 @@
 # the tape of the model, read by the same checker
 
 
-def judged(like, troubles, seed=1):
-    made, deployment = parse_day(day(like, troubles, seed, length="20 s"), path=EXAMPLES / "day.json5")
+def violations_of(like, troubles, seed=1):
+    script_day, deployment = parse_day(day(like, troubles, seed, length="20 s"), path=EXAMPLES / "day.json5")
     sink = io.BytesIO()
-    world = ModelWorld(made, deployment, sink)
+    world = ModelWorld(script_day, deployment, sink)
     outcome = world.play()
-    story = Trace(msgspec.json.decode(line) for line in sink.getvalue().splitlines())
-    assert measure_service(story).total == pytest.approx(outcome.service, abs=0.002)
-    assert len(story.attempts) > 500 and len(story.calls) == world.clients.counts["tries"]
-    return [breach for rule in check_rules(story) for breach in rule.violations]
+    trace = Trace(msgspec.json.decode(line) for line in sink.getvalue().splitlines())
+    assert measure_service(trace).total == pytest.approx(outcome.service, abs=0.002)
+    assert len(trace.attempts) > 500 and len(trace.calls) == world.clients.counts["tries"]
+    return [violation for rule in check_rules(trace) for violation in rule.violations]
 
 
 @pytest.mark.parametrize("like", ["slots", "archive", "thumbs"])
 def test_the_checker_finds_the_rules_kept_on_the_tape_of_the_model(like):
     kinds = ("crash", "deploy", "burst", "fast_errors")
-    assert judged(like, [{"kind": kind, "at": f"{3 + 3 * n} s"} for n, kind in enumerate(kinds)]) == []
+    assert violations_of(like, [{"kind": kind, "at": f"{3 + 3 * n} s"} for n, kind in enumerate(kinds)]) == []
 
 
 def test_the_checker_finds_an_edge_that_receives_drains_too_late(monkeypatch):
@@ -193,13 +193,15 @@
     monkeypatch.setattr(
         ModelEdge, "runner_draining", lambda edge, *said: edge.reactor.callLater(2.0, drains, edge, *said)
     )
-    found = judged("slots", [{"kind": "deploy", "at": "5 s", "lasts": "10 s", "share": 0.6}])
-    assert "3 drains kept" in {breach.rule for breach in found}
+    violations = violations_of("slots", [{"kind": "deploy", "at": "5 s", "lasts": "10 s", "share": 0.6}])
+    assert "3 drains kept" in {violation.rule for violation in violations}
 
 
 def test_recording_a_tape_does_not_change_the_day():
-    made, deployment = parse_day(day(length="10 s"), path=EXAMPLES / "day.json5")
-    assert ModelWorld(made, deployment, io.BytesIO()).play() == ModelWorld(made, deployment).play()
+    script_day, deployment = parse_day(day(length="10 s"), path=EXAMPLES / "day.json5")
+    assert (
+        ModelWorld(script_day, deployment, io.BytesIO()).play() == ModelWorld(script_day, deployment).play()
+    )
 
 
 # baselines
@@ -210,15 +212,20 @@
 def test_a_baseline_answers_every_request_once_and_runs_nothing_twice(like, policy):
     troubles = [{"kind": "crash", "at": "5 s"}, {"kind": "fast_errors", "at": "8 s"}]
     script = day(like, troubles, length="15 s", policy=policy)
-    made, deployment = parse_day(script, path=EXAMPLES / "day.json5")
+    script_day, deployment = parse_day(script, path=EXAMPLES / "day.json5")
     sink = io.BytesIO()
-    world = ModelWorld(made, deployment, sink)
+    world = ModelWorld(script_day, deployment, sink)
     outcome = world.play()
     assert world.clients.open == 0 and outcome.service > 0.3
     assert all(handle.edge.host.counts["faults"] == 0 for handle in world.edges)
-    story = Trace(msgspec.json.decode(line) for line in sink.getvalue().splitlines())
-    kept = {rule.name: rule.violations for rule in check_rules(story)}
-    assert kept["1 one final answer"] == kept["2 no effect twice"] == kept["5 orders within budget"] == []
+    trace = Trace(msgspec.json.decode(line) for line in sink.getvalue().splitlines())
+    violations_by_rule = {rule.name: rule.violations for rule in check_rules(trace)}
+    assert (
+        violations_by_rule["1 one final answer"]
+        == violations_by_rule["2 no effect twice"]
+        == violations_by_rule["5 orders within budget"]
+        == []
+    )
 
 
 def test_the_module_is_better_than_random_and_worse_than_full_knowledge():
@@ -230,6 +237,6 @@
 
 
 def test_the_program_refuses_baseline_policies():
-    made, deployment = parse_day(day(policy="hash"), path=EXAMPLES / "day.json5")
+    script_day, deployment = parse_day(day(policy="hash"), path=EXAMPLES / "day.json5")
     with pytest.raises(DeploymentError, match='policy: is "hash"'):
-        play_virtual(made, deployment, io.BytesIO())
+        play_virtual(script_day, deployment, io.BytesIO())
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -56,10 +56,10 @@
     path, tape = tmp_path / "day.json5", tmp_path / "day.tape"
     path.write_text(json.dumps(script))
     result = command("day", "run", path, "--tape", tape)
-    story = Trace(read_tape(tape))
-    breaches = [b for rule in check_rules(story) for b in rule.violations]
-    assert result.returncode == 0 and breaches == [], result.stdout + result.stderr
-    assert sum(bool(c.answers) for c in story.calls) > 50
+    trace = Trace(read_tape(tape))
+    violations = [b for rule in check_rules(trace) for b in rule.violations]
+    assert result.returncode == 0 and violations == [], result.stdout + result.stderr
+    assert sum(bool(c.answers) for c in trace.calls) > 50
 
 
 @pytest.fixture
