--- a/lapistrestle/checks/rules.py
+++ b/lapistrestle/checks/rules.py
@@ -13,6 +13,7 @@
 WITHDRAWAL_DELAY = 1000  # milliseconds from the acceptance of a withdrawal until edges must have applied it
 SHARE_DELAY = 1000  # milliseconds from the decrease of a share until edges must have applied it
 LEAST_PROBABILITY = 1e-9  # of a count of keys that still counts as chance
+EPSILON = 1e-9  # avoids divisions by zero, and ignores rounding errors
 CLOCK_TOLERANCE = 5.0  # milliseconds between the times seen at two sockets of one machine
 
 
@@ -37,7 +38,12 @@
 
 
 def check_answers(trace: Trace) -> RuleResult:
-    """Rule 1: every RPC gets exactly one final answer, in time, and nothing is sent for it afterwards."""
+    """Rule 1: every RPC gets exactly one final answer, in time, and nothing is sent for it afterwards.
+
+    A late or missing answer is excused if the call got a fault or began to stream, if the client did not
+    read, or if the edge was stalled or killed. It does not count if the client disconnected or cancelled
+    before the deadline; a cancel at the deadline is its timeout, by which an answer is due.
+    """
     result = RuleResult("1 one final answer")
     slack = trace.header["rules"]["answer_slack"]
     excused = 0
@@ -48,7 +54,7 @@
             result.add_violation(call.answers[1][0], f"{name} has {len(call.answers)} final answers", *lines)
         due = call.deadline + slack
         connection = trace.connections[call.connection]
-        unread = any(b < due and call.at < e for b, e in connection.unread)
+        unread = any(b < due and call.at < e for b, e in connection.unread_periods)
         is_excused = (
             call.got_fault
             or call.stream_started_at < due
@@ -73,9 +79,9 @@
                 result.add_violation(due, f"{name} is {when}", *lines)
         elif call.answers:
             latest = max(latest, call.first_answered_at() - call.deadline)
-        over = min(call.first_answered_at(), call.client_gone_at)
+        ended_at = min(call.first_answered_at(), call.client_gone_at)
         for attempt in call.attempts:
-            if attempt.at > trace.can_act_at(call.edge, over) + slack + CLOCK_TOLERANCE:
+            if attempt.at > trace.can_act_at(call.edge, ended_at) + slack + CLOCK_TOLERANCE:
                 result.add_violation(attempt.at, f"{name} is sent out after its end", *lines, attempt.line)
     result.figures = {
         "RPCs": len(trace.calls),
@@ -90,41 +96,43 @@
     """Rule 2: no effect happens twice; retries, and rejections as not run, only where that is safe."""
     result = RuleResult("2 no effect twice")
     methods, rules = trace.header["methods"], trace.header["rules"]
-    further = 0
+    retries = 0
     for call in trace.calls:
         method = methods[call.message.method]
         earlier: list[Attempt] = []
-        further += max(0, len(call.attempts) - 1)
+        retries += max(0, len(call.attempts) - 1)
         if len(call.attempts) > rules["tries"]:
             message = f"RPC {call.message.id} has {len(call.attempts)} attempts, {rules['tries']} allowed"
-            result.add_violation(call.attempts[-1].at, message, *(r.line for r in call.attempts))
+            result.add_violation(call.attempts[-1].at, message, *(each.line for each in call.attempts))
         for attempt in call.attempts:
             problem = _unsafe_retry(trace, method, earlier, attempt)
             if problem:
-                lines = (call.line, *(r.line for r in earlier), attempt.line)
+                lines = (call.line, *(each.line for each in earlier), attempt.line)
                 result.add_violation(attempt.at, f"RPC {call.message.id}: {problem}", *lines)
             if not rules["parallel"]:
                 for other in earlier:
-                    if other.ended_by(CLOCK_TOLERANCE) > attempt.at + CLOCK_TOLERANCE:
+                    if other.over_at(CLOCK_TOLERANCE) > attempt.at + CLOCK_TOLERANCE:
                         message = f"RPC {call.message.id} has two attempts at once"
                         result.add_violation(attempt.at, message, other.line, attempt.line)
             earlier.append(attempt)
         effect, scope = method["effect"], method["scope"]
-        repeats = effect == "idempotent" or (effect, scope) == ("tokened", "all")
+        is_repeatable = effect == "idempotent" or (effect, scope) == ("tokened", "all")
         for at, number, answer in call.answers:
             possibly_run = [
-                r for r in call.attempts if r.at <= at and not r.known_not_run(at + CLOCK_TOLERANCE)
+                each
+                for each in call.attempts
+                if each.at <= at and not each.known_not_run(at + CLOCK_TOLERANCE)
             ]
-            if answer.verdict == "denied" and possibly_run and not repeats:
+            if answer.verdict == "denied" and possibly_run and not is_repeatable:
                 message = f"RPC {call.message.id} is rejected as not run though it may have run"
-                result.add_violation(at, message, call.line, *(r.line for r in possibly_run), number)
+                result.add_violation(at, message, call.line, *(each.line for each in possibly_run), number)
     effects = _check_repeated_effects(trace, result)
-    result.figures = {"further call-outs": further, "effects that must not repeat": effects}
+    result.figures = {"further call-outs": retries, "effects that must not repeat": effects}
     return result
 
 
 def _unsafe_retry(trace: Trace, method: dict[str, object], earlier: list[Attempt], attempt: Attempt) -> str:
-    possibly_run = [r for r in earlier if not r.known_not_run(attempt.at + CLOCK_TOLERANCE)]
+    possibly_run = [each for each in earlier if not each.known_not_run(attempt.at + CLOCK_TOLERANCE)]
     if not possibly_run or method["effect"] == "idempotent":
         return ""
     if method["effect"] == "side-effecting":
@@ -168,36 +176,39 @@
     result = RuleResult("3 drains kept")
     grace = trace.header["rules"]["drain_grace"]
     longest = 0.0
-    messages = [(r.at, r.line, r.edge, r.start, "an RPC") for r in trace.attempts]
-    messages += [(h.at, h.line, h.edge, h.start, "a preload") for h in trace.preloads]
+    messages = [(each.at, each.line, each.edge, each.start, "an RPC") for each in trace.attempts]
+    messages += [
+        (preload.at, preload.line, preload.edge, preload.start, "a preload") for preload in trace.preloads
+    ]
     for at, line, edge, start, what in messages:
-        since, by = _draining_since(trace, edge, start, at)
-        if since is None:
+        known_at, known_line = _draining_since(trace, edge, start, at)
+        if known_at is None:
             continue
-        after = at - trace.can_act_at(edge, since)
+        after = at - trace.can_act_at(edge, known_at)
         longest = max(longest, after)
         if after > grace + CLOCK_TOLERANCE:
             message = f"{what} goes to {start} {after:.0f} ms after {edge} was told that it drains or is gone"
-            result.add_violation(at, message, by, line)
-    asked = ok = 0
+            result.add_violation(at, message, known_line, line)
+    # attempts in flight when the drain was announced, and those of them that still succeeded
+    in_flight = succeeded = 0
     for attempt in trace.attempts:
         drained_at = [
-            t.at
-            for t in trace.notifications.get((attempt.edge, attempt.start), ())
-            if t.draining and t.at > attempt.at
+            notice.at
+            for notice in trace.notifications.get((attempt.edge, attempt.start), ())
+            if notice.draining and notice.at > attempt.at
         ]
         if (
             drained_at
-            and min((w for w, _, _ in attempt.results), default=NEVER)
+            and min((when for when, _, _ in attempt.results), default=NEVER)
             > drained_at[0]
             < attempt.disconnected_at
         ):
-            asked += 1
-            ok += any(outcome == "ok" for _, _, outcome in attempt.results)
+            in_flight += 1
+            succeeded += any(outcome == "ok" for _, _, outcome in attempt.results)
     result.figures = {
         "longest after being told, ms": longest,
-        "call-outs under way at a drain": asked,
-        "of them ok": ok,
+        "call-outs under way at a drain": in_flight,
+        "of them ok": succeeded,
     }
     return result
 
@@ -271,10 +282,10 @@
         window: deque[tuple[float, float, Attempt]] = deque()
         total = 0.0
         for attempt in by_start[runner_start.start]:
-            share = runner_start.initial_speed + (1 - runner_start.initial_speed) * (
+            relative_speed = runner_start.initial_speed + (1 - runner_start.initial_speed) * (
                 attempt.at - runner_start.at
-            ) / max(rules["ramp"], 1e-9)
-            if share >= 1 or attempt.at > runner_start.collapsed_at:
+            ) / max(rules["ramp"], EPSILON)
+            if relative_speed >= 1 or attempt.at > runner_start.collapsed_at:
                 break
             work = _true_work(attempt)
             window.append((attempt.at, work, attempt))
@@ -282,25 +293,33 @@
             while window[0][0] <= attempt.at - rules["fall_time"]:
                 total -= window.popleft()[1]
             limit = (
-                rules["fall_multiple"] * share * runner_start.cores * runner_start.speed * rules["fall_time"]
+                rules["fall_multiple"]
+                * relative_speed
+                * runner_start.cores
+                * runner_start.speed
+                * rules["fall_time"]
             )
             worst = max(worst, total / limit)
         if runner_start.collapsed_at < NEVER:
-            informed = sum(w for _, w, r in window if _knew_of_start(trace, r, runner_start.start))
+            informed = sum(
+                work for _, work, each in window if _knew_of_start(trace, each, runner_start.start)
+            )
+            # a violation if most of it came from edges that knew that this start was in slow start
             if total and informed >= total * 2 / 3:
                 message = (
                     f"{runner_start.start} collapsed "
                     f"{(runner_start.collapsed_at - runner_start.at) / 1000:.1f} s after its start"
                 )
                 result.add_violation(
-                    runner_start.collapsed_at, message, *(r.line for _, _, r in list(window)[-5:])
+                    runner_start.collapsed_at, message, *(each.line for _, _, each in list(window)[-5:])
                 )
     result.figures = {"cold starts": cold_starts, "most sent, as a part of what fells": worst}
     return result
 
 
 def _true_work(attempt: Attempt) -> float:
-    """The true work of the call in milliseconds, which the stand-in client writes into the body."""
+    """The true work of the call in milliseconds, which the stand-in client writes into the body; 1 without
+    it."""
     text = bytes(attempt.message.body)
     mark = text.find(b'"work":')
     try:
@@ -315,7 +334,7 @@
 
 def check_preload_budget(trace: Trace) -> RuleResult:
     """Rule 5: in every window, an edge's preloads stay within a fixed number plus a share of the RPCs
-    taken."""
+    accepted."""
     result = RuleResult("5 orders within budget")
     rules = trace.header["rules"]
     window = rules["order_window"]
@@ -323,25 +342,27 @@
     if not window:
         return result
     for edge in trace.header["edges"]:
-        taken = sorted(trace.can_act_at(edge, c.at) for c in trace.calls if c.edge == edge)
+        accepted_at = sorted(trace.can_act_at(edge, c.at) for c in trace.calls if c.edge == edge)
         preload_times: deque[tuple[float, int]] = deque()
         begin = end = 0
         kills = trace.kills.get(edge, [])
-        for preload in (h for h in trace.preloads if h.edge == edge):
+        for preload in (each for each in trace.preloads if each.edge == edge):
             restarted_at = max((k for k in kills if k <= preload.at), default=-NEVER)
             preload_times.append((preload.at, preload.line))
             while preload_times and preload_times[0][0] <= max(
                 preload.at - window + CLOCK_TOLERANCE, restarted_at
             ):
                 preload_times.popleft()
-            while end < len(taken) and taken[end] <= preload.at:
+            while end < len(accepted_at) and accepted_at[end] <= preload.at:
                 end += 1
-            while begin < end and taken[begin] <= preload.at - window - CLOCK_TOLERANCE:
+            while begin < end and accepted_at[begin] <= preload.at - window - CLOCK_TOLERANCE:
                 begin += 1
             budget = rules["orders_free"] + rules["orders_share"] * (end - begin)
-            part = len(preload_times) / max(budget, 1e-9)
-            result.figures["closest to the budget"] = max(result.figures["closest to the budget"], part)
-            if len(preload_times) > budget + 1e-9:
+            used_fraction = len(preload_times) / max(budget, EPSILON)
+            result.figures["closest to the budget"] = max(
+                result.figures["closest to the budget"], used_fraction
+            )
+            if len(preload_times) > budget + EPSILON:
                 message = (
                     f"{edge} sent {len(preload_times)} preloads in {window:.0f} ms, {budget:.1f} allowed"
                 )
@@ -383,8 +404,8 @@
     """A candidate version gets no larger part of the keys than its share, except within a second after a
     decrease.
 
-    Shares are those that the planner reported to its operators. A count that is less likely than one in a
-    thousand million under the share is a violation.
+    Shares are those that the planner reported to its operators. A count that is less likely than
+    `LEAST_PROBABILITY` under the share is a violation.
     """
     result = RuleResult("shares kept")
     worst = 1.0
@@ -424,11 +445,11 @@
     for at, number, key, method, _, attempt in trace.effects:
         if trace.header["methods"][method]["effect"] == "tokened" and attempt is not None and key:
             effects[key].append((at, number, attempt))
-    came_back = 0
+    repeated = 0
     for key, seen in effects.items():
         first = seen[0][2]
         for at, number, attempt in seen[1:]:
-            came_back += 1
+            repeated += 1
             if (
                 attempt.message.function != first.message.function
                 and attempt.call is not None
@@ -437,7 +458,7 @@
                 back = attempt.message.function
                 message = f"{key} took effect on {first.message.function} and, when retried, on {back}"
                 result.add_violation(at, message, first.line, attempt.line, number)
-    result.figures = {"tokened keys": len(effects), "of them with a further effect": came_back}
+    result.figures = {"tokened keys": len(effects), "of them with a further effect": repeated}
     return result
 
 
--- a/lapistrestle/checks/trace.py
+++ b/lapistrestle/checks/trace.py
@@ -47,12 +47,14 @@
     disconnected_at: float = NEVER
 
     def known_not_run(self, at: float) -> bool:
-        """Whether the runner had reported by then that the attempt did not run."""
+        """Whether the runner had reported by then that the attempt did not run: it had no room for it
+        ("full"), or no copy of the function ("miss")."""
         return any(when <= at and outcome in ("full", "miss") for when, _, outcome in self.results)
 
-    def ended_by(self, grace: float) -> float:
-        """When the edge may treat the attempt as over: its result, the loss of the connection, a cancel or,
-        `grace` milliseconds early, its timeout."""
+    def over_at(self, grace: float) -> float:
+        """From when the edge may treat the attempt as over: its result, the loss of the connection, a cancel
+        or its timeout. The timeout counts from when the edge sent the attempt, up to `grace` milliseconds
+        before it was seen here."""
         ended = min((when for when, _, _ in self.results), default=NEVER)
         return min(ended, self.disconnected_at, self.cancelled_at, self.at + self.message.timeout - grace)
 
@@ -96,7 +98,7 @@
 class RunnerStart:
     """One start of a runner. Times in milliseconds."""
 
-    start: str
+    start: str  # id of this start, such as "plain-0#1", by which all other records refer to it
     runner: str
     at: float
     cores: float
@@ -120,9 +122,8 @@
     client_name: str = ""
     opened: float = 0.0
     closed: float = NEVER
-    unread: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # periods in which the client did not read
+    # periods in which the client did not read
+    unread_periods: list[tuple[float, float]] = field(default_factory=list)
 
 
 @dataclass(eq=False)
@@ -161,6 +162,7 @@
         self.preloads: list[Preload] = []
         self.runner_starts: dict[str, RunnerStart] = {}
         self.client_requests: dict[str, ClientRequest] = {}
+        # time, line, key of the client's request, method, idempotency token, attempt
         self.effects: list[tuple[float, int, str, str, int | None, Attempt | None]] = []
         # by edge or holder, and start of the runner
         self.notifications: dict[tuple[str, str], list[Notification]] = {}
@@ -186,6 +188,8 @@
         self.finish()
 
     def add_event(self, number: int, event: dict[str, Any]) -> None:
+        """Adds an event of the tape; `on` names the connection, runner's start, edge, holder or client
+        request that it is about. Other kinds of events are of no use to the rules and ignored."""
         at, event_type, on = event["at"] / 1000, event["is"], event["on"]
         self.end = max(self.end, at)
         match event_type:
@@ -232,9 +236,9 @@
             case "killed":
                 self.kills.setdefault(on, []).append(at)
             case "unread":
-                self.connections[on].unread.append((at, NEVER))
+                self.connections[on].unread_periods.append((at, NEVER))
             case "reads":
-                intervals = self.connections[on].unread
+                intervals = self.connections[on].unread_periods
                 intervals[-1] = (intervals[-1][0], at)
             case "back":
                 self.withdrawals.append((at, number, event["version"]))
@@ -272,25 +276,25 @@
 
     def on_client_message(self, number: int, at: float, connection: Connection, message: Any) -> None:
         key = (connection.edge, f"{connection.client_name}/{getattr(message, 'id', '')}")
-        call = self.open_calls.get(key)
+        open_call = self.open_calls.get(key)
         match message:
             case wire.Call():
                 new_call = Call(number, at, connection.edge, connection.name, message)
-                if call is not None and not call.answers and call.client_gone_at == NEVER:
+                if open_call is not None and not open_call.answers and open_call.client_gone_at == NEVER:
                     return  # an id that is still in use: the edge answers with a fault, no RPC starts
                 self.open_calls[key] = new_call
                 self.calls.append(new_call)
-            case wire.CancelRequest() if call is not None:
-                call.client_gone_at = min(call.client_gone_at, at)
-            case wire.Answer() if call is not None:
-                call.answers.append((at, number, message))
-                client_request = self.client_requests.get(call.message.key)
+            case wire.CancelRequest() if open_call is not None:
+                open_call.client_gone_at = min(open_call.client_gone_at, at)
+            case wire.Answer() if open_call is not None:
+                open_call.answers.append((at, number, message))
+                client_request = self.client_requests.get(open_call.message.key)
                 if client_request is not None and message.verdict == "ok":
                     client_request.answered_at = min(client_request.answered_at, at)
-            case wire.StreamStarted() if call is not None:
-                call.stream_started_at = min(call.stream_started_at, at)
-            case wire.Fault() if call is not None:
-                call.got_fault = True
+            case wire.StreamStarted() if open_call is not None:
+                open_call.stream_started_at = min(open_call.stream_started_at, at)
+            case wire.Fault() if open_call is not None:
+                open_call.got_fault = True
 
     def on_runner_message(self, number: int, at: float, connection: Connection, message: Any) -> None:
         match message:
@@ -324,9 +328,9 @@
             for name in [n for n in known if n not in named]:
                 self.notify(connection.edge, known.pop(name), Notification(number, at, True, True))
         for entry in message.workers:
-            before = known.get(entry.name, entry.start)
-            if before != entry.start:
-                self.notify(connection.edge, before, Notification(number, at, True, True))
+            previous_start = known.get(entry.name, entry.start)
+            if previous_start != entry.start:
+                self.notify(connection.edge, previous_start, Notification(number, at, True, True))
             known[entry.name] = entry.start
             drains = entry.listing != "serving"
             self.notify(connection.edge, entry.start, Notification(number, at, drains, True))
@@ -360,5 +364,6 @@
         return any(b < end and begin < e for b, e in self.stalls.get(edge, ()))
 
     def was_killed(self, edge: str, begin: float, end: float) -> bool:
+        """Whether the edge was killed after `begin` and not after `end`."""
         kills = self.kills.get(edge, [])
         return bisect_right(kills, end) > bisect_right(kills, begin)
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -12,6 +12,10 @@
 
 from lapistrestle.standins.store import Fetch, PackageStore
 
+WARM_AGE = 1e6  # seconds since the start of a runner that is not in slow start: past any ramp
+SWEEP_INTERVAL = 0.5  # seconds between two looks for copies that have been idle for too long
+REPEAT_TIME = 0.001  # seconds to answer a repeat, which does not run
+
 
 @dataclass
 class RunnerSpec:
@@ -46,8 +50,8 @@
     on_finished: Callable[["Task", str, str, dict[str, Any]], None]  # outcome, load state, report
     # called when it starts to run; False: a repeat, which has no work to do
     on_started: Callable[["Task"], bool]
-    load_state: str = ""
-    concurrency: int = 0
+    load_state: str = ""  # as in the protocol: whether a copy was loaded, loading, or had to be loaded
+    concurrency: int = 0  # other calls of the function here at its arrival
     running: bool = False
     finished: bool = False
 
@@ -59,7 +63,7 @@
     memory: float
     lanes: int
     load: float
-    standing: int = 0
+    standing: int = 0  # copies loaded
     loading: int = 0
     busy: int = 0  # calls running
     tasks: int = 0  # calls waiting or running
@@ -68,6 +72,7 @@
     fetches: list[Fetch] = field(default_factory=list)
 
     def idle(self) -> int:
+        """Loaded copies without a call; calls fill one copy after another."""
         return self.standing - -(-self.busy // self.lanes)
 
 
@@ -78,7 +83,7 @@
         self, reactor: Any, spec: RunnerSpec, store: PackageStore, on_collapse: Callable[[], None], cold: bool
     ) -> None:
         self.reactor, self.spec, self.store, self.on_collapse = reactor, spec, store, on_collapse
-        self.booted = reactor.seconds() - (0.0 if cold else 1e6)
+        self.booted = reactor.seconds() - (0.0 if cold else WARM_AGE)
         self.copies: dict[str, Copies] = {}
         self.queue: deque[Task] = deque()
         self.load_queue: deque[str] = deque()
@@ -91,10 +96,10 @@
         self.deferred: deque[Callable[[], None]] = deque()  # calls deferred by a pause
         # time and work of calls sent in slow start
         self.slow_start_work: deque[tuple[float, float]] = deque()
-        self.load_fails: Callable[[str], bool] = lambda function: False
-        self.report_delay = 0.0
+        self.load_fails: Callable[[str], bool] = lambda function: False  # fault of a version
+        self.report_delay = 0.0  # fault: seconds by which load reports are out of date
         self.reports: deque[tuple[float, dict[str, float]]] = deque()
-        reactor.callLater(0.5, self.unload_idle)
+        reactor.callLater(SWEEP_INTERVAL, self.unload_idle)
 
     # capacity
 
@@ -106,8 +111,10 @@
         return min(1.0, spec.cold_share + (1 - spec.cold_share) * age / spec.ramp)
 
     def count_slow_start_work(self, work: float) -> None:
-        """Counts the work sent in slow start, rejected calls included; too much of it makes the runner
-        collapse."""
+        """Counts the work sent in slow start; too much of it makes the runner collapse.
+
+        Rejected calls count too: what matters is the load that edges send.
+        """
         share, spec, now = self.relative_speed(), self.spec, self.reactor.seconds()
         if share >= 1:
             return
@@ -203,7 +210,7 @@
         task.running = True
         duration = task.work * self.slowdown / (self.spec.speed * self.relative_speed())
         if not task.on_started(task):
-            duration = 0.001
+            duration = REPEAT_TIME
         self.reactor.callLater(duration, self.when_running, lambda: self.finish(task, copies))
 
     def finish(self, task: Task, copies: Copies) -> None:
@@ -225,7 +232,7 @@
             self.answer(task, "cancelled")
             return True
         if task.running and self.spec.cancels_running:
-            self.answer(task, "cancelled")  # a simplification: its core stays busy for the whole of its work
+            self.answer(task, "cancelled")  # a simplification: its core stays busy until its work is done
             return True
         return False
 
@@ -271,14 +278,14 @@
         def done(ok: bool) -> None:
             copies.fetches.remove(fetch)
             if not ok or self.load_fails(function):
-                return self.when_running(lambda: self.loaded(function, False))
+                return self.when_running(lambda: self.load_finished(function, False))
             start_time = copies.load * (1 - self.spec.fetch_share) * self.slowdown
-            self.reactor.callLater(start_time, self.when_running, lambda: self.loaded(function, True))
+            self.reactor.callLater(start_time, self.when_running, lambda: self.load_finished(function, True))
 
         fetch = self.store.fetch(copies.load * self.spec.fetch_share, done)
         copies.fetches.append(fetch)
 
-    def loaded(self, function: str, ok: bool) -> None:
+    def load_finished(self, function: str, ok: bool) -> None:
         copies = self.copies[function]
         self.loads -= 1
         copies.loading -= 1
@@ -295,7 +302,8 @@
         self.start_waiting()
 
     def answer_preloads(self, copies: Copies, ok: bool = True) -> None:
-        """Answers preloads that have reached their count, or that can't any more."""
+        """Answers preloads that have reached their count, or can't any more: "full" if memory lacks, "error"
+        if the last load failed (not `ok`)."""
         for preload in list(copies.preloads):
             count, done = preload
             if copies.standing >= count or copies.standing + copies.loading < count:
@@ -311,6 +319,8 @@
         load: float,
         done: Callable[[str, int], None],
     ) -> None:
+        """Preloads copies of a function up to `count`; `done` gets the outcome and the number of loaded
+        copies."""
         copies = self.copies_of(function, memory, lanes, load)
         if count and self.draining:
             return done("full", copies.standing)
@@ -348,4 +358,4 @@
                 copies.standing = 0
                 if not copies.loading and not copies.preloads:
                     del self.copies[function]
-        self.reactor.callLater(0.5, self.unload_idle)
+        self.reactor.callLater(SWEEP_INTERVAL, self.unload_idle)
