--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -63,9 +63,9 @@
 class SharedLevel:
     """The program's own controller, with figures of all dispatchers."""
 
-    def __init__(self, day: Scenario, priorities: int) -> None:
+    def __init__(self, scenario: Scenario, priorities: int) -> None:
         self.logs: list[str] = []
-        self.controller = LevelController(priorities, int(day.soft * SECOND), self.logs.append, 0)
+        self.controller = LevelController(priorities, int(scenario.soft * SECOND), self.logs.append, 0)
 
     def update(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.controller.update(fleet, now)
@@ -74,7 +74,7 @@
 class NoLimit:
     """Everything is admitted."""
 
-    def __init__(self, day: Scenario, priorities: int) -> None:
+    def __init__(self, scenario: Scenario, priorities: int) -> None:
         self.level = AdmissionLevel(priorities)
 
     def update(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
@@ -84,8 +84,8 @@
 class FixedLimit:
     """Each dispatcher admits an equal part of the full capacity, the greatest gain first."""
 
-    def __init__(self, day: Scenario, priorities: int) -> None:
-        self.capacity = day.capacity / day.dispatchers
+    def __init__(self, scenario: Scenario, priorities: int) -> None:
+        self.capacity = scenario.capacity / scenario.dispatchers
 
     def update(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return level_for(own.demand, self.capacity)
@@ -112,95 +112,110 @@
     """All first attempts and a part of the retries, whatever their gain."""
 
 
-def simulate(day: Scenario, policy: Policy) -> RunRecord:
+def simulate(scenario: Scenario, policy: Policy) -> RunRecord:
     """Simulates a scenario. Priorities go by gain and, within a gain, first attempts before retries."""
-    rng, priorities, count = np.random.default_rng(day.seed), 2 * len(day.worths), day.dispatchers
-    worth = np.repeat([w for w, _ in day.worths], 2)
-    mix = np.array([part for _, part in day.worths])
+    rng, priorities, count = (
+        np.random.default_rng(scenario.seed),
+        2 * len(scenario.worths),
+        scenario.dispatchers,
+    )
+    gains = np.repeat([w for w, _ in scenario.worths], 2)
+    parts = np.array([part for _, part in scenario.worths])
     shares = np.ones(count)
-    shares[0] = day.uneven
+    shares[0] = scenario.uneven
     shares /= shares.sum()
-    lags = rng.uniform(0.2, 1.0, count) * day.age / STEP
+    lags = rng.uniform(0.2, 1.0, count) * scenario.age / STEP
     phases = rng.integers(0, UPDATE_INTERVAL, count)
     controllers, levels = (
-        [policy(day, priorities) for _ in range(count)],
+        [policy(scenario, priorities) for _ in range(count)],
         [AdmissionLevel(priorities) for _ in range(count)],
     )
-    steps = int(day.seconds / STEP)
+    steps = int(scenario.seconds / STEP)
     # RPCs that arrive, by step, dispatcher, gain and attempt
-    arriving = np.zeros((steps + 200, count, len(mix), MAX_ATTEMPTS))
+    arriving = np.zeros((steps + 200, count, len(parts), MAX_ATTEMPTS))
     requested = np.zeros((steps, count, priorities))
-    admitted_rate, in_time, failed = (np.zeros((steps, count)) for _ in range(3))
+    admitted_rpcs, in_time, failed = (np.zeros((steps, count)) for _ in range(3))
     queue: deque[list[Any]] = deque()  # step of arrival, and RPCs waiting by dispatcher, gain and attempt
     record = RunRecord()
 
-    def again(step: int, failed_now: Any) -> None:
+    def schedule_retries(step: int, failed_now: Any) -> None:
         """Schedules the retries of RPCs that failed, if they have an attempt left."""
-        for n in range(MAX_ATTEMPTS - 1):
-            if failed_now[:, :, n].any():
-                after = rng.uniform(*day.wait, 4) / STEP
-                for wait in after:
-                    arriving[step + 1 + int(wait), :, :, n + 1] += failed_now[:, :, n] / 4
+        for attempt in range(MAX_ATTEMPTS - 1):
+            if failed_now[:, :, attempt].any():
+                delays = rng.uniform(*scenario.wait, 4) / STEP
+                for delay in delays:
+                    arriving[step + 1 + int(delay), :, :, attempt + 1] += failed_now[:, :, attempt] / 4
 
     for step in range(steps):
-        t = step * STEP
-        first = rng.poisson(day.load(t) * day.capacity * STEP * np.outer(shares, mix))
+        now_seconds = step * STEP
+        first_attempts = rng.poisson(
+            scenario.load(now_seconds) * scenario.capacity * STEP * np.outer(shares, parts)
+        )
         arrivals = arriving[step]
-        arrivals[:, :, 0] = first
-        now = int(t * SECOND)
+        arrivals[:, :, 0] = first_attempts
+        now = int(now_seconds * SECOND)
         requested[step, :, 0::2], requested[step, :, 1::2] = arrivals[:, :, 0], arrivals[:, :, 1:].sum(2)
-        for i in range(count):
-            if (step + phases[i]) % UPDATE_INTERVAL == 0 and step > WINDOW:
-                end = max(1, step - int(lags[i]))
+        for dispatcher in range(count):
+            if (step + phases[dispatcher]) % UPDATE_INTERVAL == 0 and step > WINDOW:
+                end = max(1, step - int(lags[dispatcher]))
                 begin = max(0, end - WINDOW)
-                lasts = (end - begin) * STEP
+                seconds = (end - begin) * STEP
                 fleet = Traffic(
-                    tuple(requested[begin:end].sum((0, 1)) / lasts), admitted_rate[begin:end].sum() / lasts,
-                    in_time[begin:end].sum() / lasts, failed[begin:end].sum() / lasts,
-                    float((admitted_rate - in_time - failed)[:end].sum()), int(lags[i] * STEP * SECOND),
-                )  # fmt: skip
+                    tuple(requested[begin:end].sum((0, 1)) / seconds),
+                    admitted_rpcs[begin:end].sum() / seconds,
+                    in_time[begin:end].sum() / seconds,
+                    failed[begin:end].sum() / seconds,
+                    float((admitted_rpcs - in_time - failed)[:end].sum()),
+                    int(lags[dispatcher] * STEP * SECOND),
+                )
                 since = max(0, step - WINDOW)
-                lasts = (step - since) * STEP
+                seconds = (step - since) * STEP
                 own = Traffic(
-                    tuple(requested[since:step, i].sum(0) / lasts),
-                    admitted_rate[since:step, i].sum() / lasts,
-                    in_time[since:step, i].sum() / lasts, failed[since:step, i].sum() / lasts,
-                    float((admitted_rate - in_time - failed)[:step, i].sum()), 0,
-                )  # fmt: skip
-                levels[i] = controllers[i].update(fleet, own, now)
-        gates = np.array([admitted_fractions(level, priorities) for level in levels])
-        admitted = arrivals * np.stack([gates[:, 0::2], *[gates[:, 1::2]] * (MAX_ATTEMPTS - 1)], 2)
-        admitted_rate[step] = admitted.sum((1, 2))
-        again(step, arrivals - admitted)
+                    tuple(requested[since:step, dispatcher].sum(0) / seconds),
+                    admitted_rpcs[since:step, dispatcher].sum() / seconds,
+                    in_time[since:step, dispatcher].sum() / seconds,
+                    failed[since:step, dispatcher].sum() / seconds,
+                    float((admitted_rpcs - in_time - failed)[:step, dispatcher].sum()),
+                    0,
+                )
+                levels[dispatcher] = controllers[dispatcher].update(fleet, own, now)
+        fractions = np.array([admitted_fractions(level, priorities) for level in levels])
+        admitted = arrivals * np.stack([fractions[:, 0::2], *[fractions[:, 1::2]] * (MAX_ATTEMPTS - 1)], 2)
+        admitted_rpcs[step] = admitted.sum((1, 2))
+        schedule_retries(step, arrivals - admitted)
         queue.append([step, admitted])
-        capacity, done = day.capacity * day.up(t) * STEP, 0.0
+        capacity, served_gain = scenario.capacity * scenario.up(now_seconds) * STEP, 0.0
         while queue and capacity > 1e-6:
             arrived, waiting = queue[0]
-            total = waiting.sum()
+            waiting_rpcs = waiting.sum()
             age = (step - arrived) * STEP
-            if age > day.patience or total <= 1e-9:
-                if total > 1e-9:
+            if age > scenario.patience or waiting_rpcs <= 1e-9:
+                if waiting_rpcs > 1e-9:
                     failed[step] += waiting.sum((1, 2))
-                    again(step, waiting)
+                    schedule_retries(step, waiting)
                 queue.popleft()
                 continue
-            part = min(1.0, capacity / total)
-            ran = waiting * part
-            capacity -= ran.sum()
-            if age <= day.soft:
-                in_time[step] += ran.sum((1, 2))
-                done += float((ran.sum((0, 2)) * worth[0::2]).sum())
+            part = min(1.0, capacity / waiting_rpcs)
+            completed = waiting * part
+            capacity -= completed.sum()
+            if age <= scenario.soft:
+                in_time[step] += completed.sum((1, 2))
+                served_gain += float((completed.sum((0, 2)) * gains[0::2]).sum())
             else:
-                failed[step] += ran.sum((1, 2))
-            queue[0][1] = waiting - ran
+                failed[step] += completed.sum((1, 2))
+            queue[0][1] = waiting - completed
             if part >= 1:
                 queue.popleft()
-        record.served.append(done)
-        record.requested.append(float((first.sum(0) * worth[0::2]).sum()))
-        record.optimal.append(optimal_gain(first.sum(0), worth[0::2], day.capacity * day.up(t) * STEP))
-        record.admitted.append(float(admitted_rate[step].sum()))
-        heights = [level.value for level in levels]
-        record.spread.append(max(heights) - min(heights))
+        record.served.append(served_gain)
+        record.requested.append(float((first_attempts.sum(0) * gains[0::2]).sum()))
+        record.optimal.append(
+            optimal_gain(
+                first_attempts.sum(0), gains[0::2], scenario.capacity * scenario.up(now_seconds) * STEP
+            )
+        )
+        record.admitted.append(float(admitted_rpcs[step].sum()))
+        values = [level.value for level in levels]
+        record.spread.append(max(values) - min(values))
     return record
 
 
@@ -214,10 +229,10 @@
     ]
 
 
-def optimal_gain(first: Any, worth: Any, capacity: float) -> float:
+def optimal_gain(amounts: Any, gains: Any, capacity: float) -> float:
     """The greatest gain that fits into the capacity."""
     total = 0.0
-    for amount, each in zip(first, worth, strict=True):
+    for amount, gain in zip(amounts, gains, strict=True):
         fits = min(float(amount), capacity)
-        total, capacity = total + fits * float(each), capacity - fits
+        total, capacity = total + fits * float(gain), capacity - fits
     return total
