--- a/lapistrestle/standins/directory_checks.py
+++ b/lapistrestle/standins/directory_checks.py
@@ -1,4 +1,4 @@
-"""What must hold for watchers and holders of the directory in every schedule, whatever breaks."""
+"""Invariants of the directory's watchers and holders that hold in every schedule, under every fault."""
 
 from dataclasses import dataclass, field
 
@@ -11,12 +11,12 @@
 from lapistrestle.wire.directory import Revision
 from lapistrestle.wire.messages import RosterEntry
 
-LOOKUP_SLACK = 600  # tenths of a millisecond after its time-out by which a look-up must have ended
+LOOKUP_SLACK = 600  # ticks of 0.1 ms: a look-up must end within its time-out plus this
 
 
 @dataclass
-class Breaches:
-    """Everything that went wrong, with its time."""
+class Violations:
+    """Violated invariants, each as a message with its time in seconds."""
 
     found: list[str] = field(default_factory=list)
 
@@ -26,103 +26,107 @@
 
 @dataclass
 class SessionRecord:
-    """What a holder sent on one connection: the prefixes after each numbered message, by watch."""
+    """The prefixes that a holder sent on one connection, after each numbered message and for each watch."""
 
-    prefixes: dict[tuple[int, int], tuple[str, ...]] = field(default_factory=dict)  # by sequence and watch
+    prefixes: dict[tuple[int, int], tuple[str, ...]] = field(default_factory=dict)  # by (sequence, watch)
     latest: dict[int, tuple[str, ...]] = field(default_factory=dict)
-    lapsed_at: int = NEVER
+    expired_at: int = NEVER
 
 
 @dataclass
 class WatcherView:
-    """What an edge knows by the effects of its watcher, and whether these are in order."""
+    """An edge's state built from the effects of its watcher; checks the order of the effects."""
 
     name: str
-    breaches: Breaches
+    breaches: Violations
     entries: dict[str, RosterEntry] = field(default_factory=dict)
     prefixes: dict[str, tuple[tuple[str, ...], bool]] = field(default_factory=dict)
-    newest: dict[str, int] = field(default_factory=dict)  # the latest incarnation of each instance
-    gone: dict[str, int] = field(default_factory=dict)  # the latest incarnation that was told as gone
-    waiting: dict[str, int] = field(default_factory=dict)  # look-ups by the time of their call
-    lookups: list[int] = field(default_factory=list)  # how long those took that ended in a prefix
+    latest_incarnations: dict[str, int] = field(default_factory=dict)  # by instance
+    gone_incarnations: dict[str, int] = field(default_factory=dict)  # latest one reported as gone
+    pending_lookups: dict[str, int] = field(default_factory=dict)  # start time by function
+    lookups: list[int] = field(default_factory=list)  # durations of the successful look-ups, in ticks
     failed: int = 0
-    told_of: dict[tuple[str, int, str], int] = field(default_factory=dict)  # when a listing was first heard
+    told_of: dict[tuple[str, int, str], int] = field(default_factory=dict)  # first report, by listing
 
     def take(self, effect: directory.WatcherEffect, now: int) -> None:
         if isinstance(effect, directory.InstancesChanged):
             for entry in effect.entries:
-                self.changed(entry, now)
+                self.instance_changed(entry, now)
         elif isinstance(effect, directory.InstancesGone):
             for name in effect.names:
-                self.told_gone(name, now)
+                self.instance_gone(name, now)
         elif isinstance(effect, directory.InstancesEvicted):
             for name in effect.names:
                 self.entries.pop(name, None)
         elif isinstance(effect, directory.PrefixReady):
-            self.ready(effect, now)
+            self.prefix_ready(effect, now)
         elif isinstance(effect, directory.LookupFailed):
             self.failed += 1
-            if self.waiting.pop(effect.function, None) is None:
+            if self.pending_lookups.pop(effect.function, None) is None:
                 self.breaches.add(
-                    now, f"{self.name}: a failed look-up of {effect.function} that nobody waits for"
+                    now, f"{self.name}: a failed look-up of {effect.function} that is not pending"
                 )
 
-    def changed(self, entry: RosterEntry, now: int) -> None:
+    def instance_changed(self, entry: RosterEntry, now: int) -> None:
         incarnation = int(entry.start)
-        if incarnation < self.newest.get(entry.name, -1):
+        if incarnation < self.latest_incarnations.get(entry.name, -1):
             self.breaches.add(now, f"{self.name}: {entry.name} goes back to incarnation {incarnation}")
-        if incarnation <= self.gone.get(entry.name, -1):
+        if incarnation <= self.gone_incarnations.get(entry.name, -1):
             self.breaches.add(
-                now, f"{self.name}: {entry.name} is back as incarnation {incarnation}, gone before"
+                now, f"{self.name}: {entry.name} returns as incarnation {incarnation}, which was gone"
             )
-        self.newest[entry.name] = incarnation
+        self.latest_incarnations[entry.name] = incarnation
         self.entries[entry.name] = entry
         self.told_of.setdefault((entry.name, incarnation, entry.listing), now)
 
-    def told_gone(self, name: str, now: int) -> None:
+    def instance_gone(self, name: str, now: int) -> None:
         entry = self.entries.pop(name, None)
         if entry is not None:
-            self.gone[name] = int(entry.start)
+            self.gone_incarnations[name] = int(entry.start)
             self.told_of.setdefault((name, int(entry.start), "gone"), now)
 
-    def ready(self, effect: directory.PrefixReady, now: int) -> None:
+    def prefix_ready(self, effect: directory.PrefixReady, now: int) -> None:
         unknown = [name for name in effect.names if name not in self.entries]
         if unknown:
             self.breaches.add(now, f"{self.name}: the prefix of {effect.function} names unknown {unknown}")
         self.prefixes[effect.function] = effect.names, effect.complete
-        since = self.waiting.pop(effect.function, None)
-        if since is not None:
-            self.lookups.append(now - since)
+        started_at = self.pending_lookups.pop(effect.function, None)
+        if started_at is not None:
+            self.lookups.append(now - started_at)
 
-    def check_waiting(self, time_out: int, now: int) -> None:
-        for function, since in list(self.waiting.items()):
-            if now > since + time_out + LOOKUP_SLACK:
+    def check_lookup_timeouts(self, time_out: int, now: int) -> None:
+        for function, started_at in list(self.pending_lookups.items()):
+            if now > started_at + time_out + LOOKUP_SLACK:
                 self.breaches.add(
-                    now, f"{self.name}: the look-up of {function} had no end after its time-out"
+                    now, f"{self.name}: the look-up of {function} did not end after its time-out"
                 )
-                del self.waiting[function]
+                del self.pending_lookups[function]
 
 
-def check_floors(
-    watcher: DirectoryWatcher, before: dict[int, Revision], order: list[str], now: int, breaches: Breaches
+def check_revisions(
+    watcher: DirectoryWatcher,
+    last_revisions: dict[int, Revision],
+    epochs: list[str],
+    now: int,
+    breaches: Violations,
 ) -> None:
-    """No shard's knowledge goes back, in the order in which the roster's epochs truly began."""
+    """Checks that no shard's revision decreases; `epochs` is the order in which the roster's epochs began."""
     for number, shard in watcher.shards.items():
-        floor = shard.floor
-        if floor is None:
+        revision = shard.floor
+        if revision is None:
             continue
-        old = before.get(number)
-        if old is not None and place(floor, order) < place(old, order):
-            breaches.add(now, f"{watcher.name}: shard {number} goes back from {old} to {floor}")
-        before[number] = floor
+        old = last_revisions.get(number)
+        if old is not None and revision_position(revision, epochs) < revision_position(old, epochs):
+            breaches.add(now, f"{watcher.name}: shard {number} goes back from {old} to {revision}")
+        last_revisions[number] = revision
 
 
-def place(revision: Revision, order: list[str]) -> tuple[int, int]:
-    return order.index(revision.source), revision.number
+def revision_position(revision: Revision, epochs: list[str]) -> tuple[int, int]:
+    return epochs.index(revision.source), revision.number
 
 
 def true_prefix(truth: RegionInstances, function: str, count: int) -> Prefix:
-    """The prefix by its definition, from a ring that was made anew."""
+    """Computes the expected prefix by its definition, from a complete ring."""
     names, serving = list[str](), 0
     for known in truth.ring.places(function):
         if serving >= count or len(names) >= max_prefix_length(count):
@@ -133,9 +137,9 @@
 
 
 def check_end(
-    watcher: DirectoryWatcher, view: WatcherView, truth: RegionInstances, now: int, breaches: Breaches
+    watcher: DirectoryWatcher, view: WatcherView, truth: RegionInstances, now: int, breaches: Violations
 ) -> None:
-    """Once all faults are over a watcher knows what is true, of each function that it uses."""
+    """Checks that a watcher has the correct prefix of each function in use once all faults are over."""
     for name, function in watcher.functions.items():
         prefix = true_prefix(truth, name, function.count)
         if not function.has_prefix or (function.names, function.complete) != (prefix.names, prefix.complete):
--- a/lapistrestle/standins/directory_holders.py
+++ b/lapistrestle/standins/directory_holders.py
@@ -1,4 +1,4 @@
-"""A directory of instances in a day: its holders, each a program, and links from every edge to each."""
+"""The directory of instances in a day: its holders, and a TCP relay from every edge to every holder."""
 
 from dataclasses import dataclass, field
 from typing import Any, Protocol
@@ -18,38 +18,38 @@
 
 
 class HolderHandle(Protocol):
-    """How a day has hold of one holder."""
+    """Controls one holder, which is an object in virtual time or a process."""
 
     name: str
 
     def start(self) -> None: ...
-    def port(self) -> int: ...  # 0 while it does not listen
+    def port(self) -> int: ...  # 0 while it is not listening
     def stall(self) -> None: ...
     def resume(self) -> None: ...
     def kill(self) -> None: ...
 
 
 class HolderFactory(Protocol):
-    """Makes holders: objects in virtual time, or processes."""
+    """Creates holders: objects in virtual time, or processes."""
 
     def ports(self, count: int) -> list[int]:
-        """Ports for holders, each another; a holder that starts anew takes its port again."""
+        """Returns distinct ports for holders; a restarted holder reuses its port."""
         ...
 
     def make(self, settings: HolderDeployment, start: int) -> HolderHandle:
-        """A holder that has not started; `start` counts the starts of its name."""
+        """Creates a holder without starting it; `start` counts the restarts of this holder."""
         ...
 
 
 @dataclass(eq=False)
 class HolderSlot:
-    """A holder of the deployment, whichever process it is now."""
+    """A holder of the deployment, across restarts of its process."""
 
     settings: HolderDeployment
     handle: HolderHandle
     starts: int = 0
-    still: int = 0  # by how many troubles it stands still
-    down: bool = False  # killed, and not started anew yet
+    stall_count: int = 0  # active faults that stall it; it resumes once all have ended
+    is_killed: bool = False  # killed and not restarted yet
     links: dict[str, Link] = field(default_factory=dict)  # by edge
 
     @property
@@ -58,7 +58,7 @@
 
 
 def holder_names(directory: Directory) -> dict[tuple[str, int], str]:
-    """A name for each holder of a deployment, by the host and port that stand in its shards."""
+    """Names each holder of a deployment, by the host and port in the deployment's shards."""
     found: dict[tuple[str, int], str] = {}
     for copies in directory.shards:
         for copy in copies:
@@ -67,7 +67,7 @@
 
 
 class DirectoryHolders:
-    """All holders of a day. Ports in the deployment only tell its holders apart: real ones are free ones."""
+    """All holders of a day. They listen on free ports; ports in the deployment only identify its holders."""
 
     def __init__(
         self, reactor: Any, tape: Tape, deployment: Deployment, roster_port: int, holders: HolderFactory
@@ -89,14 +89,14 @@
             self.places[name] = HolderSlot(settings, holders.make(settings, 0))
 
     def start(self) -> None:
-        for place in self.places.values():
-            place.handle.start()
+        for slot in self.places.values():
+            slot.handle.start()
 
     def up(self) -> bool:
-        return all(place.handle.port() for place in self.places.values())
+        return all(slot.handle.port() for slot in self.places.values())
 
     def directory_of(self, edge: str) -> Directory:
-        """The settings of one edge: it reaches each holder through a link of its own."""
+        """Returns the directory settings of one edge, which reaches each holder through its own relay."""
         shards = [
             [DirectoryCopy(port=self.link(edge, self.names[copy.host, copy.port]).port, zone=copy.zone)
              for copy in copies]
@@ -105,45 +105,45 @@
         return msgspec.structs.replace(self.directory, shards=shards)
 
     def link(self, edge: str, holder: str) -> Link:
-        place = self.places[holder]
-        if edge not in place.links:
-            place.links[edge] = Link(self.reactor, self.tape, edge, holder, place.settings.serve.port)
-        return place.links[edge]
-
-    # what goes wrong
-
-    def stall(self, place: HolderSlot) -> None:
-        place.still += 1
-        if place.still == 1:
-            self.tape.put(place.name, "stalled")
-            place.handle.stall()
-
-    def resume(self, place: HolderSlot) -> None:
-        if place.still:
-            place.still -= 1
-            if not place.still:
-                self.tape.put(place.name, "resumed")
-                place.handle.resume()
-
-    def kill(self, place: HolderSlot) -> None:
-        """Of two kills that overlap the second meets nobody."""
-        if place.down:
+        slot = self.places[holder]
+        if edge not in slot.links:
+            slot.links[edge] = Link(self.reactor, self.tape, edge, holder, slot.settings.serve.port)
+        return slot.links[edge]
+
+    # faults
+
+    def stall(self, slot: HolderSlot) -> None:
+        slot.stall_count += 1
+        if slot.stall_count == 1:
+            self.tape.put(slot.name, "stalled")
+            slot.handle.stall()
+
+    def resume(self, slot: HolderSlot) -> None:
+        if slot.stall_count:
+            slot.stall_count -= 1
+            if not slot.stall_count:
+                self.tape.put(slot.name, "resumed")
+                slot.handle.resume()
+
+    def kill(self, slot: HolderSlot) -> None:
+        """Kills the holder; no effect if another fault has killed it already."""
+        if slot.is_killed:
             return
-        place.down = True
-        if place.still:
-            place.still = 0
-            self.tape.put(place.name, "resumed")
-        self.tape.put(place.name, "killed")
-        place.handle.kill()
-
-    def restart(self, place: HolderSlot) -> None:
-        """The same name and port, another process that knows nothing; unless it is back already."""
-        if not place.down:
+        slot.is_killed = True
+        if slot.stall_count:
+            slot.stall_count = 0
+            self.tape.put(slot.name, "resumed")
+        self.tape.put(slot.name, "killed")
+        slot.handle.kill()
+
+    def restart(self, slot: HolderSlot) -> None:
+        """Starts a new process, without state, under the same name and port, unless it runs already."""
+        if not slot.is_killed:
             return
-        place.down = False
-        place.starts += 1
-        place.handle = self.holders.make(place.settings, place.starts)
-        place.handle.start()
+        slot.is_killed = False
+        slot.starts += 1
+        slot.handle = self.holders.make(slot.settings, slot.starts)
+        slot.handle.start()
 
     def cut(self, edge: str, holder: str) -> None:
         self.tape.put("day", "cut", edge=edge, holder=holder)
--- a/lapistrestle/standins/directory_network.py
+++ b/lapistrestle/standins/directory_network.py
@@ -1,6 +1,6 @@
-"""Virtual time for programs that stand still and are killed, and channels that lose, double, delay and cut.
+"""Discrete-event simulation: a virtual clock, processes that stall and crash, and faulty channels.
 
-One step is one event. All chance is drawn from the world's seed.
+Channels lose, duplicate, delay and block messages. All random choices come from the simulation's seed.
 """
 
 import heapq
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True)
 class NetworkConditions:
-    """How rough a day is: chances by message, or events a second."""
+    """Fault rates: probabilities per message, and events per second. Delays are in ticks of 0.1 ms."""
 
     loss: float = 0.003
-    doubled: float = 0.003
+    doubled: float = 0.003  # duplicated messages
     delay: tuple[int, int] = (5, 40)
     slow_chance: float = 0.01
     slow: int = 2_000
@@ -29,35 +29,35 @@
     watcher_stalls: float = 0.1
     cuts: float = 0.4
     breaks: float = 0.2
-    calls: float = 8.0  # of each watcher
+    calls: float = 8.0  # per watcher
 
 
 CALM = NetworkConditions(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
 
 
 class SimulatedClock:
-    """What is to happen, in order."""
+    """A virtual clock with a queue of scheduled events; times are in ticks of 0.1 ms."""
 
     def __init__(self) -> None:
-        self.now, self.count = 0, 0
+        self.now, self.event_count = 0, 0
         self.queue = list[tuple[int, int, Callable[[], None]]]()
 
-    def at(self, when: int, act: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (max(when, self.now), self.count, act))
+    def at(self, when: int, action: Callable[[], None]) -> None:
+        self.event_count += 1
+        heapq.heappush(self.queue, (max(when, self.now), self.event_count, action))
 
-    def after(self, delay: int, act: Callable[[], None]) -> None:
-        self.at(self.now + delay, act)
+    def after(self, delay: int, action: Callable[[], None]) -> None:
+        self.at(self.now + delay, action)
 
     def run(self, until: int) -> None:
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.queue)
-            act()
+            self.now, _, action = heapq.heappop(self.queue)
+            action()
         self.now = until
 
 
 class SimulationContext(Protocol):
-    """What programs and channels need of their world."""
+    """The parts of a simulation that processes and channels use."""
 
     time: SimulatedClock
     chance: random.Random
@@ -65,20 +65,20 @@
 
 
 class SimulatedProcess:
-    """A process: it may stand still, while what arrives waits in the order of its arrival, and be killed."""
+    """A process that can stall or be killed; messages that arrive during a stall are queued in order."""
 
     def __init__(self, world: SimulationContext) -> None:
         self.world = world
-        self.stalled, self.alive, self.life = False, True, 0
+        self.stalled, self.alive, self.incarnation = False, True, 0
         self.inbox = deque[Callable[[], None]]()
-        self.due = -1
-        self.stalled_at = self.wakes_at = -1
+        self.next_tick_at = -1
+        self.stalled_at = self.resumes_at = -1
 
-    def deliver(self, act: Callable[[], None]) -> None:
+    def deliver(self, action: Callable[[], None]) -> None:
         if self.stalled:
-            self.inbox.append(act)
+            self.inbox.append(action)
         elif self.alive:
-            act()
+            action()
             self.after_event()
 
     def stall(self, length: int) -> None:
@@ -86,36 +86,36 @@
             return
         self.stalled, self.stalled_at = True, self.world.time.now
         until = self.stalled_at + length
-        self.world.time.at(until, lambda: self.wake(until))
-        self.wakes_at = until
+        self.world.time.at(until, lambda: self.resume(until))
+        self.resumes_at = until
 
-    def wake(self, when: int) -> None:
-        if not self.stalled or when != self.wakes_at:
+    def resume(self, when: int) -> None:
+        if not self.stalled or when != self.resumes_at:
             return
         self.stalled = False
-        self.woke()
+        self.on_resume()
         while self.inbox and self.alive and not self.stalled:
             self.inbox.popleft()()
             self.after_event()
-        self.tick_now()
+        self.run_tick()
 
-    def plan_tick(self, when: int) -> None:
-        if when != self.due:
-            self.due = when
-            life = self.life
-            self.world.time.at(when, lambda: self.tick_at(when, life))
+    def schedule_tick(self, when: int) -> None:
+        if when != self.next_tick_at:
+            self.next_tick_at = when
+            incarnation = self.incarnation
+            self.world.time.at(when, lambda: self.tick_at(when, incarnation))
 
-    def tick_at(self, when: int, life: int) -> None:
-        if self.alive and not self.stalled and self.due == when and self.life == life:
-            self.tick_now()
+    def tick_at(self, when: int, incarnation: int) -> None:
+        if self.alive and not self.stalled and self.next_tick_at == when and self.incarnation == incarnation:
+            self.run_tick()
 
-    def tick_now(self) -> None:
+    def run_tick(self) -> None:
         if self.alive and not self.stalled:
-            self.due = -1
+            self.next_tick_at = -1
             self.tick()
             self.after_event()
 
-    def woke(self) -> None: ...
+    def on_resume(self) -> None: ...
 
     def tick(self) -> None: ...
 
@@ -123,41 +123,44 @@
 
 
 class Channel:
-    """One direction of a connection: in order, delayed, and sometimes a message is lost or doubled."""
+    """One direction of a connection: ordered and delayed; a message may be lost or duplicated.
+
+    While it is cut, messages are held back and delivered once it heals.
+    """
 
     def __init__(self, world: SimulationContext, faulty: bool = True) -> None:
         self.world, self.faulty = world, faulty
-        self.last = 0
+        self.last_arrival = 0
         self.open = True
         self.cut = False
-        self.held = deque[tuple[SimulatedProcess, Callable[[], None]]]()
+        self.held_messages = deque[tuple[SimulatedProcess, Callable[[], None]]]()
 
-    def send(self, to: SimulatedProcess, act: Callable[[], None]) -> None:
+    def send(self, to: SimulatedProcess, action: Callable[[], None]) -> None:
         chance, weather = self.world.chance, self.world.weather
         if not self.open or (self.faulty and chance.random() < weather.loss):
             return
-        times = 2 if self.faulty and chance.random() < weather.doubled else 1
-        for _ in range(times):
+        copies = 2 if self.faulty and chance.random() < weather.doubled else 1
+        for _ in range(copies):
             if self.cut:
-                self.held.append((to, act))
+                self.held_messages.append((to, action))
             else:
-                self.pass_on(to, act)
+                self.schedule_delivery(to, action)
 
-    def pass_on(self, to: SimulatedProcess, act: Callable[[], None]) -> None:
+    def schedule_delivery(self, to: SimulatedProcess, action: Callable[[], None]) -> None:
         chance, weather = self.world.chance, self.world.weather
         delay = chance.randint(*weather.delay)
         if weather.slow and chance.random() < weather.slow_chance:
             delay += chance.randint(0, weather.slow)
-        self.last = max(self.last, self.world.time.now + delay)
-        self.world.time.at(self.last, lambda: self.arrive(to, act))
+        self.last_arrival = max(self.last_arrival, self.world.time.now + delay)
+        self.world.time.at(self.last_arrival, lambda: self.deliver_or_hold(to, action))
 
-    def arrive(self, to: SimulatedProcess, act: Callable[[], None]) -> None:
+    def deliver_or_hold(self, to: SimulatedProcess, action: Callable[[], None]) -> None:
         if self.cut:
-            self.held.append((to, act))
+            self.held_messages.append((to, action))
         elif self.open:
-            to.deliver(act)
+            to.deliver(action)
 
     def heal(self) -> None:
         self.cut = False
-        while self.held:
-            self.pass_on(*self.held.popleft())
+        while self.held_messages:
+            self.schedule_delivery(*self.held_messages.popleft())
--- a/lapistrestle/standins/directory_world.py
+++ b/lapistrestle/standins/directory_world.py
@@ -1,7 +1,7 @@
-"""A region of the directory in virtual time, and everything in it that breaks.
+"""Fault-injection simulation of a directory region in virtual time.
 
-Programs are killed, stand still and wake; connections lose and double messages, are cut and break; zones
-restart, and the roster begins anew. All of it is drawn from a seed.
+Processes are killed, stalled and resumed; connections lose and duplicate messages, are cut and closed; zones
+restart, and the roster restarts with a new epoch. All faults are drawn from a seed.
 """
 
 import random
@@ -14,7 +14,7 @@
 from lapistrestle.directory.assignment import Assignment, ShardReplica
 from lapistrestle.directory.effects import HolderSettings, WatcherSettings
 from lapistrestle.directory.instances import RegionInstances
-from lapistrestle.standins.directory_checks import Breaches, check_end
+from lapistrestle.standins.directory_checks import Violations, check_end
 from lapistrestle.standins.directory_network import NetworkConditions, SimulatedClock
 from lapistrestle.standins.directory_programs import Connection, Holder, Roster, Watcher
 from lapistrestle.ticks import SECOND
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class SimulationPlan:
-    """The size of a world."""
+    """The size and settings of a simulated region."""
 
     watchers: int = 5
     copies: int = 2
@@ -52,22 +52,22 @@
         default_factory=lambda: WatcherSettings(first_count=4, idle_timeout=8 * SECOND)
     )
     holder: HolderSettings = field(default_factory=HolderSettings)
-    old_holder: bool = False  # one more copy of each shard, of an older epoch
+    old_holder: bool = False  # adds a holder of an older epoch to each shard
 
 
 class DirectorySimulation:
-    """A region in virtual time."""
+    """A simulated region; violated invariants are collected in `breaches`."""
 
     def __init__(
         self, seed: int, plan: SimulationPlan | None = None, weather: NetworkConditions | None = None
     ) -> None:
         self.plan, self.weather = plan or SimulationPlan(), weather or NetworkConditions()
-        self.chance, self.time, self.breaches = random.Random(seed), SimulatedClock(), Breaches()
+        self.chance, self.time, self.breaches = random.Random(seed), SimulatedClock(), Violations()
         self.sessions = 0
         self.cut_from_roster = set[ShardReplica]()
         self.cut_pairs = set[tuple[str, ShardReplica]]()
         self.roster = Roster(self)
-        self.counts = dict[str, int]()  # of faults
+        self.counts = dict[str, int]()  # faults by kind
         self.make_fleet()
         self.make_holders()
         self.make_watchers()
@@ -106,32 +106,34 @@
         return (watcher.name, holder.copy) in self.cut_pairs
 
     def dial(self, watcher: Watcher, dial: directory.Dial) -> None:
-        holder, life = self.holders[dial.replica], watcher.life
+        holder, incarnation = self.holders[dial.replica], watcher.incarnation
         if not holder.alive:
-            self.time.after(20, lambda: watcher.deliver(lambda: self.refuse(watcher, life, dial.connection)))
+            self.time.after(
+                20, lambda: watcher.deliver(lambda: self.refuse(watcher, incarnation, dial.connection))
+            )
         elif not self.is_cut(watcher, holder):
-            Connection(self, watcher, dial.connection, holder).greet()
+            Connection(self, watcher, dial.connection, holder).send_greeting()
 
-    def refuse(self, watcher: Watcher, life: int, connection: int) -> None:
-        if watcher.life == life:
+    def refuse(self, watcher: Watcher, incarnation: int, connection: int) -> None:
+        if watcher.incarnation == incarnation:
             watcher.decisions.connection_failed(connection, self.time.now)
 
-    # what happens
+    # random events
 
-    def every(self, rate: float, act: Callable[[], None], until: int) -> None:
-        """Let something happen so often a second, by chance."""
+    def schedule_repeatedly(self, rate: float, action: Callable[[], None], until: int) -> None:
+        """Runs the action at random times, `rate` times a second on average, until `until`."""
         if rate <= 0:
             return
         when = self.time.now + 1 + int(self.chance.expovariate(rate) * SECOND)
         if when < until:
-            self.time.at(when, lambda: self.happen(rate, act, until))
+            self.time.at(when, lambda: self.run_and_reschedule(rate, action, until))
 
-    def happen(self, rate: float, act: Callable[[], None], until: int) -> None:
-        act()
-        self.every(rate, act, until)
+    def run_and_reschedule(self, rate: float, action: Callable[[], None], until: int) -> None:
+        action()
+        self.schedule_repeatedly(rate, action, until)
 
-    def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def count_fault(self, fault: str) -> None:
+        self.counts[fault] = self.counts.get(fault, 0) + 1
 
     def call(self) -> None:
         watcher = self.chance.choice(self.watchers)
@@ -140,91 +142,91 @@
             watcher.call(function)
             watcher.after_event()
 
-    def change(self) -> None:
-        """One instance drains, serves again, is replaced, goes, comes or takes another size."""
+    def change_instance(self) -> None:
+        """One instance drains, serves again, is replaced, is removed, is added or changes its size."""
         name = f"w{self.chance.randrange(self.plan.instances)}"
         entry = self.roster.entries.get(name)
         zone = ZONES[int(name[1:]) % len(ZONES)]
         if entry is None:
             return self.roster.start(name, zone, self.chance.choice((0.5, 1.0, 2.0)))
-        what = self.chance.choice(("drain", "serve", "replace", "go", "size"))
-        if what == "replace":
+        change = self.chance.choice(("drain", "serve", "replace", "go", "size"))
+        if change == "replace":
             self.roster.start(name, zone, entry.size)
-        elif what == "go":
+        elif change == "go":
             self.roster.note(msgspec.structs.replace(entry, listing="gone"))
-        elif what == "size":
+        elif change == "size":
             self.roster.note(msgspec.structs.replace(entry, size=self.chance.choice((0.5, 1.0, 2.0, 3.0))))
         else:
-            listing = "draining" if what == "drain" else "serving"
+            listing = "draining" if change == "drain" else "serving"
             self.roster.note(msgspec.structs.replace(entry, listing=listing))
 
     def restart_zone(self) -> None:
-        self.count("zone restarts")
+        self.count_fault("zone restarts")
         zone = self.chance.choice(ZONES)
         for entry in [entry for entry in self.roster.entries.values() if entry.zone == zone]:
             self.roster.note(msgspec.structs.replace(entry, listing="gone"))
             when = self.chance.randint(SECOND // 10, 2 * SECOND)
-            self.time.after(when, lambda entry=entry: self.back(entry))  # type: ignore[misc]
+            self.time.after(when, lambda entry=entry: self.restart_instance(entry))  # type: ignore[misc]
 
-    def back(self, entry: wire.RosterEntry) -> None:
+    def restart_instance(self, entry: wire.RosterEntry) -> None:
         if entry.name not in self.roster.entries:
             self.roster.start(entry.name, entry.zone, entry.size)
 
     def restart_roster(self) -> None:
-        self.count("roster restarts")
-        self.roster.begin_anew()
+        self.count_fault("roster restarts")
+        self.roster.restart()
 
     def break_roster(self) -> None:
-        """The connection between a holder and its roster is cut for a while, then breaks."""
-        self.count("roster cuts")
+        """Cuts the connection between a holder and its roster for a random time, then closes it."""
+        self.count_fault("roster cuts")
         holder = self.chance.choice(list(self.holders.values()))
         self.cut_from_roster.add(holder.copy)
-        channel, life = holder.channel, holder.life
+        channel, incarnation = holder.channel, holder.incarnation
         if channel is not None:
             channel.cut = True
 
         def heal() -> None:
             self.cut_from_roster.discard(holder.copy)
-            if channel is not None and self.roster.followers.get(holder) is channel:
-                del self.roster.followers[holder]
+            if channel is not None and self.roster.subscribers.get(holder) is channel:
+                del self.roster.subscribers[holder]
             if channel is not None and channel is holder.channel:
                 channel.open = False
-                holder.deliver(lambda: holder.roster_broke(channel, life))
+                holder.deliver(lambda: holder.roster_connection_lost(channel, incarnation))
 
         self.time.after(self.chance.randint(SECOND // 5, 10 * SECOND), heal)
 
     def kill(self) -> None:
-        self.count("kills")
+        self.count_fault("kills")
         if self.chance.random() < 0.3:
             return self.chance.choice(self.watchers).restart()
         holder = self.chance.choice(list(self.holders.values()))
         if holder.alive:
             holder.kill()
-            self.time.after(self.chance.randint(SECOND // 5, 3 * SECOND), lambda: self.start_again(holder))
+            self.time.after(self.chance.randint(SECOND // 5, 3 * SECOND), lambda: self.restart_holder(holder))
 
-    def start_again(self, holder: Holder) -> None:
+    def restart_holder(self, holder: Holder) -> None:
         if not holder.alive:
             holder.boot()
 
     def stall(self) -> None:
-        self.count("standstills")
+        self.count_fault("standstills")
         holder = self.chance.choice(list(self.holders.values()))
         length = self.chance.randint(SECOND // 20, 6 * SECOND)
         if holder.alive and not holder.stalled:
             holder.stall(length)
 
     def stall_watcher(self) -> None:
-        self.count("standstills of watchers")
+        self.count_fault("standstills of watchers")
         self.chance.choice(self.watchers).stall(self.chance.randint(SECOND // 20, 6 * SECOND))
 
     def cut(self) -> None:
-        """A watcher and a holder don't reach each other for a while; the connection may survive that."""
-        self.count("cuts")
+        """Cuts a watcher off from a holder for a random time; the connection may survive this."""
+        self.count_fault("cuts")
         watcher = self.chance.choice(self.watchers)
         holder = self.chance.choice(list(self.holders.values()))
         self.cut_pairs.add((watcher.name, holder.copy))
-        between = [c for c in watcher.connections.values() if c.holder is holder]
-        for connection in between:
+        affected = [c for c in watcher.connections.values() if c.holder is holder]
+        for connection in affected:
             connection.cut(True)
         survives = self.chance.random() < 0.5
         self.time.after(
@@ -241,29 +243,32 @@
                 connection.break_off()
 
     def break_connection(self) -> None:
-        self.count("breaks")
-        made = list(self.chance.choice(self.watchers).connections.values())
-        if made:
-            self.chance.choice(made).break_off()
+        self.count_fault("breaks")
+        connections = list(self.chance.choice(self.watchers).connections.values())
+        if connections:
+            self.chance.choice(connections).break_off()
 
     def day(self, seconds: float) -> None:
-        """Rough weather for so long."""
+        """Runs random calls, changes and faults for so many seconds."""
         until = self.time.now + int(seconds * SECOND)
         weather = self.weather
-        self.every(weather.calls * len(self.watchers), self.call, until)
-        self.every(weather.changes, self.change, until)
-        self.every(weather.zone_restarts, self.restart_zone, until)
-        self.every(weather.roster_restarts, self.restart_roster, until)
-        self.every(weather.roster_breaks, self.break_roster, until)
-        self.every(weather.kills, self.kill, until)
-        self.every(weather.stalls, self.stall, until)
-        self.every(weather.watcher_stalls, self.stall_watcher, until)
-        self.every(weather.cuts, self.cut, until)
-        self.every(weather.breaks, self.break_connection, until)
+        self.schedule_repeatedly(weather.calls * len(self.watchers), self.call, until)
+        self.schedule_repeatedly(weather.changes, self.change_instance, until)
+        self.schedule_repeatedly(weather.zone_restarts, self.restart_zone, until)
+        self.schedule_repeatedly(weather.roster_restarts, self.restart_roster, until)
+        self.schedule_repeatedly(weather.roster_breaks, self.break_roster, until)
+        self.schedule_repeatedly(weather.kills, self.kill, until)
+        self.schedule_repeatedly(weather.stalls, self.stall, until)
+        self.schedule_repeatedly(weather.watcher_stalls, self.stall_watcher, until)
+        self.schedule_repeatedly(weather.cuts, self.cut, until)
+        self.schedule_repeatedly(weather.breaks, self.break_connection, until)
         self.time.run(until)
 
     def calm(self, seconds: float, quiet: float = 3) -> None:
-        """Calm weather for so long, then no change of the fleet, then no call: watchers know the truth."""
+        """Ends the faults, then the changes of instances, then the calls, and checks every watcher's state.
+
+        Runs calls and changes for `seconds`, calls alone for `quiet` seconds, and neither for one second.
+        """
         self.weather = replace(CALM, calls=self.weather.calls)
         self.day(seconds)
         self.weather = replace(self.weather, changes=0)
@@ -277,8 +282,10 @@
 
 
 def random_simulation(seed: int) -> DirectorySimulation:
-    """A day drawn from its number: odd ones rough, even ones wild. Every third has holders of an older epoch,
-    every fifth watchers that remember next to nothing of instances that they don't use."""
+    """Draws a simulation from its seed: odd seeds with the rates of ROUGH, even ones with those of WILD.
+
+    Every third has holders of an older epoch; in every fifth, watchers remember at most 4 retired instances.
+    """
     settings = WatcherSettings(first_count=4, idle_timeout=8 * SECOND)
     if seed % 5 == 0:
         settings = replace(settings, max_retired=4)
@@ -287,7 +294,7 @@
 
 
 def run_simulation(seed: int, rough: float = 12, calm: float = 20) -> DirectorySimulation:
-    """Play a random day: so many seconds of faults, then of calm."""
+    """Runs a random simulation: `rough` seconds of faults, then `calm` seconds without."""
     world = random_simulation(seed)
     world.day(rough)
     world.calm(calm)
--- a/lapistrestle/standins/fleet.py
+++ b/lapistrestle/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Many dispatchers' endpoints in virtual time, and faults between them: the rig of the fleet's tests."""
+"""Test rig of the fleet: gossip endpoints in virtual time, and faults on the links between them."""
 
 import random
 import socket
@@ -15,10 +15,7 @@
 
 
 class DatagramLinks:
-    """Every link between two ports: how long a datagram takes, whether it is lost, doubled or late.
-
-    `fates` gives for one datagram the microseconds after which copies of it arrive; none: it is lost.
-    """
+    """Faults on the links between UDP ports: loss, duplication, delays and cuts."""
 
     def __init__(self, seed: int = 0) -> None:
         self.random = random.Random(seed)
@@ -27,13 +24,14 @@
         self.delays = (LATENCY_US, LATENCY_US)
 
     def fates(self, source: int, target: int) -> list[int]:
+        """Draws the delay in microseconds of each copy of one datagram; none if it is lost."""
         if (source, target) in self.cut or self.random.random() < self.loss:
             return []
         copies = 1 + (self.random.random() < self.duplication)
         return [round(self.random.uniform(*self.delays)) for _ in range(copies)]
 
     def sever(self, some: list[int], others: list[int], both: bool = True) -> None:
-        """Nothing from `some` reaches `others` any more, nor back where `both`."""
+        """Cuts the links from `some` ports to `others`, in both directions if `both`."""
         for a in some:
             for b in others:
                 self.cut |= {(a, b), (b, a)} if both else {(a, b)}
@@ -43,18 +41,18 @@
 
 
 def free_udp_ports(count: int) -> list[int]:
-    """Ports at which no datagrams are heard now, each another."""
+    """Returns distinct UDP ports that were free when probed."""
     sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for each in sockets:
-        each.bind(("127.0.0.1", 0))
-    ports: list[int] = [each.getsockname()[1] for each in sockets]
-    for each in sockets:
-        each.close()
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+    ports: list[int] = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
 
 
-class Relay(DatagramProtocol):
-    """Stands before one edge's port on real sockets, and does to each datagram what its link does."""
+class DatagramRelay(DatagramProtocol):
+    """Forwards datagrams to one edge's port on real sockets, with the delays and faults of their link."""
 
     transport: Any
 
@@ -67,14 +65,15 @@
 
 
 def relay(reactor: Any, links: DatagramLinks, ports: list[int]) -> list[int]:
-    """The ports of relays before these ports."""
-    made = [reactor.listenUDP(0, Relay(reactor, links, port), interface="127.0.0.1") for port in ports]
-    return [port.getHost().port for port in made]
+    """Starts a relay in front of each port and returns the relays' ports."""
+    listeners = [
+        reactor.listenUDP(0, DatagramRelay(reactor, links, port), interface="127.0.0.1") for port in ports
+    ]
+    return [port.getHost().port for port in listeners]
 
 
 class VirtualRuntime:
-    """What a `GossipEndpoint` needs of its program (`fleet.gossip_endpoint.Runtime`), on a process of the
-    virtual reactor whose clock may run wrong."""
+    """Implements `fleet.gossip_endpoint.Runtime` on a virtual process; its clock runs fast by `drift`."""
 
     def __init__(self, reactor: VirtualReactor, name: str, drift: float = 0.0) -> None:
         self.reactor: Any = VirtualProcess(reactor, name)
@@ -100,12 +99,12 @@
 
 
 class GossipCluster:
-    """Dispatchers that only endpoint. `make` builds one, by default a plain `GossipEndpoint`."""
+    """A fleet of dispatchers that run nothing but their gossip endpoints."""
 
-    def __init__(self, seed: int = 1, **facts: Any) -> None:
+    def __init__(self, seed: int = 1, **settings_overrides: Any) -> None:
         self.reactor, self.links, self.seed = VirtualReactor(), DatagramLinks(seed), seed
         self.reactor.datagram_delays = self.links.fates
-        self.facts: dict[str, Any] = {"fleet": "f", **facts}
+        self.settings_overrides: dict[str, Any] = {"fleet": "f", **settings_overrides}
         self.endpoints: dict[str, GossipEndpoint] = {}
         self.starts = 0
 
@@ -114,12 +113,14 @@
 
     def add(
         self, name: str, seeds: tuple[str, ...] = (), boot: int | None = None, zone: str = "", port: int = 0,
-        drift: float = 0.0, **facts: Any,
+        drift: float = 0.0, **settings_overrides: Any,
     ) -> GossipEndpoint:  # fmt: skip
         self.starts += 1
         runtime = VirtualRuntime(self.reactor, name, drift)
         addresses = tuple(("127.0.0.1", self.port(s)) for s in seeds)
-        settings = FleetSettings(**{**self.facts, **facts}, port=port or self.port(name), seeds=addresses)
+        settings = FleetSettings(
+            **{**self.settings_overrides, **settings_overrides}, port=port or self.port(name), seeds=addresses
+        )
         boot = round(self.reactor.seconds() * 1000) if boot is None else boot
         endpoint = GossipEndpoint(
             runtime, settings, name, zone, boot, self.seed * 1_000 + self.starts, self.seed + self.starts
@@ -132,8 +133,8 @@
         return [self.add(f"e-{i}", ("e-0", "e-1")[: max(1, i)], zone=f"z{i % zones}") for i in range(count)]
 
     def process(self, name: str) -> VirtualProcess:
-        made: VirtualProcess = self.endpoints[name].runtime.reactor
-        return made
+        process: VirtualProcess = self.endpoints[name].runtime.reactor
+        return process
 
     def kill(self, name: str) -> None:
         self.process(name).kill()
@@ -143,16 +144,16 @@
         self.reactor.run(self.reactor.seconds() + seconds)
 
     def view(self, name: str) -> set[str]:
-        """Who counts as there, in that one's eyes."""
+        """Returns the names of the members that this endpoint considers live."""
         return {m.name for m in self.endpoints[name].membership.live()}
 
     def agreed(self) -> bool:
-        """Whether each sees all the others that run, and nobody else."""
+        """Whether every endpoint considers exactly the other running endpoints live."""
         names = set(self.endpoints)
         return all(self.view(name) == names - {name} for name in names)
 
     def until(self, done: Callable[[], bool], within: float, step: float = 0.5) -> float:
-        """Run until it is so; the seconds it took, or infinity."""
+        """Runs until `done` holds; returns the seconds it took, or infinity if not `within` that many."""
         began = self.reactor.seconds()
         while self.reactor.seconds() - began < within:
             if done():
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -1,5 +1,7 @@
-"""An operator on a script: gives orders to the planner, the same one again until it is answered, and notes
-on the tape what share each candidate is said to have."""
+"""A scripted operator, which sends rollout commands to the planner and resends them until they are answered.
+
+It also records on tape each candidate's share of the traffic, as the planner reports it.
+"""
 
 from typing import Any
 
@@ -11,10 +13,10 @@
 from lapistrestle.wire import plans
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
-ASK = 0.2  # seconds between two questions
+STATUS_INTERVAL = 0.2  # seconds between two status requests
 
 
-class OperatorSpeaker(LineConnection):
+class OperatorConnection(LineConnection):
     protocol = plans.PLANNER
     decoder = message_decoder(plans.FromPlanner)
 
@@ -23,35 +25,35 @@
         self.operator = operator
 
     def greeting_received(self, hello: wire.Hello) -> None:
-        self.operator.up = self
-        for order in self.operator.open.values():
-            self.send_message(order)
+        self.operator.connection = self
+        for command in self.operator.pending_commands.values():
+            self.send_message(command)
 
     def message_received(self, message: Any) -> None:
         match message:
             case plans.CommandReply():
-                self.operator.replied(message)
+                self.operator.reply_received(message)
             case plans.PlannerStatus():
-                self.operator.told(message)
+                self.operator.status_received(message)
 
     def connection_lost(self) -> None:
-        self.operator.lost()
+        self.operator.on_disconnected()
 
 
 class Operator(ClientFactory):
-    """`port` is asked for at each dial, since a planner that was killed comes back elsewhere."""
+    """`port` is called at each dial, since a restarted planner listens on another port."""
 
     noisy = False
 
     def __init__(self, reactor: Any, port: Any, tape: Tape) -> None:
         self.reactor, self.port, self.tape = reactor, port, tape
-        self.open: dict[str, plans.RolloutCommand] = {}
-        self.up: OperatorSpeaker | None = None
+        self.pending_commands: dict[str, plans.RolloutCommand] = {}
+        self.connection: OperatorConnection | None = None
         self.replies: list[plans.CommandReply] = []
         self.shares: dict[str, float] = {}  # by version
-        self.seen = 0.0  # when the planner told last how things stand, in seconds
+        self.last_status_at = 0.0  # reactor time of the planner's last status, in seconds
         self.dial()
-        self.ask()
+        self.request_status()
 
     def dial(self) -> None:
         if self.port():
@@ -59,43 +61,43 @@
         else:
             self.reactor.callLater(0.1, self.dial)
 
-    def buildProtocol(self, addr: Any) -> OperatorSpeaker:
-        return OperatorSpeaker(self)
+    def buildProtocol(self, addr: Any) -> OperatorConnection:
+        return OperatorConnection(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.reactor.callLater(0.1, self.dial)
 
-    def lost(self) -> None:
-        self.up = None
+    def on_disconnected(self) -> None:
+        self.connection = None
         self.reactor.callLater(0.1, self.dial)
 
-    def ask(self) -> None:
-        if self.up is not None:
-            self.up.send_message(plans.StatusRequest())
-        self.reactor.callLater(ASK, self.ask)
-
-    def told(self, status: plans.PlannerStatus) -> None:
-        """A share that changed did so since the status before this one."""
-        for one in status.rollouts:
-            version = f"{one.function}@{one.candidate}"
-            if self.shares.get(version, 0.0) != one.weight:
-                self.shares[version] = one.weight
-                since = self.tape.moment(self.seen)
-                self.tape.put("planner", "share", version=version, share=one.weight, since=since)
-        self.seen = self.reactor.seconds()
-
-    def give(self, order: plans.RolloutCommand) -> None:
-        self.open[order.id] = order
-        if self.up is not None:
-            self.up.send_message(order)
-
-    def replied(self, reply: plans.CommandReply) -> None:
-        """It is accepted from now on; the tape says so, for the checker."""
-        order = self.open.pop(reply.id, None)
-        if order is None:
+    def request_status(self) -> None:
+        if self.connection is not None:
+            self.connection.send_message(plans.StatusRequest())
+        self.reactor.callLater(STATUS_INTERVAL, self.request_status)
+
+    def status_received(self, status: plans.PlannerStatus) -> None:
+        """Records changed shares; `since` on tape is the previous status, the earliest time of the change."""
+        for rollout in status.rollouts:
+            version = f"{rollout.function}@{rollout.candidate}"
+            if self.shares.get(version, 0.0) != rollout.weight:
+                self.shares[version] = rollout.weight
+                since = self.tape.moment(self.last_status_at)
+                self.tape.put("planner", "share", version=version, share=rollout.weight, since=since)
+        self.last_status_at = self.reactor.seconds()
+
+    def give(self, command: plans.RolloutCommand) -> None:
+        self.pending_commands[command.id] = command
+        if self.connection is not None:
+            self.connection.send_message(command)
+
+    def reply_received(self, reply: plans.CommandReply) -> None:
+        """Records an answered command on tape, for the rule checkers."""
+        command = self.pending_commands.pop(reply.id, None)
+        if command is None:
             return
         self.replies.append(reply)
-        version = f"{order.function}@{order.candidate}"
-        if order.action == "back" and reply.outcome == CommandOutcome.DONE.value:
+        version = f"{command.function}@{command.candidate}"
+        if command.action == "back" and reply.outcome == CommandOutcome.DONE.value:
             self.tape.put("planner", "back", version=version)
-        self.tape.put("planner", "order", said=order.action, version=version, outcome=reply.outcome)
+        self.tape.put("planner", "order", said=command.action, version=version, outcome=reply.outcome)
--- a/lapistrestle/standins/relays.py
+++ b/lapistrestle/standins/relays.py
@@ -1,7 +1,7 @@
-"""A relay on TCP between an edge and a directory's holder: everything on tape, and cut where a test wants it.
+"""TCP relays between an edge and a directory holder, which record the traffic on tape and can be cut.
 
-A cut link passes no bytes and tells neither end of the other's close; both show once it heals, as on a
-network whose packets are lost for a while. A connection made meanwhile gets no greeting.
+A cut link forwards neither bytes nor closes until it heals, as a network that loses packets for a while. A
+connection opened meanwhile gets no greeting until then.
 """
 
 from typing import Any
@@ -11,70 +11,73 @@
 
 from lapistrestle.standins.tape import Recorder, Tape
 
-DIAL = 2.0  # seconds
+DIAL_TIMEOUT = 2.0  # seconds
 
 
 class Link:
-    """The relays between one edge and one holder; `port` is where the edge finds the holder."""
+    """The relays between one edge and one holder; the edge reaches the holder at `port`."""
 
     def __init__(self, reactor: Any, tape: Tape, edge: str, holder: str, target: int) -> None:
         self.reactor, self.tape, self.target = reactor, tape, target
         self.edge, self.holder = edge, holder
         self.cut = False
-        self.count = 0
+        self.connection_count = 0
         self.relays: dict[Relay, None] = {}
-        listening = reactor.listenTCP(0, Accepting(self), interface="127.0.0.1")
+        listening = reactor.listenTCP(0, EdgeListener(self), interface="127.0.0.1")
         self.port: int = listening.getHost().port
 
     def set_cut(self, cut: bool) -> None:
-        """Break the link, or heal it."""
+        """Cuts the link, or heals it."""
         if cut is not self.cut:
             self.cut = cut
             for relay in list(self.relays):
-                relay.settle()
+                relay.update()
 
 
 class Relay:
-    """One connection of an edge, and the one to the holder that stands for it."""
+    """One connection from an edge, and the matching connection to the holder."""
 
     def __init__(self, link: Link, number: int) -> None:
         self.link = link
         self.connection = f"{link.edge}/{link.holder}/{number}"
         self.to_edge, self.from_edge = (Recorder(link.tape, self.connection, sign) for sign in "><")
-        self.near = End(self)  # towards the edge
-        self.far = End(self)  # towards the holder
-        self.dialled = self.over = False
+        self.edge_endpoint = RelayEndpoint(self)  # connected to the edge
+        self.holder_endpoint = RelayEndpoint(self)  # connected to the holder
+        self.dialed = self.closed = False
         link.relays[self] = None
         link.tape.put(self.connection, "open", directory=True, edge=link.edge, holder=link.holder)
 
-    def settle(self) -> None:
-        """After a change of the link, or of an end: dial, read on or not, and tell of closes."""
-        if self.link.cut or self.over:
-            return self.read()
-        if self.near.lost or self.far.lost:
-            return self.end()
-        if not self.dialled:
-            self.dialled = True
+    def update(self) -> None:
+        """Applies a change of the link or an endpoint: dials, pauses or resumes reading, forwards closes."""
+        if self.link.cut or self.closed:
+            return self.update_reading()
+        if self.edge_endpoint.lost or self.holder_endpoint.lost:
+            return self.close_relay()
+        if not self.dialed:
+            self.dialed = True
             reactor, target = self.link.reactor, self.link.target
-            reactor.connectTCP("127.0.0.1", target, Dialling(self), timeout=DIAL)
-        self.read()
-
-    def read(self) -> None:
-        for end, other in ((self.near, self.far), (self.far, self.near)):
-            end.read_on(not self.link.cut and other.ready())
-
-    def pass_on(self, end: "End", data: bytes) -> None:
-        if end is self.near:
+            reactor.connectTCP("127.0.0.1", target, HolderDialer(self), timeout=DIAL_TIMEOUT)
+        self.update_reading()
+
+    def update_reading(self) -> None:
+        for end, other in (
+            (self.edge_endpoint, self.holder_endpoint),
+            (self.holder_endpoint, self.edge_endpoint),
+        ):
+            end.set_reading(not self.link.cut and other.is_writable())
+
+    def forward(self, end: "RelayEndpoint", data: bytes) -> None:
+        if end is self.edge_endpoint:
             self.from_edge.bytes(data)
-            self.far.write(data)
+            self.holder_endpoint.write(data)
         else:
             self.to_edge.bytes(data)
-            self.near.write(data)
+            self.edge_endpoint.write(data)
 
-    def end(self) -> None:
-        """One end has closed: so does the other, once what was written has left."""
-        self.over = True
-        for end in (self.near, self.far):
+    def close_relay(self) -> None:
+        """Closes both endpoints after pending writes are flushed; called once one of them has closed."""
+        self.closed = True
+        for end in (self.edge_endpoint, self.holder_endpoint):
             end.close()
         self.to_edge.end()
         self.from_edge.end()
@@ -82,89 +85,89 @@
         self.link.relays.pop(self, None)
 
 
-class End(Protocol):
-    """One end of a relay."""
+class RelayEndpoint(Protocol):
+    """One endpoint of a relay."""
 
     transport: Any
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
-        self.made = self.lost = self.slow = False
-        self.reads = True
+        self.is_connected = self.lost = self.write_paused = False
+        self.is_reading = True
 
-    def ready(self) -> bool:
-        """Whether more may be written here."""
-        return self.made and not self.lost and not self.slow
+    def is_writable(self) -> bool:
+        """Whether the endpoint is connected and accepts more data."""
+        return self.is_connected and not self.lost and not self.write_paused
 
     def connectionMade(self) -> None:
-        self.made = True
+        self.is_connected = True
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.relay.settle()
+        self.relay.update()
 
     def dataReceived(self, data: bytes) -> None:
-        self.relay.pass_on(self, data)
+        self.relay.forward(self, data)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         self.lost = True
-        if not self.relay.over:
-            self.relay.settle()
+        if not self.relay.closed:
+            self.relay.update()
 
     def write(self, data: bytes) -> None:
-        if self.made and not self.lost:
+        if self.is_connected and not self.lost:
             self.transport.write(data)
 
-    def read_on(self, wanted: bool) -> None:
-        if self.made and not self.lost and wanted is not self.reads:
-            self.reads = wanted
+    def set_reading(self, wanted: bool) -> None:
+        if self.is_connected and not self.lost and wanted is not self.is_reading:
+            self.is_reading = wanted
             if wanted:
                 self.transport.resumeProducing()
             else:
                 self.transport.pauseProducing()
 
     def close(self) -> None:
-        if self.made and not self.lost:
+        if self.is_connected and not self.lost:
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
-    # as the producer of what is written here
+    # IPushProducer: the transport calls these while its write buffer is full
 
     def pauseProducing(self) -> None:
-        self.slow = True
-        self.relay.read()
+        self.write_paused = True
+        self.relay.update_reading()
 
     def resumeProducing(self) -> None:
-        self.slow = False
-        self.relay.read()
+        self.write_paused = False
+        self.relay.update_reading()
 
     def stopProducing(self) -> None: ...
 
 
-class Accepting(ServerFactory):
-    """Connections of the edge."""
+class EdgeListener(ServerFactory):
+    """Accepts connections from the edge."""
 
     noisy = False
 
     def __init__(self, link: Link) -> None:
         self.link = link
 
-    def buildProtocol(self, addr: Any) -> End:
-        self.link.count += 1
-        return Relay(self.link, self.link.count).near
+    def buildProtocol(self, addr: Any) -> RelayEndpoint:
+        self.link.connection_count += 1
+        return Relay(self.link, self.link.connection_count).edge_endpoint
 
 
-class Dialling(ClientFactory):
-    """The connection to the holder."""
+class HolderDialer(ClientFactory):
+    """Opens the connection to the holder."""
 
     noisy = False
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
 
-    def buildProtocol(self, addr: Any) -> End | None:
-        return None if self.relay.over else self.relay.far
+    def buildProtocol(self, addr: Any) -> RelayEndpoint | None:
+        return None if self.relay.closed else self.relay.holder_endpoint
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.relay.far.lost = True
-        if not self.relay.over:
-            self.relay.settle()
+        self.relay.holder_endpoint.lost = True
+        if not self.relay.closed:
+            self.relay.update()
