--- a/benchmarks/crash.py
+++ b/benchmarks/crash.py
@@ -1,10 +1,11 @@
-"""Kills a writer in the middle of its work, hundreds of times: sqlite3 as the journal uses it, and lmdb
-beside it.
+"""Crash test of the journal's storage: kills a writer hundreds of times, with sqlite3 (used by the journal)
+and with lmdb for comparison.
 
     python benchmarks/crash.py [--kills 300]
 
-A writer appends groups of three entries and says each number once it was told that it is on disk. After
-each kill all that was said must be there, in order, and no group in part. Also: groups written a second.
+A writer appends groups of three entries and prints the number of entries once a group is persisted. After
+each kill all acknowledged entries must be there, in order, and no group may be partial. Also reports how many
+groups are written per second.
 """
 
 import os
@@ -23,7 +24,7 @@
 
 from lapistrestle.store.journal import Journal
 
-SQLITE = """
+SQLITE_WRITER = """
 import sys
 from pathlib import Path
 from lapistrestle.store.journal import Journal
@@ -33,7 +34,7 @@
     last = journal.append([f"{last + i}:{'x' * 1000}".encode() for i in (1, 2, 3)])
     print(last, flush=True)
 """
-LMDB = """
+LMDB_WRITER = """
 import sys, lmdb
 database = lmdb.open(sys.argv[1], map_size=2**31, subdir=False)
 last = database.stat()["entries"]
@@ -46,14 +47,14 @@
 """
 
 
-def from_sqlite(path: Path) -> list[bytes]:
+def read_sqlite(path: Path) -> list[bytes]:
     journal = Journal(path)
     found = [entry for _, entry in journal.entries()]
     journal.close()
     return found
 
 
-def from_lmdb(path: Path) -> list[bytes]:
+def read_lmdb(path: Path) -> list[bytes]:
     database = lmdb.open(str(path), map_size=2**31, subdir=False)
     with database.begin() as reading:
         found = [bytes(value) for _, value in reading.cursor()]
@@ -64,33 +65,33 @@
 @click.command()
 @click.option("--kills", default=300, show_default=True)
 def main(kills: int) -> None:
-    """Measure."""
+    """Kills the writers and prints the results."""
     table = Table(title=f"{kills} kills each")
-    for head in ("store", "groups said to be on disk", "lost", "groups in part", "groups a second", "MB"):
+    for head in ("store", "groups acknowledged", "lost", "partial groups", "groups per second", "MB"):
         table.add_column(head, justify="left" if head == "store" else "right")
-    for name, writer, read in (("sqlite3", SQLITE, from_sqlite), ("lmdb", LMDB, from_lmdb)):
+    for name, writer, read in (("sqlite3", SQLITE_WRITER, read_sqlite), ("lmdb", LMDB_WRITER, read_lmdb)):
         with tempfile.TemporaryDirectory() as folder:
-            path, chance = Path(folder) / "store", random.Random(1)
-            said = lost = part = 0
-            spent = 0.0
+            path, rng = Path(folder) / "store", random.Random(1)
+            acknowledged = lost = partial = 0
+            write_seconds = 0.0
             for _ in range(kills):
                 child = subprocess.Popen([sys.executable, "-c", writer, str(path)], stdout=subprocess.PIPE)
                 assert child.stdout
                 first = int(child.stdout.readline())
-                began = time.monotonic()
-                time.sleep(chance.uniform(0, 0.02))
+                started = time.monotonic()
+                time.sleep(rng.uniform(0, 0.02))
                 os.kill(child.pid, signal.SIGKILL)
-                spent += time.monotonic() - began
+                write_seconds += time.monotonic() - started
                 lines = [line for line in child.stdout.read().split(b"\n")[:-1] if line]
                 child.wait()
-                said = int(lines[-1]) if lines else first
+                acknowledged = int(lines[-1]) if lines else first
                 found = [entry.split(b":")[0] for entry in read(path)]
-                whole = found == [str(n).encode() for n in range(1, len(found) + 1)]
-                lost += max(0, said - len(found)) + (not whole)
-                part += len(found) % 3 != 0
+                is_complete = found == [str(n).encode() for n in range(1, len(found) + 1)]
+                lost += max(0, acknowledged - len(found)) + (not is_complete)
+                partial += len(found) % 3 != 0
             size = sum(file.stat().st_size for file in Path(folder).iterdir()) / 1e6
-            rate = said / 3 / max(spent, 1e-9)
-            table.add_row(name, str(said // 3), str(lost), str(part), f"{rate:.0f}", f"{size:.0f}")
+            rate = acknowledged / 3 / max(write_seconds, 1e-9)
+            table.add_row(name, str(acknowledged // 3), str(lost), str(partial), f"{rate:.0f}", f"{size:.0f}")
     Console(width=100).print(table)
 
 
--- a/benchmarks/hunt.py
+++ b/benchmarks/hunt.py
@@ -1,11 +1,11 @@
-"""Plays random days of overlapping troubles in virtual time and reports each that breaks a rule.
+"""Runs random days with overlapping faults in virtual time and reports each that violates a rule.
 
     python benchmarks/hunt.py [--days 300] [--first 0] [--rollouts] [--fleet] [--directory] [--processes 8]
 
-With --rollouts each day also has a rollout that an operator takes back, and the planner may be killed or
-stand still at any moment. With --fleet two to twelve edges are one, and what they say is broken too. With
---directory edges are told of workers by holders, which fail too, in short prefixes or longer ones. A day is
-drawn from its number alone, so one that is found is played again by --first N --days 1.
+With --rollouts each day also has a rollout that an operator rolls back, and the planner may be killed or
+stalled at any moment. With --fleet two to twelve edges form a fleet, and their gossip is subject to faults.
+With --directory edges learn of workers from directory holders, which fail as well, in prefixes of random
+length. A day is determined by its number alone: replay a failed one with --first N --days 1.
 """
 
 import io
@@ -28,59 +28,61 @@
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 KINDS = [kind for kind in typing.get_args(FaultKind) if not kind.startswith("planner")]
-SOCKETS = ("silent", "delayed", "split", "garbled", "broken")
+CONNECTION_FAULTS = ("silent", "delayed", "split", "garbled", "broken")
 
 
-def fleet_of(script: dict[str, Any], chance: random.Random) -> None:
-    """Make the day's edges one fleet, with a trouble between them, and far too much traffic at times."""
+def add_fleet(script: dict[str, Any], rng: random.Random) -> None:
+    """Makes the day's edges one fleet, with a fault between them and bursts of up to 20 times the traffic."""
     deployment, _ = read_json5(EXAMPLES / script["deployment"])
     deployment["allowed"]["peers"] = False
     script["deployment"] = deployment | {"fleet": {"name": "hunted", "port": 1}}
-    script["edges"] = chance.choice((2, 3, 5, 8, 12))
-    script["traffic"]["rate"] = chance.choice((20, 60, 120, 200))
-    for trouble in script["troubles"]:
-        if trouble["kind"] == "burst":
-            trouble["factor"] = chance.choice((2.0, 6.0, 20.0))
-    kind = chance.choice(("edges_apart", "edges_deaf", "edges_lossy", "edge_kill", "balancer_stall"))
-    at, lasts = (f"{chance.uniform(0.5, most):.2f} s" for most in (9, 6))
-    share = chance.choice((0.2, 0.5, 0.7))
+    script["edges"] = rng.choice((2, 3, 5, 8, 12))
+    script["traffic"]["rate"] = rng.choice((20, 60, 120, 200))
+    for fault in script["troubles"]:
+        if fault["kind"] == "burst":
+            fault["factor"] = rng.choice((2.0, 6.0, 20.0))
+    kind = rng.choice(("edges_apart", "edges_deaf", "edges_lossy", "edge_kill", "balancer_stall"))
+    at, lasts = (f"{rng.uniform(0.5, latest):.2f} s" for latest in (9, 6))
+    share = rng.choice((0.2, 0.5, 0.7))
     script["troubles"].append({"kind": kind, "at": at, "lasts": lasts, "share": share})
 
 
-def directory_of(script: dict[str, Any], chance: random.Random) -> None:
-    """Have holders tell the day's edges of workers, with one or two troubles of theirs."""
+def add_directory(script: dict[str, Any], rng: random.Random) -> None:
+    """Adds directory holders to the day, with one or two faults of theirs."""
     deployment = script["deployment"]
     if isinstance(deployment, str):
         deployment, _ = read_json5(EXAMPLES / deployment)
     zones = deployment["zones"]
-    copies = chance.choice((1, 2, 3))
+    copies = rng.choice((1, 2, 3))
     shards = [
         [{"port": 1 + copies * n + c, "zone": zones[c % len(zones)]} for c in range(copies)]
-        for n in range(chance.choice((1, 2)))
+        for n in range(rng.choice((1, 2)))
     ]
-    directory = {"shards": shards, "first_count": chance.choice((1, 2, 8)), "idle": "4 s"}
+    directory = {"shards": shards, "first_count": rng.choice((1, 2, 8)), "idle": "4 s"}
     script["deployment"] = deployment | {"directory": directory}
-    for _ in range(chance.choice((1, 2))):
-        kind = chance.choice(("holder_stall", "holder_kill", "directory_cut"))
-        at, lasts = f"{chance.uniform(0.2, 10):.2f} s", f"{chance.choice((0.4, 1, 3, 6))} s"
-        share = chance.choice((0.3, 0.6, 1.0))
+    for _ in range(rng.choice((1, 2))):
+        kind = rng.choice(("holder_stall", "holder_kill", "directory_cut"))
+        at, lasts = f"{rng.uniform(0.2, 10):.2f} s", f"{rng.choice((0.4, 1, 3, 6))} s"
+        share = rng.choice((0.3, 0.6, 1.0))
         script["troubles"].append({"kind": kind, "at": at, "lasts": lasts, "share": share})
 
 
-def drawn(number: int, rollouts: bool, fleet: bool = False, directory: bool = False) -> dict[str, Any]:
-    """The script of one day."""
-    chance = random.Random(number)
-    troubles = []
-    for kind in chance.sample(KINDS, chance.choice((1, 2, 2, 3, 4))):
-        trouble: dict[str, Any] = {"kind": kind, "at": f"{chance.uniform(1, 10):.2f} s"}
-        trouble |= {"lasts": f"{chance.choice((0.4, 1, 3, 6))} s", "share": chance.choice((0.2, 0.4, 0.8))}
-        if kind in SOCKETS:
-            trouble["on"] = chance.choice(("runners", "roster", "clients"))
-            trouble["by"] = chance.choice(("50 ms", "300 ms", "2 s"))
-        troubles.append(trouble)
+def random_script(
+    number: int, rollouts: bool, fleet: bool = False, directory: bool = False
+) -> dict[str, Any]:
+    """Draws the script of one day from its number."""
+    rng = random.Random(number)
+    faults = []
+    for kind in rng.sample(KINDS, rng.choice((1, 2, 2, 3, 4))):
+        fault: dict[str, Any] = {"kind": kind, "at": f"{rng.uniform(1, 10):.2f} s"}
+        fault |= {"lasts": f"{rng.choice((0.4, 1, 3, 6))} s", "share": rng.choice((0.2, 0.4, 0.8))}
+        if kind in CONNECTION_FAULTS:
+            fault["on"] = rng.choice(("runners", "roster", "clients"))
+            fault["by"] = rng.choice(("50 ms", "300 ms", "2 s"))
+        faults.append(fault)
     script: dict[str, Any] = {
         "name": f"hunt-{number}",
-        "deployment": f"{chance.choice(('slots', 'archive', 'thumbs'))}.json5",
+        "deployment": f"{rng.choice(('slots', 'archive', 'thumbs'))}.json5",
         "length": "14 s",
         "seed": number,
         "fleet": {
@@ -89,35 +91,42 @@
         },
         "store": {"fetches": 8, "limit": 40},
         "roster_lag": "1 s",
-        "traffic": {"rate": chance.choice((40, 60, 90)), "functions": 20},
-        "troubles": troubles,
+        "traffic": {"rate": rng.choice((40, 60, 90)), "functions": 20},
+        "troubles": faults,
     }
     if fleet:
-        fleet_of(script, chance)
+        add_fleet(script, rng)
     if rollouts:
-        back = chance.uniform(6, 11)
-        wrong = chance.choice(({}, {"errors": 0.1}, {"slower": 5}))
-        version: dict[str, Any] = {"at": "2 s", "back": f"{back:.3f} s", "steps": [50, 100], "wrong": wrong}
+        rollback_at = rng.uniform(6, 11)
+        version_fault = rng.choice(({}, {"errors": 0.1}, {"slower": 5}))
+        version: dict[str, Any] = {
+            "at": "2 s",
+            "back": f"{rollback_at:.3f} s",
+            "steps": [50, 100],
+            "wrong": version_fault,
+        }
         script["rollouts"] = [version]
-        if chance.random() < 0.5:  # an operator pushes it on, past settling at times, and takes it back then
+        if rng.random() < 0.5:  # an operator advances it, possibly past settling, and rolls it back later
             version |= {"steps": [20, 60, 100], "advance": ["5 s", "7 s", "9 s", "11 s"]}
-            version |= {"back": f"{back + 5:.3f} s", "remembered": chance.choice(("6 s", "1 min"))}
-            back, script["length"] = back + 5, "20 s"
+            version |= {"back": f"{rollback_at + 5:.3f} s", "remembered": rng.choice(("6 s", "1 min"))}
+            rollback_at, script["length"] = rollback_at + 5, "20 s"
         script["traffic"] |= {"functions": 3, "popularity": 1.2}
-        if "slots" not in script["deployment"] and chance.random() < 0.4:  # all with a token, coming back
+        if (
+            "slots" not in script["deployment"] and rng.random() < 0.4
+        ):  # calls with idempotency keys, retried by clients
             name = "store" if "archive" in script["deployment"] else "publish"
             script["traffic"] |= {"methods": {name: {}}, "patience": [0.1, 0.5], "retries": 4}
-        kind = chance.choice(("planner_kill", "planner_stall", ""))
+        kind = rng.choice(("planner_kill", "planner_stall", ""))
         if kind:
-            at = max(0.1, back + chance.choice((0.0, 0.0002, 0.0006, 0.3, -0.4, -2.0)))
-            troubles.append({"kind": kind, "at": f"{at:.4f} s", "lasts": f"{chance.uniform(0.3, 3):.2f} s"})
+            at = max(0.1, rollback_at + rng.choice((0.0, 0.0002, 0.0006, 0.3, -0.4, -2.0)))
+            faults.append({"kind": kind, "at": f"{at:.4f} s", "lasts": f"{rng.uniform(0.3, 3):.2f} s"})
     if directory:
-        directory_of(script, chance)
+        add_directory(script, rng)
     return script
 
 
-def played(task: tuple[int, bool, bool, bool]) -> tuple[int, list[str], float]:
-    """Number, what was broken, service."""
+def run_day(task: tuple[int, bool, bool, bool]) -> tuple[int, list[str], float]:
+    """Runs one day; returns its number, the violations and errors, and the service ratio."""
     number, rollouts, fleet, directory = task
     logs: list[str] = []
 
@@ -126,17 +135,19 @@
             logs.append(f"{what}: {figures}"[:300])
 
     try:
-        day, deployment = parse_day(drawn(number, rollouts, fleet, directory), path=EXAMPLES / "day.json5")
+        day, deployment = parse_day(
+            random_script(number, rollouts, fleet, directory), path=EXAMPLES / "day.json5"
+        )
         sink = io.BytesIO()
         world = play_virtual(day, deployment, sink, log)
         decode = msgspec.json.Decoder(dict[str, Any]).decode
-        story = Trace(decode(line) for line in sink.getvalue().splitlines())
-        broken = [
-            f"{b.rule}, at {b.at:.0f} ms: {b.message}" for rule in check_rules(story) for b in rule.violations
+        trace = Trace(decode(line) for line in sink.getvalue().splitlines())
+        violations = [
+            f"{b.rule}, at {b.at:.0f} ms: {b.message}" for rule in check_rules(trace) for b in rule.violations
         ]
         if world.clients.open:
-            broken.append(f"{world.clients.open} clients still wait")
-        return number, broken + logs, measure_service(story).total
+            violations.append(f"{world.clients.open} clients still wait")
+        return number, violations + logs, measure_service(trace).total
     except Exception:
         return number, [traceback.format_exc()[-600:]], 0.0
 
@@ -149,17 +160,17 @@
 @click.option("--directory", is_flag=True)
 @click.option("--processes", default=8, show_default=True)
 def main(days: int, first: int, rollouts: bool, fleet: bool, directory: bool, processes: int) -> None:
-    """Hunt."""
+    """Runs the days and reports the violations."""
     tasks = [(number, rollouts, fleet, directory) for number in range(first, first + days)]
-    found, service = 0, 0.0
+    failed_days, service = 0, 0.0
     with multiprocessing.Pool(processes) as pool:
-        for number, broken, total in pool.imap_unordered(played, tasks):
+        for number, violations, total in pool.imap_unordered(run_day, tasks):
             service += total
-            if broken:
-                found += 1
-                click.echo(f"day {number}: {len(broken)} broken, first: {broken[0]}")
-    click.echo(f"{days} days, {found} with a broken rule, mean service {service / days:.3f}")
-    raise SystemExit(1 if found else 0)
+            if violations:
+                failed_days += 1
+                click.echo(f"day {number}: {len(violations)} broken, first: {violations[0]}")
+    click.echo(f"{days} days, {failed_days} with a broken rule, mean service {service / days:.3f}")
+    raise SystemExit(1 if failed_days else 0)
 
 
 if __name__ == "__main__":
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,11 +1,11 @@
-"""The edge beside a bare LineReceiver relay of the same lines, in one run on this machine's loopback.
+"""Compares the edge with a minimal LineReceiver relay of the same lines, in one run on loopback.
 
-    python benchmarks/relay.py                 both, with 12 and with 91 runners
+    python benchmarks/relay.py                 both, with 12 and 91 runners
     python benchmarks/relay.py --soak 1000000  memory of the edge over a million calls
-    python benchmarks/relay.py --door          the edge by itself and as one of a fleet of 200, in turn
+    python benchmarks/relay.py --door          the edge alone and as a member of a fleet of 200, alternately
 
-Each program has a process and a core of its own: the one measured, the runners (which answer at once), and
-the clients. The relay passes a call's line to a runner in turn and its answer back, and decides nothing.
+The measured program, the runners (which answer immediately) and the clients each have their own process and
+core. The relay forwards each call's line to the next runner, round robin, and returns its answer.
 """
 
 import json
@@ -47,7 +47,7 @@
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
 HELLO = msgspec.json.encode(wire.Hello(wire.CLIENT, wire.VERSION)) + b"\n"
-HEADS = (
+COLUMNS = (
     "program", "calls/s at saturation", "ok", "CPU µs a call", "of it module", "p50 µs at 880/s",
     "p99 µs at 880/s", "CPU µs a call at 880/s", "MB",
 )  # fmt: skip
@@ -57,8 +57,8 @@
 }"""
 
 
-class Instant(LineConnection):
-    """A runner that answers at once; it takes the relay's bare calls too."""
+class InstantRunner(LineConnection):
+    """A runner that answers immediately; it also accepts the calls that the relay forwards unchanged."""
 
     protocol = wire.RUNNER
     decoder = message_decoder(
@@ -88,17 +88,17 @@
                 self.send_message(wire.PreloadResult(message.preload_id, "ok", max(1, message.count)))
 
 
-class Runners(ServerFactory):
+class RunnerFactory(ServerFactory):
     noisy = False
 
     def __init__(self, name: str) -> None:
         self.name = name
 
-    def buildProtocol(self, addr: Any) -> Instant:
-        return Instant(self.name)
+    def buildProtocol(self, addr: Any) -> InstantRunner:
+        return InstantRunner(self.name)
 
 
-class RelayDown(LineReceiver):
+class RunnerSide(LineReceiver):
     """The relay's connection to one runner."""
 
     transport: Any
@@ -110,56 +110,56 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.write(HELLO)
-        self.relay.down.append(self)
+        self.relay.runner_connections.append(self)
 
     def lineReceived(self, line: bytes) -> None:
-        if self.relay.up is not None:
-            self.relay.up.transport.write(line + b"\n")
+        if self.relay.client_connection is not None:
+            self.relay.client_connection.transport.write(line + b"\n")
 
 
-class RelayUp(LineReceiver):
+class ClientSide(LineReceiver):
     """The relay's connection from the client."""
 
     transport: Any
     delimiter = b"\n"
 
     def __init__(self, relay: "Relay") -> None:
-        self.relay, self.turn = relay, 0
+        self.relay, self.next_runner = relay, 0
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.relay.up = self
+        self.relay.client_connection = self
         self.transport.write(HELLO)
 
     def lineReceived(self, line: bytes) -> None:
         if line.startswith(b'{"is":"call"'):
-            self.turn += 1
-            down = self.relay.down
-            down[self.turn % len(down)].transport.write(line + b"\n")
+            self.next_runner += 1
+            runner_connections = self.relay.runner_connections
+            runner_connections[self.next_runner % len(runner_connections)].transport.write(line + b"\n")
 
 
 class Relay(ServerFactory, ClientFactory):
     noisy = False
 
     def __init__(self) -> None:
-        self.down: list[RelayDown] = []
-        self.up: RelayUp | None = None
+        self.runner_connections: list[RunnerSide] = []
+        self.client_connection: ClientSide | None = None
 
-    def buildProtocol(self, addr: Any) -> RelayUp:
-        return RelayUp(self)
+    def buildProtocol(self, addr: Any) -> ClientSide:
+        return ClientSide(self)
 
 
-class RelayDials(ClientFactory):
+class RunnerDialer(ClientFactory):
     noisy = False
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
 
-    def buildProtocol(self, addr: Any) -> RelayDown:
-        return RelayDown(self.relay)
+    def buildProtocol(self, addr: Any) -> RunnerSide:
+        return RunnerSide(self.relay)
 
 
-def pin(core: int) -> None:
+def pin_to_core(core: int) -> None:
     cores = sorted(os.sched_getaffinity(0))
     os.sched_setaffinity(0, {cores[core % len(cores)]})
 
@@ -168,7 +168,7 @@
     protocol = wire.CLIENT
     decoder = message_decoder(wire.ToClient)
 
-    def __init__(self, load: "Load") -> None:
+    def __init__(self, load: "LoadGenerator") -> None:
         super().__init__(LineLimits())
         self.load = load
 
@@ -177,23 +177,23 @@
 
     def message_received(self, message: Any) -> None:
         if isinstance(message, wire.Answer):
-            self.load.answered(message)
+            self.load.answer_received(message)
 
 
-class Load(ClientFactory):
-    """Calls with so many out at once, or at a rate; notes how long each took."""
+class LoadGenerator(ClientFactory):
+    """Sends calls, either with a fixed number in flight or at a rate, and records their latencies."""
 
     noisy = False
 
     def __init__(self, reactor: Any, out: int, rate: float, seconds: float, most: int) -> None:
-        self.reactor, self.width, self.rate, self.seconds, self.most = reactor, out, rate, seconds, most
+        self.reactor, self.concurrency, self.rate, self.seconds, self.most = reactor, out, rate, seconds, most
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.sent: dict[str, float] = {}
         self.count = self.done = self.ok = 0
-        self.began = self.ended = 0.0
+        self.started_at = self.ended_at = 0.0
         self.random = random.Random(1)
-        self.marks: list[tuple[int, int]] = []
-        self.watch: psutil.Process | None = None
+        self.memory_samples: list[tuple[int, int]] = []
+        self.process: psutil.Process | None = None
         body = msgspec.Raw(b'{"work":1}')
         self.calls = [wire.Call("", f"fn-{i}", "m", 3000.0, memory=100.0, lanes=16, work=1.0, body=body)
                       for i in range(40)]  # fmt: skip
@@ -203,15 +203,15 @@
 
     def ready(self, client: Client) -> None:
         self.client = client
-        self.reactor.callLater(0.3, self.begin)
+        self.reactor.callLater(0.3, self.start)
 
-    def begin(self) -> None:
-        self.began = self.reactor.seconds()
+    def start(self) -> None:
+        self.started_at = self.reactor.seconds()
         if self.rate:
-            self.due = self.began
+            self.due = self.started_at
             self.tick()
         else:
-            for _ in range(self.width):
+            for _ in range(self.concurrency):
                 self.send()
 
     def tick(self) -> None:
@@ -219,7 +219,7 @@
         while self.due <= now:
             self.due += self.random.expovariate(self.rate)
             self.send()
-        if now - self.began < self.seconds:
+        if now - self.started_at < self.seconds:
             self.reactor.callLater(max(0.0, self.due - now), self.tick)
         else:
             self.reactor.callLater(0.5, self.stop)
@@ -232,31 +232,33 @@
         call.id = name
         self.client.send_message(call)
 
-    def answered(self, answer: wire.Answer) -> None:
+    def answer_received(self, answer: wire.Answer) -> None:
         now = self.reactor.seconds()
         self.histogram.record_value(max(1, round((now - self.sent.pop(answer.id)) * 1e6)))
         self.done += 1
         self.ok += answer.verdict == "ok"
-        if self.watch is not None and self.done % 100_000 == 0:
-            self.marks.append((self.done, self.watch.memory_info().rss))
+        if self.process is not None and self.done % 100_000 == 0:
+            self.memory_samples.append((self.done, self.process.memory_info().rss))
         if not self.rate:
-            if (now - self.began < self.seconds or self.most) and (not self.most or self.count < self.most):
+            if (now - self.started_at < self.seconds or self.most) and (
+                not self.most or self.count < self.most
+            ):
                 self.send()
             elif not self.sent:
                 self.stop()
 
     def stop(self) -> None:
-        self.ended = self.reactor.seconds()
+        self.ended_at = self.reactor.seconds()
         self.reactor.stop()
 
 
 @click.group(invoke_without_command=True)
 @click.option("--seconds", default=5.0, show_default=True)
-@click.option("--door", is_flag=True, help="Only this: what the door of a fleet costs.")
-@click.option("--soak", default=0, help="Only this: so many calls through the edge, with its memory.")
+@click.option("--door", is_flag=True, help="Only measure the CPU cost of fleet membership per call.")
+@click.option("--soak", default=0, help="Only run this many calls through the edge and report its memory.")
 @click.pass_context
 def main(ctx: click.Context, seconds: float, door: bool, soak: int) -> None:
-    """Measure."""
+    """Runs the comparison and prints the results."""
     if ctx.invoked_subcommand:
         return
     folder = Path(f"/tmp/relay-{os.getpid()}")
@@ -268,31 +270,41 @@
             console.print(f"{done:>9} calls: {rss / 1e6:.1f} MB")
         return
     if door:
-        return cost_of_door(folder, console, seconds)
+        return measure_fleet_overhead(folder, console, seconds)
     for runners in (12, 91):
         table = Table(title=f"{runners} runners")
-        for head in HEADS:
+        for head in COLUMNS:
             table.add_column(head, justify="left" if head == "program" else "right")
         rows = {}
         for what in ("relay", "edge"):
-            full = measure(folder, what, runners, 64, 0.0, seconds, 0)
-            calm = measure(folder, what, runners, 0, 880.0, seconds, 0)
-            rows[what] = (full, calm)
-            shown = [full["cpu"], full["module"], calm["p50"], calm["p99"], calm["cpu"], full["rss"] / 1e6]
+            saturated = measure(folder, what, runners, 64, 0.0, seconds, 0)
+            at_rate = measure(folder, what, runners, 0, 880.0, seconds, 0)
+            rows[what] = (saturated, at_rate)
+            shown = [
+                saturated["cpu"],
+                saturated["module"],
+                at_rate["p50"],
+                at_rate["p99"],
+                at_rate["cpu"],
+                saturated["rss"] / 1e6,
+            ]
             table.add_row(
-                what, f"{full['rate']:.0f}", f"{full['ok']:.4f}", *(f"{figure:.0f}" for figure in shown)
+                what,
+                f"{saturated['rate']:.0f}",
+                f"{saturated['ok']:.4f}",
+                *(f"{figure:.0f}" for figure in shown),
             )
         console.print(table)
-        (relay, calm_relay), (edge, calm_edge) = rows["relay"], rows["edge"]
-        half, most = (calm_edge[p] - calm_relay[p] for p in ("p50", "p99"))
+        (relay, relay_at_rate), (edge, edge_at_rate) = rows["relay"], rows["edge"]
+        median_added, most = (edge_at_rate[p] - relay_at_rate[p] for p in ("p50", "p99"))
         console.print(
             f"edge to relay: {edge['rate'] / relay['rate']:.2f} of its calls; "
-            f"added at 880 a second p50 {half:.0f} µs, p99 {most:.0f} µs"
+            f"added at 880 a second p50 {median_added:.0f} µs, p99 {most:.0f} µs"
         )
 
 
-def cost_of_door(folder: Path, console: Console, seconds: float) -> None:
-    """Both in turn, so that what else the machine does falls on both alike."""
+def measure_fleet_overhead(folder: Path, console: Console, seconds: float) -> None:
+    """Measures both alternately, so that other load on the machine affects them equally."""
     found: dict[str, list[float]] = {"edge": [], "member": []}
     for _ in range(5):
         for what, costs in found.items():
@@ -300,13 +312,13 @@
     alone, member = (statistics.median(costs) for costs in found.values())
     for what, costs in found.items():
         console.print(f"{what}: CPU µs a call at 880/s " + ", ".join(f"{cost:.0f}" for cost in sorted(costs)))
-    console.print(f"one of a fleet of 200: {member - alone:+.0f} µs a call, {member / alone - 1:+.1%}")
+    console.print(f"member of a fleet of 200: {member - alone:+.0f} µs a call, {member / alone - 1:+.1%}")
 
 
 def measure(
     folder: Path, what: str, runners: int, out: int, rate: float, seconds: float, most: int
 ) -> dict[str, Any]:
-    """One run in a process of its own, since a reactor starts once."""
+    """Runs one measurement in its own process, since a reactor can be started only once."""
     figures = map(str, (runners, out, rate, seconds, most))
     command = [sys.executable, __file__, "one", what, str(folder), *figures]
     result = subprocess.run(command, capture_output=True, text=True, check=False)
@@ -316,7 +328,7 @@
     return made
 
 
-def start(folder: Path, *args: str) -> tuple[subprocess.Popen[bytes], list[int]]:
+def start_program(folder: Path, *args: str) -> tuple[subprocess.Popen[bytes], list[int]]:
     port = folder / f"{args[0]}-{time.monotonic_ns()}.port"
     child = subprocess.Popen([sys.executable, __file__, args[0], str(port), *args[1:]])
     until = time.monotonic() + 20
@@ -336,29 +348,29 @@
 @click.argument("seconds", type=float)
 @click.argument("most", type=int)
 def one(what: str, folder: Path, runners: int, out: int, rate: float, seconds: float, most: int) -> None:
-    """Start the others, load the one that is measured, print figures as JSON."""
-    pin(2)
-    fleet, ports = start(folder, "runners", str(runners))
-    roster, (roster_port, *_) = start(folder, "roster", json.dumps(ports))
-    middle, (port,) = start(folder, what, json.dumps(ports), str(roster_port))
+    """Starts the other programs, loads the measured one and prints the figures as JSON."""
+    pin_to_core(2)
+    fleet, ports = start_program(folder, "runners", str(runners))
+    roster, (roster_port, *_) = start_program(folder, "roster", json.dumps(ports))
+    program, (port,) = start_program(folder, what, json.dumps(ports), str(roster_port))
     try:
         time.sleep(0.5)
         reactor = monotonic_reactor()
-        load_ = Load(reactor, out, rate, seconds, most)
-        watch = psutil.Process(middle.pid)
-        load_.watch = watch
+        load_ = LoadGenerator(reactor, out, rate, seconds, most)
+        process = psutil.Process(program.pid)
+        load_.process = process
         reactor.connectTCP("127.0.0.1", port, load_)
-        before = watch.cpu_times()
+        before = process.cpu_times()
         reactor.run()
-        after = watch.cpu_times()
+        after = process.cpu_times()
         cpu = after.user + after.system - before.user - before.system
-        rss = watch.memory_info().rss
-        middle.send_signal(signal.SIGTERM)
-        middle.wait(10)
-        spent_file = folder / f"spent-{middle.pid}"
+        rss = process.memory_info().rss
+        program.send_signal(signal.SIGTERM)
+        program.wait(10)
+        spent_file = folder / f"spent-{program.pid}"
         spent = float(spent_file.read_text()) if spent_file.exists() else 0.0
     finally:
-        for child in (fleet, roster, middle):
+        for child in (fleet, roster, program):
             if child.poll() is None:
                 child.kill()
             child.wait()
@@ -366,14 +378,14 @@
     print(
         json.dumps(
             {
-                "rate": load_.done / (load_.ended - load_.began),
+                "rate": load_.done / (load_.ended_at - load_.started_at),
                 "ok": load_.ok / max(1, load_.done),
                 "cpu": cpu / load_.done * 1e6,
                 "module": spent / load_.done * 1e6,
                 "p50": histogram.get_value_at_percentile(50),
                 "p99": histogram.get_value_at_percentile(99),
                 "rss": rss,
-                "marks": load_.marks,
+                "marks": load_.memory_samples,
             }
         )
     )
@@ -383,14 +395,14 @@
 @click.argument("port", type=click.Path(path_type=Path))
 @click.argument("count", type=int)
 def runners(port: Path, count: int) -> None:
-    pin(1)
+    pin_to_core(1)
     reactor = monotonic_reactor()
-    made = [reactor.listenTCP(0, Runners(f"w{i}"), interface="127.0.0.1") for i in range(count)]
-    tell(port, [listener.getHost().port for listener in made])
+    made = [reactor.listenTCP(0, RunnerFactory(f"w{i}"), interface="127.0.0.1") for i in range(count)]
+    write_ports(port, [listener.getHost().port for listener in made])
     reactor.run()
 
 
-def tell(path: Path, ports: list[int]) -> None:
+def write_ports(path: Path, ports: list[int]) -> None:
     part = path.with_suffix(".part")
     part.write_text(json.dumps(ports))
     part.replace(path)
@@ -400,13 +412,13 @@
 @click.argument("port", type=click.Path(path_type=Path))
 @click.argument("ports")
 def roster(port: Path, ports: str) -> None:
-    pin(3)
+    pin_to_core(3)
     reactor = monotonic_reactor()
     made = RosterStandIn(reactor, 0.0)
     for number, at in enumerate(json.loads(ports)):
         entry = wire.RosterEntry(f"w{number}", at, size=4.0, start=f"w{number}#0")
         made.record(entry, reactor.seconds() - 3600, now=True)
-    tell(port, [made.port])
+    write_ports(port, [made.port])
     reactor.run()
 
 
@@ -415,12 +427,12 @@
 @click.argument("ports")
 @click.argument("roster_port")
 def relay(port: Path, ports: str, roster_port: str) -> None:
-    pin(0)
+    pin_to_core(0)
     reactor = monotonic_reactor()
     made = Relay()
     for at in json.loads(ports):
-        reactor.connectTCP("127.0.0.1", at, RelayDials(made))
-    tell(port, [reactor.listenTCP(0, made, interface="127.0.0.1").getHost().port])
+        reactor.connectTCP("127.0.0.1", at, RunnerDialer(made))
+    write_ports(port, [reactor.listenTCP(0, made, interface="127.0.0.1").getHost().port])
     reactor.run()
 
 
@@ -437,12 +449,12 @@
 @click.argument("ports")
 @click.argument("roster_port", type=int)
 def member(port: Path, ports: str, roster_port: int) -> None:
-    """The edge with 199 others, each of whom tells its counters once a second."""
+    """The edge in a fleet with 199 others, each of which sends its counters once a second."""
     run_edge(port, roster_port, tuple(f"other-{i}" for i in range(199)))
 
 
 def run_edge(port: Path, roster_port: int, others: tuple[str, ...]) -> None:
-    pin(0)
+    pin_to_core(0)
     reactor = monotonic_reactor()
     path = port.with_suffix(".json5")
     path.write_text(DEPLOYMENT)
@@ -453,32 +465,32 @@
     made = Edge(reactor, deployment, lambda what, **figures: None)
     made.host.events.stopwatch = time.perf_counter
 
-    claims = tuple(MemberRecord(name, 1, 1, 0, MemberStatus.ALIVE, "127.0.0.1", 1) for name in others)
+    records = tuple(MemberRecord(name, 1, 1, 0, MemberStatus.ALIVE, "127.0.0.1", 1) for name in others)
 
-    def told(second: int) -> None:
-        """A second's rows of all, in datagrams as they come."""
+    def send_counters(second: int) -> None:
+        """Sends one second's counters of all members, as datagrams spread over the second."""
         member = made.fleet_member
         assert member is not None
         digests = member.admission.counters
         counts = (10 * second,) * len(digests.counts)
         rows = [CounterSnapshot(name, 1, 1, second + 1, 10_000 * (second + 1), 0, counts) for name in others]
-        for first in range(0, len(rows), 10):  # each passes on what it has heard of others
-            claim = claims[first]
-            word = CounterGossip(digests.layout, tuple(rows[first : first + 10]))
-            news = () if second else claims[first : first + 10]
-            data = encode(Datagram("measured", 1, claim, word, news))
+        for first in range(0, len(rows), 10):  # each sender also forwards others' counters
+            claim = records[first]
+            gossip = CounterGossip(digests.layout, tuple(rows[first : first + 10]))
+            piggybacked = () if second else records[first : first + 10]
+            data = encode(Datagram("measured", 1, claim, gossip, piggybacked))
             when = first / len(others)
             reactor.callLater(when, member.endpoint.datagramReceived, data, ("127.0.0.1", 1))
-        reactor.callLater(1.0, told, second + 1)
+        reactor.callLater(1.0, send_counters, second + 1)
 
-    def begin() -> int:
+    def start_edge() -> int:
         at = made.start()
         if others:
-            told(0)
-        tell(port, [at])
+            send_counters(0)
+        write_ports(port, [at])
         return at
 
-    serve(reactor, begin, None, reactor.stop)
+    serve(reactor, start_edge, None, reactor.stop)
     (port.parent / f"spent-{os.getpid()}").write_text(str(made.host.events.module_seconds))
 
 
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -1,6 +1,7 @@
-"""The platform around one dispatcher, small: web servers that speak FastCGI, runners, a notice board.
+"""A small stand-in of the platform around one dispatcher: FastCGI web servers, runners and the board.
 
-All on one reactor with a clock in the player's hand: sockets are real, time passes only when told to.
+The board is the service that publishes the list of workers. All run on one reactor: sockets are real, but
+its clock advances only on request.
 """
 
 import json
@@ -26,14 +27,14 @@
 
 
 class ManualReactor(Clock):
-    """A reactor whose clock stands until it is moved by hand; sockets are served meanwhile."""
+    """A reactor whose clock is advanced manually, while real sockets are served."""
 
     rightNow = 1_000.0
 
     def __init__(self) -> None:
         super().__init__()
-        self.around: Callable[[], Any] = nullcontext  # entered for each look at the sockets
-        self.looked = (self.rightNow,) * 2  # at the look before, and at this one
+        self.around: Callable[[], Any] = nullcontext  # entered around each poll of the sockets
+        self.looked = (self.rightNow,) * 2  # times of the previous poll and this one
         self.readers: dict[Any, None] = {}
         self.writers: dict[Any, None] = {}
 
@@ -50,20 +51,20 @@
         self.writers.pop(end, None)
 
     def serve(self, wait: float = 0.0) -> bool:
-        """What is ready now; False if nothing was."""
+        """Polls the sockets once, waiting at most `wait` real seconds; returns whether any was ready."""
         self.looked = self.looked[1], self.rightNow
-        ready, room, _ = select.select(list(self.readers), list(self.writers), [], wait)
+        readable, writable, _ = select.select(list(self.readers), list(self.writers), [], wait)
         with self.around():
-            for end in ready:
+            for end in readable:
                 if end in self.readers:
                     end.doRead()
-            for end in room:
+            for end in writable:
                 if end in self.writers:
                     end.doWrite()
-        return bool(ready or room)
+        return bool(readable or writable)
 
     def quiet(self) -> None:
-        """Serve until nothing more is under way on loopback, and what is due has run."""
+        """Serves until no data is in flight on loopback and all due calls have run."""
         idle = 0
         while idle < 3:
             ran = self.serve(0.0005)
@@ -72,16 +73,16 @@
             idle = 0 if ran or due else idle + 1
 
     def until(self, done: Callable[[], Any]) -> None:
-        """Serve until something holds, without time passing; raises after ten real seconds."""
-        limit = time.monotonic() + 10
+        """Serves with a stopped clock until `done` holds; raises AssertionError after ten real seconds."""
+        deadline = time.monotonic() + 10
         while not done():
-            if time.monotonic() > limit:
-                raise AssertionError("it never came")
+            if time.monotonic() > deadline:
+                raise AssertionError("condition not met within 10 s")
             self.serve(0.01)
             self.quiet()
 
     def run(self, seconds: float) -> None:
-        """Let time pass, from one due call to the next."""
+        """Advances the clock by `seconds`, from one due call to the next."""
         end = self.rightNow + seconds
         self.quiet()
         while self.calls and self.calls[0].getTime() <= end:
@@ -91,8 +92,10 @@
         self.quiet()
 
     def follow(self, done: Callable[[], Any], seconds: float = 20.0) -> bool:
-        """Let time pass as the real one does, for a program outside, until something holds; False if it did
-        not in that time."""
+        """Advances the clock along with real time, for another process, until `done` holds.
+
+        Returns False if it does not within so many real seconds.
+        """
         end = time.monotonic() + seconds
         while not done():
             if time.monotonic() > end:
@@ -103,13 +106,13 @@
 
 
 class WebServer(Stream):
-    """A client's connection: requests out, answers in."""
+    """A web server's FastCGI connection to the dispatcher: sends requests and collects the responses."""
 
-    def __init__(self, hand: Any, port: int, host: str = "127.0.0.1") -> None:
-        super().__init__(hand, dial(host, port), dialled=True)
+    def __init__(self, reactor: Any, port: int, host: str = "127.0.0.1") -> None:
+        super().__init__(reactor, dial(host, port), dialled=True)
         self.rest, self.last, self.closed = b"", 0, ""
         self.said: dict[int, bytes] = {}
-        self.ends: list[int] = []  # numbers, in the order of their ends
+        self.ends: list[int] = []  # request numbers, in the order of completion
         self.codes: dict[int, int] = {}
         self.start()
 
@@ -124,9 +127,12 @@
         script: str = "",
         **fields: str,
     ) -> int:
-        """Send a request; `fields` are further ones by their CGI names, empty ones are left out."""
+        """Sends a request and returns its number; `whole=False` leaves its body open.
+
+        `fields` are further parameters by their CGI names; empty ones are omitted.
+        """
         self.last += 1
-        told = {
+        params = {
             "SCRIPT_NAME": script or f"/invoke/{method}",
             "HTTP_X_CALL_ID": id or f"{self.last:016x}",
             "HTTP_X_PATIENCE_MS": patience,
@@ -134,8 +140,8 @@
             "HTTP_X_WEIGHT_MS": "8.2",
             "HTTP_X_ATTRS": "memory_mb:512;lanes:2",
         } | fields
-        params = b"".join(fastcgi.encode_pair(k.encode(), v.encode()) for k, v in told.items() if v)
-        self.send(begin_request(self.last) + fastcgi.encode_record(fastcgi.PARAMS, self.last, params))
+        encoded = b"".join(fastcgi.encode_pair(k.encode(), v.encode()) for k, v in params.items() if v)
+        self.send(begin_request(self.last) + fastcgi.encode_record(fastcgi.PARAMS, self.last, encoded))
         self.send(fastcgi.encode_record(fastcgi.PARAMS, self.last))
         if body:
             self.send(fastcgi.encode_record(fastcgi.STDIN, self.last, body))
@@ -160,17 +166,17 @@
                 self.codes[number] = content[4]
 
     def status(self, number: int) -> int | None:
-        """Of the answer; None while it has not come whole, 0 where it had no head."""
+        """Returns the status of the response; None while it is incomplete, 0 if it has no status header."""
         if number not in self.ends:
             return None
-        said = self.said.get(number, b"")
-        return int(said.split(b"Status: ")[1][:3]) if b"Status: " in said else 0
+        answer = self.said.get(number, b"")
+        return int(answer.split(b"Status: ")[1][:3]) if b"Status: " in answer else 0
 
     def body(self, number: int) -> bytes:
         return self.said[number].partition(b"\r\n\r\n")[2]
 
-    def lost(self, why: str) -> None:
-        self.closed = why
+    def lost(self, reason: str) -> None:
+        self.closed = reason
 
 
 def begin_request(number: int, role: int = fastcgi.RESPONDER, keep: int = fastcgi.KEEP_CONN) -> bytes:
@@ -178,10 +184,10 @@
 
 
 class Line(Stream):
-    """A dispatcher's connection at a runner."""
+    """A dispatcher's connection to a runner."""
 
     def __init__(self, runner: "RunnerStub", sock: socket.socket) -> None:
-        super().__init__(runner.hand, sock)
+        super().__init__(runner.reactor, sock)
         self.runner, self.rest, self.open = runner, b"", dict[str, dict[str, Any]]()
 
     def received(self, data: bytes) -> None:
@@ -190,50 +196,50 @@
             self.runner.heard(self, msgspec.json.decode(line))
 
     def say(self, verb: str, rid: str, content: bytes | None = None, **attrs: Any) -> None:
-        said: dict[str, Any] = {"verb": verb, "rid": rid, "attrs": attrs}
+        message: dict[str, Any] = {"verb": verb, "rid": rid, "attrs": attrs}
         if content is not None:
-            said["content"] = b64encode(content).decode()
+            message["content"] = b64encode(content).decode()
         self.open.pop(rid, None)
-        self.send(msgspec.json.encode(said) + b"\n")
+        self.send(msgspec.json.encode(message) + b"\n")
 
-    def lost(self, why: str) -> None:
+    def lost(self, reason: str) -> None:
         self.runner.lines.remove(self)
 
     def reset(self) -> None:
-        """As when a process dies."""
+        """Resets the connection, as when the process dies."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.drop("reset")
 
 
 class RunnerStub:
-    """One runner. `on_run` plays what it does with a call; without one it answers with the body it got."""
+    """One runner. `on_run` handles each call; without one the runner echoes the call's body."""
 
-    def __init__(self, hand: Any, host: str = "127.0.0.1", port: int = 0) -> None:
-        self.hand, self.lines = hand, list[Line]()
-        self.listener = Listener(hand, host, port, self.taken)
+    def __init__(self, reactor: Any, host: str = "127.0.0.1", port: int = 0) -> None:
+        self.reactor, self.lines = reactor, list[Line]()
+        self.listener = Listener(reactor, host, port, self.taken)
         self.port: int = self.listener.sock.getsockname()[1]
         self.runs: list[dict[str, Any]] = []
         self.others: list[dict[str, Any]] = []
-        self.loaded: dict[str, int] | None = None  # copies by function; None: all stand
+        self.loaded: dict[str, int] | None = None  # copies by function; None: all functions are loaded
         self.on_run: Callable[[Line, dict[str, Any]], None] | None = None
 
     def taken(self, sock: socket.socket) -> None:
         self.lines.append(Line(self, sock))
         self.lines[-1].start()
 
-    def heard(self, line: Line, said: dict[str, Any]) -> None:
-        verb, rid, attrs = said["verb"], said["rid"], said.get("attrs") or {}
+    def heard(self, line: Line, message: dict[str, Any]) -> None:
+        verb, rid, attrs = message["verb"], message["rid"], message.get("attrs") or {}
         if verb == "RUN":
-            self.runs.append(said)
-            line.open[rid] = said
+            self.runs.append(message)
+            line.open[rid] = message
             if self.on_run is not None:
-                self.on_run(line, said)
+                self.on_run(line, message)
             elif self.loaded is not None and not self.loaded.get(attrs["path"]):
                 line.say("404", rid)
             else:
-                self.answer(line, said)
+                self.answer(line, message)
             return
-        self.others.append(said)
+        self.others.append(message)
         if verb == "HOLD":
             if self.loaded is not None:
                 self.loaded[attrs["path"]] = max(self.loaded.get(attrs["path"], 0), attrs["slots_up"])
@@ -243,11 +249,11 @@
         elif verb == "STOP":
             line.open.pop(rid, None)
 
-    def answer(self, line: Line, said: dict[str, Any]) -> None:
-        line.say("200", said["rid"], b64decode(said["content"]))
+    def answer(self, line: Line, message: dict[str, Any]) -> None:
+        line.say("200", message["rid"], b64decode(message["content"]))
 
     def held(self) -> int:
-        """Calls that it holds: come whole, without an end, not given up."""
+        """Calls received and neither finished nor cancelled."""
         return sum(len(line.open) for line in self.lines)
 
     def stop(self) -> None:
@@ -256,7 +262,7 @@
             line.reset()
 
 
-RECORD = struct.Struct(">IIHBBBHIQ")  # read off the page once more: a check on the dispatcher's own
+BOARD_RECORD = struct.Struct(">IIHBBBHIQ")  # written independently of the dispatcher's own, to check it
 
 
 def board_row(
@@ -264,7 +270,7 @@
     started: int = 0, host: str = "127.0.0.1",
 ) -> bytes:  # fmt: skip
     number = struct.unpack(">I", socket.inet_aton(host))[0]
-    return RECORD.pack(id, number, port, state, zone, kind, cell, weight, started)
+    return BOARD_RECORD.pack(id, number, port, state, zone, kind, cell, weight, started)
 
 
 def board_frame(number: int, kind: int, *rows: bytes) -> bytes:
@@ -272,11 +278,11 @@
     return struct.pack(">IQB", 9 + len(payload), number, kind) + payload
 
 
-class Follower(Stream):
-    """A dispatcher's connection at the board."""
+class BoardConnection(Stream):
+    """A dispatcher's connection to the board."""
 
     def __init__(self, board: "BoardStub", sock: socket.socket) -> None:
-        super().__init__(board.hand, sock)
+        super().__init__(board.reactor, sock)
         self.board, self.rest, self.asked = board, b"", False
 
     def received(self, data: bytes) -> None:
@@ -285,34 +291,34 @@
             self.asked = True
             last = int.from_bytes(self.rest[:8], "big")
             self.board.asked.append(last)
-            later = [event for number, event in self.board.events.items() if number > last]
-            for event in later or [board_frame(max(self.board.events, default=0), 0)]:
+            missed = [event for number, event in self.board.events.items() if number > last]
+            for event in missed or [board_frame(max(self.board.events, default=0), 0)]:
                 self.send(event)
 
-    def lost(self, why: str) -> None:
+    def lost(self, reason: str) -> None:
         self.board.followers.remove(self)
 
 
 class BoardStub:
-    """The notice board: an empty frame each second, every event to all that follow."""
+    """The board: sends an empty frame each second, and every event to all subscribers."""
 
-    def __init__(self, hand: Any, host: str = "127.0.0.1", port: int = 0) -> None:
-        self.hand, self.followers = hand, list[Follower]()
-        self.listener = Listener(hand, host, port, self.taken)
+    def __init__(self, reactor: Any, host: str = "127.0.0.1", port: int = 0) -> None:
+        self.reactor, self.followers = reactor, list[BoardConnection]()
+        self.listener = Listener(reactor, host, port, self.taken)
         self.port: int = self.listener.sock.getsockname()[1]
         self.events: dict[int, bytes] = {}
         self.asked: list[int] = []
         self.beats = True
-        self.beat()
+        self.send_heartbeat()
 
     def taken(self, sock: socket.socket) -> None:
-        self.followers.append(Follower(self, sock))
+        self.followers.append(BoardConnection(self, sock))
         self.followers[-1].start()
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         if self.beats:
             self.raw(board_frame(max(self.events, default=0), 0))
-        self.hand.callLater(1.0, self.beat)
+        self.reactor.callLater(1.0, self.send_heartbeat)
 
     def raw(self, data: bytes) -> None:
         for follower in list(self.followers):
@@ -335,7 +341,7 @@
 
 
 def configuration(listen: str, board: str) -> dict[str, Any]:
-    """A small one: three classes, one of each effect."""
+    """Returns a small configuration with three request classes, one per idempotency mode."""
     classes = [("search", "idempotent"), ("publish", "deduplicated"), ("bill", "at_most_once")]
     profiles = [
         {"name": name, "aim": 1_000_000, "deadline": 3_000_000, "idempotency": effect,
@@ -355,9 +361,9 @@
 
 
 def main() -> None:
-    """Start a dispatcher as the platform does, two runners and a board, send calls and show the answers."""
-    hand = ManualReactor()
-    board, runners = BoardStub(hand), [RunnerStub(hand), RunnerStub(hand)]
+    """Starts a dispatcher as the platform does, two runners and a board; sends calls, prints the answers."""
+    reactor = ManualReactor()
+    board, runners = BoardStub(reactor), [RunnerStub(reactor), RunnerStub(reactor)]
     for runner in runners:
         runner.loaded = {}
     port = free_port()
@@ -370,16 +376,16 @@
             [sys.executable, "-m", "lapistrestle.node"], env=os.environ | {"EDGE_CONFIG": path}
         )
         try:
-            hand.follow(lambda: board.asked and all(runner.lines for runner in runners))
-            client = WebServer(hand, port)
+            reactor.follow(lambda: board.asked and all(runner.lines for runner in runners))
+            client = WebServer(reactor, port)
             numbers = [client.ask(function=f"{i % 3:016x}", body=b"call %d" % i) for i in range(6)]
-            hand.follow(lambda: all(client.status(n) is not None for n in numbers))
+            reactor.follow(lambda: all(client.status(n) is not None for n in numbers))
             for number in numbers:
                 print(number, client.status(number), client.body(number) if client.status(number) else "")
             print(f"runs {[len(r.runs) for r in runners]}, loaded {[r.loaded for r in runners]}")
         finally:
             node.send_signal(signal.SIGTERM)
-            if not hand.follow(lambda: node.poll() is not None):
+            if not reactor.follow(lambda: node.poll() is not None):
                 node.kill()
             print(f"exit {node.wait()}")
 
