--- a/lapistrestle/hosting/host.py
+++ b/lapistrestle/hosting/host.py
@@ -47,8 +47,9 @@
 class ModuleHost:
     """Connects the module with its registry, timers, event queue and the calls and tasks in flight.
 
-    A request that the module has not answered `slack` ticks after its deadline is aborted. `make_module`
-    creates the module from this host, the settings, a seed, the time and the fleet guidance.
+    A request that the module has not answered `slack` ticks after its deadline is aborted; 0 means at the
+    deadline. `make_module` creates the module from this host, the settings, a seed, the time and the fleet
+    guidance.
     """
 
     def __init__(
@@ -127,9 +128,13 @@
         arrived_at: int | None = None,
         awaits_prefix: bool = False,
     ) -> PendingRequest:
-        """A request was received. `time_left` are the ticks for which its client still waits, `arrived_at` is
-        the earliest tick at which it may have arrived. If `awaits_prefix`, it is passed to the module by
-        `lookup_finished`, once the prefix of its function is known.
+        """A request was received, with `time_left` ticks until its deadline.
+
+        `client`, `message` and `route` are only handed back to the transport; `tag` identifies the request in
+        logs. `work` is the hinted work in ticks, `repeat` marks a retry by the client. `already_counted`: the
+        preload budget has counted it before. `prior_attempts` were made for another version and count towards
+        the limit. `arrived_at` is the earliest tick at which it may have arrived. If `awaits_prefix`, it is
+        passed to the module by `lookup_finished`, once the prefix of its function is known.
         """
         now, function = (
             self.clock(),
@@ -141,7 +146,7 @@
         pending.client, pending.message, pending.route = client, message, route
         pending.prior_attempts = prior_attempts
         self.answers.accept(pending)
-        if awaits_prefix:
+        if awaits_prefix:  # else the module sets `accepted_at` when it gets the event
             pending.accepted_at, pending.arrived_at = now, now if arrived_at is None else arrived_at
         else:
             self.events.post(pending, "on_request", pending)
@@ -208,7 +213,7 @@
 
     def endpoints_received(self, entries: Sequence[WorkerInfo], is_snapshot: bool) -> None:
         """Entries of the endpoint list were received; with `is_snapshot`, `entries` is the complete list."""
-        if not self.events.queued_endpoints:
+        if not self.events.queued_endpoints:  # all earlier lists were delivered
             self.undelivered_workers.clear()
         self.undelivered_workers.update(
             e.name for e in entries if e.endpoint_state is not EndpointState.REMOVED
@@ -247,7 +252,7 @@
         for worker in removed:
             if worker.name not in retained:
                 del workers[worker.name]
-        if not self.events.is_delivering:  # otherwise the module may not know yet that they are removed
+        if not self.events.is_delivering:  # while it is, the module may not know of the removal
             self.removed_workers = retained
 
     def prefix_received(self, function: Function, names: Sequence[str]) -> None:
@@ -328,5 +333,5 @@
         self.transport.extend_prefix(function)
 
     def log(self, text: str) -> None:
-        """Log a message of the module."""
+        """Log a message of the module, as an event whose name is fixed."""
         self.transport.log("mode", figures=text)
--- a/lapistrestle/policy/entities.py
+++ b/lapistrestle/policy/entities.py
@@ -112,7 +112,7 @@
     """One preload in flight."""
 
     sent_at: int  # tick
-    load: bool  # it asks for more copies than are believed to be loaded
+    needs_load: bool  # it asks for more copies than are believed to be loaded
 
 
 @dataclass(eq=False)
--- a/lapistrestle/policy/preloading.py
+++ b/lapistrestle/policy/preloading.py
@@ -1,8 +1,8 @@
 """Preloading: loads copies before requests need them, to keep those in use and some headroom.
 
-As in the paper (FnScale, section III-B 2), each function keeps in every period the copies that were used,
-plus their square root as headroom, which is divided among the dispatchers. Differences from the paper:
-docs/design.md, "Changed".
+As in the paper (FnScale, section III-B 2), each function keeps in every period the peak number of copies in
+use, plus its square root as headroom. Other than there, the headroom is divided among the dispatchers;
+further differences: docs/design.md, "Changed".
 """
 
 from collections.abc import Sequence
@@ -63,19 +63,19 @@
     def preload(self, replica: FunctionReplica, count: int, budget_fraction: float = 1.0) -> bool:
         """Send a preload for `count` copies and return True. Return False if the worker does not serve (a
         draining or removed worker is sent nothing new), if this fraction of the preload budget is used up, or
-        if the worker's load queue is full.
+        if it needs a load that the full load queue of the worker or the quota of the fleet does not allow.
         """
         allowed = self.budget.allows(budget_fraction)
         worker = replica.worker
-        load = count > self.copies.believed_count(replica)
-        queue_full = load and (
+        needs_load = count > self.copies.believed_count(replica)
+        load_refused = needs_load and (
             self.clock.now < worker.loads_rejected_until or not self.load_limit.fleet_allows()
         )
-        if not allowed or worker.endpoint_state is not EndpointState.SERVING or queue_full:
+        if not allowed or worker.endpoint_state is not EndpointState.SERVING or load_refused:
             return False
         self.budget.add_preload()
-        replica.pending_preloads.append(PendingPreload(self.clock.now, load))
-        if load:
+        replica.pending_preloads.append(PendingPreload(self.clock.now, needs_load))
+        if needs_load:
             replica.change_loading(1)
             self.load_limit.in_progress += 1
         self.host.preload(worker, replica.function, min(MAX_COPIES_PER_PRELOAD, count))
@@ -87,13 +87,13 @@
         """
         preload = replica.pending_preloads.popleft()
         self.budget.finish(preload, duration)
-        if preload.load and outcome is Outcome.OK:
+        if preload.needs_load and outcome is Outcome.OK:
             self.copies.load_time.add(self.clock.now, duration)
-        if preload.load:
+        if preload.needs_load:
             replica.change_loading(-1)
             self.load_limit.in_progress -= 1
         self.load_limit.record(replica.function, outcome is not Outcome.ERROR, duration)
-        if preload.load:
+        if preload.needs_load:
             rejected = outcome is Outcome.REJECTED
             replica.worker.loads_rejected_until = self.clock.now + FULL_QUEUE_BACKOFF if rejected else 0
         self.update_copies(replica, outcome, count)
@@ -102,7 +102,7 @@
         """Update the believed copies from the answer to a preload."""
         if outcome in (Outcome.OK, Outcome.REJECTED, Outcome.ERROR):
             self.copies.set_count(replica, count)
-        elif outcome in self.copies.restart_outcomes:
+        elif outcome in self.copies.restart_outcomes:  # the worker lost its copies: a bad outcome
             replica.worker.emptied_at = self.clock.now
             self.health.record(replica.worker, True, self.clock.now)
         elif outcome is Outcome.RESET:  # the worker executes the preload regardless
@@ -110,17 +110,17 @@
             replica.confirmed_at = self.clock.now
 
     def scale_up(self, replica: FunctionReplica, request: Request, concurrency: int) -> None:
-        """Add a copy on the next worker of the order if requests of all dispatchers wait for a lane. Each
-        dispatcher alone may see too little of a function to notice that it is hot. Wasteful if waits are
-        short.
+        """Add a copy on the next worker of the order if `concurrency`, the requests of the function on the
+        worker as reported, fills its lanes. Each dispatcher alone may see too little of a function to notice
+        that it is hot. The copy is wasted if the waits were short.
         """
         lanes = self.copies.believed_count(replica) * replica.function.lanes
         if concurrency < lanes or self.load_limit.in_progress >= self.load_limit.limit:
             return
         order = self.orders.order_from_own_offset(replica.function)
-        cold = self.candidates.first_without_copy(request, order)
-        if cold and not cold.loading:
-            self.preload(cold, 1)
+        without_copy = self.candidates.first_without_copy(request, order)
+        if without_copy and not without_copy.loading:
+            self.preload(without_copy, 1)
 
     def maintain_replicas(self, function: Function) -> None:
         """Once per period: keep the copies that were used and this dispatcher's share of the headroom, unless
@@ -151,8 +151,8 @@
                 or replica.waiters
                 or self.copies.believed_count(replica)
             )
-            counts_until = max(replica.backoff_until, replica.not_loaded_at + self.settings.idle_timeout)
-            if not in_use and self.clock.now > counts_until:
+            history_until = max(replica.backoff_until, replica.not_loaded_at + self.settings.idle_timeout)
+            if not in_use and self.clock.now > history_until:
                 function.drop(replica.worker)
 
     def own_headroom(self, used: int) -> int:
@@ -179,11 +179,12 @@
             if self.zones.zone(replica) is Zone.UNSAFE:
                 continue
             count = used.get(replica, 0) + headroom
-            headroom = 0
+            headroom = 0  # all of it goes to the first worker
             below_limit = self.load_limit.in_progress < self.load_limit.limit
             may_load = below_limit and self.load_limit.fleet_allows(copy_exists=True)
-            loads = count > self.copies.believed_count(replica)
-            needed = may_load if loads else count > used.get(replica, 0)
+            needs_load = count > self.copies.believed_count(replica)
+            # without a load, a preload is only needed to add headroom
+            needed = may_load if needs_load else count > used.get(replica, 0)
             if needed:
                 self.preload(replica, count, MAINTENANCE_BUDGET_FRACTION)
 
--- a/lapistrestle/policy/slow_start.py
+++ b/lapistrestle/policy/slow_start.py
@@ -1,6 +1,8 @@
 """Slow start: a worker that has just started is not sent more than it can take, by all dispatchers together.
 
-The budget is derived in docs/design.md ("Cold workers", "Why the cold budget holds").
+The work answered per unit of warm size estimates what a unit of size can take; a worker in slow start gets a
+budget from that and from the fraction of its capacity that it has. Derivation: docs/design.md ("Cold
+workers", "Why the cold budget holds").
 """
 
 from typing import Final
@@ -16,7 +18,7 @@
 from lapistrestle.ticks import SECOND
 
 # Fraction of the budget that is used. The margin covers inaccurate sizes and traffic shares, and a region
-# that grows by two fifths within a second (docs/design.md).
+# that grows by two fifths within a second, as 0.7 is about 1 / 1.4 (docs/design.md).
 BUDGET_FRACTION: Final = 0.7
 # Advancing by the golden ratio conjugate in each window spreads the turns of a dispatcher evenly.
 GOLDEN_RATIO_STEP: Final = 0.618
@@ -42,7 +44,7 @@
         self.region = region
         self.latency = latency
         self.throughput = throughput
-        # work of ok answers, divided by the warm size at the time
+        # ticks of work of ok answers, each divided by the warm size when it was received
         self.ok_work = DecayingSum(LONG_TIME_CONSTANT, clock.now)
         self.cached_warm_size = 0.0
         self.warm_size_updated_at = -1  # tick; below 0: `cached_warm_size` is out of date
@@ -60,7 +62,11 @@
         return min(1.0, min_share + (1 - min_share) * age / self.settings.slow_start_duration)
 
     def warm_size(self) -> float:
-        """Return the total size of serving workers weighted by `share`; up to `WARM_SIZE_MAX_AGE` old."""
+        """Return the total size of serving workers, weighted by `share`; up to `WARM_SIZE_MAX_AGE` old.
+
+        The size of a worker is its relative capacity; `share` is the fraction of it that it has in slow
+        start.
+        """
         if self.region is not None:
             return float(self.region.warm_size)
         now = self.clock.now
@@ -75,11 +81,12 @@
         self.ok_work.add(self.clock.now, work / max(self.warm_size(), MIN_SIZE))
 
     def weight(self, request: Request) -> float:
-        """Return the ticks of work that the request puts on a worker in slow start. The latencies of its
-        function count if they exceed the typical latency of its method, as the function may be heavy; too
-        strict if it is only slow.
+        """Return the ticks of work that the request puts on a worker in slow start. If the latencies of its
+        function exceed the typical latency of its method, they count, as the function may be heavy. This
+        overestimates the work of a function that is slow without using the worker.
         """
         function = request.function
+        # while the isolated latency is not known: the least busy replica, whose latencies are closest to it
         windows = []
         if function.isolated_latency is None:
             windows = [replica.window for replica in function.replicas.values() if replica.window]
@@ -105,11 +112,15 @@
             return True
         now = self.clock.now
         window = self.settings.overload_window
+        # no budget if this dispatcher started after the worker and within the window: it may have sent before
         knows_sent = max(worker.booted_at or 0, now - window) >= self.clock.started
         rate = self.throughput.rate(self.ok_work) * worker.size * knows_sent
         budget = self.settings.overload_factor * self.share(worker, window) * window * rate
         weight = self.weight(request)
         typical = self.latency.typical(request.method)
+        # The turn is the fraction of the weight that must fit. It is a different one, from 0 to 1, at each
+        # dispatcher, and changes with the window and the worker, so that each dispatcher is the first to send
+        # now and then.
         dispatchers = self.settings.dispatcher_count
         phase = (self.settings.instance_index + 0.5) / dispatchers
         turn = (phase + GOLDEN_RATIO_STEP * (now // max(1, window) + worker.ring_position)) % 1
