--- a/lapistrestle/edge/connection_state.py
+++ b/lapistrestle/edge/connection_state.py
@@ -124,7 +124,7 @@
             effect(self)
         # further failures in a row are not logged
         again = self.state is ConnectionState.BACKOFF and self.failed_dials > 1
-        if self.state in LOGGED and before is not self.state and not again:
+        if self.state in LOGGED_STATES and before is not self.state and not again:
             self.log(f"{self.name} {before.value} to {self.state.value}: {len(self.in_flight)} in flight")
 
     # sending
@@ -170,7 +170,7 @@
         """Write a line; False if none of it was sent.
 
         It counts as in flight before it is written, so that a connection that breaks during the write reports
-        it as broken together with the others.
+        it as lost together with the others.
         """
         if line.number:
             self.in_flight[line.number] = None
@@ -239,7 +239,7 @@
             self.callbacks.report_not_sent(numbers)
 
     def fail_in_flight(self) -> None:
-        """Report all lines in flight as broken: they may have run."""
+        """Report all lines in flight as lost: they may have run."""
         numbers, self.in_flight = list(self.in_flight), {}
         if numbers:
             self.callbacks.report_lost(numbers)
@@ -247,8 +247,8 @@
     def back_off(self) -> None:
         """Back off before the next dial.
 
-        The delay doubles with each failure, plus a jitter, derived from the runner's name and the failure
-        count, so that connections lost together are not dialled again at the same moment.
+        The delay doubles with each failure, up to MAX_BACKOFF. A jitter, derived from the runner's name and
+        the failure count, keeps connections lost together from being dialled again at the same moment.
         """
         longest = min(MAX_BACKOFF, MIN_BACKOFF << min(self.failed_dials, 5))
         self.failed_dials += 1
@@ -265,40 +265,47 @@
             self.step(ConnectionEvent.LAST_FINISHED)
 
 
-LOGGED = (ConnectionState.SLOW, ConnectionState.BACKOFF, ConnectionState.CLOSING)
-_ = ConnectionStateMachine
+LOGGED_STATES = (ConnectionState.SLOW, ConnectionState.BACKOFF, ConnectionState.CLOSING)
+Effects = ConnectionStateMachine
 TRANSITIONS: dict[tuple[ConnectionState, ConnectionEvent], tuple[ConnectionState, tuple[Effect, ...]]] = {
-    (ConnectionState.IDLE, ConnectionEvent.LISTED): (ConnectionState.DIALING, (_.dial,)),
-    (ConnectionState.IDLE, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (_.dial,)),
-    (ConnectionState.IDLE, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (_.fail_queued,)),
-    (ConnectionState.DIALING, ConnectionEvent.ESTABLISHED): (ConnectionState.OPEN, (_.flush,)),
+    (ConnectionState.IDLE, ConnectionEvent.LISTED): (ConnectionState.DIALING, (Effects.dial,)),
+    (ConnectionState.IDLE, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (Effects.dial,)),
+    (ConnectionState.IDLE, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (Effects.fail_queued,)),
+    (ConnectionState.DIALING, ConnectionEvent.ESTABLISHED): (ConnectionState.OPEN, (Effects.flush,)),
     (ConnectionState.DIALING, ConnectionEvent.DIAL_FAILED): (
         ConnectionState.BACKOFF,
-        (_.fail_queued, _.back_off),
+        (Effects.fail_queued, Effects.back_off),
+    ),
+    (ConnectionState.DIALING, ConnectionEvent.LOST): (
+        ConnectionState.BACKOFF,
+        (Effects.fail_queued, Effects.back_off),
+    ),
+    (ConnectionState.DIALING, ConnectionEvent.REMOVED): (
+        ConnectionState.CLOSED,
+        (Effects.fail_queued, Effects.close),
     ),
-    (ConnectionState.DIALING, ConnectionEvent.LOST): (ConnectionState.BACKOFF, (_.fail_queued, _.back_off)),
-    (ConnectionState.DIALING, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (_.fail_queued, _.close)),
     (ConnectionState.OPEN, ConnectionEvent.WRITE_BLOCKED): (ConnectionState.SLOW, ()),
     (ConnectionState.OPEN, ConnectionEvent.LOST): (
         ConnectionState.BACKOFF,
-        (_.fail_queued, _.fail_in_flight, _.back_off),
+        (Effects.fail_queued, Effects.fail_in_flight, Effects.back_off),
     ),
+    # lines may be queued: the runner may be removed while `flush` writes them
     (ConnectionState.OPEN, ConnectionEvent.REMOVED): (
         ConnectionState.CLOSING,
-        (_.discard_unsent, _.close_if_idle),
-    ),  # removed during a flush: lines may be queued
-    (ConnectionState.SLOW, ConnectionEvent.WRITABLE): (ConnectionState.OPEN, (_.flush,)),
+        (Effects.discard_unsent, Effects.close_if_idle),
+    ),
+    (ConnectionState.SLOW, ConnectionEvent.WRITABLE): (ConnectionState.OPEN, (Effects.flush,)),
     (ConnectionState.SLOW, ConnectionEvent.LOST): (
         ConnectionState.BACKOFF,
-        (_.fail_queued, _.fail_in_flight, _.back_off),
+        (Effects.fail_queued, Effects.fail_in_flight, Effects.back_off),
     ),
     (ConnectionState.SLOW, ConnectionEvent.REMOVED): (
         ConnectionState.CLOSING,
-        (_.fail_queued, _.close_if_idle),
+        (Effects.fail_queued, Effects.close_if_idle),
     ),
-    (ConnectionState.BACKOFF, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (_.dial,)),
-    (ConnectionState.BACKOFF, ConnectionEvent.BACKOFF_ELAPSED): (ConnectionState.DIALING, (_.dial,)),
-    (ConnectionState.BACKOFF, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (_.fail_queued,)),
-    (ConnectionState.CLOSING, ConnectionEvent.LAST_FINISHED): (ConnectionState.CLOSED, (_.close,)),
-    (ConnectionState.CLOSING, ConnectionEvent.LOST): (ConnectionState.CLOSED, (_.fail_in_flight,)),
+    (ConnectionState.BACKOFF, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (Effects.dial,)),
+    (ConnectionState.BACKOFF, ConnectionEvent.BACKOFF_ELAPSED): (ConnectionState.DIALING, (Effects.dial,)),
+    (ConnectionState.BACKOFF, ConnectionEvent.REMOVED): (ConnectionState.CLOSED, (Effects.fail_queued,)),
+    (ConnectionState.CLOSING, ConnectionEvent.LAST_FINISHED): (ConnectionState.CLOSED, (Effects.close,)),
+    (ConnectionState.CLOSING, ConnectionEvent.LOST): (ConnectionState.CLOSED, (Effects.fail_in_flight,)),
 }
--- a/lapistrestle/edge/reactor.py
+++ b/lapistrestle/edge/reactor.py
@@ -11,9 +11,8 @@
 
 GC_THRESHOLDS = (50_000, 20, 100)  # of the three generations
 START_DELAY = 0.02  # seconds between the start of the reactor and that of the program
-TCP_INFO_LAST_RECEIVED = struct.Struct(
-    "=52xI"
-)  # tcpi_last_data_recv of the kernel's tcp_info, in milliseconds
+# tcpi_last_data_recv of the kernel's tcp_info, in milliseconds
+TCP_INFO_LAST_RECEIVED = struct.Struct("=52xI")
 
 
 def unread_for(sock: socket.socket) -> float:
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -58,7 +58,7 @@
             self.connections.remove(connection)
             self.pools.connections -= 1
 
-    def open_one(self) -> RunnerConnection | None:
+    def open_connection(self) -> RunnerConnection | None:
         """Open another connection; None if the limit is reached."""
         if len(self.connections) >= MAX_CONNECTIONS_PER_RUNNER or not self.pools.may_open():
             return None
@@ -75,29 +75,29 @@
         calls.
         """
         best: RunnerConnection | None = None
-        least, dialling = self.pools.max_calls, False
+        least, is_dialling = self.pools.max_calls, False
         for connection in list(self.connections):
             state_machine = connection.state_machine
             if connection.is_stale():  # the runner may be closing it; a call sent meanwhile may have run
                 connection.close()
                 continue
-            state, held = state_machine.state, len(state_machine.in_flight)
+            state, load = state_machine.state, len(state_machine.in_flight)
             if state is ConnectionState.OPEN:
-                if not held and connection not in used:
+                if not load and connection not in used:
                     return connection
             elif state in USABLE:
-                dialling = dialling or state is ConnectionState.DIALING
-                held += len(state_machine.queued) + NOT_OPEN_PENALTY
+                is_dialling = is_dialling or state is ConnectionState.DIALING
+                load += len(state_machine.queued) + NOT_OPEN_PENALTY
             else:
                 continue
             if connection in used:
                 continue
-            if held < least:
-                best, least = connection, held
+            if load < least:
+                best, least = connection, load
         if best is None:
-            return self.open_one()
-        if least and not dialling:
-            self.open_one()
+            return self.open_connection()
+        if least and not is_dialling:
+            self.open_connection()
         return best
 
     # sending
@@ -106,13 +106,15 @@
         """Send an attempt."""
         pending, message = worker_call.pending, worker_call.pending.message
         connection = worker_call.connection = self.pick(message.used_connections)
-        line = Line(worker_call.number, lambda: self.run_line(worker_call), worker_call.write_by, worker_call)
+        line = Line(
+            worker_call.number, lambda: self.call_line(worker_call), worker_call.write_by, worker_call
+        )
         if connection is None or not connection.send(pending.tag, line):
             self.core.host.attempt_finished(worker_call.number, Outcome.REJECTED)
             return
         message.used_connections.append(connection)
 
-    def run_line(self, worker_call: WorkerCall) -> bytes:
+    def call_line(self, worker_call: WorkerCall) -> bytes:
         """The line of an attempt, with the time left to it now."""
         message, time_left = worker_call.pending.message, worker_call.expires_at - self.core.clock()
         return b'{"verb":"RUN","rid":"%s","attrs":{%s,"budget":%d%s},"content":"%s"}\n' % (
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -134,7 +134,7 @@
 def open_connections(stage: Any) -> None:
     """Open a connection to every runner."""
     for runner in stage.node.core.runners.values():
-        runner.open_one()
+        runner.open_connection()
     stage.hand.until(
         lambda: all(
             connection.state_machine.state is ConnectionState.OPEN for connection in connections(stage)
@@ -500,9 +500,8 @@
 
 def test_a_watch_that_falls_silent_over_a_replacement_at_the_same_address_catches_up(stage: Any) -> None:
     stage.board.beats, old = False, stage.node.core.runners["s-00000001"]
-    stage.board.events[2] = board_frame(
-        2, 2, stage.row(0, state=2), board_row(9, stage.runners[0].port)
-    )  # never sent
+    # the event is on the board but was not sent
+    stage.board.events[2] = board_frame(2, 2, stage.row(0, state=2), board_row(9, stage.runners[0].port))
     stage.hand.run(2.6)
     stage.hand.until(lambda: "s-00000009" in stage.node.core.runners)
     assert list(stage.node.core.runners) == ["s-00000009"] and stage.board.asked == [0, 1]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -188,9 +188,8 @@
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
     configuration = parse_configuration(msgspec.json.encode(file), "config.json")
     assert configuration.platform.limits.try_limit >= 1 and configuration.settings.overload_factor >= 1
-    assert (
-        configuration.settings.connect_timeout > 0 and configuration.settings.preload_timeout > 0
-    )  # 0 would let no connection or preload succeed
+    # 0 would let no connection or preload succeed
+    assert configuration.settings.connect_timeout > 0 and configuration.settings.preload_timeout > 0
     Node(ManualReactor(), configuration, lambda what, **figures: None)
 
 
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -280,9 +280,8 @@
     return home
 
 
-FILLER = b"".join(
-    board_frame(1, WHOLE, *(board_row(1, 1) for _ in range(600))) for _ in range(4)
-)  # old events, 65 kB
+# 65 kB of old events
+FILLER = b"".join(board_frame(1, WHOLE, *(board_row(1, 1) for _ in range(600))) for _ in range(4))
 
 
 @pytest.mark.parametrize("state", [DRAINING, GONE], ids=["drains", "is gone"])
