--- a/lapistrestle/edge/connection_state.py
+++ b/lapistrestle/edge/connection_state.py
@@ -17,7 +17,7 @@
 class ConnectionState(Enum):
     """The state of the connection. Log lines show the values."""
 
-    IDLE = "idle"  # not dialled yet
+    IDLE = "idle"  # before the first dial
     DIALING = "dialing"  # until the runner has greeted
     OPEN = "open"
     SLOW = "slow"  # the socket accepts no more data
@@ -38,14 +38,14 @@
     WRITABLE = auto()  # the socket accepts data again
     BACKOFF_ELAPSED = auto()
     REMOVED = auto()  # the runner was removed from the list
-    LAST_FINISHED = auto()  # nothing is in flight any more
+    LAST_FINISHED = auto()  # nothing is in flight any more, so that a closing connection can be closed
 
 
 class WriteResult(Enum):
     """The result of an attempt to write a line."""
 
     WRITTEN = auto()
-    NOT_ALLOWED = auto()  # too late, or its work may not start
+    NOT_ALLOWED = auto()  # by a decision of this process: too late, or its work may not start
     BLOCKED = auto()  # the socket accepts no data
 
 
@@ -53,8 +53,8 @@
 
 MIN_BACKOFF, MAX_BACKOFF = 1_000, 20_000  # ticks of backoff between dials while no line is queued
 CLOSING_STATES = (ConnectionState.CLOSING, ConnectionState.CLOSED)
-MAX_QUEUED = 512  # queued lines; more are rejected, since a runner that far behind is as good as full
-PROMPT_WAIT = 50  # ticks that a preload may be queued: sent later, it would count in another budget window
+MAX_QUEUED = 512  # queued lines; more are rejected, since a runner that far behind has no capacity left
+PROMPT_WAIT = 50  # ticks that a preload may be queued: later it would count in another preload budget window
 
 
 class ConnectionCallbacks:
@@ -111,20 +111,21 @@
     state: ConnectionState = ConnectionState.IDLE
     prompt_wait: int = PROMPT_WAIT
     queued: deque[Line] = field(default_factory=deque)
-    in_flight: dict[int, None] = field(default_factory=dict)  # numbers of lines written and not finished
+    # numbers of lines written and not finished, oldest first
+    in_flight: dict[int, None] = field(default_factory=dict)
     failed_dials: int = 0  # consecutive failed dials
 
     def step(self, event: ConnectionEvent) -> None:
         """Enter the next state and carry out its effects; events that are not in the table are ignored."""
-        after = TRANSITIONS.get((self.state, event))
-        if after is None:
+        transition = TRANSITIONS.get((self.state, event))
+        if transition is None:
             return
-        before, (self.state, effects) = self.state, after
+        before, (self.state, effects) = self.state, transition
         for effect in effects:
             effect(self)
         # further failures in a row are not logged
-        again = self.state is ConnectionState.BACKOFF and self.failed_dials > 1
-        if self.state in LOGGED_STATES and before is not self.state and not again:
+        is_repeated_failure = self.state is ConnectionState.BACKOFF and self.failed_dials > 1
+        if self.state in LOGGED_STATES and before is not self.state and not is_repeated_failure:
             self.log(f"{self.name} {before.value} to {self.state.value}: {len(self.in_flight)} in flight")
 
     # sending
@@ -132,8 +133,9 @@
     def send(self, line: Line, prompt: bool = False) -> bool:
         """Write or queue a line; False if it is rejected.
 
-        With `prompt` it must be written now or within `self.prompt_wait` ticks, once the connection is made.
-        A line whose work may not start is reported by `report_not_sent`.
+        With `prompt` it must be written within `self.prompt_wait` ticks from now; it is queued for a
+        connection that is being made, but not for one that is slow. A line whose work may not start is
+        reported by `report_not_sent`.
         """
         if self.state in CLOSING_STATES or len(self.queued) >= MAX_QUEUED:
             return False
@@ -143,6 +145,7 @@
                 callbacks.report_not_sent([line.number])
             if result is not WriteResult.BLOCKED:
                 return True
+        # the state may have changed in `try_write`
         if self.state in CLOSING_STATES or (prompt and self.state is ConnectionState.SLOW):
             return False
         if prompt:
@@ -188,7 +191,10 @@
         return False
 
     def withdraw(self, number: int) -> bool:
-        """As `cancel_unsent`, but a line that has been written no longer counts as in flight."""
+        """Stop waiting for a line; True if it was queued, so that it was never sent.
+
+        A line that has been written no longer counts as in flight.
+        """
         if self.cancel_unsent(number):
             return True
         self.finished(number)
@@ -196,7 +202,7 @@
 
     def finished(self, number: int) -> bool:
         """The runner reported the end of this number; False if it was not in flight here."""
-        known = self.in_flight.pop(number, 0) is None
+        known = self.in_flight.pop(number, 0) is None  # the values are all None
         if self.state is ConnectionState.CLOSING and not self.in_flight:
             self.step(ConnectionEvent.LAST_FINISHED)
         return known
@@ -250,6 +256,7 @@
         The delay doubles with each failure, up to MAX_BACKOFF. A jitter, derived from the runner's name and
         the failure count, keeps connections lost together from being dialled again at the same moment.
         """
+        # MAX_BACKOFF is reached at a shift of 5, so larger ones are not needed
         longest = min(MAX_BACKOFF, MIN_BACKOFF << min(self.failed_dials, 5))
         self.failed_dials += 1
         self.callbacks.schedule_redial(
@@ -266,7 +273,7 @@
 
 
 LOGGED_STATES = (ConnectionState.SLOW, ConnectionState.BACKOFF, ConnectionState.CLOSING)
-Effects = ConnectionStateMachine
+Effects = ConnectionStateMachine  # its methods, by a short name for the table
 TRANSITIONS: dict[tuple[ConnectionState, ConnectionEvent], tuple[ConnectionState, tuple[Effect, ...]]] = {
     (ConnectionState.IDLE, ConnectionEvent.LISTED): (ConnectionState.DIALING, (Effects.dial,)),
     (ConnectionState.IDLE, ConnectionEvent.LINE_QUEUED): (ConnectionState.DIALING, (Effects.dial,)),
--- a/lapistrestle/edge/directory.py
+++ b/lapistrestle/edge/directory.py
@@ -1,7 +1,7 @@
 """An edge's client of the directory of instances.
 
 `directory.watcher` decides which holders are asked for what, and which answers are valid; this module carries
-out its effects. The connections are in `holders`, RPCs that wait for a look-up in `waiting`, and changes of
+out its effects. The connections are in `holders`, RPCs that wait for a lookup in `waiting`, and changes of
 instances are applied by `instances`. Times are ticks of 0.1 ms on the edge's clock. Imported only where a
 deployment has a directory.
 """
@@ -38,8 +38,11 @@
 
 
 def assignment_of(settings: Directory) -> Assignment:
-    """The replicas of each shard by the settings."""
-    shards = [tuple(ShardReplica(c.host, c.port, c.zone) for c in copies) for copies in settings.shards]
+    """The replicas of each shard, from the settings."""
+    shards = [
+        tuple(ShardReplica(replica.host, replica.port, replica.zone) for replica in replicas)
+        for replicas in settings.shards
+    ]
     return Assignment(settings.epoch, tuple(shards))
 
 
@@ -75,7 +78,7 @@
         self.connections = HolderConnections(edge, self)
         self.waiting_requests = WaitingRequests(edge, int(settings.lookup_time_out))
         self.instances = InstanceUpdates(edge, self.region)
-        self.valid_at = 0  # time at which the message being processed was valid
+        self.valid_at = 0  # time at which the sums in the message being processed were valid
         self.is_carrying_out = False
         self.timer: Timer | None = None
 
@@ -86,7 +89,7 @@
 
     def follow(self) -> None: ...
 
-    def read_now(self) -> None: ...  # left to the reactor
+    def read_now(self) -> None: ...  # its connections are read by the reactor only
 
     def is_current(self) -> bool:
         """Always: the watcher itself evicts instances whose state it can no longer rely on."""
@@ -100,7 +103,7 @@
     # RPCs
 
     def has_prefix(self, function: Function, method: str) -> bool:
-        """Whether the function's prefix is known, so that its RPC can be placed now."""
+        """Whether the function's prefix is known, so that its RPC can be placed; if not, start a lookup."""
         prefix = self.watcher.prefix_for(function.name, method, self.edge.clock())
         if prefix is not None and function.prefix is None:
             self.instances.set_prefix(function, prefix.names)
@@ -120,8 +123,9 @@
         prefix = worker_call.pending.function.prefix or ()
         if worker_call.worker in prefix:
             last = max(0, int(EXTENSION_THRESHOLD * len(prefix)) - 1)
-            place = min(prefix.index(worker_call.worker), last)
-            self.watcher.function_used(worker_call.pending.function.name, place, self.edge.clock())
+            # below the threshold, at which the watcher would extend the prefix
+            position = min(prefix.index(worker_call.worker), last)
+            self.watcher.function_used(worker_call.pending.function.name, position, self.edge.clock())
             if self.watcher.effects:  # without effects the next timer is unchanged
                 self.carry_out_effects()
 
@@ -164,19 +168,19 @@
                     self.carry_out_effect(effect)
         finally:
             self.is_carrying_out = False
-        self.schedule_tick()
+        self.schedule_watcher()
 
-    def schedule_tick(self) -> None:
-        """Schedule a tick for when the watcher is due next. A tick that comes early does no harm."""
+    def schedule_watcher(self) -> None:
+        """Schedule `run_watcher` for when the watcher is due next. A call that comes early does no harm."""
         due = self.watcher.next_due()
         if self.timer is not None and self.timer.when <= due:
             return
         if self.timer is not None:
             self.timer.stop()
-        self.timer = self.edge.after(max(0, due - self.edge.clock()), self.tick, None)
+        self.timer = self.edge.after(max(0, due - self.edge.clock()), self.run_watcher, None)
 
-    def tick(self, _: object) -> None:
-        """Let the watcher act on the time that has passed."""
+    def run_watcher(self, _: object) -> None:
+        """Let the watcher act on the time that has passed; on shutdown only while requests wait."""
         self.timer = None
         if not self.edge.stopping or self.waiting_requests:
             self.watcher.tick(self.edge.clock())
@@ -199,7 +203,7 @@
             case PrefixReady():
                 self.prefix_ready(effect)
             case LookupFailed():
-                self.waiting_requests.look_up_failed(effect.function, effect.retry_after)
+                self.waiting_requests.lookup_failed(effect.function, effect.retry_after)
             case RegionSumsChanged():
                 self.region.update(effect.sums, self.valid_at)
 
@@ -212,7 +216,7 @@
             functions[function] = None
         for function in functions:
             self.instances.set_prefix(function, effect.names)
-        self.waiting_requests.look_up_succeeded(effect.function)
+        self.waiting_requests.lookup_succeeded(effect.function)
 
     # operators
 
--- a/lapistrestle/edge/planner_source.py
+++ b/lapistrestle/edge/planner_source.py
@@ -108,7 +108,11 @@
         return PlannerLineConnection(self)
 
     def send_heartbeat(self, _: object, once: bool = False) -> None:
-        """Send a heartbeat, and unless `once` schedule the next. Cuts a connection that does not answer."""
+        """Send a heartbeat, and unless `once` schedule the next; close a connection that does not answer.
+
+        The heartbeat has the time on this edge's clock, which the planner returns in its answer, and the
+        number of the plan that this edge has.
+        """
         if (
             self.connection is not None
             and self.connection.is_greeted
@@ -175,12 +179,14 @@
         versions = (split.candidate, split.settled)
         known = [
             function
-            for name in (*versions, "")
+            for name in (*versions, "")  # "": the function without a version
             if (function := registry.functions.get(versioned_name(split.function, name))) is not None
         ]
         if not known or not self.owner.settings.may_preload:
             return split.next_weight, ""
+        # its memory, lanes and latencies stand for all versions; the unversioned function if it is known
         model = known[-1]
+        # calls in progress on average
         busy = sum(
             function.demand.read(module.now) / function.demand.time_constant
             for function in dict.fromkeys(known)
@@ -219,7 +225,7 @@
             function, edge.method_names[model.method]
         ):
             edge.directory.carry_out_effects()
-            # its prefix is being looked up
+            # the lookup of its prefix is in progress
             return replicas.ReplicaStatus(replicas.MIN_WORKERS, 0, replicas.Shortage.WORKERS)
         memory, idle_timeout = edge.settings.memory_by_kind, edge.settings.idle_timeout
         capacities: dict[replicas.WorkerCapacity, Worker] = {}
@@ -228,13 +234,14 @@
                 continue
             size = memory[worker.kind] if worker.kind < len(memory) else 0.0
             capacity = replicas.WorkerCapacity(
-                0,
+                0,  # set below, if copies are loaded there
                 replicas.replica_limit(size, function.memory_mb),
                 warming_up=module.slow_start.share(worker) < 1,
             )
             if (replica := function.replicas.get(worker)) is not None:
                 capacity.loaded = module.copies.believed_count(replica)
                 capacity.preload_pending = bool(replica.pending_preloads)
+                # unused copies are unloaded after the idle timeout: a preload in time renews them
                 capacity.recently_confirmed = module.now - replica.confirmed_at <= idle_timeout // 3
             capacities[capacity] = worker
 
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -1,6 +1,6 @@
-"""RPCs that wait for the directory look-up of their function's prefix.
+"""RPCs that wait for the directory lookup of their function's prefix.
 
-Each ends its wait once: when the prefix is known, when the look-up has failed, or at its own deadline.
+Each ends its wait once: when the prefix is known, when the lookup has failed, or at its own deadline.
 """
 
 from typing import Any
@@ -13,9 +13,9 @@
     """The waiting requests of one edge, by function, with counters. Times are ticks on the edge's clock."""
 
     def __init__(self, edge: Any, lookup_timeout: int) -> None:
-        """`lookup_timeout` is the time within which every look-up ends, in ticks."""
+        """`lookup_timeout` is the time within which every lookup ends, in ticks."""
         self.edge, self.lookup_timeout = edge, lookup_timeout
-        # with the timer of a deadline that comes before the look-up's timeout
+        # with the timer of a deadline that comes before the lookup's timeout
         self.by_function: dict[str, dict[PendingRequest, Timer | None]] = {}
         self.counts = dict.fromkeys(("waited", "looked up", "failed", "late"), 0)
 
@@ -47,7 +47,7 @@
             del self.by_function[pending.function.name]
         return True
 
-    def look_up_succeeded(self, function: str) -> None:
+    def lookup_succeeded(self, function: str) -> None:
         """The module has received the function's prefix: resume its requests."""
         waiting = self.of_function(function)
         self.counts["looked up"] += bool(waiting)
@@ -55,8 +55,8 @@
             self.leave(pending)
             self.edge.host.lookup_finished(pending)
 
-    def look_up_failed(self, function: str, retry_after: int) -> None:
-        """The look-up of the function's prefix failed: reject its requests."""
+    def lookup_failed(self, function: str, retry_after: int) -> None:
+        """The lookup of the function's prefix failed: reject its requests."""
         self.counts["failed"] += 1
         for pending in self.of_function(function):
             self.reject(pending, retry_after)
