--- a/lapistrestle/directory/roster_freshness.py
+++ b/lapistrestle/directory/roster_freshness.py
@@ -91,7 +91,7 @@
                 f"{text}, {(now - self.last_received_at) / MILLISECOND:.0f} ms after the last roster message"
             )
 
-    def record_call(self, now: int, entries: int = 0) -> None:
+    def detect_stall(self, now: int, entries: int = 0) -> None:
         """Detect a stall of the process by a late call; `entries` is the length of the list received."""
         allowance = self.settings.stall_threshold + self.work_allowance + int(entries * TICKS_PER_ENTRY_READ)
         if now - self.last_call_at > allowance:
--- a/lapistrestle/directory/shard_holder.py
+++ b/lapistrestle/directory/shard_holder.py
@@ -49,7 +49,7 @@
 from lapistrestle.wire.messages import Message, RosterEntry
 
 BURST_SECONDS = 2.0  # burst of all sessions together, in seconds of the byte rate
-MAX_BYTE_DEBT = SECOND  # wait for the byte limit above which even lookups that calls wait for are postponed
+MAX_BYTE_LIMIT_WAIT = SECOND  # if longer, even lookups that calls wait for are postponed
 UNCHANGED_COST = 0.6  # in snapshots: it takes 12 us of processor time, a snapshot 20
 MAX_INSPECTED_INSTANCES = 64  # instances listed in an answer to an operator
 
@@ -72,7 +72,7 @@
             settings, now, lambda: self.effects.append(RequestRosterSnapshot()), log
         )
         self.revision = Revision()
-        self.superseded = list[str]()  # earlier sources, oldest first
+        self.superseded = list[str]()  # earlier sources (epochs of the roster), oldest first
         rate, burst, max_retry_after = (
             settings.snapshot_rate,
             settings.snapshot_burst,
@@ -97,10 +97,10 @@
         Called in order and without gaps, which `sources/numbered_list.py` ensures.
         """
         listed = list(entries)
-        self.freshness.record_call(now, len(listed))
+        self.freshness.detect_stall(now, len(listed))
         if revision.source == self.revision.source and revision.number < self.revision.number:
             self.close_all_sessions(revision)
-        if self.revision.source not in ("", revision.source):
+        if self.revision.source not in ("", revision.source):  # the roster was restarted
             self.superseded = [*self.superseded, self.revision.source][-MOST_SUPERSEDED:]
         self.revision = revision
         changes = self.instances.apply(listed, complete, now)
@@ -121,20 +121,20 @@
         Not to be called for `RequestRosterSnapshot`. Without this call, a list that was in flight during a
         stall would be mistaken for the answer to the request that the holder sends after the stall.
         """
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         self.freshness.snapshot_requested(now)
 
     def snapshot_discarded(self, now: int) -> None:
         """A complete list was received but discarded, so the request that it answered stays unanswered."""
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         self.freshness.snapshot_discarded(now)
 
     def roster_lost(self, now: int) -> None:
         """The connection to the roster was lost, or the roster can't answer.
 
-        Until the next complete list the age of the holder's data grows, and watchers are told the age.
+        Until the next complete list the age of the holder's data grows, and the age is sent to watchers.
         """
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         self.freshness.roster_lost(now)
 
     def queue_changes(self, changes: Changes, now: int) -> None:
@@ -151,7 +151,7 @@
             self.notify_of(name, now + self.settings.batch_delay, False)
 
     def urgent_due(self, name: str, now: int) -> int:
-        """When an urgent change is sent: soon, but of a flapping instance only as often as other changes."""
+        """When an urgent change is sent: after `urgent_delay`, at most one per instance and `batch_delay`."""
         instance = self.instances.known.get(name)
         if instance is None:
             return now + self.settings.urgent_delay
@@ -170,7 +170,7 @@
 
     def session_opened(self, number: int, now: int) -> None:
         """A watcher has connected and greeted. Session numbers must be unique."""
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         if len(self.sessions.all) >= self.settings.max_sessions:
             self.effects.append(CloseSession(number, f"{self.settings.max_sessions} watchers are connected"))
             return
@@ -178,7 +178,7 @@
 
     def session_closed(self, number: int, now: int) -> None:
         """A session has ended; an unknown one is ignored."""
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         session = self.sessions.all.get(number)
         if session is not None:
             self.remove_session(session)
@@ -196,7 +196,7 @@
 
     def message_received(self, number: int, message: WatcherMessage, now: int) -> None:
         """A watcher has sent a message."""
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         session = self.sessions.all.get(number)
         if session is None:
             return
@@ -224,6 +224,7 @@
             self.send(session, refused)
             return
         cost = UNCHANGED_COST if request.digest else 1.0
+        # a watcher without the prefix has calls that wait for it
         wait = self.snapshot_limit.retry_after(
             now, cost, not request.has_prefix, self.exceeds_byte_limit(request, now)
         )
@@ -241,7 +242,7 @@
 
     def exceeds_byte_limit(self, request: Watch, now: int) -> bool:
         """Whether this snapshot has to wait because of the byte limit."""
-        allowed = MAX_BYTE_DEBT if not request.has_prefix else 0
+        allowed = MAX_BYTE_LIMIT_WAIT if not request.has_prefix else 0
         return not request.digest and self.byte_limit.wait(now) > allowed
 
     def answer(self, session: Session, request: Watch, now: int) -> None:
@@ -291,7 +292,7 @@
             self.watched.unwatch(function, session.number)
 
     def renew(self, session: Session, request: Renew, now: int) -> None:
-        """Renew a lease. No answer is sent while catching up, so that the watcher fails over."""
+        """Renew a lease. While watches are refused as outdated, no answer is sent: the watcher fails over."""
         if not self.freshness.may_answer:
             return
         self.sessions.renew(session, now + self.settings.lease)
@@ -305,7 +306,7 @@
 
     def replace_settings(self, settings: HolderSettings, now: int) -> None:
         """Apply new settings; those of an older epoch are ignored."""
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         if settings.epoch < self.settings.epoch:
             self.log(f"settings of epoch {settings.epoch} ignored: epoch {self.settings.epoch} is current")
             return
@@ -324,7 +325,7 @@
 
     def tick(self, now: int) -> None:
         """Expire leases and send batches; to be called at `next_due` or soon after."""
-        self.freshness.record_call(now)
+        self.freshness.detect_stall(now)
         self.freshness.tick(now)
         for session in self.sessions.expired(now):
             self.close(session, "no renewal within the lease")
@@ -333,8 +334,8 @@
 
     def flush(self, session: Session, now: int) -> None:
         """Send a batch within the byte limits; urgent changes are sent regardless of them."""
-        wait = max(session.byte_limit.wait(now), self.byte_limit.wait(now))
-        make = self.batches.urgent_update if wait else self.batches.full_update
+        limit_wait = max(session.byte_limit.wait(now), self.byte_limit.wait(now))
+        make = self.batches.urgent_update if limit_wait else self.batches.full_update
         update = make(session, self.revision, now)
         if update is not None:
             size = line_bytes(update)
--- a/lapistrestle/directory/watcher.py
+++ b/lapistrestle/directory/watcher.py
@@ -1,8 +1,10 @@
-"""The state machine of a directory client: it caches the prefixes of the functions that a dispatcher calls.
+"""The watcher: a dispatcher's client of the directory, which caches the prefixes of the functions it calls.
+
+Functions are divided into shards; holders serve the shards, and send changes of watched functions to
+watchers. Watches are valid under a lease, which the watcher renews and which starts when its request is sent.
 
 Free of I/O: events are method calls that get the current time, and their results are the effects returned by
-`take_effects`. Times are whole ticks of 0.1 ms on the dispatcher's own clock; a lease starts when its request
-is sent.
+`take_effects`. Times are whole ticks of 0.1 ms on the dispatcher's own clock.
 
 Its parts: lookups that calls wait for (`lookups.py`), watch requests (`watch_requests.py`), leases
 (`leases.py`), connections and failover (`shard_connections.py`), the cache (`prefix_cache.py`) and the
@@ -29,8 +31,9 @@
 from lapistrestle.wire.directory import LONGEST_PREFIX, HolderMessage
 
 EXTENSION_THRESHOLD = 0.75  # of a prefix; a call beyond it triggers the request of a longer one
-SHRINK_DIVISOR = 4  # a prefix of which less than 1/4 is used is halved
-STALL_HEARTBEATS = 2  # a longer gap between calls means that the dispatcher itself was stalled
+SHRINK_DIVISOR = 4  # a prefix of which less than 1/4 was used since the last review is halved
+STALL_HEARTBEATS = 2  # a longer gap between events means that the dispatcher itself was stalled
+MAX_UNREACHABLE_RETRY = SECOND  # longest retry time of a lookup while no replica can be reached
 
 
 class DirectoryWatcher:
@@ -64,7 +67,7 @@
             self.emit, log,
         )  # fmt: skip
         self.last_call_at = now
-        self.review_at = now + settings.idle_timeout
+        self.review_at = now + settings.idle_timeout  # next review of the prefixes' lengths
 
     def emit(self, effect: WatcherEffect) -> None:
         """Add an effect to those that `take_effects` returns."""
@@ -116,7 +119,7 @@
         lookup time-out, or at once if no holder can be reached. Further calls of the same function share the
         pending lookup.
         """
-        self.record_call(now)
+        self.detect_stall(now)
         cached = self.functions.get(function)
         if cached is None:
             if len(self.functions) >= self.settings.max_functions:
@@ -131,7 +134,7 @@
         return None
 
     def watch_function(self, name: str, method: str, now: int) -> CachedFunction:
-        """Start watching a function."""
+        """Start watching a function; without a ready connection the request is sent once there is one."""
         number = self.assignment.shard_of(name)
         function = CachedFunction(name, method, number, self.settings.first_count, now)
         self.functions[name] = function
@@ -147,7 +150,7 @@
         """Start a lookup of this function; it fails at once if no replica can be reached."""
         shard = self.shards[function.shard]
         if shard.unreachable:
-            self.lookups.fail(function.name, max(0, min(shard.dial_at, now + SECOND) - now))
+            self.lookups.fail(function.name, max(0, min(shard.dial_at, now + MAX_UNREACHABLE_RETRY) - now))
             return
         self.lookups.start(function, now)
 
@@ -172,7 +175,7 @@
         that each takes effect before the next one: otherwise an overload would extend the prefix to all
         instances within a few round trips.
         """
-        self.record_call(now)
+        self.detect_stall(now)
         cached = self.functions.get(function)
         if cached is None or (cached.has_prefix and cached.complete):
             return False
@@ -195,7 +198,7 @@
 
     def replace_assignment(self, assignment: Assignment, now: int) -> None:
         """Switch to a new assignment; one that is not of a higher epoch is ignored."""
-        self.record_call(now)
+        self.detect_stall(now)
         if assignment.epoch <= self.assignment.epoch:
             self.log(f"assignment {assignment.epoch} ignored: epoch {self.assignment.epoch} is current")
             return
@@ -206,7 +209,7 @@
 
     def connection_ready(self, connection: int, now: int) -> None:
         """A connection is established: both ends have greeted."""
-        self.record_call(now)
+        self.detect_stall(now)
         ready = self.shard_connections.mark_ready(connection, now)
         if ready is not None:
             self.leases.renew(ready, now)
@@ -214,25 +217,25 @@
 
     def connection_failed(self, connection: int, now: int) -> None:
         """A connection could not be opened."""
-        self.record_call(now)
+        self.detect_stall(now)
         self.shard_connections.fail_connection(connection, "connection failed", now)
 
     def connection_lost(self, connection: int, now: int) -> None:
         """A connection broke, or the holder closed it."""
-        self.record_call(now)
+        self.detect_stall(now)
         self.shard_connections.fail_connection(connection, "connection lost", now)
 
     def message_received(self, connection: int, message: HolderMessage, now: int) -> None:
         """A holder has sent a message; on a closed connection it is ignored."""
-        self.record_call(now)
+        self.detect_stall(now)
         known = self.connections.get(connection)
         if known is not None:
             self.messages.receive(known, message, now)
 
     # time
 
-    def record_call(self, now: int) -> None:
-        """Detect a stall of the dispatcher by a late call; silence of holders during one doesn't count."""
+    def detect_stall(self, now: int) -> None:
+        """Detect a stall by the time since the last event; silence of holders in that time doesn't count."""
         gap = now - self.last_call_at
         self.last_call_at = max(now, self.last_call_at)
         if gap > STALL_HEARTBEATS * self.settings.heartbeat:
@@ -240,7 +243,7 @@
 
     def tick(self, now: int) -> None:
         """Handle time-outs and retries; to be called at `next_due` or soon after."""
-        self.record_call(now)
+        self.detect_stall(now)
         self.lookups.expire(now)
         self.retry_due_watches(now)
         for shard in list(self.shards.values()):
@@ -291,8 +294,8 @@
         """Request a shorter prefix if little of a long one was used since the last review."""
         used = function.furthest_used
         function.furthest_used = 0
-        is_long = function.count > self.settings.first_count
-        if is_long and used < function.count // SHRINK_DIVISOR and function.watch >= 0:
+        was_extended = function.count > self.settings.first_count
+        if was_extended and used < function.count // SHRINK_DIVISOR and function.watch >= 0:
             function.count = max(self.settings.first_count, function.count // 2)
             self.send_watch_if_connected(function, now)
 
--- a/lapistrestle/fleet/quota_share.py
+++ b/lapistrestle/fleet/quota_share.py
@@ -29,7 +29,7 @@
     """Durations and limits of leases. Durations are whole ticks of 0.1 ms."""
 
     lease_duration: int = 4 * SECOND
-    settling_time: int = SECOND  # use counts for so long afterwards: a rate window, or work in flight
+    settling_time: int = SECOND  # for which use counts after its end: a rate window, or work in flight
     clock_drift: float = 0.1  # maximum drift of a clock, as a fraction
     reserved_part: float = 0.5  # fraction of own units that is never leased out
 
@@ -70,16 +70,15 @@
             next_start = total_units * (member_index + 1) // members
             self.own_units = next_start - total_units * member_index // members
         self.reserved = int(self.own_units * settings.reserved_part)
-        self.full_share_from = (
-            now + self.longest_lease()
-        )  # before it, leases of the previous process may be valid
+        # earlier, leases granted by the previous process may still be valid
+        self.full_share_from = now + self.longest_lease()
         self.leased_out: dict[LeaseKey, Lease] = {}
         self.borrowed: dict[LeaseKey, Lease] = {}
         self.open_requests: dict[int, OpenRequest] = {}  # by number
         self.use_samples: deque[UseSample] = deque()  # units decreasing, so that the first is the peak
         self.last_number = now  # so that no request number of the previous process is reused
         self.demand = 0  # units wanted
-        self.is_suspended = False  # displaced or left: no units may be used
+        self.is_suspended = False  # not a member of the fleet: no units may be used
 
     def longest_lease(self) -> int:
         """Time on the local clock after which every lease requested before has expired everywhere."""
@@ -137,15 +136,16 @@
     def on_grant(self, lender: ProcessId, grant: LeaseGrant, now: int) -> None:
         """Borrow the units of a grant, once, with a lease that starts at the request.
 
-        A grant to the previous process under the same request number differs in the time of the request.
+        A grant that arrives after the end of its lease is ignored. Should a request number of the previous
+        process be reused all the same, its grant differs in the time of the request.
         """
         request = self.open_requests.get(grant.number)
         if request != (lender, grant.requested_at) or grant.quota != self.name:
             return
         del self.open_requests[grant.number]
         settings = self.settings
-        longest = min(grant.duration, settings.lease_duration) * (1 - settings.clock_drift)
-        until = grant.requested_at + int(longest - settings.settling_time)
+        safe_duration = min(grant.duration, settings.lease_duration) * (1 - settings.clock_drift)
+        until = grant.requested_at + int(safe_duration - settings.settling_time)
         if now < until:
             self.borrowed[lender, grant.number] = Lease(grant.units, until)
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1288,10 +1288,10 @@
 
 
 def test_checks_detect_a_holder_that_answers_right_after_a_stall(monkeypatch):
-    def called(self, now, entries=0):
+    def detect_nothing(self, now, entries=0):
         self.last_call_at = now
 
-    monkeypatch.setattr(RosterFreshness, "record_call", called)
+    monkeypatch.setattr(RosterFreshness, "detect_stall", detect_nothing)
     assert any("before it stood still" in violation for violation in violations_of(range(3)))
 
 
