--- a/lapistrestle/command/fleets.py
+++ b/lapistrestle/command/fleets.py
@@ -65,7 +65,7 @@
         names = ", ".join(m["name"] for m in state["members"]) or "nobody"
         raise click.ClickException(f"{state['name']} does not know {member}; it knows {names}")
     since = f"{found['for ms'] / 1000:.1f} s"
-    accusers = ", ".join(found["accused by"]) or "a member"
+    accusers = ", ".join(found["accused by"]) or "somebody"
     reason = {
         "alive": f"it has been alive for {since}",
         "suspect": f"for {since} it has not answered {accusers}, directly or through others; it counts as a "
