--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -13,6 +13,11 @@
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
+CONNECT_TIMEOUT = 0.5  # seconds
+CONNECT_RETRY_DELAY = 0.1  # seconds before a client connects again, or looks again for a connected edge
+ABUSIVE_ATTEMPTS = 30  # attempts at most of a client that retries at once
+ABUSIVE_RETRY_DELAY = 0.005  # seconds
+
 
 @dataclass
 class ClientBehaviour:
@@ -23,7 +28,7 @@
     patience: tuple[float, float] = (0.5, 1.0)  # an attempt is given up after this part of the deadline
     marks_retries: bool = True  # retries are marked
     respects_retry_after: bool = True  # retry_after is respected
-    abuse: float = 0.0  # share of RPCs whose client retries at once, up to 30 attempts
+    abuse: float = 0.0  # share of RPCs whose client retries at once, up to `ABUSIVE_ATTEMPTS`
 
 
 @dataclass(eq=False)
@@ -94,16 +99,16 @@
     def connect(self) -> None:
         if not self.stopped:
             if self.port():
-                self.pool.reactor.connectTCP("127.0.0.1", self.port(), self, timeout=0.5)
+                self.pool.reactor.connectTCP("127.0.0.1", self.port(), self, timeout=CONNECT_TIMEOUT)
             else:
-                self.pool.reactor.callLater(0.1, self.connect)
+                self.pool.reactor.callLater(CONNECT_RETRY_DELAY, self.connect)
 
     def buildProtocol(self, addr: Any) -> ClientSideConnection:
         self.count += 1
         return ClientSideConnection(self, f"{self.edge}/client{self.count}")
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.pool.reactor.callLater(0.1, self.connect)
+        self.pool.reactor.callLater(CONNECT_RETRY_DELAY, self.connect)
 
     def on_disconnected(self, connection: ClientSideConnection) -> None:
         """Calls that were open here may have run: they are retried only if that is safe."""
@@ -118,7 +123,7 @@
                 self.pool.retry(request, 0.0)
             else:
                 self.pool.fail(request)
-        self.pool.reactor.callLater(0.1, self.connect)
+        self.pool.reactor.callLater(CONNECT_RETRY_DELAY, self.connect)
 
     def send(self, request: ClientRequest) -> None:
         assert self.active_connection is not None
@@ -199,7 +204,7 @@
             if link.active_connection is not None and not link.active_connection.closed:
                 self.counts["tries"] += 1
                 return link.send(request)
-        self.reactor.callLater(0.1, self.attempt, request)
+        self.reactor.callLater(CONNECT_RETRY_DELAY, self.attempt, request)
 
     def on_verdict(self, request: ClientRequest, verdict: str, retry_after: float) -> None:
         if verdict == "ok":
@@ -216,8 +221,8 @@
 
     def retry(self, request: ClientRequest, retry_after: float) -> None:
         wait = self.behaviour.retry_delay * self.random.uniform(1, 2)
-        if request.retries_at_once and request.attempts < 30:
-            self.reactor.callLater(0.005, self.attempt, request)
+        if request.retries_at_once and request.attempts < ABUSIVE_ATTEMPTS:
+            self.reactor.callLater(ABUSIVE_RETRY_DELAY, self.attempt, request)
         elif request.attempts <= self.behaviour.retries:
             self.reactor.callLater(max(wait, retry_after), self.attempt, request)
         else:
--- a/lapistrestle/standins/roster.py
+++ b/lapistrestle/standins/roster.py
@@ -9,6 +9,8 @@
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
+MAX_UP_FOR = 86_400_000.0  # milliseconds; a longer time since the start is published as this
+
 
 class RosterStandIn:
     """Changes are recorded when they happen and published `lag` seconds later, with `up_for` as of then."""
@@ -45,7 +47,7 @@
             follower.send_message(change)
 
     def with_up_for(self, entry: wire.RosterEntry, booted_at: float) -> wire.RosterEntry:
-        up_for = round(min(86_400_000.0, max(0.0, self.reactor.seconds() - booted_at) * 1000), 1)
+        up_for = round(min(MAX_UP_FOR, max(0.0, self.reactor.seconds() - booted_at) * 1000), 1)
         return wire.RosterEntry(
             entry.name, entry.port, entry.zone, entry.cell, entry.kind, entry.size, entry.listing,
             entry.start, up_for,
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -14,12 +14,16 @@
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineLimits, message_decoder
 
+MAX_UP_FOR = 86_400_000.0  # milliseconds; a longer time since the start is reported as this
+DEFAULT_LOAD_TIME = 500.0  # milliseconds to load a copy of a function that the day does not know
+LONG_AGO = -1e9  # seconds: a token that has not taken effect
+
 
 class Body(msgspec.Struct):
     """Body of a stand-in client's call: its true work and load time, in milliseconds."""
 
     work: float = 1.0
-    load: float = 500.0
+    load: float = DEFAULT_LOAD_TIME
 
 
 BODY = msgspec.json.Decoder(Body)
@@ -56,7 +60,8 @@
 
     def is_repeat(self, function: str, token: int | None, arrived_at: float, remembered: float) -> bool:
         return (
-            token is not None and self.took_effect_at.get((function, token), -1e9) >= arrived_at - remembered
+            token is not None
+            and self.took_effect_at.get((function, token), LONG_AGO) >= arrived_at - remembered
         )
 
     def record(self, function: str, token: int | None, now: float) -> None:
@@ -80,8 +85,8 @@
         self.network_faults = NetworkFaults(seed=start)
         self.engine = Engine(reactor, spec, store, self.collapse, cold)
         self.version_faults: dict[str, VersionFault] = {}  # by the name of a version
-        self.chance = NetworkFaults(seed=start + 1)
-        self.engine.load_fails = lambda function: self.chance.chance(
+        self.random_source = NetworkFaults(seed=start + 1)
+        self.engine.load_fails = lambda function: self.random_source.draw(
             self.version_faults.get(function, NO_FAULT).load_errors
         )
         self.connections: dict[RunnerServerConnection, None] = {}
@@ -95,7 +100,7 @@
 
     def up_for(self) -> float:
         """Milliseconds since the start."""
-        return min(86_400_000.0, round((self.reactor.seconds() - self.engine.booted) * 1000, 1))
+        return min(MAX_UP_FOR, round((self.reactor.seconds() - self.engine.booted) * 1000, 1))
 
     def hello(self) -> wire.Hello:
         return wire.Hello(
@@ -143,7 +148,7 @@
                 if task := self.tasks.get((peer, message.call_id)):
                     engine.cancel(task)
             case wire.PreloadRequest():
-                load = self.load_times.get(message.function, 500.0) / 1000
+                load = self.load_times.get(message.function, DEFAULT_LOAD_TIME) / 1000
 
                 def on_preloaded(outcome: Any, count: int) -> None:
                     engine.when_running(lambda: send(wire.PreloadResult(message.preload_id, outcome, count)))
@@ -188,7 +193,7 @@
 
         def on_finished(task: Task, outcome: Any, load_state: Any, details: dict[str, Any]) -> None:
             self.tasks.pop((peer, run.call_id), None)
-            if outcome == "ok" and self.chance.chance(fault.errors):
+            if outcome == "ok" and self.random_source.draw(fault.errors):
                 outcome = "error"
             send(
                 wire.RunFinished(
--- a/lapistrestle/standins/store.py
+++ b/lapistrestle/standins/store.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+REJECTION_TIME = 0.005  # seconds until a rejected fetch fails
+
 
 @dataclass
 class StoreSpec:
@@ -38,7 +40,7 @@
         fetch = Fetch(done)
         if now < self.stopped_until or self.active >= spec.limit:
             self.turned_away += 1
-            self.reactor.callLater(0.005, self.end, fetch, False)
+            self.reactor.callLater(REJECTION_TIME, self.end, fetch, False)
             return fetch
         self.active += 1
         self.fetched += 1
--- a/lapistrestle/standins/tape.py
+++ b/lapistrestle/standins/tape.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+CUT_LINE_LENGTH = 2_000  # characters recorded of an incomplete last line
 ENCODE = msgspec.json.Encoder(order="deterministic").encode
 
 
@@ -44,7 +45,7 @@
     def end(self) -> None:
         """Records an incomplete last line as cut off."""
         if self.partial_line:
-            text = self.partial_line.decode("utf-8", "backslashreplace")[:2_000]
+            text = self.partial_line.decode("utf-8", "backslashreplace")[:CUT_LINE_LENGTH]
             self.tape.put(self.connection, self.direction, line=text, cut=True)
             self.partial_line = b""
 
--- a/lapistrestle/standins/taped_connection.py
+++ b/lapistrestle/standins/taped_connection.py
@@ -20,15 +20,15 @@
     garble: float = 0.0  # share of lines with a corrupted byte
     cut: float = 0.0  # share of lines in the middle of which the connection breaks
     seed: int = 0
-    draws: int = 0
+    draw_count: int = 0
 
-    def chance(self, part: float) -> bool:
+    def draw(self, part: float) -> bool:
         """True with probability `part`. A probability of 0 uses up no draw, so that days without the fault
         keep their sequence of random numbers."""
         if not part:
             return False
-        self.draws += 1
-        return crc32(f"{self.seed}:{self.draws}".encode()) % 10_000 < part * 10_000
+        self.draw_count += 1
+        return crc32(f"{self.seed}:{self.draw_count}".encode()) % 10_000 < part * 10_000
 
 
 class TapedConnection(LineConnection):
@@ -56,10 +56,10 @@
         faults = self.faults
         if self.closed or faults.silent:
             return
-        if faults.chance(faults.garble):
+        if faults.draw(faults.garble):
             middle = len(line) // 2
             line = line[:middle] + b"\xff{" + line[middle + 1 :]
-        if faults.chance(faults.cut):
+        if faults.draw(faults.cut):
             self.schedule_write(line[: len(line) // 2], self.break_off)
         elif faults.split:
             middle = len(line) // 2
--- a/lapistrestle/standins/world.py
+++ b/lapistrestle/standins/world.py
@@ -26,6 +26,7 @@
 from lapistrestle.wire.messages import RosterEntry
 from lapistrestle.wire.plans import RolloutCommand
 
+FIRST_REQUEST_DELAY = 0.5  # seconds from the start of the traffic to the first request
 FIRST_GOSSIP_PORT = 46_000  # first port for gossip between edges, in virtual time
 
 
@@ -285,7 +286,7 @@
 
     def start_traffic(self) -> None:
         """Starts the clients' traffic and schedules the rollouts."""
-        self.reactor.callLater(0.5, self.submit_and_schedule)
+        self.reactor.callLater(FIRST_REQUEST_DELAY, self.submit_and_schedule)
         if self.planner is not None:
             self.schedule_rollouts()
 
