--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale tests: what each role of the fleet costs as the fleet grows, measured on the program's own code."""
+"""Scale tests: the cost of each role of the fleet by size of the fleet, measured on the production code."""
--- a/benchmarks/scale/assumptions.py
+++ b/benchmarks/scale/assumptions.py
@@ -1,4 +1,4 @@
-"""The input table of the scale tests: target figures and assumptions, typed and checked."""
+"""Input of the scale tests: the target's figures and the assumptions, typed and validated."""
 
 import math
 from collections.abc import Iterator
@@ -9,12 +9,12 @@
 import msgspec
 from msgspec import Meta, Struct
 
-FILE = Path(__file__).with_name("assumptions.json5")
+ASSUMPTIONS_FILE = Path(__file__).with_name("assumptions.json5")
 
 DAY = 86_400.0  # seconds
 MINUTE = 60.0  # seconds
-QUICK_IDLE = 10.0  # seconds
-CHANGES_OF_A_LIFE = 3  # of an instance: it begins, drains, is gone
+QUICK_IDLE_SECONDS = 10.0
+CHANGES_PER_INSTANCE = 3  # it starts, drains and is gone
 
 Count = Annotated[int, Meta(ge=1)]
 Positive = Annotated[float, Meta(gt=0)]
@@ -22,7 +22,7 @@
 
 
 class Table(Struct, frozen=True, forbid_unknown_fields=True):
-    """What all groups share."""
+    """Base of all groups of the input."""
 
 
 class Target(Table, frozen=True, forbid_unknown_fields=True):
@@ -33,13 +33,13 @@
     functions: Count
     calls_per_second: Positive
     cold_start_seconds: Positive
-    cold_start_part: Share  # of the cold starts that keep to it
+    cold_start_part: Share  # of the cold starts that must meet it
     regions: Count
     zones: Count
     changes_per_day: Positive
     change_within_seconds: Positive
     control_machines: Count
-    control_cores: Positive  # of a dispatcher's cores, spent for control
+    control_cores: Positive  # of a dispatcher, spent for control
     control_bytes: Positive  # of a dispatcher's memory
     control_bytes_per_second: Positive
     failures_per_day: Positive
@@ -59,14 +59,14 @@
 
     @property
     def calls_per_dispatcher(self) -> float:
-        """A second."""
+        """Calls per second at one dispatcher."""
         return self.calls_per_second / self.dispatchers
 
 
 class Spread(Table, frozen=True, forbid_unknown_fields=True):
-    """How calls spread over functions: rank r is called in proportion to (r + offset) ** -exponent.
+    """Distribution of calls over functions: the rate at rank r is proportional to (r + offset) ** -exponent.
 
-    Without an offset this is Zipf's law; with one it is Mandelbrot's, whose few most called are more alike.
+    Without an offset this is Zipf's law; with one it is the Zipf-Mandelbrot law, whose top ranks are closer.
     """
 
     name: str
@@ -74,7 +74,7 @@
     offset: Annotated[float, Meta(ge=0)] = 0.0
 
     def rates(self, functions: int, calls_per_second: float) -> list[float]:
-        """Calls a second of each function, the most called first."""
+        """Calls per second of each function, in descending order."""
         weights = [(rank + self.offset) ** -self.exponent for rank in range(1, functions + 1)]
         scale = calls_per_second / sum(weights)
         return [weight * scale for weight in weights]
@@ -90,7 +90,7 @@
 
 
 class Restarts(Table, frozen=True, forbid_unknown_fields=True):
-    """How the day's restarts are spread."""
+    """How a day's restarts and changes are distributed."""
 
     busiest_hour_part: Share  # of the day's restarts, in the busiest hour
     burst_changes_part: Share  # of the day's changes of configuration, in the worst minute
@@ -100,12 +100,12 @@
     """The life of an instance."""
 
     life_seconds: Positive
-    idle_seconds: Positive  # without a call, before it is taken down
+    idle_seconds: Positive  # without a call, before it is stopped
     name_bytes: Count
 
 
 class Cold(Table, frozen=True, forbid_unknown_fields=True):
-    """Cold calls and what a cold start takes."""
+    """The share of cold calls, and the durations of a cold start's phases."""
 
     part_of_calls: Share
     load_seconds: Positive
@@ -114,22 +114,22 @@
 
 
 class Network(Table, frozen=True, forbid_unknown_fields=True):
-    """How long a message takes one way."""
+    """One-way latency of a message."""
 
     in_region_seconds: Positive
     between_regions_seconds: Positive
 
 
 class Directory(Table, frozen=True, forbid_unknown_fields=True):
-    """How the directory of a region is laid out."""
+    """Layout of a region's directory."""
 
     shards: Count
     holders_per_region: Count  # processes, each with a copy of every shard
-    watch_idle_seconds: Positive  # a function unused for so long is watched no more
+    watch_idle_seconds: Positive  # a function unused for this long is no longer watched
 
 
 class Assumptions(Table, frozen=True, forbid_unknown_fields=True):
-    """The whole file."""
+    """The complete input file."""
 
     target: Target
     spread: Spread
@@ -141,19 +141,19 @@
     network: Network
     directory: Directory
     dispatchers_per_function: (
-        Count  # how many dispatchers of a region one seldom called function's calls reach
+        Count  # dispatchers of a region that receive the calls of a rarely called function
     )
-    prefix: Count  # instances of one function that a dispatcher asks for at first
+    prefix: Count  # instances of a function that a dispatcher requests first
 
-    def hastened(self) -> "Assumptions":
-        """The same with watches that lapse soon, so that a dispatcher's life is short: for quick runs."""
-        directory = msgspec.structs.replace(self.directory, watch_idle_seconds=QUICK_IDLE)
+    def for_quick_run(self) -> "Assumptions":
+        """Returns a copy in which watches expire soon, which shortens the simulated time of quick runs."""
+        directory = msgspec.structs.replace(self.directory, watch_idle_seconds=QUICK_IDLE_SECONDS)
         return msgspec.structs.replace(self, directory=directory)
 
     def functions_in_view(
         self, idle_seconds: float, spread: Spread | None = None, reach: int | None = None
     ) -> float:
-        """Functions that one dispatcher has called within `idle_seconds`, on the average."""
+        """Average number of functions that one dispatcher has called within `idle_seconds`."""
         return sum(
             part * (1 - math.exp(-rate * idle_seconds)) for part, rate in self.calls_at_one(spread, reach)
         )
@@ -161,37 +161,37 @@
     def first_calls_per_second(
         self, idle_seconds: float, spread: Spread | None = None, reach: int | None = None
     ) -> float:
-        """Calls at one dispatcher to a function that it has not called within `idle_seconds`."""
+        """Rate of calls at one dispatcher to functions that it has not called within `idle_seconds`."""
         return sum(
             part * rate * math.exp(-rate * idle_seconds) for part, rate in self.calls_at_one(spread, reach)
         )
 
     def calls_at_one(self, spread: Spread | None, reach: int | None) -> Iterator[tuple[float, float]]:
-        """For each function the part of a region's dispatchers that its calls reach, and its calls a second
-        at one of those. They reach `reach` dispatchers, more where it is called more than once a second for
-        each of them; all dispatchers where `reach` is not given.
+        """For each function: the share of a region's dispatchers that receive its calls, and the calls per
+        second at each of those. They are `reach` dispatchers, or more for a function with more than `reach`
+        calls per second; all dispatchers if `reach` is None.
         """
-        in_region = self.target.calls_per_second / self.target.regions
-        all_ = self.target.dispatchers_per_region
-        for rate in (spread or self.spread).rates(self.target.functions, in_region):
-            reached = all_ if reach is None else min(all_, max(reach, math.ceil(rate)))
-            yield reached / all_, rate / reached
+        calls_per_region = self.target.calls_per_second / self.target.regions
+        dispatchers = self.target.dispatchers_per_region
+        for rate in (spread or self.spread).rates(self.target.functions, calls_per_region):
+            reached = dispatchers if reach is None else min(dispatchers, max(reach, math.ceil(rate)))
+            yield reached / dispatchers, rate / reached
 
     def seldom_called(self, spread: Spread | None = None) -> float:
-        """The part of the functions that are called less than once a minute, in all regions together."""
+        """The share of functions that are called less than once a minute, over all regions."""
         rates = (spread or self.spread).rates(self.target.functions, self.target.calls_per_second)
         return sum(rate < 1 / MINUTE for rate in rates) / len(rates)
 
     def instance_changes_per_second(self, instances: int) -> float:
-        """How often a list of so many instances changes: each begins, drains and goes once in its life, and
-        all of a machine that is restarted do so once more.
+        """Rate of changes of a list with this many instances. Each instance starts, drains and ends once in
+        its life; a restart of a machine adds one such cycle for each of its instances.
         """
         ordinary = instances / self.instance.life_seconds
         machines = self.target.restarts_per_day / DAY
         restarted = machines * self.machine.instances * instances / self.target.instances
-        return CHANGES_OF_A_LIFE * (ordinary + restarted)
+        return CHANGES_PER_INSTANCE * (ordinary + restarted)
 
 
-def load(path: Path = FILE) -> Assumptions:
-    """Read and check the file; raises `msgspec.ValidationError` naming the field."""
+def load(path: Path = ASSUMPTIONS_FILE) -> Assumptions:
+    """Reads and validates the file; raises `msgspec.ValidationError` naming the field."""
     return msgspec.convert(json5.loads(path.read_text()), Assumptions)
--- a/benchmarks/scale/calls.py
+++ b/benchmarks/scale/calls.py
@@ -1,4 +1,4 @@
-"""Which function each call of a dispatcher is for: drawn by the assumed spread, seeded."""
+"""Draws the function of each call of a dispatcher by the assumed distribution, from a seed."""
 
 import random
 from bisect import bisect_right
@@ -13,29 +13,29 @@
 
 
 class Weights(Struct, frozen=True):
-    """Functions by rank, and the running sum of their calls a second."""
+    """Functions by rank, and the cumulative sum of their calls per second."""
 
     ranks: list[int]
     sums: list[float]
 
 
 @cache
-def at_one(given: Assumptions, spread: Spread, reach: int | None) -> tuple[Any, Any]:
-    """For each function the part of the dispatchers that its calls reach, and its calls a second at each."""
+def rates_per_dispatcher(given: Assumptions, spread: Spread, reach: int | None) -> tuple[Any, Any]:
+    """By function: the share of dispatchers that receive its calls, and the calls per second at each."""
     parts, rates = zip(*given.calls_at_one(spread, reach), strict=True)
     return numpy.array(parts), numpy.array(rates)
 
 
 @cache
-def at_all(given: Assumptions, spread: Spread) -> Weights:
-    """Where every function's calls reach all dispatchers."""
-    rates = at_one(given, spread, None)[1]
+def weights_for_all(given: Assumptions, spread: Spread) -> Weights:
+    """Weights if every dispatcher receives calls of every function."""
+    rates = rates_per_dispatcher(given, spread, None)[1]
     return Weights(list(range(len(rates))), numpy.cumsum(rates).tolist())
 
 
-def at_few(given: Assumptions, spread: Spread, reach: int, seed: int) -> Weights:
-    """Where they reach few: the seed draws which functions this dispatcher is one of those for."""
-    parts, rates = at_one(given, spread, reach)
+def weights_for_few(given: Assumptions, spread: Spread, reach: int, seed: int) -> Weights:
+    """Weights if a function's calls reach only `reach` dispatchers; the seed draws this one's functions."""
+    parts, rates = rates_per_dispatcher(given, spread, reach)
     ranks = numpy.flatnonzero(numpy.random.default_rng(seed).random(len(parts)) < parts)
     return Weights(ranks.tolist(), numpy.cumsum(rates[ranks]).tolist())
 
@@ -51,9 +51,11 @@
         rate: float | None = None,
         reach: int | None = None,
     ) -> None:
-        """`rate`: calls a second, the target's unless given; `reach`: as `Assumptions.calls_at_one`."""
+        """`rate`: calls per second, the target's by default; `reach`: see `Assumptions.calls_at_one`."""
         spread = spread or given.spread
-        self.weights = at_few(given, spread, reach, seed) if reach else at_all(given, spread)
+        self.weights = (
+            weights_for_few(given, spread, reach, seed) if reach else weights_for_all(given, spread)
+        )
         self.rate = given.target.calls_per_dispatcher if rate is None else rate
         self.random = random.Random(seed)
 
@@ -64,7 +66,7 @@
         return f"function-{rank:06d}"
 
     def times(self, seconds: float) -> Iterator[float]:
-        """Seconds from now at which calls come, by chance at the mean rate."""
+        """Yields arrival times in seconds from now, of a Poisson process with the mean rate."""
         at = self.random.expovariate(self.rate)
         while at < seconds:
             yield at
@@ -72,6 +74,6 @@
 
 
 def percentile(values: list[float], part: float) -> float:
-    """The value that `part` of them keep within; 0 of none."""
+    """The value that a share `part` of the values do not exceed; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(part * len(ordered)))] if ordered else 0.0
--- a/benchmarks/scale/control_work.py
+++ b/benchmarks/scale/control_work.py
@@ -1,7 +1,7 @@
-"""What one dispatcher does for control while instances that it never calls come, drain and go: counts alone.
+"""Work of one dispatcher for control while instances that it never calls start, drain and end.
 
-The deterministic part of the scale tests, the same in every run: instructions, messages and bytes, with the
-whole list and with the directory.
+The deterministic part of the scale tests: instructions, messages and bytes, which are the same in every run,
+with the full endpoint list and with the directory.
 """
 
 from collections.abc import Callable
@@ -12,72 +12,74 @@
 from benchmarks.scale.directory_edge import DirectoryDispatcher
 from benchmarks.scale.directory_fleet import Region
 
-CALLED = 5  # functions that the dispatcher calls
-PREFIX = 4
-CHANGES = 3  # of instances that it never calls
+CALLED_FUNCTIONS = 5
+PREFIX_LENGTH = 4
+CHANGES = 3  # of uncalled instances
 DISPATCHERS = 24
-ONE_WAY = 500  # microseconds
-SETTLED = 1.0  # seconds
-HELD = 0.2  # seconds with what holders say unread; under the silence after which one is left
+ONE_WAY_MICROSECONDS = 500
+SETTLE_SECONDS = 1.0
+HOLD_SECONDS = 0.2  # holders' messages wait unread; below the silence timeout of a watcher
 
-Planted = Callable[[list[str]], object]  # work that a test plants, over the names of all instances
+InjectedWork = Callable[
+    [list[str]], object
+]  # extra work that a test injects, over the names of all instances
 
 
 class Work(Struct, frozen=True):
-    """What was counted."""
+    """Counted work."""
 
     instructions: int
     messages: int
     bytes: int
 
 
-def nothing(names: list[str]) -> None:
-    """Plant nothing."""
+def no_work(names: list[str]) -> None:
+    """The default: injects nothing."""
 
 
-def with_list(instances: int, planted: Planted = nothing) -> Work:
-    """A first call of a function, and changes of instances, with the whole list."""
-    made = hollow.HollowDispatcher(hollow.entries(instances), 1, DISPATCHERS)
-    made.learn_all()
-    for number in range(CALLED):
-        made.call(f"function-{number}")
-    made.run(SETTLED)
-    roster = made.roster
+def with_list(instances: int, injected: InjectedWork = no_work) -> Work:
+    """Counts a first call of a function and changes of instances, with the full list."""
+    dispatcher = hollow.HollowDispatcher(hollow.entries(instances), 1, DISPATCHERS)
+    dispatcher.load_full_list()
+    for number in range(CALLED_FUNCTIONS):
+        dispatcher.call(f"function-{number}")
+    dispatcher.run(SETTLE_SECONDS)
+    roster = dispatcher.roster
     before = (roster.traffic.messages_in, roster.traffic.bytes_in)
     names = [entry.name for entry in roster.entries]
 
-    def act() -> None:
-        planted(names)
-        made.call("function-new")
+    def call_and_change() -> None:
+        injected(names)
+        dispatcher.call("function-new")
         for number in range(CHANGES):
-            roster.tell(hollow.entry(instances + number))
+            roster.send_update(hollow.entry(instances + number))
 
-    steps = measuring.count_steps(act)
+    steps = measuring.count_steps(call_and_change)
     messages, size = roster.traffic.messages_in - before[0], roster.traffic.bytes_in - before[1]
     return Work(steps.instructions, messages, size)
 
 
-def with_directory(instances: int, planted: Planted = nothing, called: int = CALLED) -> Work:
-    """The same with the directory, and renewals meanwhile; `called`: functions in view."""
-    region = Region(hollow.entries(instances), 1, 1, 1, ONE_WAY, timed=False)
-    made = DirectoryDispatcher(region, 1, DISPATCHERS, first_count=PREFIX)
+def with_directory(instances: int, injected: InjectedWork = no_work, called: int = CALLED_FUNCTIONS) -> Work:
+    """Counts the same with the directory, and the renewals meanwhile; `called`: functions in use before."""
+    region = Region(hollow.entries(instances), 1, 1, 1, ONE_WAY_MICROSECONDS, timed=False)
+    dispatcher = DirectoryDispatcher(region, 1, DISPATCHERS, first_count=PREFIX_LENGTH)
     for number in range(called):
-        made.call(f"function-{number}")
-    region.run(SETTLED)
-    strangers = [entry for entry in region.whole() if entry.name not in made.edge.known_workers.known]
-    names, traffic = list(region.listed), made.directory
+        dispatcher.call(f"function-{number}")
+    region.run(SETTLE_SECONDS)
+    uncalled = [entry for entry in region.snapshot() if entry.name not in dispatcher.edge.known_workers.known]
+    names, traffic = list(region.listed), dispatcher.directory
     before = (traffic.messages_in + traffic.messages_out, traffic.bytes_in + traffic.bytes_out)
 
-    def ask() -> None:
-        planted(names)
-        made.call("function-new")
+    def call_new_function() -> None:
+        injected(names)
+        dispatcher.call("function-new")
 
-    with made.holding() as held:
-        asked = measuring.count_steps(ask)
-        for entry in strangers[:CHANGES]:
+    with dispatcher.hold_lines() as held:
+        call_steps = measuring.count_steps(call_new_function)
+        for entry in uncalled[:CHANGES]:
             region.change(hollow.drained(entry))
-        region.run(HELD)
-    answered = measuring.count_steps(lambda: made.take_in(held))
+        region.run(HOLD_SECONDS)
+    reply_steps = measuring.count_steps(lambda: dispatcher.deliver_held(held))
     messages = traffic.messages_in + traffic.messages_out - before[0]
     size = traffic.bytes_in + traffic.bytes_out - before[1]
-    return Work(asked.instructions + answered.instructions, messages, size)
+    return Work(call_steps.instructions + reply_steps.instructions, messages, size)
--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -1,8 +1,8 @@
-"""Holders and watchers of the directory in virtual time: the program's decisions and encoded messages.
+"""Directory holders and watchers in virtual time, with the production state machines and encoded messages.
 
-A holder is one server with one queue: what handling a message took, by `time.process_time`, is how long the
-holder is busy in virtual time, and what it answers leaves afterwards. So look-ups wait behind one another as
-on a machine of one such core, and the network adds `one_way` in each direction.
+A holder is a single server with one queue: handling a message occupies it in virtual time for as long as the
+handling took by `time.process_time`, and its replies are sent afterwards. So look-ups queue as on a single
+core, and the network adds `one_way` in each direction.
 """
 
 import time
@@ -31,20 +31,20 @@
 from lapistrestle.wire.json_lines import message_decoder
 from lapistrestle.wire.messages import RosterEntry, encode
 
-TENTH = 100  # microseconds in a tenth of a millisecond
-MILLION = 1e6
+TICK_MICROSECONDS = 100  # per tick of 0.1 ms
+MICROSECONDS = 1e6  # per second
 FROM_WATCHER = message_decoder(wire.FromWatcher)
 FROM_HOLDER = message_decoder(wire.FromHolder)
 NEVER = 2**62
-FIRST_PORT = 101  # of the holders
+FIRST_PORT = 101  # of the holders, for identification only
 
 
-def tenths(reactor: VirtualReactor) -> int:
-    return reactor.now // TENTH
+def to_ticks(reactor: VirtualReactor) -> int:
+    return reactor.now // TICK_MICROSECONDS
 
 
 class HolderNode:
-    """A holder's process: one queue, one core."""
+    """A holder process with one queue and one core."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         one_way: int,
         timed: bool = True,
     ) -> None:
-        """`one_way`: microseconds to a watcher. Not `timed`: work takes no virtual time."""
+        """`one_way`: latency to a watcher in microseconds. Unless `timed`, work takes no virtual time."""
         self.reactor, self.copy, self.one_way, self.timed = reactor, copy, one_way, timed
-        self.holder = ShardHolder(settings, seed, tenths(reactor))
+        self.holder = ShardHolder(settings, seed, to_ticks(reactor))
         self.inbox: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self.sessions: dict[int, tuple[WatcherNode, int]] = {}
         self.last_session = 0
@@ -67,24 +67,24 @@
         self.tick_at = NEVER
         self.processor = 0.0  # seconds spent
         self.messages_in = self.messages_out = self.bytes_in = self.bytes_out = 0
-        self.number = 0  # of the roster's list
-        self.roster: Callable[[], list[RosterEntry]] | None = None  # its whole list; None: cut off
-        self.asks = 0  # for the whole list
+        self.number = 0  # revision of the roster's list
+        self.roster: Callable[[], list[RosterEntry]] | None = None  # returns its full list; None: cut off
+        self.snapshot_requests = 0  # sent to the roster
 
     # the roster
 
-    def learn(self, entries: list[RosterEntry], whole: bool = False) -> None:
-        """The roster tells a list, or a change of some."""
+    def roster_changed(self, entries: list[RosterEntry], is_snapshot: bool = False) -> None:
+        """The roster sends a full list or a change."""
         self.number += 1
-        self.put(self.learnt, entries, whole, wire.Revision("roster", self.number))
+        self.enqueue(self.apply_roster, entries, is_snapshot, wire.Revision("roster", self.number))
 
-    def answer_roster(self) -> None:
-        """The whole list once more, unless the roster is cut off."""
+    def send_roster_snapshot(self) -> None:
+        """Resends the full list, unless the roster is cut off."""
         if self.roster is not None:
-            self.put(self.learnt, self.roster(), True, wire.Revision("roster", self.number))
+            self.enqueue(self.apply_roster, self.roster(), True, wire.Revision("roster", self.number))
 
-    def learnt(self, entries: list[RosterEntry], whole: bool, revision: wire.Revision) -> None:
-        self.holder.instances_changed(entries, whole, revision, tenths(self.reactor))
+    def apply_roster(self, entries: list[RosterEntry], is_snapshot: bool, revision: wire.Revision) -> None:
+        self.holder.instances_changed(entries, is_snapshot, revision, to_ticks(self.reactor))
 
     # watchers
 
@@ -95,36 +95,36 @@
         self.last_session += 1
         session = self.last_session
         self.sessions[session] = watcher, connection
-        self.put(self.holder.session_opened, session, tenths(self.reactor))
+        self.enqueue(self.holder.session_opened, session, to_ticks(self.reactor))
         watcher.after(self.one_way, watcher.connected, connection, self, session)
 
-    def leave(self, session: int) -> None:
+    def disconnect(self, session: int) -> None:
         if self.sessions.pop(session, None) is not None:
-            self.put(self.gone, session)
+            self.enqueue(self.session_closed, session)
 
-    def gone(self, session: int) -> None:
-        self.holder.session_closed(session, tenths(self.reactor))
+    def session_closed(self, session: int) -> None:
+        self.holder.session_closed(session, to_ticks(self.reactor))
 
     def arrive(self, session: int, line: bytes) -> None:
         self.messages_in += 1
         self.bytes_in += len(line)
-        self.put(self.heard, session, line)
+        self.enqueue(self.handle_message, session, line)
 
-    def heard(self, session: int, line: bytes) -> None:
+    def handle_message(self, session: int, line: bytes) -> None:
         message = FROM_WATCHER.decode(line)
-        self.holder.message_received(session, message, tenths(self.reactor))
+        self.holder.message_received(session, message, to_ticks(self.reactor))
 
     def kill(self) -> None:
-        """Gone at once; its connections break."""
+        """Kills the holder; its connections close."""
         self.dead = True
         self.inbox.clear()
         for watcher, connection in self.sessions.values():
-            watcher.after(self.one_way, watcher.broken, connection)
+            watcher.after(self.one_way, watcher.connection_lost, connection)
         self.sessions.clear()
 
     # work
 
-    def put(self, call: Callable[..., None], *args: Any) -> None:
+    def enqueue(self, call: Callable[..., None], *args: Any) -> None:
         if self.dead:
             return
         self.inbox.append((call, args))
@@ -133,19 +133,19 @@
             self.reactor.schedule(max(0, self.busy_until - self.reactor.now), self.work)
 
     def work(self) -> None:
-        """One message, or the tick that is due; then the next once the time it took is over."""
+        """Handles one message, or the due tick; schedules the next after the time that this took."""
         if self.dead:
             return
         began = time.process_time()
         if self.inbox:
             call, args = self.inbox.popleft()
             call(*args)
-        if self.holder.next_due() <= tenths(self.reactor):
-            self.holder.tick(tenths(self.reactor))
-        lines = self.lines_of(self.holder.take_effects())
+        if self.holder.next_due() <= to_ticks(self.reactor):
+            self.holder.tick(to_ticks(self.reactor))
+        lines = self.encode_effects(self.holder.take_effects())
         took = time.process_time() - began
         self.processor += took
-        delay = int(took * MILLION) if self.timed else 0
+        delay = int(took * MICROSECONDS) if self.timed else 0
         self.busy_until = self.reactor.now + delay
         for session, line in lines:
             self.send(session, line, delay)
@@ -153,10 +153,10 @@
             self.reactor.schedule(delay, self.work)
         else:
             self.working = False
-            self.wake()
+            self.schedule_tick()
 
-    def lines_of(self, effects: list[Any]) -> list[tuple[int, bytes | None]]:
-        """Encoded lines by session; None closes it."""
+    def encode_effects(self, effects: list[Any]) -> list[tuple[int, bytes | None]]:
+        """Returns (session, encoded line) pairs; None instead of a line closes the session."""
         lines: list[tuple[int, bytes | None]] = []
         for effect in effects:
             if isinstance(effect, SendTo):
@@ -164,8 +164,8 @@
             elif isinstance(effect, CloseSession):
                 lines.append((effect.session, None))
             elif isinstance(effect, RequestRosterSnapshot):
-                self.asks += 1
-                self.reactor.schedule(2 * self.one_way, self.answer_roster)
+                self.snapshot_requests += 1
+                self.reactor.schedule(2 * self.one_way, self.send_roster_snapshot)
         return lines
 
     def send(self, session: int, line: bytes | None, delay: int) -> None:
@@ -174,16 +174,16 @@
         watcher, connection = self.sessions[session]
         if line is None:
             del self.sessions[session]
-            return watcher.after(delay + self.one_way, watcher.broken, connection)
+            return watcher.after(delay + self.one_way, watcher.connection_lost, connection)
         self.messages_out += 1
         self.bytes_out += len(line)
         watcher.after(delay + self.one_way, watcher.arrive, connection, line)
 
-    def wake(self) -> None:
+    def schedule_tick(self) -> None:
         due = self.holder.next_due()
-        if due < self.tick_at or self.tick_at <= tenths(self.reactor):
+        if due < self.tick_at or self.tick_at <= to_ticks(self.reactor):
             self.tick_at = due
-            self.reactor.schedule(max(0, due * TENTH - self.reactor.now), self.tick)
+            self.reactor.schedule(max(0, due * TICK_MICROSECONDS - self.reactor.now), self.tick)
 
     def tick(self) -> None:
         if not self.working and not self.dead:
@@ -192,7 +192,7 @@
 
 
 class WatcherNode:
-    """A dispatcher's side. `ready` and `failed` hold how long look-ups took, in seconds."""
+    """A dispatcher's watcher. `ready` and `failed` hold the durations of look-ups, in seconds."""
 
     def __init__(
         self,
@@ -206,17 +206,17 @@
         one_way: int,
     ) -> None:
         self.reactor, self.holders, self.one_way = reactor, holders, one_way
-        self.watcher = DirectoryWatcher(name, zone, assignment, settings, seed, tenths(reactor))
+        self.watcher = DirectoryWatcher(name, zone, assignment, settings, seed, to_ticks(reactor))
         self.links: dict[int, tuple[HolderNode, int]] = {}
-        self.asked_at: dict[str, float] = {}
+        self.lookup_started_at: dict[str, float] = {}
         self.ready: list[float] = []
-        self.failed: list[tuple[float, float]] = []  # at, after waiting for
+        self.failed: list[tuple[float, float]] = []  # (time, duration)
         self.ready_at: list[float] = []
-        self.known = 0  # calls that found their prefix known
+        self.known_calls = 0  # calls whose prefix was known
         self.processor = 0.0
         self.messages_in = self.messages_out = self.bytes_in = self.bytes_out = 0
         self.timer: DelayedCall | None = None
-        self.held: list[tuple[int, bytes]] | None = None
+        self.held_lines: list[tuple[int, bytes]] | None = None
         self.held_renewals = False
         self.stopped = False
 
@@ -227,72 +227,74 @@
     # calls
 
     def call(self, function: str) -> bool:
-        """A call wants this function; whether its prefix was known."""
+        """Handles a call of this function; returns whether its prefix was known."""
         began = time.process_time()
-        prefix = self.watcher.prefix_for(function, "check", tenths(self.reactor))
+        prefix = self.watcher.prefix_for(function, "check", to_ticks(self.reactor))
         if prefix is not None:
-            self.known += 1
-            self.watcher.function_used(function, 0, tenths(self.reactor))
+            self.known_calls += 1
+            self.watcher.function_used(function, 0, to_ticks(self.reactor))
         else:
-            self.asked_at.setdefault(function, self.reactor.seconds())
-        self.act(began)
+            self.lookup_started_at.setdefault(function, self.reactor.seconds())
+        self.perform_effects(began)
         return prefix is not None
 
     # connections
 
     def connected(self, connection: int, holder: HolderNode, session: int) -> None:
         if connection not in self.watcher.connections:
-            return holder.leave(session)
+            return holder.disconnect(session)
         self.links[connection] = holder, session
-        self.tell(self.watcher.connection_ready, connection)
+        self.handle_event(self.watcher.connection_ready, connection)
 
     def refused(self, connection: int) -> None:
-        self.tell(self.watcher.connection_failed, connection)
+        self.handle_event(self.watcher.connection_failed, connection)
 
-    def broken(self, connection: int) -> None:
+    def connection_lost(self, connection: int) -> None:
         if self.links.pop(connection, None) is not None:
-            self.tell(self.watcher.connection_lost, connection)
+            self.handle_event(self.watcher.connection_lost, connection)
 
     def arrive(self, connection: int, line: bytes) -> None:
         if self.stopped or connection not in self.links:
             return
-        if self.held is not None:
+        if self.held_lines is not None:
             if self.held_renewals or b'"renewed"' not in line:
-                self.held.append((connection, line))
+                self.held_lines.append((connection, line))
             return
         self.messages_in += 1
         self.bytes_in += len(line)
         began = time.process_time()
-        self.watcher.message_received(connection, FROM_HOLDER.decode(line), tenths(self.reactor))
-        self.act(began)
+        self.watcher.message_received(connection, FROM_HOLDER.decode(line), to_ticks(self.reactor))
+        self.perform_effects(began)
 
     @contextmanager
-    def holding(self, renewals: bool = False) -> Iterator[list[tuple[int, bytes]]]:
-        """What arrives meanwhile is held instead of read; answers to `renewals` are left out, or held too."""
-        held: list[tuple[int, bytes]] = []
-        self.held, self.held_renewals = held, renewals
-        yield held
-        self.held = None
-
-    def take_in(self, held: list[tuple[int, bytes]]) -> None:
-        for connection, line in held:
+    def hold_lines(self, renewals: bool = False) -> Iterator[list[tuple[int, bytes]]]:
+        """Within this context lines are collected instead of delivered; replies to renewals are collected as
+        well if `renewals`, and dropped otherwise.
+        """
+        held_lines: list[tuple[int, bytes]] = []
+        self.held_lines, self.held_renewals = held_lines, renewals
+        yield held_lines
+        self.held_lines = None
+
+    def deliver_held(self, held_lines: list[tuple[int, bytes]]) -> None:
+        for connection, line in held_lines:
             self.arrive(connection, line)
 
-    def tell(self, event: Callable[[int, int], None], connection: int) -> None:
+    def handle_event(self, event: Callable[[int, int], None], connection: int) -> None:
         if not self.stopped:
             began = time.process_time()
-            event(connection, tenths(self.reactor))
-            self.act(began)
+            event(connection, to_ticks(self.reactor))
+            self.perform_effects(began)
 
     def tick(self) -> None:
         if not self.stopped:
             began = time.process_time()
-            self.watcher.tick(tenths(self.reactor))
-            self.act(began)
+            self.watcher.tick(to_ticks(self.reactor))
+            self.perform_effects(began)
 
     # effects
 
-    def act(self, began: float) -> None:
+    def perform_effects(self, began: float) -> None:
         sends = [
             (e.connection, encode(e.message) + b"\n") if isinstance(e, Send) else e
             for e in self.watcher.take_effects()
@@ -301,7 +303,7 @@
         self.processor += time.process_time() - began
         for effect in sends:
             self.perform(effect)
-        at = max(due * TENTH, self.reactor.now)
+        at = max(due * TICK_MICROSECONDS, self.reactor.now)
         if self.timer is None or self.timer.done or self.timer.when > at:
             if self.timer is not None:
                 self.timer.cancel()
@@ -321,22 +323,22 @@
             case CloseConnection():
                 if effect.connection in self.links:
                     holder, session = self.links.pop(effect.connection)
-                    self.reactor.schedule(self.one_way, holder.leave, session)
+                    self.reactor.schedule(self.one_way, holder.disconnect, session)
             case PrefixReady():
-                asked = self.asked_at.pop(effect.function, None)
-                if asked is not None:
-                    self.ready.append(self.reactor.seconds() - asked)
+                started_at = self.lookup_started_at.pop(effect.function, None)
+                if started_at is not None:
+                    self.ready.append(self.reactor.seconds() - started_at)
                     self.ready_at.append(self.reactor.seconds())
             case LookupFailed():
-                asked = self.asked_at.pop(effect.function, None)
-                if asked is not None:
-                    self.failed.append((self.reactor.seconds(), self.reactor.seconds() - asked))
+                started_at = self.lookup_started_at.pop(effect.function, None)
+                if started_at is not None:
+                    self.failed.append((self.reactor.seconds(), self.reactor.seconds() - started_at))
 
     def stop(self) -> None:
-        """The dispatcher dies; its connections break."""
+        """Kills the dispatcher; its connections close."""
         self.stopped = True
         for holder, session in self.links.values():
-            holder.leave(session)
+            holder.disconnect(session)
         self.links.clear()
 
 
@@ -369,17 +371,17 @@
         }
         self.listed = {entry.name: entry for entry in entries}
         for node in self.holders.values():
-            node.roster = self.whole
-            node.learn(entries, whole=True)
+            node.roster = self.snapshot
+            node.roster_changed(entries, is_snapshot=True)
             self.run(0.0)
-            self.reactor.run(max(self.reactor.seconds(), node.busy_until / MILLION))
+            self.reactor.run(max(self.reactor.seconds(), node.busy_until / MICROSECONDS))
         self.watchers: list[WatcherNode] = []
 
-    def whole(self) -> list[RosterEntry]:
+    def snapshot(self) -> list[RosterEntry]:
         return list(self.listed.values())
 
     def change(self, *entries: RosterEntry) -> None:
-        """The roster tells every holder a change."""
+        """The roster sends a change to every holder."""
         for entry in entries:
             if entry.listing == "gone":
                 self.listed.pop(entry.name, None)
@@ -387,7 +389,7 @@
                 self.listed[entry.name] = entry
         for node in self.holders.values():
             if node.roster is not None:
-                node.learn(list(entries))
+                node.roster_changed(list(entries))
 
     def watcher(self, number: int) -> WatcherNode:
         zone = self.zones[number % len(self.zones)]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow dispatchers: the program's own edge in virtual time, with encoded messages and no sockets.
+"""Hollow dispatchers: the production edge in virtual time, with encoded messages and simulated peers.
 
-The edge, its module, its list and its connections' decisions are the program's. Hollow are the transports,
-the clients, the roster and the workers, which answer with the messages that real ones would send. What
-Twisted's transports and the kernel's sockets cost is not in it; `real.py` measures that beside it.
+The edge, its decision module, its endpoint list and its connections are production code. Transports, clients,
+roster and workers are stubs ("hollow"), which reply with the messages that real ones would send. The cost of
+Twisted's transports and of kernel sockets is not included; `roles/real_dispatchers.py` measures it.
 """
 
 from collections.abc import Callable, Iterator
@@ -20,55 +20,55 @@
 from lapistrestle.wire.json_lines import message_decoder
 
 ROSTER_PORT = 1
-WORKER_PORT = 2  # of every hollow worker: they are told apart by name
+WORKER_PORT = 2  # of every hollow worker: they are distinguished by name
 ZONES = ("a", "b", "c")  # of one region
-LONGEST_LINE = 64 * 1024 * 1024  # bytes; the default of the settings is far below a whole list at these sizes
-ANSWER_AFTER = 20_000  # microseconds that a hollow worker takes for a call
-LOAD_AFTER = 300_000  # microseconds, for the first call of a function there
+LONGEST_LINE = 64 * 1024 * 1024  # bytes; the default of the settings is far below a full list at these sizes
+ANSWER_AFTER = 20_000  # microseconds, duration of a call at a hollow worker
+LOAD_AFTER = 300_000  # microseconds, added for the first call of a function at a worker
 PEER = IPv4Address("TCP", "127.0.0.1", WORKER_PORT)
 FROM_EDGE_TO_WORKER = message_decoder(wire.ToRunner)
 FROM_EDGE_TO_CLIENT = message_decoder(wire.ToClient)
 
 
 class Traffic(msgspec.Struct):
-    """Messages and bytes of one kind of connection, as encoded, from the dispatcher's side."""
+    """Encoded messages and bytes of one kind of connection, as seen by the dispatcher."""
 
     messages_in: int = 0
     messages_out: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
 
-    def came(self, line: bytes) -> None:
+    def count_received(self, line: bytes) -> None:
         self.messages_in += 1
         self.bytes_in += len(line)
 
-    def left(self, data: bytes) -> None:
+    def count_sent(self, data: bytes) -> None:
         self.messages_out += data.count(b"\n")
         self.bytes_out += len(data)
 
 
 class HollowTransport:
-    """What a Twisted transport is to a protocol; bytes written go to `written`."""
+    """A stub of a Twisted transport; bytes written go to `written`."""
 
-    __slots__ = ("closed", "left", "protocol", "written")
+    __slots__ = ("closed", "on_close", "protocol", "written")
     disconnecting = False
 
     def __init__(
         self,
         protocol: Any,
         written: Callable[["HollowTransport", bytes], None],
-        left: Callable[[], None] | None = None,
+        on_close: Callable[[], None] | None = None,
     ) -> None:
-        """`left` is called once the program closes it."""
-        self.protocol, self.written, self.left, self.closed = protocol, written, left, False
+        """`on_close` is called when the protocol closes the connection."""
+        self.protocol, self.written, self.on_close, self.closed = protocol, written, on_close, False
 
     def write(self, data: bytes) -> None:
         if not self.closed:
             self.written(self, data)
 
     def loseConnection(self) -> None:
-        if not self.closed and self.left is not None:
-            self.left()
+        if not self.closed and self.on_close is not None:
+            self.on_close()
         self.closed = True
 
     def abortConnection(self) -> None:
@@ -85,26 +85,26 @@
 
 
 class Workers:
-    """All hollow workers together; they hold nothing but which functions stand where."""
+    """All hollow workers; the only state is which functions are loaded at which worker."""
 
     def __init__(self, reactor: VirtualReactor) -> None:
         self.reactor, self.traffic = reactor, Traffic()
         self.loaded: set[tuple[str, str]] = set()
 
     def accept(self, dial: Any) -> None:
-        """The dispatcher dials a worker: the connection is made and greeted."""
+        """Accepts a dial of the dispatcher and sends the worker's greeting."""
         if dial.runner is None:
             return
         name, start = dial.runner.state_machine.name, dial.runner.start
         protocol = dial.buildProtocol(PEER)
         if protocol is None:
             return
-        transport = HollowTransport(protocol, self.heard)
+        transport = HollowTransport(protocol, self.data_received)
         protocol.makeConnection(transport)
-        self.say(transport, wire.Hello(wire.RUNNER, wire.VERSION, name, start=start, up_for=3_600_000.0))
+        self.send(transport, wire.Hello(wire.RUNNER, wire.VERSION, name, start=start, up_for=3_600_000.0))
 
-    def heard(self, transport: HollowTransport, data: bytes) -> None:
-        self.traffic.left(data)
+    def data_received(self, transport: HollowTransport, data: bytes) -> None:
+        self.traffic.count_sent(data)
         for line in data.splitlines():
             message = FROM_EDGE_TO_WORKER.decode(line)
             match message:
@@ -113,62 +113,62 @@
                     key = (runner.state_machine.name, message.function)
                     wait = ANSWER_AFTER if key in self.loaded else LOAD_AFTER + ANSWER_AFTER
                     self.loaded.add(key)
-                    self.reactor.schedule(wait, self.say, transport, wire.RunFinished(message.call_id, "ok"))
+                    self.reactor.schedule(wait, self.send, transport, wire.RunFinished(message.call_id, "ok"))
                 case wire.PreloadRequest():
                     self.reactor.schedule(
                         LATENCY_US,
-                        self.say,
+                        self.send,
                         transport,
                         wire.PreloadResult(message.preload_id, "ok", message.count),
                     )
 
-    def say(self, transport: HollowTransport, message: wire.Message) -> None:
+    def send(self, transport: HollowTransport, message: wire.Message) -> None:
         line = wire.encode(message) + b"\n"
-        self.traffic.came(line)
+        self.traffic.count_received(line)
         if not transport.closed:
             transport.protocol.dataReceived(line)
 
 
 class Roster:
-    """A hollow roster with the whole list, which tells changes when the test says so."""
+    """A hollow roster with the full list, which sends changes on request."""
 
     def __init__(self, entries: list[wire.RosterEntry]) -> None:
         self.entries, self.number, self.traffic = entries, 0, Traffic()
         self.transport: HollowTransport | None = None
-        self.whole_bytes = 0  # of the line with the whole list
+        self.snapshot_bytes = 0  # of the line with the full list
 
     def accept(self, factory: Any) -> None:
         protocol = factory.buildProtocol(PEER)
-        self.transport = HollowTransport(protocol, self.heard)
+        self.transport = HollowTransport(protocol, self.data_received)
         protocol.makeConnection(self.transport)
-        self.say(wire.Hello(wire.ROSTER, wire.VERSION, "roster"))
+        self.send(wire.Hello(wire.ROSTER, wire.VERSION, "roster"))
 
-    def heard(self, transport: HollowTransport, data: bytes) -> None:
-        self.traffic.left(data)
+    def data_received(self, transport: HollowTransport, data: bytes) -> None:
+        self.traffic.count_sent(data)
 
-    def say(self, message: wire.Message) -> int:
+    def send(self, message: wire.Message) -> int:
         assert self.transport
         line = wire.encode(message) + b"\n"
-        self.traffic.came(line)
+        self.traffic.count_received(line)
         self.transport.protocol.dataReceived(line)
         return len(line)
 
-    def tell_all(self) -> None:
-        self.whole_bytes = self.say(wire.RosterSnapshot(self.number, self.entries, "epoch"))
+    def send_snapshot(self) -> None:
+        self.snapshot_bytes = self.send(wire.RosterSnapshot(self.number, self.entries, "epoch"))
 
-    def tell(self, *entries: wire.RosterEntry) -> int:
-        """One change; returns its bytes."""
+    def send_update(self, *entries: wire.RosterEntry) -> int:
+        """Sends one change; returns its size in bytes."""
         self.number += 1
-        return self.say(wire.RosterUpdate(self.number, list(entries), "epoch"))
+        return self.send(wire.RosterUpdate(self.number, list(entries), "epoch"))
 
 
 class HollowProcess(VirtualProcess):
-    """The reactor as the edge sees it: what it dials is hollow."""
+    """The edge's reactor; its dials are accepted by hollow peers."""
 
     def __init__(self, reactor: VirtualReactor, workers: Workers, roster: Roster) -> None:
         super().__init__(reactor, "edge")
         self.workers, self.roster = workers, roster
-        self.holders: dict[int, Callable[[Any], None]] = {}  # what takes a dial, by port
+        self.holders: dict[int, Callable[[Any], None]] = {}  # accept a dial, by port
 
     def connectTCP(self, host: str, port: int, factory: Any, timeout: float = 30) -> Any:
         if port == ROSTER_PORT:
@@ -179,7 +179,7 @@
 
 
 class HollowDispatcher:
-    """One edge, its clients and its workers; with the whole list unless its settings say otherwise."""
+    """One edge with its clients and workers; it follows the full list unless its settings use a directory."""
 
     def __init__(
         self,
@@ -189,72 +189,72 @@
         number: int = 0,
         reactor: VirtualReactor | None = None,
         holders: dict[int, Callable[[Any], None]] | None = None,
-        **more: Any,
+        **overrides: Any,
     ) -> None:
-        """`holders` take dials to the directory, by port; `more` are further settings."""
+        """`holders` accept dials to the directory, by port; `overrides` are further settings."""
         self.reactor = reactor or VirtualReactor()
         self.workers, self.roster = Workers(self.reactor), Roster(entries)
         process = HollowProcess(self.reactor, self.workers, self.roster)
         process.holders = holders or {}
-        made = convert_value({**settings(of, number), **more}, Deployment)
+        made = convert_value({**settings(of, number), **overrides}, Deployment)
         self.edge = Edge(process, made, lambda what, **figures: None, seed)
         self.clients, self.answers = Traffic(), dict.fromkeys(("ok", "denied", "aborted"), 0)
-        self.called_at: dict[str, float] = {}  # of calls without answer, by id
-        self.took: list[float] = []  # seconds until the answer, of those that were ok
+        self.called_at: dict[str, float] = {}  # of unanswered calls, by id
+        self.latencies: list[float] = []  # seconds, of calls answered ok
         self.count = 0
         self.edge.start()
-        self.seat = self.connected_client()
+        self.client = self.connect_client()
 
-    def connected_client(self) -> Any:
-        seat: Any = ClientConnection(self.edge, 1)
-        seat.makeConnection(HollowTransport(seat, self.heard))
-        seat.dataReceived(wire.encode(wire.Hello(wire.CLIENT, wire.VERSION, "client")) + b"\n")
-        return seat
+    def connect_client(self) -> Any:
+        client: Any = ClientConnection(self.edge, 1)
+        client.makeConnection(HollowTransport(client, self.data_received))
+        client.dataReceived(wire.encode(wire.Hello(wire.CLIENT, wire.VERSION, "client")) + b"\n")
+        return client
 
-    def heard(self, transport: HollowTransport, data: bytes) -> None:
-        self.clients.left(data)
+    def data_received(self, transport: HollowTransport, data: bytes) -> None:
+        self.clients.count_sent(data)
         for line in data.splitlines():
             message = FROM_EDGE_TO_CLIENT.decode(line)
             if isinstance(message, wire.Answer):
                 self.answers[message.verdict] += 1
                 began = self.called_at.pop(message.id)
                 if message.verdict == "ok":
-                    self.took.append(self.reactor.seconds() - began)
+                    self.latencies.append(self.reactor.seconds() - began)
 
-    def learn_all(self) -> None:
-        """The roster tells the whole list, and every connection that the edge makes of it is up."""
-        self.roster.tell_all()
+    def load_full_list(self) -> None:
+        """Sends the full list and waits until the edge is connected to every instance in it."""
+        self.roster.send_snapshot()
         self.run(0.01)
 
-    def line_of(self, function: str) -> bytes:
+    def encode_call(self, function: str) -> bytes:
         self.count += 1
         call = wire.Call(str(self.count), function, "check", 3_000.0, memory=100.0)
         return wire.encode(call) + b"\n"
 
     def call(self, function: str) -> None:
-        """A client calls; the answer comes in virtual time."""
-        line = self.line_of(function)
+        """Sends a client's call; the answer arrives in virtual time."""
+        line = self.encode_call(function)
         self.called_at[str(self.count)] = self.reactor.seconds()
-        self.clients.came(line)
-        self.seat.dataReceived(line)
+        self.clients.count_received(line)
+        self.client.dataReceived(line)
 
     def run(self, seconds: float) -> None:
         self.reactor.run(self.reactor.seconds() + seconds)
 
     def call_at(self, times: Iterator[tuple[float, str]]) -> None:
-        """Calls at these seconds from now, in order."""
+        """Sends calls at these times, in seconds from now, in ascending order."""
         began = self.reactor.seconds()
         for after, function in times:
             self.reactor.run(began + after)
             self.call(function)
 
-    def drop_answers(self) -> None:
-        """What the test notes of answers is no state of the dispatcher."""
-        self.took.clear()
+    def clear_latencies(self) -> None:
+        """Clears the recorded latencies, which must not count as state of the dispatcher."""
+        self.latencies.clear()
 
 
 def settings(of: int, number: int = 0, roster_port: int = ROSTER_PORT) -> dict[str, Any]:
-    """One dispatcher of many, as the example of small rule programs has them."""
+    """Settings of one of `of` dispatchers, as in the example of small rule programs."""
     return {
         "dispatcher": {"name": f"edge-{number}", "number": number, "of": of, "zone": ZONES[0]},
         "listen": {"longest_line": LONGEST_LINE, "open_calls": 100_000},
@@ -271,7 +271,7 @@
 
 
 def entry(number: int, listing: Any = "serving", start: int = 0, region: int = 0) -> wire.RosterEntry:
-    """One instance as a roster names it; names have the length that the assumptions state."""
+    """The roster's entry of one instance; names have the length stated in the assumptions."""
     name, zone = f"instance-r{region}-{number:012d}", ZONES[number % len(ZONES)]
     return wire.RosterEntry(
         name, WORKER_PORT, zone, number % 97, "quad", 1.0, listing, f"{name}#{start}", 3_600_000.0
@@ -282,5 +282,5 @@
     return [entry(number, region=region) for number in range(count)]
 
 
-def drained(told: wire.RosterEntry) -> wire.RosterEntry:
-    return msgspec.structs.replace(told, listing="draining")
+def drained(original: wire.RosterEntry) -> wire.RosterEntry:
+    return msgspec.structs.replace(original, listing="draining")
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -1,8 +1,7 @@
-"""A driver for real dispatchers on loopback: roster, workers and clients in one process.
+"""Runs real dispatchers on loopback, with roster, workers and clients in one process.
 
-They answer as the hollow ones do, so that the two can be compared.
-
-Each worker listens on a port of its own. Everything ends with `stop`, in bounded time.
+These reply as the hollow ones do, so that the two can be compared. Each worker listens on its own port.
+`Group.stop` ends all of them in bounded time.
 """
 
 import asyncio
@@ -23,34 +22,34 @@
 
 HOST = "127.0.0.1"
 TO_ROSTER = message_decoder(wire.ToRoster)
-LIMIT = 64 * 1024 * 1024  # bytes of a line
-PATIENT = "5 s"  # a dial's time-out
-SETTLE = 30.0  # seconds that the connections may take
+MAX_LINE_BYTES = 64 * 1024 * 1024
+DIAL_TIMEOUT = "5 s"
+CONNECT_TIMEOUT = 30.0  # seconds until all connections are open
 
 
 class Peer:
-    """What all servers share: greet, then answer each line."""
+    """Base of the servers: sends a greeting, then handles each line received."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def listen(self) -> int:
-        self.server = await asyncio.start_server(self.meet, HOST, 0, limit=LIMIT)
+        self.server = await asyncio.start_server(self.handle_connection, HOST, 0, limit=MAX_LINE_BYTES)
         port: int = self.server.sockets[0].getsockname()[1]
         return port
 
-    async def meet(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             self.greet(writer)
             while line := await reader.readline():
-                self.heard(writer, line)
+                self.line_received(writer, line)
         self.writers.discard(writer)
         writer.close()
 
     def greet(self, writer: asyncio.StreamWriter) -> None: ...
-    def heard(self, writer: asyncio.StreamWriter, line: bytes) -> None: ...
+    def line_received(self, writer: asyncio.StreamWriter, line: bytes) -> None: ...
 
     def stop(self) -> None:
         if self.server is not None:
@@ -59,13 +58,13 @@
             writer.close()
 
 
-def say(writer: asyncio.StreamWriter, message: wire.Message) -> None:
+def send_message(writer: asyncio.StreamWriter, message: wire.Message) -> None:
     if not writer.is_closing():
         writer.write(wire.encode(message) + b"\n")
 
 
 class Worker(Peer):
-    """One instance; it answers as `hollow.Workers` does."""
+    """One instance; it replies as `hollow.Workers` does."""
 
     def __init__(self, name: str, start: str) -> None:
         super().__init__()
@@ -73,38 +72,40 @@
         self.loaded: set[str] = set()
 
     def greet(self, writer: asyncio.StreamWriter) -> None:
-        say(writer, wire.Hello(wire.RUNNER, wire.VERSION, self.name, start=self.start, up_for=3_600_000.0))
+        send_message(
+            writer, wire.Hello(wire.RUNNER, wire.VERSION, self.name, start=self.start, up_for=3_600_000.0)
+        )
 
-    def heard(self, writer: asyncio.StreamWriter, line: bytes) -> None:
+    def line_received(self, writer: asyncio.StreamWriter, line: bytes) -> None:
         message = hollow.FROM_EDGE_TO_WORKER.decode(line)
         loop = asyncio.get_running_loop()
         match message:
             case wire.Run():
-                wait = hollow.ANSWER_AFTER + (0 if message.function in self.loaded else hollow.LOAD_AFTER)
+                delay = hollow.ANSWER_AFTER + (0 if message.function in self.loaded else hollow.LOAD_AFTER)
                 self.loaded.add(message.function)
-                loop.call_later(wait / 1e6, say, writer, wire.RunFinished(message.call_id, "ok"))
+                loop.call_later(delay / 1e6, send_message, writer, wire.RunFinished(message.call_id, "ok"))
             case wire.PreloadRequest():
-                say(writer, wire.PreloadResult(message.preload_id, "ok", message.count))
+                send_message(writer, wire.PreloadResult(message.preload_id, "ok", message.count))
 
 
 class RealRoster(Peer):
-    """Tells the whole list, and changes when told to."""
+    """Sends the full list on subscription, and changes on request."""
 
     def __init__(self, entries: list[wire.RosterEntry]) -> None:
         super().__init__()
         self.entries, self.number = entries, 0
 
     def greet(self, writer: asyncio.StreamWriter) -> None:
-        say(writer, wire.Hello(wire.ROSTER, wire.VERSION, "roster"))
+        send_message(writer, wire.Hello(wire.ROSTER, wire.VERSION, "roster"))
 
-    def heard(self, writer: asyncio.StreamWriter, line: bytes) -> None:
+    def line_received(self, writer: asyncio.StreamWriter, line: bytes) -> None:
         if isinstance(TO_ROSTER.decode(line), wire.RosterSubscribe | wire.RosterRequest):
-            say(writer, wire.RosterSnapshot(self.number, self.entries, "epoch"))
+            send_message(writer, wire.RosterSnapshot(self.number, self.entries, "epoch"))
 
-    def tell(self, entry: wire.RosterEntry) -> None:
+    def send_update(self, entry: wire.RosterEntry) -> None:
         self.number += 1
         for writer in self.writers:
-            say(writer, wire.RosterUpdate(self.number, [entry], "epoch"))
+            send_message(writer, wire.RosterUpdate(self.number, [entry], "epoch"))
 
 
 class Client:
@@ -117,8 +118,8 @@
         self.task: asyncio.Task[None]
 
     async def connect(self, port: int) -> None:
-        reader, self.writer = await asyncio.open_connection(HOST, port, limit=LIMIT)
-        say(self.writer, wire.Hello(wire.CLIENT, wire.VERSION, "client"))
+        reader, self.writer = await asyncio.open_connection(HOST, port, limit=MAX_LINE_BYTES)
+        send_message(self.writer, wire.Hello(wire.CLIENT, wire.VERSION, "client"))
         self.task = asyncio.create_task(self.read(reader))
 
     async def read(self, reader: asyncio.StreamReader) -> None:
@@ -130,11 +131,11 @@
 
     def call(self, function: str) -> None:
         self.count += 1
-        say(self.writer, wire.Call(str(self.count), function, "check", 3_000.0, memory=100.0))
+        send_message(self.writer, wire.Call(str(self.count), function, "check", 3_000.0, memory=100.0))
 
 
 class Group:
-    """Some real dispatchers that follow one roster of `instances` workers."""
+    """Real dispatchers that subscribe to one roster of `instances` workers."""
 
     def __init__(self, folder: Path, label: str, dispatchers: int, instances: int) -> None:
         self.folder, self.label, self.instances = folder, label, instances
@@ -156,20 +157,20 @@
         roster_port = await self.roster.listen()
         for number, child in enumerate(self.children):
             settings = hollow.settings(len(self.children), number, roster_port)
-            settings["allowed"]["dial"] = PATIENT  # all connections are made at once, by one process here
+            settings["allowed"]["dial"] = DIAL_TIMEOUT  # one process accepts all connections at once
             (self.folder / f"{self.label}-{number}.json5").write_text(json5.dumps(settings))
             child.start()
-        await self.until(lambda: all(child.port() for child in self.children), "ports")
+        await self.wait_until(lambda: all(child.port() for child in self.children), "ports")
         wanted = len(self.children)
-        await self.until(lambda: all(len(w.writers) == wanted for w in self.workers), "connections")
+        await self.wait_until(lambda: all(len(w.writers) == wanted for w in self.workers), "connections")
         for child, client in zip(self.children, self.clients, strict=True):
             await client.connect(child.port())
 
-    async def until(self, done: Any, what: str) -> None:
-        ends = time.monotonic() + SETTLE
+    async def wait_until(self, done: Any, what: str) -> None:
+        deadline = time.monotonic() + CONNECT_TIMEOUT
         while not done():
-            if time.monotonic() > ends:
-                raise TimeoutError(f"{self.label}: no {what} within {SETTLE:.0f} s")
+            if time.monotonic() > deadline:
+                raise TimeoutError(f"{self.label}: no {what} within {CONNECT_TIMEOUT:.0f} s")
             await asyncio.sleep(0.05)
 
     def processes(self) -> list[psutil.Process]:
@@ -179,25 +180,25 @@
         """Resident bytes of each dispatcher."""
         return [float(process.memory_info().rss) for process in self.processes()]
 
-    def processor(self) -> list[float]:
-        """Processor seconds of each dispatcher since its start."""
+    def cpu_seconds(self) -> list[float]:
+        """CPU seconds of each dispatcher since its start."""
         times = [process.cpu_times() for process in self.processes()]
         return [spent.user + spent.system for spent in times]
 
-    async def spend(self, seconds: float, calls: float, changes: float, functions: int) -> list[float]:
-        """Processor seconds a second of each dispatcher under calls and changes a second."""
-        before, began, made, told = self.processor(), time.monotonic(), 0, 0
+    async def measure_load(self, seconds: float, calls: float, changes: float, functions: int) -> list[float]:
+        """CPU usage in cores of each dispatcher under `calls` and `changes` per second."""
+        before, began, calls_sent, changes_sent = self.cpu_seconds(), time.monotonic(), 0, 0
         while (now := time.monotonic() - began) < seconds:
-            while made < now * calls:
-                made += 1
+            while calls_sent < now * calls:
+                calls_sent += 1
                 for client in self.clients:
-                    client.call(f"function-{made % functions}")
-            while told < now * changes:
-                told += 1
-                self.roster.tell(flapping(self.roster.entries, told))
+                    client.call(f"function-{calls_sent % functions}")
+            while changes_sent < now * changes:
+                changes_sent += 1
+                self.roster.send_update(size_change(self.roster.entries, changes_sent))
             await asyncio.sleep(0.005)
         took = time.monotonic() - began
-        return [(after - earlier) / took for after, earlier in zip(self.processor(), before, strict=True)]
+        return [(after - earlier) / took for after, earlier in zip(self.cpu_seconds(), before, strict=True)]
 
     def stop(self) -> None:
         for client in self.clients:
@@ -211,7 +212,7 @@
             peer.stop()
 
 
-def flapping(entries: list[wire.RosterEntry], number: int) -> wire.RosterEntry:
-    """The first instances of the list change their size, one after the other."""
+def size_change(entries: list[wire.RosterEntry], number: int) -> wire.RosterEntry:
+    """A change of the size of one of the first eight instances, in turn."""
     entry = entries[number % min(8, len(entries))]
     return msgspec.structs.replace(entry, size=1.0 + 0.01 * (number % 7 + 1))
--- a/benchmarks/scale/measuring.py
+++ b/benchmarks/scale/measuring.py
@@ -1,4 +1,4 @@
-"""The three yardsticks: bytes of state, processor time, and steps that no clock has a part in."""
+"""The three kinds of measurement: bytes of state, processor time, and deterministic counts of steps."""
 
 import gc
 import statistics
@@ -24,10 +24,10 @@
 
 
 class Steps(Struct, frozen=True):
-    """What an action did, counted: bytecode instructions, and the most bytes it held beside the state.
+    """Counts of an action: bytecode instructions, and the peak of the bytes it allocated.
 
-    Work inside one call of a built-in (a sort, a copy of a list) is a single instruction; what such a call
-    copies shows in `peak_bytes`.
+    Work inside one call of a built-in (a sort, a copy of a list) counts as a single instruction; the memory
+    that such a call copies shows in `peak_bytes`.
     """
 
     instructions: int
@@ -35,7 +35,7 @@
 
 
 def build_measured(build: Callable[[], Built]) -> tuple[Built, int]:
-    """What `build` returns, and the bytes that it still holds, by tracemalloc (Python's own allocator)."""
+    """Returns the result of `build` and the bytes it holds, by tracemalloc (Python's allocator only)."""
     gc.collect()
     tracemalloc.start(1)
     try:
@@ -49,8 +49,9 @@
 
 
 def deep_size(root: object, skip: tuple[type, ...] = ()) -> int:
-    """Bytes of an object and of all that it refers to, by `sys.getsizeof` with the collector's headers; what
-    is of a type in `skip`, and types, modules and functions, are left out with what they lead to.
+    """Bytes of an object and of all that it refers to, by `sys.getsizeof` with the collector's headers.
+
+    Objects of a type in `skip`, types, modules and functions are excluded, with what only they refer to.
     """
     left_out = (*skip, type, ModuleType, FunctionType, BuiltinFunctionType, CodeType)
     seen, total, waiting = {id(root)}, 0, [root]
@@ -66,12 +67,12 @@
 
 
 def struct_fields(struct: Struct) -> list[Any]:
-    """Structs outside the collector do not tell what they refer to."""
+    """The field values of a struct: `gc.get_referents` misses those of structs that the GC does not track."""
     return [getattr(struct, name) for name in struct.__struct_fields__]
 
 
 def processor_seconds(action: Callable[[], object], repeats: int = REPEATS) -> Seconds:
-    """Processor time of this process, by `time.process_time`, with the cyclic collector off meanwhile."""
+    """Processor time of an action, by `time.process_time`, with the cyclic garbage collector disabled."""
     taken = []
     gc.collect()
     was_on = gc.isenabled()
@@ -88,9 +89,9 @@
 
 
 def count_steps(action: Callable[[], object]) -> Steps:
-    """Run the action once under a trace that counts the bytecode instructions of every Python function.
+    """Runs the action once under a trace that counts the bytecode instructions of every Python function.
 
-    The cyclic collector is off meanwhile: what it ends may run code of anything that was left before.
+    The cyclic garbage collector is disabled: it could run finalizers of unrelated earlier objects.
     """
     count = 0
 
--- a/benchmarks/scale/page.py
+++ b/benchmarks/scale/page.py
@@ -1,4 +1,4 @@
-"""Writes the capacity page's tables between `<!-- table: NAME -->` and `<!-- end -->`, or checks them."""
+"""Writes or checks the tables of docs/CAPACITY.md, between `<!-- table: NAME -->` and `<!-- end -->`."""
 
 import re
 from pathlib import Path
@@ -6,29 +6,29 @@
 from benchmarks.scale import results, tables
 
 PAGE = results.ROOT / "docs" / "CAPACITY.md"
-MARKED = re.compile(r"(<!-- table: (?P<name>[^>]+?) -->\n)(?P<body>.*?)(<!-- end -->)", re.DOTALL)
-OPENING = re.compile(r"<!-- table: ")
+TABLE_PATTERN = re.compile(r"(<!-- table: (?P<name>[^>]+?) -->\n)(?P<body>.*?)(<!-- end -->)", re.DOTALL)
+OPENING_PATTERN = re.compile(r"<!-- table: ")
 
 
 class MalformedPageError(Exception):
-    """A marker has no end."""
+    """A table marker has no end marker."""
 
 
 def written(text: str, found: tables.Results) -> str:
-    """The page with every table made anew; all other text as it stands. Raises `tables.UnknownTableError`."""
-    if len(OPENING.findall(text)) != len(MARKED.findall(text)):
-        raise MalformedPageError("a table has no <!-- end --> of its own")
+    """The page with its tables regenerated, the rest unchanged. Raises `tables.UnknownTableError`."""
+    if len(OPENING_PATTERN.findall(text)) != len(TABLE_PATTERN.findall(text)):
+        raise MalformedPageError("a table marker has no matching <!-- end -->")
 
-    def filled(match: re.Match[str]) -> str:
-        return f"{match[1]}\n{tables.made(match['name'].strip(), found)}\n\n{match[4]}"
+    def fill_table(match: re.Match[str]) -> str:
+        return f"{match[1]}\n{tables.make_table(match['name'].strip(), found)}\n\n{match[4]}"
 
-    return MARKED.sub(filled, text)
+    return TABLE_PATTERN.sub(fill_table, text)
 
 
 def differing(text: str, found: tables.Results) -> list[str]:
-    """Names of the tables of the page that are not those of the result files."""
-    renewed = written(text, found)
-    pairs = zip(MARKED.finditer(text), MARKED.finditer(renewed), strict=True)
+    """Names of the page's tables that differ from the result files."""
+    updated = written(text, found)
+    pairs = zip(TABLE_PATTERN.finditer(text), TABLE_PATTERN.finditer(updated), strict=True)
     return [old["name"].strip() for old, new in pairs if old["body"] != new["body"]]
 
 
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -1,4 +1,4 @@
-"""Result files: what one run of a role measured, with the commit, the machine's cores and the command."""
+"""Result files: measurements of one run of a role, with the commit, the machine's cores and the command."""
 
 import os
 import platform
@@ -18,12 +18,12 @@
 class Origin(Struct, frozen=True):
     """Where a result comes from."""
 
-    commit: str  # short, with "+changes" where the program or the tests differed from it
+    commit: str  # short, with "+changes" if the program or the scale tests had uncommitted changes
     cores: int
     python: str
     command: str
     date: str  # UTC
-    load_before: float  # the machine's load average at the start: other work beside the run
+    load_before: float  # the machine's load average at the start: shows other work during the run
     seconds: float
     quick: bool
 
@@ -36,7 +36,7 @@
 
 
 class Prediction(Struct, frozen=True):
-    """One metric at a size beyond the fit: worked out before it was measured, then measured."""
+    """One metric at a size beyond the fitted ones: predicted from the fit, then measured."""
 
     metric: str
     size: int
@@ -45,7 +45,7 @@
 
 
 class Growth(Struct, frozen=True):
-    """One metric over the sizes."""
+    """The fit of one metric over the sizes."""
 
     metric: str
     unit: str
@@ -62,8 +62,8 @@
     predictions: tuple[Prediction, ...]
 
 
-class Played(Struct, frozen=True):
-    """The figures of one scene."""
+class SceneResult(Struct, frozen=True):
+    """The figures of one scenario."""
 
     name: str
     text: str
@@ -78,7 +78,7 @@
     origin: Origin
     budgets: tuple[Budget, ...]
     series: tuple[Series, ...]
-    scenes: tuple[Played, ...]
+    scenes: tuple[SceneResult, ...]
 
 
 def origin(commit: str, command: str, date: str, load_before: float, seconds: float, quick: bool) -> Origin:
@@ -87,7 +87,7 @@
 
 
 def commit() -> str:
-    """The commit of the working copy; marked where tracked files outside results and pages were changed."""
+    """The commit of the working copy, marked if tracked files other than results and pages have changes."""
     head = git("rev-parse", "--short", "HEAD")
     changed = git(
         "status", "--porcelain", "--untracked-files=no", "--", "lapistrestle", "benchmarks/scale/*.py"
@@ -113,6 +113,6 @@
 
 
 def load_all(folder: Path = RESULTS) -> dict[str, Result]:
-    """Every result file of a folder, by role; raises `msgspec.ValidationError` for one that is not whole."""
+    """Loads all result files of a folder, by role; raises `msgspec.ValidationError` for an incomplete one."""
     read = [msgspec.json.decode(path.read_bytes(), type=Result) for path in sorted(folder.glob("*.json"))]
     return {result.role: result for result in read}
--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -37,7 +37,7 @@
     functions: int
     control: float  # cores
     bytes_in: float
-    looked_up: list[float]  # seconds
+    lookup_seconds: list[float]  # seconds
     served: float  # part of the calls that were ok
 
 
@@ -65,7 +65,7 @@
 def calls_alone(given: Assumptions, seed: int) -> float:
     """Processor seconds of one call that needs nothing of control."""
     made = hollow.HollowDispatcher(hollow.entries(FEW), seed, given.target.dispatchers_per_region)
-    made.learn_all()
+    made.load_full_list()
     caller = Caller(given, seed)
     functions = [caller.function() for _ in range(int(caller.rate))]
 
@@ -89,7 +89,7 @@
     rate = given.instance_changes_per_second(instances)
     play(made, region.change, caller, life, rate, life_seconds)
     (holder,) = region.holders.values()
-    made.looked_up.clear()
+    made.lookup_seconds.clear()
     before = holder.processor, made.directory.bytes_in, made.count
     answered = dict(made.answers)
     spent = measuring.processor_seconds(lambda: play(made, region.change, caller, life, rate, SECONDS), 1)
@@ -101,7 +101,7 @@
         functions=len(made.edge.directory.watcher.functions),
         control=control / SECONDS,
         bytes_in=(made.directory.bytes_in - before[1]) / SECONDS,
-        looked_up=list(made.looked_up),
+        lookup_seconds=list(made.lookup_seconds),
         served=served_since(made, answered),
     )
 
@@ -109,13 +109,15 @@
 def with_list(instances: int, life_seconds: float, seed: int, given: Assumptions) -> Costs:
     target = given.target
     made = hollow.HollowDispatcher(hollow.entries(instances), seed, target.dispatchers_per_region)
-    made.learn_all()
+    made.load_full_list()
     roster = made.roster
     caller, life, rate = Caller(given, seed), lives(instances), given.instance_changes_per_second(instances)
-    play(made, roster.tell, caller, life, rate, life_seconds)
+    play(made, roster.send_update, caller, life, rate, life_seconds)
     before = roster.traffic.bytes_in, made.count
     answered = dict(made.answers)
-    spent = measuring.processor_seconds(lambda: play(made, roster.tell, caller, life, rate, SECONDS), 1)
+    spent = measuring.processor_seconds(
+        lambda: play(made, roster.send_update, caller, life, rate, SECONDS), 1
+    )
     calls = made.count - before[1]
     return Costs(
         state=measuring.deep_size(made.edge, STRANGERS),
@@ -123,7 +125,7 @@
         functions=len(made.edge.host.registry.functions),
         control=(spent.median - calls * calls_alone(given, seed)) / SECONDS,
         bytes_in=(roster.traffic.bytes_in - before[0]) / SECONDS,
-        looked_up=[],
+        lookup_seconds=[],
         served=served_since(made, answered),
     )
 
@@ -144,10 +146,12 @@
         Figure(f"{label}: bytes in for control", costs.bytes_in, "bytes/s", target.control_bytes_per_second),
         Figure(f"{label}: calls that were ok", costs.served, "part"),
     ]
-    if costs.looked_up:
+    if costs.lookup_seconds:
         for part in (0.5, 0.99):
-            took = percentile(costs.looked_up, part)
-            made.append(Figure(f"{label}: look-up p{part * 100:g}", took, "s", target.cold_start_seconds))
+            latencies = percentile(costs.lookup_seconds, part)
+            made.append(
+                Figure(f"{label}: look-up p{part * 100:g}", latencies, "s", target.cold_start_seconds)
+            )
     return made
 
 
--- a/benchmarks/scale/roles/directory_failures.py
+++ b/benchmarks/scale/roles/directory_failures.py
@@ -6,7 +6,7 @@
 
 from benchmarks.scale.assumptions import Assumptions
 from benchmarks.scale.calls import Caller, percentile
-from benchmarks.scale.directory_fleet import HolderNode, Region, WatcherNode, tenths
+from benchmarks.scale.directory_fleet import HolderNode, Region, WatcherNode, to_ticks
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.dispatcher_directory import region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
@@ -81,8 +81,8 @@
     region.run(1.0)
     took = [one for node in nodes for one in node.ready]
     failed = [at - began for node in nodes for at, _ in node.failed]
-    known = sum(node.known for node in nodes)
-    waited = len(calls) - known
+    known_calls = sum(node.known_calls for node in nodes)
+    waited = len(calls) - known_calls
     return [
         Figure("instances", instances, "instances"),
         Figure("dispatchers that start", cold, "dispatchers"),
@@ -199,7 +199,7 @@
     calm = traffic(region, nodes, 5.0)
     for holder in region.holders.values():
         holder.roster = None
-        holder.put(holder.holder.roster_lost, tenths(region.reactor))
+        holder.enqueue(holder.holder.roster_lost, to_ticks(region.reactor))
     cut = traffic(region, nodes, CUT)
     for node in nodes:
         node.ready.clear()
--- a/benchmarks/scale/roles/dispatcher_directory.py
+++ b/benchmarks/scale/roles/dispatcher_directory.py
@@ -13,7 +13,7 @@
 from benchmarks.scale import hollow, measuring
 from benchmarks.scale.assumptions import Assumptions
 from benchmarks.scale.calls import Caller, percentile
-from benchmarks.scale.directory_fleet import MILLION, HolderNode, Region, WatcherNode
+from benchmarks.scale.directory_fleet import MICROSECONDS, HolderNode, Region, WatcherNode
 from benchmarks.scale.roles import register
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
 from lapistrestle.directory.effects import WatcherSettings
@@ -65,7 +65,7 @@
 
 
 def region_of(instances: int, holders: int, seed: int, given: Assumptions) -> Region:
-    one_way = round(given.network.in_region_seconds * MILLION)
+    one_way = round(given.network.in_region_seconds * MICROSECONDS)
     settings = WatcherSettings(
         first_count=given.prefix, idle_timeout=round(given.directory.watch_idle_seconds * SECOND)
     )
@@ -160,15 +160,15 @@
 def steps_of(region: Region, node: WatcherNode) -> measuring.Steps:
     """The dispatcher's part of one look-up, and of the news that one of the found instances drains."""
     function = "function-counted"
-    with node.holding() as held:
+    with node.hold_lines() as held:
         asked = measuring.count_steps(lambda: node.call(function))
         region.run(SETTLED)
-    answered = measuring.count_steps(lambda: node.take_in(held))
+    answered = measuring.count_steps(lambda: node.deliver_held(held))
     entry = region.listed[node.watcher.functions[function].names[0]]
-    with node.holding() as held:
+    with node.hold_lines() as held:
         region.change(structs.replace(entry, listing="draining"))
         region.run(SETTLED)
-    told = measuring.count_steps(lambda: node.take_in(held))
+    told = measuring.count_steps(lambda: node.deliver_held(held))
     return measuring.Steps(
         asked.instructions + answered.instructions + told.instructions,
         max(asked.peak_bytes, answered.peak_bytes, told.peak_bytes),
--- a/benchmarks/scale/roles/dispatcher_list.py
+++ b/benchmarks/scale/roles/dispatcher_list.py
@@ -42,7 +42,9 @@
     first = measuring.processor_seconds(lambda: made.call(f"function-{seed}-{next(numbers)}"), VIEWED)
     made.run(WARM_UP)
     instance = count(instances)
-    change = measuring.processor_seconds(lambda: made.roster.tell(hollow.entry(next(instance))), VIEWED)
+    change = measuring.processor_seconds(
+        lambda: made.roster.send_update(hollow.entry(next(instance))), VIEWED
+    )
     made.run(WARM_UP)
     warm = measuring.processor_seconds(lambda: made.call(f"function-{seed}-0"), VIEWED)
     changes = given.instance_changes_per_second(instances)
@@ -63,7 +65,7 @@
         Figure("change of the list", change.median, "s", None, change.low, change.high),
         Figure("changes", changes, "changes/s"),
         Figure("changes, worked out", changes * change.median, "cores", target.control_cores),
-        Figure("whole list, one line", made.roster.whole_bytes, "bytes", Listen().longest_line),
+        Figure("whole list, one line", made.roster.snapshot_bytes, "bytes", Listen().longest_line),
         Figure("connections to instances", len(made.edge.runners), "connections"),
     ]
 
@@ -73,7 +75,7 @@
     name = f"function-{seed}-{number}"
     made.call(name)
     made.run(0.02)
-    made.drop_answers()
+    made.clear_latencies()
     return name
 
 
@@ -123,7 +125,7 @@
 def learnt(instances: int, seed: int, dispatchers: int) -> hollow.HollowDispatcher:
     """A dispatcher that has the whole list, all connections up."""
     made = hollow.HollowDispatcher(hollow.entries(instances), seed, dispatchers, seed % dispatchers)
-    made.learn_all()
+    made.load_full_list()
     made.roster.entries = []
     return made
 
@@ -135,7 +137,7 @@
     first = measuring.processor_seconds(lambda: made.call(f"function-{seed}-{next(numbers)}"))
     made.run(WARM_UP)
     numbers = count(instances)
-    change = measuring.processor_seconds(lambda: made.roster.tell(hollow.entry(next(numbers))))
+    change = measuring.processor_seconds(lambda: made.roster.send_update(hollow.entry(next(numbers))))
     made.run(WARM_UP)
     after_change = measuring.processor_seconds(lambda: call_after_change(made, seed, numbers))
     made.run(WARM_UP)
@@ -143,7 +145,7 @@
     made.run(WARM_UP)
     steps = measuring.count_steps(lambda: control_steps(made, seed, numbers))
     changes = given.instance_changes_per_second(instances)
-    bytes_of_change = made.roster.tell(hollow.entry(next(numbers)))
+    bytes_of_change = made.roster.send_update(hollow.entry(next(numbers)))
     return Sample(
         state_bytes=state,
         messages_in=changes,
@@ -159,20 +161,20 @@
             "call after a change, s": max(0.0, after_change.median - change.median),
             "warm call, s": warm.median,
             "bytes copied by a first call and a change": steps.peak_bytes,
-            "whole list, bytes": made.roster.whole_bytes,
+            "whole list, bytes": made.roster.snapshot_bytes,
         },
     )
 
 
 def call_after_change(made: hollow.HollowDispatcher, seed: int, numbers: "count[int]") -> None:
-    made.roster.tell(hollow.entry(next(numbers)))
+    made.roster.send_update(hollow.entry(next(numbers)))
     made.call(f"function-{seed}-0")
 
 
 def control_steps(made: hollow.HollowDispatcher, seed: int, numbers: "count[int]") -> None:
     """One first call and one change of the list."""
     made.call(f"function-{seed}-counted")
-    made.roster.tell(hollow.entry(next(numbers)))
+    made.roster.send_update(hollow.entry(next(numbers)))
 
 
 def by_functions(functions: int, seed: int, given: Assumptions) -> Sample:
@@ -181,9 +183,9 @@
 
     _, state = measuring.build_measured(lambda: [view(made, seed, number) for number in range(functions)])
     numbers = count(FLEET)
-    change = measuring.processor_seconds(lambda: made.roster.tell(hollow.entry(next(numbers))))
+    change = measuring.processor_seconds(lambda: made.roster.send_update(hollow.entry(next(numbers))))
     made.run(WARM_UP)
-    steps = measuring.count_steps(lambda: made.roster.tell(hollow.entry(next(numbers))))
+    steps = measuring.count_steps(lambda: made.roster.send_update(hollow.entry(next(numbers))))
     changes = given.instance_changes_per_second(FLEET)
     return Sample(
         state_bytes=state,
@@ -244,7 +246,7 @@
 
 def traffic(made: hollow.HollowDispatcher, calls: int, changes: int, seed: int, seconds: float) -> None:
     """Calls and changes evenly over the time, in one order of time."""
-    made.drop_answers()
+    made.clear_latencies()
     numbers = count(FLEET + made.roster.number)
     wanted = [(i / calls, "call") for i in range(int(calls * seconds))]
     wanted += [(i / changes, "change") for i in range(int(changes * seconds))] if changes else []
@@ -254,7 +256,7 @@
         if what == "call":
             made.call(f"function-{seed}-{number % IN_VIEW}")
         else:
-            made.roster.tell(hollow.entry(next(numbers)))
+            made.roster.send_update(hollow.entry(next(numbers)))
 
 
 register(DispatcherWithList())
--- a/benchmarks/scale/roles/real_dispatchers.py
+++ b/benchmarks/scale/roles/real_dispatchers.py
@@ -11,7 +11,7 @@
 
 from benchmarks.scale import hollow, measuring
 from benchmarks.scale.assumptions import Assumptions
-from benchmarks.scale.loopback import Group, flapping
+from benchmarks.scale.loopback import Group, size_change
 from benchmarks.scale.roles import register
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 
@@ -48,10 +48,10 @@
     try:
         await group.start()
         memory = group.memory()
-        idle = await group.spend(size.seconds / 2, 0, 0, FUNCTIONS)
-        await group.spend(WARM_UP, CALLS, 0, FUNCTIONS)
-        calls = await group.spend(size.seconds, CALLS, 0, FUNCTIONS)
-        changes = await group.spend(size.seconds, 0, CHANGES, FUNCTIONS)
+        idle = await group.measure_load(size.seconds / 2, 0, 0, FUNCTIONS)
+        await group.measure_load(WARM_UP, CALLS, 0, FUNCTIONS)
+        calls = await group.measure_load(size.seconds, CALLS, 0, FUNCTIONS)
+        changes = await group.measure_load(size.seconds, 0, CHANGES, FUNCTIONS)
         return Costs(memory, idle, calls, changes)
     finally:
         group.stop()
@@ -62,25 +62,27 @@
 
     def learnt() -> hollow.HollowDispatcher:
         made = hollow.HollowDispatcher(hollow.entries(instances), seed, size.dispatchers)
-        made.learn_all()
+        made.load_full_list()
         return made
 
     made, state = measuring.build_measured(learnt)
     idle = measuring.processor_seconds(lambda: made.run(size.seconds / 2), 1).median / (size.seconds / 2)
-    spend(made, WARM_UP, CALLS, 0)
-    calls = measuring.processor_seconds(lambda: spend(made, size.seconds, CALLS, 0), 3).median / size.seconds
-    changes = measuring.processor_seconds(lambda: spend(made, size.seconds, 0, CHANGES), 3).median
+    run_load(made, WARM_UP, CALLS, 0)
+    calls = (
+        measuring.processor_seconds(lambda: run_load(made, size.seconds, CALLS, 0), 3).median / size.seconds
+    )
+    changes = measuring.processor_seconds(lambda: run_load(made, size.seconds, 0, CHANGES), 3).median
     return Costs([state], [idle], [calls], [changes / size.seconds])
 
 
-def spend(made: hollow.HollowDispatcher, seconds: float, calls: float, changes: float) -> None:
+def run_load(made: hollow.HollowDispatcher, seconds: float, calls: float, changes: float) -> None:
     began = made.reactor.seconds()
     for number in range(int(seconds * calls)):
         made.reactor.run(began + number / calls)
         made.call(f"function-{number % FUNCTIONS}")
     for number in range(int(seconds * changes)):
         made.reactor.run(began + number / changes)
-        made.roster.tell(flapping(made.roster.entries, number))
+        made.roster.send_update(size_change(made.roster.entries, number))
     made.reactor.run(began + seconds)
 
 
--- a/benchmarks/scale/roles/shard_holder.py
+++ b/benchmarks/scale/roles/shard_holder.py
@@ -8,7 +8,7 @@
 
 from benchmarks.scale import measuring
 from benchmarks.scale.assumptions import Assumptions
-from benchmarks.scale.directory_fleet import MILLION, HolderNode, Region, WatcherNode, tenths
+from benchmarks.scale.directory_fleet import MICROSECONDS, HolderNode, Region, WatcherNode, to_ticks
 from benchmarks.scale.roles import register
 from benchmarks.scale.roles.dispatcher_directory import lives, region_of
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
@@ -35,7 +35,7 @@
         self.session = -1
         self.heard_messages = 0
         holder.connect(self, 0)  # type: ignore[arg-type]
-        region.reactor.schedule(round(number * 7_919 % (HEARTBEAT * MILLION)), self.renew)
+        region.reactor.schedule(round(number * 7_919 % (HEARTBEAT * MICROSECONDS)), self.renew)
 
     def after(self, delay: int, call: object, *args: object) -> None:
         """The holder says something, or has taken the connection."""
@@ -45,12 +45,12 @@
 
     def connected(self, *args: object) -> None: ...
     def refused(self, *args: object) -> None: ...
-    def broken(self, *args: object) -> None: ...
+    def connection_lost(self, *args: object) -> None: ...
     def arrive(self, *args: object) -> None: ...
 
     def renew(self) -> None:
-        self.say(wire.Renew(tenths(self.region.reactor)))
-        self.region.reactor.schedule(round(HEARTBEAT * MILLION), self.renew)
+        self.say(wire.Renew(to_ticks(self.region.reactor)))
+        self.region.reactor.schedule(round(HEARTBEAT * MICROSECONDS), self.renew)
 
     def watch(self, function: str, prefix: int) -> None:
         shard = self.region.assignment.shard_of(function)
--- a/benchmarks/scale/samples.py
+++ b/benchmarks/scale/samples.py
@@ -1,8 +1,9 @@
-"""What a role measures, and the protocol of a role.
+"""The protocol of a role, and the types of its measurements.
 
-A role is one job that a process of the fleet does for control, for example a dispatcher that knows every
-instance. It names what grows (`Sweep`) and measures itself at one size (`Sample`). A `Scene` is one play at a
-stated size, with figures beside their budgets, for what is no curve: a restart of a zone, the full target.
+A role is one control task of a process of the fleet, for example a dispatcher that knows every instance. It
+declares the dimensions that grow (`Sweep`) and measures itself at one size (`Sample`). A `Scene` is one
+scenario at a stated size, with figures and their budgets, for what is not a curve: a restart of a zone, the
+full target.
 """
 
 from collections.abc import Callable
@@ -16,35 +17,35 @@
 
 
 class Dimension(StrEnum):
-    """What grows."""
+    """The dimension that grows."""
 
     INSTANCES = "instances"
-    FUNCTIONS = "functions"  # in view of one process
-    CALLS = "calls"  # a second, of one process
+    FUNCTIONS = "functions"  # in use at one process
+    CALLS = "calls"  # per second, at one process
     DISPATCHERS = "dispatchers"
-    CHANGES = "changes"  # a second
+    CHANGES = "changes"  # per second
     REGIONS = "regions"
 
 
 class Sample(Struct, frozen=True, omit_defaults=True):
     """One measurement at one size. Rates are per simulated second; traffic is of one process of the role."""
 
-    state_bytes: float  # what the process holds for the role, by tracemalloc, see `measuring.build_measured`
+    state_bytes: float  # that the process holds for the role, by tracemalloc, see `measuring.build_measured`
     messages_in: float = 0.0  # a second
     messages_out: float = 0.0  # a second
     bytes_in: float = 0.0  # a second, as encoded
     bytes_out: float = 0.0  # a second, as encoded
-    processor: float = 0.0  # seconds of processor time a second, median of the repeats
+    processor: float = 0.0  # in cores, median of the repeats
     processor_low: float = 0.0
     processor_high: float = 0.0
-    steps: int = 0  # bytecode instructions of the measured work, see `measuring.count_steps`; no clock in it
-    messages: int = 0  # counted, in and out, over the simulated time
+    steps: int = 0  # bytecode instructions of the measured work, see `measuring.count_steps`; deterministic
+    messages: int = 0  # in and out, over the simulated time
     simulated_seconds: float = 1.0
-    figures: dict[str, float] = {}  # further curves of the role, by name with unit, fitted alike
+    figures: dict[str, float] = {}  # further metrics of the role, by name with unit, fitted in the same way
 
 
 class Sweep(Struct, frozen=True):
-    """The sizes of one dimension: at least four, factors of two or more apart, then one beyond the fit."""
+    """The sizes of one dimension: at least four, each at least twice the last, then one beyond the fit."""
 
     dimension: Dimension
     sizes: tuple[int, ...]
@@ -56,30 +57,32 @@
     def __post_init__(self) -> None:
         for sizes, beyond in self.plans():
             if len(sizes) < 4 or any(b < 2 * a for a, b in pairwise(sizes)):
-                raise ValueError(f"{self.dimension}: four sizes, factors of two or more apart, not {sizes}")
+                raise ValueError(
+                    f"{self.dimension}: at least four sizes, each at least twice the last, not {sizes}"
+                )
             if beyond < 2 * sizes[-1]:
-                raise ValueError(f"{self.dimension}: {beyond} is not beyond the fit to {sizes}")
+                raise ValueError(f"{self.dimension}: {beyond} is not at least twice the last of {sizes}")
 
     def plans(self) -> list[tuple[tuple[int, ...], int]]:
-        """Sizes and the predicted one: in full, and where given the quick ones."""
+        """The fitted sizes and the predicted one, for a full run and, if given, for a quick one."""
         quick = [(self.quick_sizes, self.quick_beyond)] if self.quick_sizes else []
         return [(self.sizes, self.beyond), *quick]
 
 
 class Budget(Struct, frozen=True):
-    """The most that one process may spend of a metric, and the size at which that counts."""
+    """The maximum of a metric for one process, and the dimensions for which it applies."""
 
     metric: str  # a field of `Sample`, or a name in its `figures`
     most: float
     why: str
-    dimensions: tuple[Dimension, ...] = ()  # where it counts; empty: in each
+    dimensions: tuple[Dimension, ...] = ()  # where it applies; empty: all
 
     def counts_in(self, dimension: Dimension) -> bool:
         return not self.dimensions or dimension in self.dimensions
 
 
 class Figure(Struct, frozen=True, omit_defaults=True):
-    """One measured figure of a scene, beside its budget where it has one."""
+    """One measured figure of a scenario, with its budget if it has one."""
 
     name: str
     value: float
@@ -90,7 +93,7 @@
 
 
 class Scene(Struct, frozen=True):
-    """One play at a stated size. `play(seed, assumptions, quick)` returns its figures."""
+    """One scenario at a stated size. `play(seed, assumptions, quick)` returns its figures."""
 
     name: str
     text: str
--- a/benchmarks/scale/tables.py
+++ b/benchmarks/scale/tables.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity page, each worked out from the result files and the assumptions alone."""
+"""The tables of docs/CAPACITY.md, computed from the result files and the assumptions alone."""
 
 import math
 from collections.abc import Callable, Mapping, Sequence
@@ -13,15 +13,15 @@
 
 Results = Mapping[str, Result]
 MODULE_IDLE = 9.0  # seconds without a call until the module forgets a function, by the settings of `hollow`
-SMALL = -4  # powers of ten below this are written with an exponent
+SMALL_EXPONENT = -4  # powers of ten below this are written with an exponent
 
 
 class UnknownTableError(Exception):
-    """The page asks for a table that is not made, or for a role that has no result file."""
+    """The page names an unknown table, or a role that has no result file."""
 
 
-class Breaking(Struct, frozen=True):
-    """Where one metric of a role leaves its budget."""
+class BudgetCrossing(Struct, frozen=True):
+    """The size at which one metric of a role exceeds its budget."""
 
     role: str
     dimension: str
@@ -33,13 +33,13 @@
 
 
 def number(value: float) -> str:
-    """Three significant figures, with thousands apart."""
+    """Formats with three significant figures and thousands separators."""
     if math.isinf(value):
         return "never"
     if value == 0:
         return "0"
     magnitude = math.floor(math.log10(abs(value)))
-    if magnitude < SMALL:
+    if magnitude < SMALL_EXPONENT:
         return f"{value:.2e}"
     return f"{round(value, 2 - magnitude):,.{max(0, 2 - magnitude)}f}"
 
@@ -53,13 +53,13 @@
     return UNITS.get(metric, "")
 
 
-def titled(metric: str) -> str:
+def metric_title(metric: str) -> str:
     unit = unit_of(metric)
     return f"{metric.replace('_', ' ')}" + (f", {unit}" if unit else "")
 
 
-def used(series: Series, metric: str) -> bool:
-    """A metric that is nought at every size is left out of the tables."""
+def is_nonzero(series: Series, metric: str) -> bool:
+    """Whether a metric is nonzero at any size; the tables omit those that are not."""
     growth = next(growth for growth in series.growths if growth.metric == metric)
     return bool(growth.fit.base or growth.fit.slope)
 
@@ -69,13 +69,21 @@
     for series in result.series:
         sizes = ", ".join(f"{point.size:,}" for point in series.points[:-1])
         for growth in series.growths:
-            if not used(series, growth.metric):
+            if not is_nonzero(series, growth.metric):
                 continue
             fit = growth.fit
             slope = "" if fit.kind is Kind.FLAT else number(fit.slope)
             spread = "" if fit.kind is Kind.FLAT else f"{number(fit.slope_low)} to {number(fit.slope_high)}"
             at_target = number(fit.at(series.target))
-            row = [series.dimension, sizes, titled(growth.metric), fit.kind, number(fit.base), slope, spread]
+            row = [
+                series.dimension,
+                sizes,
+                metric_title(growth.metric),
+                fit.kind,
+                number(fit.base),
+                slope,
+                spread,
+            ]
             rows.append([*row, f"{fit.error:.0%}", at_target])
     head = ["grows", "sizes", "metric", "kind", "base", "slope", "over repeats", "error", "at target"]
     return table(head, rows)
@@ -84,12 +92,12 @@
 def prediction_table(result: Result) -> str:
     rows = []
     for series in result.series:
-        for made in series.predictions:
-            if not used(series, made.metric):
+        for prediction in series.predictions:
+            if not is_nonzero(series, prediction.metric):
                 continue
-            miss = made.measured / made.predicted - 1 if made.predicted else math.inf
-            figures = [number(made.predicted), number(made.measured), f"{miss:+.0%}"]
-            rows.append([series.dimension, f"{made.size:,}", titled(made.metric), *figures])
+            miss = prediction.measured / prediction.predicted - 1 if prediction.predicted else math.inf
+            figures = [number(prediction.predicted), number(prediction.measured), f"{miss:+.0%}"]
+            rows.append([series.dimension, f"{prediction.size:,}", metric_title(prediction.metric), *figures])
     return table(["grows", "size", "metric", "predicted", "measured", "miss"], rows)
 
 
@@ -114,7 +122,7 @@
 
 
 def margin(value: float, budget: float | None) -> str:
-    """What is left of the budget, or by how much it is overrun."""
+    """The remaining share of the budget, or the factor by which it is exceeded."""
     if budget is None:
         return ""
     if value <= budget:
@@ -122,10 +130,10 @@
     return f"over, {number(value / budget)} times" if budget else "over"
 
 
-def breaking(results: Results) -> list[Breaking]:
-    """Every budget of every role against the dimension, the one that breaks first at the top."""
+def budget_crossings(results: Results) -> list[BudgetCrossing]:
+    """Every budget of every role by dimension, ordered by the size of the crossing relative to the target."""
     found = [
-        Breaking(result.role, series.dimension, budget.metric, budget.most, *place, series.target)
+        BudgetCrossing(result.role, series.dimension, budget.metric, budget.most, *place, series.target)
         for result in results.values()
         for series in result.series
         for budget in result.budgets
@@ -135,19 +143,19 @@
 
 
 def crossing(series: Series, budget: Budget) -> tuple[float, float] | None:
-    """The metric at the target size and the size at which it passes the budget."""
+    """The metric at the target size, and the size at which it exceeds the budget."""
     for growth in series.growths:
-        if growth.metric == budget.metric and used(series, budget.metric):
+        if growth.metric == budget.metric and is_nonzero(series, budget.metric):
             return growth.fit.at(series.target), growth.fit.crossing(budget.most)
     return None
 
 
 def ranking_table(results: Results) -> str:
     rows = []
-    for row in breaking(results):
+    for row in budget_crossings(results):
         place = [number(row.crossing), number(row.target), number(row.crossing / row.target)]
         figures = [number(row.budget), number(row.at_target), margin(row.at_target, row.budget)]
-        rows.append([row.role, row.dimension, titled(row.metric), *place, *figures])
+        rows.append([row.role, row.dimension, metric_title(row.metric), *place, *figures])
     head = ["role", "grows", "metric", "leaves its budget at", "target", "part of target"]
     return table([*head, "budget", "at target", "margin"], rows)
 
@@ -201,7 +209,7 @@
 
 
 def sensitivity_table(given: Assumptions) -> str:
-    """What one dispatcher has in view, by how calls spread and how many dispatchers a function's reach."""
+    """Functions in use at one dispatcher, by distribution of calls and number of dispatchers reached."""
     rows = []
     for spread in (given.spread, *given.sensitivity):
         for reach in (None, given.dispatchers_per_function):
@@ -225,30 +233,30 @@
     return table([*head, "first calls a second", "of all calls"], rows)
 
 
-WHOLE: dict[str, Callable[[Results], str]] = {"ranking": ranking_table, "runs": origin_table}
-GIVEN: dict[str, Callable[[Assumptions], str]] = {
+RESULT_TABLES: dict[str, Callable[[Results], str]] = {"ranking": ranking_table, "runs": origin_table}
+ASSUMPTION_TABLES: dict[str, Callable[[Assumptions], str]] = {
     "target": target_table,
     "assumptions": assumption_table,
     "sensitivity": sensitivity_table,
 }
-OF_ROLE: dict[str, Callable[[Result], str]] = {
+ROLE_TABLES: dict[str, Callable[[Result], str]] = {
     "growth": growth_table,
     "prediction": prediction_table,
     "scenes": scene_table,
 }
 
 
-def made(name: str, results: Results) -> str:
-    """The table called `name`: `ranking`, `runs`, `target`, `assumptions`, or `growth ROLE`,
-    `prediction ROLE`, `scenes ROLE`. Raises `UnknownTableError`.
+def make_table(name: str, results: Results) -> str:
+    """Makes the table `name`: `ranking`, `runs`, `target`, `assumptions`, `sensitivity`, `growth ROLE`,
+    `prediction ROLE` or `scenes ROLE`. Raises `UnknownTableError`.
     """
-    if name in WHOLE:
-        return WHOLE[name](results)
-    if name in GIVEN:
-        return GIVEN[name](assumptions.load())
+    if name in RESULT_TABLES:
+        return RESULT_TABLES[name](results)
+    if name in ASSUMPTION_TABLES:
+        return ASSUMPTION_TABLES[name](assumptions.load())
     kind, _, role = name.partition(" ")
-    if kind not in OF_ROLE or role not in results:
+    if kind not in ROLE_TABLES or role not in results:
         raise UnknownTableError(
             f"no table called {name!r}: roles with results are {', '.join(results) or 'none'}"
         )
-    return OF_ROLE[kind](results[role])
+    return ROLE_TABLES[kind](results[role])
