--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -92,9 +92,9 @@
     def dial(self, effect: Dial) -> None:
         """Open a connection."""
         dial = self.dials[effect.connection] = HolderDial(self, effect.connection)
-        time_out = self.edge.connect_timeout / SECOND
-        copy = effect.replica
-        dial.connector = self.edge.reactor.connectTCP(copy.host, copy.port, dial, timeout=time_out)
+        timeout = self.edge.connect_timeout / SECOND
+        replica = effect.replica
+        dial.connector = self.edge.reactor.connectTCP(replica.host, replica.port, dial, timeout=timeout)
 
     def close_connection(self, connection: int) -> None:
         """Close a connection; no more events of it are reported."""
--- a/lapistrestle/node/runner_connection.py
+++ b/lapistrestle/node/runner_connection.py
@@ -99,9 +99,9 @@
         )
         self.stream: Socket | None = None
         self.buffer = b""
-        self.by_rid: dict[str, int] = {}
-        self.rids: dict[int, str] = {}
-        self.last_used = self.core.clock()
+        self.numbers_by_rid: dict[str, int] = {}
+        self.rids_by_number: dict[int, str] = {}
+        self.last_used_at = self.core.clock()
         self.unsent_numbers = set[int]()  # once the connection is lost: lines not completely written
 
     def load(self) -> int:
@@ -113,9 +113,9 @@
 
         False if it is rejected.
         """
-        self.last_used = self.core.clock()
-        self.by_rid[rid] = line.number
-        self.rids[line.number] = rid
+        self.last_used_at = self.core.clock()
+        self.numbers_by_rid[rid] = line.number
+        self.rids_by_number[line.number] = rid
         if self.state_machine.send(line, prompt):
             return True
         self.forget(line.number)
@@ -123,14 +123,14 @@
 
     def is_stale(self) -> bool:
         """Whether it has been unused for so long that the runner is about to close it."""
-        idle = self.core.clock() - self.last_used > self.pools.idle_limit
+        idle = self.core.clock() - self.last_used_at > self.pools.idle_limit
         return idle and self.state_machine.state is ConnectionState.OPEN and not self.load()
 
     def forget(self, number: int) -> None:
         """Remove the request id of a number."""
-        rid = self.rids.pop(number, None)
-        if rid is not None and self.by_rid.get(rid) == number:
-            del self.by_rid[rid]
+        rid = self.rids_by_number.pop(number, None)
+        if rid is not None and self.numbers_by_rid.get(rid) == number:
+            del self.numbers_by_rid[rid]
 
     def cancel_unsent(self, number: int) -> bool:
         """Remove a queued line. True if it was not sent, and will not be."""
@@ -141,7 +141,7 @@
 
     def withdraw(self, number: int, notify: bool) -> bool:
         """Stop waiting for this number; True if its line was never sent. Otherwise `notify` the runner."""
-        rid = self.rids.get(number)
+        rid = self.rids_by_number.get(number)
         self.forget(number)
         if self.state_machine.withdraw(number):
             return True
@@ -154,7 +154,7 @@
 
         Late replies about this process's loads must not be taken for the new one's.
         """
-        for number in [number for number in self.rids if number in self.core.host.tasks]:
+        for number in [number for number in self.rids_by_number if number in self.core.host.tasks]:
             self.withdraw(number, False)
             self.core.host.task_finished_without_reply(number, Outcome.NOT_SENT)
 
@@ -183,7 +183,7 @@
         reply = parse_reply(line)
         if reply is None:
             return False
-        number = self.by_rid.get(reply.rid)
+        number = self.numbers_by_rid.get(reply.rid)
         if number is None:
             self.core.host.unmatched_reply()
             return True
@@ -197,7 +197,7 @@
 
     def reply_received(self, number: int) -> None:
         """Note the reply to a number."""
-        self.last_used = self.core.clock()
+        self.last_used_at = self.core.clock()
         self.forget(number)
         self.state_machine.finished(number)
 
--- a/lapistrestle/node/runners.py
+++ b/lapistrestle/node/runners.py
@@ -192,5 +192,5 @@
         ]
         if not idle:
             return False
-        min(idle, key=lambda connection: connection.last_used).close()
+        min(idle, key=lambda connection: connection.last_used_at).close()
         return True
