--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -330,17 +330,17 @@
     assert stage.module.now - 8_001 <= stage.module.preload_budget.requests[0] <= stage.module.now - 7_999
 
 
-@pytest.mark.parametrize(("still", "reports", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
+@pytest.mark.parametrize(("stall", "age", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
 def test_the_time_for_which_a_request_was_unread_counts_towards_its_patience(
-    stage: Any, still: Any, reports: Any, left: Any
+    stage: Any, stall: Any, age: Any, left: Any
 ) -> None:
     """The time is bounded by the stall, and not queried if there was none."""
     for runner in stage.runners:
         runner.on_run = lambda line, said: None
-    stage.hand.unread_for = lambda sock: reports
+    stage.hand.unread_for = lambda sock: age
     client = stage.client()
     number = client.ask(patience="1000")
-    stage.hand.rightNow += still
+    stage.hand.rightNow += stall
     stage.hand.quiet()
     read = stage.hand.rightNow
     while client.status(number) is None and stage.hand.rightNow < read + 2:
