--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -86,7 +86,7 @@
             self.host.abort(request)
 
     def on_preload_finished(
-        self, worker: Worker, function: Function, outcome: Outcome, count: int, took: int
+        self, worker: Worker, function: Function, outcome: Outcome, count: int, duration: int
     ) -> None:
         for request in self.waiting.pop((worker, function), []):
             if not request.over and outcome is Outcome.OK:
@@ -101,7 +101,7 @@
     def on_endpoints_failed(self) -> None: ...
     def on_timer(self, token: object) -> None: ...
     def on_health_check(
-        self, worker: Worker, outcome: Outcome, took: int, report: Mapping[str, float]
+        self, worker: Worker, outcome: Outcome, duration: int, report: Mapping[str, float]
     ) -> None: ...
     def on_gossip(self, peer: int, text: str) -> None: ...
 
--- a/lapistrestle/model/links.py
+++ b/lapistrestle/model/links.py
@@ -37,11 +37,11 @@
     """One connection on the tape, if a tape is recorded: lines as they would have crossed the socket of the
     peer of the edge, in the form that the checker reads."""
 
-    def __init__(self, tape: Tape | None, connection: str, greets: str, **who: Any) -> None:
+    def __init__(self, tape: Tape | None, connection: str, edge_name: str, **who: Any) -> None:
         self.tape, self.connection = tape, connection
         if tape is not None:
             tape.put(connection, "open", **who)
-        self.put("<", wire.Hello("lapistrestle", wire.VERSION, greets))
+        self.put("<", wire.Hello("lapistrestle", wire.VERSION, edge_name))
 
     def put(self, sign: str, message: Any) -> None:
         if self.tape is not None:
@@ -71,8 +71,8 @@
 
     # interface of a runner's connection at the edge
 
-    def step(self, given: ConnectionEvent) -> None:
-        if given is ConnectionEvent.REMOVED:
+    def step(self, event: ConnectionEvent) -> None:
+        if event is ConnectionEvent.REMOVED:
             self.break_off()
 
     def discard_unsent(self) -> None:
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """`load(t)` is the demand relative to the capacity; `worths`: the gain of each method and its part of
+    """`load(t)` is the demand relative to the capacity; `gains`: the gain of each method and its part of
     it."""
 
     dispatchers: int = 12
@@ -32,8 +32,8 @@
     capacity: float = 1_000.0  # RPCs a second
     load: Callable[[float], float] = lambda t: 1.0
     up: Callable[[float], float] = lambda t: 1.0  # part of the capacity that is available
-    worths: tuple[tuple[float, float], ...] = ((4.0, 0.2), (2.0, 0.3), (1.0, 0.5))
-    soft: float = 1.0  # seconds after which an answer has no gain
+    gains: tuple[tuple[float, float], ...] = ((4.0, 0.2), (2.0, 0.3), (1.0, 0.5))
+    soft_deadline: float = 1.0  # seconds after which an answer has no gain
     patience: float = 3.0  # seconds after which the client is gone
     age: float = 2.0  # seconds: greatest age of a dispatcher's figures
     uneven: float = 1.0  # traffic of the first dispatcher relative to that of another
@@ -65,7 +65,9 @@
 
     def __init__(self, scenario: Scenario, priorities: int) -> None:
         self.logs: list[str] = []
-        self.controller = LevelController(priorities, int(scenario.soft * SECOND), self.logs.append, 0)
+        self.controller = LevelController(
+            priorities, int(scenario.soft_deadline * SECOND), self.logs.append, 0
+        )
 
     def update(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.controller.update(fleet, now)
@@ -116,11 +118,11 @@
     """Simulates a scenario. Priorities go by gain and, within a gain, first attempts before retries."""
     rng, priorities, count = (
         np.random.default_rng(scenario.seed),
-        2 * len(scenario.worths),
+        2 * len(scenario.gains),
         scenario.dispatchers,
     )
-    gains = np.repeat([w for w, _ in scenario.worths], 2)
-    parts = np.array([part for _, part in scenario.worths])
+    gains = np.repeat([w for w, _ in scenario.gains], 2)
+    parts = np.array([part for _, part in scenario.gains])
     shares = np.ones(count)
     shares[0] = scenario.uneven
     shares /= shares.sum()
@@ -198,7 +200,7 @@
             part = min(1.0, capacity / waiting_rpcs)
             completed = waiting * part
             capacity -= completed.sum()
-            if age <= scenario.soft:
+            if age <= scenario.soft_deadline:
                 in_time[step] += completed.sum((1, 2))
                 served_gain += float((completed.sum((0, 2)) * gains[0::2]).sum())
             else:
--- a/lapistrestle/standins/child_processes.py
+++ b/lapistrestle/standins/child_processes.py
@@ -24,20 +24,20 @@
 
     def __init__(self, folder: Path, name: str, *args: str) -> None:
         self.name, self.args = name, args
-        self.told = folder / f"{name}-{time.monotonic_ns()}.port"
-        self.log = self.told.with_suffix(".log")
+        self.port_file = folder / f"{name}-{time.monotonic_ns()}.port"
+        self.log = self.port_file.with_suffix(".log")
         self.child: subprocess.Popen[bytes] | None = None
         self.known = 0
 
     def start(self) -> None:
-        command = [sys.executable, "-m", "lapistrestle", *self.args, "--tell-port", str(self.told)]
+        command = [sys.executable, "-m", "lapistrestle", *self.args, "--tell-port", str(self.port_file)]
         with self.log.open("wb") as log:
             self.child = subprocess.Popen(command, stdout=log, stderr=log)
 
     def port(self) -> int:
         """The port where it listens; 0 until it has written that to its file, and once it has ended."""
-        if not self.known and self.told.exists():
-            self.known = int(self.told.read_text() or 0)
+        if not self.known and self.port_file.exists():
+            self.known = int(self.port_file.read_text() or 0)
         return self.known if self.child is not None else 0
 
     def wait_port(self, seconds: float = 20.0) -> int:
--- a/lapistrestle/standins/client.py
+++ b/lapistrestle/standins/client.py
@@ -176,8 +176,8 @@
 class ClientPool:
     """All clients of a day: spreads requests over the connected edges, and retries."""
 
-    def __init__(self, reactor: Any, habits: ClientBehaviour, seed: int, tape: Tape | None = None) -> None:
-        self.reactor, self.behaviour, self.tape = reactor, habits, tape
+    def __init__(self, reactor: Any, behaviour: ClientBehaviour, seed: int, tape: Tape | None = None) -> None:
+        self.reactor, self.behaviour, self.tape = reactor, behaviour, tape
         self.random = random.Random(seed)
         self.links: list[EdgeLink] = []
         self.next_link = 0
--- a/lapistrestle/standins/faults/effects.py
+++ b/lapistrestle/standins/faults/effects.py
@@ -41,9 +41,9 @@
     """Calls at once and then every `every` seconds, for `lasts` seconds."""
     until = world.reactor.seconds() + lasts
 
-    def again() -> None:
+    def call_and_repeat() -> None:
         if world.reactor.seconds() < until:
             call()
-            world.reactor.callLater(every, again)
+            world.reactor.callLater(every, call_and_repeat)
 
-    again()
+    call_and_repeat()
--- a/lapistrestle/standins/roster.py
+++ b/lapistrestle/standins/roster.py
@@ -66,8 +66,8 @@
 
     def jump_back(self, by: int) -> None:
         """Sends a snapshot with a number that is too low."""
-        whole = self.snapshot()
-        self.say_all(wire.RosterSnapshot(max(0, self.number - by), whole.workers, self.epoch))
+        current = self.snapshot()
+        self.say_all(wire.RosterSnapshot(max(0, self.number - by), current.workers, self.epoch))
 
     def skip_number(self) -> None:
         """Skips a number, so that subscribers miss a change."""
