--- a/benchmarks/scale/roles/before_after.py
+++ b/benchmarks/scale/roles/before_after.py
@@ -1,8 +1,8 @@
-"""The whole dispatcher before and after: the program's edge with the whole list, and with the directory.
+"""Compares the complete dispatcher with the full endpoint list ("before") and with the directory ("after").
 
-State is that of the edge, its module and its connections, by a recursive `sys.getsizeof`, less what hollow
-parts hold. The processor time for control is that of the edge under the target's calls, changes and look-ups,
-less that of as many calls at a dispatcher that knows `FEW` instances and hears of no change.
+State is that of the edge, its decision module and its connections, by a recursive `sys.getsizeof`, without
+that of the hollow peers. The processor time for control is that of the edge under the target's calls, changes
+and look-ups, minus that of the same number of calls at a dispatcher with `FEW` instances and no changes.
 """
 
 from collections.abc import Callable, Iterator
@@ -15,22 +15,22 @@
 from benchmarks.scale.directory_edge import DirectoryDispatcher, Session
 from benchmarks.scale.directory_fleet import HolderNode, Region
 from benchmarks.scale.roles import register
-from benchmarks.scale.roles.dispatcher_directory import lives, region_of
+from benchmarks.scale.roles.dispatcher_directory import instance_changes, region_of
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.standins.virtual import DelayedCall, VirtualProcess, VirtualReactor
 from lapistrestle.wire.messages import RosterEntry
 
-FEW = 100  # instances of the dispatcher whose calls alone are timed
-SECONDS = 4.0  # simulated and measured
-LIFE = 120.0  # seconds, as long as an unused function stays watched
-STRANGERS = (
+FEW = 100  # instances of the dispatcher that is timed without changes
+SECONDS = 4.0  # simulated time of a measurement
+LIFE = 120.0  # seconds; an unused function stays watched this long
+EXCLUDED_TYPES = (
     VirtualReactor, VirtualProcess, DelayedCall, HolderNode, Region, Session, hollow.Workers, hollow.Roster,
     hollow.HollowDispatcher, hollow.HollowTransport,
 )  # fmt: skip
 
 
 class Costs(Struct, frozen=True):
-    """What one dispatcher costs, a second."""
+    """The costs of one dispatcher; rates are per second."""
 
     state: int  # bytes
     known: int  # instances
@@ -38,41 +38,41 @@
     control: float  # cores
     bytes_in: float
     lookup_seconds: list[float]  # seconds
-    served: float  # part of the calls that were ok
+    served: float  # share of the calls that were ok
 
 
 def play(
-    made: hollow.HollowDispatcher,
+    dispatcher: hollow.HollowDispatcher,
     change: Callable[[RosterEntry], object],
     caller: Caller,
-    life: Iterator[RosterEntry],
+    list_changes: Iterator[RosterEntry],
     rate: float,
     seconds: float,
 ) -> None:
-    """Calls by chance at the caller's rate, changes evenly at theirs."""
-    wanted = [(at, True) for at in caller.times(seconds)]
-    wanted += [(number / rate, False) for number in range(int(rate * seconds))]
-    began = made.reactor.seconds()
-    for at, is_call in sorted(wanted):
-        made.reactor.run(began + at)
+    """Runs Poisson calls at the caller's rate, and evenly spaced changes at `rate` per second."""
+    events = [(at, True) for at in caller.times(seconds)]
+    events += [(number / rate, False) for number in range(int(rate * seconds))]
+    started_at = dispatcher.reactor.seconds()
+    for at, is_call in sorted(events):
+        dispatcher.reactor.run(started_at + at)
         if is_call:
-            made.call(caller.function())
+            dispatcher.call(caller.function())
         else:
-            change(next(life))
-    made.reactor.run(began + seconds)
+            change(next(list_changes))
+    dispatcher.reactor.run(started_at + seconds)
 
 
 def calls_alone(given: Assumptions, seed: int) -> float:
-    """Processor seconds of one call that needs nothing of control."""
-    made = hollow.HollowDispatcher(hollow.entries(FEW), seed, given.target.dispatchers_per_region)
-    made.load_full_list()
+    """Processor seconds of one call that causes no work for control."""
+    dispatcher = hollow.HollowDispatcher(hollow.entries(FEW), seed, given.target.dispatchers_per_region)
+    dispatcher.load_full_list()
     caller = Caller(given, seed)
     functions = [caller.function() for _ in range(int(caller.rate))]
 
     def second() -> None:
         for function in functions:
-            made.call(function)
-            made.run(1 / caller.rate)
+            dispatcher.call(function)
+            dispatcher.run(1 / caller.rate)
 
     second()
     return measuring.processor_seconds(second, 3).median / len(functions)
@@ -84,61 +84,69 @@
     target = given.target
     region = region_of(instances, 1, seed, given)
     idle, count = f"{given.directory.watch_idle_seconds:g} s", given.prefix
-    made = DirectoryDispatcher(region, seed, target.dispatchers_per_region, 0, idle=idle, first_count=count)
-    caller, life = Caller(given, seed, reach=reach), lives(instances)
+    dispatcher = DirectoryDispatcher(
+        region, seed, target.dispatchers_per_region, 0, idle=idle, first_count=count
+    )
+    caller, list_changes = Caller(given, seed, reach=reach), instance_changes(instances)
     rate = given.instance_changes_per_second(instances)
-    play(made, region.change, caller, life, rate, life_seconds)
+    play(dispatcher, region.change, caller, list_changes, rate, life_seconds)
     (holder,) = region.holders.values()
-    made.lookup_seconds.clear()
-    before = holder.processor, made.directory.bytes_in, made.count
-    answered = dict(made.answers)
-    spent = measuring.processor_seconds(lambda: play(made, region.change, caller, life, rate, SECONDS), 1)
-    calls = made.count - before[2]
+    dispatcher.lookup_seconds.clear()
+    before = holder.processor, dispatcher.directory.bytes_in, dispatcher.count
+    answered = dict(dispatcher.answers)
+    spent = measuring.processor_seconds(
+        lambda: play(dispatcher, region.change, caller, list_changes, rate, SECONDS), 1
+    )
+    calls = dispatcher.count - before[2]
     control = spent.median - (holder.processor - before[0]) - calls * calls_alone(given, seed)
     return Costs(
-        state=measuring.deep_size(made.edge, STRANGERS),
-        known=len(made.edge.known_workers.known),
-        functions=len(made.edge.directory.watcher.functions),
+        state=measuring.deep_size(dispatcher.edge, EXCLUDED_TYPES),
+        known=len(dispatcher.edge.known_workers.known),
+        functions=len(dispatcher.edge.directory.watcher.functions),
         control=control / SECONDS,
-        bytes_in=(made.directory.bytes_in - before[1]) / SECONDS,
-        lookup_seconds=list(made.lookup_seconds),
-        served=served_since(made, answered),
+        bytes_in=(dispatcher.directory.bytes_in - before[1]) / SECONDS,
+        lookup_seconds=list(dispatcher.lookup_seconds),
+        served=served_since(dispatcher, answered),
     )
 
 
 def with_list(instances: int, life_seconds: float, seed: int, given: Assumptions) -> Costs:
     target = given.target
-    made = hollow.HollowDispatcher(hollow.entries(instances), seed, target.dispatchers_per_region)
-    made.load_full_list()
-    roster = made.roster
-    caller, life, rate = Caller(given, seed), lives(instances), given.instance_changes_per_second(instances)
-    play(made, roster.send_update, caller, life, rate, life_seconds)
-    before = roster.traffic.bytes_in, made.count
-    answered = dict(made.answers)
+    dispatcher = hollow.HollowDispatcher(hollow.entries(instances), seed, target.dispatchers_per_region)
+    dispatcher.load_full_list()
+    roster = dispatcher.roster
+    caller, list_changes, rate = (
+        Caller(given, seed),
+        instance_changes(instances),
+        given.instance_changes_per_second(instances),
+    )
+    play(dispatcher, roster.send_update, caller, list_changes, rate, life_seconds)
+    before = roster.traffic.bytes_in, dispatcher.count
+    answered = dict(dispatcher.answers)
     spent = measuring.processor_seconds(
-        lambda: play(made, roster.send_update, caller, life, rate, SECONDS), 1
+        lambda: play(dispatcher, roster.send_update, caller, list_changes, rate, SECONDS), 1
     )
-    calls = made.count - before[1]
+    calls = dispatcher.count - before[1]
     return Costs(
-        state=measuring.deep_size(made.edge, STRANGERS),
-        known=len(made.edge.known_workers.known),
-        functions=len(made.edge.host.registry.functions),
+        state=measuring.deep_size(dispatcher.edge, EXCLUDED_TYPES),
+        known=len(dispatcher.edge.known_workers.known),
+        functions=len(dispatcher.edge.host.registry.functions),
         control=(spent.median - calls * calls_alone(given, seed)) / SECONDS,
         bytes_in=(roster.traffic.bytes_in - before[0]) / SECONDS,
         lookup_seconds=[],
-        served=served_since(made, answered),
+        served=served_since(dispatcher, answered),
     )
 
 
-def served_since(made: hollow.HollowDispatcher, before: dict[str, int]) -> float:
-    """The part of the answers since then that were ok."""
-    since = {verdict: count - before[verdict] for verdict, count in made.answers.items()}
+def served_since(dispatcher: hollow.HollowDispatcher, before: dict[str, int]) -> float:
+    """The share of the answers since `before` that were ok."""
+    since = {verdict: count - before[verdict] for verdict, count in dispatcher.answers.items()}
     return since["ok"] / max(1, sum(since.values()))
 
 
 def figures(label: str, costs: Costs, given: Assumptions) -> list[Figure]:
     target = given.target
-    made = [
+    found = [
         Figure(f"{label}: instances known", costs.known, "instances"),
         Figure(f"{label}: functions in view", costs.functions, "functions"),
         Figure(f"{label}: state", costs.state, "bytes", target.control_bytes),
@@ -149,14 +157,14 @@
     if costs.lookup_seconds:
         for part in (0.5, 0.99):
             latencies = percentile(costs.lookup_seconds, part)
-            made.append(
+            found.append(
                 Figure(f"{label}: look-up p{part * 100:g}", latencies, "s", target.cold_start_seconds)
             )
-    return made
+    return found
 
 
-def both(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
-    """After a short life, the list and the directory at a size that both can play."""
+def compare(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
+    """The list and the directory, after a short warm-up, at a size that both can simulate."""
     instances, seconds = (500, 2.0) if quick else (9_500, 6.0)
     before, after = (
         with_list(instances, seconds, seed, given),
@@ -169,38 +177,38 @@
 
 
 def flat(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
-    """The directory after the same short life at each size."""
+    """The directory at several sizes, after the same short warm-up."""
     sizes = (1_000, 4_000) if quick else (10_000, 76_000, 380_000)
     seconds = 2.0 if quick else 6.0
-    made = []
+    found = []
     for instances in sizes:
-        made += figures(f"{instances:,} instances", with_directory(instances, seconds, seed, given), given)
-    return made
+        found += figures(f"{instances:,} instances", with_directory(instances, seconds, seed, given), given)
+    return found
 
 
-def lived(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
-    """The directory at a region's size, once functions are let go of as fast as others are looked up; where
-    calls of a function reach all dispatchers of the region alike, and where they reach few.
+def at_target(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
+    """The directory at a region's size, once watches expire as fast as functions are looked up; with calls of
+    a function spread over all dispatchers of the region, and over few.
     """
     instances, seconds = (1_000, 4.0) if quick else (given.target.instances_per_region, LIFE)
     few = given.dispatchers_per_function
-    made = []
+    found = []
     for label, reach in [("calls reach all", None), (f"calls reach {few}", few)]:
-        made += figures(label, with_directory(instances, seconds, seed, given, reach), given)
-    return made
+        found += figures(label, with_directory(instances, seconds, seed, given, reach), given)
+    return found
 
 
 class BeforeAndAfter:
-    """The role `before-after`: scenes only."""
+    """The role `before-after`, with scenarios only."""
 
     name = "before-after"
     text = "the whole dispatcher with the list and with the directory"
     sweeps: tuple[Sweep, ...] = ()
     budgets: tuple[Budget, ...] = ()
     scenes = (
-        Scene("before and after", "one run, the same calls and changes", both),
+        Scene("before and after", "one run, the same calls and changes", compare),
         Scene("flat", "the directory at growing sizes of the region", flat),
-        Scene("at the target", "the directory at a region's size after two minutes", lived),
+        Scene("at the target", "the directory at a region's size after two minutes", at_target),
     )
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
--- a/benchmarks/scale/roles/control_agreement.py
+++ b/benchmarks/scale/roles/control_agreement.py
@@ -1,8 +1,8 @@
-"""Members of an agreed log: what one change costs, by changes a second and by length of the log.
+"""Members of a replicated log (Raft): the cost of one change, by changes per second and by length of the log.
 
-Members of `agreement.raft` stand in one process and virtual time; each word is encoded, since the package has
-no transport yet, and each `Persist` counts the bytes that a disk would have to write before what follows. The
-leader is metered, and one follower apart.
+Members of `agreement.raft` run in one process and virtual time. Messages are encoded here, since the package
+has no transport yet, and each `Persist` counts the bytes to be written to disk before the next effects. The
+leader and one follower are metered separately.
 """
 
 import statistics
@@ -28,17 +28,17 @@
 from lapistrestle.agreement.raft import RaftNode, RaftSettings, Role
 from lapistrestle.planner.entries import CommandEntry, encode_entry
 
-DELAY = 10  # tenths of a millisecond between two members of one region
-FAR = 500  # between two members of different regions
-SPAN = 20  # seconds
-LONG = 10_000  # entries of the log before it is measured by changes
-CROWDED = 64  # changes a second: ten times those of the worst minute
-CHANGES_A_SECOND = 3_800 / 10 / 60  # a tenth of the day's within one minute
-PACK = msgspec.msgpack.Encoder()
+DELAY = 10  # ticks of 0.1 ms between two members in one region
+FAR_DELAY = 500  # ticks of 0.1 ms between two members in different regions
+DURATION = 20  # seconds
+LOG_ENTRIES = 10_000  # initial length of the log, where changes per second grow
+PIPELINED_CHANGES = 64  # changes per second: ten times those of the worst minute
+CHANGES_PER_SECOND = 3_800 / 10 / 60  # a tenth of the day's within one minute
+ENCODER = msgspec.msgpack.Encoder()
 
 
-def change(number: int) -> str:
-    """An operator's order to begin a rollout, as the planner's journal holds it."""
+def change_entry(number: int) -> str:
+    """An operator's command to start a rollout, as the planner's journal stores it."""
     command = CommandEntry(
         at=SECOND * number, id=f"order-{number:08d}", action="start", function=f"function-{number:06d}",
         operator="operator", reason="release of the day", candidate=f"version-{number:06d}",
@@ -46,18 +46,18 @@
     return encode_entry(command).decode()
 
 
-def node(name: str, names: Sequence[str], entries: Sequence[LogEntry], seed: int, now: int) -> RaftNode:
-    """A member whose disk holds these entries."""
+def make_node(name: str, names: Sequence[str], entries: Sequence[LogEntry], seed: int, now: int) -> RaftNode:
+    """Creates a member whose disk holds these entries."""
     return RaftNode(name, names, PersistentState(1, "", list(entries)), RaftSettings(), seed, now)
 
 
 class Agreed:
-    """Members in virtual time; `delay` one way, in tenths of a millisecond."""
+    """A Raft group in virtual time; `delay` is the one-way latency in ticks of 0.1 ms."""
 
     def __init__(self, count: int, log: int, delay: int, seed: int) -> None:
         self.clock, self.delay = Clock(), delay
         self.names = [f"member-{i}" for i in range(count)]
-        entries = [LogEntry(1, change(i)) for i in range(log)]
+        entries = [LogEntry(1, change_entry(i)) for i in range(log)]
         self.members = {
             name: RaftNode(
                 name,
@@ -71,11 +71,11 @@
         }
         self.meters = {name: Meter() for name in self.names}
         self.traffic = {name: Traffic() for name in self.names}
-        self.saved_bytes = 0
+        self.persisted_bytes = 0
         self.proposed_at: dict[int, int] = {}
-        self.took: list[int] = []  # tenths of a millisecond from proposal to agreement, at the leader
+        self.took: list[int] = []  # ticks from proposal to commit, at the leader
         for name in self.names:
-            self.wake(name)
+            self.schedule_tick(name)
         self.clock.run(self.clock.now + 10 * SECOND)
 
     @property
@@ -86,32 +86,32 @@
     def follower(self) -> str:
         return next(name for name in self.names if name != self.leader)
 
-    def wake(self, name: str) -> None:
+    def schedule_tick(self, name: str) -> None:
         member = self.members[name]
 
-        def turn() -> None:
+        def run_tick() -> None:
             self.step(name, lambda: member.tick(self.clock.now))
-            self.wake(name)
+            self.schedule_tick(name)
 
-        self.clock.at(max(member.next_deadline, self.clock.now + 1), turn)
+        self.clock.at(max(member.next_deadline, self.clock.now + 1), run_tick)
 
     def step(self, name: str, event: Callable[[], Sequence[Effect]]) -> None:
-        made: list[Effect] = []
-        self.meters[name].run(lambda: made.extend(event()))
-        for effect in made:
-            self.do(name, effect)
+        effects: list[Effect] = []
+        self.meters[name].run(lambda: effects.extend(event()))
+        for effect in effects:
+            self.perform(name, effect)
 
-    def do(self, name: str, effect: Effect) -> None:
+    def perform(self, name: str, effect: Effect) -> None:
         if isinstance(effect, Send):
-            self.post(name, effect.to, effect.message)
+            self.send(name, effect.to, effect.message)
         elif isinstance(effect, Persist) and name == self.names[0]:
-            self.saved_bytes += len(PACK.encode(effect))
+            self.persisted_bytes += len(ENCODER.encode(effect))
         elif isinstance(effect, Committed) and effect.index in self.proposed_at and name == self.leader:
             self.took.append(self.clock.now - self.proposed_at.pop(effect.index))
 
-    def post(self, sender: str, to: str, message: Message) -> None:
+    def send(self, sender: str, to: str, message: Message) -> None:
         data: list[bytes] = []
-        self.meters[sender].run(lambda: data.append(PACK.encode(message)))
+        self.meters[sender].run(lambda: data.append(ENCODER.encode(message)))
         self.traffic[sender].sent(data[0])
         self.traffic[to].received(data[0])
         self.clock.at(self.clock.now + self.delay, self.deliver, sender, to, message)
@@ -124,60 +124,61 @@
         member = self.members[leader]
         at = member.last_index + 1
         self.proposed_at[at] = self.clock.now
-        self.step(leader, lambda: member.propose(change(number), self.clock.now)[1])
+        self.step(leader, lambda: member.propose(change_entry(number), self.clock.now)[1])
 
     def load(self, changes: int, seconds: int) -> None:
-        """So many changes each second, evenly spread."""
+        """Proposes this many changes per second, evenly spaced."""
         start = self.clock.now
         for i in range(changes * seconds):
             self.clock.at(start + SECOND * i // changes, self.propose, i)
         self.clock.run(start + seconds * SECOND)
         self.clock.run(self.clock.now + 4 * self.delay + 1)
 
-    def begin_count(self) -> None:
+    def reset_counts(self) -> None:
         for name in self.names:
             self.meters[name].seconds, self.meters[name].steps, self.traffic[name] = 0.0, 0, Traffic()
-        self.saved_bytes, self.took = 0, []
+        self.persisted_bytes, self.took = 0, []
 
 
 def by_changes(count: int, changes: int, delay: int, seed: int) -> Sample:
-    """The leader at so many changes a second."""
-    agreed = Agreed(count, LONG, delay, seed)
-    agreed.begin_count()
-    agreed.load(changes, SPAN)
+    """Measures the leader at this many changes per second."""
+    agreed = Agreed(count, LOG_ENTRIES, delay, seed)
+    agreed.reset_counts()
+    agreed.load(changes, DURATION)
     leader, follower = agreed.leader, agreed.follower
     traffic, meter = agreed.traffic[leader], agreed.meters[leader]
-    done = changes * SPAN
-    agreed_all = len(agreed.took)
-    cores, figures = meter.seconds / SPAN, {
-        "processor of a follower (cores)": agreed.meters[follower].seconds / SPAN,
+    done = changes * DURATION
+    committed = len(agreed.took)
+    cores, figures = meter.seconds / DURATION, {
+        "processor of a follower (cores)": agreed.meters[follower].seconds / DURATION,
         "bytes sent a change": traffic.bytes_out / done,
-        "bytes to disk a change": agreed.saved_bytes / done,
-        "agreed of proposed": agreed_all / done,
+        "bytes to disk a change": agreed.persisted_bytes / done,
+        "agreed of proposed": committed / done,
         "proposal to agreement (ms)": statistics.median(agreed.took) / 10,
     }  # fmt: skip
     messages = traffic.messages_in + traffic.messages_out
     meter.counts_steps = True
     agreed.load(changes, 1)
     return Sample(
-        state_bytes=0.0, messages_in=traffic.messages_in / SPAN, messages_out=traffic.messages_out / SPAN,
-        bytes_in=traffic.bytes_in / SPAN, bytes_out=traffic.bytes_out / SPAN, processor=cores,
+        state_bytes=0.0, messages_in=traffic.messages_in / DURATION,
+        messages_out=traffic.messages_out / DURATION,
+        bytes_in=traffic.bytes_in / DURATION, bytes_out=traffic.bytes_out / DURATION, processor=cores,
         processor_low=cores, processor_high=cores, steps=meter.steps, messages=messages,
-        simulated_seconds=SPAN, figures=figures,
+        simulated_seconds=DURATION, figures=figures,
     )  # fmt: skip
 
 
 class AgreementChanges:
-    """One log, by changes a second."""
+    """The leader's cost by changes per second."""
 
     budgets: tuple[Budget, ...] = (Budget("processor", 1.0, "a core of a control machine"),)
 
     def __init__(self, count: int, delay: int, where: str) -> None:
         self.count, self.delay = count, delay
-        scene = Scene("several in a round trip", "ten times the changes of the worst minute", self.crowded)
+        scene = Scene("several in a round trip", "ten times the changes of the worst minute", self.pipelined)
         self.scenes: tuple[Scene, ...] = (scene,)
         sizes, beyond = ((1, 4, 16, 64), 256) if delay == DELAY else ((1, 2, 4, 8), 16)
-        self.sweeps: tuple[Sweep, ...] = (Sweep(Dimension.CHANGES, sizes, beyond, CHANGES_A_SECOND),)
+        self.sweeps: tuple[Sweep, ...] = (Sweep(Dimension.CHANGES, sizes, beyond, CHANGES_PER_SECOND),)
         self.name = f"agreement-{count}-{where}"
         self.text = (
             f"the leader of {count} members of an agreed log, {delay / 10:g} ms apart, by changes a second"
@@ -186,9 +187,9 @@
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         return by_changes(self.count, size, self.delay, seed)
 
-    def crowded(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-        """Where members are far apart, several changes are under way at once."""
-        rate = 16 if quick else CROWDED
+    def pipelined(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
+        """With distant members several changes are in flight at once."""
+        rate = 16 if quick else PIPELINED_CHANGES
         sample = by_changes(self.count, rate, self.delay, seed)
         bytes_each = sample.figures["bytes sent a change"]
         return [
@@ -199,7 +200,7 @@
 
 
 def restart_seconds(entries: list[LogEntry]) -> float:
-    """Processor time of a member that starts again with that log and agrees on it anew."""
+    """Processor time of a member that restarts with this log and commits it again."""
 
     def restart() -> None:
         member = RaftNode(
@@ -211,44 +212,44 @@
     return processor_seconds(restart, 3).median
 
 
-def answered(meter: Meter, member: RaftNode, sender: str, message: Message, now: int) -> list[Effect]:
-    """What a member does with a word, metered."""
-    made: list[Effect] = []
-    meter.run(lambda: made.extend(member.on_message(sender, message, now)))
-    return made
+def handle_message(meter: Meter, member: RaftNode, sender: str, message: Message, now: int) -> list[Effect]:
+    """Runs a member's handling of a message under the meter."""
+    effects: list[Effect] = []
+    meter.run(lambda: effects.extend(member.on_message(sender, message, now)))
+    return effects
 
 
 def catch_up(entries: list[LogEntry]) -> tuple[float, float, float]:
-    """A follower that comes back without a log: processor seconds of both, bytes, and virtual seconds."""
+    """Catch-up of a follower without a log; returns processor seconds of both, bytes and virtual seconds."""
     clock, meter, traffic = Clock(), Meter(), Traffic()
     names = ["member-0", "member-1", "member-2"]
-    leader = node(names[0], names, entries, 1, clock.now)
-    follower = node(names[1], names, (), 2, clock.now)
+    leader = make_node(names[0], names, entries, 1, clock.now)
+    follower = make_node(names[1], names, (), 2, clock.now)
     leader.start_election(clock.now, pre_vote=False)
     leader.votes.add(names[2])
     leader.count_votes(clock.now)
     outbox = [effect for effect in leader.take_effects() if isinstance(effect, Send)]
     start, last = clock.now, leader.last_index
     while outbox and follower.last_index < last:
-        words = [
+        appends = [
             effect for effect in outbox if effect.to == names[1] and isinstance(effect.message, AppendEntries)
         ]
-        made: list[Effect] = []
-        for effect in words:
-            traffic.sent(PACK.encode(effect.message))
-            made += answered(meter, follower, names[0], effect.message, clock.now)
-        answers = [effect for effect in made if isinstance(effect, Send)]
+        effects: list[Effect] = []
+        for effect in appends:
+            traffic.sent(ENCODER.encode(effect.message))
+            effects += handle_message(meter, follower, names[0], effect.message, clock.now)
+        answers = [effect for effect in effects if isinstance(effect, Send)]
         clock.run(clock.now + 2 * DELAY)
         back: list[Effect] = []
         for answer in answers:
-            back += answered(meter, leader, names[1], answer.message, clock.now)
+            back += handle_message(meter, leader, names[1], answer.message, clock.now)
         outbox = [effect for effect in back if isinstance(effect, Send)]
     assert follower.last_index == last, "the follower did not catch up"
     return meter.seconds, float(traffic.bytes_out), (clock.now - start) / SECOND
 
 
 class AgreementLog:
-    """One log without compaction, by its length; the length is what functions' changes leave behind."""
+    """A log without compaction, by its length, which grows with the changes of functions."""
 
     name = "agreement-log"
     text = "one member's log without compaction, by entries (3,800 a day)"
@@ -263,35 +264,37 @@
         )
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
-        entries, held = build_measured(lambda: [LogEntry(1, change(i)) for i in range(size)])
-        processor, data, lasts = catch_up(entries)
+        entries, state_bytes_held = build_measured(
+            lambda: [LogEntry(1, change_entry(i)) for i in range(size)]
+        )
+        processor, data, catch_up_seconds = catch_up(entries)
         return Sample(
-            state_bytes=held, bytes_out=data, figures={
-                "restart, processor (s)": restart_seconds(entries), "catch-up (s)": lasts,
+            state_bytes=state_bytes_held, bytes_out=data, figures={
+                "restart, processor (s)": restart_seconds(entries), "catch-up (s)": catch_up_seconds,
                 "catch-up, processor (s)": processor,
             },
         )  # fmt: skip
 
     def proposal(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-        """At the changes of the worst minute, members of one region and of several."""
+        """Latency and cost at the changes of the worst minute, with members in one region and in several."""
         target = assumptions.target
         rate = max(1, round(target.changes_per_day * assumptions.restarts.burst_changes_part / 60))
-        made = []
+        figures = []
         for count in (3, 5, 15):  # fifteen: three in each region
-            for where, delay in (("one region", DELAY), ("several regions", FAR)):
+            for where, delay in (("one region", DELAY), ("several regions", FAR_DELAY)):
                 sample = by_changes(count, rate, delay, seed)
                 label = f"{count} members, {where}, {rate} changes a second"
-                made += [
+                figures += [
                     Figure(
                         f"proposal to agreement, {label}", sample.figures["proposal to agreement (ms)"], "ms"
                     ),
                     Figure(f"processor of the leader, {label}", sample.processor, "cores", 1.0),
                     Figure(f"bytes sent a change, {label}", sample.figures["bytes sent a change"], "bytes"),
                 ]
-        return made
+        return figures
 
 
 for members in (3, 5):
     register(AgreementChanges(members, DELAY, "near"))
-register(AgreementChanges(5, FAR, "far"))
+register(AgreementChanges(5, FAR_DELAY, "far"))
 register(AgreementLog())
--- a/benchmarks/scale/roles/control_allowance.py
+++ b/benchmarks/scale/roles/control_allowance.py
@@ -1,8 +1,8 @@
-"""Allowances and lending of loads, and the trials that a dispatcher's part in its fleet shares out.
+"""Leasing of a fleet's quota for loads, and the assignment of probes of suspect workers.
 
-`lending`: a whole of units over all dispatchers, a tenth of which want more than their cut; each runs the
-program's own `QuotaLeasing` and `QuotaShare`, messages are encoded as they cross. `together`: the look that
-an edge takes twice a second at its workers (`FleetMember.share_verdicts` and `loads_in_progress`), by number
+`lending`: a quota divided over all dispatchers, a tenth of which need more than their share; each runs the
+production `QuotaLeasing` and `QuotaShare`, and messages are encoded. `together`: an edge's update of its
+workers' verdicts and loads twice a second (`FleetMember.share_verdicts` and `loads_in_progress`), by number
 of instances.
 """
 
@@ -27,51 +27,51 @@
 from lapistrestle.wire import fleet as wire
 from lapistrestle.wire.fleet import Datagram, MemberRecord, MemberStatus
 
-UNITS_EACH = 2  # of the whole, for each dispatcher: its cut
-HOT = 10  # one dispatcher in so many wants more than its cut
-WISHES = 8  # units that a hot one could use
-DELAY = 10  # tenths of a millisecond on the way
-SETTLE = 3 * SECOND  # a load under way counts for so long
-SPAN = 10  # seconds
-WARMED = 20  # seconds, until the loans of the start are over and lending is under way
-SUSPECTS = 50  # workers under suspicion at once
+UNITS_PER_DISPATCHER = 2  # share of the quota of each dispatcher
+HOT_INTERVAL = 10  # one dispatcher in this many is hot: it needs more than its share
+HOT_DEMAND = 8  # units that a hot dispatcher could use
+DELAY = 10  # ticks of 0.1 ms, one way
+SETTLING_TIME = 3 * SECOND  # a load in progress counts for this long
+DURATION = 10  # seconds
+WARM_UP_SECONDS = 20  # until the initial leases have expired and leasing is in a steady state
+SUSPECTS = 50  # suspect workers at once
 
 
 class Borrower:
-    """One dispatcher with its lending; it uses what it wants and may."""
+    """One dispatcher and its quota leasing; it uses its demand up to its quota."""
 
     def __init__(self, fleet: "LendingFleet", number: int, of: int, seed: int) -> None:
         self.fleet, self.number = fleet, number
         self.record = MemberRecord(
             f"dispatcher-{number:05d}", 1, number + 1, 0, MemberStatus.ALIVE, "127.0.0.1", 10_000 + number
         )
-        settings = QuotaSettings(lease_duration=3 * SETTLE, settling_time=SETTLE)
-        share = QuotaShare("loads", UNITS_EACH * of, of, number, settings, fleet.clock.now)
-        self.lending = QuotaLeasing(share, self.used, self.send, seed + number)
-        self.hot = number % HOT == 0
+        settings = QuotaSettings(lease_duration=3 * SETTLING_TIME, settling_time=SETTLING_TIME)
+        share = QuotaShare("loads", UNITS_PER_DISPATCHER * of, of, number, settings, fleet.clock.now)
+        self.leasing = QuotaLeasing(share, self.used, self.send, seed + number)
+        self.hot = number % HOT_INTERVAL == 0
 
     def used(self) -> int:
-        part = self.lending.available(self.fleet.clock.now)
-        return min(part, WISHES if self.hot else 0)
+        units = self.leasing.available(self.fleet.clock.now)
+        return min(units, HOT_DEMAND if self.hot else 0)
 
     def send(self, to: MemberRecord, message: wire.Message) -> None:
         data = wire.encode(Datagram("region", wire.VERSION, self.record, message, ()))
-        self.fleet.post(self, to, data)
+        self.fleet.send_datagram(self, to, data)
 
-    def hear(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         datagram = wire.decode(data, "region")
         assert isinstance(datagram.message, wire.LeaseMessage)
-        self.lending.on_message(datagram.sender, datagram.message, self.fleet.clock.now)
+        self.leasing.on_message(datagram.sender, datagram.message, self.fleet.clock.now)
 
-    def look(self, others: list[MemberRecord]) -> None:
+    def update(self, others: list[MemberRecord]) -> None:
         if self.hot:
-            self.lending.record_shortage()
+            self.leasing.record_shortage()
         live = [record for record in others if record is not self.record]
-        self.lending.update(live, True, self.fleet.clock.now)
+        self.leasing.update(live, True, self.fleet.clock.now)
 
 
 class LendingFleet:
-    """All dispatchers; the first, a hot one, is metered."""
+    """All dispatchers; the first one, which is hot, is metered."""
 
     def __init__(self, size: int, seed: int) -> None:
         self.clock, self.meter, self.traffic = Clock(), Meter(), Traffic()
@@ -79,37 +79,37 @@
         self.records = [borrower.record for borrower in self.all]
         self.random = random.Random(seed)
 
-    def post(self, sender: Borrower, to: MemberRecord, data: bytes) -> None:
+    def send_datagram(self, sender: Borrower, to: MemberRecord, data: bytes) -> None:
         if sender.number == 0:
             self.traffic.sent(data)
         self.clock.at(self.clock.now + DELAY, self.deliver, to.port - 10_000, data)
 
     def deliver(self, number: int, data: bytes) -> None:
         if number:
-            return self.all[number].hear(data)
+            return self.all[number].receive(data)
         self.traffic.received(data)
-        self.meter.run(self.all[0].hear, data)
+        self.meter.run(self.all[0].receive, data)
 
-    def look(self) -> None:
-        """One look of each hot one: where nothing is wanted, a look says nothing."""
+    def update(self) -> None:
+        """Updates the hot dispatchers; an update of one without demand sends nothing."""
         for borrower in self.all:
             if borrower.number == 0:
-                self.meter.run(borrower.look, self.records)
+                self.meter.run(borrower.update, self.records)
             elif borrower.hot:
-                borrower.look(self.records)
+                borrower.update(self.records)
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds * SECOND // UPDATE_EVERY):
-            self.look()
+            self.update()
             self.clock.run(self.clock.now + UPDATE_EVERY)
 
-    def had(self) -> list[int]:
-        """Units that each hot dispatcher may use at this moment."""
-        return [b.lending.available(self.clock.now) for b in self.all if b.hot]
+    def available_units(self) -> list[int]:
+        """Units that each hot dispatcher may use now."""
+        return [b.leasing.available(self.clock.now) for b in self.all if b.hot]
 
 
 class LendingRole:
-    """The units of one whole, lent among dispatchers."""
+    """Leasing of one quota among dispatchers."""
 
     name = "lending"
     text = "allowances and loans of loads: a whole fleet, a tenth of it wanting more than its cut"
@@ -119,25 +119,26 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         fleet = LendingFleet(size, seed)
-        fleet.run(WARMED)
+        fleet.run(WARM_UP_SECONDS)
         fleet.meter.seconds, fleet.traffic = 0.0, Traffic()
-        fleet.run(SPAN)
+        fleet.run(DURATION)
         traffic, seconds = fleet.traffic, fleet.meter.seconds
         fleet.meter.counts_steps = True
         fleet.run(1)
         _, held = build_measured(lambda: Borrower(fleet, 0, size, seed))
         return Sample(
-            state_bytes=held, messages_in=traffic.messages_in / SPAN,
-            messages_out=traffic.messages_out / SPAN, bytes_in=traffic.bytes_in / SPAN,
-            bytes_out=traffic.bytes_out / SPAN, processor=seconds / SPAN, processor_low=seconds / SPAN,
-            processor_high=seconds / SPAN, steps=fleet.meter.steps,
-            messages=traffic.messages_in + traffic.messages_out, simulated_seconds=SPAN,
-            figures={"units that a hot one may use": statistics.mean(fleet.had())},
+            state_bytes=held, messages_in=traffic.messages_in / DURATION,
+            messages_out=traffic.messages_out / DURATION, bytes_in=traffic.bytes_in / DURATION,
+            bytes_out=traffic.bytes_out / DURATION, processor=seconds / DURATION,
+            processor_low=seconds / DURATION,
+            processor_high=seconds / DURATION, steps=fleet.meter.steps,
+            messages=traffic.messages_in + traffic.messages_out, simulated_seconds=DURATION,
+            figures={"units that a hot one may use": statistics.mean(fleet.available_units())},
         )  # fmt: skip
 
 
 class HollowEdge:
-    """As much of an edge as its part in a fleet looks at: workers, the module's settings, a clock."""
+    """A stub of the parts of an edge that `FleetMember` uses: workers, the module's settings, a clock."""
 
     def __init__(self, instances: int, dispatchers: int) -> None:
         self.deployment = deployment(dispatchers)
@@ -160,17 +161,19 @@
 
 
 def together_of(instances: int, dispatchers: int) -> FleetMember:
-    """An edge's part in a fleet of that many, with nobody suspect."""
+    """The fleet membership of an edge in a fleet of this size, without suspect workers."""
     edge = HollowEdge(instances, dispatchers)
-    together = FleetMember(edge, Fleet(name="region", port=7_000, loads=UNITS_EACH * dispatchers), 1, 1)
+    member = FleetMember(
+        edge, Fleet(name="region", port=7_000, loads=UNITS_PER_DISPATCHER * dispatchers), 1, 1
+    )
     others = [MemberRecord(f"dispatcher-{i:05d}", 1, i + 1, 0, MemberStatus.ALIVE, "127.0.0.1", 10_000 + i)
               for i in range(1, dispatchers)]  # fmt: skip
-    together.endpoint.membership.on_message(others[0], wire.Ack(0), others, edge.now)
-    return together
+    member.endpoint.membership.on_message(others[0], wire.Ack(0), others, edge.now)
+    return member
 
 
-class TogetherRole:
-    """The edge's look at its workers twice a second, and one count of its loads."""
+class FleetMemberRole:
+    """The edge's update of its workers' verdicts twice a second, and one count of its loads."""
 
     name = "together"
     text = "an edge's part in a fleet: trials and loads, by instances that the edge lists"
@@ -183,23 +186,23 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         instances, dispatchers = (size, 50) if dimension is Dimension.INSTANCES else (1_000, size)
-        together = together_of(instances, dispatchers)
-        look = processor_seconds(together.share_verdicts)
-        loads = processor_seconds(together.loads_in_progress)
-        looks = SECOND / UPDATE_EVERY
-        steps = count_steps(together.share_verdicts).instructions
+        member = together_of(instances, dispatchers)
+        update = processor_seconds(member.share_verdicts)
+        loads = processor_seconds(member.loads_in_progress)
+        update_rate = SECOND / UPDATE_EVERY
+        steps = count_steps(member.share_verdicts).instructions
         figures = {"one count of own loads (s)": loads.median}
         if dimension is Dimension.DISPATCHERS:
-            figures["who tries one suspect worker (s)"] = trial_seconds(together)
+            figures["who tries one suspect worker (s)"] = trial_seconds(member)
         return Sample(
-            state_bytes=0.0, processor=look.median * looks, processor_low=look.low * looks,
-            processor_high=look.high * looks, steps=steps, figures=figures,
+            state_bytes=0.0, processor=update.median * update_rate, processor_low=update.low * update_rate,
+            processor_high=update.high * update_rate, steps=steps, figures=figures,
         )  # fmt: skip
 
 
-def trial_seconds(together: FleetMember) -> float:
-    """Processor time of drawing who tries one suspect worker; drawn anew when a member comes or goes."""
-    names = together.drawn_from
+def trial_seconds(member: FleetMember) -> float:
+    """Processor time of selecting the probers of a suspect worker; due at each membership change."""
+    names = member.drawn_from
     return (
         processor_seconds(lambda: [select_probers(f"runner-{i}", names) for i in range(SUSPECTS)]).median
         / SUSPECTS
@@ -207,4 +210,4 @@
 
 
 register(LendingRole())
-register(TogetherRole())
+register(FleetMemberRole())
--- a/benchmarks/scale/roles/control_gossip.py
+++ b/benchmarks/scale/roles/control_gossip.py
@@ -1,10 +1,9 @@
-"""Membership, digests and what admission makes of them, by number of dispatchers.
+"""Gossip membership, counters and admission control, by number of dispatchers.
 
-One member runs the program's own `GossipEndpoint`, `Membership`, `GossipCounters` and `AdmissionController`;
-the others are synthetic: they answer its pings, ping it, ask for pages and send counters as often as real
-ones would on average, in real encoded datagrams. So a fleet of any size costs one process. `gossip-fleet`
-plays a whole fleet of real members and meters one of them; the scene `check` holds the two against each
-other.
+One member runs the production `GossipEndpoint`, `Membership`, `GossipCounters` and `AdmissionController`; the
+others are synthetic: they answer its pings, ping it, request pages and send counters as often as real ones
+would on average, in encoded datagrams. So a fleet of any size fits in one process. `gossip-fleet` simulates a
+fleet of real members and meters one of them; the scenario `check` compares the two.
 """
 
 import random
@@ -20,7 +19,7 @@
     QUICK_SPAN,
     SECOND,
     Clock,
-    Ground,
+    GossipRuntime,
     Meter,
     Traffic,
     module_settings,
@@ -37,20 +36,20 @@
 from lapistrestle.wire.fleet import CounterSnapshot, Datagram, MemberRecord, MemberStatus
 
 FLEET = "region"
-BOOT = 1_790_000_000_000  # milliseconds, as a start's clock gives it
-CALLS = 141  # a second, counted by each dispatcher: 550,000 over 3,900
-UP = 100_000  # seconds that the counters have run
-DELAY = 10  # tenths of a millisecond between a datagram and its answer
-HEARD_ROWS = 4  # rows of each other that the member has heard before it is measured
-SPAN = 20  # simulated seconds that are metered
-PAGE_CLAIMS = 12
-# datagrams at one telling and tenths of a millisecond between two; the program's bounds are 10 and 5,000
-THINNED = ((10, 5_000), (5, 5_000), (2, 5_000), (1, 5_000), (1, 10_000), (1, 20_000))
+BOOT = 1_790_000_000_000  # start time of a process, in milliseconds
+CALLS_PER_SECOND = 141  # of each dispatcher: 550,000 over 3,900
+UPTIME_SECONDS = 100_000  # age of the counters
+DELAY = 10  # ticks of 0.1 ms between a datagram and its reply
+KNOWN_ROWS = 4  # rows of counters of each other member, known before the measurement
+DURATION = 20  # metered time, in simulated seconds
+PAGE_RECORDS = 12
+# (datagrams per gossip round, ticks between two rounds); the production values are 10 and 5,000
+REDUCED_GOSSIP = ((10, 5_000), (5, 5_000), (2, 5_000), (1, 5_000), (1, 10_000), (1, 20_000))
 
 
 def counts_at(columns: int, seconds: float) -> tuple[int, ...]:
-    """Counters of a dispatcher after so many seconds."""
-    return tuple(int(CALLS * seconds * (i + 1) / columns) for i in range(columns))
+    """Counters of a dispatcher after this many seconds."""
+    return tuple(int(CALLS_PER_SECOND * seconds * (i + 1) / columns) for i in range(columns))
 
 
 class LoneMember:
@@ -60,11 +59,11 @@
         self.clock, self.meter, self.traffic = Clock(), Meter(), Traffic()
         self.random = random.Random(seed)
         self.records = [record_of(i) for i in range(others)]
-        self.turns: list[int] = []
-        self.began = self.clock.now
-        self.ground = Ground(self.clock, self.meter)
+        self.row_order: list[int] = []
+        self.started_at = self.clock.now
+        self.runtime = GossipRuntime(self.clock, self.meter)
         settings = FleetSettings(fleet=FLEET, port=7_000)
-        self.endpoint = GossipEndpoint(self.ground, settings, "dispatcher-99999", "zone-a", BOOT, seed, seed)
+        self.endpoint = GossipEndpoint(self.runtime, settings, "dispatcher-99999", "zone-a", BOOT, seed, seed)
         self.endpoint.transport = self
         process_id = self.endpoint.membership.me.process_id
         self.admission = controller(others + 1, process_id, CounterSettings(), seed, self.clock.now)
@@ -72,63 +71,65 @@
             self.admission.counters,
             WorkerVerdicts("dispatcher-99999"),
         )
-        count_calls(self.admission, UP)
+        count_calls(self.admission, UPTIME_SECONDS)
         self.admission.counters.refresh_own(self.clock.now)
-        self.know_all()
+        self.set_converged_state()
 
     @property
     def size(self) -> int:
         return len(self.records) + 1
 
-    def know_all(self) -> None:
-        """As after a long calm: all known, no news left, some rows of each."""
-        members, digests, now = self.endpoint.membership, self.admission.counters, self.clock.now
+    def set_converged_state(self) -> None:
+        """Sets the state after convergence: all members known, nothing to disseminate, some rows of each."""
+        members, counters, now = self.endpoint.membership, self.admission.counters, self.clock.now
         members.start(now)
         members.on_message(self.records[0], wire.Ack(0), self.records, now)
         members.table.dissemination_buffer.clear()
         members.sync.table_read = None
-        for back in range(HEARD_ROWS, 0, -1):
+        for back in range(KNOWN_ROWS, 0, -1):
             for number in range(len(self.records)):
-                digests.accept(self.row(number, now - back * SECOND, 0), now)
+                counters.accept(self.row(number, now - back * SECOND, 0), now)
 
     def row(self, number: int, true_at: int, age: int) -> CounterSnapshot:
-        record, digests = self.records[number], self.admission.counters
+        record, counters = self.records[number], self.admission.counters
         phase = SECOND * number // len(self.records)
         seq = (true_at + phase) // SECOND
         at = seq * SECOND
-        counts = counts_at(len(digests.columns), UP + (at - self.began) / SECOND)
+        counts = counts_at(len(counters.columns), UPTIME_SECONDS + (at - self.started_at) / SECOND)
         return CounterSnapshot(record.name, record.boot, record.nonce, seq, at, age, counts)
 
-    # what the member sends: answered by whom it asks
+    # datagrams from the member, which the addressee answers
 
     def write(self, data: bytes, address: tuple[str, int]) -> None:
         self.traffic.sent(data)
         message = wire.decode(data, FLEET).message
         if isinstance(message, wire.Ping):
-            self.hear_later(DELAY, self.by_port(address[1]), wire.Ack(message.seq))
+            self.schedule_datagram(DELAY, self.by_port(address[1]), wire.Ack(message.seq))
         elif isinstance(message, wire.PageRequest):
             first = self.random.randrange(len(self.records))
-            page = tuple(self.records[first : first + PAGE_CLAIMS])
-            self.hear_later(DELAY, self.by_port(address[1]), wire.TablePage(message.after, False), page)
+            page = tuple(self.records[first : first + PAGE_RECORDS])
+            self.schedule_datagram(
+                DELAY, self.by_port(address[1]), wire.TablePage(message.after, False), page
+            )
 
     def by_port(self, port: int) -> MemberRecord:
         return self.records[port - 10_000]
 
-    # what the member hears
+    # datagrams to the member
 
-    def hear_later(
+    def schedule_datagram(
         self, delay: int, sender: MemberRecord, message: wire.Message, records: tuple[MemberRecord, ...] = ()
     ) -> None:
-        self.clock.at(self.clock.now + delay, self.hear, sender, message, records)
+        self.clock.at(self.clock.now + delay, self.deliver, sender, message, records)
 
-    def hear(
+    def deliver(
         self, sender: MemberRecord, message: wire.Message, records: tuple[MemberRecord, ...] = ()
     ) -> None:
         data = wire.encode(Datagram(FLEET, wire.VERSION, sender, message, records))
         self.traffic.received(data)
         self.meter.run(self.endpoint.datagramReceived, data, ("127.0.0.1", sender.port))
 
-    def some(self) -> MemberRecord:
+    def random_record(self) -> MemberRecord:
         return self.random.choice(self.records)
 
     @cached_property
@@ -138,12 +139,12 @@
 
     @cached_property
     def datagrams(self) -> int:
-        """Of rows, that each member sends at one telling; as many reach each on average."""
+        """Counter datagrams that each member sends per gossip round, and on average receives."""
         own = wire.encoded_size(self.row(0, self.clock.now, 0))
         return min(len(self.records), self.admission.counters.datagrams_per_round(self.size, own))
 
-    def hear_rows(self, second: int) -> None:
-        """One datagram of rows: the sender's own, and others' as old as a fleet of this size tells them."""
+    def deliver_counters(self, index: int) -> None:
+        """Delivers one datagram of rows: the sender's own, and others' as old as in a fleet of this size."""
         rows_a_second = max(1, self.datagrams * 2 * self.rows_fit)
         oldest = min(10 * SECOND, max(SECOND, SECOND * self.size // rows_a_second))
         numbers = [self.next_row() for _ in range(min(len(self.records), self.rows_fit))]
@@ -151,58 +152,65 @@
         rows = tuple(
             self.row(number, self.clock.now - age, age) for number, age in zip(numbers, ages, strict=True)
         )
-        self.hear(self.records[numbers[0]], wire.CounterGossip(self.admission.counters.layout, rows))
+        self.deliver(self.records[numbers[0]], wire.CounterGossip(self.admission.counters.layout, rows))
 
     def next_row(self) -> int:
-        """Whose row comes next: all in turn, in an order drawn anew each round, since what is passed on is
-        what was told least."""
-        if not self.turns:
-            self.turns = list(range(len(self.records)))
-            self.random.shuffle(self.turns)
-        return self.turns.pop()
-
-    def second(self, index: int) -> None:
-        """Have all that reaches a member within one second reach it, spread over that second."""
+        """The member whose row comes next: all in turn, in a new random order each round, since members
+        forward the rows that were sent least often."""
+        if not self.row_order:
+            self.row_order = list(range(len(self.records)))
+            self.random.shuffle(self.row_order)
+        return self.row_order.pop()
+
+    def simulate_second(self, index: int) -> None:
+        """Delivers all datagrams that reach a member within one second, spread over it."""
         start = self.clock.now
         for i in range(2 * self.datagrams):
-            self.clock.at(start + SECOND * i // (2 * self.datagrams), self.hear_rows, index)
-        self.clock.at(start + self.random.randrange(SECOND), self.hear, self.some(), wire.Ping(index))
+            self.clock.at(start + SECOND * i // (2 * self.datagrams), self.deliver_counters, index)
+        self.clock.at(
+            start + self.random.randrange(SECOND), self.deliver, self.random_record(), wire.Ping(index)
+        )
         if index % 10 == 0:
-            self.clock.at(start + SECOND // 3, self.hear, self.some(), wire.PageRequest(self.some().name))
+            self.clock.at(
+                start + SECOND // 3,
+                self.deliver,
+                self.random_record(),
+                wire.PageRequest(self.random_record().name),
+            )
         for half in range(2):
             self.clock.at(start + half * UPDATE_EVERY, self.update)
-        self.own_calls()
+        self.count_own_calls()
         self.clock.run(start + SECOND)
 
     def update(self) -> None:
         members = self.endpoint.membership
         self.meter.run(self.admission.update, self.endpoint.is_present, members.size, self.clock.now)
 
-    def own_calls(self) -> None:
-        """What the member itself counts; no part of what is measured."""
+    def count_own_calls(self) -> None:
+        """Counts the member's own calls; not part of the measurement."""
         count_calls(self.admission, 1)
 
     def run(self, seconds: int) -> None:
         for index in range(seconds):
-            self.second(index)
+            self.simulate_second(index)
 
     def start(self) -> "LoneMember":
         self.endpoint.schedule()
         self.run(3)
-        assert self.endpoint.membership.state is LocalState.MEMBER and not self.ground.passed
+        assert self.endpoint.membership.state is LocalState.MEMBER and not self.runtime.ignored
         return self
 
 
 def controller(
-    size: int, process_id: tuple[str, int, int], told: CounterSettings, seed: int, now: int
+    size: int, process_id: tuple[str, int, int], counter_settings: CounterSettings, seed: int, now: int
 ) -> AdmissionController:
-    """The admission controller of one dispatcher of so many."""
+    """Creates the admission controller of one of `size` dispatchers."""
     settings = AdmissionSettings.of(module_settings(size))
-    return AdmissionController(settings, process_id, told, seed, lambda text: None, now)
+    return AdmissionController(settings, process_id, counter_settings, seed, lambda text: None, now)
 
 
 def count_calls(admission: AdmissionController, seconds: float) -> None:
-    """Count so many seconds of the member's own calls."""
+    """Adds this many seconds of the member's own calls to its counters."""
     columns = admission.counters.columns
     for column, count in zip(columns, counts_at(len(columns), seconds), strict=True):
         admission.counters.add(column, count)
@@ -223,32 +231,32 @@
 
 
 def refill_seconds(member: LoneMember) -> float:
-    """Processor time of drawing the order of one whole round of probes; due once in as many periods."""
+    """Processor time of drawing the order of one round of probes, due once in as many periods as members."""
     members = member.endpoint.membership
     live = members.live()
-    began = time.process_time()
+    started_at = time.process_time()
     members.random.sample(live, len(live))
-    return time.process_time() - began
+    return time.process_time() - started_at
 
 
 def page_seconds(member: LoneMember, times: int = 5) -> float:
-    """Processor time of answering one ask for a page of the table."""
+    """Processor time of answering one request for a page of the member table."""
     members = member.endpoint.membership
     asker = next(iter(members.members.values()))
-    began = time.process_time()
+    started_at = time.process_time()
     for _ in range(times):
         members.sync.send_page(asker, "dispatcher-00001")
-    return (time.process_time() - began) / times
+    return (time.process_time() - started_at) / times
 
 
-def metered(member: LoneMember, spans: int, seconds: int) -> list[float]:
-    """Processor time a second, over some spans."""
-    made = []
+def cpu_per_span(member: LoneMember, spans: int, seconds: int) -> list[float]:
+    """CPU usage in cores, for each of some spans of simulated time."""
+    usage = []
     for _ in range(spans):
         member.meter.seconds = 0.0
         member.run(seconds)
-        made.append(member.meter.seconds / seconds)
-    return made
+        usage.append(member.meter.seconds / seconds)
+    return usage
 
 
 def steps_of(member: LoneMember) -> int:
@@ -258,12 +266,12 @@
     return member.meter.steps
 
 
-def measure_member(dispatchers: int, seed: int, spans: int = 3, seconds: int = SPAN) -> Sample:
-    """One member of a fleet of that many."""
+def measure_member(dispatchers: int, seed: int, spans: int = 3, seconds: int = DURATION) -> Sample:
+    """Measures one member among synthetic others, in a fleet of this size."""
     member, held = build_measured(lambda: LoneMember(dispatchers - 1, seed))
     member.start()
     member.traffic = traffic = Traffic()
-    cores = metered(member, spans, seconds)
+    cores = cpu_per_span(member, spans, seconds)
     simulated = spans * seconds
     messages = traffic.messages_in + traffic.messages_out
     figures = {
@@ -281,7 +289,7 @@
 
 
 class GossipMember:
-    """A dispatcher's part in one fleet of all dispatchers of a fleet or region."""
+    """A dispatcher's membership in a fleet of all dispatchers, or of those of a region."""
 
     name = "gossip"
     text = "membership, digests and the look at them: one real member among synthetic others"
@@ -307,18 +315,18 @@
 
     def sizes(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
         target = assumptions.target
-        made = []
+        figures = []
         for size in (target.dispatchers_per_region, target.dispatchers):
             sample = measure_member(size, seed, 1 if quick else 3, 10)
             sent = sample.bytes_out
-            made += [
+            figures += [
                 Figure(f"state, fleet of {size}", sample.state_bytes, "bytes", target.control_bytes),
                 Figure(f"sent, fleet of {size}", sent, "bytes/s", target.control_bytes_per_second),
                 Figure(f"received, fleet of {size}", sample.bytes_in, "bytes/s"),
                 Figure(f"processor, fleet of {size}", sample.processor, "cores", target.control_cores,
                        sample.processor_low, sample.processor_high),
             ]  # fmt: skip
-        return made
+        return figures
 
     def check(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
         size = 50 if quick else 200
@@ -331,32 +339,32 @@
         ]
 
     def coverage(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-        """A fleet of 100 (quick: 50) that tells less, so that each member hears as many rows for each other
-        as in a larger fleet under the program's bounds."""
-        size, made = (50 if quick else 100), []
-        for most, tell in THINNED:
+        """A fleet of 100 (quick: 50) that sends less, so that each member receives as many rows of each other
+        as in a larger fleet under the production limits."""
+        size, figures = (50 if quick else 100), []
+        for most, tell in REDUCED_GOSSIP:
             fleet = WholeFleet(size, seed, CounterSettings(send_interval=tell, max_datagrams=most))
             fleet.run(25)
             counted, age = fleet.coverage()
             as_if = size * 10 // most * tell // (SECOND // 2)
-            made.append(Figure(f"counted of all, as in a fleet of {as_if}", counted, "part"))
-            made.append(Figure(f"age of the oldest counted, as in a fleet of {as_if}", age, "s"))
-        return made
+            figures.append(Figure(f"counted of all, as in a fleet of {as_if}", counted, "part"))
+            figures.append(Figure(f"age of the oldest counted, as in a fleet of {as_if}", age, "s"))
+        return figures
 
     def join(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-        """By the number of pages that a new member reads, and what each costs the one that is asked."""
-        made = []
+        """The cost of a join for the member that answers the page requests of the new one."""
+        figures = []
         for size in (780, 3_900):
             member = LoneMember(size - 1, seed)
-            pages = size / PAGE_CLAIMS
-            made.append(Figure(f"processor of the one asked, {size}", pages * page_seconds(member), "s"))
-        return made
+            pages = size / PAGE_RECORDS
+            figures.append(Figure(f"processor of the one asked, {size}", pages * page_seconds(member), "s"))
+        return figures
 
 
 class WholeFleet:
-    """Real members in one process and virtual time, each with its admission; the first is metered."""
+    """Real members in virtual time, each with its admission controller; the first is metered."""
 
-    def __init__(self, size: int, seed: int, told: CounterSettings | None = None) -> None:
+    def __init__(self, size: int, seed: int, counter_settings: CounterSettings | None = None) -> None:
         self.cluster, self.meter = GossipCluster(seed), Meter()
         names = [f"dispatcher-{number:05d}" for number in range(size)]
         self.endpoints = [
@@ -365,32 +373,35 @@
         joined = self.cluster.until(self.cluster.agreed, 120)
         assert joined < 120, f"{size} members did not agree within 120 s"
         self.controllers = [
-            self.fit(endpoint, size, told or CounterSettings()) for endpoint in self.endpoints
+            self.attach_controller(endpoint, size, counter_settings or CounterSettings())
+            for endpoint in self.endpoints
         ]
         self.traffic = Traffic()
-        self.watch(self.endpoints[0])
+        self.meter_endpoint(self.endpoints[0])
 
-    def fit(self, endpoint: GossipEndpoint, size: int, told: CounterSettings) -> AdmissionController:
+    def attach_controller(
+        self, endpoint: GossipEndpoint, size: int, counter_settings: CounterSettings
+    ) -> AdmissionController:
         process_id, now = endpoint.membership.me.process_id, endpoint.runtime.clock()
-        admission = controller(size, process_id, told, endpoint.seed, now)
+        admission = controller(size, process_id, counter_settings, endpoint.seed, now)
         endpoint.counters, endpoint.verdicts = admission.counters, WorkerVerdicts(endpoint.membership.me.name)
-        count_calls(admission, UP)
+        count_calls(admission, UPTIME_SECONDS)
         endpoint.schedule()
         return admission
 
-    def watch(self, endpoint: GossipEndpoint) -> None:
-        """Meter this member's own work, and count what it hears."""
-        received, turn = endpoint.datagramReceived, endpoint.run_due
+    def meter_endpoint(self, endpoint: GossipEndpoint) -> None:
+        """Meters this member's work and counts the datagrams that it receives."""
+        received, run_due = endpoint.datagramReceived, endpoint.run_due
 
-        def hear(data: bytes, address: Any) -> None:
+        def deliver(data: bytes, address: Any) -> None:
             self.traffic.received(data)
             self.meter.run(received, data, address)
 
-        def fire(argument: object = None) -> None:
-            self.meter.run(turn, argument)
+        def metered_run_due(argument: object = None) -> None:
+            self.meter.run(run_due, argument)
 
-        endpoint.datagramReceived = hear  # type: ignore[method-assign, assignment]
-        endpoint.run_due = fire  # type: ignore[method-assign, assignment]
+        endpoint.datagramReceived = deliver  # type: ignore[method-assign, assignment]
+        endpoint.run_due = metered_run_due  # type: ignore[method-assign, assignment]
 
     def run(self, seconds: int) -> None:
         for _ in range(seconds):
@@ -407,8 +418,8 @@
         )
 
     def coverage(self) -> tuple[float, float]:
-        """Of the fleet, the part that one member's figures count; and the age of the oldest, in seconds. The
-        median over some members."""
+        """The share of the fleet in one member's totals, and the age in seconds of their oldest row; both are
+        medians over some members."""
         shares, ages = [], []
         for endpoint, admission in list(zip(self.endpoints, self.controllers, strict=True))[:20]:
             figures = admission.counters.statistics(
@@ -420,7 +431,7 @@
 
 
 def measure_in_fleet(size: int, seed: int, seconds: int = 10) -> Sample:
-    """One member of a whole fleet of real members."""
+    """Measures one member of a fleet of real members."""
     fleet = WholeFleet(size, seed)
     fleet.run(15)
     endpoint = fleet.endpoints[0]
@@ -442,9 +453,9 @@
     )  # fmt: skip
 
 
-def death(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-    """Seconds from a suspicion to its end, with enough accusers and with a single one."""
-    made = []
+def suspicion_times(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
+    """The duration of a suspicion with a single accuser and with enough accusers."""
+    figures = []
     for size in (assumptions.target.dispatchers_per_region, assumptions.target.dispatchers):
         for accusers in (1, MAX_CONFIRMATIONS + 1):
             members = LoneMember(size - 1, seed).start().endpoint.membership
@@ -453,13 +464,13 @@
                 members.apply(
                     wire.replace(victim.record, status=MemberStatus.SUSPECT, suspected_by=accuser.name)
                 )
-            lasts = (members.suspicion_deadline(victim) - members.now) / SECOND
-            made.append(Figure(f"a suspicion lasts, {accusers} accusers, fleet of {size}", lasts, "s"))
-    return made
+            duration = (members.suspicion_deadline(victim) - members.now) / SECOND
+            figures.append(Figure(f"a suspicion lasts, {accusers} accusers, fleet of {size}", duration, "s"))
+    return figures
 
 
 class GossipFleet:
-    """The same from a whole fleet of real members, as far as one process can hold it."""
+    """The same in a fleet of real members, as large as one process can simulate."""
 
     name = "gossip-fleet"
     text = "membership and digests: a whole fleet of real members, one of them metered"
@@ -470,7 +481,7 @@
 
     def __init__(self) -> None:
         self.scenes: tuple[Scene, ...] = (
-            Scene("death", "how long one that is suspected still counts as there", death),
+            Scene("death", "how long one that is suspected still counts as there", suspicion_times),
         )
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
--- a/benchmarks/scale/roles/control_hollow.py
+++ b/benchmarks/scale/roles/control_hollow.py
@@ -1,7 +1,7 @@
-"""What the control roles share: a process under measurement in virtual time, and settings of one dispatcher.
+"""Shared by the control roles: the environment of a measured process in virtual time, and its settings.
 
-Nothing here is a role. The process under measurement runs the program's own classes; what stands around it
-(clock, timers, transport) is made here and is never counted as its work.
+The measured process runs production classes; its environment (clock, timers, transport) is simulated here and
+is never counted as its work.
 """
 
 import time
@@ -24,14 +24,14 @@
 )
 from lapistrestle.policy.settings import Settings
 
-SECOND = 10_000  # tenths of a millisecond, the program's unit of time
+SECOND = 10_000  # ticks of 0.1 ms
 METHODS = 3
 CUSTOMERS = 5
-QUICK_SPAN = 2  # simulated seconds whose steps are counted
+QUICK_SPAN = 2  # simulated seconds, where steps are counted
 
 
 def deployment(dispatchers: int = 2, number: int = 0, zone: str = "") -> Deployment:
-    """Settings of one dispatcher of that many, with three methods and five customers."""
+    """Deployment settings of one dispatcher of this many, with three methods and five customers."""
     method = Method(effect="idempotent", deadline=Duration(3 * SECOND), soft_deadline=Duration(SECOND))
     return Deployment(
         methods={f"method-{i}": method for i in range(METHODS)},
@@ -51,12 +51,12 @@
 
 
 def module_settings(dispatchers: int = 2, number: int = 0) -> Settings:
-    """The same, as the module reads them."""
+    """The same as settings of the decision module."""
     return to_settings(deployment(dispatchers, number))
 
 
 class Traffic(Struct):
-    """Messages and bytes of the process under measurement."""
+    """Messages and bytes of the measured process."""
 
     messages_in: int = 0
     messages_out: int = 0
@@ -73,7 +73,7 @@
 
 
 class Meter:
-    """Runs the work of the process under measurement, and counts its processor time or its steps."""
+    """Runs the work of the measured process, and counts its processor time or its steps."""
 
     def __init__(self, steps: bool = False) -> None:
         self.counts_steps, self.seconds, self.steps = steps, 0.0, 0
@@ -88,15 +88,15 @@
 
 
 class Clock:
-    """Virtual time in tenths of a millisecond, with calls that are due; those of one moment in order."""
+    """A virtual clock in ticks of 0.1 ms with scheduled calls; those due at the same tick run in order."""
 
     def __init__(self, now: int = 1_000 * SECOND) -> None:
-        self.now, self.count = now, 0
+        self.now, self.event_count = now, 0
         self.calls: list[tuple[int, int, Callable[..., Any], tuple[Any, ...]]] = []
 
     def at(self, when: int, call: Callable[..., Any], *args: Any) -> None:
-        self.count += 1
-        heappush(self.calls, (max(when, self.now), self.count, call, args))
+        self.event_count += 1
+        heappush(self.calls, (max(when, self.now), self.event_count, call, args))
 
     def run(self, until: int) -> None:
         while self.calls and self.calls[0][0] <= until:
@@ -106,7 +106,7 @@
 
 
 class Timer:
-    """A timer of the process under measurement; its calls are metered."""
+    """A timer of the measured process; its calls are metered."""
 
     def __init__(self, call: Callable[[Any], None], argument: object) -> None:
         self.call, self.argument, self.stopped = call, argument, False
@@ -115,13 +115,13 @@
         self.stopped = True
 
 
-class Ground:
-    """What a `fleet.talk.Talk` needs of its program, on a virtual clock, with every timer metered."""
+class GossipRuntime:
+    """Implements `fleet.gossip_endpoint.Runtime` on a virtual clock, with every timer metered."""
 
     def __init__(self, clock: Clock, meter: Meter) -> None:
         self.virtual, self.meter = clock, meter
         self.reactor: Any = self
-        self.passed: list[str] = []
+        self.ignored: list[str] = []
 
     def listenUDP(self, port: int, protocol: Any, interface: str = "") -> None: ...
 
@@ -130,16 +130,16 @@
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
         timer = Timer(call, arg)
-        self.virtual.at(self.virtual.now + delay, self.fire, timer)
+        self.virtual.at(self.virtual.now + delay, self.run_timer, timer)
         return timer
 
-    def fire(self, timer: Timer) -> None:
+    def run_timer(self, timer: Timer) -> None:
         if not timer.stopped:
             self.meter.run(timer.call, timer.argument)
 
     def input_received(self) -> None: ...
 
     def message_ignored(self, name: str, why: str) -> None:
-        self.passed.append(f"{name}: {why}")
+        self.ignored.append(f"{name}: {why}")
 
     def log(self, what: str, **figures: Any) -> None: ...
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -1,8 +1,8 @@
-"""The planner, its journal, its plans at a dispatcher, and what one change costs each of them.
+"""The cost of one configuration change for the planner, its journal, and the plans at a dispatcher.
 
-`planner`: the program's own `Planner` on a real journal, its edges real `PlannerConnection` ends whose
-transports only count. `keeper`: the planner's state alone, by functions that have had a rollout. `plans`:
-the edge's `PlannerSource` and `Routing`, by functions that the plan names.
+`planner`: the production `Planner` on a real journal, with real `PlannerConnection`s to edges whose
+transports only count. `keeper`: the planner's state alone, by functions that have had a rollout. `plans`: the
+edge's `PlannerSource` and `Routing`, by functions in the plan.
 """
 
 import statistics
@@ -33,10 +33,10 @@
 from lapistrestle.wire import plans
 from lapistrestle.wire.json_lines import LineLimits
 
-REMEMBERED = 0  # clients do not come back in these plays
-ENDED_FUNCTIONS = 200  # with a rollout behind them, where dispatchers are what grows
-CHANGES = 5  # that one figure is the median of
-BURST_CHANGES = 380 / 60  # a second: a tenth of the day's within one minute
+RETENTION = 0  # clients do not retry in these scenarios
+FINISHED_ROLLOUTS = 200  # functions with a finished rollout, where the number of dispatchers grows
+CHANGES = 5  # a figure is the median over this many
+BURST_RATE = 380 / 60  # changes per second: a tenth of the day's within one minute
 
 
 def function(number: int) -> str:
@@ -46,13 +46,13 @@
 def start_of(number: int, at: int, version: str = "v2") -> CommandEntry:
     return CommandEntry(
         at=at, id=f"order-{number}-{version}", action="start", function=function(number), operator="operator",
-        reason="release of the day", candidate=f"version-{version}", retention=REMEMBERED,
+        reason="release of the day", candidate=f"version-{version}", retention=RETENTION,
     )  # fmt: skip
 
 
 def keeper_of(functions: int) -> PlannerState:
-    """A planner's state where each of these functions has had one rollout that is over. Put together
-    piece by piece, as taking every entry is quadratic (`planner-restart`)."""
+    """A planner's state in which each of these functions has a finished rollout. Assembled directly, since
+    applying every entry takes quadratic time (see `planner-restart`)."""
     state = PlannerState()
     for number in range(functions):
         command = start_of(number, 0)
@@ -69,8 +69,8 @@
     return state
 
 
-def replayed(functions: int) -> PlannerState:
-    """The same by the entries themselves, as a planner that starts reads them from its journal."""
+def replay(functions: int) -> PlannerState:
+    """The same by applying the entries, as a planner that starts reads them from its journal."""
     state = PlannerState()
     for number in range(functions):
         state.apply(state.number + 1, start_of(number, 0))
@@ -78,7 +78,7 @@
 
 
 class CountingTransport:
-    """A transport that counts what it is given."""
+    """A transport that counts what is written to it."""
 
     disconnecting = False
 
@@ -98,7 +98,7 @@
 
 
 class PausingTransport(CountingTransport):
-    """As a socket's: it pauses its producer once more than its own buffer waits to be sent."""
+    """Like a socket's transport, it pauses its producer while unsent data exceeds its buffer."""
 
     producer: Any = None
 
@@ -116,8 +116,8 @@
     def pauseProducing(self) -> None: ...
 
 
-class StillReactor:
-    """A reactor on which nothing is due by itself."""
+class StubReactor:
+    """A reactor on which no scheduled call ever runs."""
 
     def seconds(self) -> float:
         return 1_000.0
@@ -128,84 +128,84 @@
 
 
 class HollowPlanner:
-    """A planner with that many edges connected and that many functions behind it."""
+    """A planner with this many connected edges and functions with finished rollouts."""
 
     def __init__(self, edges: int, functions: int, folder: Path) -> None:
         self.traffic = Traffic()
-        self.planner = Planner(StillReactor(), Journal(folder / "journal"), lambda what, **figures: None)
+        self.planner = Planner(StubReactor(), Journal(folder / "journal"), lambda what, **figures: None)
         self.planner.state = keeper_of(functions)
         self.planner.journal.append([b"{}"] * self.planner.state.number)
-        self.speakers = [self.connect(number) for number in range(edges)]
+        self.connections = [self.connect(number) for number in range(edges)]
 
     def connect(self, number: int) -> PlannerConnection:
-        speaker = PlannerConnection(self.planner)
-        speaker.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
-        speaker.paused = False
+        connection = PlannerConnection(self.planner)
+        connection.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
+        connection.paused = False
         hello = wire.Hello(plans.PLANNER, wire.VERSION, f"dispatcher-{number:05d}", start=f"start-{number}")
-        self.hear(speaker, hello)
-        return speaker
+        self.receive(connection, hello)
+        return connection
 
-    def hear(self, speaker: PlannerConnection, message: wire.Message) -> None:
-        speaker.dataReceived(wire.encode(message) + b"\n")
+    def receive(self, connection: PlannerConnection, message: wire.Message) -> None:
+        connection.dataReceived(wire.encode(message) + b"\n")
 
-    def order(self, number: int, candidate: str = "v3") -> None:
-        order = plans.RolloutCommand(
+    def submit(self, number: int, candidate: str = "v3") -> None:
+        command = plans.RolloutCommand(
             id=f"burst-{candidate}-{number}", action="start", function=function(number), operator="operator",
             reason="release of the day", candidate=f"version-{candidate}", retention=0.0,
         )  # fmt: skip
-        self.planner.state.results.pop(order.id, None)
-        self.hear(self.speakers[-1], order)
+        self.planner.state.results.pop(command.id, None)
+        self.receive(self.connections[-1], command)
 
-    def counts(self, number: int) -> None:
-        """One edge's running counts of one function's rollout."""
+    def report_counts(self, number: int) -> None:
+        """Delivers one edge's counts for the rollout of one function."""
         count = plans.OutcomeReport(function(number), "version-v3", -1, 1, (10, 0, 1, 0))
-        self.hear(self.speakers[0], count)
+        self.receive(self.connections[0], count)
 
-    def beat(self, number: int) -> None:
-        self.hear(self.speakers[number % len(self.speakers)], plans.Heartbeat(1, 1))
+    def send_heartbeat(self, number: int) -> None:
+        self.receive(self.connections[number % len(self.connections)], plans.Heartbeat(1, 1))
 
     def close(self) -> None:
         self.planner.journal.close()
 
 
-def took(work: Callable[[int], None], times: int = CHANGES) -> list[float]:
-    """Processor time of each of some calls."""
-    made = []
+def time_each(work: Callable[[int], None], times: int = CHANGES) -> list[float]:
+    """Processor time of each of some runs of `work`."""
+    seconds = []
     for number in range(times):
         began = time.process_time()
         work(number)
-        made.append(time.process_time() - began)
-    return made
+        seconds.append(time.process_time() - began)
+    return seconds
 
 
 def planner_sample(edges: int, functions: int) -> Sample:
-    """One change with all its words to edges; and what edges' counts and beats cost."""
+    """The cost of one change with its messages to all edges, and of edges' reports and heartbeats."""
     with tempfile.TemporaryDirectory() as folder:
         hollow, held = build_measured(lambda: HollowPlanner(edges, functions, Path(folder)))
         hollow.traffic.bytes_out = hollow.traffic.messages_out = 0
-        changes = took(lambda number: hollow.order(2 * number))
+        changes = time_each(lambda number: hollow.submit(2 * number))
         sent, sent_bytes = hollow.traffic.messages_out, hollow.traffic.bytes_out
-        assert sent >= CHANGES * (edges + 1), "a change that not every edge was told"
-        counts, beats = took(hollow.counts, 10), took(hollow.beat, 50)
-        steps = count_steps(lambda: hollow.order(2 * CHANGES + 1)).instructions
+        assert sent >= CHANGES * (edges + 1), "a change was not sent to every edge"
+        counts, heartbeats = time_each(hollow.report_counts, 10), time_each(hollow.send_heartbeat, 50)
+        steps = count_steps(lambda: hollow.submit(2 * CHANGES + 1)).instructions
         hollow.close()
-    change, count, beat = map(statistics.median, (changes, counts, beats))
+    change, count, send_heartbeat = map(statistics.median, (changes, counts, heartbeats))
     return Sample(
-        state_bytes=held, messages_out=sent / CHANGES * BURST_CHANGES,
-        bytes_out=sent_bytes / CHANGES * BURST_CHANGES, processor=change * BURST_CHANGES,
-        processor_low=min(changes) * BURST_CHANGES, processor_high=max(changes) * BURST_CHANGES,
+        state_bytes=held, messages_out=sent / CHANGES * BURST_RATE,
+        bytes_out=sent_bytes / CHANGES * BURST_RATE, processor=change * BURST_RATE,
+        processor_low=min(changes) * BURST_RATE, processor_high=max(changes) * BURST_RATE,
         steps=steps, messages=sent, figures={
             "one change, processor (s)": change,
             "bytes sent a change": sent_bytes / CHANGES,
             "one report of counts, processor (s)": count,
             "reports of one open rollout (cores)": count * edges,
-            "beats of all edges (cores)": beat * edges * 5,
+            "beats of all edges (cores)": send_heartbeat * edges * 5,
         },
     )  # fmt: skip
 
 
 class PlannerRole:
-    """Whoever tells of configuration."""
+    """The planner, which sends plans to edges."""
 
     name = "planner"
     text = "the planner: one change with its journal and its words to all edges; rates at the worst minute"
@@ -223,18 +223,18 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         if dimension is Dimension.DISPATCHERS:
-            return planner_sample(size, ENDED_FUNCTIONS)
+            return planner_sample(size, FINISHED_ROLLOUTS)
         return planner_sample(20, size)
 
 
-class KeeperRole:
+class PlannerStateRole:
     """The planner's state, by functions that have had a rollout."""
 
     name = "keeper"
     text = "the planner's state alone: one entry, one look, and what a restart reads"
     sweeps: tuple[Sweep, ...] = (Sweep(Dimension.FUNCTIONS, (1_000, 2_000, 4_000, 8_000), 16_000, 110_000),)
     budgets: tuple[Budget, ...] = (
-        Budget("one entry, processor (s)", 1 / BURST_CHANGES, "the worst minute's changes"),
+        Budget("one entry, processor (s)", 1 / BURST_RATE, "the worst minute's changes"),
     )
 
     def __init__(self) -> None:
@@ -252,13 +252,13 @@
         whole = processor_seconds(lambda: state.splits_changed_after(), 3)
         steps = count_steps(lambda: state.apply(state.number + 1, report)).instructions
         return Sample(
-            state_bytes=held, processor=entry.median * BURST_CHANGES, processor_low=entry.low * BURST_CHANGES,
-            processor_high=entry.high * BURST_CHANGES, steps=steps,
+            state_bytes=held, processor=entry.median * BURST_RATE, processor_low=entry.low * BURST_RATE,
+            processor_high=entry.high * BURST_RATE, steps=steps,
             figures={"one entry, processor (s)": entry.median, "one whole plan, processor (s)": whole.median},
         )  # fmt: skip
 
     def at_target(self, seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-        """Measured at the target's functions, and worked out for all dispatchers."""
+        """Measured at the target's functions, and extrapolated to all dispatchers."""
         target = assumptions.target
         functions = target.functions // (10 if quick else 1)
         state, held = build_measured(lambda: keeper_of(functions))
@@ -267,7 +267,7 @@
         whole = processor_seconds(lambda: state.splits_changed_after(), 3).median
         return [
             Figure(f"state of {functions} rollouts", held, "bytes"),
-            Figure(f"one entry, {functions} rollouts", entry, "s", 1 / BURST_CHANGES),
+            Figure(f"one entry, {functions} rollouts", entry, "s", 1 / BURST_RATE),
             Figure(f"what changed, for one edge, {functions} rollouts", plan, "s"),
             Figure(f"what changed, for {target.dispatchers} edges, worked out", plan * target.dispatchers,
                    "s", target.change_within_seconds),
@@ -278,7 +278,7 @@
 
 
 class PlannerRestartRole:
-    """A planner that starts: its journal's entries taken anew."""
+    """The start of a planner, which applies all entries of its journal."""
 
     name = "planner-restart"
     text = "a planner's start: every entry of its journal taken anew, by functions with one rollout each"
@@ -287,7 +287,7 @@
     scenes: tuple[Scene, ...] = ()
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
-        start = processor_seconds(lambda: replayed(size), 1)
+        start = processor_seconds(lambda: replay(size), 1)
         return Sample(state_bytes=0.0, figures={"start, processor (s)": start.median})
 
 
@@ -295,7 +295,7 @@
 
 
 class HollowPlannedEdge:
-    """As much of an edge as the source of plans looks at."""
+    """A stub of the parts of an edge that `PlannerSource` uses."""
 
     def __init__(self, keep: str = "") -> None:
         self.name = "dispatcher-00001"
@@ -320,7 +320,7 @@
 
 
 def split_at(number: int, share: float = 0.25) -> TrafficSplit:
-    """What the planner tells of a function under way."""
+    """The split of a function during its rollout."""
     return TrafficSplit(function(number), "version-v1", "version-v2", share, share, False, 1, 1.0)
 
 
@@ -344,7 +344,7 @@
 
 
 class PlansRole:
-    """A dispatcher's plans."""
+    """The plan at a dispatcher."""
 
     name = "plans"
     text = "plans at a dispatcher: the whole plan, one change of it, the kept file, by functions it names"
@@ -372,72 +372,74 @@
 
 
 def plans_sample(size: int) -> Sample:
-    """A dispatcher whose plan names so many functions."""
+    """Measures a dispatcher whose plan has this many functions."""
     line = whole_line(size)
     source, held = build_measured(lambda: source_with(size))
-    changes = took(lambda number: change_told(source, number))
+    changes = time_each(lambda number: change_told(source, number))
     steps = count_steps(lambda: change_told(source, CHANGES)).instructions
     each_second = processor_seconds(lambda: source.send_reports(None), 3)
     with tempfile.TemporaryDirectory() as folder:
-        keeping = source_with(size, f"{folder}/plan")
-        kept = took(lambda number: change_told(keeping, number))
-    whole = processor_seconds(lambda: source_heard(line), 3)
-    change, change_kept = statistics.median(changes), statistics.median(kept)
-    cores = change * BURST_CHANGES + each_second.median
+        persisting_source = source_with(size, f"{folder}/plan")
+        persisted = time_each(lambda number: change_told(persisting_source, number))
+    whole = processor_seconds(lambda: apply_plan_line(line), 3)
+    change, persisted_change = statistics.median(changes), statistics.median(persisted)
+    cores = change * BURST_RATE + each_second.median
     return Sample(
-        state_bytes=held, processor=cores, processor_low=min(changes) * BURST_CHANGES,
-        processor_high=max(changes) * BURST_CHANGES + each_second.high, steps=steps, figures={
+        state_bytes=held, processor=cores, processor_low=min(changes) * BURST_RATE,
+        processor_high=max(changes) * BURST_RATE + each_second.high, steps=steps, figures={
             "whole plan (bytes)": float(len(line)),
             "whole plan, processor (s)": whole.median,
             "one change, processor (s)": change,
-            "one change with the kept file, processor (s)": change_kept,
-            "kept plans in the worst minute (cores)": change_kept * BURST_CHANGES,
+            "one change with the kept file, processor (s)": persisted_change,
+            "kept plans in the worst minute (cores)": persisted_change * BURST_RATE,
             "telling, processor a second (cores)": each_second.median,
         },
     )  # fmt: skip
 
 
 def change_told(source: PlannerSource, number: int) -> None:
-    """One change, as its line arrives."""
+    """Applies one change of the plan, as on arrival of its line."""
     routing = source.routing
     plan = plans.Plan(routing.number + 1, routing.epoch, [plans.to_message(split_at(number))])
     source.plan_received(plans.Plan(plan.number, plan.epoch, plan.splits))
 
 
-def source_heard(line: bytes) -> None:
-    """A whole plan, from its line on."""
+def apply_plan_line(line: bytes) -> None:
+    """Decodes and applies the line of a full plan."""
     source = PlannerSource(HollowPlannedEdge(), 1)
-    speaker = source.make_connection()
-    message = speaker.decoder.decode(line)
+    connection = source.make_connection()
+    message = connection.decoder.decode(line)
     source.plan_received(message)
 
 
 def longest_line(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-    """The most functions whose whole plan an edge takes; with one more the connection is cut."""
-    each = len(whole_line(2_000)) / 2_000
-    below, above = 1, int(2 * LineLimits().max_line_bytes / each)
+    """The largest plan that an edge accepts; with one more function it closes the connection."""
+    bytes_each = len(whole_line(2_000)) / 2_000
+    below, above = 1, int(2 * LineLimits().max_line_bytes / bytes_each)
     while above - below > 1:
-        middle = (below + above) // 2
-        below, above = (middle, above) if takes(middle) else (below, middle)
-    sent, unsent = 1, 2 * int(LineLimits().max_unsent_bytes / each)
+        candidate_size = (below + above) // 2
+        below, above = (candidate_size, above) if accepts(candidate_size) else (below, candidate_size)
+    sent, unsent = 1, 2 * int(LineLimits().max_unsent_bytes / bytes_each)
     while unsent - sent > 1:
-        middle = (sent + unsent) // 2
-        sent, unsent = (middle, unsent) if is_sent(middle, each) else (sent, middle)
+        candidate_size = (sent + unsent) // 2
+        sent, unsent = (
+            (candidate_size, unsent) if is_sent(candidate_size, bytes_each) else (sent, candidate_size)
+        )
     return [
         Figure("most functions in a whole plan that an edge takes", below, "functions", None),
         Figure("most in one that a planner sends to an edge that has not read yet", sent, "functions"),
-        Figure("bytes of each", each, "bytes"),
+        Figure("bytes of each", bytes_each, "bytes"),
         Figure("functions at the target", assumptions.target.functions, "functions", float(below)),
     ]
 
 
 def plans_at_target(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-    """Measured at the target's functions."""
+    """The plan at the target's number of functions."""
     target = assumptions.target
     functions = target.functions // (10 if quick else 1)
     sample = plans_sample(functions)
     figures, label = sample.figures, f"{functions} functions"
-    change, kept = (
+    change, persisted = (
         figures["one change, processor (s)"],
         figures["one change with the kept file, processor (s)"],
     )
@@ -449,36 +451,36 @@
                target.change_within_seconds),
         Figure(f"whole plan, processor, {label}", figures["whole plan, processor (s)"], "s"),
         Figure(f"one change, processor, {label}", change, "s"),
-        Figure(f"one change with the kept file, processor, {label}", kept, "s"),
-        Figure(f"the worst minute with the kept file, {label}", kept * BURST_CHANGES, "cores",
+        Figure(f"one change with the kept file, processor, {label}", persisted, "s"),
+        Figure(f"the worst minute with the kept file, {label}", persisted * BURST_RATE, "cores",
                target.control_cores),
         Figure(f"telling each second, {label}", figures["telling, processor a second (cores)"], "cores",
                target.control_cores),
     ]  # fmt: skip
 
 
-def is_sent(functions: int, each: float) -> bool:
-    """Whether a planner's end goes on after a line of that many functions of `each` bytes."""
-    speaker = PlannerConnection(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
-    speaker.makeConnection(PausingTransport(Traffic()))  # type: ignore[no-untyped-call]
-    speaker.paused = False
-    speaker.send_line(bytes(int(functions * each)))
-    return not speaker.closed
+def is_sent(functions: int, bytes_each: float) -> bool:
+    """Whether a planner's connection stays open after a line with this many functions of that size."""
+    connection = PlannerConnection(SimpleNamespace(state=PlannerState()))  # type: ignore[arg-type]
+    connection.makeConnection(PausingTransport(Traffic()))  # type: ignore[no-untyped-call]
+    connection.paused = False
+    connection.send_line(bytes(int(functions * bytes_each)))
+    return not connection.closed
 
 
-def takes(functions: int) -> bool:
-    """Whether an edge's speaker takes the whole plan of so many functions as it comes."""
+def accepts(functions: int) -> bool:
+    """Whether an edge's connection accepts the full plan of this many functions."""
     edge = HollowPlannedEdge()
     source = PlannerSource(edge, 1)
-    speaker = source.make_connection()
-    speaker.makeConnection(CountingTransport(Traffic()))  # type: ignore[no-untyped-call]
-    speaker.paused = False
+    connection = source.make_connection()
+    connection.makeConnection(CountingTransport(Traffic()))  # type: ignore[no-untyped-call]
+    connection.paused = False
     hello = wire.Hello(plans.PLANNER, wire.VERSION, "planner")
-    speaker.dataReceived(wire.encode(hello) + b"\n" + whole_line(functions))
-    return not speaker.closed and len(edge.routing.splits) == functions
+    connection.dataReceived(wire.encode(hello) + b"\n" + whole_line(functions))
+    return not connection.closed and len(edge.routing.splits) == functions
 
 
 register(PlannerRole())
-register(KeeperRole())
+register(PlannerStateRole())
 register(PlannerRestartRole())
 register(PlansRole())
--- a/benchmarks/scale/roles/control_roster.py
+++ b/benchmarks/scale/roles/control_roster.py
@@ -1,8 +1,8 @@
-"""The list of instances: what a whole list and one change cost a dispatcher, and whoever tells it.
+"""The endpoint list: the cost of a full list and of one change, for a dispatcher and for the roster.
 
-`list`: the edge's `EndpointListFollower` on encoded lines, without the module. `roster`: the stand-in of the
-roster that this program's tests and demonstrations run, the only one there is today; it tells every change to
-every follower and every starter the whole list.
+`list`: the edge's `EndpointListFollower` on encoded lines, without the decision module. `roster`: the roster
+stand-in of the tests and demonstrations, the only implementation there is; it sends every change to every
+subscriber, and the full list to every new one.
 """
 
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.edge.known_workers import EndpointListFollower
 from lapistrestle.sources.numbered_list import ListAction
-from lapistrestle.sources.roster import RosterConnection as EdgeSpeaker
+from lapistrestle.sources.roster import RosterConnection as EdgeConnection
 from lapistrestle.standins.roster import RosterFactory, RosterStandIn
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineLimits, message_decoder
@@ -25,11 +25,11 @@
 KINDS = ["small", "large"]
 DECODER = message_decoder(wire.FromRoster)
 CHANGES = 20
-FOLLOWED = 1_000  # instances, where followers are what grows
+LISTED_INSTANCES = 1_000  # instances, where the number of subscribers grows
 
 
 def entry(number: int, listing: Any = "serving", start: str = "s1") -> wire.RosterEntry:
-    """One instance, named within the 24 bytes that the assumptions give it."""
+    """One instance; its name fits in the 24 bytes of the assumptions."""
     return wire.RosterEntry(
         f"instance-{number:06d}.zone-{number % 12:02d}", 10_000 + number % 50_000, ZONES[number % 12],
         number % 400, KINDS[number % 2], 1.0, listing, start, 60_000.0,
@@ -45,33 +45,33 @@
 
 
 def following_of(instances: int) -> EndpointListFollower:
-    """A dispatcher's list with that many instances."""
-    following = EndpointListFollower(ZONES, KINDS, lambda text: None)
-    following.message_received(whole_list(instances), SECOND)
-    return following
+    """A dispatcher's list with this many instances."""
+    follower = EndpointListFollower(ZONES, KINDS, lambda text: None)
+    follower.message_received(whole_list(instances), SECOND)
+    return follower
 
 
-def heard_whole(line: bytes) -> None:
-    following = EndpointListFollower(ZONES, KINDS, lambda text: None)
-    assert following.message_received(DECODER.decode(line), SECOND).action is ListAction.APPLY
+def apply_snapshot(line: bytes) -> None:
+    follower = EndpointListFollower(ZONES, KINDS, lambda text: None)
+    assert follower.message_received(DECODER.decode(line), SECOND).action is ListAction.APPLY
 
 
 def change_line(number: int, instance: int) -> bytes:
     return wire.encode(wire.RosterUpdate(number, [entry(instance, start="s2")], "e1")) + b"\n"
 
 
-def heard_change(following: EndpointListFollower, line: bytes) -> None:
-    assert following.message_received(DECODER.decode(line), SECOND).action is ListAction.APPLY
+def heard_change(follower: EndpointListFollower, line: bytes) -> None:
+    assert follower.message_received(DECODER.decode(line), SECOND).action is ListAction.APPLY
 
 
-def heard_changes(following: EndpointListFollower, lines: list[bytes], count: int) -> None:
-    """So many of the lines, each once."""
+def apply_changes(follower: EndpointListFollower, lines: list[bytes], count: int) -> None:
+    """Removes this many lines from the list and applies each."""
     for _ in range(count):
-        heard_change(following, lines.pop(0))
+        heard_change(follower, lines.pop(0))
 
 
 class ListRole:
-    """What a dispatcher holds and hears of instances, without the module's own work for them."""
+    """A dispatcher's state and traffic for the list, without the work of the decision module."""
 
     name = "list"
     text = "the edge's list of instances: a whole list, one change, and all changes by the instances' lives"
@@ -97,11 +97,11 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         line = whole_line(size)
-        following, held = build_measured(lambda: following_of(size))
-        whole = processor_seconds(lambda: heard_whole(line), 3)
+        follower, held = build_measured(lambda: following_of(size))
+        whole = processor_seconds(lambda: apply_snapshot(line), 3)
         lines = [change_line(2 + i, i) for i in range(2 * CHANGES)]
-        change = processor_seconds(lambda: heard_changes(following, lines, 5), 3)
-        steps = count_steps(lambda: heard_change(following, lines.pop(0))).instructions
+        change = processor_seconds(lambda: apply_changes(follower, lines, 5), 3)
+        steps = count_steps(lambda: heard_change(follower, lines.pop(0))).instructions
         rate = assumptions.instance_changes_per_second(size)
         each = [change.median / 5, change.low / 5, change.high / 5]
         return Sample(
@@ -113,39 +113,39 @@
         )  # fmt: skip
 
 
-def held_and_heard(instances: int) -> tuple[bytes, int, float]:
-    """The whole list's line, the bytes that it is held in, and the processor time of hearing it."""
+def snapshot_costs(instances: int) -> tuple[bytes, int, float]:
+    """The full list's line, the bytes of state it takes, and the processor time of applying it."""
     line = whole_line(instances)
     _, held = build_measured(lambda: following_of(instances))
-    return line, held, processor_seconds(lambda: heard_whole(line), 1).median
+    return line, held, processor_seconds(lambda: apply_snapshot(line), 1).median
 
 
 def list_at_target(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-    """Measured at the target's instances."""
+    """The list at the target's number of instances."""
     target = assumptions.target
-    made = []
+    figures = []
     for named in (target.instances_per_region, target.instances):
         instances = named // 10 if quick else named
-        line, held, whole = held_and_heard(instances)
+        line, held, whole = snapshot_costs(instances)
         rate = assumptions.instance_changes_per_second(instances) * len(change_line(2, 1))
         label = f"{instances} instances"
-        made += [
+        figures += [
             Figure(f"state, {label}", held, "bytes", target.control_bytes),
             Figure(f"whole list, {label}", len(line), "bytes", LineLimits().max_line_bytes),
             Figure(f"whole list, processor, {label}", whole, "s", target.cold_start_seconds),
             Figure(f"changes, {label}, at the rate of their lives", rate, "bytes/s",
                    target.control_bytes_per_second),
         ]  # fmt: skip
-    return made
+    return figures
 
 
 def longest_line(seed: int, assumptions: Assumptions, quick: bool) -> list[Figure]:
-    """The most instances whose whole list an edge takes under the default bound."""
+    """The largest list that an edge accepts under the default line length."""
     each = len(whole_line(2_000)) / 2_000
     below, above = 1, int(2 * LineLimits().max_line_bytes / each)
     while above - below > 1:
-        middle = (below + above) // 2
-        below, above = (middle, above) if takes(middle) else (below, middle)
+        candidate_size = (below + above) // 2
+        below, above = (candidate_size, above) if accepts(candidate_size) else (below, candidate_size)
     return [
         Figure("most instances in a whole list", below, "instances"),
         Figure("bytes of each", each, "bytes"),
@@ -153,8 +153,8 @@
     ]
 
 
-class HeardBy:
-    """As much of an edge as its end of the roster's connection looks at."""
+class StubSource:
+    """A stub of the parts of `RosterSource` and its owner that the connection uses."""
 
     def __init__(self) -> None:
         self.bounds = LineLimits()
@@ -166,21 +166,21 @@
     def heard(self, message: Any) -> None:
         self.instances = len(message.workers)
 
-    def connection_lost(self, speaker: Any) -> None: ...
+    def connection_lost(self, connection: Any) -> None: ...
 
 
-def takes(instances: int) -> bool:
-    """Whether an edge's speaker takes the whole list of so many instances as it comes."""
-    source = HeardBy()
-    speaker = EdgeSpeaker(source)  # type: ignore[arg-type]
-    speaker.makeConnection(CountingTransport(Traffic()))  # type: ignore[no-untyped-call]
-    speaker.paused = False
+def accepts(instances: int) -> bool:
+    """Whether an edge's connection accepts the full list of this many instances."""
+    source = StubSource()
+    connection = EdgeConnection(source)  # type: ignore[arg-type]
+    connection.makeConnection(CountingTransport(Traffic()))  # type: ignore[no-untyped-call]
+    connection.paused = False
     hello = wire.Hello(wire.ROSTER, wire.VERSION, "roster")
-    speaker.dataReceived(wire.encode(hello) + b"\n" + whole_line(instances))
+    connection.dataReceived(wire.encode(hello) + b"\n" + whole_line(instances))
     return source.instances == instances
 
 
-class Listening:
+class StubListener:
     def getHost(self) -> Any:
         return self
 
@@ -188,19 +188,19 @@
 
 
 class RosterReactor:
-    """The roster's reactor: time stands still, nothing is due."""
+    """A stub reactor of the roster: time does not advance and no call is due."""
 
     def seconds(self) -> float:
         return 1_000.0
 
-    def listenTCP(self, port: int, factory: Any, interface: str = "") -> Listening:
-        return Listening()
+    def listenTCP(self, port: int, factory: Any, interface: str = "") -> StubListener:
+        return StubListener()
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> None: ...
 
 
 class HollowRoster:
-    """A roster with that many instances and followers."""
+    """A roster with this many instances and subscribers."""
 
     def __init__(self, instances: int, followers: int) -> None:
         self.traffic = Traffic()
@@ -208,29 +208,29 @@
         for number in range(instances):
             self.roster.publish(entry(number), 900.0)
         self.factory = RosterFactory(self.roster)
-        self.ends = [self.connect() for _ in range(followers)]
+        self.connections = [self.connect() for _ in range(followers)]
 
     def connect(self) -> Any:
-        end = self.factory.buildProtocol(None)
-        end.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
-        end.paused = False
-        end.dataReceived(wire.encode(wire.Hello(wire.ROSTER, wire.VERSION, "dispatcher")) + b"\n")
-        self.roster.subscribers[end] = None
-        return end
+        connection = self.factory.buildProtocol(None)
+        connection.makeConnection(CountingTransport(self.traffic))  # type: ignore[no-untyped-call]
+        connection.paused = False
+        connection.dataReceived(wire.encode(wire.Hello(wire.ROSTER, wire.VERSION, "dispatcher")) + b"\n")
+        self.roster.subscribers[connection] = None
+        return connection
 
-    def whole_for_one(self) -> None:
-        self.ends[0].dataReceived(wire.encode(wire.RosterRequest()) + b"\n")
+    def request_snapshot(self) -> None:
+        self.connections[0].dataReceived(wire.encode(wire.RosterRequest()) + b"\n")
 
-    def changes(self, count: int) -> None:
+    def publish_changes(self, count: int) -> None:
         for number in range(count):
             self.change(number)
 
     def change(self, number: int) -> None:
-        self.roster.publish(entry(number % FOLLOWED, start=f"s{number}"), 950.0)
+        self.roster.publish(entry(number % LISTED_INSTANCES, start=f"s{number}"), 950.0)
 
 
 class RosterRole:
-    """Whoever tells dispatchers of instances."""
+    """The roster, which sends the endpoint list to dispatchers."""
 
     name = "roster"
     text = "the roster's stand-in: one change to all followers, the whole list to one"
@@ -246,21 +246,21 @@
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         by_dispatchers = dimension is Dimension.DISPATCHERS
-        instances, followers = (FOLLOWED, size) if by_dispatchers else (size, 20)
+        instances, followers = (LISTED_INSTANCES, size) if by_dispatchers else (size, 20)
         hollow, held = build_measured(lambda: HollowRoster(instances, followers))
         hollow.traffic.messages_out = hollow.traffic.bytes_out = 0
-        change = processor_seconds(lambda: hollow.changes(5), 3)
-        told = 15
-        sent, sent_bytes = hollow.traffic.messages_out / told, hollow.traffic.bytes_out / told
-        whole = processor_seconds(hollow.whole_for_one, 3)
-        steps = count_steps(lambda: hollow.change(told)).instructions
+        change = processor_seconds(lambda: hollow.publish_changes(5), 3)
+        changes_sent = 15
+        sent, sent_bytes = hollow.traffic.messages_out / changes_sent, hollow.traffic.bytes_out / changes_sent
+        whole = processor_seconds(hollow.request_snapshot, 3)
+        steps = count_steps(lambda: hollow.change(changes_sent)).instructions
         changing = assumptions.target.instances_per_region if by_dispatchers else size
         rate = assumptions.instance_changes_per_second(changing)
         seconds = [change.median / 5, change.low / 5, change.high / 5]
         return Sample(
             state_bytes=held, messages_out=sent * rate, bytes_out=sent_bytes * rate,
             processor=seconds[0] * rate, processor_low=seconds[1] * rate,
-            processor_high=seconds[2] * rate, steps=steps, messages=round(sent * told), figures={
+            processor_high=seconds[2] * rate, steps=steps, messages=round(sent * changes_sent), figures={
                 "one change to all, processor (s)": seconds[0],
                 "bytes sent a change": sent_bytes,
                 "whole list, processor (s)": whole.median,
--- a/benchmarks/scale/roles/dispatcher_directory.py
+++ b/benchmarks/scale/roles/dispatcher_directory.py
@@ -1,8 +1,8 @@
-"""A dispatcher with the directory: it holds prefixes of the functions it calls, whatever the fleet's size.
+"""A dispatcher with the directory, which holds prefixes of the functions it calls, at any size of the fleet.
 
-`state_bytes` is what the watcher holds, by a recursive `sys.getsizeof`; `processor` is what it spends on the
-directory alone: look-ups, changes, renewals. Before it is measured a dispatcher lives for as long as a
-function that is not called stays watched, so that it watches what the assumed spread of calls gives.
+`state_bytes` is the watcher's state, by a recursive `sys.getsizeof`; `processor` is its time for the
+directory alone: look-ups, changes, renewals. Before the measurement a dispatcher runs for as long as an
+uncalled function stays watched, so that its watches are those of the assumed distribution of calls.
 """
 
 from collections.abc import Iterator
@@ -21,12 +21,12 @@
 from lapistrestle.ticks import SECOND
 from lapistrestle.wire.messages import RosterEntry
 
-FLEET = 5_000  # instances, where something else grows
-MOST_PER_FUNCTION = 24  # instances for each function in view, so that their prefixes have little in common
-SECONDS = 5.0  # simulated and measured
-SETTLED = 0.15  # seconds in which a look-up and word of a drain arrive, no renewal among them
+FLEET = 5_000  # instances, where another dimension grows
+INSTANCES_PER_FUNCTION = 24  # per function in use, so that the prefixes share few instances
+SECONDS = 5.0  # simulated time of a measurement
+SETTLE_SECONDS = 0.15  # enough for a look-up or the notice of a drain, but before the next renewal
 QUICK_INSTANCES = (500, 1_000, 2_000, 4_000)
-STRANGERS = (VirtualReactor, HolderNode, Region)  # no part of a watcher
+EXCLUDED_TYPES = (VirtualReactor, HolderNode, Region)  # not part of a watcher
 
 
 class DispatcherWithDirectory:
@@ -53,14 +53,14 @@
         match dimension:
             case Dimension.INSTANCES:
                 changes = given.instance_changes_per_second(size)
-                return lived(size, target.calls_per_dispatcher, changes, seed, given)
+                return measure_under_load(size, target.calls_per_dispatcher, changes, seed, given)
             case Dimension.CALLS:
                 changes = given.instance_changes_per_second(FLEET)
-                return lived(FLEET, size, changes, seed, given)
+                return measure_under_load(FLEET, size, changes, seed, given)
             case Dimension.CHANGES:
-                return lived(FLEET, target.calls_per_dispatcher, size, seed, given)
+                return measure_under_load(FLEET, target.calls_per_dispatcher, size, seed, given)
             case Dimension.FUNCTIONS:
-                return viewed(size, seed, given)
+                return measure_in_view(size, seed, given)
         raise NotImplementedError(dimension)
 
 
@@ -73,42 +73,48 @@
     return Region(hollow.entries(instances), holders, shards, seed, one_way, watcher_settings=settings)
 
 
-def lives(instances: int) -> Iterator[RosterEntry]:
-    """Changes without end: one instance begins, another drains, and goes."""
+def instance_changes(instances: int) -> Iterator[RosterEntry]:
+    """Yields changes endlessly: one instance starts, another drains and is gone."""
     for number in count():
         yield hollow.entry(instances + number)
         yield hollow.entry(number, "draining")
         yield hollow.entry(number, "gone")
 
 
-def lived(instances: int, calls: float, changes: float, seed: int, given: Assumptions) -> Sample:
-    """A dispatcher that has lived for a while under calls of the assumed spread."""
+def measure_under_load(instances: int, calls: float, changes: float, seed: int, given: Assumptions) -> Sample:
+    """Measures a dispatcher after a period of calls with the assumed distribution."""
     region = region_of(instances, 1, seed, given)
     node = region.watcher(seed)
-    caller, life = Caller(given, seed, rate=calls), lives(instances)
-    play(region, node, caller, life, changes, given.directory.watch_idle_seconds)
-    return measured(region, node, caller, life, changes)
+    caller, list_changes = Caller(given, seed, rate=calls), instance_changes(instances)
+    play(region, node, caller, list_changes, changes, given.directory.watch_idle_seconds)
+    return measure_watcher(region, node, caller, list_changes, changes)
 
 
-def viewed(functions: int, seed: int, given: Assumptions) -> Sample:
-    """A dispatcher with so many functions in view, all of them watched before and none called."""
-    region = region_of(max(FLEET, MOST_PER_FUNCTION * functions), 1, seed, given)
+def measure_in_view(functions: int, seed: int, given: Assumptions) -> Sample:
+    """Measures a dispatcher that watches this many functions and calls none of them."""
+    region = region_of(max(FLEET, INSTANCES_PER_FUNCTION * functions), 1, seed, given)
     node = region.watcher(seed)
     for number in range(functions):
         node.call(f"function-{number:06d}")
         region.run(0.002)
     region.run(1.0)
     instances = len(region.listed)
-    return measured(region, node, None, lives(instances), given.instance_changes_per_second(instances))
+    return measure_watcher(
+        region, node, None, instance_changes(instances), given.instance_changes_per_second(instances)
+    )
 
 
-def measured(
-    region: Region, node: WatcherNode, caller: Caller | None, life: Iterator[RosterEntry], changes: float
+def measure_watcher(
+    region: Region,
+    node: WatcherNode,
+    caller: Caller | None,
+    list_changes: Iterator[RosterEntry],
+    changes: float,
 ) -> Sample:
-    before = spent(node)
+    before = usage(node)
     node.ready.clear()
-    play(region, node, caller, life, changes, SECONDS)
-    rates = [(after - earlier) / SECONDS for after, earlier in zip(spent(node), before, strict=True)]
+    play(region, node, caller, list_changes, changes, SECONDS)
+    rates = [(after - earlier) / SECONDS for after, earlier in zip(usage(node), before, strict=True)]
     messages_in, messages_out, bytes_in, bytes_out, processor = rates
     figures = {
         "functions watched": float(len(node.watcher.functions)),
@@ -118,7 +124,7 @@
         "look-up p99, s": percentile(node.ready, 0.99),
     }
     return Sample(
-        state_bytes=measuring.deep_size(node.watcher, STRANGERS),
+        state_bytes=measuring.deep_size(node.watcher, EXCLUDED_TYPES),
         messages_in=messages_in,
         messages_out=messages_out,
         bytes_in=bytes_in,
@@ -133,7 +139,7 @@
     )
 
 
-def spent(node: WatcherNode) -> tuple[float, ...]:
+def usage(node: WatcherNode) -> tuple[float, ...]:
     return node.messages_in, node.messages_out, node.bytes_in, node.bytes_out, node.processor
 
 
@@ -141,37 +147,37 @@
     region: Region,
     node: WatcherNode,
     caller: Caller | None,
-    life: Iterator[RosterEntry],
+    list_changes: Iterator[RosterEntry],
     changes: float,
     seconds: float,
 ) -> None:
-    wanted = [(at, True) for at in caller.times(seconds)] if caller is not None else []
-    wanted += [(number / changes, False) for number in range(int(changes * seconds))]
-    began = region.reactor.seconds()
-    for at, is_call in sorted(wanted):
-        region.reactor.run(began + at)
+    events = [(at, True) for at in caller.times(seconds)] if caller is not None else []
+    events += [(number / changes, False) for number in range(int(changes * seconds))]
+    started_at = region.reactor.seconds()
+    for at, is_call in sorted(events):
+        region.reactor.run(started_at + at)
         if is_call and caller is not None:
             node.call(caller.function())
         else:
-            region.change(next(life))
-    region.reactor.run(began + seconds)
+            region.change(next(list_changes))
+    region.reactor.run(started_at + seconds)
 
 
 def steps_of(region: Region, node: WatcherNode) -> measuring.Steps:
-    """The dispatcher's part of one look-up, and of the news that one of the found instances drains."""
+    """Steps of the dispatcher for one look-up, and for the notice that one of the found instances drains."""
     function = "function-counted"
     with node.hold_lines() as held:
-        asked = measuring.count_steps(lambda: node.call(function))
-        region.run(SETTLED)
-    answered = measuring.count_steps(lambda: node.deliver_held(held))
+        call_steps = measuring.count_steps(lambda: node.call(function))
+        region.run(SETTLE_SECONDS)
+    reply_steps = measuring.count_steps(lambda: node.deliver_held(held))
     entry = region.listed[node.watcher.functions[function].names[0]]
     with node.hold_lines() as held:
         region.change(structs.replace(entry, listing="draining"))
-        region.run(SETTLED)
-    told = measuring.count_steps(lambda: node.deliver_held(held))
+        region.run(SETTLE_SECONDS)
+    drain_steps = measuring.count_steps(lambda: node.deliver_held(held))
     return measuring.Steps(
-        asked.instructions + answered.instructions + told.instructions,
-        max(asked.peak_bytes, answered.peak_bytes, told.peak_bytes),
+        call_steps.instructions + reply_steps.instructions + drain_steps.instructions,
+        max(call_steps.peak_bytes, reply_steps.peak_bytes, drain_steps.peak_bytes),
     )
 
 
--- a/benchmarks/scale/roles/dispatcher_list.py
+++ b/benchmarks/scale/roles/dispatcher_list.py
@@ -1,8 +1,8 @@
-"""A dispatcher as it is without a directory: it follows a roster and holds every instance of its region.
+"""A dispatcher without a directory, which subscribes to a roster and holds every instance of its region.
 
-`state_bytes` is the whole edge with all its connections greeted, less what the hollow parts hold. `processor`
-is for control alone: taking changes of the list at the rate that the life of an instance gives. Functions in
-view, calls and changes are swept at `FLEET` instances.
+`state_bytes` is that of the edge with all connections open, without that of the hollow peers. `processor` is
+for control alone: applying changes of the list at the rate given by the life of an instance. Functions in
+use, calls and changes are swept at `FLEET` instances.
 """
 
 from functools import cache
@@ -16,11 +16,11 @@
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 from lapistrestle.deployment.schema import Listen
 
-FLEET = 500  # instances, where something else grows
-OF_A_REGION = 125  # instances, where regions grow
-IN_VIEW = 20  # functions, where something else grows
-WARM_UP = 2.0  # simulated seconds until first calls have their answers
-VIEWED = 3  # functions and repeats in the scene of the whole list
+FLEET = 500  # instances, where another dimension grows
+REGION_INSTANCES = 125  # instances, where regions grow
+IN_VIEW = 20  # functions in use, where another dimension grows
+WARM_UP = 2.0  # simulated seconds until first calls are answered
+REPEATS = 3  # functions and repeats in the scenario of the full list
 MODULE_IDLE = 9.0  # seconds without a call until the module forgets a function, by the settings of `hollow`
 TRAFFIC_REPEATS = 2
 CONTROL = (
@@ -33,20 +33,22 @@
 
 
 def whole_list(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
-    """The list at the target, a few functions in view, and what all functions in view would add."""
+    """The list at the target with a few functions in use, and the extrapolated state of all functions."""
     instances = given.target.instances_per_region // (19 if quick else 1)
     dispatchers = given.target.dispatchers_per_region
-    made, state = measuring.build_measured(lambda: learnt(instances, seed, dispatchers))
+    dispatcher, state = measuring.build_measured(lambda: connected_dispatcher(instances, seed, dispatchers))
     numbers = count()
-    names, held = measuring.build_measured(lambda: [view(made, seed, next(numbers)) for _ in range(VIEWED)])
-    first = measuring.processor_seconds(lambda: made.call(f"function-{seed}-{next(numbers)}"), VIEWED)
-    made.run(WARM_UP)
+    names, held = measuring.build_measured(
+        lambda: [bring_into_view(dispatcher, seed, next(numbers)) for _ in range(REPEATS)]
+    )
+    first = measuring.processor_seconds(lambda: dispatcher.call(f"function-{seed}-{next(numbers)}"), REPEATS)
+    dispatcher.run(WARM_UP)
     instance = count(instances)
     change = measuring.processor_seconds(
-        lambda: made.roster.send_update(hollow.entry(next(instance))), VIEWED
+        lambda: dispatcher.roster.send_update(hollow.entry(next(instance))), REPEATS
     )
-    made.run(WARM_UP)
-    warm = measuring.processor_seconds(lambda: made.call(f"function-{seed}-0"), VIEWED)
+    dispatcher.run(WARM_UP)
+    warm = measuring.processor_seconds(lambda: dispatcher.call(f"function-{seed}-0"), REPEATS)
     changes = given.instance_changes_per_second(instances)
     in_view = given.functions_in_view(MODULE_IDLE)
     target = given.target
@@ -65,17 +67,17 @@
         Figure("change of the list", change.median, "s", None, change.low, change.high),
         Figure("changes", changes, "changes/s"),
         Figure("changes, worked out", changes * change.median, "cores", target.control_cores),
-        Figure("whole list, one line", made.roster.snapshot_bytes, "bytes", Listen().longest_line),
-        Figure("connections to instances", len(made.edge.runners), "connections"),
+        Figure("whole list, one line", dispatcher.roster.snapshot_bytes, "bytes", Listen().longest_line),
+        Figure("connections to instances", len(dispatcher.edge.runners), "connections"),
     ]
 
 
-def view(made: hollow.HollowDispatcher, seed: int, number: int) -> str:
-    """A function comes into view, and its answer back."""
+def bring_into_view(dispatcher: hollow.HollowDispatcher, seed: int, number: int) -> str:
+    """Calls a new function and waits for the answer; returns its name."""
     name = f"function-{seed}-{number}"
-    made.call(name)
-    made.run(0.02)
-    made.clear_latencies()
+    dispatcher.call(name)
+    dispatcher.run(0.02)
+    dispatcher.clear_latencies()
     return name
 
 
@@ -122,30 +124,30 @@
                 return by_changes(size, seed, assumptions)
 
 
-def learnt(instances: int, seed: int, dispatchers: int) -> hollow.HollowDispatcher:
-    """A dispatcher that has the whole list, all connections up."""
-    made = hollow.HollowDispatcher(hollow.entries(instances), seed, dispatchers, seed % dispatchers)
-    made.load_full_list()
-    made.roster.entries = []
-    return made
+def connected_dispatcher(instances: int, seed: int, dispatchers: int) -> hollow.HollowDispatcher:
+    """A dispatcher with the full list and all connections open."""
+    dispatcher = hollow.HollowDispatcher(hollow.entries(instances), seed, dispatchers, seed % dispatchers)
+    dispatcher.load_full_list()
+    dispatcher.roster.entries = []
+    return dispatcher
 
 
 def by_instances(instances: int, seed: int, dispatchers: int, given: Assumptions) -> Sample:
-    """State, and the cost of a first call, a change of the list, a call after it, and a warm call."""
-    made, state = measuring.build_measured(lambda: learnt(instances, seed, dispatchers))
+    """Measures state, and the costs of a first call, a change of the list, a call after it, a warm call."""
+    dispatcher, state = measuring.build_measured(lambda: connected_dispatcher(instances, seed, dispatchers))
     numbers = count()
-    first = measuring.processor_seconds(lambda: made.call(f"function-{seed}-{next(numbers)}"))
-    made.run(WARM_UP)
+    first = measuring.processor_seconds(lambda: dispatcher.call(f"function-{seed}-{next(numbers)}"))
+    dispatcher.run(WARM_UP)
     numbers = count(instances)
-    change = measuring.processor_seconds(lambda: made.roster.send_update(hollow.entry(next(numbers))))
-    made.run(WARM_UP)
-    after_change = measuring.processor_seconds(lambda: call_after_change(made, seed, numbers))
-    made.run(WARM_UP)
-    warm = measuring.processor_seconds(lambda: made.call(f"function-{seed}-1"))
-    made.run(WARM_UP)
-    steps = measuring.count_steps(lambda: control_steps(made, seed, numbers))
+    change = measuring.processor_seconds(lambda: dispatcher.roster.send_update(hollow.entry(next(numbers))))
+    dispatcher.run(WARM_UP)
+    after_change = measuring.processor_seconds(lambda: call_after_change(dispatcher, seed, numbers))
+    dispatcher.run(WARM_UP)
+    warm = measuring.processor_seconds(lambda: dispatcher.call(f"function-{seed}-1"))
+    dispatcher.run(WARM_UP)
+    steps = measuring.count_steps(lambda: control_steps(dispatcher, seed, numbers))
     changes = given.instance_changes_per_second(instances)
-    bytes_of_change = made.roster.send_update(hollow.entry(next(numbers)))
+    bytes_of_change = dispatcher.roster.send_update(hollow.entry(next(numbers)))
     return Sample(
         state_bytes=state,
         messages_in=changes,
@@ -161,31 +163,33 @@
             "call after a change, s": max(0.0, after_change.median - change.median),
             "warm call, s": warm.median,
             "bytes copied by a first call and a change": steps.peak_bytes,
-            "whole list, bytes": made.roster.snapshot_bytes,
+            "whole list, bytes": dispatcher.roster.snapshot_bytes,
         },
     )
 
 
-def call_after_change(made: hollow.HollowDispatcher, seed: int, numbers: "count[int]") -> None:
-    made.roster.send_update(hollow.entry(next(numbers)))
-    made.call(f"function-{seed}-0")
+def call_after_change(dispatcher: hollow.HollowDispatcher, seed: int, numbers: "count[int]") -> None:
+    dispatcher.roster.send_update(hollow.entry(next(numbers)))
+    dispatcher.call(f"function-{seed}-0")
 
 
-def control_steps(made: hollow.HollowDispatcher, seed: int, numbers: "count[int]") -> None:
+def control_steps(dispatcher: hollow.HollowDispatcher, seed: int, numbers: "count[int]") -> None:
     """One first call and one change of the list."""
-    made.call(f"function-{seed}-counted")
-    made.roster.send_update(hollow.entry(next(numbers)))
+    dispatcher.call(f"function-{seed}-counted")
+    dispatcher.roster.send_update(hollow.entry(next(numbers)))
 
 
 def by_functions(functions: int, seed: int, given: Assumptions) -> Sample:
-    """What functions in view add to a dispatcher that knows `FLEET` instances."""
-    made = learnt(FLEET, seed, given.target.dispatchers_per_region)
+    """Measures what functions in use add to a dispatcher that knows `FLEET` instances."""
+    dispatcher = connected_dispatcher(FLEET, seed, given.target.dispatchers_per_region)
 
-    _, state = measuring.build_measured(lambda: [view(made, seed, number) for number in range(functions)])
+    _, state = measuring.build_measured(
+        lambda: [bring_into_view(dispatcher, seed, number) for number in range(functions)]
+    )
     numbers = count(FLEET)
-    change = measuring.processor_seconds(lambda: made.roster.send_update(hollow.entry(next(numbers))))
-    made.run(WARM_UP)
-    steps = measuring.count_steps(lambda: made.roster.send_update(hollow.entry(next(numbers))))
+    change = measuring.processor_seconds(lambda: dispatcher.roster.send_update(hollow.entry(next(numbers))))
+    dispatcher.run(WARM_UP)
+    steps = measuring.count_steps(lambda: dispatcher.roster.send_update(hollow.entry(next(numbers))))
     changes = given.instance_changes_per_second(FLEET)
     return Sample(
         state_bytes=state,
@@ -199,12 +203,12 @@
 
 @cache
 def calls_alone(calls: int, seed: int, given: Assumptions) -> Sample:
-    """Calls without a change, played once for each seed."""
+    """Measures calls without changes, once per seed."""
     return by_traffic(calls, 0, seed, given)
 
 
 def by_changes(changes: int, seed: int, given: Assumptions) -> Sample:
-    """What changes of the list cost beside the calls of the target: with them, less without them."""
+    """The cost of changes of the list: the target's calls with them, minus the same calls without them."""
     calls = round(given.target.calls_per_dispatcher)
     with_, without = by_traffic(calls, changes, seed, given), calls_alone(calls, seed, given)
     return structs.replace(
@@ -217,20 +221,20 @@
 
 
 def by_traffic(calls: int, changes: int, seed: int, given: Assumptions, seconds: float = 1.0) -> Sample:
-    """Calls a second over `IN_VIEW` warm functions, with changes of the list among them."""
-    made = learnt(FLEET, seed, given.target.dispatchers_per_region)
+    """Measures calls per second over `IN_VIEW` warm functions, with changes of the list among them."""
+    dispatcher = connected_dispatcher(FLEET, seed, given.target.dispatchers_per_region)
     for number in range(IN_VIEW):
-        made.call(f"function-{seed}-{number}")
-    made.run(WARM_UP)
-    before = (made.roster.traffic.messages_in, made.roster.traffic.bytes_in)
+        dispatcher.call(f"function-{seed}-{number}")
+    dispatcher.run(WARM_UP)
+    before = (dispatcher.roster.traffic.messages_in, dispatcher.roster.traffic.bytes_in)
 
     def play() -> None:
-        traffic(made, calls, changes, seed, seconds)
+        traffic(dispatcher, calls, changes, seed, seconds)
 
     spent = measuring.processor_seconds(play, TRAFFIC_REPEATS)
-    messages = (made.roster.traffic.messages_in - before[0]) // TRAFFIC_REPEATS
-    size = (made.roster.traffic.bytes_in - before[1]) / TRAFFIC_REPEATS
-    steps = measuring.count_steps(lambda: traffic(made, calls, changes, seed, seconds / 4))
+    messages = (dispatcher.roster.traffic.messages_in - before[0]) // TRAFFIC_REPEATS
+    size = (dispatcher.roster.traffic.bytes_in - before[1]) / TRAFFIC_REPEATS
+    steps = measuring.count_steps(lambda: traffic(dispatcher, calls, changes, seed, seconds / 4))
     return Sample(
         state_bytes=0,
         messages_in=messages / seconds,
@@ -244,19 +248,19 @@
     )
 
 
-def traffic(made: hollow.HollowDispatcher, calls: int, changes: int, seed: int, seconds: float) -> None:
-    """Calls and changes evenly over the time, in one order of time."""
-    made.clear_latencies()
-    numbers = count(FLEET + made.roster.number)
-    wanted = [(i / calls, "call") for i in range(int(calls * seconds))]
-    wanted += [(i / changes, "change") for i in range(int(changes * seconds))] if changes else []
-    began = made.reactor.seconds()
-    for number, (after, what) in enumerate(sorted(wanted)):
-        made.reactor.run(began + after)
-        if what == "call":
-            made.call(f"function-{seed}-{number % IN_VIEW}")
+def traffic(dispatcher: hollow.HollowDispatcher, calls: int, changes: int, seed: int, seconds: float) -> None:
+    """Runs evenly spaced calls and changes, in order of time."""
+    dispatcher.clear_latencies()
+    numbers = count(FLEET + dispatcher.roster.number)
+    events = [(i / calls, "call") for i in range(int(calls * seconds))]
+    events += [(i / changes, "change") for i in range(int(changes * seconds))] if changes else []
+    started_at = dispatcher.reactor.seconds()
+    for number, (after, kind) in enumerate(sorted(events)):
+        dispatcher.reactor.run(started_at + after)
+        if kind == "call":
+            dispatcher.call(f"function-{seed}-{number % IN_VIEW}")
         else:
-            made.roster.send_update(hollow.entry(next(numbers)))
+            dispatcher.roster.send_update(hollow.entry(next(numbers)))
 
 
 register(DispatcherWithList())
--- a/benchmarks/scale/roles/real_dispatchers.py
+++ b/benchmarks/scale/roles/real_dispatchers.py
@@ -1,5 +1,6 @@
-"""Hollow beside real: what dispatchers cost as processes on loopback, and what the hollow one costs doing the
-same. Resident memory holds Twisted's transports and the allocator's slack, which the hollow one has not.
+"""Compares the costs of dispatcher processes on loopback with those of hollow ones under the same load.
+
+Resident memory includes Twisted's transports and the allocator's overhead, which hollow ones do not have.
 """
 
 import asyncio
@@ -16,17 +17,17 @@
 from benchmarks.scale.samples import Budget, Dimension, Figure, Sample, Scene, Sweep
 
 FUNCTIONS = 20
-CALLS = 40.0  # a second, of each dispatcher
-CHANGES = 25.0  # a second
+CALLS = 40.0  # per second, at each dispatcher
+CHANGES = 25.0  # per second
 WARM_UP = 2.0  # seconds
 
 
 class Size(Struct, frozen=True):
-    """How many processes, instances and seconds."""
+    """Number of processes and instances, and duration."""
 
-    dispatchers: int  # in each of the two groups
-    few: int  # instances of the one group's list
-    many: int
+    dispatchers: int  # processes in each of the two groups
+    few: int  # instances in the first group's list
+    many: int  # instances in the second group's list
     seconds: float
 
 
@@ -35,7 +36,7 @@
 
 
 class Costs(Struct, frozen=True):
-    """What one dispatcher costs; lists hold one figure a process."""
+    """The costs of one dispatcher, one figure per process."""
 
     memory: list[float]  # bytes
     idle: list[float]  # cores
@@ -43,7 +44,7 @@
     changes: list[float]
 
 
-async def real(size: Size, instances: int, folder: Path) -> Costs:
+async def measure_real(size: Size, instances: int, folder: Path) -> Costs:
     group = Group(folder, f"edge{instances}", size.dispatchers, instances)
     try:
         await group.start()
@@ -57,83 +58,88 @@
         group.stop()
 
 
-def hollowed(size: Size, instances: int, seed: int) -> Costs:
-    """The same, hollow; memory is the state that is held."""
+def measure_hollow(size: Size, instances: int, seed: int) -> Costs:
+    """The costs of a hollow dispatcher; its memory is the state it holds."""
 
-    def learnt() -> hollow.HollowDispatcher:
-        made = hollow.HollowDispatcher(hollow.entries(instances), seed, size.dispatchers)
-        made.load_full_list()
-        return made
+    def connected_dispatcher() -> hollow.HollowDispatcher:
+        dispatcher = hollow.HollowDispatcher(hollow.entries(instances), seed, size.dispatchers)
+        dispatcher.load_full_list()
+        return dispatcher
 
-    made, state = measuring.build_measured(learnt)
-    idle = measuring.processor_seconds(lambda: made.run(size.seconds / 2), 1).median / (size.seconds / 2)
-    run_load(made, WARM_UP, CALLS, 0)
+    dispatcher, state = measuring.build_measured(connected_dispatcher)
+    idle = measuring.processor_seconds(lambda: dispatcher.run(size.seconds / 2), 1).median / (
+        size.seconds / 2
+    )
+    run_load(dispatcher, WARM_UP, CALLS, 0)
     calls = (
-        measuring.processor_seconds(lambda: run_load(made, size.seconds, CALLS, 0), 3).median / size.seconds
+        measuring.processor_seconds(lambda: run_load(dispatcher, size.seconds, CALLS, 0), 3).median
+        / size.seconds
     )
-    changes = measuring.processor_seconds(lambda: run_load(made, size.seconds, 0, CHANGES), 3).median
+    changes = measuring.processor_seconds(lambda: run_load(dispatcher, size.seconds, 0, CHANGES), 3).median
     return Costs([state], [idle], [calls], [changes / size.seconds])
 
 
-def run_load(made: hollow.HollowDispatcher, seconds: float, calls: float, changes: float) -> None:
-    began = made.reactor.seconds()
+def run_load(dispatcher: hollow.HollowDispatcher, seconds: float, calls: float, changes: float) -> None:
+    began = dispatcher.reactor.seconds()
     for number in range(int(seconds * calls)):
-        made.reactor.run(began + number / calls)
-        made.call(f"function-{number % FUNCTIONS}")
+        dispatcher.reactor.run(began + number / calls)
+        dispatcher.call(f"function-{number % FUNCTIONS}")
     for number in range(int(seconds * changes)):
-        made.reactor.run(began + number / changes)
-        made.roster.send_update(size_change(made.roster.entries, number))
-    made.reactor.run(began + seconds)
+        dispatcher.reactor.run(began + number / changes)
+        dispatcher.roster.send_update(size_change(dispatcher.roster.entries, number))
+    dispatcher.reactor.run(began + seconds)
 
 
-def beside(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
+def compare(seed: int, given: Assumptions, quick: bool) -> list[Figure]:
     size = QUICK if quick else FULL
     with tempfile.TemporaryDirectory() as folder:
-        few, many = (asyncio.run(real(size, n, Path(folder))) for n in (size.few, size.many))
-    few_hollow, many_hollow = (hollowed(size, n, seed) for n in (size.few, size.many))
-    apart = size.many - size.few
+        few, many = (asyncio.run(measure_real(size, n, Path(folder))) for n in (size.few, size.many))
+    few_hollow, many_hollow = (measure_hollow(size, n, seed) for n in (size.few, size.many))
+    difference = size.many - size.few
     figures = [
         Figure("real dispatchers, processes", 2 * size.dispatchers, "processes"),
-        Figure("memory of a real one without instances", memory_at_none(few, many, size), "bytes"),
-        *pair(
+        Figure("memory of a real one without instances", memory_without_instances(few, many, size), "bytes"),
+        *compare_figure(
             "one instance, memory",
-            [(b - statistics.median(few.memory)) / apart for b in many.memory],
-            (many_hollow.memory[0] - few_hollow.memory[0]) / apart,
+            [(b - statistics.median(few.memory)) / difference for b in many.memory],
+            (many_hollow.memory[0] - few_hollow.memory[0]) / difference,
             "bytes",
         ),
     ]
-    for label, costs, imagined in [(size.few, few, few_hollow), (size.many, many, many_hollow)]:
+    for label, costs, hollow_costs in [(size.few, few, few_hollow), (size.many, many, many_hollow)]:
         idle = statistics.median(costs.idle)
         calls = [(cores - idle) / CALLS for cores in costs.calls]
         changes = [(cores - idle) / CHANGES for cores in costs.changes]
-        figures += pair(f"one call at {label} instances", calls, imagined.calls[0] / CALLS, "s")
-        figures += pair(f"one change at {label} instances", changes, imagined.changes[0] / CHANGES, "s")
+        figures += compare_figure(f"one call at {label} instances", calls, hollow_costs.calls[0] / CALLS, "s")
+        figures += compare_figure(
+            f"one change at {label} instances", changes, hollow_costs.changes[0] / CHANGES, "s"
+        )
     return figures
 
 
-def memory_at_none(few: Costs, many: Costs, size: Size) -> float:
+def memory_without_instances(few: Costs, many: Costs, size: Size) -> float:
     each = (statistics.median(many.memory) - statistics.median(few.memory)) / (size.many - size.few)
     return statistics.median(few.memory) - each * size.few
 
 
-def pair(name: str, real_ones: list[float], imagined: float, unit: str) -> list[Figure]:
-    """The real figure, the hollow one, and how many times the hollow one the real one is."""
+def compare_figure(name: str, real_ones: list[float], hollow_costs: float, unit: str) -> list[Figure]:
+    """The real figure, the hollow one, and the ratio of real to hollow."""
     middle, low, high = statistics.median(real_ones), min(real_ones), max(real_ones)
     return [
         Figure(f"{name}, real", middle, unit, None, low, high),
-        Figure(f"{name}, hollow", imagined, unit),
-        Figure(f"{name}, real over hollow", middle / imagined if imagined else 0.0, "times"),
+        Figure(f"{name}, hollow", hollow_costs, unit),
+        Figure(f"{name}, real over hollow", middle / hollow_costs if hollow_costs else 0.0, "times"),
     ]
 
 
 class RealDispatchers:
-    """The role `real-dispatchers`: scenes only."""
+    """The role `real-dispatchers`, with scenarios only."""
 
     name = "real-dispatchers"
     text = "dispatchers as processes on loopback beside hollow ones"
     sweeps: tuple[Sweep, ...] = ()
     budgets: tuple[Budget, ...] = ()
-    scenes = (Scene("hollow beside real", "the same list, calls and changes", beside),)
+    scenes = (Scene("hollow beside real", "the same list, calls and changes", compare),)
 
     def measure(self, dimension: Dimension, size: int, seed: int, assumptions: Assumptions) -> Sample:
         raise NotImplementedError(f"{self.name} has scenes only")
--- a/benchmarks/scale/roles/shard_holder.py
+++ b/benchmarks/scale/roles/shard_holder.py
@@ -1,7 +1,7 @@
-"""A shard's holder: all instances of a region, and the watches of the dispatchers that come to this copy.
+"""A shard's holder, with all instances of a region and the watches of the dispatchers connected to this copy.
 
 `state_bytes` is by `tracemalloc` where instances grow and by a recursive `sys.getsizeof` elsewhere.
-`processor` is all that the holder does: lists, look-ups, renewals, changes to watchers, and the encoding.
+`processor` is all of the holder's work: lists, look-ups, renewals, changes to watchers, and encoding.
 """
 
 from itertools import count
@@ -10,38 +10,40 @@
 from benchmarks.scale.assumptions import Assumptions
 from benchmarks.scale.directory_fleet import MICROSECONDS, HolderNode, Region, WatcherNode, to_ticks
 from benchmarks.scale.roles import register
-from benchmarks.scale.roles.dispatcher_directory import lives, region_of
+from benchmarks.scale.roles.dispatcher_directory import instance_changes, region_of
 from benchmarks.scale.samples import Budget, Dimension, Sample, Scene, Sweep
 from lapistrestle.standins.virtual import VirtualReactor
 from lapistrestle.wire import directory as wire
 from lapistrestle.wire.messages import Message, encode
 
-FLEET = 5_000  # instances, where something else grows
+FLEET = 5_000  # instances, where another dimension grows
 QUICK_INSTANCES = (500, 1_000, 2_000, 4_000)
-SECONDS = 2.0  # simulated and measured
-SHARED_NAMES = [f"function-{number:06d}" for number in range(100)]  # watched by all, where watchers grow
-ADMITTED = 0.0006  # seconds between two first watches, which the holder admits
+SECONDS = 2.0  # simulated time of a measurement
+SHARED_NAMES = [
+    f"function-{number:06d}" for number in range(100)
+]  # watched by all, where the number of watchers grows
+WATCH_INTERVAL = 0.0006  # seconds between two new watches; within the holder's admission rate
 CHANGES_TIMED = 9
 HEARTBEAT = 0.2  # seconds between a watcher's renewals
-STRANGERS = (VirtualReactor, Region, WatcherNode)
+EXCLUDED_TYPES = (VirtualReactor, Region, WatcherNode)
 
 
 class LightWatcher:
-    """A connection that says what a watcher says and forgets what it hears; it costs nearly nothing."""
+    """A connection that sends a watcher's messages and discards those it receives, at little cost."""
 
     def __init__(self, region: Region, holder: HolderNode, number: int) -> None:
         self.region, self.holder, self.number = region, holder, number
         self.watches = count(1)
         self.session = -1
-        self.heard_messages = 0
+        self.messages_received = 0
         holder.connect(self, 0)  # type: ignore[arg-type]
         region.reactor.schedule(round(number * 7_919 % (HEARTBEAT * MICROSECONDS)), self.renew)
 
     def after(self, delay: int, call: object, *args: object) -> None:
-        """The holder says something, or has taken the connection."""
+        """Called by the holder with a message, or once it has accepted the connection."""
         if len(args) == 3:
             self.session = args[2]  # type: ignore[assignment]
-        self.heard_messages += 1
+        self.messages_received += 1
 
     def connected(self, *args: object) -> None: ...
     def refused(self, *args: object) -> None: ...
@@ -49,14 +51,14 @@
     def arrive(self, *args: object) -> None: ...
 
     def renew(self) -> None:
-        self.say(wire.Renew(to_ticks(self.region.reactor)))
+        self.send(wire.Renew(to_ticks(self.region.reactor)))
         self.region.reactor.schedule(round(HEARTBEAT * MICROSECONDS), self.renew)
 
     def watch(self, function: str, prefix: int) -> None:
         shard = self.region.assignment.shard_of(function)
-        self.say(wire.Watch(next(self.watches), shard, 1, function, prefix, "check"))
+        self.send(wire.Watch(next(self.watches), shard, 1, function, prefix, "check"))
 
-    def say(self, message: Message) -> None:
+    def send(self, message: Message) -> None:
         self.holder.arrive(self.session, encode(message) + b"\n")
 
 
@@ -90,27 +92,29 @@
         ordinary = given.instance_changes_per_second(FLEET)
         match dimension:
             case Dimension.INSTANCES:
-                return held(size, given.instance_changes_per_second(size), seed, given)
+                return measure_instances(size, given.instance_changes_per_second(size), seed, given)
             case Dimension.FUNCTIONS:
-                apart = [[f"function-{n:06d}" for n in range(first, size, 10)] for first in range(10)]
-                return served(apart, 0, ordinary, seed, given)
+                function_groups = [
+                    [f"function-{n:06d}" for n in range(first, size, 10)] for first in range(10)
+                ]
+                return measure_watchers(function_groups, 0, ordinary, seed, given)
             case Dimension.DISPATCHERS:
-                return served([SHARED_NAMES] * size, 0, ordinary, seed, given)
+                return measure_watchers([SHARED_NAMES] * size, 0, ordinary, seed, given)
             case Dimension.CALLS:
-                return served([SHARED_NAMES] * 50, size, 0, seed, given)
+                return measure_watchers([SHARED_NAMES] * 50, size, 0, seed, given)
             case Dimension.CHANGES:
-                return served([SHARED_NAMES] * 50, 0, size, seed, given)
+                return measure_watchers([SHARED_NAMES] * 50, 0, size, seed, given)
         raise NotImplementedError(dimension)
 
 
-class Bench:
-    """A holder alone, handed one thing at a time."""
+class SingleHolder:
+    """A single holder that handles one event at a time."""
 
     def __init__(self, region: Region, prefix: int) -> None:
         self.region, self.prefix, self.numbers = region, prefix, count()
         (self.holder,) = region.holders.values()
         self.watcher = LightWatcher(region, self.holder, 0)
-        self.life = lives(len(region.listed))
+        self.list_changes = instance_changes(len(region.listed))
         region.run(0.1)
 
     def look_up(self) -> None:
@@ -118,18 +122,18 @@
         self.holder.work()
 
     def change(self) -> None:
-        self.region.change(next(self.life))
+        self.region.change(next(self.list_changes))
         self.holder.work()
 
-    def both(self) -> None:
+    def look_up_and_change(self) -> None:
         self.look_up()
         self.change()
 
 
-def held(instances: int, changes: float, seed: int, given: Assumptions) -> Sample:
-    """What the instances themselves cost: their state, one look-up among them, one change of them."""
+def measure_instances(instances: int, changes: float, seed: int, given: Assumptions) -> Sample:
+    """Measures the cost of the instances: their state, one look-up among them, one change."""
     region, state = measuring.build_measured(lambda: region_of(instances, 1, seed, given))
-    bench = Bench(region, given.prefix)
+    bench = SingleHolder(region, given.prefix)
     look = measuring.processor_seconds(bench.look_up)
     change = measuring.processor_seconds(bench.change, CHANGES_TIMED)
     return Sample(
@@ -138,28 +142,30 @@
         processor=changes * change.median,
         processor_low=changes * change.low,
         processor_high=changes * change.high,
-        steps=measuring.count_steps(bench.both).instructions,
+        steps=measuring.count_steps(bench.look_up_and_change).instructions,
         figures={"look-up, s": look.median, "change, s": change.median},
     )
 
 
-def served(watched: list[list[str]], lookups: float, changes: float, seed: int, given: Assumptions) -> Sample:
-    """What watchers cost: renewals, look-ups a second, and changes that reach them. `watched`: the functions
-    of each watcher.
+def measure_watchers(
+    watched: list[list[str]], lookups: float, changes: float, seed: int, given: Assumptions
+) -> Sample:
+    """Measures the cost of watchers: renewals, look-ups per second, and changes sent to them. `watched`: the
+    functions of each watcher.
     """
     region = region_of(FLEET, 1, seed, given)
     (holder,) = region.holders.values()
-    light = [LightWatcher(region, holder, number) for number in range(len(watched))]
+    watchers = [LightWatcher(region, holder, number) for number in range(len(watched))]
     region.run(0.1)
-    for watcher, functions in zip(light, watched, strict=True):
+    for watcher, functions in zip(watchers, watched, strict=True):
         for function in functions:
             watcher.watch(function, given.prefix)
-            region.run(ADMITTED)
+            region.run(WATCH_INTERVAL)
     region.run(1.0)
-    state = measuring.deep_size(holder.holder, STRANGERS)
-    before = spent(holder)
-    play(region, light, lookups, changes, given.prefix)
-    rates = [(after - earlier) / SECONDS for after, earlier in zip(spent(holder), before, strict=True)]
+    state = measuring.deep_size(holder.holder, EXCLUDED_TYPES)
+    before = usage(holder)
+    play(region, watchers, lookups, changes, given.prefix)
+    rates = [(after - earlier) / SECONDS for after, earlier in zip(usage(holder), before, strict=True)]
     messages_in, messages_out, bytes_in, bytes_out, processor = rates
     return Sample(
         state_bytes=state,
@@ -175,22 +181,22 @@
     )
 
 
-def play(region: Region, light: list[LightWatcher], lookups: float, changes: float, prefix: int) -> None:
-    life, numbers = lives(FLEET), count()
-    wanted = [(number / lookups, True) for number in range(int(lookups * SECONDS))]
-    wanted += [(number / changes, False) for number in range(int(changes * SECONDS))]
-    began = region.reactor.seconds()
-    for at, is_lookup in sorted(wanted):
-        region.reactor.run(began + at)
+def play(region: Region, watchers: list[LightWatcher], lookups: float, changes: float, prefix: int) -> None:
+    list_changes, numbers = instance_changes(FLEET), count()
+    events = [(number / lookups, True) for number in range(int(lookups * SECONDS))]
+    events += [(number / changes, False) for number in range(int(changes * SECONDS))]
+    started_at = region.reactor.seconds()
+    for at, is_lookup in sorted(events):
+        region.reactor.run(started_at + at)
         if is_lookup:
             number = next(numbers)
-            light[number % len(light)].watch(f"function-new-{number}", prefix)
+            watchers[number % len(watchers)].watch(f"function-new-{number}", prefix)
         else:
-            region.change(next(life))
-    region.reactor.run(began + SECONDS)
+            region.change(next(list_changes))
+    region.reactor.run(started_at + SECONDS)
 
 
-def spent(holder: HolderNode) -> tuple[float, ...]:
+def usage(holder: HolderNode) -> tuple[float, ...]:
     return holder.messages_in, holder.messages_out, holder.bytes_in, holder.bytes_out, holder.processor
 
 
