--- a/benchmarks/looks.py
+++ b/benchmarks/looks.py
@@ -31,8 +31,8 @@
 
 def parse_days(args: tuple[str, ...]) -> Iterator[tuple[str, int]]:
     """Yields kind and seed for each KIND:SEED or KIND:FIRST-LAST; raises ValueError for other arguments."""
-    for word in args:
-        kind, _, seeds = word.partition(":")
+    for arg in args:
+        kind, _, seeds = arg.partition(":")
         first, _, last = seeds.partition("-")
         for seed in range(int(first), int(last or first) + 1):
             yield kind, seed
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -185,8 +185,14 @@
 
     noisy = False
 
-    def __init__(self, reactor: Any, out: int, rate: float, seconds: float, most: int) -> None:
-        self.reactor, self.concurrency, self.rate, self.seconds, self.most = reactor, out, rate, seconds, most
+    def __init__(self, reactor: Any, out: int, rate: float, seconds: float, max_calls: int) -> None:
+        self.reactor, self.concurrency, self.rate, self.seconds, self.max_calls = (
+            reactor,
+            out,
+            rate,
+            seconds,
+            max_calls,
+        )
         self.histogram = HdrHistogram(1, 60_000_000, 3)
         self.sent: dict[str, float] = {}
         self.count = self.done = self.ok = 0
@@ -240,8 +246,8 @@
         if self.process is not None and self.done % 100_000 == 0:
             self.memory_samples.append((self.done, self.process.memory_info().rss))
         if not self.rate:
-            if (now - self.started_at < self.seconds or self.most) and (
-                not self.most or self.count < self.most
+            if (now - self.started_at < self.seconds or self.max_calls) and (
+                not self.max_calls or self.count < self.max_calls
             ):
                 self.send()
             elif not self.sent:
@@ -324,8 +330,8 @@
     result = subprocess.run(command, capture_output=True, text=True, check=False)
     if result.returncode:
         raise SystemExit(f"{what} failed:\n{result.stdout}\n{result.stderr}")
-    made: dict[str, Any] = json.loads(result.stdout.splitlines()[-1])
-    return made
+    measured: dict[str, Any] = json.loads(result.stdout.splitlines()[-1])
+    return measured
 
 
 def start_program(folder: Path, *args: str) -> tuple[subprocess.Popen[bytes], list[int]]:
@@ -397,8 +403,8 @@
 def runners(port: Path, count: int) -> None:
     pin_to_core(1)
     reactor = monotonic_reactor()
-    made = [reactor.listenTCP(0, RunnerFactory(f"w{i}"), interface="127.0.0.1") for i in range(count)]
-    write_ports(port, [listener.getHost().port for listener in made])
+    listeners = [reactor.listenTCP(0, RunnerFactory(f"w{i}"), interface="127.0.0.1") for i in range(count)]
+    write_ports(port, [listener.getHost().port for listener in listeners])
     reactor.run()
 
 
@@ -414,11 +420,11 @@
 def roster(port: Path, ports: str) -> None:
     pin_to_core(3)
     reactor = monotonic_reactor()
-    made = RosterStandIn(reactor, 0.0)
+    stand_in = RosterStandIn(reactor, 0.0)
     for number, at in enumerate(json.loads(ports)):
         entry = wire.RosterEntry(f"w{number}", at, size=4.0, start=f"w{number}#0")
-        made.record(entry, reactor.seconds() - 3600, now=True)
-    write_ports(port, [made.port])
+        stand_in.record(entry, reactor.seconds() - 3600, now=True)
+    write_ports(port, [stand_in.port])
     reactor.run()
 
 
@@ -429,10 +435,10 @@
 def relay(port: Path, ports: str, roster_port: str) -> None:
     pin_to_core(0)
     reactor = monotonic_reactor()
-    made = Relay()
+    relay_factory = Relay()
     for at in json.loads(ports):
-        reactor.connectTCP("127.0.0.1", at, RunnerDialer(made))
-    write_ports(port, [reactor.listenTCP(0, made, interface="127.0.0.1").getHost().port])
+        reactor.connectTCP("127.0.0.1", at, RunnerDialer(relay_factory))
+    write_ports(port, [reactor.listenTCP(0, relay_factory, interface="127.0.0.1").getHost().port])
     reactor.run()
 
 
@@ -462,14 +468,14 @@
     deployment.roster.port = roster_port
     if others:
         deployment.fleet = Fleet(name="measured", port=free_udp_ports(1)[0])
-    made = Edge(reactor, deployment, lambda what, **figures: None)
-    made.host.events.stopwatch = time.perf_counter
+    program = Edge(reactor, deployment, lambda what, **figures: None)
+    program.host.events.stopwatch = time.perf_counter
 
     records = tuple(MemberRecord(name, 1, 1, 0, MemberStatus.ALIVE, "127.0.0.1", 1) for name in others)
 
     def send_counters(second: int) -> None:
         """Sends one second's counters of all members, as datagrams spread over the second."""
-        member = made.fleet_member
+        member = program.fleet_member
         assert member is not None
         digests = member.admission.counters
         counts = (10 * second,) * len(digests.counts)
@@ -484,14 +490,14 @@
         reactor.callLater(1.0, send_counters, second + 1)
 
     def start_edge() -> int:
-        at = made.start()
+        at = program.start()
         if others:
             send_counters(0)
         write_ports(port, [at])
         return at
 
     serve(reactor, start_edge, None, reactor.stop)
-    (port.parent / f"spent-{os.getpid()}").write_text(str(made.host.events.module_seconds))
+    (port.parent / f"spent-{os.getpid()}").write_text(str(program.host.events.module_seconds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -136,16 +136,16 @@
         """Handles one message, or the due tick; schedules the next after the time that this took."""
         if self.dead:
             return
-        began = time.process_time()
+        started_at = time.process_time()
         if self.inbox:
             call, args = self.inbox.popleft()
             call(*args)
         if self.holder.next_due() <= to_ticks(self.reactor):
             self.holder.tick(to_ticks(self.reactor))
         lines = self.encode_effects(self.holder.take_effects())
-        took = time.process_time() - began
-        self.processor += took
-        delay = int(took * MICROSECONDS) if self.timed else 0
+        elapsed = time.process_time() - started_at
+        self.processor += elapsed
+        delay = int(elapsed * MICROSECONDS) if self.timed else 0
         self.busy_until = self.reactor.now + delay
         for session, line in lines:
             self.send(session, line, delay)
@@ -228,14 +228,14 @@
 
     def call(self, function: str) -> bool:
         """Handles a call of this function; returns whether its prefix was known."""
-        began = time.process_time()
+        started_at = time.process_time()
         prefix = self.watcher.prefix_for(function, "check", to_ticks(self.reactor))
         if prefix is not None:
             self.known_calls += 1
             self.watcher.function_used(function, 0, to_ticks(self.reactor))
         else:
             self.lookup_started_at.setdefault(function, self.reactor.seconds())
-        self.perform_effects(began)
+        self.perform_effects(started_at)
         return prefix is not None
 
     # connections
@@ -262,9 +262,9 @@
             return
         self.messages_in += 1
         self.bytes_in += len(line)
-        began = time.process_time()
+        started_at = time.process_time()
         self.watcher.message_received(connection, FROM_HOLDER.decode(line), to_ticks(self.reactor))
-        self.perform_effects(began)
+        self.perform_effects(started_at)
 
     @contextmanager
     def hold_lines(self, renewals: bool = False) -> Iterator[list[tuple[int, bytes]]]:
@@ -282,25 +282,25 @@
 
     def handle_event(self, event: Callable[[int, int], None], connection: int) -> None:
         if not self.stopped:
-            began = time.process_time()
+            started_at = time.process_time()
             event(connection, to_ticks(self.reactor))
-            self.perform_effects(began)
+            self.perform_effects(started_at)
 
     def tick(self) -> None:
         if not self.stopped:
-            began = time.process_time()
+            started_at = time.process_time()
             self.watcher.tick(to_ticks(self.reactor))
-            self.perform_effects(began)
+            self.perform_effects(started_at)
 
     # effects
 
-    def perform_effects(self, began: float) -> None:
+    def perform_effects(self, started_at: float) -> None:
         sends = [
             (e.connection, encode(e.message) + b"\n") if isinstance(e, Send) else e
             for e in self.watcher.take_effects()
         ]
         due = self.watcher.next_due()
-        self.processor += time.process_time() - began
+        self.processor += time.process_time() - started_at
         for effect in sends:
             self.perform(effect)
         at = max(due * TICK_MICROSECONDS, self.reactor.now)
@@ -393,12 +393,12 @@
 
     def watcher(self, number: int) -> WatcherNode:
         zone = self.zones[number % len(self.zones)]
-        made = WatcherNode(
+        node = WatcherNode(
             self.reactor, f"edge-{number}", zone, self.assignment, self.watcher_settings, self.holders,
             self.seed + number, self.one_way,
         )  # fmt: skip
-        self.watchers.append(made)
-        return made
+        self.watchers.append(node)
+        return node
 
     def run(self, seconds: float) -> None:
         self.reactor.run(self.reactor.seconds() + seconds)
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -196,8 +196,8 @@
         self.workers, self.roster = Workers(self.reactor), Roster(entries)
         process = HollowProcess(self.reactor, self.workers, self.roster)
         process.holders = holders or {}
-        made = convert_value({**settings(of, number), **overrides}, Deployment)
-        self.edge = Edge(process, made, lambda what, **figures: None, seed)
+        deployment = convert_value({**settings(of, number), **overrides}, Deployment)
+        self.edge = Edge(process, deployment, lambda what, **figures: None, seed)
         self.clients, self.answers = Traffic(), dict.fromkeys(("ok", "denied", "aborted"), 0)
         self.called_at: dict[str, float] = {}  # of unanswered calls, by id
         self.latencies: list[float] = []  # seconds, of calls answered ok
@@ -217,9 +217,9 @@
             message = FROM_EDGE_TO_CLIENT.decode(line)
             if isinstance(message, wire.Answer):
                 self.answers[message.verdict] += 1
-                began = self.called_at.pop(message.id)
+                started_at = self.called_at.pop(message.id)
                 if message.verdict == "ok":
-                    self.latencies.append(self.reactor.seconds() - began)
+                    self.latencies.append(self.reactor.seconds() - started_at)
 
     def load_full_list(self) -> None:
         """Sends the full list and waits until the edge is connected to every instance in it."""
@@ -243,9 +243,9 @@
 
     def call_at(self, times: Iterator[tuple[float, str]]) -> None:
         """Sends calls at these times, in seconds from now, in ascending order."""
-        began = self.reactor.seconds()
+        started_at = self.reactor.seconds()
         for after, function in times:
-            self.reactor.run(began + after)
+            self.reactor.run(started_at + after)
             self.call(function)
 
     def clear_latencies(self) -> None:
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -187,8 +187,8 @@
 
     async def measure_load(self, seconds: float, calls: float, changes: float, functions: int) -> list[float]:
         """CPU usage in cores of each dispatcher under `calls` and `changes` per second."""
-        before, began, calls_sent, changes_sent = self.cpu_seconds(), time.monotonic(), 0, 0
-        while (now := time.monotonic() - began) < seconds:
+        before, started_at, calls_sent, changes_sent = self.cpu_seconds(), time.monotonic(), 0, 0
+        while (now := time.monotonic() - started_at) < seconds:
             while calls_sent < now * calls:
                 calls_sent += 1
                 for client in self.clients:
@@ -197,8 +197,10 @@
                 changes_sent += 1
                 self.roster.send_update(size_change(self.roster.entries, changes_sent))
             await asyncio.sleep(0.005)
-        took = time.monotonic() - began
-        return [(after - earlier) / took for after, earlier in zip(self.cpu_seconds(), before, strict=True)]
+        elapsed = time.monotonic() - started_at
+        return [
+            (after - earlier) / elapsed for after, earlier in zip(self.cpu_seconds(), before, strict=True)
+        ]
 
     def stop(self) -> None:
         for client in self.clients:
--- a/benchmarks/scale/measuring.py
+++ b/benchmarks/scale/measuring.py
@@ -53,16 +53,16 @@
 
     Objects of a type in `skip`, types, modules and functions are excluded, with what only they refer to.
     """
-    left_out = (*skip, type, ModuleType, FunctionType, BuiltinFunctionType, CodeType)
-    seen, total, waiting = {id(root)}, 0, [root]
-    while waiting:
-        found = waiting.pop()
+    excluded = (*skip, type, ModuleType, FunctionType, BuiltinFunctionType, CodeType)
+    seen, total, pending = {id(root)}, 0, [root]
+    while pending:
+        found = pending.pop()
         total += sys.getsizeof(found)
-        inner = struct_fields(found) if isinstance(found, Struct) else gc.get_referents(found)
-        for one in inner:
-            if id(one) not in seen and not isinstance(one, left_out):
-                seen.add(id(one))
-                waiting.append(one)
+        children = struct_fields(found) if isinstance(found, Struct) else gc.get_referents(found)
+        for child in children:
+            if id(child) not in seen and not isinstance(child, excluded):
+                seen.add(id(child))
+                pending.append(child)
     return total
 
 
@@ -73,19 +73,19 @@
 
 def processor_seconds(action: Callable[[], object], repeats: int = REPEATS) -> Seconds:
     """Processor time of an action, by `time.process_time`, with the cyclic garbage collector disabled."""
-    taken = []
+    seconds = []
     gc.collect()
     was_on = gc.isenabled()
     gc.disable()
     try:
         for _ in range(repeats):
-            began = time.process_time()
+            started_at = time.process_time()
             action()
-            taken.append(time.process_time() - began)
+            seconds.append(time.process_time() - started_at)
     finally:
         if was_on:
             gc.enable()
-    return Seconds(statistics.median(taken), min(taken), max(taken))
+    return Seconds(statistics.median(seconds), min(seconds), max(seconds))
 
 
 def count_steps(action: Callable[[], object]) -> Steps:
--- a/benchmarks/scale/results.py
+++ b/benchmarks/scale/results.py
@@ -95,10 +95,10 @@
     return head + ("+changes" if changed else "") if head else "unknown"
 
 
-def git(*words: str) -> str:
+def git(*args: str) -> str:
     try:
         done = subprocess.run(
-            ["git", *words], cwd=ROOT, capture_output=True, text=True, timeout=20, check=False
+            ["git", *args], cwd=ROOT, capture_output=True, text=True, timeout=20, check=False
         )
     except (OSError, subprocess.TimeoutExpired):
         return ""
--- a/lapistrestle/standins/directory_programs.py
+++ b/lapistrestle/standins/directory_programs.py
@@ -382,14 +382,14 @@
         self.schedule_tick(max(now + 1, self.decisions.next_due()))
 
     def check_connection(self, number: int) -> None:
-        known, made = self.decisions.connections[number], self.connections.get(number)
+        state, connection = self.decisions.connections[number], self.connections.get(number)
         now = self.world.time.now
-        if made is None:
+        if connection is None:
             return
-        if known.lease_until != NEVER and known.lease_until > made.record.expired_at:
+        if state.lease_until != NEVER and state.lease_until > connection.record.expired_at:
             self.world.breaches.add(now, f"{self.name} relies on a lease that lapsed at its holder")
-            made.record.expired_at = NEVER
-        if known.has_answered and made.holder.settings.epoch < self.decisions.assignment.epoch:
+            connection.record.expired_at = NEVER
+        if state.has_answered and connection.holder.settings.epoch < self.decisions.assignment.epoch:
             self.world.breaches.add(now, f"{self.name} accepts messages of an older epoch")
 
     def perform(self, effect: directory.WatcherEffect) -> None:
--- a/lapistrestle/standins/fleet.py
+++ b/lapistrestle/standins/fleet.py
@@ -79,7 +79,7 @@
         self.reactor: Any = VirtualProcess(reactor, name)
         self.drift = drift
         self.logs: list[str] = []
-        self.over: list[str] = []
+        self.over: list[str] = []  # ignored messages
 
     def clock(self) -> int:
         return int(self.reactor.seconds() * (1 + self.drift) * SECOND + 0.001)
@@ -154,9 +154,9 @@
 
     def until(self, done: Callable[[], bool], within: float, step: float = 0.5) -> float:
         """Runs until `done` holds; returns the seconds it took, or infinity if not `within` that many."""
-        began = self.reactor.seconds()
-        while self.reactor.seconds() - began < within:
+        started_at = self.reactor.seconds()
+        while self.reactor.seconds() - started_at < within:
             if done():
-                return self.reactor.seconds() - began
+                return self.reactor.seconds() - started_at
             self.run(step)
         return float("inf")
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -111,9 +111,9 @@
     def __init__(self, reactor: Any, port: int, host: str = "127.0.0.1") -> None:
         super().__init__(reactor, dial(host, port), dialled=True)
         self.rest, self.last, self.closed = b"", 0, ""
-        self.said: dict[int, bytes] = {}
+        self.said: dict[int, bytes] = {}  # response data by request number
         self.ends: list[int] = []  # request numbers, in the order of completion
-        self.codes: dict[int, int] = {}
+        self.codes: dict[int, int] = {}  # FastCGI protocol status by request number
         self.start()
 
     def ask(
@@ -218,8 +218,8 @@
         self.reactor, self.lines = reactor, list[Line]()
         self.listener = Listener(reactor, host, port, self.taken)
         self.port: int = self.listener.sock.getsockname()[1]
-        self.runs: list[dict[str, Any]] = []
-        self.others: list[dict[str, Any]] = []
+        self.runs: list[dict[str, Any]] = []  # RUN messages received
+        self.others: list[dict[str, Any]] = []  # other messages received
         self.loaded: dict[str, int] | None = None  # copies by function; None: all functions are loaded
         self.on_run: Callable[[Line, dict[str, Any]], None] | None = None
 
@@ -306,9 +306,9 @@
         self.reactor, self.followers = reactor, list[BoardConnection]()
         self.listener = Listener(reactor, host, port, self.taken)
         self.port: int = self.listener.sock.getsockname()[1]
-        self.events: dict[int, bytes] = {}
-        self.asked: list[int] = []
-        self.beats = True
+        self.events: dict[int, bytes] = {}  # frames by number
+        self.asked: list[int] = []  # last event number of each subscription
+        self.beats = True  # whether to send heartbeats
         self.send_heartbeat()
 
     def taken(self, sock: socket.socket) -> None:
--- a/lapistrestle/standins/raft_cluster.py
+++ b/lapistrestle/standins/raft_cluster.py
@@ -236,8 +236,8 @@
             self.kill(name)
 
     def random_cut(self) -> None:
-        some = set(self.random.sample(self.names, self.random.randint(1, len(self.names) // 2)))
-        pairs = {(a, b) for a in some for b in self.names if b not in some}
+        isolated = set(self.random.sample(self.names, self.random.randint(1, len(self.names) // 2)))
+        pairs = {(a, b) for a in isolated for b in self.names if b not in isolated}
         if self.random.random() < 0.5:
             pairs |= {(b, a) for a, b in pairs}
         self.cut |= pairs
@@ -267,6 +267,7 @@
         self.faults = FaultRates(0, 0, 0, self.faults.delay, 0, 0, 0, 0, 0)
         self.cut.clear()
         self.stalled.clear()
+        # drops the timers and random events, whose callbacks are called "turn"; messages in flight stay
         self.queue = [item for item in self.queue if getattr(item[2], "__name__", "") != "turn"]
         heapq.heapify(self.queue)
         for name, node in list(self.members.items()):
