--- a/benchmarks/directory_holder.py
+++ b/benchmarks/directory_holder.py
@@ -108,7 +108,7 @@
         holder.wait_port()
         started_at = time.monotonic()
         wait_until_known(port)
-        loaded_after, child = time.monotonic() - started_at, holder.child
+        loaded_after, child = time.monotonic() - started_at, holder.process
         assert child is not None
         watcher, times = Watcher(port), []
         for number in range(LOOKUPS):
--- a/benchmarks/scale/loopback.py
+++ b/benchmarks/scale/loopback.py
@@ -174,7 +174,7 @@
             await asyncio.sleep(0.05)
 
     def processes(self) -> list[psutil.Process]:
-        return [psutil.Process(child.child.pid) for child in self.children if child.child is not None]
+        return [psutil.Process(child.process.pid) for child in self.children if child.process is not None]
 
     def memory(self) -> list[float]:
         """Resident bytes of each dispatcher."""
@@ -205,7 +205,7 @@
             if hasattr(client, "writer"):
                 client.writer.close()
         for child in self.children:
-            child.send(signal.SIGTERM)
+            child.send_signal(signal.SIGTERM)
         for child in self.children:
             child.stop()
         for peer in (*self.workers, self.roster):
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -122,12 +122,12 @@
     started: list[RunnerStandIn] = []  # empty until `start` is called
 
     def start() -> int:
-        tells = frozenset({"inline", "warm", "company"})
+        reported = frozenset({"inline", "warm", "company"})
         store = PackageStore(reactor, StoreSpec())
         stamp = time.time_ns() % 1_000_000_000
         started.append(
             RunnerStandIn(
-                reactor, name, stamp, spec, store, TokenRegistry(), cold=cold, port=port, tells=tells
+                reactor, name, stamp, spec, store, TokenRegistry(), cold=cold, port=port, reported=reported
             )
         )
         log("listening", port=started[0].port)
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -183,7 +183,7 @@
             for h in self.edges
         )
         load = calls * engine.slowdown / (max(1, engine.spec.cores - engine.cores_taken) * engine.spec.speed)
-        copy = 0.0 if copies is None else 1.0 if copies.standing else 0.5 if copies.loading else 0.0
+        copy = 0.0 if copies is None else 1.0 if copies.loaded else 0.5 if copies.loading else 0.0
         return copy, load + (1e9 if engine.dead or engine.failing else 0)
 
     def make_links(self) -> list[EdgeLink]:
--- a/lapistrestle/standins/engine.py
+++ b/lapistrestle/standins/engine.py
@@ -63,7 +63,7 @@
     memory: float
     lanes: int
     load: float
-    standing: int = 0  # copies loaded
+    loaded: int = 0  # copies loaded
     loading: int = 0
     busy: int = 0  # calls running
     tasks: int = 0  # calls waiting or running
@@ -73,7 +73,7 @@
 
     def idle(self) -> int:
         """Loaded copies without a call; calls fill one copy after another."""
-        return self.standing - -(-self.busy // self.lanes)
+        return self.loaded - -(-self.busy // self.lanes)
 
 
 class Engine:
@@ -129,7 +129,7 @@
     def report(self) -> dict[str, float]:
         """The latest load report, or an older one if a fault delays reports."""
         now = self.reactor.seconds()
-        busy = sum(c.memory * (c.standing - c.idle() + c.loading) for c in self.copies.values())
+        busy = sum(c.memory * (c.loaded - c.idle() + c.loading) for c in self.copies.values())
         fresh = {
             "utilization": min(1.0, self.running / self.spec.cores),
             "backlog": float(len(self.queue)),
@@ -154,7 +154,7 @@
             return self.answer(task, "error")
         if self.draining or len(self.queue) >= self.spec.queue:
             return self.answer(task, "full")
-        if copies.standing:
+        if copies.loaded:
             task.load_state = "stood"
         elif copies.loading:
             task.load_state = "joined load"
@@ -195,10 +195,10 @@
         while self.queue:
             task = self.queue.popleft()
             copies = self.copies[task.function]
-            if copies.busy < copies.standing * copies.lanes and self.running < cores:
+            if copies.busy < copies.loaded * copies.lanes and self.running < cores:
                 self.start(task, copies)
                 continue
-            if not copies.loading and copies.busy >= copies.standing * copies.lanes:
+            if not copies.loading and copies.busy >= copies.loaded * copies.lanes:
                 self.load(task.function)
             waiting.append(task)
         self.queue = waiting
@@ -244,7 +244,7 @@
         return self.copies[function]
 
     def used(self) -> float:
-        return sum(c.memory * (c.standing + c.loading) for c in self.copies.values())
+        return sum(c.memory * (c.loaded + c.loading) for c in self.copies.values())
 
     def make_room(self, memory: float) -> bool:
         """Makes room for one more copy: evicts idle ones of functions without calls, the least recently used
@@ -256,7 +256,7 @@
             return False
         for copies in sorted(self.copies.values(), key=lambda c: c.last_used):
             while self.used() + memory > self.spec.memory and copies.idle() > 0 and not copies.tasks:
-                copies.standing -= 1
+                copies.loaded -= 1
         return self.used() + memory <= self.spec.memory
 
     def load(self, function: str) -> bool:
@@ -290,8 +290,8 @@
         self.loads -= 1
         copies.loading -= 1
         copies.last_used = self.reactor.seconds()
-        copies.standing += ok
-        if not ok and not copies.standing and not copies.loading:
+        copies.loaded += ok
+        if not ok and not copies.loaded and not copies.loading:
             failed = "miss" if self.spec.absent == "miss" else "error"
             for task in [t for t in self.queue if t.function == function]:
                 self.queue.remove(task)
@@ -306,11 +306,11 @@
         if the last load failed (not `ok`)."""
         for preload in list(copies.preloads):
             count, done = preload
-            if copies.standing >= count or copies.standing + copies.loading < count:
+            if copies.loaded >= count or copies.loaded + copies.loading < count:
                 copies.preloads.remove(preload)
-                done("ok" if copies.standing >= count else "full" if ok else "error", copies.standing)
+                done("ok" if copies.loaded >= count else "full" if ok else "error", copies.loaded)
 
-    def hold(
+    def preload(
         self,
         function: str,
         count: int,
@@ -323,10 +323,10 @@
         copies."""
         copies = self.copies_of(function, memory, lanes, load)
         if count and self.draining:
-            return done("full", copies.standing)
+            return done("full", copies.loaded)
         if count:
             copies.last_used = self.reactor.seconds()
-        while copies.standing + copies.loading < count and self.load(function):
+        while copies.loaded + copies.loading < count and self.load(function):
             pass
         copies.preloads.append((count, done))
         self.answer_preloads(copies)
@@ -337,7 +337,7 @@
         copies = self.copies.get(function)
         if copies is None or copies.tasks:
             return
-        copies.standing -= copies.idle()
+        copies.loaded -= copies.idle()
         waiting = self.load_queue.count(function)
         self.load_queue = deque(name for name in self.load_queue if name != function)
         for fetch in copies.fetches:
@@ -355,7 +355,7 @@
         now = self.reactor.seconds()
         for function, copies in list(self.copies.items()):
             if now - copies.last_used > self.spec.idle_timeout and not copies.tasks:
-                copies.standing = 0
+                copies.loaded = 0
                 if not copies.loading and not copies.preloads:
                     del self.copies[function]
         self.reactor.callLater(SWEEP_INTERVAL, self.unload_idle)
--- a/lapistrestle/standins/faults/sockets.py
+++ b/lapistrestle/standins/faults/sockets.py
@@ -13,7 +13,7 @@
 def affected_connections(world: World, fault: ScriptedFault) -> list[NetworkFaults]:
     """The connections that a fault affects: those of the roster, of some clients or of some runners."""
     if fault.on == "roster":
-        return [world.roster.weather]
+        return [world.roster.network_faults]
     if fault.on == "clients":
         links = world.clients.links
         chosen = world.random.sample(links, max(1, round(fault.share * len(links))))
--- a/lapistrestle/standins/operator.py
+++ b/lapistrestle/standins/operator.py
@@ -82,7 +82,7 @@
             version = f"{rollout.function}@{rollout.candidate}"
             if self.shares.get(version, 0.0) != rollout.weight:
                 self.shares[version] = rollout.weight
-                since = self.tape.moment(self.last_status_at)
+                since = self.tape.to_microseconds(self.last_status_at)
                 self.tape.put("planner", "share", version=version, share=rollout.weight, since=since)
         self.last_status_at = self.reactor.seconds()
 
--- a/lapistrestle/standins/play.py
+++ b/lapistrestle/standins/play.py
@@ -233,7 +233,7 @@
             return made[-1]
 
         def make_planner() -> ProcessPlanner:
-            planners.append(ProcessPlanner(Path(folder), planners[0].known if planners else 0))
+            planners.append(ProcessPlanner(Path(folder), planners[0].known_port if planners else 0))
             return planners[-1]
 
         def begin() -> None:
--- a/lapistrestle/standins/relays.py
+++ b/lapistrestle/standins/relays.py
@@ -20,7 +20,7 @@
     def __init__(self, reactor: Any, tape: Tape, edge: str, holder: str, target: int) -> None:
         self.reactor, self.tape, self.target = reactor, tape, target
         self.edge, self.holder = edge, holder
-        self.cut = False
+        self.is_cut = False
         self.connection_count = 0
         self.relays: dict[Relay, None] = {}
         listening = reactor.listenTCP(0, EdgeListener(self), interface="127.0.0.1")
@@ -28,8 +28,8 @@
 
     def set_cut(self, cut: bool) -> None:
         """Cuts the link, or heals it."""
-        if cut is not self.cut:
-            self.cut = cut
+        if cut is not self.is_cut:
+            self.is_cut = cut
             for relay in list(self.relays):
                 relay.update()
 
@@ -49,9 +49,9 @@
 
     def update(self) -> None:
         """Applies a change of the link or an endpoint: dials, pauses or resumes reading, forwards closes."""
-        if self.link.cut or self.closed:
+        if self.link.is_cut or self.closed:
             return self.update_reading()
-        if self.edge_endpoint.lost or self.holder_endpoint.lost:
+        if self.edge_endpoint.is_disconnected or self.holder_endpoint.is_disconnected:
             return self.close_relay()
         if not self.dialed:
             self.dialed = True
@@ -64,14 +64,14 @@
             (self.edge_endpoint, self.holder_endpoint),
             (self.holder_endpoint, self.edge_endpoint),
         ):
-            end.set_reading(not self.link.cut and other.is_writable())
+            end.set_reading(not self.link.is_cut and other.is_writable())
 
     def forward(self, end: "RelayEndpoint", data: bytes) -> None:
         if end is self.edge_endpoint:
-            self.from_edge.bytes(data)
+            self.from_edge.data_received(data)
             self.holder_endpoint.write(data)
         else:
-            self.to_edge.bytes(data)
+            self.to_edge.data_received(data)
             self.edge_endpoint.write(data)
 
     def close_relay(self) -> None:
@@ -92,12 +92,12 @@
 
     def __init__(self, relay: Relay) -> None:
         self.relay = relay
-        self.is_connected = self.lost = self.write_paused = False
+        self.is_connected = self.is_disconnected = self.write_paused = False
         self.is_reading = True
 
     def is_writable(self) -> bool:
         """Whether the endpoint is connected and accepts more data."""
-        return self.is_connected and not self.lost and not self.write_paused
+        return self.is_connected and not self.is_disconnected and not self.write_paused
 
     def connectionMade(self) -> None:
         self.is_connected = True
@@ -109,16 +109,16 @@
         self.relay.forward(self, data)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        self.lost = True
+        self.is_disconnected = True
         if not self.relay.closed:
             self.relay.update()
 
     def write(self, data: bytes) -> None:
-        if self.is_connected and not self.lost:
+        if self.is_connected and not self.is_disconnected:
             self.transport.write(data)
 
     def set_reading(self, wanted: bool) -> None:
-        if self.is_connected and not self.lost and wanted is not self.is_reading:
+        if self.is_connected and not self.is_disconnected and wanted is not self.is_reading:
             self.is_reading = wanted
             if wanted:
                 self.transport.resumeProducing()
@@ -126,7 +126,7 @@
                 self.transport.pauseProducing()
 
     def close(self) -> None:
-        if self.is_connected and not self.lost:
+        if self.is_connected and not self.is_disconnected:
             self.transport.unregisterProducer()
             self.transport.loseConnection()
 
@@ -168,6 +168,6 @@
         return None if self.relay.closed else self.relay.holder_endpoint
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.relay.holder_endpoint.lost = True
+        self.relay.holder_endpoint.is_disconnected = True
         if not self.relay.closed:
             self.relay.update()
--- a/lapistrestle/standins/roster.py
+++ b/lapistrestle/standins/roster.py
@@ -21,7 +21,7 @@
             str, tuple[wire.RosterEntry, float]
         ] = {}  # entry and time of the process's start, by name
         self.number, self.epoch, self.count = 0, "e1", 0
-        self.weather = NetworkFaults(seed=99)
+        self.network_faults = NetworkFaults(seed=99)
         self.extra_delay = 0.0  # fault: seconds of additional delay
         self.next_publication = 0.0  # when the latest change is published: changes stay in order
         self.subscribers: dict[RosterServerConnection, None] = {}
@@ -60,14 +60,14 @@
 
     # faults of the roster
 
-    def say_all(self, message: wire.Message) -> None:
+    def send_to_all(self, message: wire.Message) -> None:
         for follower in list(self.subscribers):
             follower.send_message(message)
 
     def jump_back(self, by: int) -> None:
         """Sends a snapshot with a number that is too low."""
         current = self.snapshot()
-        self.say_all(wire.RosterSnapshot(max(0, self.number - by), current.workers, self.epoch))
+        self.send_to_all(wire.RosterSnapshot(max(0, self.number - by), current.workers, self.epoch))
 
     def skip_number(self) -> None:
         """Skips a number, so that subscribers miss a change."""
@@ -97,7 +97,7 @@
     greets_first = False
 
     def __init__(self, roster: RosterStandIn, name: str) -> None:
-        super().__init__(LineLimits(), roster.reactor, roster.tape, roster.weather, name)
+        super().__init__(LineLimits(), roster.reactor, roster.tape, roster.network_faults, name)
         self.roster = roster
 
     def connectionMade(self) -> None:
--- a/lapistrestle/standins/runner.py
+++ b/lapistrestle/standins/runner.py
@@ -75,11 +75,11 @@
     def __init__(
         self, reactor: Any, name: str, start: int, spec: RunnerSpec, store: PackageStore,
         tokens: TokenRegistry, tape: Tape | None = None, cold: bool = False, port: int = 0,
-        tells: frozenset[str] = frozenset(),
+        reported: frozenset[str] = frozenset(),
         load_times: dict[str, float] | None = None, on_collapse: Any = None,
     ) -> None:  # fmt: skip
         self.reactor, self.name, self.start, self.spec = reactor, name, f"{name}#{start}", spec
-        self.tokens, self.tape, self.tells, self.on_collapse = tokens, tape, tells, on_collapse
+        self.tokens, self.tape, self.reported, self.on_collapse = tokens, tape, reported, on_collapse
         # time to load a copy in milliseconds, by function
         self.load_times = load_times if load_times is not None else {}
         self.network_faults = NetworkFaults(seed=start)
@@ -153,7 +153,7 @@
                 def on_preloaded(outcome: Any, count: int) -> None:
                     engine.when_running(lambda: send(wire.PreloadResult(message.preload_id, outcome, count)))
 
-                engine.hold(
+                engine.preload(
                     message.function, message.count, message.memory, message.lanes, load, on_preloaded
                 )
             case wire.Unload():
@@ -162,7 +162,7 @@
                 engine.when_running(lambda: send(wire.ProbeResult(message.probe_id, self.report("on_probe"))))
 
     def report(self, how: str) -> dict[str, float] | None:
-        return self.engine.report() if {how, "inline"} & self.tells else None
+        return self.engine.report() if {how, "inline"} & self.reported else None
 
     def run(self, run: wire.Run, peer: Any, send: Callable[[Any], None]) -> None:
         try:
@@ -199,9 +199,9 @@
                 wire.RunFinished(
                     run.call_id,
                     outcome,
-                    load_state if "warm" in self.tells or load_state == "load failed" else "",
-                    details["company"] if "company" in self.tells else None,
-                    details["report"] if "inline" in self.tells else None,
+                    load_state if "warm" in self.reported or load_state == "load failed" else "",
+                    details["company"] if "company" in self.reported else None,
+                    details["report"] if "inline" in self.reported else None,
                     EFFECT if took_effect[0] else NO_EFFECT,
                 )
             )  # fmt: skip
--- a/lapistrestle/standins/store.py
+++ b/lapistrestle/standins/store.py
@@ -33,13 +33,13 @@
         self.reactor, self.spec = reactor, spec
         self.active, self.crowded_since, self.stopped_until = 0, -1.0, -1.0
         self.factor = 1.0  # fault: times slower
-        self.fetched = self.turned_away = 0
+        self.fetched = self.rejected = 0
 
     def fetch(self, seconds: float, done: Callable[[bool], None]) -> Fetch:
         now, spec = self.reactor.seconds(), self.spec
         fetch = Fetch(done)
         if now < self.stopped_until or self.active >= spec.limit:
-            self.turned_away += 1
+            self.rejected += 1
             self.reactor.callLater(REJECTION_TIME, self.end, fetch, False)
             return fetch
         self.active += 1
--- a/lapistrestle/standins/tape.py
+++ b/lapistrestle/standins/tape.py
@@ -23,10 +23,10 @@
         sink.write(ENCODE({"tape": 1, **header}) + b"\n")
 
     def put(self, connection: str, what: str, **more: Any) -> None:
-        at = self.moment(self.seconds())
+        at = self.to_microseconds(self.seconds())
         self.sink.write(ENCODE({"at": at, "on": connection, "is": what, **more}) + b"\n")
 
-    def moment(self, seconds: float) -> int:
+    def to_microseconds(self, seconds: float) -> int:
         """A time of the reactor, in seconds, as the tape has it: microseconds since the day's start."""
         return max(0, round((seconds - self.started_at) * 1e6))
 
@@ -37,7 +37,7 @@
     def __init__(self, tape: Tape, connection: str, sign: str) -> None:
         self.tape, self.connection, self.direction, self.partial_line = tape, connection, sign, b""
 
-    def bytes(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             self.tape.put(self.connection, self.direction, line=line.decode("utf-8", "backslashreplace"))
--- a/lapistrestle/standins/taped_connection.py
+++ b/lapistrestle/standins/taped_connection.py
@@ -81,7 +81,7 @@
         if self.closed:
             return
         if self.sent is not None:
-            self.sent.bytes(data)
+            self.sent.data_received(data)
         super().send_line(data)
         if then is not None:
             then()
@@ -94,7 +94,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         if self.received is not None:
-            self.received.bytes(data)
+            self.received.data_received(data)
         if not self.faults.silent:
             super().dataReceived(data)
 
--- a/tests/test_directory_process.py
+++ b/tests/test_directory_process.py
@@ -91,7 +91,7 @@
         else:
             self.workers[name] |= more
         self.write()
-        self.roster.send(signal.SIGHUP)
+        self.roster.send_signal(signal.SIGHUP)
 
     def settings(self, number, **serve):
         zones = ("a", "b", "c")
@@ -100,7 +100,7 @@
         made = {
             "directory": {"shards": [copies], "lease": "30 s"},
             "serve": serve,
-            "roster": {"port": self.roster.known},
+            "roster": {"port": self.roster.known_port},
         }
         file = self.folder / f"holder-{number}.json5"
         file.write_text(json.dumps(made))
@@ -273,7 +273,7 @@
 
 def test_a_lost_roster_shows_in_the_age_and_its_successor_is_followed(directory):
     processes = directory()
-    port = str(processes.roster.known)
+    port = str(processes.roster.known_port)
     processes.roster.kill()
     processes.until(lambda: processes.show()["knowledge"] == "cut")
     edge = processes.watcher()
@@ -312,7 +312,7 @@
                 missing.remove(message["id"])
     shown = processes.show()
     assert shown["watches"] == 120 * 30 and shown["snapshots refused as busy"] == busy
-    status = Path(f"/proc/{processes.children[0].child.pid}/status").read_text()
+    status = Path(f"/proc/{processes.children[0].process.pid}/status").read_text()
     (resident,) = re.findall(r"VmRSS:\s*(\d+) kB", status)
     assert int(resident) < 150_000
 
--- a/tests/test_directory_server.py
+++ b/tests/test_directory_server.py
@@ -116,7 +116,7 @@
         booted = self.reactor.seconds()
         self.roster.published = {name: (entry(name, start), booted) for name in self.roster.published}
         self.roster.number += 1
-        self.roster.say_all(self.roster.snapshot())
+        self.roster.send_to_all(self.roster.snapshot())
 
     def run_with_renewals(self, watchers, seconds, every=0.2):
         """Run for some time while these watchers renew their leases."""
@@ -208,11 +208,11 @@
     rig.run_with_renewals([edge], 1.0)
     assert edge.messages(wire.Renewed)[-1].age == 0 and edge.messages(wire.Renewed)[-1].sums is None
     assert any(r.sums is not None and r.sums.serving == 12 for r in edge.messages(wire.Renewed))
-    rig.roster.weather.silent = True  # restarts, and doesn't answer for a second
+    rig.roster.network_faults.silent = True  # restarts, and doesn't answer for a second
     rig.roster.restart()
     rig.run_with_renewals([edge], 1.0)
     assert edge.messages(wire.Renewed)[-1].age > 5_000
-    rig.roster.weather.silent = False
+    rig.roster.network_faults.silent = False
     rig.set_entry(entry("w0", listing="draining"))
     rig.run_with_renewals([edge], 2.0)
     last = edge.messages(wire.Renewed)[-1]
--- a/tests/test_fleet_process.py
+++ b/tests/test_fleet_process.py
@@ -65,7 +65,7 @@
         made["listen"] = {"port": 0}
         file = self.folder / f"edge-{number}.json5"
         file.write_text(json.dumps(made))
-        port = str(self.roster.known)
+        port = str(self.roster.known_port)
         child = ChildProcess(self.folder, f"edge-{number}", "edge", str(file), "--roster-port", port)
         child.start()
         self.children[number] = child
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -47,7 +47,7 @@
     """The time that each call waited for a core."""
     facts = RunnerSpec(cores=cores, memory=1e9, queue=10**9, idle_timeout=1e9)
     engine = Engine(clock, facts, PackageStore(clock, StoreSpec()), lambda: None, cold=False)
-    engine.hold("f", 1, 1.0, 10**6, 0.0, lambda outcome, count: None)
+    engine.preload("f", 1, 1.0, 10**6, 0.0, lambda outcome, count: None)
     clock.run(1.0)
     random, waits_found = np.random.default_rng(seed), []
 
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -338,7 +338,7 @@
 def test_an_unload_cancels_queued_loads_and_fetches(engine: Any) -> None:
     results: list[tuple[str, str, int]] = []
     for function, count in (("a@v2", 3), ("b", 1)):
-        engine.hold(
+        engine.preload(
             function,
             count,
             500.0,
@@ -368,7 +368,7 @@
 
     def loads(played: Rolled) -> tuple[int, int]:
         copies = [s.runner.engine.copies.get(NAME) for s in played.world.slots]
-        return sum(c.loading + c.standing for c in copies if c), played.world.store.active
+        return sum(c.loading + c.loaded for c in copies if c), played.world.store.active
 
     actions = [(t, lambda p, t=t: seen.__setitem__(t, loads(p))) for t in (4.9, 5.3)]
     slow = [{"kind": "store_slow", "at": "3 s", "lasts": "6 s", "factor": 20}]
@@ -383,7 +383,7 @@
 
     def note(played: Rolled) -> None:
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
-        fetched["standing"] = sum(c.standing for c in copies if c)
+        fetched["loaded"] = sum(c.loaded for c in copies if c)
         fetched["before"] = played.world.store.fetched
         assert played.rollout.state is RolloutState.SETTLED
         played.send_command("back")
@@ -403,19 +403,19 @@
         RolloutState.WITHDRAWN,
     )
     late = [run for run in played.runs() if run.at > back * 1000 + 1000]
-    assert not late and not played.world.store.turned_away
+    assert not late and not played.world.store.rejected
     return fetched, ok
 
 
 def test_a_settled_candidate_is_rolled_back_onto_retained_copies(tmp_path: Path) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=600_000, back=30)
-    assert fetched["standing"] >= 2 and ok > 0.99
+    assert fetched["loaded"] >= 2 and ok > 0.99
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_rollback_without_retained_copies_causes_few_loads(tmp_path: Path, seed: int) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=20_000, back=60, seed=seed)
-    assert fetched["standing"] == 0 and 0 < fetched["after"] <= 20 and ok > 0.95
+    assert fetched["loaded"] == 0 and 0 < fetched["after"] <= 20 and ok > 0.95
 
 
 def slow_tokened_day(seed: int) -> dict[str, Any]:
