--- a/lapistrestle/standins/directory_network.py
+++ b/lapistrestle/standins/directory_network.py
@@ -32,7 +32,7 @@
     calls: float = 8.0  # per watcher
 
 
-CALM = NetworkConditions(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
+NO_FAULTS = NetworkConditions(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
 
 
 class SimulatedClock:
@@ -61,7 +61,7 @@
 
     time: SimulatedClock
     chance: random.Random
-    weather: NetworkConditions
+    conditions: NetworkConditions
 
 
 class SimulatedProcess:
@@ -136,10 +136,10 @@
         self.held_messages = deque[tuple[SimulatedProcess, Callable[[], None]]]()
 
     def send(self, to: SimulatedProcess, action: Callable[[], None]) -> None:
-        chance, weather = self.world.chance, self.world.weather
-        if not self.open or (self.faulty and chance.random() < weather.loss):
+        chance, conditions = self.world.chance, self.world.conditions
+        if not self.open or (self.faulty and chance.random() < conditions.loss):
             return
-        copies = 2 if self.faulty and chance.random() < weather.doubled else 1
+        copies = 2 if self.faulty and chance.random() < conditions.doubled else 1
         for _ in range(copies):
             if self.cut:
                 self.held_messages.append((to, action))
@@ -147,10 +147,10 @@
                 self.schedule_delivery(to, action)
 
     def schedule_delivery(self, to: SimulatedProcess, action: Callable[[], None]) -> None:
-        chance, weather = self.world.chance, self.world.weather
-        delay = chance.randint(*weather.delay)
-        if weather.slow and chance.random() < weather.slow_chance:
-            delay += chance.randint(0, weather.slow)
+        chance, conditions = self.world.chance, self.world.conditions
+        delay = chance.randint(*conditions.delay)
+        if conditions.slow and chance.random() < conditions.slow_chance:
+            delay += chance.randint(0, conditions.slow)
         self.last_arrival = max(self.last_arrival, self.world.time.now + delay)
         self.world.time.at(self.last_arrival, lambda: self.deliver_or_hold(to, action))
 
--- a/lapistrestle/standins/directory_world.py
+++ b/lapistrestle/standins/directory_world.py
@@ -21,9 +21,9 @@
 from lapistrestle.wire import messages as wire
 
 ZONES = ("north", "south", "west")
-CALM = NetworkConditions(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
-ROUGH = NetworkConditions()
-WILD = NetworkConditions(
+NO_FAULTS = NetworkConditions(0, 0, (5, 40), 0, 0, 1.0, 0, 0, 0, 0, 0, 0, 0, 0)
+DEFAULT_FAULTS = NetworkConditions()
+FREQUENT_FAULTS = NetworkConditions(
     loss=0.02,
     doubled=0.02,
     slow_chance=0.05,
@@ -59,9 +59,9 @@
     """A simulated region; violated invariants are collected in `breaches`."""
 
     def __init__(
-        self, seed: int, plan: SimulationPlan | None = None, weather: NetworkConditions | None = None
+        self, seed: int, plan: SimulationPlan | None = None, conditions: NetworkConditions | None = None
     ) -> None:
-        self.plan, self.weather = plan or SimulationPlan(), weather or NetworkConditions()
+        self.plan, self.conditions = plan or SimulationPlan(), conditions or NetworkConditions()
         self.chance, self.time, self.breaches = random.Random(seed), SimulatedClock(), Violations()
         self.sessions = 0
         self.cut_from_roster = set[ShardReplica]()
@@ -251,29 +251,29 @@
     def day(self, seconds: float) -> None:
         """Runs random calls, changes and faults for so many seconds."""
         until = self.time.now + int(seconds * SECOND)
-        weather = self.weather
-        self.schedule_repeatedly(weather.calls * len(self.watchers), self.call, until)
-        self.schedule_repeatedly(weather.changes, self.change_instance, until)
-        self.schedule_repeatedly(weather.zone_restarts, self.restart_zone, until)
-        self.schedule_repeatedly(weather.roster_restarts, self.restart_roster, until)
-        self.schedule_repeatedly(weather.roster_breaks, self.break_roster, until)
-        self.schedule_repeatedly(weather.kills, self.kill, until)
-        self.schedule_repeatedly(weather.stalls, self.stall, until)
-        self.schedule_repeatedly(weather.watcher_stalls, self.stall_watcher, until)
-        self.schedule_repeatedly(weather.cuts, self.cut, until)
-        self.schedule_repeatedly(weather.breaks, self.break_connection, until)
+        conditions = self.conditions
+        self.schedule_repeatedly(conditions.calls * len(self.watchers), self.call, until)
+        self.schedule_repeatedly(conditions.changes, self.change_instance, until)
+        self.schedule_repeatedly(conditions.zone_restarts, self.restart_zone, until)
+        self.schedule_repeatedly(conditions.roster_restarts, self.restart_roster, until)
+        self.schedule_repeatedly(conditions.roster_breaks, self.break_roster, until)
+        self.schedule_repeatedly(conditions.kills, self.kill, until)
+        self.schedule_repeatedly(conditions.stalls, self.stall, until)
+        self.schedule_repeatedly(conditions.watcher_stalls, self.stall_watcher, until)
+        self.schedule_repeatedly(conditions.cuts, self.cut, until)
+        self.schedule_repeatedly(conditions.breaks, self.break_connection, until)
         self.time.run(until)
 
-    def calm(self, seconds: float, quiet: float = 3) -> None:
+    def run_without_faults(self, seconds: float, quiet: float = 3) -> None:
         """Ends the faults, then the changes of instances, then the calls, and checks every watcher's state.
 
         Runs calls and changes for `seconds`, calls alone for `quiet` seconds, and neither for one second.
         """
-        self.weather = replace(CALM, calls=self.weather.calls)
+        self.conditions = replace(NO_FAULTS, calls=self.conditions.calls)
         self.day(seconds)
-        self.weather = replace(self.weather, changes=0)
+        self.conditions = replace(self.conditions, changes=0)
         self.day(quiet)
-        self.weather = replace(self.weather, calls=0)
+        self.conditions = replace(self.conditions, calls=0)
         self.day(1)
         truth = RegionInstances()
         truth.apply(self.roster.entries.values(), True, self.time.now)
@@ -282,20 +282,21 @@
 
 
 def random_simulation(seed: int) -> DirectorySimulation:
-    """Draws a simulation from its seed: odd seeds with the rates of ROUGH, even ones with those of WILD.
+    """Draws a simulation from its seed.
 
-    Every third has holders of an older epoch; in every fifth, watchers remember at most 4 retired instances.
+    Odd seeds have the rates of DEFAULT_FAULTS, even ones those of FREQUENT_FAULTS. Every third has holders
+    of an older epoch; in every fifth, watchers remember at most 4 retired instances.
     """
     settings = WatcherSettings(first_count=4, idle_timeout=8 * SECOND)
     if seed % 5 == 0:
         settings = replace(settings, max_retired=4)
     plan = SimulationPlan(copies=2 + seed % 2, settings=settings, old_holder=seed % 3 == 0)
-    return DirectorySimulation(seed, plan, ROUGH if seed % 2 else WILD)
+    return DirectorySimulation(seed, plan, DEFAULT_FAULTS if seed % 2 else FREQUENT_FAULTS)
 
 
-def run_simulation(seed: int, rough: float = 12, calm: float = 20) -> DirectorySimulation:
-    """Runs a random simulation: `rough` seconds of faults, then `calm` seconds without."""
+def run_simulation(seed: int, fault_seconds: float = 12, recovery_seconds: float = 20) -> DirectorySimulation:
+    """Runs a random simulation: `fault_seconds` of faults, then `recovery_seconds` without any."""
     world = random_simulation(seed)
-    world.day(rough)
-    world.calm(calm)
+    world.day(fault_seconds)
+    world.run_without_faults(recovery_seconds)
     return world
--- a/lapistrestle/standins/faults/sockets.py
+++ b/lapistrestle/standins/faults/sockets.py
@@ -36,7 +36,7 @@
 
 
 def set_field(name: str, value: Callable[[ScriptedFault], Any], normal: Any) -> StartFault:
-    """Sets one field of the connections' faults to `value`, and back to `calm` at the end."""
+    """Sets one field of the connections' faults to `value`, and back to `normal` at the end."""
     return connection_fault(
         lambda faults, fault: setattr(faults, name, value(fault)),
         lambda faults: setattr(faults, name, normal),
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -111,12 +111,12 @@
     def __init__(self, reactor: Any, port: int, host: str = "127.0.0.1") -> None:
         super().__init__(reactor, dial(host, port), dialled=True)
         self.rest, self.last, self.closed = b"", 0, ""
-        self.said: dict[int, bytes] = {}
+        self.responses: dict[int, bytes] = {}
         self.ends: list[int] = []  # request numbers, in the order of completion
         self.codes: dict[int, int] = {}
         self.start()
 
-    def ask(
+    def send_request(
         self,
         function: str = "7f3a9c21e0b4d655",
         method: str = "search",
@@ -160,7 +160,7 @@
                 return
             content, self.rest = self.rest[8 : 8 + size], self.rest[8 + size + padding :]
             if kind == fastcgi.STDOUT:
-                self.said[number] = self.said.get(number, b"") + content
+                self.responses[number] = self.responses.get(number, b"") + content
             elif kind == fastcgi.END:
                 self.ends.append(number)
                 self.codes[number] = content[4]
@@ -169,11 +169,11 @@
         """Returns the status of the response; None while it is incomplete, 0 if it has no status header."""
         if number not in self.ends:
             return None
-        answer = self.said.get(number, b"")
+        answer = self.responses.get(number, b"")
         return int(answer.split(b"Status: ")[1][:3]) if b"Status: " in answer else 0
 
     def body(self, number: int) -> bytes:
-        return self.said[number].partition(b"\r\n\r\n")[2]
+        return self.responses[number].partition(b"\r\n\r\n")[2]
 
     def lost(self, reason: str) -> None:
         self.closed = reason
@@ -193,9 +193,9 @@
     def received(self, data: bytes) -> None:
         *lines, self.rest = (self.rest + data).split(b"\n")
         for line in lines:
-            self.runner.heard(self, msgspec.json.decode(line))
+            self.runner.message_received(self, msgspec.json.decode(line))
 
-    def say(self, verb: str, rid: str, content: bytes | None = None, **attrs: Any) -> None:
+    def send_message(self, verb: str, rid: str, content: bytes | None = None, **attrs: Any) -> None:
         message: dict[str, Any] = {"verb": verb, "rid": rid, "attrs": attrs}
         if content is not None:
             message["content"] = b64encode(content).decode()
@@ -216,18 +216,18 @@
 
     def __init__(self, reactor: Any, host: str = "127.0.0.1", port: int = 0) -> None:
         self.reactor, self.lines = reactor, list[Line]()
-        self.listener = Listener(reactor, host, port, self.taken)
+        self.listener = Listener(reactor, host, port, self.connection_accepted)
         self.port: int = self.listener.sock.getsockname()[1]
         self.runs: list[dict[str, Any]] = []
         self.others: list[dict[str, Any]] = []
         self.loaded: dict[str, int] | None = None  # copies by function; None: all functions are loaded
         self.on_run: Callable[[Line, dict[str, Any]], None] | None = None
 
-    def taken(self, sock: socket.socket) -> None:
+    def connection_accepted(self, sock: socket.socket) -> None:
         self.lines.append(Line(self, sock))
         self.lines[-1].start()
 
-    def heard(self, line: Line, message: dict[str, Any]) -> None:
+    def message_received(self, line: Line, message: dict[str, Any]) -> None:
         verb, rid, attrs = message["verb"], message["rid"], message.get("attrs") or {}
         if verb == "RUN":
             self.runs.append(message)
@@ -235,7 +235,7 @@
             if self.on_run is not None:
                 self.on_run(line, message)
             elif self.loaded is not None and not self.loaded.get(attrs["path"]):
-                line.say("404", rid)
+                line.send_message("404", rid)
             else:
                 self.answer(line, message)
             return
@@ -243,16 +243,16 @@
         if verb == "HOLD":
             if self.loaded is not None:
                 self.loaded[attrs["path"]] = max(self.loaded.get(attrs["path"], 0), attrs["slots_up"])
-            line.say("200", rid, slots_up=attrs["slots_up"])
+            line.send_message("200", rid, slots_up=attrs["slots_up"])
         elif verb in ("NOOP", "INFO"):
-            line.say("alive", rid, use="inflight:7;util:0.61")
+            line.send_message("alive", rid, use="inflight:7;util:0.61")
         elif verb == "STOP":
             line.open.pop(rid, None)
 
     def answer(self, line: Line, message: dict[str, Any]) -> None:
-        line.say("200", message["rid"], b64decode(message["content"]))
+        line.send_message("200", message["rid"], b64decode(message["content"]))
 
-    def held(self) -> int:
+    def in_flight_count(self) -> int:
         """Calls received and neither finished nor cancelled."""
         return sum(len(line.open) for line in self.lines)
 
@@ -283,14 +283,14 @@
 
     def __init__(self, board: "BoardStub", sock: socket.socket) -> None:
         super().__init__(board.reactor, sock)
-        self.board, self.rest, self.asked = board, b"", False
+        self.board, self.rest, self.is_subscribed = board, b"", False
 
     def received(self, data: bytes) -> None:
         self.rest += data
-        if not self.asked and len(self.rest) >= 8:
-            self.asked = True
+        if not self.is_subscribed and len(self.rest) >= 8:
+            self.is_subscribed = True
             last = int.from_bytes(self.rest[:8], "big")
-            self.board.asked.append(last)
+            self.board.subscriptions.append(last)
             missed = [event for number, event in self.board.events.items() if number > last]
             for event in missed or [board_frame(max(self.board.events, default=0), 0)]:
                 self.send(event)
@@ -304,14 +304,14 @@
 
     def __init__(self, reactor: Any, host: str = "127.0.0.1", port: int = 0) -> None:
         self.reactor, self.followers = reactor, list[BoardConnection]()
-        self.listener = Listener(reactor, host, port, self.taken)
+        self.listener = Listener(reactor, host, port, self.connection_accepted)
         self.port: int = self.listener.sock.getsockname()[1]
         self.events: dict[int, bytes] = {}
-        self.asked: list[int] = []
+        self.subscriptions: list[int] = []  # last event number that each subscriber had received
         self.beats = True
         self.send_heartbeat()
 
-    def taken(self, sock: socket.socket) -> None:
+    def connection_accepted(self, sock: socket.socket) -> None:
         self.followers.append(BoardConnection(self, sock))
         self.followers[-1].start()
 
@@ -324,7 +324,7 @@
         for follower in list(self.followers):
             follower.send(data)
 
-    def tell(self, number: int, kind: int, *rows: bytes) -> None:
+    def publish(self, number: int, kind: int, *rows: bytes) -> None:
         self.events[number] = board_frame(number, kind, *rows)
         self.raw(self.events[number])
 
@@ -367,7 +367,7 @@
     for runner in runners:
         runner.loaded = {}
     port = free_port()
-    board.tell(1, 1, *(board_row(i + 1, runner.port) for i, runner in enumerate(runners)))
+    board.publish(1, 1, *(board_row(i + 1, runner.port) for i, runner in enumerate(runners)))
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "config.json")
         with open(path, "w") as file:
@@ -376,9 +376,9 @@
             [sys.executable, "-m", "lapistrestle.node"], env=os.environ | {"EDGE_CONFIG": path}
         )
         try:
-            reactor.follow(lambda: board.asked and all(runner.lines for runner in runners))
+            reactor.follow(lambda: board.subscriptions and all(runner.lines for runner in runners))
             client = WebServer(reactor, port)
-            numbers = [client.ask(function=f"{i % 3:016x}", body=b"call %d" % i) for i in range(6)]
+            numbers = [client.send_request(function=f"{i % 3:016x}", body=b"call %d" % i) for i in range(6)]
             reactor.follow(lambda: all(client.status(n) is not None for n in numbers))
             for number in numbers:
                 print(number, client.status(number), client.body(number) if client.status(number) else "")
--- a/lapistrestle/standins/raft_cluster.py
+++ b/lapistrestle/standins/raft_cluster.py
@@ -41,7 +41,7 @@
     kills: float = 0.3  # a second
     cuts: float = 0.3
     stalls: float = 0.2
-    asks: float = 20.0
+    requests: float = 20.0
     back: tuple[int, int] = (100, 3 * SECOND)  # time until a killed member restarts
 
 
@@ -159,11 +159,11 @@
             self.invariants.check_leader(name, node.term)
             self.invariants.check_own_term(name, node.term, [e for e in effects if isinstance(e, Committed)])
         for effect in effects:
-            left = self.effects_until_kill.get(name, 1)
-            if not left:
+            effects_left = self.effects_until_kill.get(name, 1)
+            if not effects_left:
                 return self.kill(name)
             if name in self.effects_until_kill:
-                self.effects_until_kill[name] = left - 1
+                self.effects_until_kill[name] = effects_left - 1
             self.perform(name, effect)
 
     def perform(self, name: str, effect: Effect) -> None:
@@ -215,16 +215,16 @@
     def day(self, seconds: float) -> None:
         for chance, event in (
             (self.faults.kills, self.random_kill), (self.faults.cuts, self.random_cut),
-            (self.faults.stalls, self.random_stall), (self.faults.asks, self.random_request),
+            (self.faults.stalls, self.random_stall), (self.faults.requests, self.random_request),
         ):  # fmt: skip
             if chance:
-                self.again(chance, event)
+                self.schedule_repeatedly(chance, event)
         self.run(int(seconds * SECOND))
 
-    def again(self, chance: float, event: Callable[[], None]) -> None:
+    def schedule_repeatedly(self, chance: float, event: Callable[[], None]) -> None:
         def turn() -> None:
             event()
-            self.again(chance, event)
+            self.schedule_repeatedly(chance, event)
 
         self.at(1 + int(self.random.expovariate(chance) * SECOND), turn)
 
@@ -262,7 +262,7 @@
 
     # recovery
 
-    def calm(self, seconds: float) -> None:
+    def run_without_faults(self, seconds: float) -> None:
         """Ends all faults, restarts killed members and runs for `seconds`."""
         self.faults = FaultRates(0, 0, 0, self.faults.delay, 0, 0, 0, 0, 0)
         self.cut.clear()
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -27,7 +27,7 @@
 from lapistrestle.standins.raft_cluster import FaultRates, RaftCluster
 
 SECOND = 10_000
-ROUGH = FaultRates(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
+FREQUENT_FAULTS = FaultRates(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
 THREE = ["a", "b", "c"]
 M = TypeVar("M", bound=Message)
 
@@ -182,10 +182,10 @@
 
 @pytest.mark.parametrize("seed", range(60))
 def test_no_invariant_breaks_under_faults_and_all_members_converge_after(seed: int) -> None:
-    cluster = RaftCluster(3 + 2 * (seed % 2), seed, ROUGH)
+    cluster = RaftCluster(3 + 2 * (seed % 2), seed, FREQUENT_FAULTS)
     cluster.day(20)
     assert cluster.invariants.breaches == [] and cluster.kills > 5
-    cluster.calm(8)
+    cluster.run_without_faults(8)
     assert cluster.invariants.breaches == [] and len(cluster.leading()) == 1
     logs = [cluster.members[name].entries[: cluster.invariants.acknowledged] for name in cluster.names]
     assert all(log == logs[0] for log in logs) and len(logs[0]) == cluster.invariants.acknowledged
@@ -201,7 +201,7 @@
 
 
 def test_a_seed_gives_the_same_run_twice() -> None:
-    first, second = RaftCluster(5, 7, ROUGH), RaftCluster(5, 7, ROUGH)
+    first, second = RaftCluster(5, 7, FREQUENT_FAULTS), RaftCluster(5, 7, FREQUENT_FAULTS)
     for cluster in (first, second):
         cluster.day(15)
     assert first.invariants == second.invariants and first.disks == second.disks
@@ -278,7 +278,7 @@
 
 def broken_invariants(seed: int, make: type[RaftNode]) -> list[str]:
     """Return the broken invariants of a cluster with frequent elections and crashes of leaders."""
-    faults = FaultRates(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, asks=100, back=(1, 300))
+    faults = FaultRates(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, requests=100, back=(1, 300))
     cluster = RaftCluster(
         3 + 2 * (seed % 2),
         seed,
@@ -297,7 +297,9 @@
 def test_a_member_that_restarts_with_an_empty_disk_is_found() -> None:
     def lost(seed: int) -> list[str]:
         cluster = RaftCluster(3, seed, FaultRates(kills=0, cuts=1.0, stalls=1.0))
-        cluster.again(1.5, lambda: cluster.kill(cluster.random.choice(cluster.names), disk=False))
+        cluster.schedule_repeatedly(
+            1.5, lambda: cluster.kill(cluster.random.choice(cluster.names), disk=False)
+        )
         cluster.day(12)
         return cluster.invariants.breaches
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -69,7 +69,7 @@
 def fill_connection(stage: Any) -> Any:
     """Make the runner stop reading until its connection is full."""
     client = stage.client()
-    first = client.ask()
+    first = client.send_request()
     stage.hand.until(lambda: client.status(first))
     (line,) = stage.runners[0].lines
     stage.hand.removeReader(line)
@@ -88,7 +88,7 @@
 def test_a_line_queued_for_a_connection_is_not_sent_once_its_client_has_gone(stage: Any, how: Any) -> None:
     """Guards against sending the line once the connection is established, up to a connect timeout later."""
     closed, client = FullListener(stage), stage.client()
-    number = client.ask(method="bill")
+    number = client.send_request(method="bill")
     stage.hand.until(lambda: queued_lines(stage))
     if how == "aborts":
         client.give_up(number)
@@ -111,7 +111,7 @@
     """Guards against buffering the line in the connection, where nothing but its close can cancel it."""
     client, line, connection = fill_connection(stage)
     before = len(stage.runs())
-    number = client.ask(method="bill", patience="300")
+    number = client.send_request(method="bill", patience="300")
     stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
     if how == "aborts":
         client.give_up(number)
@@ -121,7 +121,7 @@
         stage.hand.until(lambda: client.status(number))
         assert client.status(number) == 503  # it was never sent, so a retry is safe
     else:
-        stage.board.tell(2, 2, stage.row(0, state=1))
+        stage.board.publish(2, 2, stage.row(0, state=1))
         stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
         stage.hand.until(lambda: client.status(number))
     assert not connection.state_machine.queued and not stage.host.worker_calls
@@ -163,7 +163,7 @@
         stage.hand.addReader(listener)
         stage.hand.until(lambda: stage.node.front.connections)
     stage.hand.addReader(listener)
-    client.ask(method="bill")
+    client.send_request(method="bill")
     if how == "aborts":
         client.give_up(1)
     else:
@@ -179,11 +179,11 @@
     open_connections(stage)
     client, other = stage.client(), stage.client()
     for runner in stage.runners:
-        runner.on_run = lambda line, said: got.append((line, said))
-    client.ask(method="search")
+        runner.on_run = lambda line, message: got.append((line, message))
+    client.send_request(method="search")
     stage.hand.until(lambda: got)
-    line, said = got[0]
-    line.say("503", said["rid"])
+    line, message = got[0]
+    line.send_message("503", message["rid"])
     client.drop("gone")
     connection = next(connection for connection in stage.node.front.connections if connection.requests)
     stage.hand.readers.pop(connection)
@@ -197,15 +197,15 @@
 def test_a_connection_closed_during_a_stall_is_not_used_again(stages: Any) -> None:
     """Guards against reusing a connection whose close is unread: the call would count as may have run."""
     stage, got = stages(runners=1), []
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
+    stage.runners[0].on_run = lambda line, message: got.append((line, message))
     client = stage.client()
-    first, second = client.ask(), 0
+    first, second = client.send_request(), 0
     stage.hand.until(lambda: got)
-    line, said = got[0]
+    line, message = got[0]
     stage.runners[0].on_run = None
-    stage.runners[0].answer(line, said)
+    stage.runners[0].answer(line, message)
     line.drop("idle")
-    second = client.ask(method="bill")
+    second = client.send_request(method="bill")
     stall(stage, 0.3)
     stage.hand.until(lambda: client.status(second) is not None)
     assert client.status(first) == 200 and client.status(second) == 200
@@ -213,17 +213,17 @@
 
 def test_a_call_waiting_for_a_load_is_not_sent_once_its_client_has_gone(stage: Any) -> None:
     stage.runners[0].loaded, orders = {}, []
-    stage.runners[0].heard = lambda line, said, heard=stage.runners[0].heard: (
-        orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
+    stage.runners[0].message_received = lambda line, message, handle=stage.runners[0].message_received: (
+        orders.append((line, message)) if message["verb"] == "HOLD" else handle(line, message)
     )
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: orders)
     before = len(stage.runs())
     client.give_up(number)
     stage.hand.until(lambda: stage.host.counts["left"])
-    for line, said in orders:
-        line.say("200", said["rid"], slots_up=1)
+    for line, message in orders:
+        line.send_message("200", message["rid"], slots_up=1)
     stage.hand.quiet()
     stage.hand.run(3.0)
     assert len(stage.runs()) == before
@@ -241,8 +241,8 @@
         stage.module.endpoints.ring, key=lambda worker: worker.name
     )
     closed, client = FullListener(stage, at=1), stage.client()
-    stage.runners[0].on_run = lambda line, said: line.reset()
-    number = client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a")
+    stage.runners[0].on_run = lambda line, message: line.reset()
+    number = client.send_request(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a")
     stage.hand.until(lambda: len(stage.runs()) == 1 and queued_lines(stage))
     stage.hand.run(0.16)
     assert queued_lines(stage) and client.status(number) is None
@@ -255,15 +255,15 @@
 def test_an_answer_received_before_its_timeout_counts_whatever_follows_it(stage: Any, last: Any) -> None:
     """After a stall the answer, the data behind it and the due timeout are all processed at once."""
     got, client = [], stage.client()
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
-    number = client.ask(method="bill", patience="2000")
+    stage.runners[0].on_run = lambda line, message: got.append((line, message))
+    number = client.send_request(method="bill", patience="2000")
     stage.hand.until(lambda: got)
-    line, said = got[0]
-    stage.runners[0].answer(line, said)
+    line, message = got[0]
+    stage.runners[0].answer(line, message)
     if last == "reset":
         line.reset()
     else:
-        stage.runners[0].answer(line, said)
+        stage.runners[0].answer(line, message)
     stall(stage, 2.0)
     stage.hand.until(lambda: client.status(number) is not None)
     stage.hand.run(1.0)
@@ -272,7 +272,7 @@
 
 def test_nothing_is_sent_on_a_connection_established_after_its_dial_timed_out(stage: Any) -> None:
     closed, client = FullListener(stage), stage.client()
-    number = client.ask(method="bill")
+    number = client.send_request(method="bill")
     stage.hand.until(lambda: queued_lines(stage))
     stage.hand.run(2.1)  # several dials in a row time out
     stage.hand.until(lambda: client.status(number) is not None)
@@ -302,7 +302,7 @@
     stage.hand.removeReader(client)  # it reads nothing for a while
     body = bytes(16_384)
     for count in range(1, 21):
-        client.ask(body=body)
+        client.send_request(body=body)
         stage.hand.until(lambda count=count: stage.host.counts["ok"] == count)
     assert connection.unsent
     stopped = shut_down(stage)
@@ -316,11 +316,11 @@
 
 def request_bytes(number: int = 1) -> Any:
     """The bytes of a request."""
-    said: list[bytes] = []
+    sent: list[bytes] = []
     client: Any = WebServer.__new__(WebServer)
-    client.last, client.send = number - 1, said.append
-    client.ask()
-    return b"".join(said)
+    client.last, client.send = number - 1, sent.append
+    client.send_request()
+    return b"".join(sent)
 
 
 @pytest.mark.parametrize("how", ["an open connection", "a new one"])
@@ -355,11 +355,11 @@
     stage.hand.run(1.0)
     assert stopped
     end.settimeout(5)
-    said = b""
+    received = b""
     while piece := end.recv(65_536):
-        said += piece
+        received += piece
     end.close()
-    assert b"Status: " in said
+    assert b"Status: " in received
 
 
 @pytest.mark.parametrize(
@@ -375,10 +375,10 @@
         profiles=[{"name": "search", "aim": micros, "deadline": micros, "idempotency": "idempotent"}],
     )
     got, client = [], stage.client()
-    stage.runners[0].on_run = lambda line, said: got.append(said)
+    stage.runners[0].on_run = lambda line, message: got.append(message)
     began, stopped = stage.hand.rightNow, shut_down(stage)
     stage.hand.run(0.55)
-    number = client.ask(patience=str(int(deadline * 1000)))
+    number = client.send_request(patience=str(int(deadline * 1000)))
     stage.hand.until(lambda: got)
     stage.hand.run(ends - 0.551)
     assert stopped and stopped[0] - began < ends
@@ -392,11 +392,11 @@
 @pytest.mark.parametrize("who", ["the sweep", "one that needs the room"])
 def test_a_connection_with_an_unread_request_is_not_idle(stage: Any, who: Any) -> None:
     client = stage.client()
-    first = client.ask()
+    first = client.send_request()
     stage.hand.until(lambda: client.status(first))
     stage.hand.rightNow += 7.0  # idle for longer than it may be
     stage.board.raw(board_frame(1, 0))  # the board has sent heartbeats all the while
-    second = client.ask()  # in transit before the close
+    second = client.send_request()  # in transit before the close
     if who == "the sweep":
         stage.node.front.sweep(None)
     else:
@@ -416,18 +416,18 @@
     lines: list[Any] = []
     client = stage.client()
 
-    def on_run(line: Any, said: Any) -> None:
+    def on_run(line: Any, message: Any) -> None:
         lines.append(line)
-        stage.runners[0].answer(line, said)
+        stage.runners[0].answer(line, message)
 
     stage.runners[0].on_run = on_run
-    first = client.ask(method="bill")
+    first = client.send_request(method="bill")
     stage.hand.until(lambda: client.status(first))
     (old,) = stage.runners[0].lines
     stage.hand.run(0.9)
     if stage.runners[0].lines:
         stage.hand.removeReader(old)  # it is about to close and reads nothing more
-    second = client.ask(method="bill")
+    second = client.send_request(method="bill")
     stage.hand.serve(0.01)
     stage.hand.quiet()
     if old in stage.runners[0].lines:
@@ -438,13 +438,13 @@
 
 def test_a_connection_without_keep_conn_stays_open_for_its_other_requests(stage: Any) -> None:
     got, client = [], stage.client()
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
+    stage.runners[0].on_run = lambda line, message: got.append((line, message))
     client.send(request_bytes(1).replace(begin_request(1), begin_request(1, keep=0)))
     client.last = 1
-    client.ask()
+    client.send_request()
     stage.hand.until(lambda: len(got) == 2)
-    for line, said in sorted(got, key=lambda item: item[1]["rid"]):
-        stage.runners[0].answer(line, said)
+    for line, message in sorted(got, key=lambda item: item[1]["rid"]):
+        stage.runners[0].answer(line, message)
         stage.hand.quiet()
     stage.hand.until(lambda: client.closed)
     assert client.status(1) == 200 and client.status(2) == 200
@@ -463,10 +463,10 @@
         stage.hand.run(0.5)
         for follower in stage.board.followers[:1]:
             follower.send(b"\0")
-        if len(stage.board.asked) > 1:
+        if len(stage.board.subscriptions) > 1:
             break
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
-    assert stage.board.asked == [0, 1]
+    assert stage.board.subscriptions == [0, 1]
 
 
 def test_an_old_empty_list_removes_nobody(stage: Any) -> None:
@@ -475,7 +475,7 @@
     stage.hand.quiet()
     assert list(stage.workers()) == ["s-00000001"] and stage.node.core.runners
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == 200
 
@@ -487,11 +487,11 @@
         stage.configuration.file.board = f"127.0.0.1:{board.port}"
         stage.node.apply_configuration(stage.configuration)
     stage.hand.run(0.2)
-    stage.hand.until(lambda: second.asked)
+    stage.hand.until(lambda: second.subscriptions)
     stage.hand.addReader(first.listener)
     stage.hand.run(1.0)
-    assert second.asked == [1] and first.asked == []
-    second.tell(2, 2, stage.row(0, state=1))
+    assert second.subscriptions == [1] and first.subscriptions == []
+    second.publish(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     for board in (first, second):
         board.listener.close()
@@ -504,7 +504,7 @@
     stage.board.events[2] = board_frame(2, 2, stage.row(0, state=2), board_row(9, stage.runners[0].port))
     stage.hand.run(2.6)
     stage.hand.until(lambda: "s-00000009" in stage.node.core.runners)
-    assert list(stage.node.core.runners) == ["s-00000009"] and stage.board.asked == [0, 1]
+    assert list(stage.node.core.runners) == ["s-00000009"] and stage.board.subscriptions == [0, 1]
     assert not old.connections
 
 
@@ -527,7 +527,7 @@
     listener.sock = sock
     stage.hand.run(0.11)
     again = stage.client()
-    number = again.ask()
+    number = again.send_request()
     stage.hand.until(lambda: again.status(number))
     assert again.status(number) == 200
 
@@ -539,18 +539,18 @@
     """Guards against taking the old process's reply for copies loaded at the new one."""
     runner, orders = stage.runners[0], []
     runner.loaded = {}
-    heard = runner.heard
-    runner.heard = lambda line, said: (
-        orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
+    handle = runner.message_received
+    runner.message_received = lambda line, message: (
+        orders.append((line, message)) if message["verb"] == "HOLD" else handle(line, message)
     )
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: orders)
-    line, said = orders[0]
-    stage.board.tell(2, 2, stage.row(0, started=1_700_000_000_000))
+    line, message = orders[0]
+    stage.board.publish(2, 2, stage.row(0, started=1_700_000_000_000))
     stage.hand.until(lambda: client.status(number))  # at once, as no load is in progress to wait for
     assert client.status(number) == 503
-    line.say("200", said["rid"], slots_up=1)
+    line.send_message("200", message["rid"], slots_up=1)
     stage.hand.quiet()
     assert not any(
         replica.copies
@@ -562,11 +562,11 @@
 def test_an_address_taken_over_by_another_runner_is_used_for_that_one_only(stages: Any) -> None:
     """Guards against sending calls for the old runner to the new one."""
     stage = stages(runners=2)
-    stage.board.tell(2, 2, board_row(9, stage.runners[0].port))
+    stage.board.publish(2, 2, board_row(9, stage.runners[0].port))
     stage.hand.until(lambda: "s-00000009" in stage.node.core.runners)
     assert "s-00000001" not in stage.node.core.runners
     client = stage.client()
-    numbers = [client.ask(function=f"{i:016x}", method="bill") for i in range(12)]
+    numbers = [client.send_request(function=f"{i:016x}", method="bill") for i in range(12)]
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
     assert {client.status(n) for n in numbers} <= {200, 503}
 
@@ -574,15 +574,15 @@
 def test_a_runner_that_drains_and_serves_again_does_not_count_as_failed(stage: Any) -> None:
     """Guards against ending lines discarded for the drain as unreachable: the runner would count as dead."""
     client, line, connection = fill_connection(stage)
-    numbers = [client.ask(method="bill") for _ in range(3)]
+    numbers = [client.send_request(method="bill") for _ in range(3)]
     stage.hand.until(lambda: connection.state_machine.queued)
-    stage.board.tell(2, 2, stage.row(0, state=1))
+    stage.board.publish(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: all(client.status(n) is not None for n in numbers))
     (worker,) = stage.workers().values()
     assert worker.emptied_at == -1 and worker.bad_outcomes.read(stage.module.now) == 0 and not worker.ejected
-    stage.board.tell(3, 2, stage.row(0, state=0))
+    stage.board.publish(3, 2, stage.row(0, state=0))
     stage.hand.addReader(line)
     stage.hand.until(lambda: worker.endpoint_state is EndpointState.SERVING)
-    again = client.ask(method="bill")
+    again = client.send_request(method="bill")
     stage.hand.until(lambda: client.status(again) is not None)
     assert client.status(again) == 200
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -26,8 +26,8 @@
 from lapistrestle.directory.watcher import DirectoryWatcher
 from lapistrestle.standins.directory_checks import true_prefix
 from lapistrestle.standins.directory_world import (
-    CALM,
-    WILD,
+    FREQUENT_FAULTS,
+    NO_FAULTS,
     DirectorySimulation,
     SimulationPlan,
     random_simulation,
@@ -1112,8 +1112,8 @@
 @pytest.mark.parametrize("fault", ["none", "stall", "kill", "cut", "cut from roster"])
 @pytest.mark.parametrize("seed", range(4))
 def test_a_drain_reaches_its_watchers_within_a_second_despite_a_holder_fault(fault, seed):
-    world = DirectorySimulation(seed, SimulationPlan(copies=2), CALM)
-    world.weather = replace(CALM, calls=8.0, changes=0)
+    world = DirectorySimulation(seed, SimulationPlan(copies=2), NO_FAULTS)
+    world.conditions = replace(NO_FAULTS, calls=8.0, changes=0)
     world.day(4)
     holder = list(world.holders.values())[seed % 2]
     if fault == "stall":
@@ -1145,9 +1145,9 @@
     """325 start within 100 ms, with 6 functions each; a replica sends 1,000 snapshots per second."""
     holder = HolderSettings(snapshot_rate=1_000, snapshot_burst=100)
     world = DirectorySimulation(
-        1, SimulationPlan(watchers=325, copies=2, shards=1, functions=12, holder=holder), CALM
+        1, SimulationPlan(watchers=325, copies=2, shards=1, functions=12, holder=holder), NO_FAULTS
     )
-    world.weather = replace(CALM, calls=0, changes=0)
+    world.conditions = replace(NO_FAULTS, calls=0, changes=0)
     for watcher in world.watchers:
         when = world.chance.randrange(SECOND // 10)
         for function in world.used[watcher.name]:
@@ -1166,9 +1166,9 @@
 def test_a_watchers_state_does_not_grow_with_instances_or_functions_of_others():
     def state_sizes(instances, functions):
         plan = SimulationPlan(watchers=2, instances=instances, functions=functions)
-        world = DirectorySimulation(3, plan, CALM)
+        world = DirectorySimulation(3, plan, NO_FAULTS)
         world.used = {w.name: range(4) if w.name == "d0" else range(functions) for w in world.watchers}
-        world.weather = replace(CALM, calls=10.0, changes=0)
+        world.conditions = replace(NO_FAULTS, calls=10.0, changes=0)
         world.day(3)
         decisions = world.watchers[0].decisions
         return len(decisions.functions), len(decisions.instances.known), len(decisions.instances.retired)
@@ -1180,14 +1180,16 @@
 
 @pytest.mark.parametrize("seed", range(24))
 def test_random_schedules_converge_without_violations(seed):
-    world = run_simulation(seed, rough=8, calm=18)
+    world = run_simulation(seed, fault_seconds=8, recovery_seconds=18)
     assert world.breaches.found == []
     assert sum(world.counts.values()) >= 4
 
 
 def violations_of(seeds):
     return [
-        violation for seed in seeds for violation in run_simulation(seed, rough=8, calm=18).breaches.found
+        violation
+        for seed in seeds
+        for violation in run_simulation(seed, fault_seconds=8, recovery_seconds=18).breaches.found
     ]
 
 
@@ -1209,8 +1211,8 @@
 def run_with_late_renewals():
     """Answers to renewals are delayed by 2.4 s; later requests are lost, so that leases expire."""
     settings = WatcherSettings(first_count=4, silence_timeout=20 * SECOND)
-    world = DirectorySimulation(2, SimulationPlan(watchers=2, settings=settings), CALM)
-    world.weather = replace(CALM, calls=8.0, changes=0)
+    world = DirectorySimulation(2, SimulationPlan(watchers=2, settings=settings), NO_FAULTS)
+    world.conditions = replace(NO_FAULTS, calls=8.0, changes=0)
     world.day(2.03)
     connections = [connection for watcher in world.watchers for connection in watcher.connections.values()]
     for connection in connections:
@@ -1281,7 +1283,7 @@
     found = []
     for seed in range(3):
         world = random_simulation(seed)
-        world.weather = replace(WILD, loss=0.15, doubled=0.15)
+        world.conditions = replace(FREQUENT_FAULTS, loss=0.15, doubled=0.15)
         world.day(8)
         found += world.breaches.found
     assert any(" after batch " in violation for violation in found)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -70,7 +70,7 @@
         self.host, self.module = self.node.core.host, self.node.core.host.module
         self.ends: list[Any] = []
         if runners:
-            self.board.tell(1, 1, *(self.row(i) for i in range(runners)))
+            self.board.publish(1, 1, *(self.row(i) for i in range(runners)))
             self.hand.until(lambda: len(self.workers()) == runners)
         self.hand.run(0.01)
 
@@ -90,7 +90,7 @@
         return self.ends[-1]
 
     def runs(self) -> Any:
-        return [said for runner in self.runners for said in runner.runs]
+        return [message for runner in self.runners for message in runner.runs]
 
     def close(self) -> None:
         self.node.core.front.close_all()
@@ -123,12 +123,12 @@
 
 def test_a_call_is_run_and_its_body_comes_back_unchanged(stage: Any) -> None:
     client = stage.client()
-    number = client.ask(method="bill", body=bytes(range(256)) * 64)
+    number = client.send_request(method="bill", body=bytes(range(256)) * 64)
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == 200 and client.body(number) == bytes(range(256)) * 64
-    (said,) = stage.runs()
-    assert said["rid"] == f"{number:016x}" and said["attrs"]["path"] == FN
-    assert said["attrs"]["queue"] == "bill" and 1900 < said["attrs"]["budget"] < 2000
+    (message,) = stage.runs()
+    assert message["rid"] == f"{number:016x}" and message["attrs"]["path"] == FN
+    assert message["attrs"]["queue"] == "bill" and 1900 < message["attrs"]["budget"] < 2000
 
 
 def test_a_null_limit_counts_as_missing() -> None:
@@ -196,12 +196,12 @@
 def test_the_health_check_fails_until_there_is_a_list(stages: Any) -> None:
     stage = stages(runners=0)
     client = stage.client()
-    first, early = client.ask(script="/_health"), client.ask()
+    first, early = client.send_request(script="/_health"), client.send_request()
     stage.hand.until(lambda: client.status(early))
     assert client.status(first) == 503 and client.status(early) == 503
-    stage.board.tell(1, 1)
+    stage.board.publish(1, 1)
     stage.hand.quiet()
-    then = client.ask(script="/_health")
+    then = client.send_request(script="/_health")
     stage.hand.until(lambda: client.status(then))
     assert client.status(then) == 200
 
@@ -232,11 +232,11 @@
     stage: Any, fields: Any, status: Any
 ) -> None:
     client = stage.client()
-    number = client.ask(**fields)
+    number = client.send_request(**fields)
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == status
     assert not stage.runs() and stage.host.counts["taken"] == 0 and not stage.module.preloading.functions
-    good = client.ask()
+    good = client.send_request()
     stage.hand.until(lambda: client.status(good))
     assert client.status(good) == 200
 
@@ -247,17 +247,17 @@
 ) -> None:
     """Clients exceed it by up to 7 ms; the protocol allows 50 ms on every time limit."""
     for runner in stage.runners:
-        runner.on_run = lambda line, said: None
+        runner.on_run = lambda line, message: None
     deadline = stage.node.core.settings.methods[0].deadline / 10
     client, began = stage.client(), stage.hand.rightNow
-    number = client.ask(patience=str(int(deadline) + over))
+    number = client.send_request(patience=str(int(deadline) + over))
     stage.hand.quiet()
     while client.status(number) is None and stage.hand.rightNow < began + deadline / 1000 + 1:
         stage.hand.run(0.001)
     assert client.status(number) == status
     assert stage.hand.rightNow - began <= deadline / 1000 + 0.01
     if status == 503:
-        assert all(said["attrs"]["budget"] <= deadline for said in stage.runs()) and stage.runs()
+        assert all(message["attrs"]["budget"] <= deadline for message in stage.runs()) and stage.runs()
 
 
 def test_a_request_counts_towards_the_share_of_its_own_tenant(stages: Any) -> None:
@@ -273,7 +273,7 @@
         arrived(request)
 
     stage.module.on_request = note
-    numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
+    numbers = [client.send_request(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
     assert met == [1, 0, 2]  # a request without a name counts for no tenant
@@ -282,15 +282,15 @@
 def test_the_id_of_an_open_request_is_rejected_and_the_first_continues(stage: Any) -> None:
     kept = []
     for runner in stage.runners:
-        runner.on_run = lambda line, said: kept.append((line, said))
+        runner.on_run = lambda line, message: kept.append((line, message))
     first, second = stage.client(), stage.client()
-    one = first.ask(id="9b1f03aa5c7e2d41", body=b"one")
+    one = first.send_request(id="9b1f03aa5c7e2d41", body=b"one")
     stage.hand.until(lambda: kept)
-    two = second.ask(id="9b1f03aa5c7e2d41", body=b"two")
+    two = second.send_request(id="9b1f03aa5c7e2d41", body=b"two")
     stage.hand.until(lambda: second.status(two))
     assert second.status(two) == 409 and first.status(one) is None
-    line, said = kept[0]
-    line.say("200", said["rid"], b"done")
+    line, message = kept[0]
+    line.send_message("200", message["rid"], b"done")
     stage.hand.until(lambda: first.status(one))
     assert first.body(one) == b"done" and len(kept) == 1
 
@@ -299,11 +299,11 @@
     """Guards against clients that resend rejected calls at once and so increase the preload budget."""
     client = stage.client()
     for _ in range(40):
-        number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
+        number = client.send_request(id="9b1f03aa5c7e2d41", patience="50")
         stage.hand.until(lambda number=number: client.status(number))
     assert stage.host.counts["taken"] == 40 and len(stage.module.preload_budget.requests) == 1
     stage.hand.run(5.1)
-    number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
+    number = client.send_request(id="9b1f03aa5c7e2d41", patience="50")
     stage.hand.until(lambda: client.status(number))
     assert (
         len(stage.module.preload_budget.requests) == 1
@@ -317,14 +317,14 @@
     stage.hand.run(2)
     assert not any(runner.lines for runner in stage.runners)
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: client.status(number))
     assert sum(len(runner.lines) for runner in stage.runners) == 1
 
 
 def test_a_request_read_after_a_stall_counts_from_the_previous_poll(stage: Any) -> None:
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.rightNow += 0.8
     stage.hand.until(lambda: client.status(number))
     assert stage.module.now - 8_001 <= stage.module.preload_budget.requests[0] <= stage.module.now - 7_999
@@ -336,10 +336,10 @@
 ) -> None:
     """The time is bounded by the stall, and not queried if there was none."""
     for runner in stage.runners:
-        runner.on_run = lambda line, said: None
+        runner.on_run = lambda line, message: None
     stage.hand.unread_for = lambda sock: age
     client = stage.client()
-    number = client.ask(patience="1000")
+    number = client.send_request(patience="1000")
     stage.hand.rightNow += stall
     stage.hand.quiet()
     read = stage.hand.rightNow
@@ -351,14 +351,14 @@
 
 def test_two_requests_under_one_id_close_only_that_connection(stage: Any) -> None:
     for runner in stage.runners:
-        runner.on_run = lambda line, said: None
+        runner.on_run = lambda line, message: None
     bad, good = stage.client(), stage.client()
-    number = bad.ask()
+    number = bad.send_request()
     bad.send(begin_request(number))
     stage.hand.until(lambda: bad.closed)
     for runner in stage.runners:
         runner.on_run = None
-    other = good.ask(id="9b1f03aa5c7e2d41")
+    other = good.send_request(id="9b1f03aa5c7e2d41")
     stage.hand.until(lambda: good.status(other))
     assert good.status(other) == 200 and bad.status(number) is None
 
@@ -376,7 +376,7 @@
 
 def test_a_body_too_long_is_rejected_without_reading_it_all(stage: Any) -> None:
     client = stage.client()
-    number = client.ask(whole=False)
+    number = client.send_request(whole=False)
     for _ in range(8):
         client.send(fastcgi.encode_record(fastcgi.STDIN, number, b"x" * 60_000))
     stage.hand.until(lambda: client.closed)
@@ -388,12 +388,12 @@
     crowd = [stage.client() for _ in range(6)]
     for client in crowd:
         for _ in range(16):
-            client.ask(body=b"x" * 16_000, whole=False)
+            client.send_request(body=b"x" * 16_000, whole=False)
         stage.hand.quiet()
         assert stage.node.front.buffered_bytes <= 500_000 + 65_536 + 262_144
     assert any(client.closed for client in crowd)
     good = stage.client()
-    number = good.ask(id="9b1f03aa5c7e2d41")
+    number = good.send_request(id="9b1f03aa5c7e2d41")
     stage.hand.until(lambda: good.status(number))
     assert good.status(number) == 200
     for client in crowd:
@@ -404,8 +404,8 @@
 
 def test_connections_silent_or_with_an_incomplete_request_are_closed_within_three_seconds(stage: Any) -> None:
     silent, half, good = stage.client(), stage.client(), stage.client()
-    half.ask(whole=False)
-    done = good.ask()
+    half.send_request(whole=False)
+    done = good.send_request()
     stage.hand.run(2.6)
     assert silent.closed and half.closed and good.status(done) == 200 and not good.closed
 
@@ -413,23 +413,23 @@
 def test_many_silent_connections_do_not_affect_regular_clients(stages: Any) -> None:
     stage = stages(sockets=64)
     usual = stage.client()
-    usual.ask()
+    usual.send_request()
     stage.hand.run(0.6)
     crowd = [stage.client() for _ in range(60)]
     stage.hand.run(0.1)
     assert len(stage.node.front.connections) <= stage.node.front.max_connections
     if usual.closed:  # an idle one may be closed: it comes again
         usual = stage.client()
-    number = usual.ask(id="9b1f03aa5c7e2d41")
+    number = usual.send_request(id="9b1f03aa5c7e2d41")
     stage.hand.until(lambda: usual.status(number))
     assert usual.status(number) == 200 and sum(bool(c.closed) for c in crowd) > 20
 
 
 def test_requests_over_the_limit_of_a_connection_are_rejected_as_overloaded(stage: Any) -> None:
     for runner in stage.runners:
-        runner.on_run = lambda line, said: None
+        runner.on_run = lambda line, message: None
     client = stage.client()
-    numbers = [client.ask() for _ in range(40)]
+    numbers = [client.send_request() for _ in range(40)]
     stage.hand.until(lambda: client.status(numbers[-1]) is not None)
     over = [n for n in numbers if client.codes.get(n) == fastcgi.OVERLOADED]
     assert over and len(over) + stage.host.counts["taken"] == 40
@@ -438,9 +438,9 @@
 
 def test_an_aborted_request_ends_and_its_id_is_free(stage: Any) -> None:
     for runner in stage.runners:
-        runner.on_run = lambda line, said: None
+        runner.on_run = lambda line, message: None
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(stage.runs)
     client.give_up(number)
     stage.hand.until(lambda: number in client.ends)
@@ -448,8 +448,8 @@
     client.last = 0
     for runner in stage.runners:
         runner.on_run = None
-    again = client.ask(id="9b1f03aa5c7e2d41")
-    stage.hand.until(lambda: client.said.get(again))
+    again = client.send_request(id="9b1f03aa5c7e2d41")
+    stage.hand.until(lambda: client.responses.get(again))
     assert client.status(again) == 200
 
 
@@ -458,12 +458,12 @@
 
 def test_a_malformed_reply_closes_its_connection_and_its_calls_may_have_run(stage: Any) -> None:
     for runner in stage.runners:
-        runner.on_run = lambda line, said: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
+        runner.on_run = lambda line, message: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
     client = stage.client()
-    safe, unsafe = client.ask(), client.ask(method="bill")
+    safe, unsafe = client.send_request(), client.send_request(method="bill")
     stage.hand.until(lambda: client.status(unsafe))
     assert client.status(unsafe) == 500
-    bills = [said for said in stage.runs() if said["attrs"]["queue"] == "bill"]
+    bills = [message for message in stage.runs() if message["attrs"]["queue"] == "bill"]
     assert len(bills) == 1  # it may have run
     stage.hand.run(2.1)
     assert client.status(safe) in (500, 503)
@@ -471,15 +471,15 @@
 
 @pytest.mark.parametrize("ahead", [b'{"verb":"200","rid":"ffffffffffffffff","content":"AAAA"}\n', b""])
 def test_unexpected_and_duplicate_replies_are_ignored(stage: Any, ahead: Any) -> None:
-    def play(line: Any, said: Any) -> None:
+    def play(line: Any, message: Any) -> None:
         line.send(ahead)
-        line.say("200", said["rid"], b"mine")
-        line.say("200", said["rid"], b"again")
+        line.send_message("200", message["rid"], b"mine")
+        line.send_message("200", message["rid"], b"again")
 
     for runner in stage.runners:
         runner.on_run = play
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: client.status(number))
     stage.hand.quiet()
     assert client.body(number) == b"mine" and client.ends == [number]
@@ -487,13 +487,13 @@
 
 
 def test_an_endless_line_is_cut_within_bounds(stage: Any) -> None:
-    def play(line: Any, said: Any) -> None:
-        line.send(b'{"verb":"200","rid":"%s","content":"' % said["rid"].encode() + b"A" * 3_000_000)
+    def play(line: Any, message: Any) -> None:
+        line.send(b'{"verb":"200","rid":"%s","content":"' % message["rid"].encode() + b"A" * 3_000_000)
 
     for runner in stage.runners:
         runner.on_run = play
     client = stage.client()
-    number = client.ask(method="bill")
+    number = client.send_request(method="bill")
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == 500
     assert all(len(w.buffer) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
@@ -501,9 +501,9 @@
 
 def test_a_call_with_side_effects_is_not_retried_after_a_reset(stage: Any) -> None:
     for runner in stage.runners:
-        runner.on_run = lambda line, said: line.reset()
+        runner.on_run = lambda line, message: line.reset()
     client = stage.client()
-    number = client.ask(method="bill")
+    number = client.send_request(method="bill")
     stage.hand.until(lambda: client.status(number))
     assert client.status(number) == 500 and len(stage.runs()) == 1
 
@@ -512,23 +512,23 @@
     stage.runners[0].stop()
     stage.hand.quiet()
     client = stage.client()
-    numbers = [client.ask(function=f"{i:016x}", method="bill") for i in range(12)]
+    numbers = [client.send_request(function=f"{i:016x}", method="bill") for i in range(12)]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     assert {client.status(n) for n in numbers} <= {200, 503} and client.status(numbers[0]) == 200
 
 
 def test_a_tokened_call_carries_its_key(stage: Any) -> None:
     client = stage.client()
-    client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
+    client.send_request(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
     stage.hand.until(stage.runs)
     assert stage.runs()[0]["attrs"]["uniq"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
 def test_two_attempts_of_one_rpc_at_one_runner_never_share_a_connection(stages: Any) -> None:
     stage, got = stages(runners=1), []
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
+    stage.runners[0].on_run = lambda line, message: got.append((line, message))
     client = stage.client()
-    client.ask(patience="4000")
+    client.send_request(patience="4000")
     stage.hand.until(lambda: got)
     (worker_call,) = stage.host.worker_calls.values()
     request, worker = worker_call.pending, worker_call.worker
@@ -538,7 +538,7 @@
     stage.host.send_attempt(second, 10_000)
     stage.hand.until(lambda: len(got) == 2)
     assert got[0][0] is not got[1][0] and got[0][1]["rid"] == got[1][1]["rid"]
-    got[0][0].say("200", got[0][1]["rid"], b"first")
+    got[0][0].send_message("200", got[0][1]["rid"], b"first")
     stage.hand.until(lambda: client.ends)
     assert client.body(1) == b"first"
 
@@ -561,18 +561,18 @@
     stage.module.orders.function_order = lambda function: sorted(
         stage.module.endpoints.ring, key=lambda s: s.name
     )
-    number = client.ask(function="1" * 16)
+    number = client.send_request(function="1" * 16)
     stage.hand.readers.pop(listener)  # accepts nothing, but the kernel establishes the connection
     made = runner.pick([])
     assert made is not None
-    stage.board.tell(2, 2, stage.row(0, state=1))
+    stage.board.publish(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: client.status(number))
     assert (
         stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
         and not made.state_machine.queued
     )
     after = len(stage.runners[0].runs)
-    more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
+    more = [client.send_request(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
     stage.hand.until(lambda: all(client.status(n) for n in more))
     assert len(stage.runners[0].runs) == after
 
@@ -583,14 +583,14 @@
 def test_a_runner_listed_again_at_its_address_keeps_its_connections(stage: Any) -> None:
     """Guards against replacing the pool with each event about the runner, so that a drain dials it again."""
     runner, client = stage.node.core.runners["s-00000001"], stage.client()
-    numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
+    numbers = [client.send_request(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
     stage.hand.until(lambda: all(client.status(n) for n in numbers))
     connections, lines = list(runner.connections), list(stage.runners[0].lines)
-    stage.board.tell(2, 2, stage.row(0, state=1))
+    stage.board.publish(2, 2, stage.row(0, state=1))
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.node.core.runners["s-00000001"] is runner
     assert connections and runner.connections == connections and stage.runners[0].lines == lines
-    stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine restarted
+    stage.board.publish(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine restarted
     stage.hand.until(lambda: not any(connection.stream for connection in connections))
     assert stage.node.core.runners["s-00000001"] is not runner
 
@@ -602,7 +602,7 @@
     stage.board.events[2] = board_frame(2, 2, stage.row(0, state=1))
     stage.board.raw(board_frame(3, 2, stage.row(1, state=1)))
     stage.hand.run(0.01)
-    assert stage.board.asked == [0, 1]
+    assert stage.board.subscriptions == [0, 1]
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.workers()["s-00000002"].endpoint_state is EndpointState.SERVING
 
@@ -613,7 +613,7 @@
 def test_a_bad_frame_leads_to_a_new_watch(stage: Any, bad: Any) -> None:
     stage.board.raw(bad)
     stage.hand.run(0.01)
-    assert stage.board.asked == [0, 1]
+    assert stage.board.subscriptions == [0, 1]
 
 
 def test_a_connection_lost_amid_an_event_loses_nothing(stage: Any) -> None:
@@ -624,13 +624,13 @@
     stage.board.cut()
     stage.hand.run(0.01)
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
-    assert stage.board.asked[-1] == 1
+    assert stage.board.subscriptions[-1] == 1
 
 
 def test_a_silent_board_is_watched_again(stage: Any) -> None:
     stage.board.beats = False
     stage.hand.run(3.6)
-    assert len(stage.board.asked) >= 2
+    assert len(stage.board.subscriptions) >= 2
 
 
 def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_revision(stage: Any) -> None:
@@ -638,9 +638,9 @@
     stage.configuration.file.board = f"127.0.0.1:{other.port}"
     stage.node.apply_configuration(stage.configuration)
     stage.hand.run(0.01)
-    stage.hand.until(lambda: other.asked)
-    assert other.asked == [1]
-    other.tell(2, 2, stage.row(1, state=2))
+    stage.hand.until(lambda: other.subscriptions)
+    assert other.subscriptions == [1]
+    other.publish(2, 2, stage.row(1, state=2))
     stage.hand.until(lambda: len(stage.workers()) == 1)
     other.listener.close()
     for follower in list(other.followers):
@@ -652,17 +652,17 @@
     stage.node.shut_down(lambda: stopped.append(1))
     stage.hand.run(0.4)
     late = stage.client()
-    number = late.ask()
+    number = late.send_request()
     stage.hand.until(lambda: late.status(number))
     assert late.status(number) == 200
     for runner in stage.runners:
-        runner.on_run = lambda line, said: kept.append((line, said))
-    slow = late.ask()
+        runner.on_run = lambda line, message: kept.append((line, message))
+    slow = late.send_request()
     stage.hand.until(lambda: kept)
     stage.hand.run(0.7)
     assert not stopped and not stage.node.front.listener.sock.fileno() > 0
-    line, said = kept[0]
-    line.say("200", said["rid"], b"late")
+    line, message = kept[0]
+    line.send_message("200", message["rid"], b"late")
     stage.hand.until(lambda: late.status(slow))
     stage.hand.run(0.1)
     assert late.body(slow) == b"late" and stopped == [1]
@@ -670,9 +670,9 @@
 
 def test_the_module_s_calls_in_flight_agree_with_the_sockets(stage: Any) -> None:
     for runner in stage.runners:
-        runner.on_run = lambda line, said: None
+        runner.on_run = lambda line, message: None
     client = stage.client()
-    numbers = [client.ask(function=f"{i % 5:016x}") for i in range(20)]
+    numbers = [client.send_request(function=f"{i % 5:016x}") for i in range(20)]
     stage.hand.until(lambda: len(stage.runs()) + len(client.ends) == 20)
     assert len(stage.runs()) > 5
     client.give_up(numbers[0])
@@ -680,14 +680,14 @@
 
     def agree() -> Any:
         believed = {worker.name: worker.in_flight for worker in stage.module.endpoints.workers}
-        held = {f"s-{i + 1:08x}": runner.held() for i, runner in enumerate(stage.runners)}
+        held = {f"s-{i + 1:08x}": runner.in_flight_count() for i, runner in enumerate(stage.runners)}
         return believed == held
 
     assert agree()
     for runner in stage.runners:
         for line in list(runner.lines)[:1]:
-            for said in list(line.open.values()):
-                runner.answer(line, said)
+            for message in list(line.open.values()):
+                runner.answer(line, message)
         stage.hand.quiet()
         assert agree()
     stage.hand.run(1.0)
@@ -701,9 +701,9 @@
     runner, client = stage.runners[0], stage.client()
     if end != "served":
         runner.loaded = {}
-        heard = runner.heard
-        runner.heard = lambda line, said: (
-            orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
+        handle = runner.message_received
+        runner.message_received = lambda line, message: (
+            orders.append((line, message)) if message["verb"] == "HOLD" else handle(line, message)
         )
     taken: list[Any] = []
     arrived = stage.module.on_request
@@ -716,14 +716,14 @@
     gc.collect()
     gc.disable()
     try:
-        number = client.ask()
+        number = client.send_request()
         if end == "left":
             stage.hand.until(lambda: orders)
             client.give_up(number)
             stage.hand.until(lambda: stage.host.counts["left"])
         if end != "served":
             stage.hand.until(lambda: orders)
-            orders[0][0].say("503", orders[0][1]["rid"], slots_up=0)
+            orders[0][0].send_message("503", orders[0][1]["rid"], slots_up=0)
         stage.hand.until(lambda: client.status(number) is not None)
         stage.hand.run(3.0)  # its timers have fired
         assert len(taken) == 1 and taken[0]() is None
@@ -755,10 +755,10 @@
     gc.disable()  # collections are very rare in production
     for i in range(1500):
         stage.board.events.clear()
-        stage.board.tell(2 + i, 2, board_row(100 + i, port), board_row(99 + i if i else 1, port, state=2))
+        stage.board.publish(2 + i, 2, board_row(100 + i, port), board_row(99 + i if i else 1, port, state=2))
         stage.hand.quiet()
         if i % 50 == 0:
-            number = client.ask(id=f"{i:016x}")
+            number = client.send_request(id=f"{i:016x}")
             stage.hand.until(lambda n=number: client.status(n) is not None)
             stage.hand.run(0.5)
         if i == 500:
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -48,13 +48,13 @@
     """Have the runners not answer. Returns the list of their calls."""
     got: list[Any] = []
     for runner in stage.runners:
-        runner.on_run = lambda line, said: got.append((line, said))
+        runner.on_run = lambda line, message: got.append((line, message))
     return got
 
 
 def answer_all(stage: Any, got: list[Any]) -> None:
-    for line, said in got:
-        stage.runners[0].answer(line, said)
+    for line, message in got:
+        stage.runners[0].answer(line, message)
     stage.hand.quiet()
 
 
@@ -102,7 +102,7 @@
     crowd: list[WebServer] = []
     for _ in range(stage.node.front.max_connections):
         crowd.append(stage.client())
-        crowd[-1].ask(id=f"{len(crowd) + 1000:016x}", patience="4000")
+        crowd[-1].send_request(id=f"{len(crowd) + 1000:016x}", patience="4000")
     stage.hand.until(lambda: stage.host.open_requests == len(crowd))
     return crowd
 
@@ -121,7 +121,7 @@
 def ask_in_turn(stage: Any, client: WebServer, count: int) -> list[int]:
     numbers: list[int] = []
     for ok in range(1, count + 1):
-        numbers.append(client.ask(body=BODY))
+        numbers.append(client.send_request(body=BODY))
         stage.hand.until(lambda ok=ok: stage.host.counts["ok"] == ok)
     return numbers
 
@@ -137,7 +137,7 @@
 
 def test_an_open_request_is_answered_before_its_connection_closes_for_invalid_data(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
-    number = client.ask(method="bill")
+    number = client.send_request(method="bill")
     stage.hand.until(lambda: got)
     client.send(JUNK)
     stage.hand.quiet()
@@ -155,7 +155,7 @@
 
 def test_invalid_data_closes_its_connection_in_time_though_a_runner_is_silent(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
-    number = client.ask(method="bill", patience="4000")
+    number = client.send_request(method="bill", patience="4000")
     stage.hand.until(lambda: got)
     client.send(JUNK)
     stage.hand.run(2.7)
@@ -164,7 +164,7 @@
 
 def test_of_two_requests_under_one_id_neither_is_served_and_others_are_answered(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
-    doubled, other = client.ask(), client.ask()
+    doubled, other = client.send_request(), client.send_request()
     stage.hand.until(lambda: len(got) == 2)
     client.send(begin_request(doubled))
     stage.hand.quiet()
@@ -178,13 +178,13 @@
     """No retry is started for it, though its data is discarded."""
     stage = stages(runners=2)
     client, got = stage.client(), hold_runs(stage)
-    client.ask()
+    client.send_request()
     stage.hand.until(lambda: got)
     client.send(JUNK * 4000)
     stage.hand.quiet()
     client.drop("gone")
     stage.hand.until(lambda: stage.host.counts["left"])
-    got[0][0].say("503", got[0][1]["rid"])
+    got[0][0].send_message("503", got[0][1]["rid"])
     stage.hand.run(0.5)
     assert len(stage.runs()) == 1 and stage.host.open_requests == 0
 
@@ -192,12 +192,16 @@
 @pytest.mark.parametrize("bad", ["body", "fields"])
 def test_a_request_too_large_does_not_affect_others_on_its_connection(stage: Any, bad: str) -> None:
     client, got = stage.client(), hold_runs(stage)
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: got)
-    large = client.ask(body=b"x" * 20_000) if bad == "body" else client.ask(HTTP_X_LONG="x" * 20_000)
+    large = (
+        client.send_request(body=b"x" * 20_000)
+        if bad == "body"
+        else client.send_request(HTTP_X_LONG="x" * 20_000)
+    )
     stage.hand.until(lambda: client.status(large) is not None)
     assert client.status(large) in (413, 431)
-    late = client.ask(id="9b1f03aa5c7e2d41")  # the client may not know yet
+    late = client.send_request(id="9b1f03aa5c7e2d41")  # the client may not know yet
     stage.hand.quiet()
     answer_all(stage, got)
     stage.hand.until(lambda: client.closed)
@@ -206,7 +210,7 @@
 
 def test_an_incomplete_request_does_not_affect_others_on_its_connection(stage: Any) -> None:
     client, got = stage.client(), hold_runs(stage)
-    number, half = client.ask(method="bill", patience="4000"), client.ask(whole=False)
+    number, half = client.send_request(method="bill", patience="4000"), client.send_request(whole=False)
     stage.hand.until(lambda: got)
     stage.hand.run(2.6)
     assert client.status(half) == 408
@@ -219,14 +223,14 @@
     stage = stages(runners=1, memory_mb=4)
     client, got = stage.client(), hold_runs(stage)
     halves: list[int] = []
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: got)
     for _ in range(5):
         crowd = stage.client()
         for _ in range(6):
-            crowd.ask(body=BODY, whole=False)
+            crowd.send_request(body=BODY, whole=False)
     for _ in range(20):
-        halves.append(client.ask(body=BODY, whole=False))
+        halves.append(client.send_request(body=BODY, whole=False))
         stage.hand.quiet()
     answer_all(stage, got)
     stage.hand.until(lambda: client.closed)
@@ -252,7 +256,7 @@
     (connection,) = stage.node.front.connections
     stage.hand.removeReader(connection)  # data that arrives now is read after the answer is sent
     client.last = 1
-    client.ask()
+    client.send_request()
     answer_all(stage, got[:1])
     if not connection.dead:
         stage.hand.addReader(connection)
@@ -307,35 +311,35 @@
 def test_a_client_that_reads_late_gets_every_answer(stage: Any) -> None:
     """Guards against dropping the connection, with its open requests, at 1 MiB of unsent data."""
     client, connection = slow_reader(stage)
-    asked = []
+    numbers = []
     for _ in range(120):
-        asked.append(client.ask(body=BODY))
+        numbers.append(client.send_request(body=BODY))
         stage.hand.quiet()
         assert connection.unsent_bytes <= 2 * client_connections.MAX_UNSENT
     read_on(stage, client)
-    stage.hand.until(lambda: len(client.ends) == len(asked) or client.closed)
-    assert [client.status(number) for number in asked] == [200] * 120
+    stage.hand.until(lambda: len(client.ends) == len(numbers) or client.closed)
+    assert [client.status(number) for number in numbers] == [200] * 120
 
 
 def test_no_retry_is_started_for_a_client_that_aborts_while_it_does_not_read(stages: Any) -> None:
     """Its connection is not read meanwhile, so whether it still waits is unknown."""
     stage, held = stages(runners=2), list[Any]()
     for runner in stage.runners:
-        runner.on_run = lambda line, said: held.append((line, said))
+        runner.on_run = lambda line, message: held.append((line, message))
     client, connection = slow_reader(stage)
-    waits = client.ask()
+    waits = client.send_request()
     stage.hand.until(lambda: held)
-    line, said = held[0]
+    line, message = held[0]
     for runner in stage.runners:
         runner.on_run = None
     while not connection.reads_paused:
-        client.ask(body=BODY)
+        client.send_request(body=BODY)
         stage.hand.quiet()
     client.give_up(waits)
     stage.hand.run(0.2)
-    line.say("503", said["rid"])
+    line.send_message("503", message["rid"])
     stage.hand.run(0.2)
-    assert [run["rid"] for run in stage.runs()].count(said["rid"]) == 1
+    assert [run["rid"] for run in stage.runs()].count(message["rid"]) == 1
     read_on(stage, client)
     stage.hand.until(lambda: len(client.ends) == client.last or client.closed)
     assert len(client.ends) == client.last
@@ -344,7 +348,7 @@
 def test_a_client_that_never_reads_is_closed(stage: Any) -> None:
     client, connection = slow_reader(stage)
     for _ in range(120):
-        client.ask(body=BODY)
+        client.send_request(body=BODY)
     stage.hand.quiet()
     stage.hand.run(10.0)
     assert connection.dead and stage.host.open_requests == 0
@@ -372,12 +376,12 @@
     crowd = fill(stage)
     late = connect(stage)
     if when == "before it is met":
-        late.ask(id="9b1f03aa5c7e2d41")
+        late.send_request(id="9b1f03aa5c7e2d41")
         accept(stage)
     else:
         accept(stage)
         stage.hand.run(0.03)
-        late.ask(id="9b1f03aa5c7e2d41")
+        late.send_request(id="9b1f03aa5c7e2d41")
     stage.hand.until(lambda: late.closed)
     assert late.status(1) == 503 and not any(client.closed for client in crowd)
 
@@ -402,9 +406,9 @@
     first = stage.client()
     crowd = [stage.client() for _ in range(stage.node.front.max_connections)]
     if new == "one that asks":
-        crowd[-1].ask(id="9b1f03aa5c7e2d41")
+        crowd[-1].send_request(id="9b1f03aa5c7e2d41")
         stage.hand.until(lambda: crowd[-1].ends)
-    first.ask(id="9b1f03aa5c7e2d42")
+    first.send_request(id="9b1f03aa5c7e2d42")
     stage.hand.until(lambda: first.ends or first.closed)
     assert first.status(1) == 200
     assert len(stage.node.front.connections) <= stage.node.front.max_connections
@@ -429,7 +433,7 @@
     """Guards against closing the listener, which resets the connections in its accept queue."""
     idle = stage.client()
     late = connect(stage)
-    late.ask(id="9b1f03aa5c7e2d41")
+    late.send_request(id="9b1f03aa5c7e2d41")
     listener, sock = stage.node.front.listener, stage.node.front.listener.sock
 
     stage.hand.removeReader(listener)
@@ -444,7 +448,7 @@
     got, full = hold_runs(stage), False
     stage.hand.unread_for = lambda sock: 0.4
     client = connect(stage)
-    client.ask(patience="1000")
+    client.send_request(patience="1000")
     listener, sock = stage.node.front.listener, stage.node.front.listener.sock
 
     listener.sock, full = FullSocket(sock, lambda: not full), True
@@ -472,7 +476,7 @@
     def last(_: object = None) -> Any:
         core.check_finished = check
         stage.hand.removeReader(connection)
-        numbers.extend(client.ask(body=BODY[:8000], id=f"{i:016x}") for i in range(1, 20))
+        numbers.extend(client.send_request(body=BODY[:8000], id=f"{i:016x}") for i in range(1, 20))
         stage.hand.until(lambda: not client.unsent)
         return check()
 
@@ -488,7 +492,7 @@
     client = stage.client()
     stopped = shut_down(stage)
     stage.hand.run(0.7)
-    half = client.ask(whole=False)
+    half = client.send_request(whole=False)
     stage.hand.run(0.5)
     assert stopped
     stage.hand.until(lambda: client.closed)
@@ -507,7 +511,7 @@
     if event == "woken":
         hold_runs(stage)
     client = stage.client()
-    number = client.ask(patience="1000")
+    number = client.send_request(patience="1000")
     stage.hand.run(1.0)
     assert client.status(number) in (200, 500, 503)
     stage.hand.run(3.0)
@@ -520,13 +524,13 @@
 ) -> None:
     stage = stages(runners=2)
 
-    def play(line: Any, said: Any) -> None:
+    def play(line: Any, message: Any) -> None:
         if trouble == "spoilt":
             line.send(b'{"verb":"200","rid":"\xff\xfe\n')
         elif trouble == "reset" and not line.dead:
             line.reset()
         elif trouble == "cut":
-            line.send(b'{"verb":"200","rid":"%s","content":"QU' % said["rid"].encode())
+            line.send(b'{"verb":"200","rid":"%s","content":"QU' % message["rid"].encode())
             line.drop("cut")
 
     for runner in stage.runners:
@@ -534,7 +538,7 @@
     client = stage.client()
     keys = {"publish": {"HTTP_X_DEDUPE_KEY": "5c0f6e1a"}}
     numbers = [
-        client.ask(method=method, patience="1000", function=f"{i:016x}", **keys.get(method, {}))
+        client.send_request(method=method, patience="1000", function=f"{i:016x}", **keys.get(method, {}))
         for i, method in enumerate(["search", "publish", "bill"] * 4)
     ]
     stage.hand.run(1.0)
@@ -547,16 +551,16 @@
     stage = stages(runners=1, sockets=64)
     hold_runs(stage)
     usual = stage.client()
-    numbers = [usual.ask(method="bill", patience="1000") for _ in range(8)]
+    numbers = [usual.send_request(method="bill", patience="1000") for _ in range(8)]
     stage.hand.until(lambda: stage.host.counts["taken"] == 8)
     for turn in range(20):
         crowd = [stage.client() for _ in range(20)]
         crowd[0].send(JUNK + bytes(100_000))
         crowd[1].send(begin_request(1) * 2)
-        crowd[2].ask(whole=False)
+        crowd[2].send_request(whole=False)
         crowd[3].send(begin_request(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, b"\xff" * 60_000))
         for _ in range(40):
-            crowd[4].give_up(crowd[4].ask(id=f"{turn + 1:08x}{crowd[4].last:08x}"))
+            crowd[4].give_up(crowd[4].send_request(id=f"{turn + 1:08x}{crowd[4].last:08x}"))
         stage.hand.run(0.05)
     stage.hand.quiet()
     assert not usual.closed and all(usual.status(number) in (500, 503) for number in numbers)
@@ -567,7 +571,7 @@
 def test_closing_connections_are_closed_after_a_time(stage: Any) -> None:
     """A peer that neither reads nor closes does not hold a descriptor forever."""
     client, connection = slow_reader(stage)
-    client.ask(body=BODY)
+    client.send_request(body=BODY)
     client.send(JUNK)
     stage.hand.quiet()
     stage.hand.run(1.0 + 2 * fronts.SWEEP_INTERVAL / 10_000)
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -78,15 +78,15 @@
         self.number = number
         self.started: list[Any] = []
 
-    def taken(self, sock: Any) -> None:
+    def connection_accepted(self, sock: Any) -> None:
         self.lines.append(StampedLine(self, sock))
         self.lines[-1].start()
 
-    def heard(self, line: Any, said: Any) -> None:
-        attrs = said.get("attrs") or {}
-        if said["verb"] == "RUN" or (said["verb"] == "HOLD" and int(attrs["slots_up"]) > 0):
-            self.started.append(Started(self.number, said["verb"], line.began))
-        super().heard(line, said)
+    def message_received(self, line: Any, message: Any) -> None:
+        attrs = message.get("attrs") or {}
+        if message["verb"] == "RUN" or (message["verb"] == "HOLD" and int(attrs["slots_up"]) > 0):
+            self.started.append(Started(self.number, message["verb"], line.began))
+        super().message_received(line, message)
 
 
 class StampedBoard(BoardStub):
@@ -105,11 +105,11 @@
         self.entered += [BoardEvent(worker, state, now) for worker, state, _ in workers]
         if before:
             self.raw(before)
-        self.tell(number, kind, *(board_row(worker, port, state=state) for worker, state, port in workers))
+        self.publish(number, kind, *(board_row(worker, port, state=state) for worker, state, port in workers))
 
-    def taken(self, sock: Any) -> None:
+    def connection_accepted(self, sock: Any) -> None:
         if self.answers:
-            super().taken(sock)
+            super().connection_accepted(sock)
         else:  # connected, but nothing is sent
             self.unanswered = [*getattr(self, "unanswered", []), sock]
 
@@ -136,7 +136,7 @@
         self.hand, self.board = hand, StampedBoard(hand)
         self.workers = [StampedRunner(hand, i + 1) for i in range(workers)]
         self.last = 1
-        self.asked: list[Any] = []
+        self.sent_requests: list[Any] = []
         self.process: Any = None
         self.host, self.port = own_loopback_address(), PORT + number
         rows = [(worker.number, SERVING, worker.port) for worker in self.workers]
@@ -172,30 +172,30 @@
         """Whether its health check succeeds."""
         with suppress(OSError):
             client = WebServer(self.hand, self.port, self.host)
-            health = client.ask(script="/_health")
+            health = client.send_request(script="/_health")
             self.hand.follow(lambda: client.status(health) is not None or client.closed, 2.0)
             ready = client.status(health) == 200
             client.drop("asked")
             return ready
         return False
 
-    def ask(self, client: Any = None, **fields: Any) -> Any:
+    def send_request(self, client: Any = None, **fields: Any) -> Any:
         client = client or WebServer(self.hand, self.port, self.host)
-        number = client.ask(id=os.urandom(8).hex(), patience="9000", **fields)
-        self.asked.append((client, number))
+        number = client.send_request(id=os.urandom(8).hex(), patience="9000", **fields)
+        self.sent_requests.append((client, number))
         return client
 
     def connected(self) -> Any:
         """A client connection that the dispatcher has accepted."""
         client = WebServer(self.hand, self.port, self.host)
-        health = client.ask(script="/_health")
+        health = client.send_request(script="/_health")
         assert self.hand.follow(lambda: client.status(health) is not None)
         return client
 
     def answered(self) -> Any:
-        return all(client.status(number) is not None for client, number in self.asked)
+        return all(client.status(number) is not None for client, number in self.sent_requests)
 
-    def tell(self, worker: Any, state: Any, before: bytes = b"") -> None:
+    def publish(self, worker: Any, state: Any, before: bytes = b"") -> None:
         self.last += 1
         self.board.enter(self.last, CHANGES, [(worker.number, state, worker.port)], before)
 
@@ -274,7 +274,7 @@
 
 def serving_worker(hand: Any, node: Any) -> Any:
     """The worker that serves the tests' function."""
-    node.ask()
+    node.send_request()
     assert hand.follow(node.answered)
     (home,) = [worker for worker in node.workers if worker.started]
     return home
@@ -296,9 +296,9 @@
 
     def write(node: Any) -> None:
         for client in clients[node]:
-            node.ask(client)
+            node.send_request(client)
         hand.quiet()
-        node.tell(homes[node], state, before=backlog)
+        node.publish(homes[node], state, before=backlog)
 
     assert run_while_stopped(hand, nodes, write) == []
 
@@ -311,18 +311,18 @@
     held: dict[Any, Any] = {}
     for node in nodes:
         for worker in node.workers:
-            worker.on_run = lambda line, said, node=node: held.setdefault(node, (line, said))
-        node.ask()
+            worker.on_run = lambda line, message, node=node: held.setdefault(node, (line, message))
+        node.send_request()
     assert hand.follow(lambda: len(held) == len(nodes))
 
     def write(node: Any) -> None:
-        line, said = held[node]
+        line, message = held[node]
         for worker in node.workers:
             worker.on_run = None
-        line.say(verb, said["rid"])
+        line.send_message(verb, message["rid"])
         hand.quiet()
         other = next(worker for worker in node.workers if worker is not homes[node])
-        node.tell(homes[node] if verb == "404" else other, DRAINING)
+        node.publish(homes[node] if verb == "404" else other, DRAINING)
 
     assert run_while_stopped(hand, nodes, write) == []
 
@@ -335,7 +335,7 @@
     crowds = [fill_accept_queue(hand, node.workers[0]) for node in nodes]
     before = {node: open_connects(node.workers[0].port) for node in nodes}
     for node in nodes:
-        node.ask()
+        node.send_request()
     assert hand.follow(lambda: all(open_connects(node.workers[0].port) > before[node] for node in nodes))
 
     def write(node: Any) -> None:
@@ -343,7 +343,7 @@
         worker.listener.sock.listen(1024)
         hand.addReader(worker.listener)
         assert hand.follow(lambda: len(worker.lines) > CROWD), "the connection never came"
-        node.tell(worker, DRAINING)
+        node.publish(worker, DRAINING)
 
     assert run_while_stopped(hand, nodes, write) == []
     for end in (end for crowd in crowds for end in crowd):
@@ -371,14 +371,14 @@
     hand, nodes = side_by_side(workers=1, started=False, known=DispatcherProcess.known)
     for node in nodes:
         node.board.answers = False
-        node.tell(node.workers[0], DRAINING)
+        node.publish(node.workers[0], DRAINING)
     past = time.monotonic() + PAST
     assert hand.follow(lambda: time.monotonic() > past)
     for node in nodes:
         node.start()
     for node in nodes:
         assert hand.follow(lambda node=node: reachable(node))
-        node.ask()
+        node.send_request()
     assert hand.follow(lambda: all(node.answered() for node in nodes))
     assert [late for node in nodes for late in node.late_starts()] == []
 
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -37,7 +37,7 @@
 def request_status(stage: Any, client: Any = None, **fields: Any) -> Any:
     """Send a request and return its status."""
     client = client or stage.client()
-    number = client.ask(id=os.urandom(8).hex(), **fields)
+    number = client.send_request(id=os.urandom(8).hex(), **fields)
     stage.hand.until(lambda: client.status(number) is not None)
     return client.status(number)
 
@@ -132,7 +132,7 @@
 
 def test_a_board_with_heartbeats_is_always_recent_enough(stage: Any) -> None:
     assert seconds_usable(stage, most=15.0) is None
-    assert stage.board.asked == [0]
+    assert stage.board.subscriptions == [0]
 
 
 # configurations
@@ -170,7 +170,7 @@
 
     stage.node.reload(reading)
     stage.hand.run(whole_after + 0.15)
-    stage.hand.until(lambda: second.asked)
+    stage.hand.until(lambda: second.subscriptions)
     second.listener.close()
     second.cut()
 
@@ -237,11 +237,11 @@
     drain arrives.
     """
     stage = stages()
-    stage.board.tell(2, 2, stage.row(0, state=7), board_row(9, 0), stage.row(1, state=DRAINING))
-    stage.board.tell(3, 2, board_row(8, 1234, zone=200, kind=200, state=2))
+    stage.board.publish(2, 2, stage.row(0, state=7), board_row(9, 0), stage.row(1, state=DRAINING))
+    stage.board.publish(3, 2, board_row(8, 1234, zone=200, kind=200, state=2))
     stage.hand.until(lambda: discovery_of(stage).revision == 3)
     listings = {name: worker.endpoint_state for name, worker in stage.workers().items()}
-    assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
+    assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.subscriptions == [0]
     assert request_status(stage) == 503 and stage.runs() == []
 
 
@@ -273,7 +273,7 @@
     stage: Any, state: Any
 ) -> None:
     assert request_status(stage) == 200
-    stall_between_decision_and_write(stage, lambda: stage.board.tell(2, 2, stage.row(0, state=state)))
+    stall_between_decision_and_write(stage, lambda: stage.board.publish(2, 2, stage.row(0, state=state)))
     assert request_status(stage) == 503 and len(stage.runs()) == 1
     assert stage.node.core.counts["not begun"] == 1
     assert [figures["listing"] for what, figures in stage.logs if what == "not begun"] != []
@@ -293,7 +293,7 @@
             client.drop("gone")
 
     stall_between_decision_and_write(stage, leaves)
-    client.ask(id=os.urandom(8).hex())
+    client.send_request(id=os.urandom(8).hex())
     stage.hand.until(lambda: stage.host.counts["left"])
     stage.hand.quiet()
     assert len(stage.runs()) == 1 and not stage.host.worker_calls
@@ -305,7 +305,7 @@
     assert request_status(stage, client) == 200
     stage.hand.readers.pop(next(iter(stage.node.front.connections)))
     for _ in range(8):
-        client.ask(body=b"x" * 16_000, id=os.urandom(8).hex())
+        client.send_request(body=b"x" * 16_000, id=os.urandom(8).hex())
     stage.hand.until(lambda: not client.unsent)
     client.drop("gone")
     stall(stage, 0.3)
@@ -319,11 +319,11 @@
     """Guards against sending queued lines once there is room, before the event of the same poll is read."""
     client, line, connection = fill_connection(stage)
     before = len(stage.runs())
-    client.ask(method="bill", patience="3000")
+    client.send_request(method="bill", patience="3000")
     stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)  # the reactor reads it last
-    stage.board.tell(2, 2, stage.row(0, state=DRAINING))
+    stage.board.publish(2, 2, stage.row(0, state=DRAINING))
     stall(stage, 0.3)
     stage.hand.addReader(line)
     stage.hand.until(lambda: connection.state_machine.state is not ConnectionState.SLOW)
@@ -334,11 +334,11 @@
 
 def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_during_a_stall(stage: Any) -> None:
     closed, client = FullListener(stage), stage.client()
-    client.ask(method="bill", patience="3000")
+    client.send_request(method="bill", patience="3000")
     stage.hand.until(lambda: queued_lines(stage))
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)
-    stage.board.tell(2, 2, stage.row(0, state=DRAINING))
+    stage.board.publish(2, 2, stage.row(0, state=DRAINING))
     stall(stage, 0.1)
     closed.open()
     stage.hand.until(lambda: not queued_lines(stage))
@@ -350,19 +350,19 @@
 def test_no_preload_is_sent_to_a_draining_worker_after_a_stall(stage: Any) -> None:
     """Guards against a preload after a miss, sent before the event is read."""
     stage.runners[0].loaded, got = {}, []
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
+    stage.runners[0].on_run = lambda line, message: got.append((line, message))
     client = stage.client()
-    number = client.ask()
+    number = client.send_request()
     stage.hand.until(lambda: got)
-    line, said = got[0]
-    line.say("404", said["rid"])
+    line, message = got[0]
+    line.send_message("404", message["rid"])
     watch = discovery_of(stage).watch
     stage.hand.readers.pop(watch)
     stage.hand.readers[watch] = None  # read last in the poll that brings both
-    stage.board.tell(2, 2, stage.row(0, state=DRAINING))
+    stage.board.publish(2, 2, stage.row(0, state=DRAINING))
     stall(stage, 3.0)
     stage.hand.until(lambda: client.status(number) is not None)
-    assert [said for said in stage.runners[0].others if said["verb"] == "HOLD"] == []
+    assert [message for message in stage.runners[0].others if message["verb"] == "HOLD"] == []
 
 
 # the time left that is sent to runners
@@ -371,20 +371,20 @@
 def test_the_budget_sent_is_the_time_left_when_the_line_is_written(stage: Any) -> None:
     """Guards against encoding the time left before the connection is established, here 0.2 s later."""
     closed, client = FullListener(stage), stage.client()
-    client.ask(patience="1000")
+    client.send_request(patience="1000")
     stage.hand.until(lambda: queued_lines(stage))
     stage.hand.run(0.2)
     closed.open()
     stage.hand.until(stage.runs)
-    (said,) = stage.runs()
-    assert 0 < said["attrs"]["budget"] <= 800
+    (message,) = stage.runs()
+    assert 0 < message["attrs"]["budget"] <= 800
 
 
 def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(stages: Any) -> None:
     usual: Any = SETTINGS["limits"]
     stage = stages(runners=1, limits=usual | {"dial-timeout": 5_000_000})
     closed, client = FullListener(stage), stage.client()
-    number = client.ask(patience="400")
+    number = client.send_request(patience="400")
     stage.hand.until(lambda: queued_lines(stage))
     stall(stage, 0.41)
     closed.open()
@@ -399,13 +399,13 @@
     assert request_status(stage, client) == 200
     connection = next(iter(stage.node.front.connections))
     stage.hand.readers.pop(connection)
-    client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
+    client.send_request(method="bill", patience="1000", id=os.urandom(8).hex())
     stall(stage, 0.3)
-    client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
+    client.send_request(method="bill", patience="1000", id=os.urandom(8).hex())
     stage.hand.unread_for = lambda sock: 0.0  # the kernel knows the age of the last bytes only
     stage.hand.looked = (stage.hand.rightNow - 0.3, stage.hand.rightNow)
     stage.hand.rightNow += 0.001
     connection.read(1)
     stage.hand.quiet()
-    first, second = [said["attrs"]["budget"] for said in stage.runs()[1:]]
+    first, second = [message["attrs"]["budget"] for message in stage.runs()[1:]]
     assert first <= 700 + 150 and second <= 1000
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -33,7 +33,7 @@
     def __init__(self, folder: Any) -> None:
         self.hand = ManualReactor()
         self.board, self.runner = BoardStub(self.hand), RunnerStub(self.hand)
-        self.board.tell(1, 1, board_row(1, self.runner.port))
+        self.board.publish(1, 1, board_row(1, self.runner.port))
         self.port, self.path = free_port(), folder / "config.json"
         self.processes: list[Any] = []
         self.config = configuration(f"127.0.0.1:{self.port}", f"127.0.0.1:{self.board.port}")
@@ -56,7 +56,7 @@
 
     def call(self, id: Any) -> Any:
         client = WebServer(self.hand, self.port)
-        number = client.ask(id=id)
+        number = client.send_request(id=id)
         self.until(lambda: client.status(number) is not None)
         return client.status(number), client
 
@@ -79,7 +79,7 @@
 
 def test_it_serves_moves_to_a_new_board_and_exits_with_zero(world: Any) -> None:
     node = world.start()
-    world.until(lambda: world.board.asked)
+    world.until(lambda: world.board.subscriptions)
     status, client = world.call("9b1f03aa5c7e2d41")
     assert status == 200 and client.body(1) == b"hello"
     world.write("{nonsense")
@@ -88,8 +88,8 @@
     world.until(lambda: "refused" in node.stderr.readline())
     world.write(world.config | {"board": f"127.0.0.1:{other.port}"})
     node.send_signal(signal.SIGHUP)
-    world.until(lambda: other.asked)
-    assert other.asked[0] == 1 and world.call("9b1f03aa5c7e2d42")[0] == 200
+    world.until(lambda: other.subscriptions)
+    assert other.subscriptions[0] == 1 and world.call("9b1f03aa5c7e2d42")[0] == 200
     node.send_signal(signal.SIGTERM)
     assert world.call("9b1f03aa5c7e2d43")[0] == 200  # new connections are still accepted
     world.until(lambda: node.poll() is not None)
@@ -99,15 +99,15 @@
 
 def test_a_half_written_configuration_is_read_again_without_another_signal(world: Any) -> None:
     node = world.start()
-    world.until(lambda: world.board.asked)
+    world.until(lambda: world.board.subscriptions)
     other = BoardStub(world.hand)
     whole = json.dumps(world.config | {"board": f"127.0.0.1:{other.port}"})
     world.write(whole[: len(whole) // 2])
     node.send_signal(signal.SIGHUP)
     world.until(lambda: "refused" in node.stderr.readline())
     world.write(whole)
-    world.until(lambda: other.asked)
-    assert other.asked[0] == 1 and world.call("9b1f03aa5c7e2d41")[0] == 200
+    world.until(lambda: other.subscriptions)
+    assert other.subscriptions[0] == 1 and world.call("9b1f03aa5c7e2d41")[0] == 200
     other.listener.close()
 
 
@@ -128,12 +128,12 @@
     world.until(lambda: all(not end.dialling for end in crowd))
     world.until(lambda: sum(bool(end.closed) for end in crowd) > 80)
     board = BoardStub(world.hand, port=world.board.port)
-    board.tell(1, 1, board_row(1, world.runner.port))
-    world.until(lambda: board.asked)
+    board.publish(1, 1, board_row(1, world.runner.port))
+    world.until(lambda: board.subscriptions)
 
     def served() -> Any:
         client = WebServer(world.hand, world.port)
-        health = client.ask(script="/_health")
+        health = client.send_request(script="/_health")
         return world.hand.follow(lambda: client.status(health) is not None) and client.status(health) == 200
 
     world.until(served)
@@ -145,36 +145,36 @@
 def test_rolling_restarts_under_load_lose_no_request(world: Any) -> None:
     """As on the platform: new connections for 0.3 s after SIGTERM, requests on open ones for 0.2 s more."""
     ports, hand = [free_port() for _ in range(3)], world.hand
-    asked: list[Any] = []
-    world.runner.on_run = lambda line, said: hand.callLater(0.05, world.runner.answer, line, said)
+    sent_requests: list[Any] = []
+    world.runner.on_run = lambda line, message: hand.callLater(0.05, world.runner.answer, line, message)
 
     def start(port: Any) -> Any:
         node = world.start(EDGE_LISTEN=f"127.0.0.1:{port}", EDGE_NAME=f"n{port}")
         world.until(lambda: "listening" in node.stderr.readline())
         return node
 
-    def ask(port: int = 0, client: Any = None) -> Any:
+    def send_request(port: int = 0, client: Any = None) -> Any:
         client = client or WebServer(hand, port)
-        asked.append((client, client.ask(id=f"{len(asked) + 1:016x}")))
+        sent_requests.append((client, client.send_request(id=f"{len(sent_requests) + 1:016x}")))
         return client
 
     def again(clients: Any) -> None:
         """Send another request on each connection whose last one was answered."""
         for client in clients:
             if client.status(client.last) is not None:
-                ask(client=client)
+                send_request(client=client)
 
     nodes = {port: start(port) for port in ports}
     for port, node in nodes.items():
-        kept = [ask(port) for _ in range(3)]
-        others = [ask(other) for other in ports if other != port]
+        kept = [send_request(port) for _ in range(3)]
+        others = [send_request(other) for other in ports if other != port]
         world.until(lambda kept=kept: all(not client.dialling for client in kept))
         node.send_signal(signal.SIGTERM)
         end = time.monotonic() + 0.3
-        fresh = ask(port)
+        fresh = send_request(port)
         while time.monotonic() < end:
             if fresh.status(1) is not None:
-                fresh = ask(port)
+                fresh = send_request(port)
             again(others)
             hand.run(0.01)
         end += 0.2
@@ -184,8 +184,8 @@
         world.until(lambda node=node: node.poll() is not None)
         assert node.returncode == 0
         nodes[port] = start(port)
-    world.until(lambda: all(client.status(number) is not None for client, number in asked))
-    statuses = [client.status(number) for client, number in asked]
+    world.until(lambda: all(client.status(number) is not None for client, number in sent_requests))
+    statuses = [client.status(number) for client, number in sent_requests]
     assert set(statuses) <= {200, 503} and statuses.count(200) > 20
 
 
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -24,22 +24,22 @@
         self.hand = hand
         self.sent: dict[Any, Any] = {}
 
-    def ask(self, client: Any, patience_ms: int = 9_000) -> Any:
+    def send_request(self, client: Any, patience_ms: int = 9_000) -> Any:
         """Send a request. Returns its id."""
         id_ = os.urandom(8).hex()
         self.sent[id_] = time.monotonic(), patience_ms
-        client.ask(id=id_, method="bill", patience=str(patience_ms))
+        client.send_request(id=id_, method="bill", patience=str(patience_ms))
         return id_
 
     def over_budget(self, runs: Any) -> Any:
         """Runs with a larger budget than their client had left when they began to arrive."""
         late = []
-        for worker, said, began in runs:
-            if said["rid"] in self.sent:
-                sent, patience_ms = self.sent[said["rid"]]
+        for worker, message, began in runs:
+            if message["rid"] in self.sent:
+                sent, patience_ms = self.sent[message["rid"]]
                 left = patience_ms - (began - sent) * 1000
-                if float(said["attrs"]["budget"]) > left + SLACK_MS:
-                    late.append((worker, said["attrs"]["budget"], round(left)))
+                if float(message["attrs"]["budget"]) > left + SLACK_MS:
+                    late.append((worker, message["attrs"]["budget"], round(left)))
         return late
 
 
@@ -48,7 +48,7 @@
     runs = []
     for worker in node.workers:
         stamps = [start.at for start in worker.started if start.what == "RUN"]
-        runs += [(worker.number, said, at) for said, at in zip(worker.runs, stamps, strict=True)]
+        runs += [(worker.number, message, at) for message, at in zip(worker.runs, stamps, strict=True)]
     return runs
 
 
@@ -66,7 +66,7 @@
 
 def is_alive(node: Any) -> Any:
     """Whether it answers a request that is sent after all others."""
-    node.ask()
+    node.send_request()
     return node.hand.follow(node.answered)
 
 
@@ -74,14 +74,14 @@
 def test_nothing_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any, how: Any) -> None:
     """Several requests per connection, with the longest bodies; some clients still wait."""
     hand, nodes = side_by_side()
-    asked, left, wanted = SentRequests(hand), set(), {}
+    sent_requests, left, wanted = SentRequests(hand), set(), {}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
     def leave(node: Any) -> None:
         for client in clients[node][1:]:
             for _ in range(6):
-                left.add(asked.ask(client))
-                client.ask(id=os.urandom(8).hex(), body=b"x" * 16_000, patience="9000")
+                left.add(sent_requests.send_request(client))
+                client.send_request(id=os.urandom(8).hex(), body=b"x" * 16_000, patience="9000")
         hand.quiet()
         for client in clients[node][1:]:
             if how == "close":
@@ -89,34 +89,34 @@
             else:
                 for number in range(2, client.last + 1):
                     client.give_up(number)
-        wanted[node] = asked.ask(clients[node][0])
+        wanted[node] = sent_requests.send_request(clients[node][0])
 
     for node in nodes:
         serving_worker(hand, node)
     run_while_stopped(hand, nodes, leave)
     for node in nodes:
         assert is_alive(node)
-        came = {said["rid"] for _, said, _ in runs_of(node)}
+        came = {message["rid"] for _, message, _ in runs_of(node)}
         assert wanted[node] in came and not came & left
 
 
 def test_no_retry_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any) -> None:
     """A worker rejects the first attempt; its reply is queued before the client's close."""
     hand, nodes = side_by_side()
-    asked = SentRequests(hand)
+    sent_requests = SentRequests(hand)
     held: dict[Any, Any] = {}
     for node in nodes:
         serving_worker(hand, node)
         for worker in node.workers:
-            worker.on_run = lambda line, said, node=node: held.setdefault(node, (line, said))
+            worker.on_run = lambda line, message, node=node: held.setdefault(node, (line, message))
     clients = {node: node.connected() for node in nodes}
     for node in nodes:
-        asked.ask(clients[node])
+        sent_requests.send_request(clients[node])
     assert hand.follow(lambda: len(held) == len(nodes))
 
     def leave(node: Any) -> None:
-        line, said = held[node]
-        line.say("503", said["rid"])
+        line, message = held[node]
+        line.send_message("503", message["rid"])
         hand.quiet()
         for worker in node.workers:
             worker.on_run = None
@@ -125,38 +125,40 @@
     run_while_stopped(hand, nodes, leave)
     for node in nodes:
         assert is_alive(node)
-        runs = [said["rid"] for _, said, _ in runs_of(node)]
+        runs = [message["rid"] for _, message, _ in runs_of(node)]
         assert runs.count(held[node][1]["rid"]) == 1
 
 
 def test_the_budget_sent_is_at_most_the_client_s_time_left(side_by_side: Any) -> None:
     """Requests are sent during the whole stall, on old connections and new ones."""
     hand, nodes = side_by_side()
-    asked = SentRequests(hand)
+    sent_requests = SentRequests(hand)
     for node in nodes:
         serving_worker(hand, node)
     clients = {node: [node.connected() for _ in range(3)] for node in nodes}
 
-    def ask(node: Any) -> None:
+    def send_request(node: Any) -> None:
         began = time.monotonic()
         for part in range(3):
             assert hand.follow(lambda part=part: time.monotonic() > began + part * PAST / 2)
             for client in clients[node]:
-                asked.ask(client, 3_000)
+                sent_requests.send_request(client, 3_000)
             clients[node].append(WebServer(hand, node.port, node.host))
-            asked.ask(clients[node][-1], 3_000)
+            sent_requests.send_request(clients[node][-1], 3_000)
 
-    run_while_stopped(hand, nodes, ask)
+    run_while_stopped(hand, nodes, send_request)
     for node in nodes:
         assert is_alive(node)
-        assert len(runs_of(node)) > 6 and asked.over_budget(runs_of(node)) == []
+        assert len(runs_of(node)) > 6 and sent_requests.over_budget(runs_of(node)) == []
 
 
 def test_the_check_detects_a_budget_that_is_too_large() -> None:
-    asked = SentRequests(None)
-    asked.sent["a"] = 10.0, 1_000
+    sent_requests = SentRequests(None)
+    sent_requests.sent["a"] = 10.0, 1_000
 
     def run(budget: Any) -> Any:
         return [(1, {"rid": "a", "attrs": {"budget": budget}}, 10.5)]
 
-    assert asked.over_budget(run(650)) == [] and asked.over_budget(run(651)) == [(1, 651, 500)]
+    assert sent_requests.over_budget(run(650)) == [] and sent_requests.over_budget(run(651)) == [
+        (1, 651, 500)
+    ]
