--- a/benchmarks/raft_schedules.py
+++ b/benchmarks/raft_schedules.py
@@ -13,7 +13,7 @@
 
 MODERATE_FAULTS = FaultRates(loss=0.1, kills=0.8, cuts=0.6, stalls=0.4)
 HEAVY_FAULTS = FaultRates(
-    loss=0.2, doubled=0.2, kills=6, cuts=4, stalls=2, late=0.1, slow=600, requests=100, back=(1, 300)
+    loss=0.2, duplicated=0.2, kills=6, cuts=4, stalls=2, late=0.1, slow=600, requests=100, downtime=(1, 300)
 )
 SHORT_TIMEOUTS = RaftSettings(election_timeout=300, heartbeat_interval=80, max_batch=1)
 
--- a/lapistrestle/standins/directory_network.py
+++ b/lapistrestle/standins/directory_network.py
@@ -16,7 +16,7 @@
     """Fault rates: probabilities per message, and events per second. Delays are in ticks of 0.1 ms."""
 
     loss: float = 0.003
-    doubled: float = 0.003  # duplicated messages
+    duplicated: float = 0.003  # duplicated messages
     delay: tuple[int, int] = (5, 40)
     slow_chance: float = 0.01
     slow: int = 2_000
@@ -139,7 +139,7 @@
         chance, conditions = self.world.chance, self.world.conditions
         if not self.open or (self.faulty and chance.random() < conditions.loss):
             return
-        copies = 2 if self.faulty and chance.random() < conditions.doubled else 1
+        copies = 2 if self.faulty and chance.random() < conditions.duplicated else 1
         for _ in range(copies):
             if self.cut:
                 self.held_messages.append((to, action))
--- a/lapistrestle/standins/platform.py
+++ b/lapistrestle/standins/platform.py
@@ -110,10 +110,10 @@
 
     def __init__(self, reactor: Any, port: int, host: str = "127.0.0.1") -> None:
         super().__init__(reactor, dial(host, port), dialled=True)
-        self.rest, self.last, self.closed = b"", 0, ""
+        self.buffer, self.last, self.closed = b"", 0, ""
         self.responses: dict[int, bytes] = {}
-        self.ends: list[int] = []  # request numbers, in the order of completion
-        self.codes: dict[int, int] = {}
+        self.finished_requests: list[int] = []  # request numbers, in the order of completion
+        self.protocol_statuses: dict[int, int] = {}
         self.start()
 
     def send_request(
@@ -153,21 +153,21 @@
         self.send(fastcgi.encode_record(fastcgi.ABORT, number))
 
     def received(self, data: bytes) -> None:
-        self.rest += data
-        while len(self.rest) >= 8:
-            _, kind, number, size, padding, _ = fastcgi.HEAD.unpack_from(self.rest)
-            if len(self.rest) < 8 + size + padding:
+        self.buffer += data
+        while len(self.buffer) >= 8:
+            _, kind, number, size, padding, _ = fastcgi.HEAD.unpack_from(self.buffer)
+            if len(self.buffer) < 8 + size + padding:
                 return
-            content, self.rest = self.rest[8 : 8 + size], self.rest[8 + size + padding :]
+            content, self.buffer = self.buffer[8 : 8 + size], self.buffer[8 + size + padding :]
             if kind == fastcgi.STDOUT:
                 self.responses[number] = self.responses.get(number, b"") + content
             elif kind == fastcgi.END:
-                self.ends.append(number)
-                self.codes[number] = content[4]
+                self.finished_requests.append(number)
+                self.protocol_statuses[number] = content[4]
 
     def status(self, number: int) -> int | None:
         """Returns the status of the response; None while it is incomplete, 0 if it has no status header."""
-        if number not in self.ends:
+        if number not in self.finished_requests:
             return None
         answer = self.responses.get(number, b"")
         return int(answer.split(b"Status: ")[1][:3]) if b"Status: " in answer else 0
@@ -188,10 +188,10 @@
 
     def __init__(self, runner: "RunnerStub", sock: socket.socket) -> None:
         super().__init__(runner.reactor, sock)
-        self.runner, self.rest, self.open = runner, b"", dict[str, dict[str, Any]]()
+        self.runner, self.buffer, self.open = runner, b"", dict[str, dict[str, Any]]()
 
     def received(self, data: bytes) -> None:
-        *lines, self.rest = (self.rest + data).split(b"\n")
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
             self.runner.message_received(self, msgspec.json.decode(line))
 
@@ -283,13 +283,13 @@
 
     def __init__(self, board: "BoardStub", sock: socket.socket) -> None:
         super().__init__(board.reactor, sock)
-        self.board, self.rest, self.is_subscribed = board, b"", False
+        self.board, self.buffer, self.is_subscribed = board, b"", False
 
     def received(self, data: bytes) -> None:
-        self.rest += data
-        if not self.is_subscribed and len(self.rest) >= 8:
+        self.buffer += data
+        if not self.is_subscribed and len(self.buffer) >= 8:
             self.is_subscribed = True
-            last = int.from_bytes(self.rest[:8], "big")
+            last = int.from_bytes(self.buffer[:8], "big")
             self.board.subscriptions.append(last)
             missed = [event for number, event in self.board.events.items() if number > last]
             for event in missed or [board_frame(max(self.board.events, default=0), 0)]:
@@ -308,7 +308,7 @@
         self.port: int = self.listener.sock.getsockname()[1]
         self.events: dict[int, bytes] = {}
         self.subscriptions: list[int] = []  # last event number that each subscriber had received
-        self.beats = True
+        self.sends_heartbeats = True
         self.send_heartbeat()
 
     def connection_accepted(self, sock: socket.socket) -> None:
@@ -316,19 +316,19 @@
         self.followers[-1].start()
 
     def send_heartbeat(self) -> None:
-        if self.beats:
-            self.raw(board_frame(max(self.events, default=0), 0))
+        if self.sends_heartbeats:
+            self.send_to_all(board_frame(max(self.events, default=0), 0))
         self.reactor.callLater(1.0, self.send_heartbeat)
 
-    def raw(self, data: bytes) -> None:
+    def send_to_all(self, data: bytes) -> None:
         for follower in list(self.followers):
             follower.send(data)
 
     def publish(self, number: int, kind: int, *rows: bytes) -> None:
         self.events[number] = board_frame(number, kind, *rows)
-        self.raw(self.events[number])
+        self.send_to_all(self.events[number])
 
-    def cut(self) -> None:
+    def drop_connections(self) -> None:
         for follower in list(self.followers):
             follower.drop("cut")
 
--- a/lapistrestle/standins/raft_cluster.py
+++ b/lapistrestle/standins/raft_cluster.py
@@ -34,7 +34,7 @@
     """Probabilities per message, and events per second; times are in ticks of 0.1 ms."""
 
     loss: float = 0.05
-    doubled: float = 0.05
+    duplicated: float = 0.05
     late: float = 0.02  # messages with a delay of up to `slow` instead of `delay`
     delay: tuple[int, int] = (5, 60)
     slow: int = 6_000
@@ -42,7 +42,7 @@
     cuts: float = 0.3
     stalls: float = 0.2
     requests: float = 20.0
-    back: tuple[int, int] = (100, 3 * SECOND)  # time until a killed member restarts
+    downtime: tuple[int, int] = (100, 3 * SECOND)  # time until a killed member restarts
 
 
 @dataclass
@@ -112,7 +112,7 @@
         self.disks = {name: PersistentState() for name in self.names}
         self.members: dict[str, RaftNode] = {}
         self.stalled: dict[str, int] = {}
-        self.cut = set[tuple[str, str]]()
+        self.cut_links = set[tuple[str, str]]()
         self.invariants = Invariants()
         self.pending_reads: dict[Any, int] = {}  # commit index at the request, by read
         self.done_reads = self.commands = self.kills = 0
@@ -191,15 +191,15 @@
         self.effects_until_kill.pop(name, None)
         if not disk:
             self.disks[name] = PersistentState()
-        self.at(self.random.randint(*self.faults.back), lambda: self.start(name))
+        self.at(self.random.randint(*self.faults.downtime), lambda: self.start(name))
 
     # messages
 
     def send(self, sender: str, to: str, message: Any) -> None:
         faults, chance = self.faults, self.random.random
-        if (sender, to) in self.cut or chance() < faults.loss:
+        if (sender, to) in self.cut_links or chance() < faults.loss:
             return
-        for _ in range(1 + (chance() < faults.doubled)):
+        for _ in range(1 + (chance() < faults.duplicated)):
             low, high = faults.delay if chance() >= faults.late else (faults.delay[1], faults.slow)
             self.at(self.random.randint(low, high), lambda: self.deliver(sender, to, message))
 
@@ -240,8 +240,8 @@
         pairs = {(a, b) for a in some for b in self.names if b not in some}
         if self.random.random() < 0.5:
             pairs |= {(b, a) for a, b in pairs}
-        self.cut |= pairs
-        self.at(self.random.randint(SECOND // 5, 3 * SECOND), lambda: self.cut.difference_update(pairs))
+        self.cut_links |= pairs
+        self.at(self.random.randint(SECOND // 5, 3 * SECOND), lambda: self.cut_links.difference_update(pairs))
 
     def random_stall(self) -> None:
         self.stalled[self.random.choice(self.names)] = self.now + self.random.randint(1_000, 4 * SECOND)
@@ -265,7 +265,7 @@
     def run_without_faults(self, seconds: float) -> None:
         """Ends all faults, restarts killed members and runs for `seconds`."""
         self.faults = FaultRates(0, 0, 0, self.faults.delay, 0, 0, 0, 0, 0)
-        self.cut.clear()
+        self.cut_links.clear()
         self.stalled.clear()
         self.queue = [item for item in self.queue if getattr(item[2], "__name__", "") != "turn"]
         heapq.heapify(self.queue)
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -194,7 +194,7 @@
 @given(st.integers(0, 10**6), st.integers(2, 5), st.integers(0, 4), st.integers(0, 3))
 @settings(max_examples=40, deadline=None)
 def test_committed_entries_survive_any_faults(seed: int, count: int, loss: int, kills: int) -> None:
-    faults = FaultRates(loss=loss / 10, doubled=0.2, late=0.2, kills=kills, cuts=1.0, stalls=1.0)
+    faults = FaultRates(loss=loss / 10, duplicated=0.2, late=0.2, kills=kills, cuts=1.0, stalls=1.0)
     cluster = RaftCluster(count, seed, faults)
     cluster.day(6)
     assert cluster.invariants.breaches == []
@@ -278,7 +278,9 @@
 
 def broken_invariants(seed: int, make: type[RaftNode]) -> list[str]:
     """Return the broken invariants of a cluster with frequent elections and crashes of leaders."""
-    faults = FaultRates(loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, requests=100, back=(1, 300))
+    faults = FaultRates(
+        loss=0.1, kills=6, cuts=4, stalls=2, late=0.1, slow=600, requests=100, downtime=(1, 300)
+    )
     cluster = RaftCluster(
         3 + 2 * (seed % 2),
         seed,
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -267,7 +267,7 @@
     stall(stage, 2.0)
     stage.hand.until(lambda: client.status(number) is not None)
     stage.hand.run(1.0)
-    assert client.status(number) == 200 and client.ends == [number] and len(stage.runs()) == 1
+    assert client.status(number) == 200 and client.finished_requests == [number] and len(stage.runs()) == 1
 
 
 def test_nothing_is_sent_on_a_connection_established_after_its_dial_timed_out(stage: Any) -> None:
@@ -279,7 +279,7 @@
     assert client.status(number) == 503 and not queued_lines(stage)
     closed.open()
     stage.hand.run(2.0)
-    assert stage.runs() == [] and client.ends == [number]
+    assert stage.runs() == [] and client.finished_requests == [number]
 
 
 # shutdown
@@ -309,7 +309,7 @@
     stage.hand.run(1.0)
     assert not stopped
     stage.hand.addReader(client)
-    stage.hand.until(lambda: len(client.ends) == 20)
+    stage.hand.until(lambda: len(client.finished_requests) == 20)
     stage.hand.run(0.05)
     assert stopped and all(client.body(number) == body for number in range(1, 21))
 
@@ -395,7 +395,7 @@
     first = client.send_request()
     stage.hand.until(lambda: client.status(first))
     stage.hand.rightNow += 7.0  # idle for longer than it may be
-    stage.board.raw(board_frame(1, 0))  # the board has sent heartbeats all the while
+    stage.board.send_to_all(board_frame(1, 0))  # the board has sent heartbeats all the while
     second = client.send_request()  # in transit before the close
     if who == "the sweep":
         stage.node.front.sweep(None)
@@ -457,8 +457,8 @@
     """Guards against counting any byte as a sign of life, though no complete frame arrives any more."""
     event = board_frame(2, 2, *[stage.row(0, state=1)] * 400)
     stage.board.events[2] = event
-    stage.board.beats = False
-    stage.board.raw(event[:20])
+    stage.board.sends_heartbeats = False
+    stage.board.send_to_all(event[:20])
     for _ in range(8):
         stage.hand.run(0.5)
         for follower in stage.board.followers[:1]:
@@ -471,7 +471,7 @@
 
 def test_an_old_empty_list_removes_nobody(stage: Any) -> None:
     """A board answers a new watch with an old list: its revision has been applied already."""
-    stage.board.raw(board_frame(1, 1))
+    stage.board.send_to_all(board_frame(1, 1))
     stage.hand.quiet()
     assert list(stage.workers()) == ["s-00000001"] and stage.node.core.runners
     client = stage.client()
@@ -495,11 +495,11 @@
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     for board in (first, second):
         board.listener.close()
-        board.cut()
+        board.drop_connections()
 
 
 def test_a_watch_that_falls_silent_over_a_replacement_at_the_same_address_catches_up(stage: Any) -> None:
-    stage.board.beats, old = False, stage.node.core.runners["s-00000001"]
+    stage.board.sends_heartbeats, old = False, stage.node.core.runners["s-00000001"]
     # the event is on the board but was not sent
     stage.board.events[2] = board_frame(2, 2, stage.row(0, state=2), board_row(9, stage.runners[0].port))
     stage.hand.run(2.6)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1283,7 +1283,7 @@
     found = []
     for seed in range(3):
         world = random_simulation(seed)
-        world.conditions = replace(FREQUENT_FAULTS, loss=0.15, doubled=0.15)
+        world.conditions = replace(FREQUENT_FAULTS, loss=0.15, duplicated=0.15)
         world.day(8)
         found += world.breaches.found
     assert any(" after batch " in violation for violation in found)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -431,7 +431,7 @@
     client = stage.client()
     numbers = [client.send_request() for _ in range(40)]
     stage.hand.until(lambda: client.status(numbers[-1]) is not None)
-    over = [n for n in numbers if client.codes.get(n) == fastcgi.OVERLOADED]
+    over = [n for n in numbers if client.protocol_statuses.get(n) == fastcgi.OVERLOADED]
     assert over and len(over) + stage.host.counts["taken"] == 40
     assert len(stage.node.front.open_requests()) <= 32
 
@@ -443,7 +443,7 @@
     number = client.send_request()
     stage.hand.until(stage.runs)
     client.give_up(number)
-    stage.hand.until(lambda: number in client.ends)
+    stage.hand.until(lambda: number in client.finished_requests)
     assert stage.host.counts["left"] == 1 and stage.host.open_requests == 0
     client.last = 0
     for runner in stage.runners:
@@ -482,7 +482,7 @@
     number = client.send_request()
     stage.hand.until(lambda: client.status(number))
     stage.hand.quiet()
-    assert client.body(number) == b"mine" and client.ends == [number]
+    assert client.body(number) == b"mine" and client.finished_requests == [number]
     assert stage.host.counts["stray"] >= 1
 
 
@@ -539,7 +539,7 @@
     stage.hand.until(lambda: len(got) == 2)
     assert got[0][0] is not got[1][0] and got[0][1]["rid"] == got[1][1]["rid"]
     got[0][0].send_message("200", got[0][1]["rid"], b"first")
-    stage.hand.until(lambda: client.ends)
+    stage.hand.until(lambda: client.finished_requests)
     assert client.body(1) == b"first"
 
 
@@ -596,11 +596,11 @@
 
 
 def test_events_are_applied_once_and_a_gap_leads_to_a_new_watch(stage: Any) -> None:
-    stage.board.raw(board_frame(1, 2, stage.row(0, state=2)))  # an old event
+    stage.board.send_to_all(board_frame(1, 2, stage.row(0, state=2)))  # an old event
     stage.hand.quiet()
     assert len(stage.workers()) == 2
     stage.board.events[2] = board_frame(2, 2, stage.row(0, state=1))
-    stage.board.raw(board_frame(3, 2, stage.row(1, state=1)))
+    stage.board.send_to_all(board_frame(3, 2, stage.row(1, state=1)))
     stage.hand.run(0.01)
     assert stage.board.subscriptions == [0, 1]
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
@@ -611,7 +611,7 @@
     "bad", [b"\xff" * 20, board_frame(2, 9), board_frame(2, 2, b"x" * 26), board_frame(7, 0)]
 )
 def test_a_bad_frame_leads_to_a_new_watch(stage: Any, bad: Any) -> None:
-    stage.board.raw(bad)
+    stage.board.send_to_all(bad)
     stage.hand.run(0.01)
     assert stage.board.subscriptions == [0, 1]
 
@@ -619,16 +619,16 @@
 def test_a_connection_lost_amid_an_event_loses_nothing(stage: Any) -> None:
     event = board_frame(2, 2, stage.row(0, state=1))
     stage.board.events[2] = event
-    stage.board.raw(event[:20])
+    stage.board.send_to_all(event[:20])
     stage.hand.quiet()
-    stage.board.cut()
+    stage.board.drop_connections()
     stage.hand.run(0.01)
     stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert stage.board.subscriptions[-1] == 1
 
 
 def test_a_silent_board_is_watched_again(stage: Any) -> None:
-    stage.board.beats = False
+    stage.board.sends_heartbeats = False
     stage.hand.run(3.6)
     assert len(stage.board.subscriptions) >= 2
 
@@ -673,7 +673,7 @@
         runner.on_run = lambda line, message: None
     client = stage.client()
     numbers = [client.send_request(function=f"{i % 5:016x}") for i in range(20)]
-    stage.hand.until(lambda: len(stage.runs()) + len(client.ends) == 20)
+    stage.hand.until(lambda: len(stage.runs()) + len(client.finished_requests) == 20)
     assert len(stage.runs()) > 5
     client.give_up(numbers[0])
     stage.hand.quiet()
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -143,7 +143,7 @@
     stage.hand.quiet()
     answer_all(stage, got)
     stage.hand.until(lambda: client.closed)
-    assert client.status(number) == 200 and client.ends == [number]
+    assert client.status(number) == 200 and client.finished_requests == [number]
 
 
 def test_complete_requests_right_before_invalid_data_are_answered(stage: Any) -> None:
@@ -317,7 +317,7 @@
         stage.hand.quiet()
         assert connection.unsent_bytes <= 2 * client_connections.MAX_UNSENT
     read_on(stage, client)
-    stage.hand.until(lambda: len(client.ends) == len(numbers) or client.closed)
+    stage.hand.until(lambda: len(client.finished_requests) == len(numbers) or client.closed)
     assert [client.status(number) for number in numbers] == [200] * 120
 
 
@@ -341,8 +341,8 @@
     stage.hand.run(0.2)
     assert [run["rid"] for run in stage.runs()].count(message["rid"]) == 1
     read_on(stage, client)
-    stage.hand.until(lambda: len(client.ends) == client.last or client.closed)
-    assert len(client.ends) == client.last
+    stage.hand.until(lambda: len(client.finished_requests) == client.last or client.closed)
+    assert len(client.finished_requests) == client.last
 
 
 def test_a_client_that_never_reads_is_closed(stage: Any) -> None:
@@ -361,7 +361,7 @@
     stage.hand.run(0.6)
     assert not stage.node.front.evict_idle()
     read_on(stage, client)
-    stage.hand.until(lambda: len(client.ends) == 20 or client.closed)
+    stage.hand.until(lambda: len(client.finished_requests) == 20 or client.closed)
     assert [client.status(number) for number in numbers] == [200] * 20
 
 
@@ -407,9 +407,9 @@
     crowd = [stage.client() for _ in range(stage.node.front.max_connections)]
     if new == "one that asks":
         crowd[-1].send_request(id="9b1f03aa5c7e2d41")
-        stage.hand.until(lambda: crowd[-1].ends)
+        stage.hand.until(lambda: crowd[-1].finished_requests)
     first.send_request(id="9b1f03aa5c7e2d42")
-    stage.hand.until(lambda: first.ends or first.closed)
+    stage.hand.until(lambda: first.finished_requests or first.closed)
     assert first.status(1) == 200
     assert len(stage.node.front.connections) <= stage.node.front.max_connections
 
@@ -515,7 +515,7 @@
     stage.hand.run(1.0)
     assert client.status(number) in (200, 500, 503)
     stage.hand.run(3.0)
-    assert client.ends == [number] and stage.host.open_requests == 0
+    assert client.finished_requests == [number] and stage.host.open_requests == 0
 
 
 @pytest.mark.parametrize("trouble", ["silent", "spoilt", "reset", "cut"])
@@ -544,7 +544,7 @@
     stage.hand.run(1.0)
     assert all(client.status(number) in (500, 503) for number in numbers)
     stage.hand.run(3.0)
-    assert sorted(client.ends) == numbers and stage.host.open_requests == 0
+    assert sorted(client.finished_requests) == numbers and stage.host.open_requests == 0
 
 
 def test_a_flood_of_others_leaves_each_request_one_final_answer_by_its_deadline(stages: Any) -> None:
@@ -565,7 +565,7 @@
     stage.hand.quiet()
     assert not usual.closed and all(usual.status(number) in (500, 503) for number in numbers)
     stage.hand.run(3.0)
-    assert sorted(usual.ends) == numbers and stage.host.open_requests == 0
+    assert sorted(usual.finished_requests) == numbers and stage.host.open_requests == 0
 
 
 def test_closing_connections_are_closed_after_a_time(stage: Any) -> None:
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -65,7 +65,7 @@
 
     def received(self, data: Any) -> None:
         now = time.monotonic()
-        self.began = self.began if self.rest else now
+        self.began = self.began if self.buffer else now
         super().received(data)
         self.began = now
 
@@ -104,7 +104,7 @@
         now = time.monotonic()
         self.entered += [BoardEvent(worker, state, now) for worker, state, _ in workers]
         if before:
-            self.raw(before)
+            self.send_to_all(before)
         self.publish(number, kind, *(board_row(worker, port, state=state) for worker, state, port in workers))
 
     def connection_accepted(self, sock: Any) -> None:
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -93,7 +93,7 @@
 
 def test_a_board_silent_on_a_new_watch_stops_new_work_after_the_grace(stage: Any) -> None:
     """It accepts the new connection and sends nothing: its events count as notified from then on."""
-    stage.board.beats = False
+    stage.board.sends_heartbeats = False
     taken: list[Any] = []
     stage.board.listener.on_connection = taken.append
     lasted = seconds_usable(stage)
@@ -103,14 +103,14 @@
 
 def test_a_lost_board_stops_new_work_after_the_time_of_a_break_and_the_grace(stage: Any) -> None:
     stage.board.listener.close()
-    stage.board.cut()
+    stage.board.drop_connections()
     lasted = seconds_usable(stage)
     assert lasted is not None and BROKEN + GRACE - 0.3 < lasted < BROKEN + GRACE + 0.001
 
 
 def test_work_continues_with_the_first_frame_of_a_board_that_is_back(stage: Any) -> None:
     stage.board.listener.close()
-    stage.board.cut()
+    stage.board.drop_connections()
     assert seconds_usable(stage) is not None
     back = BoardStub(stage.hand, port=stage.board.port)
     back.events = dict(stage.board.events)
@@ -120,12 +120,12 @@
         "list too old for new work", "list usable",
     ]  # fmt: skip
     back.listener.close()
-    back.cut()
+    back.drop_connections()
 
 
 def test_a_reconnect_without_delay_rejects_no_request(stage: Any) -> None:
     for _ in range(3):
-        stage.board.cut()
+        stage.board.drop_connections()
         stage.hand.run(0.01)
         assert seconds_usable(stage, most=1.5) is None
 
@@ -172,7 +172,7 @@
     stage.hand.run(whole_after + 0.15)
     stage.hand.until(lambda: second.subscriptions)
     second.listener.close()
-    second.cut()
+    second.drop_connections()
 
 
 def test_later_events_in_a_new_configuration_are_applied(stage: Any, tmp_path: Any) -> None:
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -383,7 +383,7 @@
 
     def note(played: Rolled) -> None:
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
-        fetched["loaded"] = sum(c.loaded for c in copies if c)
+        fetched["standing"] = sum(c.loaded for c in copies if c)
         fetched["before"] = played.world.store.fetched
         assert played.rollout.state is RolloutState.SETTLED
         played.send_command("back")
@@ -409,13 +409,13 @@
 
 def test_a_settled_candidate_is_rolled_back_onto_retained_copies(tmp_path: Path) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=600_000, back=30)
-    assert fetched["loaded"] >= 2 and ok > 0.99
+    assert fetched["standing"] >= 2 and ok > 0.99
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_rollback_without_retained_copies_causes_few_loads(tmp_path: Path, seed: int) -> None:
     fetched, ok = settled_then_back(tmp_path / "j", remembered=20_000, back=60, seed=seed)
-    assert fetched["loaded"] == 0 and 0 < fetched["after"] <= 20 and ok > 0.95
+    assert fetched["standing"] == 0 and 0 < fetched["after"] <= 20 and ok > 0.95
 
 
 def slow_tokened_day(seed: int) -> dict[str, Any]:
