--- a/lapistrestle/standins/faults/sockets.py
+++ b/lapistrestle/standins/faults/sockets.py
@@ -13,7 +13,7 @@
 def affected_connections(world: World, fault: ScriptedFault) -> list[NetworkFaults]:
     """The connections that a fault affects: those of the roster, of some clients or of some runners."""
     if fault.on == "roster":
-        return [world.roster.weather]
+        return [world.roster.network_faults]
     if fault.on == "clients":
         links = world.clients.links
         chosen = world.random.sample(links, max(1, round(fault.share * len(links))))
@@ -36,7 +36,7 @@
 
 
 def set_field(name: str, value: Callable[[ScriptedFault], Any], normal: Any) -> StartFault:
-    """Sets one field of the connections' faults to `value`, and back to `calm` at the end."""
+    """Sets one field of the connections' faults to `value`, and back to `normal` at the end."""
     return connection_fault(
         lambda faults, fault: setattr(faults, name, value(fault)),
         lambda faults: setattr(faults, name, normal),
--- a/tests/test_rollout_days.py
+++ b/tests/test_rollout_days.py
@@ -338,7 +338,7 @@
 def test_an_unload_cancels_queued_loads_and_fetches(engine: Any) -> None:
     results: list[tuple[str, str, int]] = []
     for function, count in (("a@v2", 3), ("b", 1)):
-        engine.hold(
+        engine.preload(
             function,
             count,
             500.0,
@@ -368,7 +368,7 @@
 
     def loads(played: Rolled) -> tuple[int, int]:
         copies = [s.runner.engine.copies.get(NAME) for s in played.world.slots]
-        return sum(c.loading + c.standing for c in copies if c), played.world.store.active
+        return sum(c.loading + c.loaded for c in copies if c), played.world.store.active
 
     actions = [(t, lambda p, t=t: seen.__setitem__(t, loads(p))) for t in (4.9, 5.3)]
     slow = [{"kind": "store_slow", "at": "3 s", "lasts": "6 s", "factor": 20}]
@@ -383,7 +383,7 @@
 
     def note(played: Rolled) -> None:
         copies = (s.runner.engine.copies.get("fn-0") for s in played.world.slots)
-        fetched["standing"] = sum(c.standing for c in copies if c)
+        fetched["standing"] = sum(c.loaded for c in copies if c)
         fetched["before"] = played.world.store.fetched
         assert played.rollout.state is RolloutState.SETTLED
         played.send_command("back")
@@ -403,7 +403,7 @@
         RolloutState.WITHDRAWN,
     )
     late = [run for run in played.runs() if run.at > back * 1000 + 1000]
-    assert not late and not played.world.store.turned_away
+    assert not late and not played.world.store.rejected
     return fetched, ok
 
 
