--- a/lapistrestle/edge/connection_state.py
+++ b/lapistrestle/edge/connection_state.py
@@ -202,10 +202,10 @@
 
     def finished(self, number: int) -> bool:
         """The runner reported the end of this number; False if it was not in flight here."""
-        known = self.in_flight.pop(number, 0) is None  # the values are all None
+        was_in_flight = self.in_flight.pop(number, 0) is None  # the values are all None
         if self.state is ConnectionState.CLOSING and not self.in_flight:
             self.step(ConnectionEvent.LAST_FINISHED)
-        return known
+        return was_in_flight
 
     # effects
 
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -110,8 +110,8 @@
         That is the time of the previous poll: after a stall of the process, requests were sent long before
         they are read.
         """
-        looked = getattr(self.reactor, "looked", None)
-        return self.clock() if looked is None else int(looked[0] * SECOND)
+        poll_times = getattr(self.reactor, "looked", None)
+        return self.clock() if poll_times is None else int(poll_times[0] * SECOND)
 
     def unread_for(self, sock: socket.socket, longest: int) -> int:
         """How long the data read now has been in the socket's receive buffer, in ticks, at most `longest`.
@@ -119,10 +119,10 @@
         The age is the kernel's, 0 where that is unknown. A client's deadline runs from when it sent the
         request, also while this process is stalled.
         """
-        age = getattr(self.reactor, "unread_for", None)
-        if age is None or not longest:
+        data_age = getattr(self.reactor, "unread_for", None)
+        if data_age is None or not longest:
             return 0
-        return min(longest, int(age(sock) * SECOND))
+        return min(longest, int(data_age(sock) * SECOND))
 
     def max_unread_time(self) -> int:
         """The longest time for which the data read now can have been unread; 0 unless the process stalled."""
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -44,7 +44,7 @@
         self.serving: list[Worker] = []
         self.known: dict[Worker, None] = {}
         self.in_flight: dict[Worker, int] = {}
-        self.draws = self.turns = 0
+        self.draw_count = self.last_turn = 0
         self.waiting: dict[tuple[Worker, Function], list[Request]] = {}
         self.preload_times: deque[int] = deque()
         self.request_times: deque[int] = deque()
@@ -52,8 +52,8 @@
             host.watch_endpoints()
 
     def draw(self, below: int) -> int:
-        self.draws += 1
-        return crc32(f"{self.seed}:{self.draws}".encode()) % max(1, below)
+        self.draw_count += 1
+        return crc32(f"{self.seed}:{self.draw_count}".encode()) % max(1, below)
 
     # events of the host
 
@@ -64,7 +64,7 @@
             self.known[worker] = None
             worker.endpoint_state, worker.size = info.endpoint_state, info.size
         self.serving = sorted(
-            (s for s in self.known if s.endpoint_state is EndpointState.SERVING), key=lambda s: s.name
+            (w for w in self.known if w.endpoint_state is EndpointState.SERVING), key=lambda w: w.name
         )
 
     def on_request(self, request: Request) -> None:
@@ -116,7 +116,7 @@
             or request.deadline <= self.now
         ):
             request.over = True
-            possibly_run = [c for c in request.attempts if c.outcome not in NEVER_RAN]
+            possibly_run = [a for a in request.attempts if a.outcome not in NEVER_RAN]
             return self.host.abort(request) if possibly_run else self.host.reject(request, 0)
         self.send(request, self.choose(self, request, candidates))
 
@@ -139,9 +139,9 @@
         for times in (self.preload_times, self.request_times):
             while times and times[0] <= self.now - window:
                 times.popleft()
-        most = self.settings.preload_free + self.settings.preload_share * len(self.request_times)
-        room = self.settings.may_preload and (not window or len(self.preload_times) + 1 <= most)
-        if not room or worker.endpoint_state is not EndpointState.SERVING:
+        max_preloads = self.settings.preload_free + self.settings.preload_share * len(self.request_times)
+        is_allowed = self.settings.may_preload and (not window or len(self.preload_times) + 1 <= max_preloads)
+        if not is_allowed or worker.endpoint_state is not EndpointState.SERVING:
             return False
         self.preload_times.append(self.now)
         self.waiting[worker, request.function] = [request]
@@ -154,8 +154,8 @@
         return candidates[self.draw(len(candidates))]
 
     def by_round_robin(self, request: Request, candidates: list[Worker]) -> Worker:
-        self.turns += 1
-        return candidates[self.turns % len(candidates)]
+        self.last_turn += 1
+        return candidates[self.last_turn % len(candidates)]
 
     def by_fewest_of_two(self, request: Request, candidates: list[Worker]) -> Worker:
         return min((candidates[self.draw(len(candidates))] for _ in range(2)), key=self.relative_load)
@@ -178,10 +178,10 @@
         """The least loaded worker at its present speed, where a missing copy counts as `NO_COPY` calls; ties
         go by the function's order of workers, so that its copies are used again."""
         assert self.true_state is not None
-        seen = {worker: self.true_state(worker.name, request.function.name) for worker in candidates}
+        states = {worker: self.true_state(worker.name, request.function.name) for worker in candidates}
 
         def cost(worker: Worker) -> tuple[float, int]:
-            loaded, load = seen[worker]
+            loaded, load = states[worker]
             return load + (1 - loaded) * LOAD_COST, crc32(f"{request.function.name} {worker.name}".encode())
 
         return min(candidates, key=cost)
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -76,15 +76,15 @@
     Raises DeploymentError if the path does not exist.
     """
     *parents, last = path.split(".")
-    at: Any = day
+    node: Any = day
     for name in parents:
-        if isinstance(at, list):
-            at = at[int(name)] if name.isdigit() and int(name) < len(at) else None
-        elif isinstance(at, dict):
-            at = at.setdefault(name, {})
-    if not isinstance(at, dict):
+        if isinstance(node, list):
+            node = node[int(name)] if name.isdigit() and int(name) < len(node) else None
+        elif isinstance(node, dict):
+            node = node.setdefault(name, {})
+    if not isinstance(node, dict):
         raise DeploymentError(f"vary.{path}: leads nowhere in the day")
-    at[last] = value
+    node[last] = value
 
 
 def variant_label(variant: Variant) -> str:
@@ -171,7 +171,9 @@
         both = sorted(set(runs) & set(found[base]))
         if variant != base and both:
             pairs = [(runs[seed].figures, found[base][seed].figures) for seed in both]
-            intervals[variant] = confidence_interval([one[figure] - other[figure] for one, other in pairs])
+            intervals[variant] = confidence_interval(
+                [own[figure] - base_figures[figure] for own, base_figures in pairs]
+            )
     return intervals
 
 
--- a/lapistrestle/model/world.py
+++ b/lapistrestle/model/world.py
@@ -131,12 +131,12 @@
     def worst(self, seconds: int = 10) -> float:
         """Lowest service over any `seconds` in a row, where a request counts in the second it started in."""
         last = max(self.windows, default=0)
-        found = 1.0
+        lowest = 1.0
         for begin in range(max(1, last - seconds + 2)):
             inside = [self.windows[s] for s in range(begin, begin + seconds) if s in self.windows]
-            asked = sum(a for a, _ in inside)
-            found = min(found, sum(g for _, g in inside) / asked) if asked else found
-        return found
+            requested = sum(r for r, _ in inside)
+            lowest = min(lowest, sum(g for _, g in inside) / requested) if requested else lowest
+        return lowest
 
 
 class ModelWorld(World):
@@ -159,19 +159,19 @@
         self.latencies = Latencies()
         self.log = log or (lambda what, **figures: None)
         self.result = DayResult()
-        make: Callable[..., Any] = lambda made, start: ModelEdgeHandle(ModelEdge(self, made, self.log))  # noqa: E731
+        make: Callable[..., Any] = lambda spec, start: ModelEdgeHandle(ModelEdge(self, spec, self.log))  # noqa: E731
         self.methods = header(day, deployment)["methods"]
         self.no_tape = sink is None
         super().__init__(Clock(), day, deployment, sink or io.BytesIO(), make)
-        self.began = self.reactor.seconds()
+        self.day_started_at = self.reactor.seconds()
         if self.no_tape:
             self.tape.put = lambda *what, **more: None  # type: ignore[method-assign]
         for edge, handle in enumerate(self.edges):
             zones = deployment.zones
             self.latencies.zones[handle.name] = zones[edge % len(zones)] if zones else ""
-        self.by_name = {slot.name: slot for slot in self.slots}
+        self.slots_by_name = {slot.name: slot for slot in self.slots}
         self.latencies.zones |= {slot.name: slot.zone for slot in self.slots}
-        self.clients.on_finished = self.ended
+        self.clients.on_finished = self.record_request
 
     @property
     def recorded_tape(self) -> Tape | None:
@@ -192,14 +192,14 @@
         Returns 1 if a copy of the function is loaded, 0.5 if one is loading, else 0; and the calls in flight
         of all edges per free core at its present speed, with 1e9 added for a runner that is dead or failing.
         """
-        slot = self.by_name[name]
+        slot = self.slots_by_name[name]
         engine, copies = slot.runner.engine, slot.runner.engine.copies.get(function)
         calls = sum(
-            h.edge.host.module.in_flight.get(  # type: ignore[attr-defined]
-                h.edge.host.registry.worker(name),  # type: ignore[attr-defined]
+            handle.edge.host.module.in_flight.get(  # type: ignore[attr-defined]
+                handle.edge.host.registry.worker(name),  # type: ignore[attr-defined]
                 0,
             )
-            for h in self.edges
+            for handle in self.edges
         )
         load = calls * engine.slowdown / (max(1, engine.spec.cores - engine.cores_taken) * engine.spec.speed)
         copy = 0.0 if copies is None else 1.0 if copies.standing else 0.5 if copies.loading else 0.0
@@ -211,7 +211,7 @@
             for number, handle in enumerate(self.edges)
         ]
 
-    def ended(self, request: ClientRequest, ok: bool) -> None:
+    def record_request(self, request: ClientRequest, ok: bool) -> None:
         """Add a client's request to the result: it was answered (`ok`) or failed."""
         method, result = self.methods[request.method], self.result
         latency = (self.reactor.seconds() - request.started_at) * 1000
@@ -219,7 +219,7 @@
         result.client_requests += 1
         result.requested += method["gain"]
         result.gained += gain
-        window = result.windows.setdefault(int(request.started_at - self.began), [0.0, 0.0])
+        window = result.windows.setdefault(int(request.started_at - self.day_started_at), [0.0, 0.0])
         window[0] += method["gain"]
         window[1] += gain
         if ok:
