--- a/lapistrestle/edge/connection_state.py
+++ b/lapistrestle/edge/connection_state.py
@@ -27,7 +27,7 @@
 
 
 class ConnectionEvent(Enum):
-    """What the owner, the list or the socket reports."""
+    """An event reported by the owner, the worker list or the socket."""
 
     LISTED = auto()  # the runner was added to the list
     LINE_QUEUED = auto()
@@ -38,27 +38,31 @@
     WRITABLE = auto()  # the socket accepts data again
     BACKOFF_ELAPSED = auto()
     REMOVED = auto()  # the runner was removed from the list
-    LAST_FINISHED = auto()  # nothing is in flight any more, so that a closing connection can be closed
+    LAST_FINISHED = auto()  # nothing is in flight any more: a closing connection is closed
 
 
 class WriteResult(Enum):
     """The result of an attempt to write a line."""
 
     WRITTEN = auto()
-    NOT_ALLOWED = auto()  # by a decision of this process: too late, or its work may not start
+    NOT_ALLOWED = auto()  # its latest time has passed, or its work may not start (`may_start`)
     BLOCKED = auto()  # the socket accepts no data
 
 
 Effect = Callable[["ConnectionStateMachine"], None]
 
-MIN_BACKOFF, MAX_BACKOFF = 1_000, 20_000  # ticks of backoff between dials while no line is queued
+MIN_BACKOFF, MAX_BACKOFF = (
+    1_000,
+    20_000,
+)  # ticks between a failure and the next dial, unless a line is queued before
+# in which no more lines are accepted
 CLOSING_STATES = (ConnectionState.CLOSING, ConnectionState.CLOSED)
 MAX_QUEUED = 512  # queued lines; more are rejected, since a runner that far behind has no capacity left
-PROMPT_WAIT = 50  # ticks that a preload may be queued: later it would count in another preload budget window
+PROMPT_WAIT = 50  # ticks a preload may be queued; a later one could fall into another budget window
 
 
 class ConnectionCallbacks:
-    """What the state machine asks of the transport, and how it reports the fate of lines by their numbers."""
+    """The transport as the state machine uses it; lines that get no reply are reported by their numbers."""
 
     def dial(self) -> None: ...
     def may_start(self, work: Any) -> bool:
@@ -201,8 +205,8 @@
         return False
 
     def finished(self, number: int) -> bool:
-        """The runner reported the end of this number; False if it was not in flight here."""
-        was_in_flight = self.in_flight.pop(number, 0) is None  # the values are all None
+        """Record that the runner reported the end of this attempt or task; False if it was not in flight."""
+        was_in_flight = self.in_flight.pop(number, 0) is None  # all values are None; 0: no entry
         if self.state is ConnectionState.CLOSING and not self.in_flight:
             self.step(ConnectionEvent.LAST_FINISHED)
         return was_in_flight
@@ -210,6 +214,7 @@
     # effects
 
     def dial(self) -> None:
+        """Start to connect."""
         self.callbacks.dial()
 
     def flush(self) -> None:
@@ -256,7 +261,7 @@
         The delay doubles with each failure, up to MAX_BACKOFF. A jitter, derived from the runner's name and
         the failure count, keeps connections lost together from being dialled again at the same moment.
         """
-        # MAX_BACKOFF is reached at a shift of 5, so larger ones are not needed
+        # at a shift of 5 the limit is MAX_BACKOFF anyway; larger ones would only make the number grow
         longest = min(MAX_BACKOFF, MIN_BACKOFF << min(self.failed_dials, 5))
         self.failed_dials += 1
         self.callbacks.schedule_redial(
--- a/lapistrestle/edge/core.py
+++ b/lapistrestle/edge/core.py
@@ -20,11 +20,12 @@
 from lapistrestle.ticks import SECOND
 
 Log = Callable[..., None]
-# ticks between two polls; after longer stalls a close may be queued behind unread data
+# ticks between two polls of the sockets; if more have passed, the process was stalled, and a client's close
+# may be queued behind unread data
 STALL_THRESHOLD = REREAD_INTERVAL
-# reads per connection after a stall: a request with the longest body, and what follows it
+# reads of one connection after a stall: enough for a request with the longest body and a close after it
 READS_AFTER_STALL = 4
-MAX_LOGGED = 100  # log lines of one event
+MAX_LOGGED = 100  # log lines of each counted event; further ones are only counted
 FINISH_CHECK_INTERVAL = 100  # ticks between two checks whether a shutdown is complete
 ANSWER_FLUSH_TIME = 300  # ticks that answers may take to be sent once all requests were aborted
 
@@ -90,7 +91,9 @@
         self.on_stopped: Callable[[], None] | None = None
         # set once all requests were aborted: the deadline for sending their answers
         self.answer_flush_deadline: int | None = None
-        self.inputs_received = 0  # network inputs processed so far
+        self.inputs_received = (
+            0  # network inputs so far; the timer gate sees by it whether data is still read
+        )
         self.timer_gate, self.next_wakeup, self.next_wakeup_at = TimerGate(), None, -1
         self.front: Front
         self.make_runner: Callable[[str, Any, str], RunnerHandle]
@@ -101,6 +104,7 @@
             reactor.around = self.host.batched
 
     def clock(self) -> int:
+        """The time in ticks."""
         # the offset absorbs floating-point error: 0.3 ms must become 3 ticks, not 2
         return int(self.reactor.seconds() * SECOND + 0.001)
 
@@ -148,9 +152,11 @@
     # timers
 
     def input_received(self) -> None:
+        """Count a network input; called for each message and each end of a connection."""
         self.inputs_received += 1
 
     def after(self, delay: int, call: Callable[[Any], None], arg: object) -> Timer:
+        """Call `call(arg)` after `delay` ticks. The timer can be stopped."""
         timer = self.host.timers.at(self.clock() + delay, call, arg)
         self.timers_changed()
         return timer
@@ -168,6 +174,7 @@
         )
 
     def run_timers(self) -> None:
+        """Fire the timers that are due, unless the timer gate lets pending input be processed first."""
         self.next_wakeup = None
         due, now = self.host.timers.next(), self.clock()
         if due is not None and due <= now:
@@ -207,11 +214,11 @@
             runner.added()
 
     def runner(self, name: str) -> Any:
-        """The handle to send to the runner by; `None` if there is none."""
+        """The connection handle of the runner; `None` if there is none."""
         return self.runners.get(name)
 
     def message_ignored(self, name: str, why: str) -> None:
-        """Count and log a message of a peer that is ignored."""
+        """Count and log a message that is ignored, with the name of its sender and the reason."""
         self.count_and_log("passed over", peer=name, why=why[:200])
 
     def count_and_log(self, what: str, **figures: Any) -> None:
@@ -230,6 +237,7 @@
     def stream_started(self, pending: PendingRequest) -> None: ...
 
     def send_call(self, worker_call: WorkerCall) -> None:
+        """Send an attempt. It ends as not sent if the worker drains, as unreachable without a connection."""
         if not self.work_gate.is_serving(worker_call.worker.name):
             self.work_gate.count_not_started(worker_call)
             return self.host.attempt_finished(worker_call.number, Outcome.NOT_SENT)
@@ -299,6 +307,7 @@
         self.after(FINISH_CHECK_INTERVAL, self.check_finished, None)
 
     def finish(self) -> None:
+        """Close all connections and call `stopped`; further calls do nothing."""
         stopped, self.on_stopped = self.on_stopped, None
         if stopped is None:
             return
--- a/lapistrestle/edge/fleet_member.py
+++ b/lapistrestle/edge/fleet_member.py
@@ -23,7 +23,7 @@
 class FleetMember:
     """One edge as a member of its fleet; created only where the deployment names a fleet.
 
-    `boot` grows with each start of the process, `nonce` is different for each.
+    `boot` has to grow with each start of the process; `nonce` is a random number drawn at each.
     """
 
     def __init__(self, edge: Any, fleet: Fleet, boot: int, nonce: int) -> None:
@@ -52,13 +52,13 @@
         )
         self.verdicts = WorkerVerdicts(dispatcher.name)
         self.probers_by_worker: dict[str, list[str]] = {}  # members that probe it while it is ejected
-        self.drawn_from: list[str] = []  # the members that the probers were selected from
-        self.announced: set[Worker] = set()  # workers that were reported to other members as unhealthy
+        self.drawn_from: list[str] = []  # members that `probers_by_worker` was selected from
+        self.announced: set[Worker] = set()  # ejected workers that were reported to other members
         if fleet.shed:
             self.endpoint.counters, self.endpoint.verdicts = self.admission.counters, self.verdicts
 
         if fleet.loads:
-            # for which a load may count as in progress
+            # longest time for which a load counts as in progress
             longest = max(m.deadline for m in edge.settings.methods)
             settle = max(longest, edge.settings.preload_timeout)
             # the lease outlives the loads started on it
@@ -72,7 +72,7 @@
             edge.fleet.loads_allowed = self.may_start_load
 
     def may_start_load(self, now: int) -> bool:
-        """Whether this edge may start one more load now, by its share of the fleet's quota of loads."""
+        """Whether this edge's share of the fleet's quota allows one more load; if not, record a shortage."""
         leasing = self.endpoint.quota_leasing
         assert leasing is not None
         if self.loads_in_progress() < leasing.available(now):
@@ -81,11 +81,11 @@
         return False
 
     def loads_in_progress(self) -> int:
-        """Loads in progress for this edge: one per function and worker, whatever the calls that wait."""
+        """Loads in progress for this edge: one per function and worker, however many calls wait for it."""
         return sum(worker.functions_loading for worker in self.edge.host.module.endpoints.workers)
 
     def start(self) -> None:
-        """Join the fleet."""
+        """Start to gossip and join the fleet through its seeds."""
         self.endpoint.start()
         self.update()
 
@@ -105,7 +105,11 @@
         self.edge.after(UPDATE_EVERY, self.update, None)
 
     def share_verdicts(self) -> None:
-        """Exchange verdicts on workers' health between the module and the other members."""
+        """Exchange verdicts on workers' health between the module and the other members.
+
+        Workers that the module ejected are reported to the others, as is their recovery; a recovery that
+        another member reports is passed to the module. Only a few members probe an ejected worker.
+        """
         now, me, verdicts = self.edge.clock(), self.verdicts.me, self.verdicts.by_worker
         members = self.endpoint.membership
         members_by_name = [me, *(m.name for m in members.live())] if members.size else [me]
@@ -133,7 +137,7 @@
         self.announced &= set(workers)
 
     def admit(self, method: int, customer: int, repeat: bool, key: str) -> int | None:
-        """As `AdmissionController.admit`."""
+        """As `AdmissionController.admit`: None if admitted, else the retry delay in ticks (0: none)."""
         if not self.fleet.shed:
             return None
         return self.admission.admit(method, customer, repeat, key, self.edge.clock())
--- a/lapistrestle/edge/holders.py
+++ b/lapistrestle/edge/holders.py
@@ -1,4 +1,4 @@
-"""An edge's connections to holders of the directory, by the numbers that the watcher assigns."""
+"""An edge's connections to holders of the directory, identified by numbers that the watcher assigns."""
 
 from typing import Any, Protocol
 
@@ -41,7 +41,7 @@
         self.dial.connections.message_received(self.dial, message)
 
     def unreadable_line_received(self, line: bytes, why: str) -> None:
-        """Close the connection, as the line may have announced a drain; another one restarts its watches."""
+        """Close the connection: the line may have announced a drain. On a new one the watches start again."""
         self.dial.connections.edge.message_ignored("holder", why)
         super().unreadable_line_received(line, why)
 
@@ -50,7 +50,7 @@
 
 
 class HolderDial(ClientFactory):
-    """The attempt to connect to one replica of a shard, and the connection made."""
+    """An attempt to connect to one replica of a shard, and its connection once established."""
 
     noisy = False
 
@@ -77,7 +77,7 @@
 
 
 class HolderConnections:
-    """All connections to holders. Messages of a connection that was closed here are ignored."""
+    """All connections to holders. Events of a connection that was closed by this edge are ignored."""
 
     def __init__(self, edge: Any, listener: ConnectionListener) -> None:
         self.edge, self.listener = edge, listener
@@ -90,7 +90,7 @@
     # the watcher's effects
 
     def dial(self, effect: Dial) -> None:
-        """Open a connection."""
+        """Open a connection; the listener gets `connected` or `connect_failed`."""
         dial = self.dials[effect.connection] = HolderDial(self, effect.connection)
         timeout = self.edge.connect_timeout / SECOND
         replica = effect.replica
@@ -102,13 +102,13 @@
             dial.abort()
 
     def send(self, effect: Send) -> None:
-        """Send a message if its connection is still open."""
+        """Send a message, or drop it if its connection is not open."""
         dial = self.dials.get(effect.connection)
         if dial is not None and dial.connection is not None:
             dial.connection.send_message(effect.message)
 
     def close(self) -> None:
-        """Close all connections."""
+        """Close all connections; no more events are reported."""
         for dial in self.dials.values():
             dial.abort()
         self.dials.clear()
@@ -132,7 +132,7 @@
             self.listener.connect_failed(dial.number)
 
     def message_received(self, dial: HolderDial, message: Any) -> None:
-        """Hand on a message of a holder."""
+        """Pass a message of a holder to the listener; a fault is only logged."""
         if dial.number not in self.dials:
             return
         self.edge.input_received()
--- a/lapistrestle/edge/instances.py
+++ b/lapistrestle/edge/instances.py
@@ -15,25 +15,25 @@
 
 
 class InstanceUpdates:
-    """Limits the module's list of workers to the instances in prefixes of functions that are called."""
+    """Keeps the module's list of workers to the instances in prefixes of the functions that are called."""
 
     def __init__(self, edge: Any, region: RegionEstimate) -> None:
         self.edge, self.region = edge, region
-        self.detached: dict[str, KnownWorker] = {}  # in no prefix any more, and still in slow start
+        self.detached: dict[str, KnownWorker] = {}  # evicted instances that are still in slow start
 
     def changed(self, entries: Iterable[RosterEntry]) -> None:
         """Apply new or changed instances."""
         entries = list(entries)
         for entry in entries:
             detached = self.detached.pop(entry.name, None)
-            # its start time stays as it was computed, so that the module sees no restart
+            # keeps the computed start time: a slightly different one would look like a restart
             if detached is not None:
                 self.edge.known_workers.known[entry.name] = detached
         workers, addresses = self.edge.known_workers.update(entries, self.edge.clock())
         self.edge.apply_workers(workers, addresses)
 
     def removed(self, names: Iterable[str]) -> None:
-        """Remove instances. Nothing new is sent to them; calls in flight may still finish."""
+        """Apply that instances have left. Nothing new is sent to them; calls in flight may still finish."""
         workers = list[WorkerInfo]()
         for name in names:
             known = self.edge.known_workers.known.pop(name, None) or self.detached.pop(name, None)
@@ -44,10 +44,10 @@
         self.report_removed(workers)
 
     def evicted(self, names: Iterable[str]) -> None:
-        """Apply that instances are in no prefix any more.
+        """Apply that instances are no longer in any prefix.
 
         The directory would not report their drains, so nothing new is sent to them. An instance in slow start
-        stays in the module as draining: what it was sent must count towards its limit if it comes back.
+        stays in the module as draining: calls sent to it must count towards its limit if it is added again.
         """
         workers = list[WorkerInfo]()
         for name in names:
--- a/lapistrestle/edge/learned_state_file.py
+++ b/lapistrestle/edge/learned_state_file.py
@@ -18,7 +18,7 @@
         edge.after(WRITE_INTERVAL, self.write_periodically, None)
 
     def restore(self) -> None:
-        """Restore the figures from the file, except for methods whose deadlines have changed."""
+        """Restore the figures from the file, except for methods whose deadlines differ from those in it."""
         try:
             persisted = learned_state.read_learned_state(self.path)
         except FileNotFoundError:
--- a/lapistrestle/edge/peers.py
+++ b/lapistrestle/edge/peers.py
@@ -1,4 +1,4 @@
-"""Gossip between edges, where the settings allow it, by UDP datagrams: these may be delayed or lost."""
+"""Messages of the decision module to other edges by UDP, where the settings allow it; any may be lost."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 
 class GossipSocket(DatagramProtocol):
-    """The gossip socket of one edge."""
+    """The gossip socket of one edge, at the port that the deployment lists for its index."""
 
     transport: Any
 
--- a/lapistrestle/edge/reactor.py
+++ b/lapistrestle/edge/reactor.py
@@ -9,7 +9,7 @@
 from contextlib import nullcontext
 from typing import Any
 
-GC_THRESHOLDS = (50_000, 20, 100)  # of the three generations
+GC_THRESHOLDS = (50_000, 20, 100)  # as `gc.set_threshold` takes them
 START_DELAY = 0.02  # seconds between the start of the reactor and that of the program
 # tcpi_last_data_recv of the kernel's tcp_info, in milliseconds
 TCP_INFO_LAST_RECEIVED = struct.Struct("=52xI")
--- a/lapistrestle/edge/waiting.py
+++ b/lapistrestle/edge/waiting.py
@@ -1,6 +1,6 @@
 """RPCs that wait for the directory lookup of their function's prefix.
 
-Each ends its wait once: when the prefix is known, when the lookup has failed, or at its own deadline.
+A request waits until the prefix is known, the lookup has failed, or its own deadline has passed.
 """
 
 from typing import Any
@@ -15,7 +15,7 @@
     def __init__(self, edge: Any, lookup_timeout: int) -> None:
         """`lookup_timeout` is the time within which every lookup ends, in ticks."""
         self.edge, self.lookup_timeout = edge, lookup_timeout
-        # with the timer of a deadline that comes before the lookup's timeout
+        # each with the timer of its deadline, if that comes before the lookup's timeout
         self.by_function: dict[str, dict[PendingRequest, Timer | None]] = {}
         self.counts = dict.fromkeys(("waited", "looked up", "failed", "late"), 0)
 
@@ -28,7 +28,7 @@
         return list(self.by_function.get(function, ()))
 
     def add(self, pending: PendingRequest) -> None:
-        """Add a request."""
+        """Have a request wait, until its deadline at most."""
         self.counts["waited"] += 1
         now, timer = self.edge.clock(), None
         if pending.deadline < now + self.lookup_timeout:
@@ -36,7 +36,7 @@
         self.by_function.setdefault(pending.function.name, {})[pending] = timer
 
     def leave(self, pending: PendingRequest) -> bool:
-        """Remove a request; whether it was waiting."""
+        """Remove a request and stop its timer; False if it was not waiting."""
         waiting = self.by_function.get(pending.function.name, {})
         if pending not in waiting:
             return False
@@ -67,7 +67,7 @@
         self.reject(pending, self.edge.settings.max_retry_after)
 
     def reject(self, pending: PendingRequest, retry_after: int) -> None:
-        """Reject a request as not run. `retry_after`, in ticks, is sent to the client as settings allow."""
+        """Reject a request as not run, with `retry_after` in ticks, limited as the settings require."""
         settings = self.edge.settings
         allowed_retry_after = min(retry_after, settings.max_retry_after) if settings.may_retry_after else 0
         self.edge.host.reject(pending, allowed_retry_after)
--- a/lapistrestle/edge/work_gate.py
+++ b/lapistrestle/edge/work_gate.py
@@ -3,7 +3,7 @@
 Nothing new may be sent to a worker that drains or has left the list, nor for a client that has gone. The
 decision module knows what was read so far, but after a stall of the process a drain notice or a client's
 close may be unread in a socket. So this check reads those sockets and decides again just before the first
-byte of each attempt and each preload. It never picks another worker: work that fails the check ends as not
+byte of each attempt and each preload. It never selects another worker: work that fails the check ends as not
 sent. Times are ticks of 0.1 ms.
 """
 
@@ -18,7 +18,7 @@
 
 
 class WorkGate:
-    """The workers' states as last read from the list, and which work may start by them."""
+    """The workers' states by the last list read, and whether work may start at them."""
 
     def __init__(self, core: Any) -> None:
         self.core = core
--- a/lapistrestle/model/baselines.py
+++ b/lapistrestle/model/baselines.py
@@ -1,10 +1,10 @@
 """Baseline policies to compare the decision module with; only in the model.
 
 Each knows what the module knows, except `greedy`, which sees the true state of every runner and takes the
-best one for the call at hand. That is a high mark but no upper bound: what is best for one call may cost the
-next. All handle an RPC alike: an attempt that never ran is retried on another worker, one that may have run
-only if its method is idempotent. They limit nothing in slow start, preload nothing ahead of demand, and wait
-only for preloads that they requested.
+best one for the call at hand. That is hard to beat but no upper bound: what is best for one call may delay
+the next. All handle an RPC alike: an attempt that never ran is retried on another worker, one that may have
+run only if its method is idempotent. They limit nothing in slow start, preload nothing ahead of demand, and
+wait only for preloads that they requested.
 """
 
 from collections import deque
@@ -20,14 +20,17 @@
 from lapistrestle.policy.types import Attempt, AttemptResult, EndpointState, Outcome, WorkerInfo
 
 NEVER_RAN = (Outcome.REJECTED, Outcome.UNREACHABLE, Outcome.NOT_LOADED, Outcome.NOT_SENT)
-LOAD_BOUND = 1.25  # of the even share, for hashing with bounded loads
-LOAD_COST = 4.0  # calls per core: the cost that `greedy` counts for loading a copy
+LOAD_BOUND = 1.25  # in-flight calls of a worker relative to the mean, for hashing with bounded loads
+LOAD_COST = 4.0  # calls per core that `greedy` adds to the load of a worker without a copy of the function
 # by runner and function: copies loaded (0, 0.5 while loading, or 1), and calls per core at its present speed
 TrueState = Callable[[str, str], tuple[float, float]]
 
 
 class Baseline:
-    """Stands in for the decision module with one of `POLICIES`."""
+    """Replaces the decision module by one of `POLICIES`, with the module's interface to the host.
+
+    `true_state` is needed by `greedy` only. Times are ticks of 0.1 ms.
+    """
 
     def __init__(
         self,
@@ -52,6 +55,7 @@
             host.watch_endpoints()
 
     def draw(self, below: int) -> int:
+        """A pseudo-random number from 0 to `below` - 1, the same in each run with the same seed."""
         self.draw_count += 1
         return crc32(f"{self.seed}:{self.draw_count}".encode()) % max(1, below)
 
@@ -108,6 +112,10 @@
     # placing requests
 
     def place(self, request: Request) -> None:
+        """Send a request to a worker that it was not sent to before.
+
+        Without one, or with no attempts or time left, it is rejected, or aborted if an attempt may have run.
+        """
         tried = {attempt.worker for attempt in request.attempts}
         candidates = [worker for worker in self.serving if worker not in tried]
         if (
@@ -127,7 +135,7 @@
         self.host.send_attempt(attempt, 0)
 
     def request_preload(self, worker: Worker, request: Request) -> bool:
-        """Requests a preload, if the budget for preloads allows it; False if not.
+        """Preload the function and send the request once it is loaded; False if the budget doesn't allow it.
 
         Needed where runners answer a call to a function that is not loaded with `miss` instead of loading it.
         """
@@ -158,16 +166,18 @@
         return candidates[self.last_turn % len(candidates)]
 
     def by_fewest_of_two(self, request: Request, candidates: list[Worker]) -> Worker:
+        """The less loaded of two random workers ("power of two choices")."""
         return min((candidates[self.draw(len(candidates))] for _ in range(2)), key=self.relative_load)
 
     def by_fewest(self, request: Request, candidates: list[Worker]) -> Worker:
+        """The least loaded worker; a random one of several."""
         least = min(map(self.relative_load, candidates))
         return self.by_random(
             request, [worker for worker in candidates if self.relative_load(worker) == least]
         )
 
     def by_hash(self, request: Request, candidates: list[Worker]) -> Worker:
-        """Hashing with bounded loads: the first worker in the function's order that is below the bound."""
+        """Hashing with bounded loads: the first worker in the function's hash order below the bound."""
         bound = ceil(LOAD_BOUND * (sum(self.in_flight.values()) + 1) / len(self.serving))
         order = sorted(
             candidates, key=lambda worker: crc32(f"{request.function.name} {worker.name}".encode())
@@ -175,8 +185,10 @@
         return next((worker for worker in order if self.in_flight.get(worker, 0) < bound), order[0])
 
     def by_true_state(self, request: Request, candidates: list[Worker]) -> Worker:
-        """The least loaded worker at its present speed, where a missing copy counts as `NO_COPY` calls; ties
-        go by the function's order of workers, so that its copies are used again."""
+        """The worker with the least true load per core, where a missing copy adds LOAD_COST.
+
+        Equal workers are taken in the function's hash order, so that calls go to the copies loaded before.
+        """
         assert self.true_state is not None
         states = {worker: self.true_state(worker.name, request.function.name) for worker in candidates}
 
@@ -187,6 +199,7 @@
         return min(candidates, key=cost)
 
     def relative_load(self, worker: Worker) -> float:
+        """Calls of this dispatcher in flight at the worker, relative to its size."""
         return self.in_flight.get(worker, 0) / max(worker.size, 1e-9)
 
 
--- a/lapistrestle/model/clock.py
+++ b/lapistrestle/model/clock.py
@@ -10,7 +10,7 @@
 import simpy
 from simpy.events import NORMAL, Event
 
-START_US = 1_000_000_000  # microseconds; above 0, so that times before the start of the day are positive
+START_US = 1_000_000_000  # microseconds; well above 0, so that times before the start of a day are positive
 
 
 class ScheduledCall(Event):
@@ -35,7 +35,7 @@
 
 
 class ListeningPort:
-    """A listening port in the model: only a number by which it is found."""
+    """The result of `Clock.listenTCP`: nothing listens, but the number identifies the one that would."""
 
     def __init__(self, number: int) -> None:
         self.port = number
@@ -47,7 +47,7 @@
 
 
 class Clock:
-    """A reactor without sockets."""
+    """A reactor without sockets, whose time is that of the simulation."""
 
     def __init__(self) -> None:
         self.env = simpy.Environment(START_US)
@@ -57,9 +57,11 @@
         return float(self.env.now) / 1e6
 
     def callLater(self, delay: float, call: Callable[..., Any], *args: Any) -> ScheduledCall:
+        """Schedule a call after a delay in seconds, which is rounded up to whole microseconds."""
         return ScheduledCall(self.env, max(0, -int(-delay * 1e6 // 1)), call, args)
 
     def listenTCP(self, port: int, factory: Any, backlog: int = 50, interface: str = "") -> ListeningPort:
+        """Return a port with this number; 0: the next number that was not assigned yet."""
         self.last_port += not port
         return ListeningPort(port or self.last_port)
 
@@ -67,5 +69,5 @@
         """Does nothing: edges of the model exchange gossip without datagrams."""
 
     def run(self, seconds: float) -> None:
-        """Runs everything that is due within so many seconds from now."""
+        """Run all calls that are due within this time, and advance the time by it."""
         self.env.run(self.env.now + round(seconds * 1e6))
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -25,8 +25,11 @@
 
 
 class Experiment(SettingsGroup):
-    """Content of an experiment's file. `vary`: paths into the day, such as `edges` or
-    `deployment.orders.share`, each with the values to try; all combinations are run."""
+    """Content of an experiment's file.
+
+    `vary`: paths into the day, such as `edges` or `deployment.orders.share`, each with the values to try; all
+    combinations are run, each with seeds `first_seed` and up, `seeds` of them.
+    """
 
     name: str
     day: Any  # inline, or the path of a script beside the file
@@ -35,7 +38,7 @@
     first_seed: int = 1
 
 
-Variant = tuple[tuple[str, Any], ...]
+Variant = tuple[tuple[str, Any], ...]  # changed settings: path and value of each
 
 
 @dataclass(frozen=True)
@@ -71,7 +74,7 @@
 
 
 def set_path(day: dict[str, Any], path: str, value: Any) -> None:
-    """Sets the value at a path. Its last name may be missing from the day: a setting left at its default.
+    """Set the value at a path of names and list indexes. The last name may be missing: a default setting.
 
     Raises DeploymentError if the path does not exist.
     """
@@ -88,11 +91,16 @@
 
 
 def variant_label(variant: Variant) -> str:
+    """The changed settings as text; "the day" if none is."""
     return ", ".join(f"{path}={value}" for path, value in variant) or "the day"
 
 
 class Result(msgspec.Struct):
-    """Result of a run, one line of the results file. `failed`: the traceback of a run that has no result."""
+    """Result of a run, one line of the results file.
+
+    `figures` as in FIGURES; `seconds`: duration of the run; `build`: digest of the program's sources;
+    `failed`: the end of the traceback of a run that raised, which has no figures.
+    """
 
     key: str
     variant: list[tuple[str, Any]]
@@ -106,6 +114,10 @@
 def figures(
     latencies: Sequence[float], request_count: int, service: float, worst: float, attempts: int, fetches: int
 ) -> Any:
+    """The figures of a run, by the names in FIGURES.
+
+    p50 and p99 are in the unit of `latencies`; `ok` and `tries` are per client request.
+    """
     times = np.array(latencies) if latencies else np.array([0.0])
     return {
         "service": service,
@@ -134,7 +146,7 @@
 
 
 def confidence_interval(values: Sequence[float]) -> ConfidenceInterval:
-    """Confidence interval of a mean by Student's t distribution."""
+    """Mean and its confidence interval at CONFIDENCE, by Student's t distribution."""
     count = len(values)
     mean = float(np.mean(values))
     if count < 2:
@@ -158,7 +170,7 @@
 
 
 def differences(results: Iterable[Result], base: Variant, figure: str) -> dict[Variant, ConfidenceInterval]:
-    """Each other variant compared with the base, over the seeds that both have results for.
+    """Mean difference of a figure between each other variant and the base, over the seeds that both have.
 
     Raises DeploymentError if the base has no results.
     """
