--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -116,14 +116,14 @@
     def on_demand(self, fields: Fields) -> None:
         name, method = fields.get("image") or "", fields.get("class") or 0
         memory, lanes = fields.get("ram-mb") or 0.0, int(fields.get("width") or 1)
-        load = (
+        load_time = (
             None
             if fields.get("bringup-ms") is None
             else translation.to_ticks_floor(int(1000 * fields["bringup-ms"]))
         )
         request = Request(
             tag=fields["msg-id"],
-            function=self.registry.function(name, method, memory, lanes, load),
+            function=self.registry.function(name, method, memory, lanes, load_time),
             method=method,
             customer=fields.get("user-group") or 0,
             deadline=translation.to_ticks_floor(fields["not-after"]),
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -225,9 +225,10 @@
     """The part of each priority that is admitted."""
     if isinstance(level, RetriesOnly):
         return [level.fraction if priority % 2 else 1.0 for priority in range(priorities)]
-    at = level.priority
+    limit = level.priority
     return [
-        1.0 if priority < at else level.fraction if priority == at else 0.0 for priority in range(priorities)
+        1.0 if priority < limit else level.fraction if priority == limit else 0.0
+        for priority in range(priorities)
     ]
 
 
