--- a/lapistrestle/benchlink/wire.py
+++ b/lapistrestle/benchlink/wire.py
@@ -1,7 +1,8 @@
 """Translates between the simulator's JSON batches and the decision module's events and commands.
 
-Each simulated dispatcher has an isolated instance of the module. The simulator counts time in microseconds,
-the module in ticks.
+A batch is a line with the simulated time and the events at that time; the reply to it has the commands that
+they caused. Each simulated dispatcher has an isolated instance of the module. The simulator counts time in
+microseconds, the module in ticks of 0.1 ms.
 """
 
 import traceback
@@ -28,7 +29,7 @@
 
 
 class MalformedBatchError(Exception):
-    """A line that is not JSON, or not a batch of events."""
+    """A line of the input is not JSON, or not a batch of events."""
 
 
 class DispatcherAdapter:
@@ -49,6 +50,7 @@
     # Host: commands of the module
 
     def send_command(self, command: str, **fields: Any) -> None:
+        """Add a command to the reply, with the id of this dispatcher."""
         self.cmds.append({command: {"dispatcher-id": self.name, **fields}})
 
     def send_attempt(self, attempt: Attempt, timeout: int) -> None:
@@ -107,6 +109,7 @@
         return {name: v for name, v in zip(self.load_report_names, row or [], strict=False) if v is not None}
 
     def on_update(self, fields: Fields) -> None:
+        """The endpoint list (complete or a `delta`), or the failure to get it."""
         kind = fields.get("kind")
         if kind == "failed":
             return self.module.on_endpoints_failed()
@@ -114,6 +117,7 @@
         self.module.on_endpoints(rows, snapshot=kind != "delta")
 
     def on_demand(self, fields: Fields) -> None:
+        """A request of a client."""
         name, method = fields.get("image") or "", fields.get("class") or 0
         memory, lanes = fields.get("ram-mb") or 0.0, int(fields.get("width") or 1)
         load_time = (
@@ -135,11 +139,13 @@
         self.forget_if_finished(request)
 
     def on_under_way(self, fields: Fields) -> None:
+        """A worker started an attempt."""
         request = self.requests.get(fields["msg-id"])
         if request is not None:
             self.module.on_attempt_started(request.attempts[fields["round-no"]])
 
     def on_done(self, fields: Fields) -> None:
+        """An attempt ended. `detail` is the load state plus 8 times the concurrency."""
         request = self.requests.get(fields["msg-id"])
         if request is None:
             return
@@ -159,6 +165,7 @@
         self.forget_if_finished(request)
 
     def on_vanished(self, fields: Fields) -> None:
+        """The client of a request has disconnected."""
         request = self.requests.get(fields["msg-id"])
         if request is not None:
             self.module.on_client_gone(request)
@@ -170,11 +177,13 @@
             self.requests.pop(request.tag, None)
 
     def on_fired(self, fields: Fields) -> None:
+        """A timer of the module is due."""
         token = self.registry.take_token(fields.get("key-back") or 0)
         if token is not None:
             self.module.on_timer(token)
 
     def on_loaded(self, fields: Fields) -> None:
+        """A preload ended."""
         worker, function = (
             self.registry.workers.get(fields["runner"]),
             self.registry.functions.get(fields["image"]),
@@ -187,6 +196,7 @@
             self.module.on_preload_finished(worker, function, outcome, fields.get("number") or 0, took)
 
     def on_probe_result(self, fields: Fields) -> None:
+        """A health check ended."""
         worker = self.registry.workers.get(fields["runner"])
         if worker is not None:
             outcome, took = (
@@ -196,9 +206,11 @@
             self.module.on_health_check(worker, outcome, took, self.load_report(fields.get("telemetry")))
 
     def on_datagram(self, fields: Fields) -> None:
+        """A message of another dispatcher."""
         self.module.on_gossip(fields.get("src-peer") or 0, fields.get("raw") or "")
 
 
+# by the simulator's names of events
 EVENT_HANDLERS: dict[str, Callable[[DispatcherAdapter, Fields], None]] = {
     "Update": DispatcherAdapter.on_update,
     "Demand": DispatcherAdapter.on_demand,
@@ -251,7 +263,10 @@
         return orjson.dumps({"batch": number, "cmds": cmds})
 
     def dispatch_event(self, event: str, fields: Fields, now: int, cmds: list[dict[str, Any]]) -> None:
-        """Hand an event to its dispatcher. An exception becomes an `InternalError`."""
+        """Pass an event to its dispatcher. An exception is returned as the command `InternalError`.
+
+        `Init` creates the dispatcher, `CrashNow` removes it; events of an unknown one are ignored.
+        """
         name = fields.get("dispatcher-id") or ""
         try:
             if event == "Init":
--- a/lapistrestle/command/days.py
+++ b/lapistrestle/command/days.py
@@ -1,4 +1,4 @@
-"""The commands `lapistrestle day`: run a scripted day, and check a tape against the rules."""
+"""The commands `lapistrestle day`: run a day (a scripted scenario), and check its tape against the rules."""
 
 import sys
 import time
@@ -23,22 +23,24 @@
 
 @click.group()
 def day() -> None:
-    """Bad days: played from a script, judged from what crossed the sockets."""
+    """Scripted scenarios of traffic and faults: run them, and check the recorded traffic."""
 
 
 @day.command("run")
 @click.argument("script", type=PATH)
-@click.option("--virtual", is_flag=True, help="On a manual clock and in-memory wires, as fast as it goes.")
-@click.option("--tape", type=PATH, help="Where to write the tape; else beside the script, as NAME.tape.")
-@click.option("--seed", type=int, help="Instead of the script's.")
-@click.option("--check/--no-check", default=True, show_default=True, help="Judge the tape afterwards.")
-@click.option("--verbose", is_flag=True, help="Show what the edges log.")
+@click.option("--virtual", is_flag=True, help="In simulated time and without sockets, as fast as possible.")
+@click.option(
+    "--tape", type=PATH, help="File of the recorded traffic; by default beside the script, as NAME.tape."
+)
+@click.option("--seed", type=int, help="Replaces the seed of the script.")
+@click.option("--check/--no-check", default=True, show_default=True, help="Check the tape afterwards.")
+@click.option("--verbose", is_flag=True, help="Show the log lines of the edges.")
 @click.pass_context
 def run_day(
     ctx: click.Context, script: Path, virtual: bool, tape: Path | None, seed: int | None, check: bool,
     verbose: bool,
 ) -> None:  # fmt: skip
-    """Play a day. The same script and seed give the same tape, byte for byte, where it is virtual."""
+    """Run a day. With --virtual the same script and seed give the same tape, byte for byte."""
     parsed, deployment = read_day(script)
     if seed is not None:
         parsed.seed = seed
@@ -58,9 +60,14 @@
 @day.command("check")
 @click.argument("tape", type=PATH)
 @click.option("--json", "json_", is_flag=True)
-@click.option("--most", default=5, show_default=True, help="Breaches shown of each rule.")
+@click.option(
+    "--most", default=5, show_default=True, help="Maximum number of violations shown for each rule."
+)
 def check_day(tape: Path, json_: bool, most: int) -> None:
-    """Judge a tape: the five rules and the service. Status 1: a rule is broken; 2: it is no tape."""
+    """Check a tape against the five rules, and measure the service.
+
+    Exit status 1: a rule is violated; 2: the file can't be read as a tape.
+    """
     try:
         trace = Trace(read_tape(tape))
     except (OSError, ValueError, KeyError) as error:
@@ -78,7 +85,7 @@
 
 
 def to_plain(results: list[RuleResult], service: Service, violations: int) -> dict[str, Any]:
-    """Return the output of `--json`."""
+    """Return the output of `--json`: `breaches` are the time in ms, the message and the lines on the tape."""
     rules = {
         rule.name: {
             "figures": rule.figures,
--- a/lapistrestle/command/demo.py
+++ b/lapistrestle/command/demo.py
@@ -31,7 +31,7 @@
 
 
 class LoadProbe(LineConnection):
-    """A connection to a runner that receives its load reports."""
+    """A connection to a runner, which stores the values of its load reports in `report`."""
 
     protocol = wire.RUNNER
     decoder = message_decoder(wire.FromRunner)
@@ -46,7 +46,7 @@
 
 
 class LoadProbes(ClientFactory):
-    """The connections to all runners, with the last load report of each by port."""
+    """The connections to all runners, with the last load report of each by its port as text."""
 
     noisy = False
 
@@ -86,7 +86,10 @@
 @click.option("--rate", default=40.0, show_default=True, help="Calls a second.")
 @click.option("--runners", default=4, show_default=True, type=click.IntRange(1, 32))
 def demo(seconds: float, rate: float, runners: int) -> None:
-    """Start a roster, runners and an edge as processes, send calls, show what happens, stop clean."""
+    """Start a roster, runners and an edge as processes, send calls with a live table, and stop them all.
+
+    Exit status 1 if no call was answered ok, or a process ended with an error.
+    """
     console = Console()
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
--- a/lapistrestle/command/directories.py
+++ b/lapistrestle/command/directories.py
@@ -18,21 +18,21 @@
 
 @click.group()
 def directory() -> None:
-    """The directory of instances: dispatchers watch in it the functions that they call."""
+    """The directory of instances, from which dispatchers get the workers of the functions that they call."""
 
 
 @directory.command("serve")
 @click.argument("settings", type=click.Path(path_type=Path))
-@click.option("--port", type=int, help="Listen here instead of where the settings say.")
-@click.option("--roster-port", type=int, help="Follow the roster here instead.")
+@click.option("--port", type=int, help="Port to listen at, instead of that in the settings.")
+@click.option("--roster-port", type=int, help="Port of the roster, instead of that in the settings.")
 @tell_port
 @as_json
 def serve_shards(
     settings: Path, port: int | None, roster_port: int | None, tell_port: Path | None, json_: bool
 ) -> None:
-    """Run a holder: follow the roster, and tell dispatchers of the shards that SETTINGS name.
+    """Run a holder: follow the roster, and serve the shards that SETTINGS name to dispatchers.
 
-    SIGTERM tells them that it stops; they go to the next copy at once.
+    On SIGTERM it announces to them that it stops; they switch to another replica of the shard at once.
     """
     from lapistrestle.directory.server import HolderProgram
 
@@ -50,10 +50,10 @@
 
 @directory.command("show")
 @click.argument("function", default="")
-@click.option("--port", default=7200, show_default=True, help="Where the holder listens.")
+@click.option("--port", default=7200, show_default=True, help="Port of the holder.")
 @as_json
 def show_directory(function: str, port: int, json_: bool) -> None:
-    """Shards, copies, epoch, revision and load of one holder; of FUNCTION its shard and prefix."""
+    """Show shards, replicas, epoch, revision and load of one holder; with FUNCTION its shard and prefix."""
     from lapistrestle.wire import directory as wire
 
     no_answer = f"no answer from a holder at port {port}"
@@ -68,10 +68,10 @@
 
 
 @directory.command("watched")
-@click.option("--port", default=7100, show_default=True, help="Where the dispatcher answers clients.")
+@click.option("--port", default=7100, show_default=True, help="Port at which the dispatcher accepts clients.")
 @as_json
 def show_watched(port: int, json_: bool) -> None:
-    """What one dispatcher holds of its directory."""
+    """Show what one dispatcher has cached of the directory."""
     from lapistrestle.wire import messages
 
     no_answer = f"no answer from an edge at port {port}"
--- a/lapistrestle/command/experiments.py
+++ b/lapistrestle/command/experiments.py
@@ -25,7 +25,7 @@
 
 @click.group()
 def experiment() -> None:
-    """Try settings and fleets in the model: many runs, one file of results."""
+    """Compare settings and fleets in the simulation model: many runs with results in one file."""
 
 
 def read_experiment(path: Path) -> tuple[model.Experiment, list[model.PlannedRun]]:
@@ -72,7 +72,7 @@
 
 
 def execute(task: tuple[model.PlannedRun, str]) -> model.Result:
-    """Execute one run; called in a worker process."""
+    """Execute one run, in a process of the pool. An exception becomes the `failed` text of the result."""
     run, build = task
     result = model.Result(run.key, list(run.variant), run.seed, build=build)
     started_at = time.perf_counter()
@@ -99,10 +99,14 @@
 
 @experiment.command()
 @click.argument("file", type=click.Path(path_type=Path))
-@click.option("--results", type=click.Path(path_type=Path), help="Instead of FILE with .results.jsonl.")
-@click.option("--processes", default=0, help="0: as many as there are cores.")
+@click.option(
+    "--results",
+    type=click.Path(path_type=Path),
+    help="Results file; by default FILE with the suffix .results.jsonl.",
+)
+@click.option("--processes", default=0, help="Number of processes; 0: one per core.")
 def run(file: Path, results: Path | None, processes: int) -> None:
-    """Play all runs of FILE that have no result yet; one that is stopped goes on where it was."""
+    """Execute all runs of FILE that have no result yet; an interrupted experiment is continued by it."""
     _, plan = read_experiment(file)
     result_file = results or file.with_suffix(".results.jsonl")
     known, build = results_of(result_file), build_id()
@@ -140,11 +144,13 @@
 
 @experiment.command()
 @click.argument("results", type=click.Path(path_type=Path))
-@click.option("--base", multiple=True, help="PATH=VALUE of the variant to compare with; the first one else.")
+@click.option(
+    "--base", multiple=True, help="PATH=VALUE of the variant to compare with; by default the first."
+)
 @click.option("--figure", default="service", type=click.Choice(model.FIGURES), show_default=True)
 @as_json
 def compare(results: Path, base: tuple[str, ...], figure: str, json_: bool) -> None:
-    """Means of each variant, and differences to the base, seed by seed, with 95% intervals."""
+    """Show the mean of each variant and its difference to the base over equal seeds, with 95% intervals."""
     all_results = results_of(results)
     found = model.by_variant(all_results)
     base_variant = select_variant(base, found)
@@ -174,10 +180,10 @@
 @experiment.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.argument("picture", type=click.Path(path_type=Path))
-@click.option("--along", help="The varied path on the axis; the only one else.")
+@click.option("--along", help="The varied path on the x axis; needed if several are varied.")
 @click.option("--figure", "chosen", multiple=True, default=("service", "worst"), show_default=True)
 def plot(results: Path, picture: Path, along: str | None, chosen: tuple[str, ...]) -> None:
-    """Draw figures by a varied setting to PICTURE (.png or .svg), with 95% intervals."""
+    """Plot figures over a varied setting to PICTURE (.png or .svg), with 95% intervals."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/lapistrestle/command/fleets.py
+++ b/lapistrestle/command/fleets.py
@@ -21,17 +21,19 @@
 
 @click.group()
 def fleet() -> None:
-    """Edges among themselves: who is there, and what they let in."""
+    """The fleet of edges: its members, and its admission control."""
 
 
-port_option = click.option("--port", default=7100, show_default=True, help="Where the edge answers clients.")
+port_option = click.option(
+    "--port", default=7100, show_default=True, help="Port at which the edge accepts clients."
+)
 
 
 @fleet.command()
 @port_option
 @as_json
 def show(port: int, json_: bool) -> None:
-    """Members as one edge sees them, and its level of admission."""
+    """Show the members as one edge sees them, and its admission level."""
     state = fleet_state(port)
     if json_:
         return click.echo(msgspec.json.encode(state).decode())
@@ -58,7 +60,7 @@
 @click.argument("member")
 @port_option
 def explain(member: str, port: int) -> None:
-    """Why an edge believes of MEMBER what it does."""
+    """Explain the state that an edge assigns to MEMBER."""
     state = fleet_state(port)
     found = next((m for m in state["members"] if m["name"] == member), None)
     if found is None:
--- a/lapistrestle/command/main.py
+++ b/lapistrestle/command/main.py
@@ -32,7 +32,7 @@
 @deployment.command("check")
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 def check_deployment(files: tuple[Path, ...]) -> None:
-    """Check deployment files: the first thing wrong in each, its line, and what would be right."""
+    """Check deployment files: shows the first error in each, its line, and what is expected there."""
     invalid = 0
     for file in files:
         try:
--- a/lapistrestle/command/programs.py
+++ b/lapistrestle/command/programs.py
@@ -27,7 +27,7 @@
 from lapistrestle.wire import messages as wire
 from lapistrestle.wire.json_lines import LineConnection, LineLimits, message_decoder
 
-COLD_SHARE = 0.2  # of its capacity that a runner started with --cold has at first
+COLD_SHARE = 0.2  # initial capacity of a runner started with --cold, relative to its full capacity
 COLD_RAMP_SECONDS = 15.0  # until it has its full capacity
 DRAIN_POLL_SECONDS = 0.05  # between two checks whether a draining runner is idle
 LAST_ANSWER_SECONDS = 0.1  # for the last answers to be sent before a drained runner exits
@@ -35,7 +35,7 @@
 
 PATH = click.Path(path_type=Path)
 tell_port = click.option("--tell-port", type=PATH, help="Write the port to this file once it listens.")
-as_json = click.option("--json", "json_", is_flag=True, help="JSON lines instead of lines for people.")
+as_json = click.option("--json", "json_", is_flag=True, help="Print JSON lines instead of text.")
 
 
 def write_port(path: Path | None, port: int) -> None:
@@ -47,7 +47,11 @@
 
 
 def serve(reactor: Any, start: Callable[[], int], path: Path | None, stop: Callable[[], None]) -> None:
-    """Run a program until it stops the reactor; `start` returns its port, `stop` is called at each signal."""
+    """Run a program until it stops the reactor.
+
+    `start` returns its port, which is written to `path`; `stop` is called at each SIGTERM and SIGINT. Ends
+    with exit status 1 if it can't listen.
+    """
 
     def start_program() -> None:
         try:
@@ -65,18 +69,18 @@
 
 @click.command()
 @click.argument("deployment", type=PATH)
-@click.option("--port", type=int, help="Listen here instead of where the deployment says.")
-@click.option("--roster-port", type=int, help="Follow the roster here instead.")
-@click.option("--planner-port", type=int, help="Follow the planner here instead.")
+@click.option("--port", type=int, help="Port to listen at, instead of that in the deployment.")
+@click.option("--roster-port", type=int, help="Port of the roster, instead of that in the deployment.")
+@click.option("--planner-port", type=int, help="Port of the planner, instead of that in the deployment.")
 @tell_port
 @as_json
 def edge(
     deployment: Path, port: int | None, roster_port: int | None, planner_port: int | None,
     tell_port: Path | None, json_: bool,
 ) -> None:  # fmt: skip
-    """Run an edge: answer clients by running their calls on the runners that the roster names.
+    """Run an edge: accept calls from clients, and run them on the runners that the roster lists.
 
-    SIGTERM stops taking and finishes what is out; a second one aborts it.
+    On SIGTERM it accepts no more calls and finishes the open ones; on a second one it aborts them.
     """
     settings = load_deployment(deployment)
     if port is not None:
@@ -98,21 +102,23 @@
 
 @click.command()
 @click.argument("name")
-@click.option("--port", default=0, help="0: a free one.")
+@click.option("--port", default=0, help="Port to listen at; 0: any free one.")
 @click.option("--cores", default=4, show_default=True)
-@click.option("--speed", default=1.0, show_default=True, help="Of a core; the yardstick is 1.")
-@click.option("--memory", default=14_000.0, show_default=True, help="MB.")
-@click.option("--queue", default=100, show_default=True, help="Calls that may wait.")
+@click.option("--speed", default=1.0, show_default=True, help="Speed of a core; the reference core has 1.")
+@click.option("--memory", default=14_000.0, show_default=True, help="Memory in MB.")
+@click.option("--queue", default=100, show_default=True, help="Maximum number of waiting calls.")
 @click.option("--absent", type=click.Choice(["load", "miss"]), default="load", show_default=True)
-@click.option("--cold", is_flag=True, help="Start at a fifth of its capacity, warm after 15 s.")
+@click.option(
+    "--cold", is_flag=True, help="Start with a fifth of its capacity, and full capacity after 15 s."
+)
 @tell_port
 def runner(
     name: str, port: int, cores: int, speed: float, memory: float, queue: int, absent: str, cold: bool,
     tell_port: Path | None,
 ) -> None:  # fmt: skip
-    """Run a stand-in runner. A call's body {"work": ms, "load": ms} says how long it takes.
+    """Run a stand-in runner. A call's body {"work": ms, "load": ms} sets how long it works and loads.
 
-    SIGTERM drains it, a second one ends it.
+    On SIGTERM it drains, on a second one it stops at once.
     """
     reactor = monotonic_reactor()
     spec = RunnerSpec(cores, speed, memory, queue, absent=absent)
@@ -152,13 +158,13 @@
 
 @click.command()
 @click.argument("workers", type=PATH)
-@click.option("--port", default=0, help="0: a free one.")
-@click.option("--lag", default=1.0, show_default=True, help="Seconds by which news is late.")
+@click.option("--port", default=0, help="Port to listen at; 0: any free one.")
+@click.option("--lag", default=1.0, show_default=True, help="Delay of changes in seconds.")
 @tell_port
 def roster(workers: Path, port: int, lag: float, tell_port: Path | None) -> None:
-    """Run a stand-in roster that names the workers of a JSON5 file: [{name, port, zone, size, …}].
+    """Run a stand-in roster that lists the workers of a JSON5 file: [{name, port, zone, size, …}].
 
-    SIGHUP reads the file again: what changed is told, late by the lag.
+    On SIGHUP it reads the file again, and sends the changes after the lag.
     """
     reactor = monotonic_reactor()
     log = make_log(roster=str(workers))
@@ -224,7 +230,7 @@
 
 
 class CallBatch(ClientFactory):
-    """Sends `count` calls, all at once or at a rate, and records the answers; then stops the reactor."""
+    """Sends `count` calls at `rate` per second (0: all at once), records the answers, stops the reactor."""
 
     noisy = False
 
@@ -275,15 +281,25 @@
 
 
 @click.command()
-@click.option("--port", required=True, type=int, help="Of the edge.")
+@click.option("--port", required=True, type=int, help="Port of the edge.")
 @click.option("--fn", "function", required=True)
 @click.option("--method", required=True)
 @click.option("--customer", default="")
-@click.option("--left", default=3000.0, show_default=True, help="Milliseconds that the client waits.")
-@click.option("--memory", default=300.0, show_default=True, help="MB of a copy.")
+@click.option("--left", default=3000.0, show_default=True, help="Timeout of a call in milliseconds.")
+@click.option("--memory", default=300.0, show_default=True, help="Memory of a copy of the function in MB.")
 @click.option("--lanes", default=1, show_default=True)
-@click.option("--work", default=50.0, show_default=True, help="Milliseconds that a stand-in works on it.")
-@click.option("--load", default=500.0, show_default=True, help="Milliseconds that a stand-in loads.")
+@click.option(
+    "--work",
+    default=50.0,
+    show_default=True,
+    help="Milliseconds for which a stand-in runner works on a call.",
+)
+@click.option(
+    "--load",
+    default=500.0,
+    show_default=True,
+    help="Milliseconds for which a stand-in runner loads the function.",
+)
 @click.option("--token", type=int)
 @click.option("--count", default=1, show_default=True)
 @click.option("--rate", default=0.0, help="Calls a second; 0: all at once.")
@@ -292,7 +308,7 @@
     port: int, function: str, method: str, customer: str, left: float, memory: float, lanes: int, work: float,
     load: float, token: int | None, count: int, rate: float, json_: bool,
 ) -> None:  # fmt: skip
-    """Send calls to an edge and show the answers. Ends with status 1 unless all are ok."""
+    """Send calls to an edge and show the answers. Exit status 1 unless all are ok."""
     reactor = monotonic_reactor()
     body = msgspec.Raw(msgspec.json.encode({"work": work, "load": load}))
     message = wire.Call(
--- a/lapistrestle/command/rollouts.py
+++ b/lapistrestle/command/rollouts.py
@@ -27,11 +27,11 @@
 
 @click.command()
 @click.argument("journal", type=click.Path(path_type=Path))
-@click.option("--port", default=0, help="0: a free one.")
+@click.option("--port", default=0, help="Port to listen at; 0: any free one.")
 @tell_port
 @as_json
 def planner(journal: Path, port: int, tell_port: Path | None, json_: bool) -> None:
-    """Run a planner that keeps rollouts in the file JOURNAL and tells edges which version gets what share."""
+    """Run a planner: it stores rollouts in the file JOURNAL and sends edges the share of each version."""
     reactor = monotonic_reactor()
     try:
         opened = Journal(journal)
@@ -60,10 +60,10 @@
 
 @click.group()
 def rollout() -> None:
-    """A new version of a function: let it grow by share, hold it, take it back."""
+    """Rollouts: increase a new version's share of calls in steps, hold it, or roll it back."""
 
 
-port = click.option("--port", required=True, type=int, help="Of the planner.")
+port = click.option("--port", required=True, type=int, help="Port of the planner.")
 
 
 def add_command(action: Any, help_: str) -> None:
@@ -72,9 +72,11 @@
     @port
     @click.option("--fn", "function", required=True, help="The function.")
     @click.option("--candidate", default="", help="The new version.", required=action == "start")
-    @click.option("--why", default="", help="Kept in the history.")
+    @click.option("--why", default="", help="Reason, shown in the history.")
     @click.option("--who", default=getpass.getuser, show_default="you")
-    @click.option("--id", "id_", help="The order's own; given twice, it is answered as the first time.")
+    @click.option(
+        "--id", "id_", help="Id of the command; a repeated id is not executed again, but answered as before."
+    )
     @as_json
     def command(
         port: int,
@@ -107,7 +109,7 @@
                                  show_default=True)(decorated)  # fmt: skip
         decorated = click.option("--policy", type=click.Path(path_type=Path), help="JSON5 file.")(decorated)
         decorated = click.option("--remembered", "retention", default=60_000.0, show_default=True,
-                                 help="Milliseconds in which clients may come back.")(decorated)  # fmt: skip
+                                 help="Milliseconds in which clients may retry.")(decorated)  # fmt: skip
     rollout.command(action, help=help_)(decorated)
 
 
@@ -119,18 +121,18 @@
         raise click.BadParameter(f'"{value}"; expected percentages such as 1,5,25,100') from None
 
 
-add_command("start", "Begin: load the candidate, then give it its first share.")
-add_command("advance", "Go to the next step without waiting for evidence.")
-add_command("hold", "Stay at this share.")
-add_command("resume", "Go on after a hold.")
-add_command("back", "Take the candidate back: nothing new reaches it after a second.")
+add_command("start", "Start a rollout: load the candidate, then send it its first share of calls.")
+add_command("advance", "Go to the next step without waiting for enough outcomes.")
+add_command("hold", "Keep the candidate's share as it is.")
+add_command("resume", "Continue a rollout that is on hold.")
+add_command("back", "Roll back: after a second nothing new is sent to the candidate.")
 
 
 @rollout.command()
 @port
 @as_json
 def status(port: int, json_: bool) -> None:
-    """How rollouts stand, and which plan each edge has."""
+    """Show the rollouts, and which plan each edge has."""
     answer: plans.PlannerStatus = query_planner(port, plans.StatusRequest())
     if json_:
         return click.echo(msgspec.json.encode(answer))
@@ -158,7 +160,7 @@
 @click.option("--fn", "function", required=True)
 @as_json
 def history(port: int, function: str, json_: bool) -> None:
-    """What happened to a function's newest rollout, by whom and why."""
+    """Show the history of a function's latest rollout: changes, by whom and why."""
     answer: plans.PlannerStatus = query_planner(port, plans.StatusRequest())
     found = [item for item in answer.rollouts if item.function == function]
     if not found:
--- a/lapistrestle/model/overload.py
+++ b/lapistrestle/model/overload.py
@@ -1,8 +1,9 @@
-"""A fluid model of admission control: the fleet is one queue, time goes in steps of a tenth of a second.
+"""A fluid model of admission control: the fleet is one queue, and time advances in steps of 0.1 s.
 
-It is coarser than `model.world`: no placement, no copies, one kind of work. It shows only the control loop,
-with any number of dispatchers whose figures have different ages, and clients that retry. Other ways to shed
-load can be compared on the same scenarios (docs/overload.md).
+Numbers of RPCs are fractions, not single RPCs. It is coarser than `model.world`: no placement, no copies, one
+kind of work. It models only the control loop, with any number of dispatchers whose figures have different
+ages, and clients that retry. Other ways to shed load can be compared on the same scenarios
+(docs/overload.md).
 """
 
 from collections import deque
@@ -24,8 +25,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """`load(t)` is the demand relative to the capacity; `gains`: the gain of each method and its part of
-    it."""
+    """A fleet and its traffic.
+
+    `load(t)`: first attempts at second `t` relative to the capacity; `gains`: for each method the gain of an
+    answer in time, and its part of the first attempts.
+    """
 
     dispatchers: int = 12
     seconds: float = 90.0
@@ -34,10 +38,10 @@
     up: Callable[[float], float] = lambda t: 1.0  # part of the capacity that is available
     gains: tuple[tuple[float, float], ...] = ((4.0, 0.2), (2.0, 0.3), (1.0, 0.5))
     soft_deadline: float = 1.0  # seconds after which an answer has no gain
-    patience: float = 3.0  # seconds after which the client is gone
-    age: float = 2.0  # seconds: greatest age of a dispatcher's figures
+    patience: float = 3.0  # seconds after which a client gives up an attempt
+    age: float = 2.0  # seconds: greatest age of the fleet's figures at a dispatcher
     uneven: float = 1.0  # traffic of the first dispatcher relative to that of another
-    wait: tuple[float, float] = (0.2, 1.0)  # seconds before a client retries
+    wait: tuple[float, float] = (0.2, 1.0)  # least and greatest delay of a retry in seconds
     seed: int = 1
 
 
@@ -47,7 +51,9 @@
 
     requested: list[float] = field(default_factory=list)  # gain of the first attempts
     served: list[float] = field(default_factory=list)  # gain served in time
-    optimal: list[float] = field(default_factory=list)  # gain that an optimal choice would have served
+    optimal: list[float] = field(
+        default_factory=list
+    )  # gain that an optimal choice among first attempts would have served
     admitted: list[float] = field(default_factory=list)  # RPCs admitted
     spread: list[float] = field(default_factory=list)  # highest less lowest admission level
 
@@ -57,11 +63,13 @@
         return sum(self.served[window]) / max(1e-9, sum(self.optimal[window]))
 
 
-Policy = Callable[[Scenario, int], Any]  # per dispatcher: an object with update(fleet, own, now)
+Policy = Callable[
+    [Scenario, int], Any
+]  # makes a dispatcher's controller: an object with update(fleet, own, now)
 
 
 class SharedLevel:
-    """The program's own controller, with figures of all dispatchers."""
+    """The program's controller, with the figures of the whole fleet."""
 
     def __init__(self, scenario: Scenario, priorities: int) -> None:
         self.logs: list[str] = []
@@ -94,14 +102,14 @@
 
 
 class LocalLevel(SharedLevel):
-    """The program's controller with figures of its own dispatcher only."""
+    """The program's controller, with the figures of its own dispatcher only."""
 
     def update(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         return self.controller.update(own, now)
 
 
 class RetryBudget(NoLimit):
-    """Each dispatcher rejects retries above a fifth of what it admitted lately, and nothing else."""
+    """Each dispatcher rejects only retries above a fifth of the RPCs that it admitted in the window."""
 
     def update(self, fleet: Traffic, own: Traffic, now: int) -> AdmissionLevel:
         repeats = sum(own.demand[1::2])
@@ -111,11 +119,11 @@
 
 @dataclass(frozen=True)
 class RetriesOnly(AdmissionLevel):
-    """All first attempts and a part of the retries, whatever their gain."""
+    """Admits all first attempts and `fraction` of the retries, regardless of their gain."""
 
 
 def simulate(scenario: Scenario, policy: Policy) -> RunRecord:
-    """Simulates a scenario. Priorities go by gain and, within a gain, first attempts before retries."""
+    """Simulate a scenario. Priorities are ordered by gain; within a gain, first attempts precede retries."""
     rng, priorities, count = (
         np.random.default_rng(scenario.seed),
         2 * len(scenario.gains),
@@ -141,7 +149,7 @@
     record = RunRecord()
 
     def schedule_retries(step: int, failed_now: Any) -> None:
-        """Schedules the retries of RPCs that failed, if they have an attempt left."""
+        """Schedule the retries of failed RPCs with attempts left, a quarter at each of four delays."""
         for attempt in range(MAX_ATTEMPTS - 1):
             if failed_now[:, :, attempt].any():
                 delays = rng.uniform(*scenario.wait, 4) / STEP
@@ -233,7 +241,7 @@
 
 
 def optimal_gain(amounts: Any, gains: Any, capacity: float) -> float:
-    """The greatest gain that fits into the capacity."""
+    """The greatest total gain of RPCs that fit into the capacity. `gains` must be in descending order."""
     total = 0.0
     for amount, gain in zip(amounts, gains, strict=True):
         fits = min(float(amount), capacity)
