--- a/lapistrestle/command/experiments.py
+++ b/lapistrestle/command/experiments.py
@@ -37,7 +37,7 @@
         day_path = path.parent / day
         day, _ = read_json5(day_path)
     if not isinstance(day, dict):
-        raise DeploymentError(f"{path}: day: is no group {{ … }}")
+        raise DeploymentError(f"{path}: day: expected an object {{ … }} or the path of a script")
     if isinstance(day.get("deployment"), str):
         day["deployment"], _ = read_json5(day_path.parent / day["deployment"])
     plan = model.plan_runs(parsed, day)
--- a/lapistrestle/edge/program.py
+++ b/lapistrestle/edge/program.py
@@ -1,4 +1,4 @@
-"""The edge with the JSON lines protocol: clients, runners, roster, planner, and the routing to versions."""
+"""The edge program with the JSON lines protocol: clients, runners, worker list, planner and versions."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import replace
@@ -37,7 +37,11 @@
 
 
 class Edge(Core):
-    """The core with the parts of the JSON lines protocol, and versions as planned by the planner."""
+    """An edge with the JSON lines protocol, which routes each call to a version of its function.
+
+    Adds to `Core` what the deployment configures: the roster or the directory, the planner, gossip, the file
+    of learned figures and the fleet.
+    """
 
     def __init__(
         self, reactor: Any, deployment: Deployment, log: Log, seed: int | None = None,
@@ -133,7 +137,7 @@
             self.address_received(name, port, start)
 
     def list_event(self, event: ListEvent) -> None:
-        """Handle the loss of the roster's connection, or its failure to answer."""
+        """Handle a lost or failed roster connection; the module learns that the list can't be read."""
         self.input_received()
         if self.known_workers.handle_event(event) is ListAction.REPORT_FAILURE:
             self.host.endpoints_failed()
@@ -166,7 +170,7 @@
     # versions
 
     def route(self, call: wire.Call, client: ClientConnection, method: int) -> Route:
-        """Choose the version of the function that serves this call."""
+        """Choose the version of the function that serves this call; with an empty name it must be aborted."""
         key = attempt_key(call.key, call.token, f"{client.name}/{call.id}")
         return self.routing.route(
             call.function,
--- a/lapistrestle/model/experiment.py
+++ b/lapistrestle/model/experiment.py
@@ -86,7 +86,7 @@
         elif isinstance(node, dict):
             node = node.setdefault(name, {})
     if not isinstance(node, dict):
-        raise DeploymentError(f"vary.{path}: leads nowhere in the day")
+        raise DeploymentError(f"vary.{path}: no such path in the day")
     node[last] = value
 
 
