--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,10 +1,13 @@
-"""Fuzzing of the three protocols: no line stops a program, loses another call, or leaks an open RPC."""
+"""Fuzzing of the edge's protocols with clients, runners and roster.
+
+No line may stop the edge, lose another client's call or leave an RPC open for ever.
+"""
 
 import msgspec
 import pytest
 from hypothesis import HealthCheck, example, given, settings
 from hypothesis import strategies as st
-from test_edge import CALL, Stage, end
+from test_edge import CALL, EdgeHarness, send_ended
 
 SCALARS = st.none() | st.booleans() | st.integers(-(2**70), 2**70) | st.floats() | st.text(max_size=20)
 VALUES = st.recursive(
@@ -20,7 +23,7 @@
     ["hello", "call", "leave", "bye", "begun", "ended", "held", "probed", "draining", "whole", "change",
      "failed", "follow", "ask", "run", "cancel", "hold", "unload", "probe", "answer", "fault", "x"]
 )  # fmt: skip
-NEAR = st.fixed_dictionaries(
+NEARLY_VALID = st.fixed_dictionaries(
     {},
     optional={
         "id": st.sampled_from(["1", "2", "3"]), "fn": st.sampled_from(["f", "g"]),
@@ -42,6 +45,7 @@
 
 
 def as_line(kind: str, fields: dict[str, object]) -> bytes:
+    """The message as a JSON line; a fixed line of invalid UTF-8 where JSON can't hold the fields."""
     try:
         return msgspec.json.encode({**fields, "is": kind})
     except (msgspec.MsgspecError, UnicodeEncodeError, OverflowError):
@@ -51,82 +55,84 @@
 LINES = st.lists(
     st.binary(max_size=60).map(lambda data: data.replace(b"\n", b" "))
     | st.builds(as_line, KINDS, st.dictionaries(FIELDS, VALUES, max_size=6))
-    | st.builds(as_line, KINDS, NEAR),
+    | st.builds(as_line, KINDS, NEARLY_VALID),
     min_size=1,
     max_size=12,
 )
-FEW = settings(max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow])
+FUZZ_SETTINGS = settings(
+    max_examples=60, deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
+)
 
 
-def finish(stage, client, name):
-    """A well-behaved client's call is answered whatever the others have sent, and nothing stays open."""
-    client.say(**CALL, id=name)
+def check_edge_still_serves(harness, client, name):
+    """Check that another call of `client` is answered and that nothing stays open."""
+    client.send(**CALL, id=name)
     for _ in range(30):
-        stage.run(0.1)
-        for peer, run in stage.runs():
+        harness.run(0.1)
+        for peer, run in harness.run_messages():
             if run["rpc"] == f"c1/{name}" and not peer.closed:
-                end(peer, run)
-    assert [a["id"] for a in client.heard("answer")] == [name]
-    stage.run(90_000.0 if stage.edge.host.open_requests else 5.0)
-    assert stage.clean()
-    assert not [figures for what, figures in stage.logs if what == "module raised"]
+                send_ended(peer, run)
+    assert [a["id"] for a in client.messages("answer")] == [name]
+    harness.run(90_000.0 if harness.edge.host.open_requests else 5.0)
+    assert harness.nothing_open()
+    assert not [figures for what, figures in harness.logs if what == "module raised"]
 
 
-@FEW
+@FUZZ_SETTINGS
 @given(LINES)
 @example([b'{"is":"call","id":"1","fn":"f","method":"preview","left":900,"customer":"news","lanes":10000}'])
 def test_no_line_of_a_client_harms_another(lines):
-    stage = Stage()
-    honest = stage.client()
-    other = stage.client()
+    harness = EdgeHarness()
+    honest = harness.connect_client()
+    other = harness.connect_client()
     for line in lines:
-        other.raw(line + b"\n")
-    stage.run()
-    finish(stage, honest, "honest")
+        other.send_raw(line + b"\n")
+    harness.run()
+    check_edge_still_serves(harness, honest, "honest")
 
 
-@FEW
+@FUZZ_SETTINGS
 @given(LINES)
 def test_no_line_of_a_runner_stops_the_edge(lines):
-    stage = Stage(runners=3)
-    honest = stage.client()
-    honest.say(**CALL | {"left": 700}, id="early")
-    stage.run()
+    harness = EdgeHarness(runners=3)
+    honest = harness.connect_client()
+    honest.send(**CALL | {"left": 700}, id="early")
+    harness.run()
     for line in lines:
-        stage.runners["r0"][-1].raw(line + b"\n")
-    stage.run(1.0)
-    honest.got.clear()
-    finish(stage, honest, "honest")
+        harness.runners["r0"][-1].send_raw(line + b"\n")
+    harness.run(1.0)
+    honest.received.clear()
+    check_edge_still_serves(harness, honest, "honest")
 
 
-@FEW
+@FUZZ_SETTINGS
 @given(LINES)
 def test_no_line_of_the_roster_stops_the_edge(lines):
-    stage = Stage()
-    honest = stage.client()
+    harness = EdgeHarness()
+    honest = harness.connect_client()
     for line in lines:
-        stage.roster.raw(line + b"\n")
-    stage.run(0.5)
-    stage.roster.say(**{"is": "hello", "protocol": "lapistrestle.roster", "version": 1})
-    stage.run()
-    for number in (10**15, 10**15):  # whatever number the edge had reached
-        stage.list_(number)
-        stage.run(0.3)
-    for name in stage.runners:
-        for peer in stage.runners[name]:
-            if not peer.closed and not peer.heard("bye"):
+        harness.roster.send_raw(line + b"\n")
+    harness.run(0.5)
+    harness.roster.send(**{"is": "hello", "protocol": "lapistrestle.roster", "version": 1})
+    harness.run()
+    for number in (10**15, 10**15):  # above any list number that the fuzzed lines can have set
+        harness.send_list(number)
+        harness.run(0.3)
+    for name in harness.runners:
+        for peer in harness.runners[name]:
+            if not peer.closed and not peer.messages("bye"):
                 hello = {"is": "hello", "protocol": "lapistrestle.runner", "version": 1, "name": name}
-                peer.say(**hello, start=f"{name}#0", up_for=3_600_000)
-    stage.run()
-    finish(stage, honest, "honest")
+                peer.send(**hello, start=f"{name}#0", up_for=3_600_000)
+    harness.run()
+    check_edge_still_serves(harness, honest, "honest")
 
 
 @pytest.mark.parametrize("cut", [1, 7, 4096])
 def test_bytes_in_any_pieces_make_the_same_lines(cut):
-    stage = Stage()
-    client = stage.client()
+    harness = EdgeHarness()
+    client = harness.connect_client()
     data = b"".join(msgspec.json.encode(CALL | {"id": str(n)}) + b"\n" for n in range(9))
     for at in range(0, len(data), cut):
-        client.raw(data[at : at + cut])
-    stage.run(2.5)
-    assert sorted(a["id"] for a in client.heard("answer")) == [str(n) for n in range(9)]
+        client.send_raw(data[at : at + cut])
+    harness.run(2.5)
+    assert sorted(a["id"] for a in client.messages("answer")) == [str(n) for n in range(9)]
