--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,7 @@
-"""The platform's dispatcher on loopback; the test plays web servers, runners and the notice board."""
+"""The node, the platform's dispatcher, over loopback sockets with stand-ins for its surroundings.
+
+The stand-ins are web servers (clients), runners and the notice board, which sends the list of runners.
+"""
 
 import gc
 import re
@@ -49,14 +52,14 @@
 }  # fmt: skip
 
 
-class Stage:
-    """A dispatcher with its board, runners and clients."""
+class NodeHarness:
+    """A dispatcher with stand-ins for its board, runners and clients, on one manually advanced clock."""
 
     def __init__(self, runners: int = 2, sockets: int = 256, memory_mb: int = 192, **settings: Any) -> None:
-        self.hand = ManualReactor()
+        self.reactor = ManualReactor()
         self.logs: list[Any] = []
-        self.board = BoardStub(self.hand)
-        self.runners = [RunnerStub(self.hand) for _ in range(runners)]
+        self.board = BoardStub(self.reactor)
+        self.runners = [RunnerStub(self.reactor) for _ in range(runners)]
         file = {
             "name": "n3", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
             "limits": {"sockets": sockets, "memory_mb": memory_mb}, "board": f"127.0.0.1:{self.board.port}",
@@ -64,71 +67,74 @@
         }  # fmt: skip
         self.configuration = parse_configuration(msgspec.json.encode(file), "config.json")
         self.node = Node(
-            self.hand, self.configuration, lambda what, **figures: self.logs.append((what, figures))
+            self.reactor, self.configuration, lambda what, **figures: self.logs.append((what, figures))
         )
         self.port = self.node.start()
         self.host, self.module = self.node.core.host, self.node.core.host.module
-        self.ends: list[Any] = []
+        self.to_close: list[Any] = []
         if runners:
             self.board.tell(1, 1, *(self.row(i) for i in range(runners)))
-            self.hand.until(lambda: len(self.workers()) == runners)
-        self.hand.run(0.01)
+            self.reactor.until(lambda: len(self.workers()) == runners)
+        self.reactor.run(0.01)
 
     def row(self, i: Any, **more: Any) -> Any:
+        """The record of runner `i` in an event of the board."""
         return board_row(i + 1, self.runners[i].port, **more)
 
     def workers(self) -> Any:
+        """The listed workers of the decision module by name."""
         return {
             worker.name: worker
             for worker in self.module.endpoints.workers
             if worker.endpoint_state is not EndpointState.REMOVED
         }
 
-    def client(self) -> Any:
-        self.ends.append(WebServer(self.hand, self.port))
-        self.hand.quiet()
-        return self.ends[-1]
+    def connect_client(self) -> Any:
+        self.to_close.append(WebServer(self.reactor, self.port))
+        self.reactor.quiet()
+        return self.to_close[-1]
 
-    def runs(self) -> Any:
-        return [said for runner in self.runners for said in runner.runs]
+    def run_messages(self) -> Any:
+        """The `RUN` messages that the runners have received, runner by runner."""
+        return [message for runner in self.runners for message in runner.runs]
 
     def close(self) -> None:
         self.node.core.front.close_all()
         self.node.core.stop(lambda: None)
-        self.hand.run(0.1)
+        self.reactor.run(0.1)
         listening: list[Any] = [self.board, *self.runners]
         for end in listening:
             end.listener.close()
-        for end in [*self.board.followers, *(line for r in self.runners for line in r.lines), *self.ends]:
+        for end in [*self.board.followers, *(line for r in self.runners for line in r.lines), *self.to_close]:
             end.drop("over")
 
 
 @pytest.fixture
-def stages() -> Iterator[Any]:
+def harnesses() -> Iterator[Any]:
     made = []
 
     def make(*args: Any, **more: Any) -> Any:
-        made.append(Stage(*args, **more))
+        made.append(NodeHarness(*args, **more))
         return made[-1]
 
     yield make
-    for stage in made:
-        stage.close()
+    for harness in made:
+        harness.close()
 
 
 @pytest.fixture
-def stage(stages: Any) -> Any:
-    return stages()
+def harness(harnesses: Any) -> Any:
+    return harnesses()
 
 
-def test_a_call_is_run_and_its_body_comes_back_unchanged(stage: Any) -> None:
-    client = stage.client()
+def test_a_call_is_run_and_its_body_comes_back_unchanged(harness: Any) -> None:
+    client = harness.connect_client()
     number = client.ask(method="bill", body=bytes(range(256)) * 64)
-    stage.hand.until(lambda: client.status(number))
+    harness.reactor.until(lambda: client.status(number))
     assert client.status(number) == 200 and client.body(number) == bytes(range(256)) * 64
-    (said,) = stage.runs()
-    assert said["rid"] == f"{number:016x}" and said["attrs"]["path"] == FN
-    assert said["attrs"]["queue"] == "bill" and 1900 < said["attrs"]["budget"] < 2000
+    (message,) = harness.run_messages()
+    assert message["rid"] == f"{number:016x}" and message["attrs"]["path"] == FN
+    assert message["attrs"]["queue"] == "bill" and 1900 < message["attrs"]["budget"] < 2000
 
 
 def test_a_null_limit_counts_as_missing() -> None:
@@ -193,16 +199,16 @@
     Node(ManualReactor(), configuration, lambda what, **figures: None)
 
 
-def test_the_health_check_fails_until_there_is_a_list(stages: Any) -> None:
-    stage = stages(runners=0)
-    client = stage.client()
+def test_the_health_check_fails_until_there_is_a_list(harnesses: Any) -> None:
+    harness = harnesses(runners=0)
+    client = harness.connect_client()
     first, early = client.ask(script="/_health"), client.ask()
-    stage.hand.until(lambda: client.status(early))
+    harness.reactor.until(lambda: client.status(early))
     assert client.status(first) == 503 and client.status(early) == 503
-    stage.board.tell(1, 1)
-    stage.hand.quiet()
+    harness.board.tell(1, 1)
+    harness.reactor.quiet()
     then = client.ask(script="/_health")
-    stage.hand.until(lambda: client.status(then))
+    harness.reactor.until(lambda: client.status(then))
     assert client.status(then) == 200
 
 
@@ -229,137 +235,147 @@
     ],
 )
 def test_an_invalid_request_is_answered_at_once_and_reaches_no_runner(
-    stage: Any, fields: Any, status: Any
+    harness: Any, fields: Any, status: Any
 ) -> None:
-    client = stage.client()
+    client = harness.connect_client()
     number = client.ask(**fields)
-    stage.hand.until(lambda: client.status(number))
+    harness.reactor.until(lambda: client.status(number))
     assert client.status(number) == status
-    assert not stage.runs() and stage.host.counts["taken"] == 0 and not stage.module.preloading.functions
+    assert (
+        not harness.run_messages()
+        and harness.host.counts["taken"] == 0
+        and not harness.module.preloading.functions
+    )
     good = client.ask()
-    stage.hand.until(lambda: client.status(good))
+    harness.reactor.until(lambda: client.status(good))
     assert client.status(good) == 200
 
 
 @pytest.mark.parametrize(("over", "status"), [(0, 503), (2, 503), (7, 503), (50, 503), (51, 400)])
 def test_a_patience_some_milliseconds_over_the_deadline_counts_as_the_deadline(
-    stage: Any, over: Any, status: Any
+    harness: Any, over: Any, status: Any
 ) -> None:
-    """Clients exceed it by up to 7 ms; the protocol allows 50 ms on every time limit."""
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: None
-    deadline = stage.node.core.settings.methods[0].deadline / 10
-    client, began = stage.client(), stage.hand.rightNow
+    """Clients exceed the deadline by up to 7 ms; the protocol allows 50 ms on every time limit."""
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: None
+    deadline = harness.node.core.settings.methods[0].deadline / 10
+    client, began = harness.connect_client(), harness.reactor.rightNow
     number = client.ask(patience=str(int(deadline) + over))
-    stage.hand.quiet()
-    while client.status(number) is None and stage.hand.rightNow < began + deadline / 1000 + 1:
-        stage.hand.run(0.001)
+    harness.reactor.quiet()
+    while client.status(number) is None and harness.reactor.rightNow < began + deadline / 1000 + 1:
+        harness.reactor.run(0.001)
     assert client.status(number) == status
-    assert stage.hand.rightNow - began <= deadline / 1000 + 0.01
+    assert harness.reactor.rightNow - began <= deadline / 1000 + 0.01
     if status == 503:
-        assert all(said["attrs"]["budget"] <= deadline for said in stage.runs()) and stage.runs()
+        assert (
+            all(message["attrs"]["budget"] <= deadline for message in harness.run_messages())
+            and harness.run_messages()
+        )
 
 
-def test_a_request_counts_towards_the_share_of_its_own_tenant(stages: Any) -> None:
+def test_a_request_counts_towards_the_share_of_its_own_tenant(harnesses: Any) -> None:
     """Guards against counting all requests for the first tenant, whose share would then reject the others."""
     tenants = [{"name": "orchard", "quota-rps": 5.0}, {"name": "mill & sons", "quota-rps": 50.0}]
-    stage = stages(tenants=tenants)
-    client = stage.client()
-    met: list[int] = []
-    arrived = stage.module.on_request
+    harness = harnesses(tenants=tenants)
+    client = harness.connect_client()
+    tenants_seen: list[int] = []
+    on_request = harness.module.on_request
 
-    def note(request: Any) -> None:
-        met.append(request.customer)
-        arrived(request)
+    def record(request: Any) -> None:
+        tenants_seen.append(request.customer)
+        on_request(request)
 
-    stage.module.on_request = note
+    harness.module.on_request = record
     numbers = [client.ask(HTTP_X_CUSTOMER=name) for name in ("mill & sons", "orchard", "", "nobody")]
-    stage.hand.until(lambda: all(client.status(n) for n in numbers))
+    harness.reactor.until(lambda: all(client.status(n) for n in numbers))
     assert [client.status(n) for n in numbers] == [200, 200, 200, 400]
-    assert met == [1, 0, 2]  # a request without a name counts for no tenant
+    assert tenants_seen == [1, 0, 2]  # a request without a name counts for no tenant
 
 
-def test_the_id_of_an_open_request_is_rejected_and_the_first_continues(stage: Any) -> None:
-    kept = []
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: kept.append((line, said))
-    first, second = stage.client(), stage.client()
+def test_the_id_of_an_open_request_is_rejected_and_the_first_continues(harness: Any) -> None:
+    held_calls = []
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: held_calls.append((line, message))
+    first, second = harness.connect_client(), harness.connect_client()
     one = first.ask(id="9b1f03aa5c7e2d41", body=b"one")
-    stage.hand.until(lambda: kept)
+    harness.reactor.until(lambda: held_calls)
     two = second.ask(id="9b1f03aa5c7e2d41", body=b"two")
-    stage.hand.until(lambda: second.status(two))
+    harness.reactor.until(lambda: second.status(two))
     assert second.status(two) == 409 and first.status(one) is None
-    line, said = kept[0]
-    line.say("200", said["rid"], b"done")
-    stage.hand.until(lambda: first.status(one))
-    assert first.body(one) == b"done" and len(kept) == 1
+    line, message = held_calls[0]
+    line.say("200", message["rid"], b"done")
+    harness.reactor.until(lambda: first.status(one))
+    assert first.body(one) == b"done" and len(held_calls) == 1
 
 
-def test_an_id_sent_again_at_once_counts_once_towards_the_preload_budget(stage: Any) -> None:
+def test_an_id_sent_again_at_once_counts_once_towards_the_preload_budget(harness: Any) -> None:
     """Guards against clients that resend rejected calls at once and so increase the preload budget."""
-    client = stage.client()
+    client = harness.connect_client()
     for _ in range(40):
         number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
-        stage.hand.until(lambda number=number: client.status(number))
-    assert stage.host.counts["taken"] == 40 and len(stage.module.preload_budget.requests) == 1
-    stage.hand.run(5.1)
+        harness.reactor.until(lambda number=number: client.status(number))
+    assert harness.host.counts["taken"] == 40 and len(harness.module.preload_budget.requests) == 1
+    harness.reactor.run(5.1)
     number = client.ask(id="9b1f03aa5c7e2d41", patience="50")
-    stage.hand.until(lambda: client.status(number))
+    harness.reactor.until(lambda: client.status(number))
     assert (
-        len(stage.module.preload_budget.requests) == 1
-        and stage.module.now - stage.module.preload_budget.requests[0] < 1_000
+        len(harness.module.preload_budget.requests) == 1
+        and harness.module.now - harness.module.preload_budget.requests[0] < 1_000
     )
 
 
-def test_no_runner_is_dialled_before_it_is_needed(stages: Any) -> None:
-    """Dialling on listing made 15,145 connections in a large scenario where 10,470 suffice."""
-    stage = stages(runners=4)
-    stage.hand.run(2)
-    assert not any(runner.lines for runner in stage.runners)
-    client = stage.client()
+def test_no_runner_is_dialled_before_it_is_needed(harnesses: Any) -> None:
+    """Dialling each listed runner made 15,145 connections in a large scenario where 10,470 suffice."""
+    harness = harnesses(runners=4)
+    harness.reactor.run(2)
+    assert not any(runner.lines for runner in harness.runners)
+    client = harness.connect_client()
     number = client.ask()
-    stage.hand.until(lambda: client.status(number))
-    assert sum(len(runner.lines) for runner in stage.runners) == 1
+    harness.reactor.until(lambda: client.status(number))
+    assert sum(len(runner.lines) for runner in harness.runners) == 1
 
 
-def test_a_request_read_after_a_stall_counts_from_the_previous_poll(stage: Any) -> None:
-    client = stage.client()
+def test_a_request_read_after_a_stall_counts_from_the_previous_poll(harness: Any) -> None:
+    """It may have arrived at any time during the stall, here 0.8 s; the earliest is assumed."""
+    client = harness.connect_client()
     number = client.ask()
-    stage.hand.rightNow += 0.8
-    stage.hand.until(lambda: client.status(number))
-    assert stage.module.now - 8_001 <= stage.module.preload_budget.requests[0] <= stage.module.now - 7_999
+    harness.reactor.rightNow += 0.8
+    harness.reactor.until(lambda: client.status(number))
+    assert (
+        harness.module.now - 8_001 <= harness.module.preload_budget.requests[0] <= harness.module.now - 7_999
+    )
 
 
 @pytest.mark.parametrize(("stall", "age", "left"), [(0.8, 0.3, 0.7), (0.1, 5.0, 0.9), (0.01, 0.3, 1.0)])
 def test_the_time_for_which_a_request_was_unread_counts_towards_its_patience(
-    stage: Any, stall: Any, age: Any, left: Any
+    harness: Any, stall: Any, age: Any, left: Any
 ) -> None:
     """The time is bounded by the stall, and not queried if there was none."""
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: None
-    stage.hand.unread_for = lambda sock: age
-    client = stage.client()
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: None
+    harness.reactor.unread_for = lambda sock: age
+    client = harness.connect_client()
     number = client.ask(patience="1000")
-    stage.hand.rightNow += stall
-    stage.hand.quiet()
-    read = stage.hand.rightNow
-    while client.status(number) is None and stage.hand.rightNow < read + 2:
-        stage.hand.run(0.001)
+    harness.reactor.rightNow += stall
+    harness.reactor.quiet()
+    read = harness.reactor.rightNow
+    while client.status(number) is None and harness.reactor.rightNow < read + 2:
+        harness.reactor.run(0.001)
     assert client.status(number) is not None
-    assert left - 0.02 <= stage.hand.rightNow - read <= left + 0.01
+    assert left - 0.02 <= harness.reactor.rightNow - read <= left + 0.01
 
 
-def test_two_requests_under_one_id_close_only_that_connection(stage: Any) -> None:
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: None
-    bad, good = stage.client(), stage.client()
+def test_two_requests_under_one_id_close_only_that_connection(harness: Any) -> None:
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: None
+    bad, good = harness.connect_client(), harness.connect_client()
     number = bad.ask()
     bad.send(begin_request(number))
-    stage.hand.until(lambda: bad.closed)
-    for runner in stage.runners:
+    harness.reactor.until(lambda: bad.closed)
+    for runner in harness.runners:
         runner.on_run = None
     other = good.ask(id="9b1f03aa5c7e2d41")
-    stage.hand.until(lambda: good.status(other))
+    harness.reactor.until(lambda: good.status(other))
     assert good.status(other) == 200 and bad.status(number) is None
 
 
@@ -367,403 +383,405 @@
 
 
 @pytest.mark.parametrize("junk", JUNK)
-def test_junk_is_closed_at_once(stage: Any, junk: Any) -> None:
-    client = stage.client()
+def test_junk_is_closed_at_once(harness: Any, junk: Any) -> None:
+    client = harness.connect_client()
     client.send(junk)
-    stage.hand.until(lambda: client.closed)
-    assert not stage.node.front.connections
+    harness.reactor.until(lambda: client.closed)
+    assert not harness.node.front.connections
 
 
-def test_a_body_too_long_is_rejected_without_reading_it_all(stage: Any) -> None:
-    client = stage.client()
+def test_a_body_too_long_is_rejected_without_reading_it_all(harness: Any) -> None:
+    client = harness.connect_client()
     number = client.ask(whole=False)
     for _ in range(8):
         client.send(fastcgi.encode_record(fastcgi.STDIN, number, b"x" * 60_000))
-    stage.hand.until(lambda: client.closed)
-    assert not stage.runs() and not stage.node.front.connections
+    harness.reactor.until(lambda: client.closed)
+    assert not harness.run_messages() and not harness.node.front.connections
 
 
-def test_incomplete_requests_of_many_connections_are_bounded_together(stages: Any) -> None:
-    stage = stages(memory_mb=4)
-    crowd = [stage.client() for _ in range(6)]
+def test_incomplete_requests_of_many_connections_are_bounded_together(harnesses: Any) -> None:
+    harness = harnesses(memory_mb=4)
+    crowd = [harness.connect_client() for _ in range(6)]
     for client in crowd:
         for _ in range(16):
             client.ask(body=b"x" * 16_000, whole=False)
-        stage.hand.quiet()
-        assert stage.node.front.buffered_bytes <= 500_000 + 65_536 + 262_144
+        harness.reactor.quiet()
+        assert harness.node.front.buffered_bytes <= 500_000 + 65_536 + 262_144
     assert any(client.closed for client in crowd)
-    good = stage.client()
+    good = harness.connect_client()
     number = good.ask(id="9b1f03aa5c7e2d41")
-    stage.hand.until(lambda: good.status(number))
+    harness.reactor.until(lambda: good.status(number))
     assert good.status(number) == 200
     for client in crowd:
         client.drop("over")
-    stage.hand.quiet()
-    assert stage.node.front.buffered_bytes == 0
+    harness.reactor.quiet()
+    assert harness.node.front.buffered_bytes == 0
 
 
-def test_connections_silent_or_with_an_incomplete_request_are_closed_within_three_seconds(stage: Any) -> None:
-    silent, half, good = stage.client(), stage.client(), stage.client()
+def test_connections_silent_or_with_an_incomplete_request_are_closed_within_three_seconds(
+    harness: Any,
+) -> None:
+    silent, half, good = harness.connect_client(), harness.connect_client(), harness.connect_client()
     half.ask(whole=False)
     done = good.ask()
-    stage.hand.run(2.6)
+    harness.reactor.run(2.6)
     assert silent.closed and half.closed and good.status(done) == 200 and not good.closed
 
 
-def test_many_silent_connections_do_not_affect_regular_clients(stages: Any) -> None:
-    stage = stages(sockets=64)
-    usual = stage.client()
+def test_many_silent_connections_do_not_affect_regular_clients(harnesses: Any) -> None:
+    harness = harnesses(sockets=64)
+    usual = harness.connect_client()
     usual.ask()
-    stage.hand.run(0.6)
-    crowd = [stage.client() for _ in range(60)]
-    stage.hand.run(0.1)
-    assert len(stage.node.front.connections) <= stage.node.front.max_connections
-    if usual.closed:  # an idle one may be closed: it comes again
-        usual = stage.client()
+    harness.reactor.run(0.6)
+    crowd = [harness.connect_client() for _ in range(60)]
+    harness.reactor.run(0.1)
+    assert len(harness.node.front.connections) <= harness.node.front.max_connections
+    if usual.closed:  # an idle connection may have been closed: reconnect
+        usual = harness.connect_client()
     number = usual.ask(id="9b1f03aa5c7e2d41")
-    stage.hand.until(lambda: usual.status(number))
+    harness.reactor.until(lambda: usual.status(number))
     assert usual.status(number) == 200 and sum(bool(c.closed) for c in crowd) > 20
 
 
-def test_requests_over_the_limit_of_a_connection_are_rejected_as_overloaded(stage: Any) -> None:
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: None
-    client = stage.client()
+def test_requests_over_the_limit_of_a_connection_are_rejected_as_overloaded(harness: Any) -> None:
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: None
+    client = harness.connect_client()
     numbers = [client.ask() for _ in range(40)]
-    stage.hand.until(lambda: client.status(numbers[-1]) is not None)
+    harness.reactor.until(lambda: client.status(numbers[-1]) is not None)
     over = [n for n in numbers if client.codes.get(n) == fastcgi.OVERLOADED]
-    assert over and len(over) + stage.host.counts["taken"] == 40
-    assert len(stage.node.front.open_requests()) <= 32
+    assert over and len(over) + harness.host.counts["taken"] == 40
+    assert len(harness.node.front.open_requests()) <= 32
 
 
-def test_an_aborted_request_ends_and_its_id_is_free(stage: Any) -> None:
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: None
-    client = stage.client()
+def test_an_aborted_request_ends_and_its_id_is_free(harness: Any) -> None:
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: None
+    client = harness.connect_client()
     number = client.ask()
-    stage.hand.until(stage.runs)
+    harness.reactor.until(harness.run_messages)
     client.give_up(number)
-    stage.hand.until(lambda: number in client.ends)
-    assert stage.host.counts["left"] == 1 and stage.host.open_requests == 0
+    harness.reactor.until(lambda: number in client.ends)
+    assert harness.host.counts["left"] == 1 and harness.host.open_requests == 0
     client.last = 0
-    for runner in stage.runners:
+    for runner in harness.runners:
         runner.on_run = None
     again = client.ask(id="9b1f03aa5c7e2d41")
-    stage.hand.until(lambda: client.said.get(again))
+    harness.reactor.until(lambda: client.said.get(again))
     assert client.status(again) == 200
 
 
 # replies of runners
 
 
-def test_a_malformed_reply_closes_its_connection_and_its_calls_may_have_run(stage: Any) -> None:
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
-    client = stage.client()
+def test_a_malformed_reply_closes_its_connection_and_its_calls_may_have_run(harness: Any) -> None:
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: line.send(b'{"verb":"200","rid":"\xff\xfe...\n')
+    client = harness.connect_client()
     safe, unsafe = client.ask(), client.ask(method="bill")
-    stage.hand.until(lambda: client.status(unsafe))
+    harness.reactor.until(lambda: client.status(unsafe))
     assert client.status(unsafe) == 500
-    bills = [said for said in stage.runs() if said["attrs"]["queue"] == "bill"]
+    bills = [message for message in harness.run_messages() if message["attrs"]["queue"] == "bill"]
     assert len(bills) == 1  # it may have run
-    stage.hand.run(2.1)
+    harness.reactor.run(2.1)
     assert client.status(safe) in (500, 503)
 
 
 @pytest.mark.parametrize("ahead", [b'{"verb":"200","rid":"ffffffffffffffff","content":"AAAA"}\n', b""])
-def test_unexpected_and_duplicate_replies_are_ignored(stage: Any, ahead: Any) -> None:
-    def play(line: Any, said: Any) -> None:
+def test_unexpected_and_duplicate_replies_are_ignored(harness: Any, ahead: Any) -> None:
+    def reply(line: Any, message: Any) -> None:
         line.send(ahead)
-        line.say("200", said["rid"], b"mine")
-        line.say("200", said["rid"], b"again")
+        line.say("200", message["rid"], b"mine")
+        line.say("200", message["rid"], b"again")
 
-    for runner in stage.runners:
-        runner.on_run = play
-    client = stage.client()
+    for runner in harness.runners:
+        runner.on_run = reply
+    client = harness.connect_client()
     number = client.ask()
-    stage.hand.until(lambda: client.status(number))
-    stage.hand.quiet()
+    harness.reactor.until(lambda: client.status(number))
+    harness.reactor.quiet()
     assert client.body(number) == b"mine" and client.ends == [number]
-    assert stage.host.counts["stray"] >= 1
+    assert harness.host.counts["stray"] >= 1
 
 
-def test_an_endless_line_is_cut_within_bounds(stage: Any) -> None:
-    def play(line: Any, said: Any) -> None:
-        line.send(b'{"verb":"200","rid":"%s","content":"' % said["rid"].encode() + b"A" * 3_000_000)
+def test_an_endless_line_is_cut_within_bounds(harness: Any) -> None:
+    def reply(line: Any, message: Any) -> None:
+        line.send(b'{"verb":"200","rid":"%s","content":"' % message["rid"].encode() + b"A" * 3_000_000)
 
-    for runner in stage.runners:
-        runner.on_run = play
-    client = stage.client()
+    for runner in harness.runners:
+        runner.on_run = reply
+    client = harness.connect_client()
     number = client.ask(method="bill")
-    stage.hand.until(lambda: client.status(number))
+    harness.reactor.until(lambda: client.status(number))
     assert client.status(number) == 500
-    assert all(len(w.buffer) < 200_000 for r in stage.node.core.runners.values() for w in r.connections)
+    assert all(len(w.buffer) < 200_000 for r in harness.node.core.runners.values() for w in r.connections)
 
 
-def test_a_call_with_side_effects_is_not_retried_after_a_reset(stage: Any) -> None:
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: line.reset()
-    client = stage.client()
+def test_a_call_with_side_effects_is_not_retried_after_a_reset(harness: Any) -> None:
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: line.reset()
+    client = harness.connect_client()
     number = client.ask(method="bill")
-    stage.hand.until(lambda: client.status(number))
-    assert client.status(number) == 500 and len(stage.runs()) == 1
+    harness.reactor.until(lambda: client.status(number))
+    assert client.status(number) == 500 and len(harness.run_messages()) == 1
 
 
-def test_a_refused_connection_proves_that_nothing_ran(stage: Any) -> None:
-    stage.runners[0].stop()
-    stage.hand.quiet()
-    client = stage.client()
+def test_a_refused_connection_proves_that_nothing_ran(harness: Any) -> None:
+    harness.runners[0].stop()
+    harness.reactor.quiet()
+    client = harness.connect_client()
     numbers = [client.ask(function=f"{i:016x}", method="bill") for i in range(12)]
-    stage.hand.until(lambda: all(client.status(n) for n in numbers))
+    harness.reactor.until(lambda: all(client.status(n) for n in numbers))
     assert {client.status(n) for n in numbers} <= {200, 503} and client.status(numbers[0]) == 200
 
 
-def test_a_tokened_call_carries_its_key(stage: Any) -> None:
-    client = stage.client()
+def test_a_call_with_a_deduplication_key_carries_it(harness: Any) -> None:
+    client = harness.connect_client()
     client.ask(method="publish", HTTP_X_DEDUPE_KEY="5c0f6e1a2b3d4c59a8b7c6d5e4f30211")
-    stage.hand.until(stage.runs)
-    assert stage.runs()[0]["attrs"]["uniq"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+    harness.reactor.until(harness.run_messages)
+    assert harness.run_messages()[0]["attrs"]["uniq"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
-def test_two_attempts_of_one_rpc_at_one_runner_never_share_a_connection(stages: Any) -> None:
-    stage, got = stages(runners=1), []
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
-    client = stage.client()
+def test_two_attempts_of_one_rpc_at_one_runner_never_share_a_connection(harnesses: Any) -> None:
+    harness, received = harnesses(runners=1), []
+    harness.runners[0].on_run = lambda line, message: received.append((line, message))
+    client = harness.connect_client()
     client.ask(patience="4000")
-    stage.hand.until(lambda: got)
-    (worker_call,) = stage.host.worker_calls.values()
+    harness.reactor.until(lambda: received)
+    (worker_call,) = harness.host.worker_calls.values()
     request, worker = worker_call.pending, worker_call.worker
-    second = Attempt(request, worker, stage.module.now, concurrency=2)
+    second = Attempt(request, worker, harness.module.now, concurrency=2)
     request.attempts.append(second)
     request.function.replica(worker).start(second)
-    stage.host.send_attempt(second, 10_000)
-    stage.hand.until(lambda: len(got) == 2)
-    assert got[0][0] is not got[1][0] and got[0][1]["rid"] == got[1][1]["rid"]
-    got[0][0].say("200", got[0][1]["rid"], b"first")
-    stage.hand.until(lambda: client.ends)
+    harness.host.send_attempt(second, 10_000)
+    harness.reactor.until(lambda: len(received) == 2)
+    assert received[0][0] is not received[1][0] and received[0][1]["rid"] == received[1][1]["rid"]
+    received[0][0].say("200", received[0][1]["rid"], b"first")
+    harness.reactor.until(lambda: client.ends)
     assert client.body(1) == b"first"
 
 
-def test_load_reports_use_the_names_of_the_settings(stage: Any) -> None:
+def test_load_reports_use_the_names_of_the_settings(harness: Any) -> None:
     reports = []
-    stage.module.on_health_check = lambda worker, outcome, took, report: reports.append(report)
-    stage.host.health_check(next(iter(stage.workers().values())))
-    stage.hand.until(lambda: reports)
+    harness.module.on_health_check = lambda worker, outcome, took, report: reports.append(report)
+    harness.host.health_check(next(iter(harness.workers().values())))
+    harness.reactor.until(lambda: reports)
     assert reports == [{"outstanding": 7.0, "utilization": 0.61}]
 
 
-def test_a_line_queued_for_a_connection_is_cancelled_when_the_runner_drains(stage: Any) -> None:
-    """The line was not sent, so the RPC goes to another runner at once."""
-    runner = stage.node.core.runners["s-00000001"]
+def test_a_line_queued_for_a_connection_is_cancelled_when_the_runner_drains(harness: Any) -> None:
+    """The line was never sent, so another runner may get the RPC at once."""
+    runner = harness.node.core.runners["s-00000001"]
     for connection in list(runner.connections):
         connection.close()
-    listener = stage.runners[0].listener
-    client = stage.client()
-    stage.module.orders.function_order = lambda function: sorted(
-        stage.module.endpoints.ring, key=lambda s: s.name
+    listener = harness.runners[0].listener
+    client = harness.connect_client()
+    harness.module.orders.function_order = lambda function: sorted(
+        harness.module.endpoints.ring, key=lambda s: s.name
     )
     number = client.ask(function="1" * 16)
-    stage.hand.readers.pop(listener)  # accepts nothing, but the kernel establishes the connection
+    harness.reactor.readers.pop(listener)  # accepts nothing, but the kernel establishes the connection
     made = runner.pick([])
     assert made is not None
-    stage.board.tell(2, 2, stage.row(0, state=1))
-    stage.hand.until(lambda: client.status(number))
+    harness.board.tell(2, 2, harness.row(0, state=1))
+    harness.reactor.until(lambda: client.status(number))
     assert (
-        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
         and not made.state_machine.queued
     )
-    after = len(stage.runners[0].runs)
+    after = len(harness.runners[0].runs)
     more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
-    stage.hand.until(lambda: all(client.status(n) for n in more))
-    assert len(stage.runners[0].runs) == after
+    harness.reactor.until(lambda: all(client.status(n) for n in more))
+    assert len(harness.runners[0].runs) == after
 
 
 # the board
 
 
-def test_a_runner_listed_again_at_its_address_keeps_its_connections(stage: Any) -> None:
+def test_a_runner_listed_again_at_its_address_keeps_its_connections(harness: Any) -> None:
     """Guards against replacing the pool with each event about the runner, so that a drain dials it again."""
-    runner, client = stage.node.core.runners["s-00000001"], stage.client()
+    runner, client = harness.node.core.runners["s-00000001"], harness.connect_client()
     numbers = [client.ask(function=f"{i:016x}", id=f"{i + 1:016x}") for i in range(8)]
-    stage.hand.until(lambda: all(client.status(n) for n in numbers))
-    connections, lines = list(runner.connections), list(stage.runners[0].lines)
-    stage.board.tell(2, 2, stage.row(0, state=1))
-    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
-    assert stage.node.core.runners["s-00000001"] is runner
-    assert connections and runner.connections == connections and stage.runners[0].lines == lines
-    stage.board.tell(3, 2, stage.row(0, started=1_700_000_000_000))  # its machine restarted
-    stage.hand.until(lambda: not any(connection.stream for connection in connections))
-    assert stage.node.core.runners["s-00000001"] is not runner
-
-
-def test_events_are_applied_once_and_a_gap_leads_to_a_new_watch(stage: Any) -> None:
-    stage.board.raw(board_frame(1, 2, stage.row(0, state=2)))  # an old event
-    stage.hand.quiet()
-    assert len(stage.workers()) == 2
-    stage.board.events[2] = board_frame(2, 2, stage.row(0, state=1))
-    stage.board.raw(board_frame(3, 2, stage.row(1, state=1)))
-    stage.hand.run(0.01)
-    assert stage.board.asked == [0, 1]
-    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
-    assert stage.workers()["s-00000002"].endpoint_state is EndpointState.SERVING
+    harness.reactor.until(lambda: all(client.status(n) for n in numbers))
+    connections, lines = list(runner.connections), list(harness.runners[0].lines)
+    harness.board.tell(2, 2, harness.row(0, state=1))
+    harness.reactor.until(lambda: harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
+    assert harness.node.core.runners["s-00000001"] is runner
+    assert connections and runner.connections == connections and harness.runners[0].lines == lines
+    harness.board.tell(3, 2, harness.row(0, started=1_700_000_000_000))  # its machine restarted
+    harness.reactor.until(lambda: not any(connection.stream for connection in connections))
+    assert harness.node.core.runners["s-00000001"] is not runner
+
+
+def test_events_are_applied_once_and_a_gap_leads_to_a_new_watch(harness: Any) -> None:
+    harness.board.raw(board_frame(1, 2, harness.row(0, state=2)))  # an old event
+    harness.reactor.quiet()
+    assert len(harness.workers()) == 2
+    harness.board.events[2] = board_frame(2, 2, harness.row(0, state=1))
+    harness.board.raw(board_frame(3, 2, harness.row(1, state=1)))
+    harness.reactor.run(0.01)
+    assert harness.board.asked == [0, 1]
+    harness.reactor.until(lambda: harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
+    assert harness.workers()["s-00000002"].endpoint_state is EndpointState.SERVING
 
 
 @pytest.mark.parametrize(
     "bad", [b"\xff" * 20, board_frame(2, 9), board_frame(2, 2, b"x" * 26), board_frame(7, 0)]
 )
-def test_a_bad_frame_leads_to_a_new_watch(stage: Any, bad: Any) -> None:
-    stage.board.raw(bad)
-    stage.hand.run(0.01)
-    assert stage.board.asked == [0, 1]
-
-
-def test_a_connection_lost_amid_an_event_loses_nothing(stage: Any) -> None:
-    event = board_frame(2, 2, stage.row(0, state=1))
-    stage.board.events[2] = event
-    stage.board.raw(event[:20])
-    stage.hand.quiet()
-    stage.board.cut()
-    stage.hand.run(0.01)
-    stage.hand.until(lambda: stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
-    assert stage.board.asked[-1] == 1
-
-
-def test_a_silent_board_is_watched_again(stage: Any) -> None:
-    stage.board.beats = False
-    stage.hand.run(3.6)
-    assert len(stage.board.asked) >= 2
-
-
-def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_revision(stage: Any) -> None:
-    other = BoardStub(stage.hand)
-    stage.configuration.file.board = f"127.0.0.1:{other.port}"
-    stage.node.apply_configuration(stage.configuration)
-    stage.hand.run(0.01)
-    stage.hand.until(lambda: other.asked)
+def test_a_bad_frame_leads_to_a_new_watch(harness: Any, bad: Any) -> None:
+    harness.board.raw(bad)
+    harness.reactor.run(0.01)
+    assert harness.board.asked == [0, 1]
+
+
+def test_a_connection_lost_amid_an_event_loses_nothing(harness: Any) -> None:
+    event = board_frame(2, 2, harness.row(0, state=1))
+    harness.board.events[2] = event
+    harness.board.raw(event[:20])
+    harness.reactor.quiet()
+    harness.board.cut()
+    harness.reactor.run(0.01)
+    harness.reactor.until(lambda: harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
+    assert harness.board.asked[-1] == 1
+
+
+def test_a_silent_board_is_watched_again(harness: Any) -> None:
+    harness.board.beats = False
+    harness.reactor.run(3.6)
+    assert len(harness.board.asked) >= 2
+
+
+def test_a_new_configuration_moves_to_the_new_board_and_keeps_the_revision(harness: Any) -> None:
+    other = BoardStub(harness.reactor)
+    harness.configuration.file.board = f"127.0.0.1:{other.port}"
+    harness.node.apply_configuration(harness.configuration)
+    harness.reactor.run(0.01)
+    harness.reactor.until(lambda: other.asked)
     assert other.asked == [1]
-    other.tell(2, 2, stage.row(1, state=2))
-    stage.hand.until(lambda: len(stage.workers()) == 1)
+    other.tell(2, 2, harness.row(1, state=2))
+    harness.reactor.until(lambda: len(harness.workers()) == 1)
     other.listener.close()
     for follower in list(other.followers):
         follower.drop("over")
 
 
-def test_after_sigterm_new_connections_are_served_for_a_while_and_open_calls_finished(stage: Any) -> None:
-    kept, stopped = [], []
-    stage.node.shut_down(lambda: stopped.append(1))
-    stage.hand.run(0.4)
-    late = stage.client()
+def test_after_sigterm_new_connections_are_served_for_a_while_and_open_calls_finished(harness: Any) -> None:
+    held_calls, stopped = [], []
+    harness.node.shut_down(lambda: stopped.append(1))
+    harness.reactor.run(0.4)
+    late = harness.connect_client()
     number = late.ask()
-    stage.hand.until(lambda: late.status(number))
+    harness.reactor.until(lambda: late.status(number))
     assert late.status(number) == 200
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: kept.append((line, said))
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: held_calls.append((line, message))
     slow = late.ask()
-    stage.hand.until(lambda: kept)
-    stage.hand.run(0.7)
-    assert not stopped and not stage.node.front.listener.sock.fileno() > 0
-    line, said = kept[0]
-    line.say("200", said["rid"], b"late")
-    stage.hand.until(lambda: late.status(slow))
-    stage.hand.run(0.1)
+    harness.reactor.until(lambda: held_calls)
+    harness.reactor.run(0.7)
+    assert not stopped and not harness.node.front.listener.sock.fileno() > 0
+    line, message = held_calls[0]
+    line.say("200", message["rid"], b"late")
+    harness.reactor.until(lambda: late.status(slow))
+    harness.reactor.run(0.1)
     assert late.body(slow) == b"late" and stopped == [1]
 
 
-def test_the_module_s_calls_in_flight_agree_with_the_sockets(stage: Any) -> None:
-    for runner in stage.runners:
-        runner.on_run = lambda line, said: None
-    client = stage.client()
+def test_the_module_s_calls_in_flight_agree_with_the_sockets(harness: Any) -> None:
+    for runner in harness.runners:
+        runner.on_run = lambda line, message: None
+    client = harness.connect_client()
     numbers = [client.ask(function=f"{i % 5:016x}") for i in range(20)]
-    stage.hand.until(lambda: len(stage.runs()) + len(client.ends) == 20)
-    assert len(stage.runs()) > 5
+    harness.reactor.until(lambda: len(harness.run_messages()) + len(client.ends) == 20)
+    assert len(harness.run_messages()) > 5
     client.give_up(numbers[0])
-    stage.hand.quiet()
+    harness.reactor.quiet()
 
-    def agree() -> Any:
-        believed = {worker.name: worker.in_flight for worker in stage.module.endpoints.workers}
-        held = {f"s-{i + 1:08x}": runner.held() for i, runner in enumerate(stage.runners)}
-        return believed == held
+    def counts_agree() -> Any:
+        counted = {worker.name: worker.in_flight for worker in harness.module.endpoints.workers}
+        held = {f"s-{i + 1:08x}": runner.held() for i, runner in enumerate(harness.runners)}
+        return counted == held
 
-    assert agree()
-    for runner in stage.runners:
+    assert counts_agree()
+    for runner in harness.runners:
         for line in list(runner.lines)[:1]:
-            for said in list(line.open.values()):
-                runner.answer(line, said)
-        stage.hand.quiet()
-        assert agree()
-    stage.hand.run(1.0)
-    assert agree()
+            for message in list(line.open.values()):
+                runner.answer(line, message)
+        harness.reactor.quiet()
+        assert counts_agree()
+    harness.reactor.run(1.0)
+    assert counts_agree()
 
 
 @pytest.mark.parametrize("end", ["served", "denied after a miss", "left"])
-def test_a_finished_rpc_is_freed_without_garbage_collection(stages: Any, end: Any) -> None:
-    """An RPC and its attempts form a reference cycle; garbage collections are rare, so memory would grow."""
-    stage, orders = stages(runners=1), []
-    runner, client = stage.runners[0], stage.client()
+def test_a_finished_rpc_is_freed_without_garbage_collection(harnesses: Any, end: Any) -> None:
+    """Guards against growing memory: an RPC and its attempts form a cycle, and collections are rare."""
+    harness, orders = harnesses(runners=1), []
+    runner, client = harness.runners[0], harness.connect_client()
     if end != "served":
         runner.loaded = {}
         heard = runner.heard
-        runner.heard = lambda line, said: (
-            orders.append((line, said)) if said["verb"] == "HOLD" else heard(line, said)
+        runner.heard = lambda line, message: (
+            orders.append((line, message)) if message["verb"] == "HOLD" else heard(line, message)
         )
-    taken: list[Any] = []
-    arrived = stage.module.on_request
+    requests: list[Any] = []
+    on_request = harness.module.on_request
 
-    def note(request: Any) -> None:
-        taken.append(weakref.ref(request))
-        arrived(request)
+    def record(request: Any) -> None:
+        requests.append(weakref.ref(request))
+        on_request(request)
 
-    stage.module.on_request = note
+    harness.module.on_request = record
     gc.collect()
     gc.disable()
     try:
         number = client.ask()
         if end == "left":
-            stage.hand.until(lambda: orders)
+            harness.reactor.until(lambda: orders)
             client.give_up(number)
-            stage.hand.until(lambda: stage.host.counts["left"])
+            harness.reactor.until(lambda: harness.host.counts["left"])
         if end != "served":
-            stage.hand.until(lambda: orders)
+            harness.reactor.until(lambda: orders)
             orders[0][0].say("503", orders[0][1]["rid"], slots_up=0)
-        stage.hand.until(lambda: client.status(number) is not None)
-        stage.hand.run(3.0)  # its timers have fired
-        assert len(taken) == 1 and taken[0]() is None
+        harness.reactor.until(lambda: client.status(number) is not None)
+        harness.reactor.run(3.0)  # until its timers have fired
+        assert len(requests) == 1 and requests[0]() is None
     finally:
         gc.enable()
 
 
-def test_thousands_of_replaced_runners_leak_nothing(stage: Any) -> None:
-    """New ids at the address of a removed runner: all data of the old ones is freed."""
+def test_thousands_of_replaced_runners_leak_nothing(harness: Any) -> None:
+    """Guards against data of removed runners that stays when a new id takes over their address."""
 
-    def held() -> Any:
-        core, module = stage.node.core, stage.module
-        kinds = sum(
+    def object_counts() -> Any:
+        core, module = harness.node.core, harness.module
+        instances = sum(
             isinstance(o, Worker | RunnerConnection | Runner | ConnectionStateMachine)
             for o in gc.get_objects()
         )
-        connections = stage.node.pools.connections
+        connections = harness.node.pools.connections
         return (
             len(core.runners),
             len(module.endpoints.workers),
-            len(stage.host.registry.workers),
+            len(harness.host.registry.workers),
             connections,
-            kinds,
+            instances,
         )
 
-    client, port = stage.client(), stage.runners[0].port
+    client, port = harness.connect_client(), harness.runners[0].port
     before: Any = None
     gc.collect()
     gc.disable()  # collections are very rare in production
     for i in range(1500):
-        stage.board.events.clear()
-        stage.board.tell(2 + i, 2, board_row(100 + i, port), board_row(99 + i if i else 1, port, state=2))
-        stage.hand.quiet()
+        harness.board.events.clear()
+        harness.board.tell(2 + i, 2, board_row(100 + i, port), board_row(99 + i if i else 1, port, state=2))
+        harness.reactor.quiet()
         if i % 50 == 0:
             number = client.ask(id=f"{i:016x}")
-            stage.hand.until(lambda n=number: client.status(n) is not None)
-            stage.hand.run(0.5)
+            harness.reactor.until(lambda n=number: client.status(n) is not None)
+            harness.reactor.run(0.5)
         if i == 500:
-            before = held()
-    stage.hand.run(0.5)
-    after = held()
+            before = object_counts()
+    harness.reactor.run(0.5)
+    after = object_counts()
     gc.enable()
     assert sum(after) <= sum(before) + 4
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -73,8 +73,8 @@
 class StampedRunner(RunnerStub):
     """Records when each RUN and each HOLD of copies began to arrive."""
 
-    def __init__(self, hand: Any, number: Any) -> None:
-        super().__init__(hand)
+    def __init__(self, reactor: Any, number: Any) -> None:
+        super().__init__(reactor)
         self.number = number
         self.started: list[Any] = []
 
@@ -82,18 +82,18 @@
         self.lines.append(StampedLine(self, sock))
         self.lines[-1].start()
 
-    def heard(self, line: Any, said: Any) -> None:
-        attrs = said.get("attrs") or {}
-        if said["verb"] == "RUN" or (said["verb"] == "HOLD" and int(attrs["slots_up"]) > 0):
-            self.started.append(Started(self.number, said["verb"], line.began))
-        super().heard(line, said)
+    def heard(self, line: Any, message: Any) -> None:
+        attrs = message.get("attrs") or {}
+        if message["verb"] == "RUN" or (message["verb"] == "HOLD" and int(attrs["slots_up"]) > 0):
+            self.started.append(Started(self.number, message["verb"], line.began))
+        super().heard(line, message)
 
 
 class StampedBoard(BoardStub):
     """Records when each event entered it."""
 
-    def __init__(self, hand: Any) -> None:
-        super().__init__(hand)
+    def __init__(self, reactor: Any) -> None:
+        super().__init__(reactor)
         self.entered: list[BoardEvent] = []
         self.answers = True
 
@@ -131,10 +131,10 @@
     """One dispatcher in a process of its own, its board and its workers."""
 
     def __init__(
-        self, hand: Any, folder: Any, number: Any, workers: Any, known: Any = None, **limits: Any
+        self, reactor: Any, folder: Any, number: Any, workers: Any, known: Any = None, **limits: Any
     ) -> None:
-        self.hand, self.board = hand, StampedBoard(hand)
-        self.workers = [StampedRunner(hand, i + 1) for i in range(workers)]
+        self.reactor, self.board = reactor, StampedBoard(reactor)
+        self.workers = [StampedRunner(reactor, i + 1) for i in range(workers)]
         self.last = 1
         self.asked: list[Any] = []
         self.process: Any = None
@@ -171,25 +171,25 @@
     def ready(self) -> Any:
         """Whether its health check succeeds."""
         with suppress(OSError):
-            client = WebServer(self.hand, self.port, self.host)
+            client = WebServer(self.reactor, self.port, self.host)
             health = client.ask(script="/_health")
-            self.hand.follow(lambda: client.status(health) is not None or client.closed, 2.0)
+            self.reactor.follow(lambda: client.status(health) is not None or client.closed, 2.0)
             ready = client.status(health) == 200
             client.drop("asked")
             return ready
         return False
 
     def ask(self, client: Any = None, **fields: Any) -> Any:
-        client = client or WebServer(self.hand, self.port, self.host)
+        client = client or WebServer(self.reactor, self.port, self.host)
         number = client.ask(id=os.urandom(8).hex(), patience="9000", **fields)
         self.asked.append((client, number))
         return client
 
     def connected(self) -> Any:
         """A client connection that the dispatcher has accepted."""
-        client = WebServer(self.hand, self.port, self.host)
+        client = WebServer(self.reactor, self.port, self.host)
         health = client.ask(script="/_health")
-        assert self.hand.follow(lambda: client.status(health) is not None)
+        assert self.reactor.follow(lambda: client.status(health) is not None)
         return client
 
     def answered(self) -> Any:
@@ -201,7 +201,7 @@
 
     def stop(self) -> None:
         os.kill(self.process.pid, signal.SIGSTOP)
-        assert self.hand.follow(lambda: state_of(self.process.pid) == "T")
+        assert self.reactor.follow(lambda: state_of(self.process.pid) == "T")
 
     def resume(self) -> None:
         os.kill(self.process.pid, signal.SIGCONT)
@@ -241,41 +241,41 @@
 
 @pytest.fixture
 def side_by_side(tmp_path: Any) -> Iterator[Any]:
-    hand = ManualReactor()
+    reactor = ManualReactor()
     nodes: list[Any] = []
 
     def make(workers: int = 2, started: bool = True, **more: Any) -> Any:
-        nodes.extend(DispatcherProcess(hand, tmp_path, i, workers, **more) for i in range(DISPATCHERS))
+        nodes.extend(DispatcherProcess(reactor, tmp_path, i, workers, **more) for i in range(DISPATCHERS))
         for node in nodes if started else ():
             node.start()
         for node in nodes if started else ():
-            assert hand.follow(node.ready)
-        return hand, nodes
+            assert reactor.follow(node.ready)
+        return reactor, nodes
 
     yield make
     for node in nodes:
         node.end()
 
 
-def run_while_stopped(hand: Any, nodes: Any, write: Any) -> Any:
+def run_while_stopped(reactor: Any, nodes: Any, write: Any) -> Any:
     """Stop all dispatchers, call `write` for each, and continue them after the grace. Returns late starts."""
     for node in nodes:
         node.stop()
     for node in nodes:
         write(node)
     past = time.monotonic() + PAST
-    assert hand.follow(lambda: time.monotonic() > past)
+    assert reactor.follow(lambda: time.monotonic() > past)
     for node in nodes:
         node.resume()
-    assert hand.follow(lambda: all(node.answered() for node in nodes)), "requests without an answer"
-    hand.run(0.1)
+    assert reactor.follow(lambda: all(node.answered() for node in nodes)), "requests without an answer"
+    reactor.run(0.1)
     return [late for node in nodes for late in node.late_starts()]
 
 
-def serving_worker(hand: Any, node: Any) -> Any:
+def serving_worker(reactor: Any, node: Any) -> Any:
     """The worker that serves the tests' function."""
     node.ask()
-    assert hand.follow(node.answered)
+    assert reactor.follow(node.answered)
     (home,) = [worker for worker in node.workers if worker.started]
     return home
 
@@ -290,62 +290,62 @@
     side_by_side: Any, state: Any, backlog: Any
 ) -> None:
     """Requests and the event are unread in their sockets; the requests are read and placed first."""
-    hand, nodes = side_by_side()
-    homes = {node: serving_worker(hand, node) for node in nodes}
+    reactor, nodes = side_by_side()
+    homes = {node: serving_worker(reactor, node) for node in nodes}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
     def write(node: Any) -> None:
         for client in clients[node]:
             node.ask(client)
-        hand.quiet()
+        reactor.quiet()
         node.tell(homes[node], state, before=backlog)
 
-    assert run_while_stopped(hand, nodes, write) == []
+    assert run_while_stopped(reactor, nodes, write) == []
 
 
 @pytest.mark.parametrize("verb", ["503", "404"])
 def test_no_retry_after_a_stall_goes_to_a_draining_worker(side_by_side: Any, verb: Any) -> None:
     """The reply is read, and a retry or preload started, before the event is read."""
-    hand, nodes = side_by_side()
-    homes = {node: serving_worker(hand, node) for node in nodes}
+    reactor, nodes = side_by_side()
+    homes = {node: serving_worker(reactor, node) for node in nodes}
     held: dict[Any, Any] = {}
     for node in nodes:
         for worker in node.workers:
-            worker.on_run = lambda line, said, node=node: held.setdefault(node, (line, said))
+            worker.on_run = lambda line, message, node=node: held.setdefault(node, (line, message))
         node.ask()
-    assert hand.follow(lambda: len(held) == len(nodes))
+    assert reactor.follow(lambda: len(held) == len(nodes))
 
     def write(node: Any) -> None:
-        line, said = held[node]
+        line, message = held[node]
         for worker in node.workers:
             worker.on_run = None
-        line.say(verb, said["rid"])
-        hand.quiet()
+        line.say(verb, message["rid"])
+        reactor.quiet()
         other = next(worker for worker in node.workers if worker is not homes[node])
         node.tell(homes[node] if verb == "404" else other, DRAINING)
 
-    assert run_while_stopped(hand, nodes, write) == []
+    assert run_while_stopped(reactor, nodes, write) == []
 
 
 def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_in_a_stall(
     side_by_side: Any,
 ) -> None:
     """Lines queued for the connection are sent once it is established, before the event is read."""
-    hand, nodes = side_by_side(workers=1, **{"dial-timeout": 5_000_000})
-    crowds = [fill_accept_queue(hand, node.workers[0]) for node in nodes]
+    reactor, nodes = side_by_side(workers=1, **{"dial-timeout": 5_000_000})
+    crowds = [fill_accept_queue(reactor, node.workers[0]) for node in nodes]
     before = {node: open_connects(node.workers[0].port) for node in nodes}
     for node in nodes:
         node.ask()
-    assert hand.follow(lambda: all(open_connects(node.workers[0].port) > before[node] for node in nodes))
+    assert reactor.follow(lambda: all(open_connects(node.workers[0].port) > before[node] for node in nodes))
 
     def write(node: Any) -> None:
         worker = node.workers[0]
         worker.listener.sock.listen(1024)
-        hand.addReader(worker.listener)
-        assert hand.follow(lambda: len(worker.lines) > CROWD), "the connection never came"
+        reactor.addReader(worker.listener)
+        assert reactor.follow(lambda: len(worker.lines) > CROWD), "the connection never came"
         node.tell(worker, DRAINING)
 
-    assert run_while_stopped(hand, nodes, write) == []
+    assert run_while_stopped(reactor, nodes, write) == []
     for end in (end for crowd in crowds for end in crowd):
         end.close()
 
@@ -353,9 +353,9 @@
 CROWD = 2  # connections that fill a listener's accept queue
 
 
-def fill_accept_queue(hand: Any, worker: Any) -> Any:
+def fill_accept_queue(reactor: Any, worker: Any) -> Any:
     """Fill the worker's accept queue, so that further connects are not answered."""
-    hand.removeReader(worker.listener)
+    reactor.removeReader(worker.listener)
     worker.listener.sock.listen(0)
     crowd = [socket.socket() for _ in range(CROWD)]
     for end in crowd:
@@ -368,18 +368,18 @@
     side_by_side: Any,
 ) -> None:
     """The file was written before the worker drained; the board accepts the connection and sends nothing."""
-    hand, nodes = side_by_side(workers=1, started=False, known=DispatcherProcess.known)
+    reactor, nodes = side_by_side(workers=1, started=False, known=DispatcherProcess.known)
     for node in nodes:
         node.board.answers = False
         node.tell(node.workers[0], DRAINING)
     past = time.monotonic() + PAST
-    assert hand.follow(lambda: time.monotonic() > past)
+    assert reactor.follow(lambda: time.monotonic() > past)
     for node in nodes:
         node.start()
     for node in nodes:
-        assert hand.follow(lambda node=node: reachable(node))
+        assert reactor.follow(lambda node=node: reachable(node))
         node.ask()
-    assert hand.follow(lambda: all(node.answered() for node in nodes))
+    assert reactor.follow(lambda: all(node.answered() for node in nodes))
     assert [late for node in nodes for late in node.late_starts()] == []
 
 
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_crossings import FullListener, connections, fill_connection, queued_lines, stage, stages, stall
+from test_crossings import FullListener, connections, fill_connection, harness, harnesses, queued_lines, stall
 from test_node import SETTINGS
 
 from lapistrestle.edge.connection_state import ConnectionState
@@ -27,23 +27,23 @@
     "watch_started": 0,
     "event_missed": 0,
 }  # seconds until undelivered events count as notified, by method
-GRACE = 2.0  # seconds; the drain grace in the settings of `Stage`
+GRACE = 2.0  # seconds; the drain grace in the settings of `NodeHarness`
 DRAINING = 1
 
 
-__all__ = ["stage", "stages"]  # the fixtures
+__all__ = ["harness", "harnesses"]  # the fixtures
 
 
-def request_status(stage: Any, client: Any = None, **fields: Any) -> Any:
+def request_status(harness: Any, client: Any = None, **fields: Any) -> Any:
     """Send a request and return its status."""
-    client = client or stage.client()
+    client = client or harness.connect_client()
     number = client.ask(id=os.urandom(8).hex(), **fields)
-    stage.hand.until(lambda: client.status(number) is not None)
+    harness.reactor.until(lambda: client.status(number) is not None)
     return client.status(number)
 
 
-def discovery_of(stage: Any) -> Any:
-    return stage.node.discovery
+def discovery_of(harness: Any) -> Any:
+    return harness.node.discovery
 
 
 # the decision
@@ -77,68 +77,68 @@
 # the board and its silences
 
 
-def seconds_usable(stage: Any, most: float = 12.0) -> Any:
+def seconds_usable(harness: Any, most: float = 12.0) -> Any:
     """For how many seconds requests, sent every 0.1 s, are served; None: all the time."""
-    began = last = stage.hand.rightNow
-    while stage.hand.rightNow < began + most:
-        runs = len(stage.runs())
-        status = request_status(stage)
+    began = last = harness.reactor.rightNow
+    while harness.reactor.rightNow < began + most:
+        runs = len(harness.run_messages())
+        status = request_status(harness)
         if status != 200:
-            assert status == 503 and len(stage.runs()) == runs
+            assert status == 503 and len(harness.run_messages()) == runs
             return last - began
-        last = stage.hand.rightNow
-        stage.hand.run(0.1)
+        last = harness.reactor.rightNow
+        harness.reactor.run(0.1)
     return None
 
 
-def test_a_board_silent_on_a_new_watch_stops_new_work_after_the_grace(stage: Any) -> None:
+def test_a_board_silent_on_a_new_watch_stops_new_work_after_the_grace(harness: Any) -> None:
     """It accepts the new connection and sends nothing: its events count as notified from then on."""
-    stage.board.beats = False
+    harness.board.beats = False
     taken: list[Any] = []
-    stage.board.listener.on_connection = taken.append
-    lasted = seconds_usable(stage)
+    harness.board.listener.on_connection = taken.append
+    lasted = seconds_usable(harness)
     assert taken and lasted is not None and lasted <= 2.6 + GRACE  # asked again after 2.2 to 2.5 s
-    assert request_status(stage, script="/_health") == 503
+    assert request_status(harness, script="/_health") == 503
 
 
-def test_a_lost_board_stops_new_work_after_the_time_of_a_break_and_the_grace(stage: Any) -> None:
-    stage.board.listener.close()
-    stage.board.cut()
-    lasted = seconds_usable(stage)
+def test_a_lost_board_stops_new_work_after_the_time_of_a_break_and_the_grace(harness: Any) -> None:
+    harness.board.listener.close()
+    harness.board.cut()
+    lasted = seconds_usable(harness)
     assert lasted is not None and BROKEN + GRACE - 0.3 < lasted < BROKEN + GRACE + 0.001
 
 
-def test_work_continues_with_the_first_frame_of_a_board_that_is_back(stage: Any) -> None:
-    stage.board.listener.close()
-    stage.board.cut()
-    assert seconds_usable(stage) is not None
-    back = BoardStub(stage.hand, port=stage.board.port)
-    back.events = dict(stage.board.events)
-    stage.hand.run(1.5)  # its next heartbeat
-    assert request_status(stage) == 200
-    assert [what for what, _ in stage.logs if what.startswith("list")][-2:] == [
+def test_work_continues_with_the_first_frame_of_a_board_that_is_back(harness: Any) -> None:
+    harness.board.listener.close()
+    harness.board.cut()
+    assert seconds_usable(harness) is not None
+    back = BoardStub(harness.reactor, port=harness.board.port)
+    back.events = dict(harness.board.events)
+    harness.reactor.run(1.5)  # its next heartbeat
+    assert request_status(harness) == 200
+    assert [what for what, _ in harness.logs if what.startswith("list")][-2:] == [
         "list too old for new work", "list usable",
     ]  # fmt: skip
     back.listener.close()
     back.cut()
 
 
-def test_a_reconnect_without_delay_rejects_no_request(stage: Any) -> None:
+def test_a_reconnect_without_delay_rejects_no_request(harness: Any) -> None:
     for _ in range(3):
-        stage.board.cut()
-        stage.hand.run(0.01)
-        assert seconds_usable(stage, most=1.5) is None
+        harness.board.cut()
+        harness.reactor.run(0.01)
+        assert seconds_usable(harness, most=1.5) is None
 
 
-def test_a_board_with_heartbeats_is_always_recent_enough(stage: Any) -> None:
-    assert seconds_usable(stage, most=15.0) is None
-    assert stage.board.asked == [0]
+def test_a_board_with_heartbeats_is_always_recent_enough(harness: Any) -> None:
+    assert seconds_usable(harness, most=15.0) is None
+    assert harness.board.asked == [0]
 
 
 # configurations
 
 
-def write_configuration(stage: Any, tmp_path: Any, **more: Any) -> Any:
+def write_configuration(harness: Any, tmp_path: Any, **more: Any) -> Any:
     """Write a configuration file."""
     path = tmp_path / "config.json"
     file = {"name": "n3", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS} | more
@@ -146,68 +146,68 @@
     return path
 
 
-def server(stage: Any, state: str = "SERVING", number: int = 1) -> Any:
+def server(harness: Any, state: str = "SERVING", number: int = 1) -> Any:
     return {
-        "id": f"s-{number:08x}", "addr": f"127.0.0.1:{stage.runners[0].port}", "zone": "east", "kind": "std",
-        "cell": 0, "state": state,
+        "id": f"s-{number:08x}", "addr": f"127.0.0.1:{harness.runners[0].port}", "zone": "east",
+        "kind": "std", "cell": 0, "state": state,
     }  # fmt: skip
 
 
 @pytest.mark.parametrize("whole_after", [0.05, 0.65, 3.3, 3.9])
 def test_a_file_completed_within_the_time_of_a_move_is_read_in_time(
-    stage: Any, tmp_path: Any, whole_after: Any
+    harness: Any, tmp_path: Any, whole_after: Any
 ) -> None:
     """Guards against retries at growing intervals (0.1 to 6.3 s), the last of which comes after 4 s
     and the grace.
     """
-    began, second = stage.hand.rightNow, BoardStub(stage.hand)
-    whole = read_configuration(str(write_configuration(stage, tmp_path, board=f"127.0.0.1:{second.port}")))
+    began, second = harness.reactor.rightNow, BoardStub(harness.reactor)
+    whole = read_configuration(str(write_configuration(harness, tmp_path, board=f"127.0.0.1:{second.port}")))
 
     def reading() -> Any:
-        if stage.hand.rightNow < began + whole_after:
+        if harness.reactor.rightNow < began + whole_after:
             raise ConfigurationError("half of it")
         return whole
 
-    stage.node.reload(reading)
-    stage.hand.run(whole_after + 0.15)
-    stage.hand.until(lambda: second.asked)
+    harness.node.reload(reading)
+    harness.reactor.run(whole_after + 0.15)
+    harness.reactor.until(lambda: second.asked)
     second.listener.close()
     second.cut()
 
 
-def test_later_events_in_a_new_configuration_are_applied(stage: Any, tmp_path: Any) -> None:
+def test_later_events_in_a_new_configuration_are_applied(harness: Any, tmp_path: Any) -> None:
     """Guards against ignoring a drain in the file until the new board sends it."""
-    events = [{"rev": 2, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
-    path = write_configuration(stage, tmp_path, known={"rev": 2, "notices": events})
-    stage.node.apply_configuration(read_configuration(str(path)))
+    events = [{"rev": 2, "pool": {"full": False, "servers": [server(harness, "DRAINING")]}}]
+    path = write_configuration(harness, tmp_path, known={"rev": 2, "notices": events})
+    harness.node.apply_configuration(read_configuration(str(path)))
     assert (
-        stage.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
-        and discovery_of(stage).revision == 2
+        harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
+        and discovery_of(harness).revision == 2
     )
 
 
-def test_events_in_a_configuration_after_a_gap_are_not_applied(stage: Any, tmp_path: Any) -> None:
-    events = [{"rev": 3, "pool": {"full": False, "servers": [server(stage, "DRAINING")]}}]
-    stage.node.apply_configuration(
-        read_configuration(str(write_configuration(stage, tmp_path, known={"rev": 3, "notices": events})))
+def test_events_in_a_configuration_after_a_gap_are_not_applied(harness: Any, tmp_path: Any) -> None:
+    events = [{"rev": 3, "pool": {"full": False, "servers": [server(harness, "DRAINING")]}}]
+    harness.node.apply_configuration(
+        read_configuration(str(write_configuration(harness, tmp_path, known={"rev": 3, "notices": events})))
     )
     assert (
-        discovery_of(stage).revision == 1
-        and stage.workers()["s-00000001"].endpoint_state is EndpointState.SERVING
+        discovery_of(harness).revision == 1
+        and harness.workers()["s-00000001"].endpoint_state is EndpointState.SERVING
     )
 
 
 @pytest.mark.parametrize(("behind", "age"), [(0.0, 0), (1.5, 15_000), (-1.0, None)])
-def test_the_age_of_the_list_is_that_of_its_file(stage: Any, tmp_path: Any, behind: Any, age: Any) -> None:
-    configuration = read_configuration(str(write_configuration(stage, tmp_path)))
+def test_the_age_of_the_list_is_that_of_its_file(harness: Any, tmp_path: Any, behind: Any, age: Any) -> None:
+    configuration = read_configuration(str(write_configuration(harness, tmp_path)))
     assert configuration.age(configuration.written + behind) == age
 
 
 def test_a_file_replaced_while_it_is_read_is_as_old_as_the_one_before(
-    stage: Any, tmp_path: Any, monkeypatch: Any
+    harness: Any, tmp_path: Any, monkeypatch: Any
 ) -> None:
     """Guards against taking the age after reading: an older list would get the newer file's age."""
-    path, read_bytes = write_configuration(stage, tmp_path), Path.read_bytes
+    path, read_bytes = write_configuration(harness, tmp_path), Path.read_bytes
 
     def replaced(self: Path) -> bytes:
         raw = read_bytes(self)
@@ -219,30 +219,30 @@
     assert read_configuration(str(path)).written == 1_000
 
 
-def test_without_a_board_the_list_of_the_file_holds(stage: Any, tmp_path: Any) -> None:
+def test_without_a_board_the_list_of_the_file_holds(harness: Any, tmp_path: Any) -> None:
     """Without a board there are no events to miss."""
-    known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(stage)]}}]}
-    configuration = read_configuration(str(write_configuration(stage, tmp_path, known=known)))
-    node = Node(stage.hand, configuration, lambda what, **figures: None)
+    known = {"rev": 1, "notices": [{"rev": 1, "pool": {"full": True, "servers": [server(harness)]}}]}
+    configuration = read_configuration(str(write_configuration(harness, tmp_path, known=known)))
+    node = Node(harness.reactor, configuration, lambda what, **figures: None)
     node.discovery.start()
-    stage.hand.run(60.0)
+    harness.reactor.run(60.0)
     assert node.discovery.ready()
 
 
 # the content of frames
 
 
-def test_an_invalid_record_does_not_affect_the_others_of_its_event(stages: Any) -> None:
+def test_an_invalid_record_does_not_affect_the_others_of_its_event(harnesses: Any) -> None:
     """Guards against requesting an event with an invalid record again forever, so that no later
     drain arrives.
     """
-    stage = stages()
-    stage.board.tell(2, 2, stage.row(0, state=7), board_row(9, 0), stage.row(1, state=DRAINING))
-    stage.board.tell(3, 2, board_row(8, 1234, zone=200, kind=200, state=2))
-    stage.hand.until(lambda: discovery_of(stage).revision == 3)
-    listings = {name: worker.endpoint_state for name, worker in stage.workers().items()}
-    assert set(listings.values()) == {EndpointState.DRAINING} and stage.board.asked == [0]
-    assert request_status(stage) == 503 and stage.runs() == []
+    harness = harnesses()
+    harness.board.tell(2, 2, harness.row(0, state=7), board_row(9, 0), harness.row(1, state=DRAINING))
+    harness.board.tell(3, 2, board_row(8, 1234, zone=200, kind=200, state=2))
+    harness.reactor.until(lambda: discovery_of(harness).revision == 3)
+    listings = {name: worker.endpoint_state for name, worker in harness.workers().items()}
+    assert set(listings.values()) == {EndpointState.DRAINING} and harness.board.asked == [0]
+    assert request_status(harness) == 503 and harness.run_messages() == []
 
 
 @given(state=st.integers(0, 255), port=st.integers(0, 65_535))
@@ -255,36 +255,36 @@
 # just before the first byte
 
 
-def stall_between_decision_and_write(stage: Any, meanwhile: Any) -> None:
+def stall_between_decision_and_write(harness: Any, meanwhile: Any) -> None:
     """Stall the process after the module has decided and before anything is written."""
-    sent = stage.node.core.send_call
+    sent = harness.node.core.send_call
 
     def run(worker_call: Any) -> None:
-        stage.node.core.send_call = sent
+        harness.node.core.send_call = sent
         meanwhile()
-        stall(stage, 0.3)
+        stall(harness, 0.3)
         sent(worker_call)
 
-    stage.node.core.send_call = run
+    harness.node.core.send_call = run
 
 
 @pytest.mark.parametrize("state", [1, 2], ids=["drains", "is gone"])
 def test_after_a_stall_between_decision_and_write_nothing_is_sent_to_a_draining_worker(
-    stage: Any, state: Any
+    harness: Any, state: Any
 ) -> None:
-    assert request_status(stage) == 200
-    stall_between_decision_and_write(stage, lambda: stage.board.tell(2, 2, stage.row(0, state=state)))
-    assert request_status(stage) == 503 and len(stage.runs()) == 1
-    assert stage.node.core.counts["not begun"] == 1
-    assert [figures["listing"] for what, figures in stage.logs if what == "not begun"] != []
+    assert request_status(harness) == 200
+    stall_between_decision_and_write(harness, lambda: harness.board.tell(2, 2, harness.row(0, state=state)))
+    assert request_status(harness) == 503 and len(harness.run_messages()) == 1
+    assert harness.node.core.counts["not begun"] == 1
+    assert [figures["listing"] for what, figures in harness.logs if what == "not begun"] != []
 
 
 @pytest.mark.parametrize("how", ["aborts", "closes"])
 def test_after_a_stall_between_decision_and_write_nothing_is_sent_for_a_disconnected_client(
-    stage: Any, how: Any
+    harness: Any, how: Any
 ) -> None:
-    assert request_status(stage) == 200
-    client = stage.client()
+    assert request_status(harness) == 200
+    client = harness.connect_client()
 
     def leaves() -> None:
         if how == "aborts":
@@ -292,120 +292,122 @@
         else:
             client.drop("gone")
 
-    stall_between_decision_and_write(stage, leaves)
+    stall_between_decision_and_write(harness, leaves)
     client.ask(id=os.urandom(8).hex())
-    stage.hand.until(lambda: stage.host.counts["left"])
-    stage.hand.quiet()
-    assert len(stage.runs()) == 1 and not stage.host.worker_calls
+    harness.reactor.until(lambda: harness.host.counts["left"])
+    harness.reactor.quiet()
+    assert len(harness.run_messages()) == 1 and not harness.host.worker_calls
 
 
-def test_none_of_many_requests_is_started_for_a_client_that_closed_behind_them(stage: Any) -> None:
+def test_none_of_many_requests_is_started_for_a_client_that_closed_behind_them(harness: Any) -> None:
     """Guards against reading only 64 KiB after a stall, and the close behind them some polls later."""
-    client = stage.client()
-    assert request_status(stage, client) == 200
-    stage.hand.readers.pop(next(iter(stage.node.front.connections)))
+    client = harness.connect_client()
+    assert request_status(harness, client) == 200
+    harness.reactor.readers.pop(next(iter(harness.node.front.connections)))
     for _ in range(8):
         client.ask(body=b"x" * 16_000, id=os.urandom(8).hex())
-    stage.hand.until(lambda: not client.unsent)
+    harness.reactor.until(lambda: not client.unsent)
     client.drop("gone")
-    stall(stage, 0.3)
-    for connection in stage.node.front.connections:
-        stage.hand.readers[connection] = None
-    stage.hand.quiet()
-    assert len(stage.runs()) == 1 and stage.host.open_requests == 0
+    stall(harness, 0.3)
+    for connection in harness.node.front.connections:
+        harness.reactor.readers[connection] = None
+    harness.reactor.quiet()
+    assert len(harness.run_messages()) == 1 and harness.host.open_requests == 0
 
 
-def test_nothing_is_sent_to_a_draining_worker_on_a_socket_writable_after_a_stall(stage: Any) -> None:
+def test_nothing_is_sent_to_a_draining_worker_on_a_socket_writable_after_a_stall(harness: Any) -> None:
     """Guards against sending queued lines once there is room, before the event of the same poll is read."""
-    client, line, connection = fill_connection(stage)
-    before = len(stage.runs())
+    client, line, connection = fill_connection(harness)
+    before = len(harness.run_messages())
     client.ask(method="bill", patience="3000")
-    stage.hand.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
-    watch = discovery_of(stage).watch
-    stage.hand.readers.pop(watch)  # the reactor reads it last
-    stage.board.tell(2, 2, stage.row(0, state=DRAINING))
-    stall(stage, 0.3)
-    stage.hand.addReader(line)
-    stage.hand.until(lambda: connection.state_machine.state is not ConnectionState.SLOW)
-    stage.hand.addReader(watch)
-    stage.hand.quiet()
-    assert len(stage.runs()) == before and not stage.host.worker_calls
-
-
-def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_during_a_stall(stage: Any) -> None:
-    closed, client = FullListener(stage), stage.client()
+    harness.reactor.until(lambda: connection.state_machine.state is ConnectionState.SLOW)
+    watch = discovery_of(harness).watch
+    harness.reactor.readers.pop(watch)  # the reactor reads it last
+    harness.board.tell(2, 2, harness.row(0, state=DRAINING))
+    stall(harness, 0.3)
+    harness.reactor.addReader(line)
+    harness.reactor.until(lambda: connection.state_machine.state is not ConnectionState.SLOW)
+    harness.reactor.addReader(watch)
+    harness.reactor.quiet()
+    assert len(harness.run_messages()) == before and not harness.host.worker_calls
+
+
+def test_nothing_is_sent_to_a_draining_worker_on_a_connection_made_during_a_stall(harness: Any) -> None:
+    closed, client = FullListener(harness), harness.connect_client()
     client.ask(method="bill", patience="3000")
-    stage.hand.until(lambda: queued_lines(stage))
-    watch = discovery_of(stage).watch
-    stage.hand.readers.pop(watch)
-    stage.board.tell(2, 2, stage.row(0, state=DRAINING))
-    stall(stage, 0.1)
+    harness.reactor.until(lambda: queued_lines(harness))
+    watch = discovery_of(harness).watch
+    harness.reactor.readers.pop(watch)
+    harness.board.tell(2, 2, harness.row(0, state=DRAINING))
+    stall(harness, 0.1)
     closed.open()
-    stage.hand.until(lambda: not queued_lines(stage))
-    stage.hand.addReader(watch)
-    stage.hand.quiet()
-    assert stage.runs() == [] and not stage.host.worker_calls
+    harness.reactor.until(lambda: not queued_lines(harness))
+    harness.reactor.addReader(watch)
+    harness.reactor.quiet()
+    assert harness.run_messages() == [] and not harness.host.worker_calls
 
 
-def test_no_preload_is_sent_to_a_draining_worker_after_a_stall(stage: Any) -> None:
+def test_no_preload_is_sent_to_a_draining_worker_after_a_stall(harness: Any) -> None:
     """Guards against a preload after a miss, sent before the event is read."""
-    stage.runners[0].loaded, got = {}, []
-    stage.runners[0].on_run = lambda line, said: got.append((line, said))
-    client = stage.client()
+    harness.runners[0].loaded, received = {}, []
+    harness.runners[0].on_run = lambda line, message: received.append((line, message))
+    client = harness.connect_client()
     number = client.ask()
-    stage.hand.until(lambda: got)
-    line, said = got[0]
-    line.say("404", said["rid"])
-    watch = discovery_of(stage).watch
-    stage.hand.readers.pop(watch)
-    stage.hand.readers[watch] = None  # read last in the poll that brings both
-    stage.board.tell(2, 2, stage.row(0, state=DRAINING))
-    stall(stage, 3.0)
-    stage.hand.until(lambda: client.status(number) is not None)
-    assert [said for said in stage.runners[0].others if said["verb"] == "HOLD"] == []
+    harness.reactor.until(lambda: received)
+    line, message = received[0]
+    line.say("404", message["rid"])
+    watch = discovery_of(harness).watch
+    harness.reactor.readers.pop(watch)
+    harness.reactor.readers[watch] = None  # read last in the poll that brings both
+    harness.board.tell(2, 2, harness.row(0, state=DRAINING))
+    stall(harness, 3.0)
+    harness.reactor.until(lambda: client.status(number) is not None)
+    assert [message for message in harness.runners[0].others if message["verb"] == "HOLD"] == []
 
 
 # the time left that is sent to runners
 
 
-def test_the_budget_sent_is_the_time_left_when_the_line_is_written(stage: Any) -> None:
+def test_the_budget_sent_is_the_time_left_when_the_line_is_written(harness: Any) -> None:
     """Guards against encoding the time left before the connection is established, here 0.2 s later."""
-    closed, client = FullListener(stage), stage.client()
+    closed, client = FullListener(harness), harness.connect_client()
     client.ask(patience="1000")
-    stage.hand.until(lambda: queued_lines(stage))
-    stage.hand.run(0.2)
+    harness.reactor.until(lambda: queued_lines(harness))
+    harness.reactor.run(0.2)
     closed.open()
-    stage.hand.until(stage.runs)
-    (said,) = stage.runs()
-    assert 0 < said["attrs"]["budget"] <= 800
+    harness.reactor.until(harness.run_messages)
+    (message,) = harness.run_messages()
+    assert 0 < message["attrs"]["budget"] <= 800
 
 
-def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(stages: Any) -> None:
+def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(harnesses: Any) -> None:
     usual: Any = SETTINGS["limits"]
-    stage = stages(runners=1, limits=usual | {"dial-timeout": 5_000_000})
-    closed, client = FullListener(stage), stage.client()
+    harness = harnesses(runners=1, limits=usual | {"dial-timeout": 5_000_000})
+    closed, client = FullListener(harness), harness.connect_client()
     number = client.ask(patience="400")
-    stage.hand.until(lambda: queued_lines(stage))
-    stall(stage, 0.41)
+    harness.reactor.until(lambda: queued_lines(harness))
+    stall(harness, 0.41)
     closed.open()
-    stage.hand.until(lambda: client.status(number) is not None)
-    stage.hand.until(lambda: all(c.state_machine.state is ConnectionState.OPEN for c in connections(stage)))
-    assert stage.runs() == []
+    harness.reactor.until(lambda: client.status(number) is not None)
+    harness.reactor.until(
+        lambda: all(c.state_machine.state is ConnectionState.OPEN for c in connections(harness))
+    )
+    assert harness.run_messages() == []
 
 
-def test_each_of_many_requests_on_a_connection_has_its_own_time_left(stage: Any) -> None:
+def test_each_of_many_requests_on_a_connection_has_its_own_time_left(harness: Any) -> None:
     """Guards against counting older unread requests as recent as the last one."""
-    client = stage.client()
-    assert request_status(stage, client) == 200
-    connection = next(iter(stage.node.front.connections))
-    stage.hand.readers.pop(connection)
+    client = harness.connect_client()
+    assert request_status(harness, client) == 200
+    connection = next(iter(harness.node.front.connections))
+    harness.reactor.readers.pop(connection)
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
-    stall(stage, 0.3)
+    stall(harness, 0.3)
     client.ask(method="bill", patience="1000", id=os.urandom(8).hex())
-    stage.hand.unread_for = lambda sock: 0.0  # the kernel knows the age of the last bytes only
-    stage.hand.looked = (stage.hand.rightNow - 0.3, stage.hand.rightNow)
-    stage.hand.rightNow += 0.001
+    harness.reactor.unread_for = lambda sock: 0.0  # the kernel knows the age of the last bytes only
+    harness.reactor.looked = (harness.reactor.rightNow - 0.3, harness.reactor.rightNow)
+    harness.reactor.rightNow += 0.001
     connection.read(1)
-    stage.hand.quiet()
-    first, second = [said["attrs"]["budget"] for said in stage.runs()[1:]]
+    harness.reactor.quiet()
+    first, second = [message["attrs"]["budget"] for message in harness.run_messages()[1:]]
     assert first <= 700 + 150 and second <= 1000
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -31,8 +31,8 @@
     """A board, a runner and a dispatcher in a process of its own."""
 
     def __init__(self, folder: Any) -> None:
-        self.hand = ManualReactor()
-        self.board, self.runner = BoardStub(self.hand), RunnerStub(self.hand)
+        self.reactor = ManualReactor()
+        self.board, self.runner = BoardStub(self.reactor), RunnerStub(self.reactor)
         self.board.tell(1, 1, board_row(1, self.runner.port))
         self.port, self.path = free_port(), folder / "config.json"
         self.processes: list[Any] = []
@@ -52,10 +52,10 @@
         return made
 
     def until(self, done: Any) -> None:
-        assert self.hand.follow(done), "it never came"
+        assert self.reactor.follow(done), "it never came"
 
     def call(self, id: Any) -> Any:
-        client = WebServer(self.hand, self.port)
+        client = WebServer(self.reactor, self.port)
         number = client.ask(id=id)
         self.until(lambda: client.status(number) is not None)
         return client.status(number), client
@@ -84,7 +84,7 @@
     assert status == 200 and client.body(1) == b"hello"
     world.write("{nonsense")
     node.send_signal(signal.SIGHUP)
-    other = BoardStub(world.hand)
+    other = BoardStub(world.reactor)
     world.until(lambda: "refused" in node.stderr.readline())
     world.write(world.config | {"board": f"127.0.0.1:{other.port}"})
     node.send_signal(signal.SIGHUP)
@@ -100,7 +100,7 @@
 def test_a_half_written_configuration_is_read_again_without_another_signal(world: Any) -> None:
     node = world.start()
     world.until(lambda: world.board.asked)
-    other = BoardStub(world.hand)
+    other = BoardStub(world.reactor)
     whole = json.dumps(world.config | {"board": f"127.0.0.1:{other.port}"})
     world.write(whole[: len(whole) // 2])
     node.send_signal(signal.SIGHUP)
@@ -124,17 +124,19 @@
     limit = "import resource, runpy; resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)); "
     node = world.start(words=["-c", limit + "runpy.run_module('lapistrestle.node', run_name='__main__')"])
     world.until(lambda: "listening" in node.stderr.readline())
-    crowd = [WebServer(world.hand, world.port) for _ in range(150)]
+    crowd = [WebServer(world.reactor, world.port) for _ in range(150)]
     world.until(lambda: all(not end.dialling for end in crowd))
     world.until(lambda: sum(bool(end.closed) for end in crowd) > 80)
-    board = BoardStub(world.hand, port=world.board.port)
+    board = BoardStub(world.reactor, port=world.board.port)
     board.tell(1, 1, board_row(1, world.runner.port))
     world.until(lambda: board.asked)
 
     def served() -> Any:
-        client = WebServer(world.hand, world.port)
+        client = WebServer(world.reactor, world.port)
         health = client.ask(script="/_health")
-        return world.hand.follow(lambda: client.status(health) is not None) and client.status(health) == 200
+        return (
+            world.reactor.follow(lambda: client.status(health) is not None) and client.status(health) == 200
+        )
 
     world.until(served)
     statuses = [world.call(f"9b1f03aa5c7e2d{i:02x}")[0] for i in range(20)]
@@ -144,9 +146,9 @@
 
 def test_rolling_restarts_under_load_lose_no_request(world: Any) -> None:
     """As on the platform: new connections for 0.3 s after SIGTERM, requests on open ones for 0.2 s more."""
-    ports, hand = [free_port() for _ in range(3)], world.hand
+    ports, reactor = [free_port() for _ in range(3)], world.reactor
     asked: list[Any] = []
-    world.runner.on_run = lambda line, said: hand.callLater(0.05, world.runner.answer, line, said)
+    world.runner.on_run = lambda line, message: reactor.callLater(0.05, world.runner.answer, line, message)
 
     def start(port: Any) -> Any:
         node = world.start(EDGE_LISTEN=f"127.0.0.1:{port}", EDGE_NAME=f"n{port}")
@@ -154,7 +156,7 @@
         return node
 
     def ask(port: int = 0, client: Any = None) -> Any:
-        client = client or WebServer(hand, port)
+        client = client or WebServer(reactor, port)
         asked.append((client, client.ask(id=f"{len(asked) + 1:016x}")))
         return client
 
@@ -176,11 +178,11 @@
             if fresh.status(1) is not None:
                 fresh = ask(port)
             again(others)
-            hand.run(0.01)
+            reactor.run(0.01)
         end += 0.2
         while time.monotonic() < end:
             again(kept)
-            hand.run(0.01)
+            reactor.run(0.01)
         world.until(lambda node=node: node.poll() is not None)
         assert node.returncode == 0
         nodes[port] = start(port)
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -20,8 +20,8 @@
 class SentRequests:
     """Requests of side-effecting calls, each with the time at which its client sent it."""
 
-    def __init__(self, hand: Any) -> None:
-        self.hand = hand
+    def __init__(self, reactor: Any) -> None:
+        self.reactor = reactor
         self.sent: dict[Any, Any] = {}
 
     def ask(self, client: Any, patience_ms: int = 9_000) -> Any:
@@ -34,12 +34,12 @@
     def over_budget(self, runs: Any) -> Any:
         """Runs with a larger budget than their client had left when they began to arrive."""
         late = []
-        for worker, said, began in runs:
-            if said["rid"] in self.sent:
-                sent, patience_ms = self.sent[said["rid"]]
+        for worker, message, began in runs:
+            if message["rid"] in self.sent:
+                sent, patience_ms = self.sent[message["rid"]]
                 left = patience_ms - (began - sent) * 1000
-                if float(said["attrs"]["budget"]) > left + SLACK_MS:
-                    late.append((worker, said["attrs"]["budget"], round(left)))
+                if float(message["attrs"]["budget"]) > left + SLACK_MS:
+                    late.append((worker, message["attrs"]["budget"], round(left)))
         return late
 
 
@@ -48,18 +48,18 @@
     runs = []
     for worker in node.workers:
         stamps = [start.at for start in worker.started if start.what == "RUN"]
-        runs += [(worker.number, said, at) for said, at in zip(worker.runs, stamps, strict=True)]
+        runs += [(worker.number, message, at) for message, at in zip(worker.runs, stamps, strict=True)]
     return runs
 
 
-def run_while_stopped(hand: Any, nodes: Any, meanwhile: Any) -> None:
+def run_while_stopped(reactor: Any, nodes: Any, meanwhile: Any) -> None:
     """Stop all dispatchers, call `meanwhile` for each, and continue them after a while."""
     for node in nodes:
         node.stop()
     past = time.monotonic() + PAST
     for node in nodes:
         meanwhile(node)
-    assert hand.follow(lambda: time.monotonic() > past)
+    assert reactor.follow(lambda: time.monotonic() > past)
     for node in nodes:
         node.resume()
 
@@ -67,14 +67,14 @@
 def is_alive(node: Any) -> Any:
     """Whether it answers a request that is sent after all others."""
     node.ask()
-    return node.hand.follow(node.answered)
+    return node.reactor.follow(node.answered)
 
 
 @pytest.mark.parametrize("how", ["abort", "close"])
 def test_nothing_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any, how: Any) -> None:
     """Several requests per connection, with the longest bodies; some clients still wait."""
-    hand, nodes = side_by_side()
-    asked, left, wanted = SentRequests(hand), set(), {}
+    reactor, nodes = side_by_side()
+    asked, left, wanted = SentRequests(reactor), set(), {}
     clients = {node: [node.connected() for _ in range(4)] for node in nodes}
 
     def leave(node: Any) -> None:
@@ -82,7 +82,7 @@
             for _ in range(6):
                 left.add(asked.ask(client))
                 client.ask(id=os.urandom(8).hex(), body=b"x" * 16_000, patience="9000")
-        hand.quiet()
+        reactor.quiet()
         for client in clients[node][1:]:
             if how == "close":
                 client.drop("gone")
@@ -92,61 +92,61 @@
         wanted[node] = asked.ask(clients[node][0])
 
     for node in nodes:
-        serving_worker(hand, node)
-    run_while_stopped(hand, nodes, leave)
+        serving_worker(reactor, node)
+    run_while_stopped(reactor, nodes, leave)
     for node in nodes:
         assert is_alive(node)
-        came = {said["rid"] for _, said, _ in runs_of(node)}
+        came = {message["rid"] for _, message, _ in runs_of(node)}
         assert wanted[node] in came and not came & left
 
 
 def test_no_retry_is_started_for_clients_that_disconnected_during_a_stall(side_by_side: Any) -> None:
     """A worker rejects the first attempt; its reply is queued before the client's close."""
-    hand, nodes = side_by_side()
-    asked = SentRequests(hand)
+    reactor, nodes = side_by_side()
+    asked = SentRequests(reactor)
     held: dict[Any, Any] = {}
     for node in nodes:
-        serving_worker(hand, node)
+        serving_worker(reactor, node)
         for worker in node.workers:
-            worker.on_run = lambda line, said, node=node: held.setdefault(node, (line, said))
+            worker.on_run = lambda line, message, node=node: held.setdefault(node, (line, message))
     clients = {node: node.connected() for node in nodes}
     for node in nodes:
         asked.ask(clients[node])
-    assert hand.follow(lambda: len(held) == len(nodes))
+    assert reactor.follow(lambda: len(held) == len(nodes))
 
     def leave(node: Any) -> None:
-        line, said = held[node]
-        line.say("503", said["rid"])
-        hand.quiet()
+        line, message = held[node]
+        line.say("503", message["rid"])
+        reactor.quiet()
         for worker in node.workers:
             worker.on_run = None
         clients[node].drop("gone")
 
-    run_while_stopped(hand, nodes, leave)
+    run_while_stopped(reactor, nodes, leave)
     for node in nodes:
         assert is_alive(node)
-        runs = [said["rid"] for _, said, _ in runs_of(node)]
+        runs = [message["rid"] for _, message, _ in runs_of(node)]
         assert runs.count(held[node][1]["rid"]) == 1
 
 
 def test_the_budget_sent_is_at_most_the_client_s_time_left(side_by_side: Any) -> None:
     """Requests are sent during the whole stall, on old connections and new ones."""
-    hand, nodes = side_by_side()
-    asked = SentRequests(hand)
+    reactor, nodes = side_by_side()
+    asked = SentRequests(reactor)
     for node in nodes:
-        serving_worker(hand, node)
+        serving_worker(reactor, node)
     clients = {node: [node.connected() for _ in range(3)] for node in nodes}
 
     def ask(node: Any) -> None:
         began = time.monotonic()
         for part in range(3):
-            assert hand.follow(lambda part=part: time.monotonic() > began + part * PAST / 2)
+            assert reactor.follow(lambda part=part: time.monotonic() > began + part * PAST / 2)
             for client in clients[node]:
                 asked.ask(client, 3_000)
-            clients[node].append(WebServer(hand, node.port, node.host))
+            clients[node].append(WebServer(reactor, node.port, node.host))
             asked.ask(clients[node][-1], 3_000)
 
-    run_while_stopped(hand, nodes, ask)
+    run_while_stopped(reactor, nodes, ask)
     for node in nodes:
         assert is_alive(node)
         assert len(runs_of(node)) > 6 and asked.over_budget(runs_of(node)) == []
