--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,7 @@
-"""The state machines of holder and watcher, each rule by itself and in random schedules."""
+"""The decisions of the directory's holders (servers) and watchers (clients), without I/O.
+
+First each rule by itself, on a manual clock; then simulated regions with random faults.
+"""
 
 from dataclasses import replace
 from itertools import pairwise
@@ -135,7 +138,7 @@
     harness.watch(1, "f", 4)
     names = [int(e.name[1:]) for e in harness.collected(wire.Snapshot)[0].entries]
     harness.run(SECOND, renew=[1])
-    began = harness.now
+    changed_at = harness.now
     harness.send_list([entry(names[0], size=2.0)])
     harness.run(100 * MILLISECOND)
     assert not harness.collected(wire.Update)
@@ -145,10 +148,11 @@
     assert {e.name: e.listing for e in update.entries}[f"w{names[1]}"] == "draining"
     assert update.gone == [f"w{names[2]}"]
     harness.run(SECOND)
-    assert harness.sent[-1][0] - began <= SECOND
+    assert harness.sent[-1][0] - changed_at <= SECOND
 
 
 def test_a_flapping_instance_is_sent_at_most_once_per_batch():
+    """Guards against an urgent update at each change of an instance that drains and serves in turn."""
     harness = HolderHarness()
     harness.connect(1)
     harness.watch(1, "f", 4)
@@ -162,6 +166,7 @@
 
 
 def test_a_drain_of_a_flapping_instance_is_sent_within_a_second():
+    """Guards against postponing the drain without limit because the instance has just changed."""
     harness = HolderHarness()
     harness.connect(1)
     harness.watch(1, "f", 4)
@@ -170,11 +175,11 @@
     harness.run(60 * MILLISECOND)
     harness.send_list([entry(name, listing="serving")])
     harness.send_list([entry(name, listing="draining")])
-    began = harness.now
+    drained_at = harness.now
     harness.send_list([entry(name, listing="draining", start="2")])
     harness.run(SECOND)
     at, _, update = [x for x in harness.sent if isinstance(x[2], wire.Update)][-1]
-    assert at - began < SECOND and update.entries[0].start == "2"
+    assert at - drained_at < SECOND and update.entries[0].start == "2"
 
 
 def test_changes_outside_a_prefix_cause_no_recomputation_and_no_update():
@@ -191,7 +196,7 @@
 
 
 def cost_of_changes(instances, ring=InstanceRing):
-    """Prefixes computed and ring entries visited while 100 instances are removed and added again."""
+    """Numbers of prefixes computed and of ring entries visited while 100 instances are replaced."""
     harness = HolderHarness(instances, snapshot_burst=10_000)
     harness.connect(1)
     for i in range(200):
@@ -215,6 +220,7 @@
 
 
 def test_the_cost_measure_detects_a_scan_over_all_watches(monkeypatch):
+    """Checks the test above: with a scan over all watches its first assertion fails."""
     monkeypatch.setattr(WatchedFunctions, "affected_functions", lambda self, changes: set(self.functions))
     small, large = cost_of_changes(400), cost_of_changes(1_000)
     assert large[0] >= small[0] / 4
@@ -241,6 +247,7 @@
 
 
 def test_bytes_per_second_are_limited_except_for_urgent_changes():
+    """Drains are urgent: they are sent at once although the limit has been reached."""
     harness = HolderHarness(300, session_bytes=1_000, snapshot_burst=10_000)
     harness.connect(1)
     for i in range(60):
@@ -285,6 +292,7 @@
 
 
 def test_batches_are_limited_in_entries_without_losing_changes(monkeypatch):
+    """Guards against dropping the changes beyond the limit, which belong in the next batches."""
     monkeypatch.setattr("lapistrestle.directory.sessions.MOST_IN_A_BATCH", 10)
     harness = HolderHarness(200, snapshot_burst=1_000, session_bytes=10**7)
     harness.connect(1)
@@ -313,6 +321,7 @@
 
 
 def test_a_busy_holder_sends_a_retry_time_and_keeps_the_earlier_watch():
+    """Guards against dropping a watch when its extension can't be served yet."""
     harness = HolderHarness(snapshot_burst=1, snapshot_rate=10)
     harness.connect(1)
     first = harness.watch(1, "f", 2)
@@ -455,6 +464,7 @@
 
 
 def test_a_stalled_holder_answers_only_after_a_new_list_from_its_roster():
+    """Guards against serving an outdated list after a stall, in which events may have been missed."""
     harness = HolderHarness()
     harness.connect(1)
     harness.watch(1, "f")
@@ -476,6 +486,7 @@
 
 
 def test_a_list_requested_before_a_stall_does_not_end_the_stall():
+    """Guards against taking a list that was requested before the stall for a recent one."""
     harness = HolderHarness()
     harness.connect(1)
     harness.holder.snapshot_requested(harness.now)
@@ -512,6 +523,7 @@
 
 
 def test_decoding_a_long_list_does_not_count_as_a_stall():
+    """Guards against requesting the list again and again because decoding it looks like a stall."""
     harness = HolderHarness()
     harness.run(SECOND)
     many = [entry(i) for i in range(60_000)]
@@ -552,9 +564,9 @@
     harness.connect(1)
     harness.watch(1, "f", 4)
     harness.receive(1, wire.InspectRequest("f"))
-    shown = msgspec.json.decode(harness.collected(wire.InspectResponse)[0].body)
+    inspection = msgspec.json.decode(harness.collected(wire.InspectResponse)[0].body)
     names = [e.name for e in harness.collected(wire.Snapshot)[0].entries]
-    assert [e["name"] for e in shown["order"]][:4] == names and shown["watchers"] == 1
+    assert [e["name"] for e in inspection["order"]][:4] == names and inspection["watchers"] == 1
     assert harness.holder.inspect()["watches"] == 1
 
 
@@ -777,6 +789,7 @@
 
 
 def test_an_answer_after_the_end_of_its_lease_is_ignored():
+    """Guards against extending a lease that has expired."""
     harness = WatcherHarness(silence_timeout=10 * SECOND)
     connection = cache_prefix(harness)
     requested_at = harness.sent(wire.Renew)[-1].sent_at
@@ -791,10 +804,10 @@
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     harness.answer_renewals(connection)
-    silent = harness.now
+    silent_since = harness.now
     harness.run(SECOND)
     dials = [(at, e) for at, e in harness.effects if isinstance(e, directory.Dial)]
-    assert dials[1][0] - silent < 9_000 and dials[1][1].replica != dials[0][1].replica
+    assert dials[1][0] - silent_since < 9_000 and dials[1][1].replica != dials[0][1].replica
     other = harness.connect()
     harness.snapshot(other, [1, 2, 3], number=2)
     assert harness.collected(directory.PrefixReady) == [directory.PrefixReady("f", ("w1", "w2", "w3"), False)]
@@ -843,6 +856,7 @@
 
 
 def test_a_replica_that_stays_behind_is_failed_over_from():
+    """Its snapshots have an older revision than the watcher has from the previous replica."""
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     harness.update(connection, 9)
@@ -857,6 +871,7 @@
 
 
 def test_a_snapshot_of_a_superseded_source_is_rejected():
+    """The source e2 was seen after e1, so e1 is superseded whatever its numbers."""
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     harness.watcher.connection_lost(connection, harness.now)
@@ -885,6 +900,7 @@
 
 
 def test_a_batch_is_applied_once():
+    """Guards against inserting an instance twice when a batch is received twice."""
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     watch = harness.sent(wire.Watch)[-1].id
@@ -896,6 +912,7 @@
 
 
 def test_a_lost_last_batch_is_detected_at_the_next_renewal():
+    """No later batch shows the gap, but the answer to a renewal carries the last sequence number."""
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     harness.sequence[connection] += 1
@@ -904,6 +921,7 @@
 
 
 def test_a_change_that_does_not_fit_causes_a_new_request():
+    """The change removes an instance that the known prefix does not have."""
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     change = wire.PrefixChange(harness.sent(wire.Watch)[-1].id, 3, ["w7"], [])
@@ -1020,11 +1038,14 @@
 
 
 def run_with_stale_replicas(harness, connection, seconds):
-    """All replicas are cut off from the roster. Returns the times of moves, in ticks, and the connection."""
-    moves, began = [], harness.now
-    while harness.now - began < seconds * SECOND:
+    """Run with all replicas cut off from the roster.
+
+    Returns the times, in ticks, at which the watcher changed its replica, and the last connection.
+    """
+    moves, started_at = [], harness.now
+    while harness.now - started_at < seconds * SECOND:
         harness.run(SECOND // 10)
-        age = 2 * SECOND + harness.now - began
+        age = 2 * SECOND + harness.now - started_at
         harness.answer_renewals(connection, age=age)
         if connection not in harness.watcher.connections:
             moves.append(harness.now)
@@ -1057,6 +1078,7 @@
 
 
 def test_a_stalled_dispatcher_does_not_count_the_silence_of_holders():
+    """Guards against closing connections after a stall of the watcher's own process."""
     harness = WatcherHarness()
     connection = cache_prefix(harness)
     harness.answer_renewals(connection)
@@ -1089,7 +1111,7 @@
     assert known.order == ["e1", "e2", "e3"]
     assert not known.is_acceptable("e2", 0, 100) and known.is_acceptable("e3", 900, 100)
     assert known.is_acceptable("e4", 0, 100) and not known.is_acceptable("e4", 900, 100)
-    late = Revisions()  # sees the new source first
+    late = Revisions()  # meets the newer source first, as by a replica that is ahead
     late.record_seen("e2", 0)
     late.record_seen("e1", 0)
     assert late.is_older(wire.Revision("e2", 9), wire.Revision("e1", 1))
@@ -1100,10 +1122,10 @@
     )
 
 
-# whole regions in virtual time
+# simulated regions; `breaches` collects what violates a rule of the directory
 
 
-def drained(world, name):
+def drain(world, name):
     """Drain an instance. Returns the watchers whose prefixes contain it."""
     world.roster.note(msgspec.structs.replace(world.roster.entries[name], listing="draining"))
     return [w for w in world.watchers if any(name in f.names for f in w.decisions.functions.values())]
@@ -1131,18 +1153,21 @@
         world.cut_from_roster.add(holder.copy)
         world.day(2.5)  # the holder reports it, and watchers switch to the other replica
     name = next(iter(world.watchers[0].decisions.functions.values())).names[0]
-    started = world.time.now
-    watching = drained(world, name)
+    drained_at = world.time.now
+    watching = drain(world, name)
     world.day(1)
     assert watching
     for watcher in watching:
         notified_at = watcher.view.told_of[name, int(world.roster.entries[name].start), "draining"]
-        assert notified_at - started < SECOND
+        assert notified_at - drained_at < SECOND
     assert not world.breaches.found
 
 
 def test_all_dispatchers_of_a_zone_starting_at_once_are_served_by_both_replicas():
-    """325 start within 100 ms, with 6 functions each; a replica sends 1,000 snapshots per second."""
+    """Guards against failed look-ups when 325 watchers of 6 functions each start within 100 ms.
+
+    A replica sends at most 1,000 snapshots per second.
+    """
     holder = HolderSettings(snapshot_rate=1_000, snapshot_burst=100)
     world = DirectorySimulation(
         1, SimulationPlan(watchers=325, copies=2, shards=1, functions=12, holder=holder), CALM
@@ -1238,11 +1263,11 @@
 def test_checks_detect_a_lease_counted_from_the_answer(monkeypatch):
     original = HolderMessages.apply_renewal
 
-    def renewed(self, connection, message, now):
+    def count_lease_from_answer(self, connection, message, now):
         original(self, connection, message, now)
         connection.lease_until = now + message.lease
 
-    monkeypatch.setattr(HolderMessages, "apply_renewal", renewed)
+    monkeypatch.setattr(HolderMessages, "apply_renewal", count_lease_from_answer)
     assert any("lease that lapsed" in violation for violation in run_with_late_renewals().breaches.found)
 
 
--- a/tests/test_scale_control.py
+++ b/tests/test_scale_control.py
@@ -1,4 +1,8 @@
-"""Kinds of growth of the control roles: messages, bytes and steps at small sizes, never a clock."""
+"""How the work of the control plane grows with its dimensions, at small sizes.
+
+Counted in messages, bytes and steps, never timed. Some tests add a scan of everything on purpose and check
+that it is detected.
+"""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -25,12 +29,12 @@
 from lapistrestle.policy.slow_start import SlowStart
 from lapistrestle.wire.json_lines import LineLimits
 
-GIVEN = assumptions.load()
-NO_WORSE = (Kind.FLAT, Kind.LOG, Kind.LINEAR)
+INPUTS = assumptions.load()
+AT_MOST_LINEAR = (Kind.FLAT, Kind.LOG, Kind.LINEAR)
 
 
-def kind(sizes: Sequence[int], of: Callable[[int], float]) -> Kind:
-    return fitting.kind_of(sizes, [of(size) for size in sizes])
+def growth_kind(sizes: Sequence[int], measure: Callable[[int], float]) -> Kind:
+    return fitting.kind_of(sizes, [measure(size) for size in sizes])
 
 
 # membership and digests
@@ -45,7 +49,7 @@
     small, large = gossip(200), gossip(400)
     assert small.messages_out == large.messages_out < 25
     assert abs(small.bytes_out / large.bytes_out - 1) < 0.1
-    assert large.bytes_out > GIVEN.target.control_bytes_per_second  # a known overrun of the budget
+    assert large.bytes_out > INPUTS.target.control_bytes_per_second  # a known overrun of the budget
 
 
 GOSSIP_SIZES = (20, 40, 80, 160)
@@ -55,11 +59,11 @@
     return control_gossip.steps_of(control_gossip.LoneMember(size - 1, 1).start())
 
 
-def test_what_a_member_does_grows_no_worse_than_its_fleet() -> None:
-    assert kind(GOSSIP_SIZES, gossip_steps) in NO_WORSE
+def test_the_work_of_a_member_grows_at_most_linearly_with_its_fleet() -> None:
+    assert growth_kind(GOSSIP_SIZES, gossip_steps) in AT_MOST_LINEAR
 
 
-def test_a_planted_scan_for_each_member_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_deliberate_scan_for_each_member_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     live = MemberTable.live
 
     def scanned(table: MemberTable) -> Any:
@@ -68,54 +72,54 @@
         return live(table)
 
     monkeypatch.setattr(MemberTable, "live", scanned)
-    assert kind((8, 16, 32, 64), gossip_steps) is Kind.WORSE
+    assert growth_kind((8, 16, 32, 64), gossip_steps) is Kind.WORSE
 
 
-def test_a_synthetic_fleet_costs_a_member_what_a_whole_one_does() -> None:
-    lone = control_gossip.measure_member(40, 1, spans=1, seconds=20)
+def test_a_member_of_a_simulated_fleet_does_the_work_of_one_in_a_real_fleet() -> None:
+    single = control_gossip.measure_member(40, 1, spans=1, seconds=20)
     whole = control_gossip.measure_in_fleet(40, 1)
-    assert abs(lone.steps / whole.steps - 1) < 0.15
-    assert abs(lone.bytes_out / whole.bytes_out - 1) < 0.15
+    assert abs(single.steps / whole.steps - 1) < 0.15
+    assert abs(single.bytes_out / whole.bytes_out - 1) < 0.15
 
 
-# allowances and trials
+# quota leases, and trial requests to ejected workers
 
 
 def test_what_a_borrower_sends_does_not_grow_with_its_fleet() -> None:
     role = control_allowance.LendingRole()
-    sent = [role.measure(Dimension.DISPATCHERS, size, 1, GIVEN).messages_out for size in (25, 50, 100, 200)]
+    sent = [role.measure(Dimension.DISPATCHERS, size, 1, INPUTS).messages_out for size in (25, 50, 100, 200)]
     assert max(sent) <= 4  # a request and a reply, twice a second
 
 
 def test_sharing_trials_out_grows_linearly_with_the_list() -> None:
-    """Twice a second an edge goes through every instance of its list, to share out the trials."""
+    """Twice a second an edge goes through its whole list, to see which workers it sends trial requests to."""
 
     def steps(size: int) -> float:
         return count_steps(control_allowance.together_of(size, 10).share_verdicts).instructions
 
-    assert kind((200, 400, 800, 1_600), steps) is Kind.LINEAR
+    assert growth_kind((200, 400, 800, 1_600), steps) is Kind.LINEAR
 
 
 # the replicated log
 
 
 def change_steps(log: int) -> float:
-    agreed = control_agreement.Agreed(3, log, control_agreement.DELAY, 1)
-    meter = agreed.meters[agreed.leader]
+    cluster = control_agreement.Agreed(3, log, control_agreement.DELAY, 1)
+    meter = cluster.meters[cluster.leader]
     meter.steps, meter.counts_steps = 0, True
-    agreed.load(5, 1)
-    assert len(agreed.took) == 5
+    cluster.load(5, 1)
+    assert len(cluster.took) == 5
     return meter.steps
 
 
-LOGS = (200, 400, 800, 1_600)
+LOG_LENGTHS = (200, 400, 800, 1_600)
 
 
 def test_a_change_costs_a_leader_the_same_however_long_its_log() -> None:
-    assert kind(LOGS, change_steps) is Kind.FLAT
+    assert growth_kind(LOG_LENGTHS, change_steps) is Kind.FLAT
 
 
-def test_a_planted_scan_of_the_log_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_deliberate_scan_of_the_log_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     append = RaftNode.append
 
     def scanned(member: RaftNode, entries: Sequence[LogEntry]) -> Any:
@@ -123,7 +127,7 @@
         append(member, entries)
 
     monkeypatch.setattr(RaftNode, "append", scanned)
-    assert kind(LOGS, change_steps) is Kind.LINEAR
+    assert growth_kind(LOG_LENGTHS, change_steps) is Kind.LINEAR
 
 
 @pytest.mark.parametrize("members", [3, 5])
@@ -144,7 +148,7 @@
     samples = [control_rollout.planner_sample(size, 20) for size in sizes]
     for size, sample in zip(sizes, samples, strict=True):
         assert sample.messages == control_rollout.CHANGES * (size + 1)
-    assert fitting.kind_of(sizes, [sample.steps for sample in samples]) in NO_WORSE
+    assert fitting.kind_of(sizes, [sample.steps for sample in samples]) in AT_MOST_LINEAR
 
 
 def test_an_entry_and_a_change_grow_no_worse_than_the_functions_with_a_rollout() -> None:
@@ -159,13 +163,13 @@
         source = control_rollout.source_with(functions)
         return count_steps(lambda: control_rollout.change_told(source, 1)).instructions
 
-    assert kind((100, 200, 400, 800), entry) in NO_WORSE
-    assert kind((100, 200, 400, 800), change) in NO_WORSE
+    assert growth_kind((100, 200, 400, 800), entry) in AT_MOST_LINEAR
+    assert growth_kind((100, 200, 400, 800), change) in AT_MOST_LINEAR
 
 
 def test_a_whole_plan_ends_at_the_longest_line() -> None:
     """The size of a plan is limited first by the default maximum length of a line."""
-    figures = {f.name: f.value for f in control_rollout.longest_line(1, GIVEN, True)}
+    figures = {f.name: f.value for f in control_rollout.longest_line(1, INPUTS, True)}
     most = int(figures["most functions in a whole plan that an edge takes"])
     assert len(control_rollout.whole_line(most)) <= LineLimits().max_line_bytes + 1
     assert len(control_rollout.whole_line(most + 1)) > LineLimits().max_line_bytes
@@ -174,7 +178,7 @@
 # the endpoint list
 
 
-CHANGED = (100, 200, 400, 800)
+LIST_SIZES = (100, 200, 400, 800)
 
 
 def list_change_steps(instances: int) -> float:
@@ -183,18 +187,18 @@
 
 
 def test_one_change_of_the_list_costs_its_follower_the_same_at_any_length() -> None:
-    assert kind(CHANGED, list_change_steps) is Kind.FLAT
+    assert growth_kind(LIST_SIZES, list_change_steps) is Kind.FLAT
 
 
-def test_a_planted_scan_of_the_list_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    facts = KnownWorkers.worker_info
+def test_a_deliberate_scan_of_the_list_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    worker_info = KnownWorkers.worker_info
 
     def scanned(following: KnownWorkers, known: Any) -> Any:
         assert sum(other is known for other in following.known.values()) == 1
-        return facts(following, known)
+        return worker_info(following, known)
 
     monkeypatch.setattr(KnownWorkers, "worker_info", scanned)
-    assert kind(CHANGED, list_change_steps) is Kind.LINEAR
+    assert growth_kind(LIST_SIZES, list_change_steps) is Kind.LINEAR
 
 
 def test_a_change_goes_to_every_subscriber_and_a_snapshot_is_limited_by_the_line_length() -> None:
@@ -202,7 +206,7 @@
     hollow.traffic.messages_out = 0
     hollow.change(1)
     assert hollow.traffic.messages_out == 20
-    figures = {f.name: f.value for f in control_roster.longest_line(1, GIVEN, True)}
+    figures = {f.name: f.value for f in control_roster.longest_line(1, INPUTS, True)}
     most = int(figures["most instances in a whole list"])
     assert len(control_roster.whole_line(most)) <= LineLimits().max_line_bytes + 1
     assert len(control_roster.whole_line(most + 1)) > LineLimits().max_line_bytes
@@ -213,14 +217,14 @@
 
 @pytest.mark.parametrize("dispatchers", [1, 8, 50, 200])
 def test_the_slow_start_budget_holds_for_all_dispatchers_together(dispatchers: int) -> None:
-    calls = GIVEN.target.calls_per_second / GIVEN.target.instances
-    sums, turns = control_cold.windows_of(dispatchers, calls)
-    assert min(sums) >= 1
-    assert max(sums) <= 2
+    calls = INPUTS.target.calls_per_second / INPUTS.target.instances
+    sent_per_window, turns = control_cold.windows_of(dispatchers, calls)
+    assert min(sent_per_window) >= 1
+    assert max(sent_per_window) <= 2
     assert sum(turns) <= control_cold.WINDOWS * 2
 
 
-def room_steps(dispatchers: int) -> float:
+def capacity_check_steps(dispatchers: int) -> float:
     made, cold = control_cold.dispatcher_of(0, dispatchers, 1.0)
     request = Request("r", control_cold.FUNCTION, 0, 0, control_cold.NOW + 30_000)
     return count_steps(lambda: made.slow_start.has_capacity(cold, request)).instructions
@@ -228,12 +232,12 @@
 
 def test_a_capacity_check_costs_the_same_however_many_dispatchers(monkeypatch: pytest.MonkeyPatch) -> None:
     sizes = (50, 100, 200, 400)
-    assert kind(sizes, room_steps) is Kind.FLAT
-    room = SlowStart.has_capacity
+    assert growth_kind(sizes, capacity_check_steps) is Kind.FLAT
+    has_capacity = SlowStart.has_capacity
 
     def scanned(slow_start: SlowStart, worker: Worker, request: Request) -> Any:
         assert sum(1 for _ in range(slow_start.settings.dispatcher_count))
-        return room(slow_start, worker, request)
+        return has_capacity(slow_start, worker, request)
 
     monkeypatch.setattr(SlowStart, "has_capacity", scanned)
-    assert kind(sizes, room_steps) is not Kind.FLAT
+    assert growth_kind(sizes, capacity_check_steps) is not Kind.FLAT
