--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -385,12 +385,12 @@
     )
     received, client = [], harness.connect_client()
     harness.runners[0].on_run = lambda line, message: received.append(message)
-    began, stopped = harness.reactor.rightNow, shut_down(harness)
+    started_at, stopped = harness.reactor.rightNow, shut_down(harness)
     harness.reactor.run(0.55)
     number = client.ask(patience=str(int(deadline * 1000)))
     harness.reactor.until(lambda: received)
     harness.reactor.run(ends - 0.551)
-    assert stopped and stopped[0] - began < ends
+    assert stopped and stopped[0] - started_at < ends
     harness.reactor.until(lambda: client.closed)
     assert client.status(number) in (500, 503)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -175,8 +175,8 @@
     if group in ("profiles", "tenants"):
         changed = {group: [{"name": "search", "deadline": 1_000_000} | changed]}
     elif group:
-        usual: Any = SETTINGS.get(group, {})
-        changed = {group: usual | changed}
+        defaults: Any = SETTINGS.get(group, {})
+        changed = {group: defaults | changed}
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": SETTINGS | changed}
     with pytest.raises(ConfigurationError, match=re.escape(key)):
         parse_configuration(msgspec.json.encode(file), "config.json")
@@ -186,9 +186,9 @@
 @pytest.mark.parametrize("how", ["missing", "null", "all null"])
 def test_missing_and_null_settings_have_defaults(group: Any, how: Any) -> None:
     settings: dict[str, Any] = {**SETTINGS, group: None}
-    usual: Any = SETTINGS.get(group)
-    if how == "all null" and isinstance(usual, dict):
-        settings[group] = dict.fromkeys(usual)
+    defaults: Any = SETTINGS.get(group)
+    if how == "all null" and isinstance(defaults, dict):
+        settings[group] = dict.fromkeys(defaults)
     if how == "missing":
         del settings[group]
     file = {"name": "n", "listen": "127.0.0.1:0", "seed": "1", "settings": settings}
@@ -259,13 +259,13 @@
     for runner in harness.runners:
         runner.on_run = lambda line, message: None
     deadline = harness.node.core.settings.methods[0].deadline / 10
-    client, began = harness.connect_client(), harness.reactor.rightNow
+    client, started_at = harness.connect_client(), harness.reactor.rightNow
     number = client.ask(patience=str(int(deadline) + over))
     harness.reactor.quiet()
-    while client.status(number) is None and harness.reactor.rightNow < began + deadline / 1000 + 1:
+    while client.status(number) is None and harness.reactor.rightNow < started_at + deadline / 1000 + 1:
         harness.reactor.run(0.001)
     assert client.status(number) == status
-    assert harness.reactor.rightNow - began <= deadline / 1000 + 0.01
+    assert harness.reactor.rightNow - started_at <= deadline / 1000 + 0.01
     if status == 503:
         assert (
             all(message["attrs"]["budget"] <= deadline for message in harness.run_messages())
@@ -379,13 +379,13 @@
     assert good.status(other) == 200 and bad.status(number) is None
 
 
-JUNK = [b"\x00" * 64, b"GET / HTTP/1.1\r\n\r\n", b"\x01\x07\x00\x01\x00\x08\x00\x00" * 3]
+INVALID_DATA = [b"\x00" * 64, b"GET / HTTP/1.1\r\n\r\n", b"\x01\x07\x00\x01\x00\x08\x00\x00" * 3]
 
 
-@pytest.mark.parametrize("junk", JUNK)
-def test_junk_is_closed_at_once(harness: Any, junk: Any) -> None:
+@pytest.mark.parametrize("data", INVALID_DATA)
+def test_a_connection_with_invalid_data_is_closed_at_once(harness: Any, data: Any) -> None:
     client = harness.connect_client()
-    client.send(junk)
+    client.send(data)
     harness.reactor.until(lambda: client.closed)
     assert not harness.node.front.connections
 
@@ -401,18 +401,18 @@
 
 def test_incomplete_requests_of_many_connections_are_bounded_together(harnesses: Any) -> None:
     harness = harnesses(memory_mb=4)
-    crowd = [harness.connect_client() for _ in range(6)]
-    for client in crowd:
+    other_clients = [harness.connect_client() for _ in range(6)]
+    for client in other_clients:
         for _ in range(16):
             client.ask(body=b"x" * 16_000, whole=False)
         harness.reactor.quiet()
         assert harness.node.front.buffered_bytes <= 500_000 + 65_536 + 262_144
-    assert any(client.closed for client in crowd)
+    assert any(client.closed for client in other_clients)
     good = harness.connect_client()
     number = good.ask(id="9b1f03aa5c7e2d41")
     harness.reactor.until(lambda: good.status(number))
     assert good.status(number) == 200
-    for client in crowd:
+    for client in other_clients:
         client.drop("over")
     harness.reactor.quiet()
     assert harness.node.front.buffered_bytes == 0
@@ -421,26 +421,26 @@
 def test_connections_silent_or_with_an_incomplete_request_are_closed_within_three_seconds(
     harness: Any,
 ) -> None:
-    silent, half, good = harness.connect_client(), harness.connect_client(), harness.connect_client()
-    half.ask(whole=False)
+    silent, incomplete, good = harness.connect_client(), harness.connect_client(), harness.connect_client()
+    incomplete.ask(whole=False)
     done = good.ask()
     harness.reactor.run(2.6)
-    assert silent.closed and half.closed and good.status(done) == 200 and not good.closed
+    assert silent.closed and incomplete.closed and good.status(done) == 200 and not good.closed
 
 
 def test_many_silent_connections_do_not_affect_regular_clients(harnesses: Any) -> None:
     harness = harnesses(sockets=64)
-    usual = harness.connect_client()
-    usual.ask()
+    regular_client = harness.connect_client()
+    regular_client.ask()
     harness.reactor.run(0.6)
-    crowd = [harness.connect_client() for _ in range(60)]
+    other_clients = [harness.connect_client() for _ in range(60)]
     harness.reactor.run(0.1)
     assert len(harness.node.front.connections) <= harness.node.front.max_connections
-    if usual.closed:  # an idle connection may have been closed: reconnect
-        usual = harness.connect_client()
-    number = usual.ask(id="9b1f03aa5c7e2d41")
-    harness.reactor.until(lambda: usual.status(number))
-    assert usual.status(number) == 200 and sum(bool(c.closed) for c in crowd) > 20
+    if regular_client.closed:  # an idle connection may have been closed: reconnect
+        regular_client = harness.connect_client()
+    number = regular_client.ask(id="9b1f03aa5c7e2d41")
+    harness.reactor.until(lambda: regular_client.status(number))
+    assert regular_client.status(number) == 200 and sum(bool(c.closed) for c in other_clients) > 20
 
 
 def test_requests_over_the_limit_of_a_connection_are_rejected_as_overloaded(harness: Any) -> None:
@@ -581,13 +581,13 @@
     )
     number = client.ask(function="1" * 16)
     harness.reactor.readers.pop(listener)  # accepts nothing, but the kernel establishes the connection
-    made = runner.pick([])
-    assert made is not None
+    connection = runner.pick([])
+    assert connection is not None
     harness.board.tell(2, 2, harness.row(0, state=1))
     harness.reactor.until(lambda: client.status(number))
     assert (
         harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING
-        and not made.state_machine.queued
+        and not connection.state_machine.queued
     )
     after = len(harness.runners[0].runs)
     more = [client.ask(function="1" * 16, id=f"{i:016x}") for i in range(100, 110)]
@@ -608,7 +608,8 @@
     harness.reactor.until(lambda: harness.workers()["s-00000001"].endpoint_state is EndpointState.DRAINING)
     assert harness.node.core.runners["s-00000001"] is runner
     assert connections and runner.connections == connections and harness.runners[0].lines == lines
-    harness.board.tell(3, 2, harness.row(0, started=1_700_000_000_000))  # its machine restarted
+    # the runner's machine was restarted
+    harness.board.tell(3, 2, harness.row(0, started=1_700_000_000_000))
     harness.reactor.until(lambda: not any(connection.stream for connection in connections))
     assert harness.node.core.runners["s-00000001"] is not runner
 
--- a/tests/test_node_answers.py
+++ b/tests/test_node_answers.py
@@ -99,16 +99,16 @@
 
 def fill_connections(harness: Any) -> list[WebServer]:
     """Open the maximum number of connections, each with an open request."""
-    crowd: list[WebServer] = []
+    other_clients: list[WebServer] = []
     for _ in range(harness.node.front.max_connections):
-        crowd.append(harness.connect_client())
-        crowd[-1].ask(id=f"{len(crowd) + 1000:016x}", patience="4000")
-    harness.reactor.until(lambda: harness.host.open_requests == len(crowd))
-    return crowd
+        other_clients.append(harness.connect_client())
+        other_clients[-1].ask(id=f"{len(other_clients) + 1000:016x}", patience="4000")
+    harness.reactor.until(lambda: harness.host.open_requests == len(other_clients))
+    return other_clients
 
 
 def slow_reader(harness: Any) -> tuple[WebServer, Any]:
-    """A client with small socket buffers that reads nothing until told to."""
+    """A client with small socket buffers that reads nothing until `resume_reading`."""
     client = harness.connect_client()
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 32_768)
     harness.reactor.until(lambda: harness.node.front.connections)
@@ -197,7 +197,7 @@
     large = client.ask(body=b"x" * 20_000) if bad == "body" else client.ask(HTTP_X_LONG="x" * 20_000)
     harness.reactor.until(lambda: client.status(large) is not None)
     assert client.status(large) in (413, 431)
-    late = client.ask(id="9b1f03aa5c7e2d41")  # the client may not know yet
+    late = client.ask(id="9b1f03aa5c7e2d41")  # sent before the client learns that the connection is closing
     harness.reactor.quiet()
     answer_all(harness, received)
     harness.reactor.until(lambda: client.closed)
@@ -206,10 +206,10 @@
 
 def test_an_incomplete_request_does_not_affect_others_on_its_connection(harness: Any) -> None:
     client, received = harness.connect_client(), hold_runs(harness)
-    number, half = client.ask(method="bill", patience="4000"), client.ask(whole=False)
+    number, incomplete = client.ask(method="bill", patience="4000"), client.ask(whole=False)
     harness.reactor.until(lambda: received)
     harness.reactor.run(2.6)
-    assert client.status(half) == 408
+    assert client.status(incomplete) == 408
     answer_all(harness, received)
     harness.reactor.until(lambda: client.closed)
     assert client.status(number) == 200
@@ -218,20 +218,23 @@
 def test_a_connection_closed_for_its_buffered_bytes_has_its_open_requests_answered(harnesses: Any) -> None:
     harness = harnesses(runners=1, memory_mb=4)
     client, received = harness.connect_client(), hold_runs(harness)
-    halves: list[int] = []
+    incomplete_requests: list[int] = []
     number = client.ask()
     harness.reactor.until(lambda: received)
     for _ in range(5):
-        crowd = harness.connect_client()
+        other_client = harness.connect_client()
         for _ in range(6):
-            crowd.ask(body=BODY, whole=False)
+            other_client.ask(body=BODY, whole=False)
     for _ in range(20):
-        halves.append(client.ask(body=BODY, whole=False))
+        incomplete_requests.append(client.ask(body=BODY, whole=False))
         harness.reactor.quiet()
     answer_all(harness, received)
     harness.reactor.until(lambda: client.closed)
     assert client.status(number) == 200
-    assert all(client.status(half) in (None, 503) for half in halves) and client.status(halves[0]) == 503
+    assert (
+        all(client.status(incomplete) in (None, 503) for incomplete in incomplete_requests)
+        and client.status(incomplete_requests[0]) == 503
+    )
 
 
 def test_answers_are_not_lost_to_a_reset_for_unread_data(harness: Any) -> None:
@@ -369,7 +372,7 @@
     """Guards against closing a connection over the limit without reading its first request."""
     harness = harnesses(runners=1, sockets=64)
     hold_requests(harness)
-    crowd = fill_connections(harness)
+    other_clients = fill_connections(harness)
     late = connect(harness)
     if when == "before it is accepted":
         late.ask(id="9b1f03aa5c7e2d41")
@@ -379,7 +382,7 @@
         harness.reactor.run(0.03)
         late.ask(id="9b1f03aa5c7e2d41")
     harness.reactor.until(lambda: late.closed)
-    assert late.status(1) == 503 and not any(client.closed for client in crowd)
+    assert late.status(1) == 503 and not any(client.closed for client in other_clients)
 
 
 def test_a_request_that_comes_in_pieces_on_a_connection_over_the_limit_is_answered(harnesses: Any) -> None:
@@ -400,10 +403,10 @@
     """Guards against evicting the oldest of many new connections while its first request is in transit."""
     harness = harnesses(runners=1, sockets=64)
     first = harness.connect_client()
-    crowd = [harness.connect_client() for _ in range(harness.node.front.max_connections)]
+    other_clients = [harness.connect_client() for _ in range(harness.node.front.max_connections)]
     if new == "one that asks":
-        crowd[-1].ask(id="9b1f03aa5c7e2d41")
-        harness.reactor.until(lambda: crowd[-1].ends)
+        other_clients[-1].ask(id="9b1f03aa5c7e2d41")
+        harness.reactor.until(lambda: other_clients[-1].ends)
     first.ask(id="9b1f03aa5c7e2d42")
     harness.reactor.until(lambda: first.ends or first.closed)
     assert first.status(1) == 200
@@ -414,11 +417,11 @@
     harness = harnesses(runners=1, sockets=64)
     requests = hold_requests(harness)
     clients = fill_connections(harness)
-    crowd = [harness.connect_client() for _ in range(100)]
+    other_clients = [harness.connect_client() for _ in range(100)]
     front = harness.node.front
     assert len(front.connections) + len(front.closing) <= 64 * 9 // 20
     harness.reactor.run(2.9)
-    assert all(client.closed for client in crowd)
+    assert all(client.closed for client in other_clients)
     assert len(requests) == len(clients) == harness.host.open_requests and not any(
         client.closed for client in clients
     )
@@ -490,11 +493,11 @@
     client = harness.connect_client()
     stopped = shut_down(harness)
     harness.reactor.run(0.7)
-    half = client.ask(whole=False)
+    incomplete = client.ask(whole=False)
     harness.reactor.run(0.5)
     assert stopped
     harness.reactor.until(lambda: client.closed)
-    assert client.status(half) == 503
+    assert client.status(incomplete) == 503
 
 
 # faults of other parties
@@ -522,7 +525,7 @@
 ) -> None:
     harness = harnesses(runners=2)
 
-    def play(line: Any, message: Any) -> None:
+    def reply(line: Any, message: Any) -> None:
         if trouble == "spoilt":
             line.send(b'{"verb":"200","rid":"\xff\xfe\n')
         elif trouble == "reset" and not line.dead:
@@ -532,7 +535,7 @@
             line.drop("cut")
 
     for runner in harness.runners:
-        runner.on_run = play
+        runner.on_run = reply
     client = harness.connect_client()
     keys = {"publish": {"HTTP_X_DEDUPE_KEY": "5c0f6e1a"}}
     numbers = [
@@ -548,22 +551,24 @@
 def test_a_flood_of_others_leaves_each_request_one_final_answer_by_its_deadline(harnesses: Any) -> None:
     harness = harnesses(runners=1, sockets=64)
     hold_runs(harness)
-    usual = harness.connect_client()
-    numbers = [usual.ask(method="bill", patience="1000") for _ in range(8)]
+    regular_client = harness.connect_client()
+    numbers = [regular_client.ask(method="bill", patience="1000") for _ in range(8)]
     harness.reactor.until(lambda: harness.host.counts["taken"] == 8)
     for turn in range(20):
-        crowd = [harness.connect_client() for _ in range(20)]
-        crowd[0].send(INVALID_DATA + bytes(100_000))
-        crowd[1].send(begin_request(1) * 2)
-        crowd[2].ask(whole=False)
-        crowd[3].send(begin_request(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, b"\xff" * 60_000))
+        other_clients = [harness.connect_client() for _ in range(20)]
+        other_clients[0].send(INVALID_DATA + bytes(100_000))
+        other_clients[1].send(begin_request(1) * 2)
+        other_clients[2].ask(whole=False)
+        other_clients[3].send(begin_request(1) + fastcgi.encode_record(fastcgi.PARAMS, 1, b"\xff" * 60_000))
         for _ in range(40):
-            crowd[4].give_up(crowd[4].ask(id=f"{turn + 1:08x}{crowd[4].last:08x}"))
+            other_clients[4].give_up(other_clients[4].ask(id=f"{turn + 1:08x}{other_clients[4].last:08x}"))
         harness.reactor.run(0.05)
     harness.reactor.quiet()
-    assert not usual.closed and all(usual.status(number) in (500, 503) for number in numbers)
+    assert not regular_client.closed and all(
+        regular_client.status(number) in (500, 503) for number in numbers
+    )
     harness.reactor.run(3.0)
-    assert sorted(usual.ends) == numbers and harness.host.open_requests == 0
+    assert sorted(regular_client.ends) == numbers and harness.host.open_requests == 0
 
 
 def test_closing_connections_are_closed_after_a_time(harness: Any) -> None:
--- a/tests/test_node_drains.py
+++ b/tests/test_node_drains.py
@@ -1,8 +1,9 @@
 """Over real processes: after the grace no RUN and no HOLD is sent to a worker that drains or was removed.
 
-Several dispatchers run in parallel, each with its own board and workers, which this process plays. One clock
-gives the times at which an event entered the board and at which the first byte of a RUN or HOLD arrived. The
-order of events is forced by what is written while the dispatchers are stopped by SIGSTOP, never by sleeping.
+Several dispatchers run in parallel, each with its own board and workers, which are stand-ins in this process.
+One clock gives the times at which an event entered the board and at which the first byte of a RUN or HOLD
+arrived. The order of events is forced by what is written while the dispatchers are stopped by SIGSTOP, never
+by sleeping.
 """
 
 import json
@@ -61,13 +62,13 @@
 class StampedLine(Line):
     """Records the time of the first byte of each line."""
 
-    began = 0.0
+    line_started_at = 0.0
 
     def received(self, data: Any) -> None:
         now = time.monotonic()
-        self.began = self.began if self.rest else now
+        self.line_started_at = self.line_started_at if self.rest else now
         super().received(data)
-        self.began = now
+        self.line_started_at = now
 
 
 class StampedRunner(RunnerStub):
@@ -85,7 +86,7 @@
     def heard(self, line: Any, message: Any) -> None:
         attrs = message.get("attrs") or {}
         if message["verb"] == "RUN" or (message["verb"] == "HOLD" and int(attrs["slots_up"]) > 0):
-            self.started.append(Started(self.number, message["verb"], line.began))
+            self.started.append(Started(self.number, message["verb"], line.line_started_at))
         super().heard(line, message)
 
 
@@ -195,7 +196,7 @@
     def answered(self) -> Any:
         return all(client.status(number) is not None for client, number in self.asked)
 
-    def tell(self, worker: Any, state: Any, before: bytes = b"") -> None:
+    def send_event(self, worker: Any, state: Any, before: bytes = b"") -> None:
         self.last += 1
         self.board.enter(self.last, CHANGES, [(worker.number, state, worker.port)], before)
 
@@ -298,7 +299,7 @@
         for client in clients[node]:
             node.ask(client)
         reactor.quiet()
-        node.tell(homes[node], state, before=backlog)
+        node.send_event(homes[node], state, before=backlog)
 
     assert run_while_stopped(reactor, nodes, write) == []
 
@@ -322,7 +323,7 @@
         line.say(verb, message["rid"])
         reactor.quiet()
         other = next(worker for worker in node.workers if worker is not homes[node])
-        node.tell(homes[node] if verb == "404" else other, DRAINING)
+        node.send_event(homes[node] if verb == "404" else other, DRAINING)
 
     assert run_while_stopped(reactor, nodes, write) == []
 
@@ -343,7 +344,7 @@
         worker.listener.sock.listen(1024)
         reactor.addReader(worker.listener)
         assert reactor.follow(lambda: len(worker.lines) > CROWD), "the connection never came"
-        node.tell(worker, DRAINING)
+        node.send_event(worker, DRAINING)
 
     assert run_while_stopped(reactor, nodes, write) == []
     for end in (end for crowd in crowds for end in crowd):
@@ -371,7 +372,7 @@
     reactor, nodes = side_by_side(workers=1, started=False, known=DispatcherProcess.known)
     for node in nodes:
         node.board.answers = False
-        node.tell(node.workers[0], DRAINING)
+        node.send_event(node.workers[0], DRAINING)
     past = time.monotonic() + PAST
     assert reactor.follow(lambda: time.monotonic() > past)
     for node in nodes:
--- a/tests/test_node_freshness.py
+++ b/tests/test_node_freshness.py
@@ -79,13 +79,13 @@
 
 def seconds_usable(harness: Any, most: float = 12.0) -> Any:
     """For how many seconds requests, sent every 0.1 s, are served; None: all the time."""
-    began = last = harness.reactor.rightNow
-    while harness.reactor.rightNow < began + most:
+    started_at = last = harness.reactor.rightNow
+    while harness.reactor.rightNow < started_at + most:
         runs = len(harness.run_messages())
         status = request_status(harness)
         if status != 200:
             assert status == 503 and len(harness.run_messages()) == runs
-            return last - began
+            return last - started_at
         last = harness.reactor.rightNow
         harness.reactor.run(0.1)
     return None
@@ -160,11 +160,11 @@
     """Guards against retries at growing intervals (0.1 to 6.3 s), the last of which comes after 4 s
     and the grace.
     """
-    began, second = harness.reactor.rightNow, BoardStub(harness.reactor)
+    started_at, second = harness.reactor.rightNow, BoardStub(harness.reactor)
     whole = read_configuration(str(write_configuration(harness, tmp_path, board=f"127.0.0.1:{second.port}")))
 
     def reading() -> Any:
-        if harness.reactor.rightNow < began + whole_after:
+        if harness.reactor.rightNow < started_at + whole_after:
             raise ConfigurationError("half of it")
         return whole
 
@@ -381,8 +381,8 @@
 
 
 def test_a_call_without_time_left_when_the_connection_is_made_is_not_sent(harnesses: Any) -> None:
-    usual: Any = SETTINGS["limits"]
-    harness = harnesses(runners=1, limits=usual | {"dial-timeout": 5_000_000})
+    defaults: Any = SETTINGS["limits"]
+    harness = harnesses(runners=1, limits=defaults | {"dial-timeout": 5_000_000})
     closed, client = FullListener(harness), harness.connect_client()
     number = client.ask(patience="400")
     harness.reactor.until(lambda: queued_lines(harness))
--- a/tests/test_node_standstill.py
+++ b/tests/test_node_standstill.py
@@ -34,10 +34,10 @@
     def over_budget(self, runs: Any) -> Any:
         """Runs with a larger budget than their client had left when they began to arrive."""
         late = []
-        for worker, message, began in runs:
+        for worker, message, arrived_at in runs:
             if message["rid"] in self.sent:
                 sent, patience_ms = self.sent[message["rid"]]
-                left = patience_ms - (began - sent) * 1000
+                left = patience_ms - (arrived_at - sent) * 1000
                 if float(message["attrs"]["budget"]) > left + SLACK_MS:
                     late.append((worker, message["attrs"]["budget"], round(left)))
         return late
