--- a/benchmarks/scale/directory_fleet.py
+++ b/benchmarks/scale/directory_fleet.py
@@ -40,6 +40,7 @@
 
 
 def to_ticks(reactor: VirtualReactor) -> int:
+    """The reactor's time in ticks of 0.1 ms."""
     return reactor.now // TICK_MICROSECONDS
 
 
@@ -89,7 +90,7 @@
     # watchers
 
     def connect(self, watcher: "WatcherNode", connection: int) -> None:
-        """A dial arrives."""
+        """Accepts a watcher's connection, or refuses it if the holder was killed."""
         if self.dead:
             return watcher.after(self.one_way, watcher.refused, connection)
         self.last_session += 1
--- a/benchmarks/scale/roles/control_rollout.py
+++ b/benchmarks/scale/roles/control_rollout.py
@@ -98,7 +98,7 @@
 
 
 class PausingTransport(CountingTransport):
-    """Like a socket's transport, it pauses its producer while unsent data exceeds its buffer."""
+    """Like a socket's transport, it pauses its producer when a write exceeds its buffer."""
 
     producer: Any = None
 
